--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -72,6 +72,19 @@
     Superseded(Term),
 }
 
+/// How the leader heard that a job is cancelled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancelSource {
+    /// The watch of the queue, in the order of the writes: all that was accepted before is known.
+    Watch,
+    /// The keys read while loading.
+    Load,
+    /// A node that confirms it.
+    Peer,
+    /// The verdict itself, read or written.
+    Verdict,
+}
+
 pub struct Cluster {
     pub params: Params,
     pub term: Term,
@@ -124,6 +137,8 @@
     pub(super) confirmed: bool,
     pub(super) last_return: Option<Instant>,
     pub(super) dependencies: Dependencies,
+    /// When the queue was last asked for what an answer showed since.
+    pub(super) last_queue_read: Option<Instant>,
     /// Up to when all confirmed withdrawals are known.
     watermark: Watermark,
     /// Both clocks as they were last read together.
@@ -186,6 +201,7 @@
             confirmed: true,
             last_return: None,
             dependencies: Dependencies::default(),
+            last_queue_read: None,
             watermark: Watermark::new(clocks, []),
             clocks,
         }
@@ -203,6 +219,7 @@
 
     /// All withdrawals that the state service showed when it was asked have been taken on.
     pub fn withdrawals_read(&mut self, asked: Moment) {
+        self.last_queue_read = Some(asked.steady);
         self.watermark.read(asked);
     }
 
@@ -258,7 +275,7 @@
         } else {
             self.started + Duration::from_millis(spec.accepted_ms - self.started_ms)
         };
-        let standing = self.dependencies.add(&uid, &spec.needs);
+        let standing = self.dependencies.add(&uid, &spec.needs, spec.listed);
         if standing == Standing::Ready {
             self.capacity.saw_job(&spec, arrived);
         }
@@ -330,7 +347,7 @@
         }
         match verdict {
             Verdict::Done => self.ready(now, uid),
-            Verdict::Withdrawn => self.orphan_dependents(uid),
+            Verdict::Withdrawn => self.orphan_dependents(None, uid),
             Verdict::Live => {}
         }
     }
@@ -340,22 +357,33 @@
         self.dependencies.unresolved(|u| self.jobs.contains_key(u))
     }
 
-    fn orphan_dependents(&mut self, uid: &Uid) {
-        for d in self.dependencies.withdrawn(uid) {
-            self.orphan(&d);
+    /// A list of dependents found at takeover. It goes with its job.
+    pub fn load_list(&mut self, uid: &Uid) {
+        if self.jobs.contains_key(uid) {
+            self.dependencies.listed(uid);
+        } else {
+            self.leftovers.push(ledger::dependents_key(uid));
+        }
+    }
+
+    fn orphan_dependents(&mut self, heard: Option<Instant>, uid: &Uid) {
+        for dependent in self.dependencies.withdrawn(uid) {
+            self.orphan(heard, &dependent);
         }
     }
 
     /// Found orphaned when it was heard of; whatever needs it is, too.
     fn orphan_new(&mut self, uid: &Uid) {
-        self.orphan(uid);
-        self.orphan_dependents(uid);
+        self.orphan(None, uid);
+        self.orphan_dependents(None, uid);
     }
 
-    /// Something that it needs is withdrawn, so it is: its verdict is written next.
-    fn orphan(&mut self, uid: &Uid) {
+    /// A dependency is cancelled, so it is. Its verdict is written unless the node that confirms the
+    /// cancellation does it soon after this was heard (`None`: nobody is known to be at it).
+    fn orphan(&mut self, heard: Option<Instant>, uid: &Uid) {
         if let Some(job) = self.jobs.get_mut(uid) {
             job.orphaned = true;
+            job.orphaned_at = job.orphaned_at.or(heard);
             self.dirty_jobs.insert(uid.clone());
         }
     }
@@ -425,11 +453,23 @@
         }
     }
 
+    /// The watch of the queue shows that a job is cancelled.
     pub fn on_withdrawn(&mut self, now: Instant, uid: &Uid) {
-        self.orphan_dependents(uid);
+        self.on_cancelled(now, uid, CancelSource::Watch);
+    }
+
+    /// A job is cancelled: its tasks go, and its dependents are cancelled with it.
+    pub fn on_cancelled(&mut self, now: Instant, uid: &Uid, source: CancelSource) {
+        self.orphan_dependents(Some(now), uid);
         let Some(job) = self.jobs.get_mut(uid) else {
             return;
         };
+        match source {
+            CancelSource::Watch => (job.cancel_marked, job.close_after) = (true, None),
+            CancelSource::Load => (job.cancel_marked, job.close_after) = (true, Some(now)),
+            CancelSource::Peer | CancelSource::Verdict if job.withdrawn => {}
+            CancelSource::Peer | CancelSource::Verdict => job.close_after = Some(now),
+        }
         if job.withdrawn {
             return;
         }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -26,15 +26,15 @@
     /// What live jobs need that is not known to be done.
     open: HashMap<Uid, BTreeSet<Uid>>,
     dependents: HashMap<Uid, BTreeSet<Uid>>,
-    /// Jobs that some needed once: the state service keeps a list for each.
+    /// Jobs for which the state service holds a list of dependents.
     listed: BTreeSet<Uid>,
     ends: HashMap<Uid, Verdict>,
     order: VecDeque<Uid>,
 }
 
 impl Dependencies {
-    /// A live job and what it needs.
-    pub fn add(&mut self, uid: &Uid, needs: &[Uid]) -> Standing {
+    /// A live job and what it needs. `listed`: its dependencies have lists of their dependents.
+    pub fn add(&mut self, uid: &Uid, needs: &[Uid], listed: bool) -> Standing {
         let mut open = BTreeSet::new();
         let mut orphaned = false;
         for need in needs {
@@ -55,7 +55,9 @@
         for need in &open {
             let of = self.dependents.entry(need.clone()).or_default();
             of.insert(uid.clone());
-            self.listed.insert(need.clone());
+            if listed {
+                self.listed.insert(need.clone());
+            }
         }
         self.open.insert(uid.clone(), open);
         Standing::Blocked
@@ -132,7 +134,12 @@
         self.dependents.get(uid).into_iter().flatten()
     }
 
-    /// Whether the state service keeps a list for this job that can go now: it is over. Said once.
+    /// The state service holds a list of this job's dependents.
+    pub fn listed(&mut self, uid: &Uid) {
+        self.listed.insert(uid.clone());
+    }
+
+    /// Whether the state service holds a list for this job that can go now: it is over. Said once.
     pub fn unlist(&mut self, uid: &Uid) -> bool {
         self.listed.remove(uid)
     }
@@ -143,3 +150,36 @@
         self.dependents.keys().filter(unknown).cloned().collect()
     }
 }
+
+/// The dependents of all live jobs, as one read of their index shows them.
+#[derive(Debug, Default)]
+pub struct DependentsIndex {
+    direct: HashMap<Uid, Vec<Uid>>,
+}
+
+impl DependentsIndex {
+    /// From live jobs with their dependencies.
+    pub fn new(jobs: impl IntoIterator<Item = (Uid, Vec<Uid>)>) -> DependentsIndex {
+        let mut direct: HashMap<Uid, Vec<Uid>> = HashMap::new();
+        for (uid, needs) in jobs {
+            for need in needs {
+                direct.entry(need).or_default().push(uid.clone());
+            }
+        }
+        DependentsIndex { direct }
+    }
+
+    /// All jobs that need one of these, directly or through others.
+    pub fn descendants<'a>(&self, of: impl IntoIterator<Item = &'a Uid>) -> BTreeSet<Uid> {
+        let mut found = BTreeSet::new();
+        let mut next: Vec<&Uid> = of.into_iter().collect();
+        while let Some(uid) = next.pop() {
+            for dependent in self.direct.get(uid).into_iter().flatten() {
+                if found.insert(dependent.clone()) {
+                    next.push(dependent);
+                }
+            }
+        }
+        found
+    }
+}
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -67,8 +67,14 @@
     pub blocked: bool,
     /// Attempts for which a chunk's value has room.
     pub chunk_room: u32,
-    /// Something that it needs was withdrawn; its own verdict is to be written.
+    /// A dependency was cancelled; its own verdict is to be written.
     pub orphaned: bool,
+    /// When the cancelled dependency was heard of.
+    pub orphaned_at: Option<Instant>,
+    /// The key that tells the leader of the cancellation exists.
+    pub cancel_marked: bool,
+    /// Its records may be removed once the queue was read again after this time.
+    pub close_after: Option<Instant>,
     pub next: u32,
     pub requeued: BTreeSet<u32>,
     pub done_count: u32,
@@ -123,6 +129,9 @@
             blocked: false,
             chunk_room: CHUNK,
             orphaned: false,
+            orphaned_at: None,
+            cancel_marked: false,
+            close_after: None,
             due_at: None,
             next: 0,
             requeued: BTreeSet::new(),
@@ -155,6 +164,15 @@
     pub fn over(&self) -> bool {
         self.withdrawn || self.finished || self.orphaned || self.done_count == self.spec.shards
     }
+    /// A dependency was cancelled, and no verdict of its own is known yet.
+    pub fn is_orphan(&self) -> bool {
+        self.orphaned && !self.withdrawn && !self.finished
+    }
+    /// Whether an orphan's verdict is to be written by the leader by now.
+    pub(super) fn cascade_due(&self, now: Instant, grace: Duration) -> bool {
+        let waited = |t: Instant| now.saturating_duration_since(t) >= grace;
+        self.orphaned_at.is_none_or(waited)
+    }
     pub fn final_due(&self) -> bool {
         !self.withdrawn && !self.finished && self.done_count == self.spec.shards
     }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -5,7 +5,7 @@
 //! still be applied at any later time: because each key's own stamp is a condition, whichever of it
 //! and its repetition comes second fails, and the failed keys are read again.
 
-use super::cluster::Cluster;
+use super::cluster::{CancelSource, Cluster, Job};
 use super::history::Summary;
 use super::model::{Attempt, HostId, TaskId, Uid, Urgency};
 use std::cmp::Reverse;
@@ -24,6 +24,15 @@
 /// Of the changes that there is room for, this part is left to what comes next.
 const CLEANUP_LEAVES: usize = 2;
 
+/// What a chunk of intents takes in a transaction, at most: by itself, and for each attempt.
+const CHUNK_HEAD_BYTES: usize = 80;
+const CHUNK_ATTEMPT_BYTES: usize = 48;
+/// Entries of the history that are kept, and those that go into the summary.
+const HISTORY_KEPT: usize = 5000;
+const SUMMARY_ENTRIES: usize = 300;
+const SUMMARY_HEAD_BYTES: usize = 400;
+const SUMMARY_ENTRY_BYTES: usize = 130;
+
 pub const LEADER_KEY: &str = "ctl/leader";
 pub const TERM_KEY: &str = "ctl/term";
 pub const TYPES_KEY: &str = "ctl/types";
@@ -36,7 +45,6 @@
 pub const INTENT_PREFIX: &str = "i/";
 
 pub const DEPENDENTS_PREFIX: &str = "d/";
-
 pub const VERDICT_PREFIX: &str = "j/";
 
 /// A job's verdict, once it is over. While this key is absent, an accepted job is live: `done` and
@@ -52,8 +60,8 @@
 pub fn withdrawn_key(uid: &Uid) -> String {
     format!("{WITHDRAWN_PREFIX}{uid}")
 }
-/// The jobs that need this one. A job is entered before it is accepted, on condition that this one has
-/// no verdict; a withdrawal is conditional on this key. So whoever withdraws a job finds all of them.
+/// The list of a job's dependents, kept only for nodes of the version before this one. This version
+/// finds dependents in the index of live jobs.
 pub fn dependents_key(uid: &Uid) -> String {
     format!("{DEPENDENTS_PREFIX}{uid}")
 }
@@ -127,135 +135,269 @@
     pub launches: Vec<(TaskId, Attempt)>,
     pub finals: Vec<Uid>,
     pub closing: Vec<Uid>,
-    pub revoking: Vec<Uid>,
+    /// Jobs cancelled with a dependency.
+    pub cascaded: Vec<Uid>,
     pub deletes: Vec<String>,
     pub history: bool,
 }
 
+/// How long after a cancellation is heard of the leader leaves its dependents to the node that
+/// confirms it. That node mostly cancels them at once; both writing the same verdicts costs changes.
+const CASCADE_GRACE: Duration = Duration::from_secs(1);
+
+/// What the next transaction holds first, when it cannot hold everything.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum WritePriority {
+    /// Verdicts of jobs whose dependency was cancelled: users wait for them within a bound.
+    Cascade,
+    /// Intents and verdicts.
+    Prompt,
+    /// Endings, which can wait for company.
+    Deferred,
+}
+
+/// Whether the next job may be looked at after this one.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Room {
+    Left,
+    Full,
+}
+
+/// A transaction that is being put together within the limits of the state service.
+struct BatchBuilder {
+    conditions: Vec<(String, u64)>,
+    ops: Vec<Op>,
+    flight: InFlight,
+    bytes: usize,
+    max_ops: usize,
+}
+
+impl BatchBuilder {
+    fn new(leader_stamp: u64, max_ops: usize) -> BatchBuilder {
+        BatchBuilder {
+            conditions: vec![(LEADER_KEY.to_owned(), leader_stamp)],
+            ops: Vec::new(),
+            flight: InFlight::default(),
+            bytes: 0,
+            max_ops,
+        }
+    }
+
+    fn has_room(&self, ops: usize) -> bool {
+        self.ops.len() + ops <= self.max_ops
+    }
+
+    fn put_verdict(&mut self, job: &Job, verdict: Verdict) {
+        let key = job_key(&job.spec.uid);
+        self.conditions.push((key.clone(), job.verdict_stamp));
+        self.ops.push(Op::Put(key, Value::Verdict(verdict)));
+    }
+
+    fn delete(&mut self, key: String) {
+        self.ops.push(Op::Delete(key));
+    }
+
+    /// The chunks of a job that are due, with their intents.
+    fn put_chunks(&mut self, job: &Job, now: Instant) -> Room {
+        let before = self.ops.len();
+        let mut room = Room::Left;
+        for index in job.dirty_chunks(now) {
+            let value = job.chunk_value(index);
+            let size = CHUNK_HEAD_BYTES + CHUNK_ATTEMPT_BYTES * value.active.len();
+            if !self.has_room(1) || self.bytes + size > BATCH_BYTES {
+                room = Room::Full;
+                break;
+            }
+            self.bytes += size;
+            self.put_chunk(job, index, value);
+        }
+        // A cancelled job's tasks are only ever removed: its intents need no further leave.
+        if self.ops.len() > before && !job.withdrawn && !job.finished {
+            let key = job_key(&job.spec.uid);
+            self.conditions.push((key, job.verdict_stamp));
+        }
+        room
+    }
+
+    fn put_chunk(&mut self, job: &Job, index: u32, value: ChunkValue) {
+        let uid = &job.spec.uid;
+        let key = chunk_key(uid, index);
+        let chunk = &job.chunks[&index];
+        self.conditions.push((key.clone(), chunk.stamp));
+        self.flight.chunks.push((uid.clone(), index, chunk.version));
+        let intents = job.intents(index).map(|(i, a)| (job.task(i), a));
+        self.flight.launches.extend(intents);
+        self.ops.push(Op::Put(key, Value::Chunk(value)));
+    }
+
+    /// A job's verdict, the removal of its records, or its chunks: whichever is due.
+    fn put_job(&mut self, job: &Job, now: Instant, may_close: bool) -> Room {
+        let uid = &job.spec.uid;
+        if job.final_due() {
+            if !self.has_room(1) {
+                return Room::Full;
+            }
+            self.put_verdict(job, Verdict::Done);
+            self.flight.finals.push(uid.clone());
+            return Room::Left;
+        }
+        if job.is_orphan() {
+            // Blocked all its life, so nothing of it runs.
+            if !job.cascade_due(now, CASCADE_GRACE) {
+                return Room::Left;
+            }
+            if !self.has_room(1) {
+                return Room::Full;
+            }
+            self.put_verdict(job, Verdict::Withdrawn);
+            self.flight.cascaded.push(uid.clone());
+            return Room::Left;
+        }
+        if job.withdrawn && job.active.is_empty() {
+            if !may_close {
+                return Room::Left;
+            }
+            if !self.has_room(2) {
+                return Room::Full;
+            }
+            self.delete(live_key(uid));
+            if job.cancel_marked {
+                self.delete(withdrawn_key(uid));
+            }
+            self.flight.closing.push(uid.clone());
+            return Room::Left;
+        }
+        self.put_chunks(job, now)
+    }
+}
+
+fn write_priority(job: &Job) -> WritePriority {
+    if job.is_orphan() {
+        WritePriority::Cascade
+    } else if job.unlaunched > 0 || job.final_due() {
+        WritePriority::Prompt
+    } else {
+        WritePriority::Deferred
+    }
+}
+
 impl Cluster {
     /// The next transaction, when none is in flight and something is unwritten.
     pub fn next_batch(&mut self, now: Instant) -> Option<Batch> {
         if self.in_flight.is_some() || self.store_pause.is_some_and(|p| now < p) {
             return None;
         }
-        // Closing a withdrawn job takes two.
+        // Closing a cancelled job takes two.
         if self.allowance < 2 {
             return None;
         }
-        let mut flight = InFlight::default();
-        let mut conditions = vec![(LEADER_KEY.to_owned(), self.leader_stamp)];
-        let mut ops = Vec::new();
-        let most = self.params.txn_ops.max(1).min(self.allowance);
-        let mut bytes = 0;
-        // In the queue's order, without a walk over all jobs: this is asked after every event.
-        // Intents and verdicts first; endings can wait when the rate is short.
-        let mut dirty: Vec<(bool, Reverse<Urgency>, u64, Uid)> = self
-            .dirty_jobs
-            .iter()
-            .map(|u| match self.jobs.get(u) {
-                Some(j) => {
-                    let waits = j.unlaunched == 0 && !j.final_due();
-                    (waits, Reverse(j.spec.urgency), j.stamp, u.clone())
-                }
-                None => (true, Reverse(Urgency::Idle), u64::MAX, u.clone()),
-            })
-            .collect();
-        dirty.sort();
-        let dirty: Vec<Uid> = dirty.into_iter().map(|d| d.3).collect();
-        for uid in dirty {
-            let Some(job) = self.jobs.get_mut(&uid) else {
+        let max_ops = self.params.txn_ops.max(1).min(self.allowance);
+        let mut batch = BatchBuilder::new(self.leader_stamp, max_ops);
+        self.batch_jobs(&mut batch, now);
+        self.batch_cleanups(&mut batch, now);
+        self.batch_history(&mut batch, now);
+        if batch.ops.is_empty() {
+            return None;
+        }
+        self.in_flight = Some(batch.flight);
+        Some(Batch {
+            conditions: batch.conditions,
+            ops: batch.ops,
+        })
+    }
+
+    fn batch_jobs(&mut self, batch: &mut BatchBuilder, now: Instant) {
+        let cascading = self.cascading();
+        for uid in self.dirty_in_order() {
+            let Some(job) = self.jobs.get(&uid) else {
                 self.dirty_jobs.remove(&uid);
                 continue;
             };
-            let before = ops.len();
-            if job.final_due() {
-                if ops.len() + 1 > most {
-                    break;
-                }
-                conditions.push((job_key(&uid), job.verdict_stamp));
-                ops.push(Op::Put(job_key(&uid), Value::Verdict(Verdict::Done)));
-                flight.finals.push(uid);
-                continue;
-            }
-            if job.orphaned && !job.withdrawn {
-                // Blocked all its life, so nothing of it runs.
-                if ops.len() + 2 > most {
-                    break;
-                }
-                conditions.push((job_key(&uid), job.verdict_stamp));
-                ops.push(Op::Put(job_key(&uid), Value::Verdict(Verdict::Withdrawn)));
-                ops.push(Op::Delete(live_key(&uid)));
-                flight.revoking.push(uid);
-                continue;
-            }
-            if job.withdrawn && job.active.is_empty() {
-                if ops.len() + 2 > most {
-                    break;
-                }
-                ops.push(Op::Delete(live_key(&uid)));
-                ops.push(Op::Delete(withdrawn_key(&uid)));
-                flight.closing.push(uid);
-                continue;
-            }
-            let mut all = true;
-            for index in job.dirty_chunks(now) {
-                let value = job.chunk_value(index);
-                let size = 80 + 48 * value.active.len();
-                if ops.len() + 1 > most || bytes + size > BATCH_BYTES {
-                    all = false;
-                    break;
-                }
-                bytes += size;
-                let chunk = &job.chunks[&index];
-                conditions.push((chunk_key(&uid, index), chunk.stamp));
-                flight.chunks.push((uid.clone(), index, chunk.version));
-                flight
-                    .launches
-                    .extend(job.intents(index).map(|(i, a)| (job.task(i), a)));
-                ops.push(Op::Put(chunk_key(&uid, index), Value::Chunk(value)));
-            }
-            // A withdrawn job's tasks are only ever removed: its intents need no further leave.
-            if ops.len() > before && !job.withdrawn && !job.finished {
-                conditions.push((job_key(&uid), job.verdict_stamp));
-            }
-            if !all {
+            let before = batch.ops.len();
+            // While a dependent may still be called live, the records that show it must stay.
+            let may_close = !cascading && self.heard_all_before_cancellation(job);
+            if batch.put_job(job, now, may_close) == Room::Full {
                 break;
             }
-            if ops.len() == before && !job.is_dirty() {
+            let closing = job.withdrawn && job.active.is_empty();
+            let waits = closing || job.is_orphan() || job.final_due() || job.is_dirty();
+            if batch.ops.len() == before && !waits {
                 self.dirty_jobs.remove(&uid);
             }
         }
-        // A finished job of 100,000 tasks leaves some 1,600 keys, a thousand small ones 2,000: their
-        // removal must not use up the write rate that submissions and intents need. It goes on while
-        // most of the rate is unused.
-        let mut cleanups = match (now >= self.next_cleanup, ops.is_empty()) {
+    }
+
+    /// Unwritten jobs in the order of their writes, without a walk over all jobs: this is asked after
+    /// every event.
+    fn dirty_in_order(&self) -> Vec<Uid> {
+        let mut dirty: Vec<(WritePriority, Reverse<Urgency>, u64, Uid)> = self
+            .dirty_jobs
+            .iter()
+            .map(|uid| match self.jobs.get(uid) {
+                Some(job) => {
+                    let priority = write_priority(job);
+                    let urgency = Reverse(job.spec.urgency);
+                    (priority, urgency, job.stamp, uid.clone())
+                }
+                None => {
+                    let last = Reverse(Urgency::Idle);
+                    (WritePriority::Deferred, last, u64::MAX, uid.clone())
+                }
+            })
+            .collect();
+        dirty.sort();
+        dirty.into_iter().map(|entry| entry.3).collect()
+    }
+
+    /// Whether the verdict of some dependent of a cancelled job is still to be written.
+    fn cascading(&self) -> bool {
+        let jobs = self.dirty_jobs.iter().filter_map(|u| self.jobs.get(u));
+        jobs.into_iter().any(Job::is_orphan)
+    }
+
+    /// Whether all jobs are known that were accepted before this one was cancelled: the watch of the
+    /// queue was asked again since.
+    fn heard_all_before_cancellation(&self, job: &Job) -> bool {
+        match (job.close_after, self.last_queue_read) {
+            (None, _) => true,
+            (Some(after), Some(read)) => read > after,
+            (Some(_), None) => false,
+        }
+    }
+
+    /// A finished job of 100,000 tasks leaves some 1,600 keys, a thousand small ones 2,000: their
+    /// removal must not use up the write rate that submissions and intents need. It goes on while
+    /// most of the rate is unused.
+    fn batch_cleanups(&mut self, batch: &mut BatchBuilder, now: Instant) {
+        let mut cleanups = match (now >= self.next_cleanup, batch.ops.is_empty()) {
             (false, _) => 0,
             (true, false) => CLEANUPS,
-            (true, true) => CLEANUPS.max(most / CLEANUP_LEAVES),
+            (true, true) => CLEANUPS.max(batch.max_ops / CLEANUP_LEAVES),
         };
-        while cleanups > 0 && ops.len() < most {
+        while cleanups > 0 && batch.has_room(1) {
             cleanups -= 1;
             self.next_cleanup = now + CLEANUP_EVERY;
             let Some(key) = self.leftovers.pop() else {
                 break;
             };
-            ops.push(Op::Delete(key.clone()));
-            flight.deletes.push(key);
+            batch.delete(key.clone());
+            batch.flight.deletes.push(key);
         }
-        if ops.len() < most && now >= self.next_summary {
-            self.next_summary = now + self.params.tuning.summary_every;
-            self.history.trim(5000);
-            let entries = self.params.value_bytes.saturating_sub(400) / 130;
-            if let Some(s) = self.history.summary(entries.min(300)) {
-                ops.push(Op::Put(HISTORY_KEY.to_owned(), Value::History(s)));
-                flight.history = true;
-            }
+    }
+
+    fn batch_history(&mut self, batch: &mut BatchBuilder, now: Instant) {
+        if !batch.has_room(1) || now < self.next_summary {
+            return;
         }
-        if ops.is_empty() {
-            return None;
+        self.next_summary = now + self.params.tuning.summary_every;
+        self.history.trim(HISTORY_KEPT);
+        let room = self.params.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
+        let entries = (room / SUMMARY_ENTRY_BYTES).min(SUMMARY_ENTRIES);
+        if let Some(summary) = self.history.summary(entries) {
+            let value = Value::History(summary);
+            batch.ops.push(Op::Put(HISTORY_KEY.to_owned(), value));
+            batch.flight.history = true;
         }
-        self.in_flight = Some(flight);
-        Some(Batch { conditions, ops })
     }
 
     /// The outcome of the batch in flight. True: the leadership is lost.
@@ -292,7 +434,9 @@
                     } else if let Some(uid) = key.strip_prefix(VERDICT_PREFIX).and_then(Uid::parse)
                     {
                         match verdict {
-                            Some(Verdict::Withdrawn) => self.on_withdrawn(now, &uid),
+                            Some(Verdict::Withdrawn) => {
+                                self.on_cancelled(now, &uid, CancelSource::Verdict)
+                            }
                             Some(Verdict::Done) => self.closed(now, &uid),
                             _ => {
                                 // A record of earlier versions, which kept live jobs here too.
@@ -321,15 +465,9 @@
             log::info!("job done job={uid} term={}", self.term.0);
             self.closed(now, &uid);
         }
-        for uid in flight.revoking {
-            log::info!(
-                "withdrawn with what it needs job={uid} term={}",
-                self.term.0
-            );
-            if let Some(job) = self.jobs.get_mut(&uid) {
-                job.withdrawn = true;
-            }
-            self.drop_job(now, &uid);
+        for uid in flight.cascaded {
+            log::info!("cancelled with a dependency job={uid} term={}", self.term.0);
+            self.on_cancelled(now, &uid, CancelSource::Verdict);
         }
         for uid in flight.closing {
             log::info!("withdrawn job is gone job={uid} term={}", self.term.0);
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -213,6 +213,8 @@
     pub due: Option<Duration>,
     /// Jobs that have to be done before any task of this one starts.
     pub needs: Vec<Uid>,
+    /// It stands in the lists of its dependencies, which the version before this one keeps.
+    pub listed: bool,
     /// Time of day of acceptance, as milliseconds since 1970.
     pub accepted_ms: u64,
 }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -879,6 +879,7 @@
             kind: JobKind::Batch,
             urgency: Urgency::Standard,
             needs: Vec::new(),
+            listed: false,
             shards: rng.gen_range(1..60),
             need: need(rng.gen_range(1..17) as f64),
             host_types: None,
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -5,21 +5,22 @@
 //! the users' pools wait for the state service, so a slow one never holds reports up, and a storm of
 //! questions no submission; health checks and questions about what is over wait for nobody.
 
+use super::cancellation;
 use super::listen::{self, Limits, Request};
 use super::peer::{Ask, Reply};
-use super::pipelines::{self, Entered};
 use super::questions;
-use super::wire::{self, JobState, JustUid, StoredJob, Submission};
-use crate::core::admission;
-use crate::core::ledger::{job_key, live_key, Verdict};
-use crate::core::model::{JobSpec, Uid};
-use crate::net::store::{Change, Content, StoreError, Txn};
+use super::submission::{self, read_submission};
+use super::wire::{self, JobState};
+use crate::core::ledger::Verdict;
+use crate::core::model::Uid;
+use crate::net::store::StoreError;
 use crate::runtime::duties::verdict_name;
 use crate::runtime::service::Shared;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
+use std::collections::BTreeSet;
 use std::net::TcpListener;
 use std::sync::Arc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 /// Reports that wait for a thread: for so many of the connections, since after an end of the leader all
 /// workers come at once. What does not fit is sent on, and comes back a second later.
@@ -223,8 +224,8 @@
 /// What this node can do itself. Its errors say that the state service could not be asked.
 fn local(shared: &Shared, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
     match route(method, path) {
-        Ok(Route::Submit) => submit(shared, body),
-        Ok(Route::Withdraw(id)) => withdraw(shared, id),
+        Ok(Route::Submit) => submission::submit(shared, body),
+        Ok(Route::Withdraw(id)) => cancellation::withdraw(shared, id),
         Ok(Route::Beat | Route::Query(_)) => Ok((problem(503, "busy"), Some(1))),
         Err(refusal) => Ok((refusal, None)),
     }
@@ -326,8 +327,9 @@
     })
 }
 
-/// The verdict from memory if final, else from the state service: no node may be behind another.
-fn verdict(shared: &Shared, uid: &Uid) -> Result<Option<(Verdict, u64)>, StoreError> {
+/// The verdict from memory if users may be told it, else from the state service: no node may be behind
+/// another. A cancellation that was read may be told only once it is confirmed (`cancellation`).
+pub(super) fn verdict(shared: &Shared, uid: &Uid) -> Result<Option<(Verdict, u64)>, StoreError> {
     if let Some(v) = shared.view.final_answer(uid) {
         return Ok(Some((v, 0)));
     }
@@ -341,201 +343,20 @@
         Ok(Some((Verdict::Live, _))) if !accepted => {
             shared.view.remember_accepted(std::iter::once(uid));
         }
-        Ok(Some((v @ (Verdict::Done | Verdict::Withdrawn), _))) => {
-            shared.view.remember_final(uid, *v);
-        }
+        Ok(Some((Verdict::Done, _))) => shared.view.remember_final(uid, Verdict::Done),
         _ => {}
     }
     found
 }
 
+/// A known job's state, or the answer for one that was never accepted.
 pub(super) fn known(shared: &Shared, uid: &Uid, otherwise: Answer) -> Result<Answer, StoreError> {
-    Ok(match verdict(shared, uid)? {
-        Some((v, _)) => ((200, state(shared, uid, v, false)), None),
-        None => otherwise,
-    })
-}
-
-type Refusal = (u16, Vec<u8>);
-
-/// A submission, or its refusal, with the job's id when that much can be read.
-fn read_submission(body: &[u8]) -> Result<JobSpec, (Option<Uid>, Refusal)> {
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default();
-    let parsed = wire::decode::<Submission>(body)
-        .ok_or("body")
-        .and_then(|s| s.to_spec(now.as_millis() as u64));
-    parsed.map_err(|field| {
-        let uid = wire::decode::<JustUid>(body)
-            .and_then(|j| j.uid)
-            .and_then(|u| Uid::parse(&u));
-        (uid, problem(400, &format!("missing or invalid: {field}")))
-    })
-}
-
-enum Admitted {
-    Answered(Answer),
-    /// The job, as it is to be stored, and what must hold then.
-    Fit(Box<JobSpec>, Box<StoredJob>, Vec<(String, u64)>),
-}
-
-/// Everything before a submission's own transaction.
-fn admit(shared: &Shared, body: &[u8]) -> Result<Admitted, StoreError> {
-    let answered = |r: Result<Answer, StoreError>| r.map(Admitted::Answered);
-    let spec = match read_submission(body) {
-        Ok(s) => s,
-        // A job that was accepted stays known, however its repetition is mangled.
-        Err((Some(uid), refusal)) => return answered(known(shared, &uid, (refusal, None))),
-        Err((None, refusal)) => return Ok(Admitted::Answered((refusal, None))),
-    };
-    let uid = spec.uid.clone();
-    let types = shared.view.read().types.clone();
-    if types.is_empty() {
-        let wait = (problem(503, "machine types are not known yet"), Some(1));
-        return answered(known(shared, &uid, wait));
-    }
-    if let Err(why) = admission::check(&spec, &shared.settings.params.teams, &types) {
-        return answered(known(shared, &uid, (problem(422, &why.to_string()), None)));
-    }
-    let mut stored = StoredJob::from(&spec);
-    let room = shared.settings.params.value_bytes;
-    if let Err(why) = admission::fits_a_value(stored.size_bound(), room) {
-        return answered(known(shared, &uid, (problem(422, &why.to_string()), None)));
-    }
-    if shared.view.final_answer(&uid).is_some() {
-        return answered(known(shared, &uid, unavailable(shared)));
-    }
-    if shared.view.read().live_jobs >= shared.settings.params.tuning.max_live_jobs {
-        return answered(known(
-            shared,
-            &uid,
-            (problem(429, "too many jobs"), Some(10)),
-        ));
-    }
-    if !shared.view.store_ok(Instant::now()) {
-        return Err(StoreError::Unavailable);
-    }
-    let mut conditions = vec![(job_key(&uid), 0), (live_key(&uid), 0)];
-    if !spec.needs.is_empty() {
-        if shared.view.is_accepted(&uid) {
-            return answered(known(shared, &uid, unavailable(shared)));
-        }
-        match pipelines::enter(shared, &uid, &spec.needs)? {
-            Entered::Open(open) => {
-                stored.keep_needs(&open);
-                // Found over meanwhile, the job is looked at anew.
-                let most = shared.settings.params.txn_ops * 4 - conditions.len();
-                conditions.extend(open.iter().take(most).map(|u| (job_key(u), 0)));
-            }
-            Entered::Withdrawn => return answered(pipelines::accept_withdrawn(shared, &uid)),
-            Entered::Never(need) => {
-                let why = format!("Awaits names {need}, which was never accepted");
-                return answered(known(shared, &uid, (problem(422, &why), None)));
-            }
-            Entered::Crowded(need) => {
-                let why =
-                    format!("as many jobs as fit into a value of the state service await {need}");
-                return answered(known(shared, &uid, (problem(422, &why), None)));
-            }
-            Entered::Moving => return answered(known(shared, &uid, unavailable(shared))),
-        }
-    }
-    Ok(Admitted::Fit(Box::new(spec), Box::new(stored), conditions))
-}
-
-/// How often a submission is looked at anew because what it needs ended meanwhile.
-const SUBMIT_TRIES: usize = 3;
-
-fn submit(shared: &Shared, body: &[u8]) -> Result<Answer, StoreError> {
-    let mut tries = SUBMIT_TRIES;
-    loop {
-        tries -= 1;
-        if let Some(answer) = try_submit(shared, body, tries == 0)? {
-            return Ok(answer);
-        }
-    }
-}
-
-/// None: what it needs has changed, unless this is the last try.
-fn try_submit(shared: &Shared, body: &[u8], last: bool) -> Result<Option<Answer>, StoreError> {
-    let (spec, stored, conditions) = match admit(shared, body)? {
-        Admitted::Answered(answer) => return Ok(Some(answer)),
-        Admitted::Fit(spec, stored, conditions) => (*spec, *stored, conditions),
+    let Some((verdict, _)) = verdict(shared, uid)? else {
+        return Ok(otherwise);
     };
-    let uid = spec.uid.clone();
-    let live = live_key(&uid);
-    let own = [job_key(&uid), live.clone()];
-    let changes = vec![Change::Put {
-        key: &live,
-        value: Content::Job(Box::new(stored)),
-        permit: None,
-    }];
-    // A team that floods us leaves the others a way in.
-    let floor = shared.crowd.floor(&spec.owner, Instant::now());
-    let limit = Duration::from_millis(2000);
-    let result = shared.store.txn_above(floor, &conditions, changes, limit);
-    store_said(shared, &result);
-    match result {
-        Ok(Txn::Applied { .. }) => {
-            shared.view.remember_accepted(std::iter::once(&uid));
-            log::debug!(
-                "accepted job={uid} class={} shards={} cpus={:.1} expected_s={:.1} due_s={:.1}",
-                spec.class,
-                spec.shards,
-                spec.need.cpus,
-                spec.expected.as_secs_f64(),
-                spec.due.unwrap_or_default().as_secs_f64()
-            );
-            let body = state(shared, &uid, Verdict::Live, false);
-            Ok(Some(((201, body), None)))
-        }
-        // Only what it needs has changed.
-        Ok(Txn::Failed { keys })
-            if !last && !spec.needs.is_empty() && !keys.iter().any(|k| own.contains(k)) =>
-        {
-            Ok(None)
-        }
-        // Known already, or accepted by a transaction whose answer was lost: the keys tell.
-        Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => {
-            known(shared, &uid, unavailable(shared)).map(Some)
-        }
-        Err(e) => Err(e),
-    }
-}
-
-fn withdraw(shared: &Shared, id: &str) -> Result<Answer, StoreError> {
-    let Some(uid) = Uid::parse(id) else {
-        return Ok((problem(404, "no such job"), None));
-    };
-    for _ in 0..2 {
-        // The stamp is 0 while the job is live: its verdict's key is absent.
-        let stamp = match verdict(shared, &uid)? {
-            Some((Verdict::Live, stamp)) => stamp,
-            Some((v, _)) => {
-                // Its first confirmation may have been lost, with the node that was to give it.
-                if v == Verdict::Withdrawn {
-                    pipelines::complete(shared, &uid)?;
-                    shared.tell_leader(&uid);
-                }
-                return Ok(((200, state(shared, &uid, v, false)), None));
-            }
-            None => return Ok((problem(404, "no such job"), None)),
-        };
-        let result = pipelines::withdraw(shared, &uid, stamp);
-        store_said(shared, &result);
-        match result {
-            Ok(Txn::Applied { .. }) => {
-                shared.view.remember_final(&uid, Verdict::Withdrawn);
-                log::info!("withdrawn job={uid}");
-                shared.tell_leader(&uid);
-                let body = state(shared, &uid, Verdict::Withdrawn, false);
-                return Ok(((200, body), None));
-            }
-            // Done or withdrawn meanwhile, or of unknown outcome: read it again.
-            Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => {}
-            Err(e) => return Err(e),
-        }
+    let cancelled = BTreeSet::from([uid.clone()]);
+    if verdict == Verdict::Withdrawn && cancellation::confirmed(shared, &cancelled)?.is_empty() {
+        return Ok(unavailable(shared));
     }
-    Ok(unavailable(shared))
+    Ok(((200, state(shared, uid, verdict, false)), None))
 }
--- /dev/null
+++ b/src/net/live_index.rs
@@ -0,0 +1,78 @@
+//! Reading the index of live jobs for the dependents of a job.
+//!
+//! A job's record in the index names its dependencies, and it is written by the transaction that
+//! accepts the job. So a read of the index that begins after a job's verdict is durable shows every
+//! dependent that was accepted before: none can be accepted after.
+
+use super::store::StoreError;
+use crate::core::dependencies::DependentsIndex;
+use crate::core::ledger::LIVE_PREFIX;
+use crate::core::model::Uid;
+use crate::runtime::budget::Rank;
+use crate::runtime::service::Shared;
+use serde::Deserialize;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// How long one page of the index may take, and all of them together.
+const PAGE_LIMIT: Duration = Duration::from_millis(800);
+const READ_LIMIT: Duration = Duration::from_millis(1000);
+
+/// What is needed of a live job's record.
+#[derive(Deserialize)]
+struct LiveJob {
+    #[serde(default)]
+    needs: Vec<String>,
+}
+
+/// The last read of the index. Those who wait for one share it.
+#[derive(Default)]
+pub struct LiveIndex {
+    last: Mutex<Option<Snapshot>>,
+}
+
+struct Snapshot {
+    begun: Instant,
+    dependents: Arc<DependentsIndex>,
+}
+
+impl LiveIndex {
+    /// The dependents of all live jobs, from a read that began no earlier than `since`.
+    pub fn read_since(
+        &self,
+        shared: &Shared,
+        since: Instant,
+    ) -> Result<Arc<DependentsIndex>, StoreError> {
+        let mut last = self.lock();
+        if let Some(snapshot) = last.as_ref().filter(|s| s.begun >= since) {
+            return Ok(snapshot.dependents.clone());
+        }
+        let begun = Instant::now();
+        let dependents = Arc::new(read(shared)?);
+        *last = Some(Snapshot {
+            begun,
+            dependents: dependents.clone(),
+        });
+        Ok(dependents)
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Option<Snapshot>> {
+        self.last.lock().unwrap_or_else(|e| e.into_inner())
+    }
+}
+
+fn read(shared: &Shared) -> Result<DependentsIndex, StoreError> {
+    let (pairs, _) = shared.store.list_patiently::<LiveJob>(
+        LIVE_PREFIX,
+        Rank::User,
+        PAGE_LIMIT,
+        READ_LIMIT,
+        &shared.stop,
+    )?;
+    let jobs = pairs.into_iter().filter_map(|pair| {
+        let uid = pair.path.strip_prefix(LIVE_PREFIX).and_then(Uid::parse)?;
+        let needs = pair.value.needs.iter().filter_map(|n| Uid::parse(n));
+        Some((uid, needs.collect()))
+    });
+    Ok(DependentsIndex::new(jobs))
+}
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -64,11 +64,14 @@
 /// version reads stay as they are, and newer frames go only to peers that understand them. They say so
 /// in the answer to a hello, in the list of jobs that are over: only the leader's own hellos carry jobs
 /// there, and earlier versions send and heed none in answers.
-pub const FRAMES: u32 = 2;
+pub const FRAMES: u32 = 3;
 const FRAMES_WORD: &str = "frames ";
 const FALLEN_WORD: &str = "next rates";
 /// From this version on peers know withdrawals' frames.
 pub const FRAMES_WITHDRAWALS: u32 = 2;
+/// From this version on nodes find the dependents of a job in the index of live jobs, and need no lists
+/// of them. No frame came with it.
+pub const FRAMES_LIVE_INDEX: u32 = 3;
 
 /// What the answer to a hello says of the frames that its sender knows, and whether it found the state
 /// service's next rates to hold.
--- a/src/net/questions.rs
+++ b/src/net/questions.rs
@@ -4,6 +4,7 @@
 //! state service. Each is answered from a read that began after it came, or from a final verdict. A
 //! node that the state service does not answer has a peer ask.
 
+use super::cancellation;
 use super::front::{problem, respond, state, store_said, unavailable, Answer, USER_STALE};
 use super::listen::Request;
 use super::peer::{Ask, Reply, Word};
@@ -119,7 +120,7 @@
     }
     let mut accepted = shared.view.accepted_of(open.iter());
     let before = accepted.len();
-    let (said, trouble) = inquiry::standings(asked, &open, &mut accepted);
+    let (mut said, trouble) = inquiry::standings(asked, &open, &mut accepted);
     if accepted.len() > before {
         shared.view.remember_accepted(accepted.iter());
     }
@@ -127,9 +128,30 @@
         Some(e) => store_said(shared, &Err::<(), _>(e.clone())),
         None => store_said(shared, &Ok::<_, StoreError>(())),
     }
+    let unconfirmed = withhold_unconfirmed(shared, &mut said);
     shared.view.learn(&said);
     found.extend(said);
-    (found, trouble)
+    (found, trouble.or(unconfirmed))
+}
+
+/// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are.
+/// Returns what kept it from finding out.
+fn withhold_unconfirmed(shared: &Shared, found: &mut HashMap<Uid, Standing>) -> Option<StoreError> {
+    let is_cancelled = |s: &Standing| *s == Some(Verdict::Withdrawn);
+    let cancelled: BTreeSet<Uid> = found
+        .iter()
+        .filter(|(_, s)| is_cancelled(s))
+        .map(|(u, _)| u.clone())
+        .collect();
+    if cancelled.is_empty() {
+        return None;
+    }
+    let (confirmed, trouble) = match cancellation::confirmed(shared, &cancelled) {
+        Ok(confirmed) => (confirmed, None),
+        Err(e) => (BTreeSet::new(), Some(e)),
+    };
+    found.retain(|uid, standing| !is_cancelled(standing) || confirmed.contains(uid));
+    trouble
 }
 
 /// Has a peer ask that reaches the state service.
--- a/src/net/wire.rs
+++ b/src/net/wire.rs
@@ -141,6 +141,7 @@
             snapshot: seconds(self.snapshot_s, "SnapshotS")?,
             due,
             needs: needs.ok_or("Awaits")?.into_iter().collect(),
+            listed: false,
             accepted_ms,
         })
     }
@@ -171,6 +172,10 @@
     /// field, and jobs without it are written as they were.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     needs: Vec<String>,
+    /// It is in no list of dependents. The version before this one enters each job and knows no such
+    /// field.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    unlisted: bool,
 }
 
 impl From<&JobSpec> for StoredJob {
@@ -198,6 +203,7 @@
             due: s.due.map(|d| d.as_secs_f64()),
             at: s.accepted_ms,
             needs: s.needs.iter().map(|n| n.0.clone()).collect(),
+            unlisted: !s.needs.is_empty() && !s.listed,
         }
     }
 }
@@ -235,9 +241,11 @@
 }
 
 impl StoredJob {
-    /// Leaves only these of the jobs that it needs: the others are done.
-    pub fn keep_needs(&mut self, open: &[Uid]) {
+    /// Leaves only these of the jobs that it needs: the others are done. `listed`: it is in the lists
+    /// of their dependents.
+    pub fn keep_needs(&mut self, open: &[Uid], listed: bool) {
         self.needs = open.iter().map(|u| u.0.clone()).collect();
+        self.unlisted = !open.is_empty() && !listed;
     }
 
     pub fn needs(&self) -> &[String] {
@@ -278,6 +286,7 @@
             snapshot: duration(self.save)?,
             due: self.due.and_then(duration),
             needs: self.needs.iter().filter_map(|n| Uid::parse(n)).collect(),
+            listed: !self.needs.is_empty() && !self.unlisted,
             accepted_ms: self.at,
         })
     }
--- a/src/runtime/duties.rs
+++ b/src/runtime/duties.rs
@@ -5,7 +5,7 @@
 use super::service::Shared;
 use super::stop::Stop;
 use crate::core::capacity::Rented;
-use crate::core::cluster::{Action, Answer, Cluster};
+use crate::core::cluster::{Action, Answer, CancelSource, Cluster};
 use crate::core::ledger::{self, Batch, BatchOutcome, Verdict};
 use crate::core::model::*;
 use crate::core::watermark::{self, Moment, Word};
@@ -222,7 +222,7 @@
         Event::Read(t, asked) if t == term => c.withdrawals_read(asked),
         Event::Told(t, uids, covers) if t == term => {
             for uid in &uids {
-                c.on_withdrawn(now, uid);
+                c.on_cancelled(now, uid, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
                 c.withdrawals_told(&peer, word);
@@ -468,17 +468,8 @@
                 BatchOutcome::Unknown
             }
         };
-        for op in &batch.ops {
-            if let (ledger::Op::Put(key, ledger::Value::Verdict(v)), BatchOutcome::Applied { .. }) =
-                (op, &outcome)
-            {
-                if let Some(uid) = key
-                    .strip_prefix(ledger::VERDICT_PREFIX)
-                    .and_then(Uid::parse)
-                {
-                    shared.view.remember_final(&uid, *v);
-                }
-            }
+        if matches!(outcome, BatchOutcome::Applied { .. }) {
+            remember_done(shared, &batch);
         }
         if shared.events.send(Event::Written(term, outcome)).is_err() {
             return;
@@ -486,6 +477,19 @@
     }
 }
 
+/// Users may be told of these at once. A cancellation has to be confirmed first.
+fn remember_done(shared: &Shared, batch: &Batch) {
+    for op in &batch.ops {
+        let ledger::Op::Put(key, ledger::Value::Verdict(Verdict::Done)) = op else {
+            continue;
+        };
+        let uid = key.strip_prefix(ledger::VERDICT_PREFIX);
+        if let Some(uid) = uid.and_then(Uid::parse) {
+            shared.view.remember_final(&uid, Verdict::Done);
+        }
+    }
+}
+
 fn read_failed(shared: &Shared, keys: Vec<String>) -> BatchOutcome {
     let limit = Duration::from_millis(1500);
     let mut found = Vec::new();
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -4,7 +4,7 @@
 use super::service::Shared;
 use super::stop::Stop;
 use super::view::RoleView;
-use crate::core::cluster::Cluster;
+use crate::core::cluster::{CancelSource, Cluster};
 use crate::core::history::Summary;
 use crate::core::inquiry::{self, Standing};
 use crate::core::leadership::{LeaderRecord, Leadership, Role, Step};
@@ -339,7 +339,7 @@
     }
 }
 
-/// Jobs whose verdict is written, and whose place in the index of live jobs is not removed yet.
+/// The verdicts of jobs whose place in the index of live jobs is not removed yet.
 ///
 /// A call whose answer is lost is made again, and what has been found out is kept: with one long wait for
 /// each answer a leader loaded for 100 s while a third of the answers were lost.
@@ -347,17 +347,16 @@
     shared: &Shared,
     live: &[Pair<StoredJob>],
     stop: &Stop,
-) -> Result<HashSet<Uid>, StoreError> {
+) -> Result<HashMap<Uid, Verdict>, StoreError> {
     let prefix = ledger::LIVE_PREFIX;
     let uids = live.iter().filter_map(|p| p.path.strip_prefix(prefix));
     let uids: Vec<Uid> = uids.filter_map(Uid::parse).collect();
     let found = standings_of(shared, &uids, stop)?;
-    let ended = |s: &Standing| matches!(s, Some(Verdict::Done));
-    Ok(found
+    let over = found
         .into_iter()
-        .filter(|(_, s)| ended(s))
-        .map(|f| f.0)
-        .collect())
+        .filter_map(|(uid, standing)| Some((uid, standing?)))
+        .filter(|(_, verdict)| *verdict != Verdict::Live);
+    Ok(over.collect())
 }
 
 /// How those ended that live jobs need and that are not live themselves.
@@ -434,6 +433,7 @@
     let rank = Rank::Leader;
     let began = Moment::now();
     let store = &shared.store;
+    let (lists, _) = read_all::<IgnoredAny>(shared, ledger::DEPENDENTS_PREFIX, stop)?;
     let (live, revision) = read_all::<StoredJob>(shared, ledger::LIVE_PREFIX, stop)?;
     let (withdrawn, _) = read_all::<IgnoredAny>(shared, ledger::WITHDRAWN_PREFIX, stop)?;
     let (intents, _) = read_all::<StoredChunk>(shared, ledger::INTENT_PREFIX, stop)?;
@@ -456,14 +456,31 @@
     for (uid, verdict) in ends {
         c.ended_before(now, &uid, verdict);
     }
+    let mut cancelled = Vec::new();
     for p in live {
-        match p.value.into_spec() {
-            Some(spec) if over.contains(&spec.uid) => {
-                c.ended_before(now, &spec.uid, Verdict::Done);
-                c.forget_index(&spec.uid);
+        let Some(spec) = p.value.into_spec() else {
+            continue;
+        };
+        let uid = spec.uid.clone();
+        match over.get(&uid) {
+            Some(Verdict::Done) => {
+                c.ended_before(now, &uid, Verdict::Done);
+                c.forget_index(&uid);
             }
-            Some(spec) => c.on_job(spec, p.stamp),
-            None => {}
+            Some(Verdict::Withdrawn) => {
+                c.on_job(spec, p.stamp);
+                cancelled.push(uid);
+            }
+            _ => c.on_job(spec, p.stamp),
+        }
+    }
+    for p in lists {
+        if let Some(uid) = p
+            .path
+            .strip_prefix(ledger::DEPENDENTS_PREFIX)
+            .and_then(Uid::parse)
+        {
+            c.load_list(&uid);
         }
     }
     for p in intents {
@@ -477,9 +494,13 @@
             .strip_prefix(ledger::WITHDRAWN_PREFIX)
             .and_then(Uid::parse)
         {
-            c.on_withdrawn(now, &uid);
+            c.on_cancelled(now, &uid, CancelSource::Load);
         }
     }
+    // After their intents, so that no task of theirs is overlooked.
+    for uid in cancelled {
+        c.on_cancelled(now, &uid, CancelSource::Verdict);
+    }
     log::info!("loaded term={} jobs={jobs} intent_keys={chunks}", term.0);
     Ok((c, revision))
 }
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -16,6 +16,7 @@
 use crate::net::front::{self, problem};
 use crate::net::http::Client;
 use crate::net::listen;
+use crate::net::live_index::LiveIndex;
 use crate::net::peer::{self, Ask, Peer, Reply};
 use crate::net::questions;
 use crate::net::store::{Budgets, Store};
@@ -64,6 +65,7 @@
     pub agent: ureq::Agent,
     pub workers: Workers,
     pub crowd: Crowd,
+    pub live_index: LiveIndex,
     pub pulse: Pulse,
     pub strain: Strain,
 }
@@ -134,17 +136,17 @@
         self.events.send_timeout(event, TELL_LIMIT / 2).is_ok()
     }
 
-    /// Tells the acting leader, where it can be reached, before a user hears that a job is withdrawn:
+    /// Tells the acting leader, where it can be reached, before a user hears that jobs are withdrawn:
     /// it may have lost the state service, and would start or keep the job's tasks. If it cannot be
     /// told, it reads it from us later, or answers no more reports (`core/watermark`).
-    pub fn tell_leader(&self, uid: &Uid) {
+    pub fn tell_leader(&self, uids: &[Uid]) {
         let leader = match &self.view.read().role {
             RoleView::Leader(_) => None,
             RoleView::Follower(Some(l)) => Some(l.clone()),
             RoleView::Follower(None) => return,
         };
         let Some(leader) = leader else {
-            self.take_on_withdrawals(vec![uid.clone()]);
+            self.take_on_withdrawals(uids.to_vec());
             return;
         };
         let live = self.view.live_peers(Instant::now());
@@ -154,8 +156,10 @@
                 && live.iter().any(|(m, _)| *m == leader)
         };
         if let Some(p) = self.peers.iter().find(knows) {
-            if let Err(e) = p.ask(&Ask::Withdrawn(vec![uid.0.clone()]), TELL_LIMIT) {
-                log::debug!("the leader was not told of a withdrawal job={uid} why=\"{e}\"");
+            let names: Vec<String> = uids.iter().map(|u| u.0.clone()).collect();
+            if let Err(e) = p.ask(&Ask::Withdrawn(names), TELL_LIMIT) {
+                let jobs = uids.len();
+                log::debug!("the leader was not told of withdrawals jobs={jobs} why=\"{e}\"");
             }
         }
     }
@@ -359,6 +363,7 @@
             agent: agent::client(sockets.workers),
             workers: Workers::new(settings_report),
             crowd: Crowd::default(),
+            live_index: LiveIndex::default(),
             pulse,
             strain: Strain::default(),
         });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -90,6 +90,7 @@
         snapshot: secs(4),
         due: None,
         needs: Vec::new(),
+        listed: false,
         accepted_ms: 0,
     }
 }
--- /dev/null
+++ b/tests/end_to_end/cascades.rs
@@ -0,0 +1,237 @@
+//! Jobs cancelled together with their dependents, over whole nodes: outages, lost answers and ends of
+//! nodes between the steps.
+
+use crate::standins::site::*;
+use crate::standins::*;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+fn await_on(node: SocketAddr, uid: &str, needs: &[&str]) {
+    let body = awaiting(uid, needs);
+    until("accepted", || {
+        let (status, _) = call("POST", node, "/api/jobs", Some(&body));
+        assert_ne!(status, 422, "{uid}");
+        matches!(status, 200 | 201).then_some(())
+    });
+}
+
+fn cancel(node: SocketAddr, uid: &str) -> u16 {
+    let path = format!("/api/jobs/{uid}/withdraw");
+    call("POST", node, &path, None).0
+}
+
+/// Asks about a job and then about a dependent, again and again: once the first is called withdrawn,
+/// the second may be called nothing else.
+fn never_orphaned(nodes: &[SocketAddr], root: &str, dependents: &[&str], why: &str) {
+    let start = Instant::now();
+    let mut told = false;
+    let mut settled = false;
+    while !settled {
+        assert!(start.elapsed() < PATIENCE, "{why}: never settled");
+        settled = true;
+        for node in nodes {
+            told |= phase(*node, root).as_deref() == Some("withdrawn");
+            for dependent in dependents {
+                let said = phase(*node, dependent);
+                let cancelled = said.as_deref() == Some("withdrawn");
+                assert!(
+                    !told || cancelled || said.is_none(),
+                    "{why}: {dependent} {said:?}"
+                );
+                settled &= cancelled;
+            }
+        }
+        settled &= told;
+    }
+}
+
+/// The first step of a cancellation is durable, and then the state service is out for longer than
+/// `cancel_s`; the node that began may have ended. Whoever asks first afterwards finds no dependent
+/// called queued whose dependency is called withdrawn.
+#[test]
+fn an_outage_between_the_steps_of_a_cascade_orphans_nobody() {
+    // The key whose write is followed by the outage, and whether the confirming node ends.
+    let cases = [
+        ("j/wk-000400", false),
+        ("j/wk-000400", true),
+        ("j/wk-000401", false),
+        ("j/wk-000401", true),
+    ];
+    std::thread::scope(|s| {
+        for (key, ends) in cases {
+            s.spawn(move || outage_in_a_cascade(key, ends));
+        }
+    });
+}
+
+fn outage_in_a_cascade(key: &'static str, ends: bool) {
+    let why = format!("{key}, ends {ends}");
+    let (lease, cancel_bound) = (Duration::from_secs(3), Duration::from_secs(11));
+    let site = Site::new(2);
+    let mut nodes = [0, 1].map(|n| {
+        Some(site.start_with(n, |s| {
+            (s.params.lease, s.params.cancel) = (lease, cancel_bound);
+        }))
+    });
+    until("one leads", || nodes.iter().flatten().find_map(leads));
+    let confirming = nodes
+        .iter()
+        .position(|n| n.as_ref().is_some_and(|n| leads(n).is_none()))
+        .expect("a follower");
+    let [a, b] = [site.names[confirming].1, site.names[1 - confirming].1];
+    submit(a, "wk-000400", 1);
+    await_on(b, "wk-000401", &["wk-000400"]);
+    await_on(a, "wk-000402", &["wk-000401"]);
+    site.state.fault(key, Fault::ThenOut);
+    cancel(a, "wk-000400");
+    until("the outage", || {
+        site.state.out.load(Ordering::SeqCst).then_some(())
+    });
+    if ends {
+        if let Some(node) = nodes[confirming].take() {
+            node.stop();
+        }
+    }
+    std::thread::sleep(cancel_bound);
+    site.state.out.store(false, Ordering::SeqCst);
+    let asked: Vec<SocketAddr> = if ends { vec![b] } else { vec![b, a] };
+    never_orphaned(&asked, "wk-000400", &["wk-000401", "wk-000402"], &why);
+    until("confirmed", || {
+        (cancel(b, "wk-000400") == 200).then_some(())
+    });
+    for node in nodes.into_iter().flatten() {
+        node.stop();
+    }
+}
+
+/// Submissions that name a job race with its cancellation, at both nodes, while transactions of
+/// either are answered late or not at all. Whatever was accepted is cancelled with it, for everybody.
+#[test]
+fn submissions_and_a_cancellation_interleave() {
+    let late = Fault::Late(Duration::from_millis(1700));
+    let cases: [(&str, &[(&str, Fault)]); 5] = [
+        ("no fault", &[]),
+        (
+            "an acceptance's answer is lost",
+            &[("q/l/wk-0005", Fault::AnswerLost)],
+        ),
+        ("an acceptance is late", &[("q/l/wk-0005", late)]),
+        (
+            "the cancellation's answer is lost",
+            &[("j/wk-000500", Fault::AnswerLost)],
+        ),
+        ("the cancellation is late", &[("j/wk-000500", late)]),
+    ];
+    std::thread::scope(|s| {
+        for (why, faults) in cases {
+            s.spawn(move || race(why, faults));
+        }
+    });
+}
+
+fn race(why: &str, faults: &[(&'static str, Fault)]) {
+    let site = Site::new(2);
+    let nodes = [site.start(0), site.start(1)];
+    let [a, b] = [site.names[0].1, site.names[1].1];
+    until("one leads", || nodes.iter().find_map(leads));
+    submit(a, "wk-000500", 1);
+    let submit_some = |node: SocketAddr, first: u32| {
+        let mut accepted = Vec::new();
+        let mut before = "wk-000500".to_owned();
+        for n in first..first + 12 {
+            let uid = format!("wk-{n:06}");
+            // A fan and chains at once.
+            let body = awaiting(&uid, &["wk-000500", &before]);
+            let start = Instant::now();
+            while start.elapsed() < Duration::from_secs(6) {
+                if matches!(call("POST", node, "/api/jobs", Some(&body)).0, 200 | 201) {
+                    accepted.push(uid.clone());
+                    before = uid;
+                    break;
+                }
+                std::thread::sleep(Duration::from_millis(20));
+            }
+        }
+        accepted
+    };
+    let mut dependents = Vec::new();
+    std::thread::scope(|s| {
+        let first = s.spawn(|| submit_some(a, 510));
+        let second = s.spawn(|| submit_some(b, 540));
+        std::thread::sleep(Duration::from_millis(60));
+        for (prefix, fault) in faults {
+            site.state.fault(prefix, *fault);
+        }
+        until("confirmed", || {
+            (cancel(b, "wk-000500") == 200).then_some(())
+        });
+        for submitted in [first, second] {
+            dependents.extend(submitted.join().expect("submissions"));
+        }
+    });
+    assert!(dependents.len() > 6, "{why}: {dependents:?}");
+    let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
+    never_orphaned(&[a, b], "wk-000500", &names, why);
+    until("the index is cleared", || {
+        let left = site.state.keys("q/").len() + site.state.keys("d/").len();
+        (left == 0).then_some(())
+    });
+    for node in nodes {
+        node.stop();
+    }
+}
+
+/// No number of dependents is a reason to refuse another one: neither the lists that an earlier
+/// version needs nor anything else is full for ever.
+#[test]
+fn any_number_of_jobs_may_await_one() {
+    const DEPENDENTS: u32 = 60;
+    // Two nodes that know each other's version, and one that has never heard its peer.
+    for heard in [true, false] {
+        let site = Site::new(2);
+        // Lists with room for a few names only.
+        let small = |s: &mut cypressgap::settings::Settings| s.params.value_bytes = 700;
+        let mut nodes = vec![site.start_with(0, small)];
+        if heard {
+            nodes.push(site.start_with(1, small));
+            until("they know each other", || {
+                let knows = |n: &cypressgap::runtime::service::Service| {
+                    n.shared.peers.iter().all(|p| p.knows(3))
+                };
+                nodes.iter().all(knows).then_some(())
+            });
+        }
+        let node = site.names[0].1;
+        submit(node, "wk-000600", 1);
+        for n in 0..DEPENDENTS {
+            await_on(node, &format!("wk-{:06}", 700 + n), &["wk-000600"]);
+        }
+        let lists = site.state.keys("d/").len();
+        assert_eq!(
+            lists == 0,
+            heard,
+            "lists are kept for earlier versions only"
+        );
+        until("confirmed", || match cancel(node, "wk-000600") {
+            200 => Some(()),
+            _ => {
+                // As its Retry-After says.
+                std::thread::sleep(Duration::from_secs(1));
+                None
+            }
+        });
+        for n in 0..DEPENDENTS {
+            let uid = format!("wk-{:06}", 700 + n);
+            let said = until("told", || phase(node, &uid));
+            assert_eq!(said, "withdrawn", "{uid}");
+        }
+        until("lists and index are cleared", || {
+            let left = site.state.keys("q/").len() + site.state.keys("d/").len();
+            (left == 0).then_some(())
+        });
+        for node in nodes {
+            node.stop();
+        }
+    }
+}
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end/main.rs
@@ -2,128 +2,20 @@
 //!
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
+mod cascades;
+#[path = "../standins/mod.rs"]
 mod standins;
 
-use cypressgap::core::model::Term;
 use cypressgap::runtime::budget::Rank;
 use cypressgap::runtime::service::Service;
 use cypressgap::runtime::stop::Stop;
 use cypressgap::runtime::view::RoleView;
 use cypressgap::settings::Settings;
+use standins::site::*;
 use standins::*;
-use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(60);
-
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let start = Instant::now();
-    loop {
-        if let Some(found) = look() {
-            return found;
-        }
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
-        std::thread::sleep(Duration::from_millis(50));
-    }
-}
-
-struct Site {
-    state: StateService,
-    cloud: SocketAddr,
-    listed: Listed,
-    names: Vec<(String, SocketAddr)>,
-    peers: Vec<SocketAddr>,
-    /// Each node's way to the state service, and the others' way to it.
-    to_state: Vec<Link>,
-    to_peer: Vec<Link>,
-}
-
-impl Site {
-    fn new(nodes: usize) -> Site {
-        let name = |n: usize| (format!("worker-{n}"), free_port());
-        let state = StateService::start();
-        let listed = Listed::default();
-        let peers: Vec<SocketAddr> = (0..nodes).map(|_| free_port()).collect();
-        Site {
-            cloud: start_cloud(listed.clone()),
-            listed,
-            names: (0..nodes).map(name).collect(),
-            to_state: (0..nodes).map(|_| Link::to(state.address)).collect(),
-            to_peer: peers.iter().map(|p| Link::to(*p)).collect(),
-            peers,
-            state,
-        }
-    }
-
-    /// Cuts a node off the state service and, both ways, the other controllers of two.
-    fn cut(&self, n: usize) {
-        self.to_state[n].cut(true);
-        for l in &self.to_peer {
-            l.cut(true);
-        }
-    }
-
-    fn start(&self, n: usize) -> Service {
-        self.start_with(n, |_| {})
-    }
-
-    fn start_with(&self, n: usize, edit: impl Fn(&mut Settings)) -> Service {
-        let text = include_str!("../examples/node.toml");
-        let mut s = Settings::parse("node.toml", text).expect("the example");
-        s.member = self.names[n].0.clone();
-        s.front = self.names[n].1;
-        s.peer_bind = self.peers[n];
-        s.state = self.to_state[n].address;
-        s.cloud = self.cloud;
-        s.params.report = Duration::from_millis(300);
-        let mut seed = s.seeds[0].clone();
-        s.seeds.clear();
-        for m in (0..self.names.len()).filter(|m| *m != n) {
-            seed.member = self.names[m].0.clone();
-            seed.address = self.to_peer[m].address;
-            s.seeds.push(seed.clone());
-        }
-        edit(&mut s);
-        Service::start(s).expect("a node starts")
-    }
-}
-
-fn submission(uid: &str, shards: u64) -> Any {
-    map([
-        ("Uid", t(uid)),
-        ("JobClass", t("plain")),
-        ("Owner", t("vision")),
-        ("JobKind", t("batch")),
-        ("Urgency", t("standard")),
-        ("Shards", Any::Int(shards)),
-        ("Vcpus", Any::Float(2.0)),
-        ("Gpus", Any::Float(0.0)),
-        ("MemoryGb", Any::Float(4.0)),
-        ("ImageRef", t("img-1")),
-        ("PullGb", Any::Float(1.0)),
-        ("SamePlace", Any::Bool(false)),
-        ("Spread", Any::Bool(false)),
-        ("Preemptible", Any::Bool(true)),
-        ("ExpectedS", Any::Float(1.0)),
-        ("SnapshotEveryS", Any::Float(0.0)),
-        ("SnapshotS", Any::Float(0.0)),
-    ])
-}
-
-fn submit(node: SocketAddr, uid: &str, shards: u64) {
-    let body = submission(uid, shards);
-    until("accepted", || {
-        let (status, _) = call("POST", node, "/api/jobs", Some(&body));
-        matches!(status, 200 | 201).then_some(())
-    });
-}
-
-fn phase(node: SocketAddr, uid: &str) -> Option<String> {
-    let (status, body) = call("GET", node, &format!("/api/jobs/{uid}"), None);
-    (status == 200).then(|| body.text("Phase"))
-}
-
 #[test]
 fn a_job_runs_and_every_node_says_so() {
     let site = Site::new(2);
@@ -188,13 +80,6 @@
     assert_eq!(worker.starts().len(), 2);
 }
 
-fn leads(s: &Service) -> Option<Term> {
-    match s.shared.view.read().role {
-        RoleView::Leader(t) => Some(t),
-        RoleView::Follower(_) => None,
-    }
-}
-
 #[test]
 fn a_leader_cut_from_store_and_peers_starts_nothing_and_lets_its_workers_go() {
     let site = Site::new(2);
@@ -643,15 +528,6 @@
     }
 }
 
-fn awaiting(uid: &str, needs: &[&str]) -> Any {
-    let mut s = submission(uid, 1);
-    if let Any::Map(m) = &mut s {
-        let needs = needs.iter().map(|n| t(n)).collect();
-        m.insert("Awaits".to_owned(), Any::List(needs));
-    }
-    s
-}
-
 /// A chain over whole nodes: order, refusals, repetitions, and withdrawals that take what is behind.
 #[test]
 fn pipelines_run_in_order_and_are_withdrawn_together() {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -3,10 +3,15 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::dependencies::{Dependencies, Standing};
-use cypressgap::core::ledger::{chunk_room, BatchOutcome, Op, Value, Verdict};
+use cypressgap::core::cluster::{Action, CancelSource};
+use cypressgap::core::dependencies::{Dependencies, DependentsIndex, Standing};
+use cypressgap::core::ledger::{
+    chunk_room, dependents_key, live_key, withdrawn_key, BatchOutcome, Op, Value, Verdict,
+};
 use cypressgap::core::model::*;
+use cypressgap::core::watermark::Moment;
+use std::collections::BTreeSet;
+use std::time::{Duration, SystemTime};
 
 fn u(n: u32) -> Uid {
     Uid::from(format!("wk-{n:06}").as_str())
@@ -85,7 +90,7 @@
         for e in events {
             match e {
                 Add(n, needs, standing) => {
-                    assert_eq!(d.add(&u(*n), &us(needs)), *standing, "{name}: {n}");
+                    assert_eq!(d.add(&u(*n), &us(needs), false), *standing, "{name}: {n}");
                 }
                 Done(n, ready) => assert_eq!(d.done(&u(*n)), us(ready), "{name}: {n} done"),
                 Withdrawn(n, orphans) => {
@@ -97,7 +102,7 @@
         }
     }
     let mut d = Dependencies::default();
-    d.add(&u(3), &us(&[1, 2]));
+    d.add(&u(3), &us(&[1, 2]), false);
     assert_eq!(d.unresolved(|n| *n == u(1)), us(&[2]));
 }
 
@@ -247,3 +252,253 @@
     let value = w.c.jobs[&u(1)].chunk_value(0);
     assert_eq!(value.active.len(), 62);
 }
+
+/// The keys that the state service holds of jobs, as the leader's transactions change them.
+#[derive(Default)]
+struct Keys {
+    all: BTreeSet<String>,
+    changes: usize,
+}
+
+impl Keys {
+    fn accept(&mut self, w: &mut World, spec: JobSpec) {
+        self.all.insert(live_key(&spec.uid));
+        if spec.listed {
+            self.all.extend(spec.needs.iter().map(dependents_key));
+        }
+        w.job(spec);
+    }
+
+    /// Lets a tick's transaction have so many changes, and carries it out.
+    fn tick(&mut self, w: &mut World, changes: usize) -> Vec<Op> {
+        w.c.allow(changes);
+        let mut written = Vec::new();
+        for action in w.c.tick(w.now) {
+            let Action::Store(batch) = action else {
+                continue;
+            };
+            self.changes += batch.ops.len();
+            for op in &batch.ops {
+                match op {
+                    Op::Put(key, _) => self.all.insert(key.clone()),
+                    Op::Delete(key) => self.all.remove(key),
+                };
+            }
+            written.extend(batch.ops);
+            w.revision += 1;
+            let revision = w.revision;
+            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+        }
+        written
+    }
+}
+
+fn queue_read(w: &mut World) {
+    let day = SystemTime::UNIX_EPOCH;
+    w.c.withdrawals_read(Moment { steady: w.now, day });
+}
+
+/// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
+/// a burst of other work: it takes the verdicts' number over its share, and the records that show a
+/// cascade to be unfinished go only after it.
+#[test]
+fn a_thousand_dependents_are_cancelled_within_the_bound() {
+    const DEPENDENTS: u32 = 1000;
+    const CHANGES_A_SECOND: u32 = 36;
+    // Whether they form one chain or a fan.
+    for chain in [true, false] {
+        let mut w = World::new();
+        let mut keys = Keys::default();
+        w.beat("i-1", 1, vec![]);
+        keys.accept(&mut w, needing(0, &[]));
+        for n in 1..=DEPENDENTS {
+            let needs = if chain { [n - 1] } else { [0] };
+            keys.accept(&mut w, needing(n, &needs));
+        }
+        for n in 0..40 {
+            keys.accept(&mut w, spec(&u(5000 + n).0, 3, 1.0));
+        }
+        keys.all.insert(withdrawn_key(&u(0)));
+        w.c.on_withdrawn(w.now, &u(0));
+        let start = w.now;
+        let mut verdicts = 0;
+        let mut allowed = 0.0;
+        while verdicts < DEPENDENTS {
+            w.pass(Duration::from_millis(150));
+            allowed += f64::from(CHANGES_A_SECOND) * 0.15;
+            let before = keys.changes;
+            let root_indexed = keys.all.contains(&live_key(&u(0)));
+            for op in keys.tick(&mut w, allowed as usize) {
+                if matches!(op, Op::Put(_, Value::Verdict(Verdict::Withdrawn))) {
+                    verdicts += 1;
+                }
+            }
+            allowed -= (keys.changes - before) as f64;
+            assert!(root_indexed, "chain {chain}: {verdicts} are cancelled");
+            assert!(w.now - start < secs(60), "chain {chain}: {verdicts}");
+        }
+        // Its share, the grace for the node that confirms, and what else was written meanwhile.
+        let bound = secs(u64::from(DEPENDENTS / CHANGES_A_SECOND) + 5);
+        assert!(w.now - start < bound, "chain {chain}: {:?}", w.now - start);
+        queue_read(&mut w);
+        for _ in 0..2000 {
+            w.pass(secs(1));
+            queue_read(&mut w);
+            keys.tick(&mut w, 24);
+        }
+        let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
+        let left: Vec<&String> = keys.all.iter().filter(left).collect();
+        assert!(
+            !left
+                .iter()
+                .any(|k| k.as_str() <= live_key(&u(DEPENDENTS)).as_str() && k.starts_with("q/")),
+            "chain {chain}: {left:?}"
+        );
+        assert!(!w.c.jobs.contains_key(&u(0)) && !w.c.jobs.contains_key(&u(DEPENDENTS)));
+    }
+}
+
+/// The leader leaves dependents to the node that confirms for a moment, and to nobody for long; the
+/// job's own records stay until it has surely heard of all that was accepted before.
+#[test]
+fn what_a_cancelled_jobs_records_wait_for() {
+    // What the leader hears -> when its records go: at once, or only after a later read of the queue.
+    let cases = [
+        (CancelSource::Watch, true),
+        (CancelSource::Load, false),
+        (CancelSource::Peer, false),
+        (CancelSource::Verdict, false),
+    ];
+    for (source, at_once) in cases {
+        let mut w = World::new();
+        w.beat("i-1", 1, vec![]);
+        w.job(needing(1, &[]));
+        queue_read(&mut w);
+        w.pass(secs(1));
+        w.c.on_cancelled(w.now, &u(1), source);
+        w.settle();
+        assert_eq!(w.c.jobs.is_empty(), at_once, "{source:?}");
+        // A dependent that was accepted before, heard of only now.
+        w.job(needing(2, &[1]));
+        queue_read(&mut w);
+        w.settle();
+        queue_read(&mut w);
+        w.settle();
+        assert!(w.c.jobs.is_empty(), "{source:?}");
+    }
+    // Told that a dependent is cancelled already, it writes no verdict.
+    for told in [true, false] {
+        let mut w = World::new();
+        w.job(needing(1, &[]));
+        w.job(needing(2, &[1]));
+        w.c.on_withdrawn(w.now, &u(1));
+        let mut written = Vec::new();
+        let mut keys = Keys::default();
+        for step in 0..20 {
+            w.pass(Duration::from_millis(150));
+            if told && step == 2 {
+                w.c.on_cancelled(w.now, &u(2), CancelSource::Peer);
+            }
+            written.extend(keys.tick(&mut w, 24));
+        }
+        let verdict = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(_)));
+        assert_eq!(written.iter().any(verdict), !told, "told {told}");
+    }
+}
+
+/// Thousands of chains pass: what is left of them is their verdicts, and nothing in the picture.
+#[test]
+fn chains_leave_only_their_verdicts() {
+    // With lists of dependents, as earlier versions keep them, or without.
+    for listed in [false, true] {
+        let mut w = World::new();
+        let mut keys = Keys::default();
+        let mut most = 0;
+        for chain in 0..2000u32 {
+            let first = chain * 3 + 1;
+            for n in first..first + 3 {
+                let mut job = needing(n, &[]);
+                if n > first {
+                    job.needs = us(&[n - 1]);
+                    job.listed = listed;
+                }
+                keys.accept(&mut w, job);
+            }
+            if chain % 2 == 0 {
+                keys.all.insert(withdrawn_key(&u(first)));
+                w.c.on_withdrawn(w.now, &u(first));
+            } else {
+                // Their ends were found by the next leader.
+                (first..first + 3)
+                    .for_each(|n| w.c.on_cancelled(w.now, &u(n), CancelSource::Verdict));
+            }
+            for _ in 0..4 {
+                w.pass(Duration::from_millis(600));
+                queue_read(&mut w);
+                keys.tick(&mut w, 24);
+            }
+            let live = keys.all.iter().filter(|k| !k.starts_with("j/")).count();
+            most = most.max(live);
+        }
+        for _ in 0..100 {
+            w.pass(secs(1));
+            queue_read(&mut w);
+            keys.tick(&mut w, 24);
+        }
+        let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
+        let left: Vec<&String> = keys.all.iter().filter(left).collect();
+        assert_eq!(left, Vec::<&String>::new(), "listed {listed}");
+        assert!(most < 60, "listed {listed}: {most}");
+        assert!(w.c.jobs.is_empty() && w.c.unresolved().is_empty());
+    }
+}
+
+/// A list found at takeover goes when its job does, or at once if that is over.
+#[test]
+fn lists_found_at_takeover_are_removed() {
+    for live in [true, false] {
+        let mut w = World::new();
+        let mut keys = Keys::default();
+        keys.all.insert(dependents_key(&u(1)));
+        if live {
+            w.job(needing(1, &[]));
+        }
+        w.c.load_list(&u(1));
+        for _ in 0..10 {
+            w.pass(secs(1));
+            keys.tick(&mut w, 24);
+        }
+        assert_eq!(keys.all.contains(&dependents_key(&u(1))), live);
+        w.c.on_withdrawn(w.now, &u(1));
+        for _ in 0..10 {
+            w.pass(secs(1));
+            keys.tick(&mut w, 24);
+        }
+        assert!(!keys.all.contains(&dependents_key(&u(1))), "{live}");
+    }
+}
+
+#[test]
+fn dependents_in_an_index_of_live_jobs() {
+    let jobs: [(u32, &[u32]); 6] = [
+        (2, &[1]),
+        (3, &[2]),
+        (4, &[2, 9]),
+        (5, &[3, 4]),
+        (6, &[]),
+        (7, &[8]),
+    ];
+    let index = DependentsIndex::new(jobs.iter().map(|(n, needs)| (u(*n), us(needs))));
+    let cases: [(&[u32], &[u32]); 6] = [
+        (&[1], &[2, 3, 4, 5]),
+        (&[3], &[5]),
+        (&[9], &[4, 5]),
+        (&[5], &[]),
+        (&[6, 77], &[]),
+        (&[3, 8], &[5, 7]),
+    ];
+    for (of, expected) in cases {
+        let found: Vec<Uid> = index.descendants(&us(of)).into_iter().collect();
+        assert_eq!(found, us(expected), "{of:?}");
+    }
+}
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -1,6 +1,8 @@
 //! Stand-ins for the state service, the cloud and a worker, by their published protocol, on
 //! loopback. They serve the end-to-end tests and hold just what those need.
 
+pub mod site;
+
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -143,6 +145,8 @@
     AnswerLost,
     /// It is carried out only after this time, behind newer ones.
     Late(Duration),
+    /// It is carried out and answered; then the state service is out for everybody.
+    ThenOut,
 }
 
 /// The state service, with a switch for outages.
@@ -188,6 +192,11 @@
                     answer(&l, method, url, &body);
                     std::thread::sleep(Duration::from_secs(40));
                 }
+                Some(Fault::ThenOut) => {
+                    let answered = answer(&l, method, url, &body);
+                    o.store(true, Ordering::SeqCst);
+                    return answered;
+                }
                 None => {}
             }
             answer(&l, method, url, &body)
--- /dev/null
+++ b/tests/standins/site.rs
@@ -0,0 +1,136 @@
+//! A site of whole nodes on loopback, with its stand-ins, and what its users do.
+//!
+//! Waits end on what is observed; their limits are far beyond what any machine needs.
+
+use super::{call, free_port, map, start_cloud, t, Any, Link, Listed, StateService};
+use cypressgap::core::model::Term;
+use cypressgap::runtime::service::Service;
+use cypressgap::runtime::view::RoleView;
+use cypressgap::settings::Settings;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+pub const PATIENCE: Duration = Duration::from_secs(60);
+
+pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
+    loop {
+        if let Some(found) = look() {
+            return found;
+        }
+        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        std::thread::sleep(Duration::from_millis(50));
+    }
+}
+
+pub struct Site {
+    pub state: StateService,
+    pub cloud: SocketAddr,
+    pub listed: Listed,
+    pub names: Vec<(String, SocketAddr)>,
+    pub peers: Vec<SocketAddr>,
+    /// Each node's way to the state service, and the others' way to it.
+    pub to_state: Vec<Link>,
+    pub to_peer: Vec<Link>,
+}
+
+impl Site {
+    pub fn new(nodes: usize) -> Site {
+        let name = |n: usize| (format!("worker-{n}"), free_port());
+        let state = StateService::start();
+        let listed = Listed::default();
+        let peers: Vec<SocketAddr> = (0..nodes).map(|_| free_port()).collect();
+        Site {
+            cloud: start_cloud(listed.clone()),
+            listed,
+            names: (0..nodes).map(name).collect(),
+            to_state: (0..nodes).map(|_| Link::to(state.address)).collect(),
+            to_peer: peers.iter().map(|p| Link::to(*p)).collect(),
+            peers,
+            state,
+        }
+    }
+
+    /// Cuts a node off the state service and, both ways, the other controllers of two.
+    pub fn cut(&self, n: usize) {
+        self.to_state[n].cut(true);
+        for l in &self.to_peer {
+            l.cut(true);
+        }
+    }
+
+    pub fn start(&self, n: usize) -> Service {
+        self.start_with(n, |_| {})
+    }
+
+    pub fn start_with(&self, n: usize, edit: impl Fn(&mut Settings)) -> Service {
+        let text = include_str!("../../examples/node.toml");
+        let mut s = Settings::parse("node.toml", text).expect("the example");
+        s.member = self.names[n].0.clone();
+        s.front = self.names[n].1;
+        s.peer_bind = self.peers[n];
+        s.state = self.to_state[n].address;
+        s.cloud = self.cloud;
+        s.params.report = Duration::from_millis(300);
+        let mut seed = s.seeds[0].clone();
+        s.seeds.clear();
+        for m in (0..self.names.len()).filter(|m| *m != n) {
+            seed.member = self.names[m].0.clone();
+            seed.address = self.to_peer[m].address;
+            s.seeds.push(seed.clone());
+        }
+        edit(&mut s);
+        Service::start(s).expect("a node starts")
+    }
+}
+
+pub fn submission(uid: &str, shards: u64) -> Any {
+    map([
+        ("Uid", t(uid)),
+        ("JobClass", t("plain")),
+        ("Owner", t("vision")),
+        ("JobKind", t("batch")),
+        ("Urgency", t("standard")),
+        ("Shards", Any::Int(shards)),
+        ("Vcpus", Any::Float(2.0)),
+        ("Gpus", Any::Float(0.0)),
+        ("MemoryGb", Any::Float(4.0)),
+        ("ImageRef", t("img-1")),
+        ("PullGb", Any::Float(1.0)),
+        ("SamePlace", Any::Bool(false)),
+        ("Spread", Any::Bool(false)),
+        ("Preemptible", Any::Bool(true)),
+        ("ExpectedS", Any::Float(1.0)),
+        ("SnapshotEveryS", Any::Float(0.0)),
+        ("SnapshotS", Any::Float(0.0)),
+    ])
+}
+
+pub fn submit(node: SocketAddr, uid: &str, shards: u64) {
+    let body = submission(uid, shards);
+    until("accepted", || {
+        let (status, _) = call("POST", node, "/api/jobs", Some(&body));
+        matches!(status, 200 | 201).then_some(())
+    });
+}
+
+pub fn phase(node: SocketAddr, uid: &str) -> Option<String> {
+    let (status, body) = call("GET", node, &format!("/api/jobs/{uid}"), None);
+    (status == 200).then(|| body.text("Phase"))
+}
+
+pub fn leads(s: &Service) -> Option<Term> {
+    match s.shared.view.read().role {
+        RoleView::Leader(t) => Some(t),
+        RoleView::Follower(_) => None,
+    }
+}
+
+pub fn awaiting(uid: &str, needs: &[&str]) -> Any {
+    let mut s = submission(uid, 1);
+    if let Any::Map(m) = &mut s {
+        let needs = needs.iter().map(|n| t(n)).collect();
+        m.insert("Awaits".to_owned(), Any::List(needs));
+    }
+    s
+}
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,13 +1,14 @@
-//! Versions side by side: what the one in production reads and writes, by its layout.
+//! Versions side by side: what the earlier ones read and write, by their layout.
 //!
-//! The samples are written by hand from the layout of the version that `production` in
-//! `deploy/service.toml` names, not with this version's types.
+//! The samples are written by hand from the layouts of the version that `production` in
+//! `deploy/service.toml` names and of the one before it, not with this version's types.
 
 use cypressgap::net::peer::{
     fallen_heard, frames_heard, read_frame, said, Ask, Hello, Reply, Word,
 };
 use cypressgap::net::wire::{
-    decode, encode, StoredChunk, StoredHistory, StoredJob, StoredLeader, StoredVerdict,
+    decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
+    StoredVerdict,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -89,18 +90,29 @@
     let stored: StoredJob = decode(&encode(&job_record())).expect("it is read");
     let spec = stored.into_spec().expect("a job");
     assert_eq!((spec.shards, spec.needs.len()), (16, 0));
-    // A job that awaits others has one field more, which earlier versions pass over.
+    // A job that awaits others has one field more, which the oldest version passes over. The version
+    // in production writes it, and enters the job in a list of each dependency.
+    both::<StoredDependents>(map(&[(
+        "by",
+        Any::List(vec![t("wk-000412"), t("wk-000415")]),
+    )]));
     let mut awaits = spec.clone();
     awaits.needs = vec!["wk-000398".into()];
-    let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    let Any::Map(mut fields) = written else {
+    awaits.listed = true;
+    let Any::Map(mut listed) = job_record() else {
         panic!("not a map");
     };
-    assert_eq!(
-        fields.remove("needs"),
-        Some(Any::List(vec![t("wk-000398")]))
-    );
-    assert_eq!(Any::Map(fields), job_record());
+    listed.insert("needs".into(), Any::List(vec![t("wk-000398")]));
+    both::<StoredJob>(Any::Map(listed.clone()));
+    let read: StoredJob = decode(&encode(&Any::Map(listed.clone()))).expect("it is read");
+    assert_eq!(read.into_spec().as_ref(), Some(&awaits));
+    let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
+    assert_eq!(written, Any::Map(listed.clone()));
+    // This version says where it enters none; the versions before pass over that.
+    awaits.listed = false;
+    let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
+    listed.insert("unlisted".into(), Any::Bool(true));
+    assert_eq!(written, Any::Map(listed));
 }
 
 /// Bytes of a `borsh` frame, put together field by field.
@@ -213,6 +225,17 @@
                 body: vec![9, 9],
             },
         ),
+        (Bytes::variant(5).u8(0), Ask::Withdrawals { from: None }),
+        (
+            Bytes::variant(5).u8(1).u64(77).u64(12),
+            Ask::Withdrawals {
+                from: Some((77, 12)),
+            },
+        ),
+        (
+            Bytes::variant(6).u32(1).text("wk-000003"),
+            Ask::Withdrawn(vec!["wk-000003".into()]),
+        ),
     ];
     for (old, new) in asks {
         let frame = old.frame();
@@ -244,6 +267,23 @@
             Bytes::variant(4).u16(503).bytes(&[]).u8(1).u64(3),
             Reply::User(503, vec![], Some(3)),
         ),
+        (
+            Bytes::variant(5)
+                .u64(77)
+                .u8(1)
+                .u32(1)
+                .text("wk-000003")
+                .u64(13)
+                .u8(0),
+            Reply::Withdrawals {
+                life: 77,
+                continues: true,
+                uids: vec!["wk-000003".into()],
+                next: 13,
+                more: false,
+            },
+        ),
+        (Bytes::variant(6).u8(1), Reply::Withdrawn(true)),
     ];
     for (old, new) in replies {
         let frame = old.frame();
@@ -252,14 +292,16 @@
     }
 }
 
-/// Newer frames go only to peers that said they know them. The version in production says nothing,
-/// and heeds nothing in the list where it is said.
+/// Newer frames go only to peers that said they know them. The oldest version says nothing, and heeds
+/// nothing in the list where it is said; the version in production says 2, and perhaps that the next
+/// rates hold.
 #[test]
 fn frames_that_a_peer_knows() {
-    let cases: [(&[&str], u32); 5] = [
+    let cases: [(&[&str], u32); 6] = [
         (&[], 1),
         (&["wk-000001", "wk-000002"], 1),
         (&["frames 2"], 2),
+        (&["frames 2", "next rates"], 2),
         (&["wk-000001", "frames 7"], 7),
         (&["frames many"], 1),
     ];
@@ -269,7 +311,7 @@
     }
     for fallen in [false, true] {
         let said = said(fallen);
-        assert_eq!((frames_heard(&said), fallen_heard(&said)), (2, fallen));
+        assert_eq!((frames_heard(&said), fallen_heard(&said)), (3, fallen));
         // The production version reads the answer that says so as it stands.
         let texts: Vec<&str> = said.iter().map(String::as_str).collect();
         let new = borsh::to_vec(&Reply::Hello(hello(said.clone()))).unwrap();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -132,7 +132,7 @@
     assert_eq!(back.into_spec(), Some(spec));
     // Only what is not over stays in the record, and all of it counts for the record's size.
     let mut kept = stored.clone();
-    kept.keep_needs(&["wk-000405".into()]);
+    kept.keep_needs(&["wk-000405".into()], false);
     assert_eq!(kept.needs(), ["wk-000405"]);
     assert!(kept.size_bound() < stored.size_bound());
     let many: Vec<&'static str> = vec!["wk-00000000000000000001"; 1];
