--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -137,6 +137,8 @@
     pub(super) confirmed: bool,
     pub(super) last_return: Option<Instant>,
     pub(super) dependencies: Dependencies,
+    /// Ranks computed in this term, for the log's summary.
+    pub ranks_computed: u64,
     /// When the queue was last asked for what an answer showed since.
     pub(super) last_queue_read: Option<Instant>,
     /// Up to when all confirmed withdrawals are known.
@@ -201,6 +203,7 @@
             confirmed: true,
             last_return: None,
             dependencies: Dependencies::default(),
+            ranks_computed: 0,
             last_queue_read: None,
             watermark: Watermark::new(clocks, []),
             clocks,
@@ -283,49 +286,16 @@
         job.blocked = standing != Standing::Ready;
         job.chunk_room = ledger::chunk_room(self.params.value_bytes);
         job.due_at = job.spec.due.map(|d| arrived + d);
+        job.own_rank.due = job.due_at;
         self.jobs.insert(uid.clone(), job);
         match standing {
-            Standing::Ready => {}
-            Standing::Blocked => self.inherit(&uid),
+            Standing::Ready | Standing::Blocked => {}
             Standing::Orphaned => self.orphan_new(&uid),
         }
-        // Jobs that need it may have been heard of first.
-        let by: Vec<Uid> = self.dependencies.dependents(&uid).cloned().collect();
-        by.iter().for_each(|d| self.inherit(d));
         self.order_stale = true;
         self.round_due = true;
     }
 
-    /// What a blocked job needs takes its urgency, where that is higher, and has to be done so early
-    /// that this one can still be on time: the upward rank of HEFT, counted back from the deadline.
-    fn inherit(&mut self, uid: &Uid) {
-        let mut next = vec![uid.clone()];
-        while let Some(u) = next.pop() {
-            let Some(job) = self.jobs.get(&u) else {
-                continue;
-            };
-            let urgency = job.spec.urgency;
-            let types = self.types.iter().filter(|t| job.spec.allows_type(&t.name));
-            let est = types.map(|t| self.history.est(&job.spec, &t.name)).min();
-            let est = est.unwrap_or(job.spec.expected);
-            let due = job.due_at.and_then(|d| d.checked_sub(est));
-            let needs: Vec<Uid> = self.dependencies.needs(&u).cloned().collect();
-            for need in needs {
-                let Some(n) = self.jobs.get_mut(&need) else {
-                    continue;
-                };
-                let sooner = due.is_some_and(|d| n.due_at.is_none_or(|own| d < own));
-                if urgency > n.spec.urgency || sooner {
-                    n.spec.urgency = n.spec.urgency.max(urgency);
-                    if sooner {
-                        n.due_at = due;
-                    }
-                    next.push(need);
-                }
-            }
-        }
-    }
-
     /// A job's `done` is durable: those that needed only it may start. Their waits count from now.
     pub(super) fn ready(&mut self, now: Instant, uid: &Uid) {
         for d in self.dependencies.done(uid) {
@@ -760,6 +730,7 @@
         {
             self.last_round = Some(now);
             self.round_due = false;
+            self.update_ranks();
             let round = self.place(now);
             if self
                 .last_capacity
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -28,6 +28,8 @@
     dependents: HashMap<Uid, BTreeSet<Uid>>,
     /// Jobs for which the state service holds a list of dependents.
     listed: BTreeSet<Uid>,
+    /// Jobs whose dependents have changed since this was last taken.
+    changed: BTreeSet<Uid>,
     ends: HashMap<Uid, Verdict>,
     order: VecDeque<Uid>,
 }
@@ -49,6 +51,7 @@
         if orphaned {
             return Standing::Orphaned;
         }
+        self.changed.insert(uid.clone());
         if open.is_empty() {
             return Standing::Ready;
         }
@@ -121,10 +124,16 @@
                     self.dependents.remove(&need);
                 }
             }
+            self.changed.insert(need);
         }
         true
     }
 
+    /// Jobs that came, or lost dependents, since the last call.
+    pub fn take_changed(&mut self) -> BTreeSet<Uid> {
+        std::mem::take(&mut self.changed)
+    }
+
     /// What a job still needs.
     pub fn needs(&self, uid: &Uid) -> impl Iterator<Item = &Uid> {
         self.open.get(uid).into_iter().flatten()
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -2,6 +2,7 @@
 
 use super::ledger::{ChunkValue, CHUNK};
 use super::model::*;
+use super::ranking::Rank;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -99,6 +100,8 @@
     /// When its user was told that it is accepted.
     /// For a job that needed others: when the last of them was known to be done.
     pub arrived: Instant,
+    /// Its urgency and deadline for its own sake.
+    pub own_rank: Rank,
     /// When it should be complete, for its own sake or for those that need it.
     pub due_at: Option<Instant>,
     /// When one of its tasks was last placed; its arrival before that.
@@ -115,6 +118,10 @@
     pub(super) fn new(spec: JobSpec, stamp: u64, arrived: Instant) -> Self {
         Job {
             image: ImageKey::of(&spec.image),
+            own_rank: Rank {
+                urgency: spec.urgency,
+                due: None,
+            },
             spec,
             stamp,
             verdict_stamp: 0,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,6 +1,7 @@
 //! The deciding part: deterministic, without sockets, files, threads or clocks of its own.
 
 pub mod admission;
+pub mod backoff;
 pub mod capacity;
 pub mod cluster;
 mod departures;
@@ -17,6 +18,7 @@
 pub mod placement;
 mod preemption;
 mod queue;
+pub mod ranking;
 mod reports;
 mod returning;
 pub mod watermark;
--- a/src/runtime/duties.rs
+++ b/src/runtime/duties.rs
@@ -4,6 +4,7 @@
 use super::elector::Sign;
 use super::service::Shared;
 use super::stop::Stop;
+use crate::core::backoff::Backoff;
 use crate::core::capacity::Rented;
 use crate::core::cluster::{Action, Answer, CancelSource, Cluster};
 use crate::core::ledger::{self, Batch, BatchOutcome, Verdict};
@@ -384,8 +385,9 @@
     let params = &shared.settings.params;
     let (patience, _) = watermark::patience(params.lease, params.cancel);
     let block = WATCH_BLOCK.min(patience / 3);
+    let mut backoff = Backoff::default();
     while !stop.stopped() {
-        resolve(shared, term, stop);
+        resolve(shared, term, &mut backoff, stop);
         let asked = Moment::now();
         match shared
             .store
@@ -426,13 +428,14 @@
 }
 
 /// Asks how jobs ended that others need and of which the leader knows nothing: they ended while the
-/// acceptance of those others was under way.
-fn resolve(shared: &Shared, term: Term, stop: &Stop) {
+/// acceptance of those others was under way. What stays unknown is asked for ever more rarely.
+fn resolve(shared: &Shared, term: Term, backoff: &mut Backoff, stop: &Stop) {
     let unresolved = shared.view.read().unresolved.clone();
-    if unresolved.is_empty() {
+    let due = backoff.due(&unresolved, Instant::now());
+    if due.is_empty() {
         return;
     }
-    if let Ok(found) = super::elector::standings_of(shared, &unresolved, stop) {
+    if let Ok(found) = super::elector::standings_of(shared, &due, stop) {
         let ends = found.into_iter().filter_map(|(u, s)| Some((u, s?)));
         let _ = shared.events.send(Event::Ended(term, ends.collect()));
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::*;
+use cypressgap::core::backoff::Backoff;
 use cypressgap::core::cluster::{Action, CancelSource};
 use cypressgap::core::dependencies::{Dependencies, DependentsIndex, Standing};
 use cypressgap::core::ledger::{
@@ -222,6 +223,7 @@
             all.reverse();
         }
         all.into_iter().for_each(|s| w.job(s));
+        w.settle();
         let due = |n: u32| w.c.jobs[&u(n)].due_at.expect("a deadline");
         for n in 1..=3 {
             assert_eq!(w.c.jobs[&u(n)].spec.urgency, Urgency::High, "{n}");
@@ -502,3 +504,172 @@
         assert_eq!(found, us(expected), "{of:?}");
     }
 }
+
+/// What a pipeline's end asks of what it needs, for all shapes of pipelines, and as ends come and go.
+#[test]
+fn ranks_follow_the_ends_of_pipelines() {
+    use Urgency::*;
+    type Jobs = &'static [(u32, &'static [u32], Urgency, Option<u64>)];
+    // The jobs with what they need, their own urgency and deadline; which are cancelled then; and the
+    // ranks before and after that.
+    type Ranks = &'static [(u32, Urgency, Option<u64>)];
+    struct Case {
+        name: &'static str,
+        jobs: Jobs,
+        cancelled: &'static [u32],
+        before: Ranks,
+        after: Ranks,
+    }
+    let cases = [
+        Case {
+            name: "a diamond: the nearer deadline counts for what both need",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], Idle, Some(400)),
+                (3, &[1], Standard, None),
+                (4, &[2, 3], High, Some(300)),
+            ],
+            cancelled: &[4],
+            before: &[
+                (1, High, Some(180)),
+                (2, High, Some(240)),
+                (3, High, Some(240)),
+            ],
+            after: &[
+                (1, Standard, Some(340)),
+                (2, Idle, Some(400)),
+                (3, Standard, None),
+            ],
+        },
+        Case {
+            name: "a fan-in: each of what it needs, whatever its own rank",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[], Production, Some(100)),
+                (3, &[1, 2], High, Some(300)),
+            ],
+            cancelled: &[3],
+            before: &[(1, High, Some(240)), (2, Production, Some(100))],
+            after: &[(1, Idle, None), (2, Production, Some(100))],
+        },
+        Case {
+            name: "one of two ends goes, the other stays",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], High, Some(200)),
+                (3, &[1], Standard, Some(500)),
+            ],
+            cancelled: &[2],
+            before: &[(1, High, Some(140))],
+            after: &[(1, Standard, Some(440))],
+        },
+        Case {
+            name: "a cancelled middle takes its end along, which other branches lose too",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[], Idle, None),
+                (3, &[1], Idle, None),
+                (4, &[2, 3], High, Some(300)),
+            ],
+            cancelled: &[3],
+            before: &[
+                (1, High, Some(180)),
+                (2, High, Some(240)),
+                (3, High, Some(240)),
+            ],
+            after: &[(1, Idle, None), (2, Idle, None)],
+        },
+        Case {
+            name: "an urgent end behind idle work",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], Idle, None),
+                (3, &[2], Production, None),
+            ],
+            cancelled: &[3],
+            before: &[(1, Production, None), (2, Production, None)],
+            after: &[(1, Idle, None), (2, Idle, None)],
+        },
+    ];
+    for case in cases {
+        // In the order of submission, and as a new leader may read them.
+        for reversed in [false, true] {
+            let mut w = World::new();
+            let mut jobs = case.jobs.to_vec();
+            if reversed {
+                jobs.reverse();
+            }
+            for (n, needs, urgency, due) in jobs {
+                let mut job = needing(n, needs);
+                job.urgency = urgency;
+                job.due = due.map(secs);
+                w.job(job);
+            }
+            let ranks = |w: &World, expected: Ranks, when: &str| {
+                for (n, urgency, due) in expected {
+                    let job = &w.c.jobs[&u(*n)];
+                    let why = format!("{} ({when}, reversed {reversed}): {n}", case.name);
+                    assert_eq!(job.spec.urgency, *urgency, "{why}");
+                    assert_eq!(job.due_at, due.map(|d| job.arrived + secs(d)), "{why}");
+                }
+            };
+            w.settle();
+            ranks(&w, case.before, "before");
+            for n in case.cancelled {
+                w.c.on_withdrawn(w.now, &u(*n));
+            }
+            w.settle();
+            ranks(&w, case.after, "after");
+        }
+    }
+}
+
+/// Each job above a change is looked at once a round, however long the chain and however many the
+/// dependents.
+#[test]
+fn the_cost_of_ranks_is_bounded() {
+    const CHAIN: u32 = 1000;
+    const FAN: u32 = 10_000;
+    let mut w = World::new();
+    for n in (0..CHAIN).rev() {
+        let mut job = needing(n, &if n > 0 { vec![n - 1] } else { vec![] });
+        // Each end asks for more than the one before it: the worst that can come.
+        job.due = Some(secs(u64::from(100_000 - n)));
+        w.job(job);
+    }
+    w.settle();
+    assert_eq!(
+        w.c.ranks_computed,
+        u64::from(CHAIN),
+        "a chain, from its end"
+    );
+    let mut w = World::new();
+    w.job(needing(0, &[]));
+    (1..=FAN).for_each(|n| w.job(needing(n, &[0])));
+    w.settle();
+    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 1, "a fan");
+    // One more, and one less: the one that they all need, and the one itself.
+    w.job(needing(FAN + 1, &[0]));
+    w.settle();
+    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 3);
+    w.c.on_withdrawn(w.now, &u(FAN + 1));
+    w.settle();
+    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 4);
+}
+
+#[test]
+fn what_stays_unknown_is_asked_for_ever_more_rarely() {
+    let mut backoff = Backoff::default();
+    let start = World::new().now;
+    let mut asked = 0;
+    for tenth in 0..6000 {
+        let due = backoff.due(&us(&[1]), start + Duration::from_millis(100 * tenth));
+        asked += due.len();
+    }
+    // Ten minutes: seven doublings, then once a minute.
+    assert!((10..=20).contains(&asked), "{asked}");
+    // What was resolved meanwhile begins anew, and another job is asked about at once.
+    let later = start + secs(601);
+    assert_eq!(backoff.due(&us(&[2]), later), us(&[2]));
+    assert_eq!(backoff.due(&us(&[1, 2]), later), us(&[1]));
+}
