--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -213,6 +213,11 @@
                 .collect(),
         }
     }
+    /// How many attempts a chunk's value names.
+    pub(super) fn attempts_in(&self, chunk: u32) -> usize {
+        let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
+        self.active.range(range).count()
+    }
     pub fn intents(&self, chunk: u32) -> impl Iterator<Item = (u32, Attempt)> + '_ {
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         self.active
@@ -248,9 +253,8 @@
             }
             let chunk = i / CHUNK;
             let left = room.entry(chunk).or_insert_with(|| {
-                let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
                 self.chunk_room
-                    .saturating_sub(self.active.range(range).count() as u32)
+                    .saturating_sub(self.attempts_in(chunk) as u32)
             });
             let fits = *left > 0;
             *left = left.saturating_sub(1);
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -7,7 +7,7 @@
 
 use super::cluster::{CancelSource, Cluster, Job};
 use super::history::Summary;
-use super::model::{Attempt, HostId, TaskId, Uid, Urgency};
+use super::model::{Attempt, HostId, JobKind, TaskId, Uid, Urgency};
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
@@ -17,6 +17,13 @@
 /// What a transaction's values may amount to, below the protocol's 64 KiB.
 const BATCH_BYTES: usize = 40 * 1024;
 
+/// Before a transaction that was not carried out is put together anew.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Closing a cancelled job takes this many changes.
+const LEAST_BATCH_OPS: usize = 2;
+/// Values are not made smaller than this, whatever is refused.
+const LEAST_VALUE_BYTES: usize = CHUNK_VALUE_HEAD + CHUNK_VALUE_ATTEMPT * LEAST_CHUNK_ROOM;
+
 /// Keys of finished jobs removed at a time, and how often: what other changes leave of the rate is
 /// theirs, and a little in any case.
 const CLEANUPS: usize = 4;
@@ -65,13 +72,18 @@
 pub fn dependents_key(uid: &Uid) -> String {
     format!("{DEPENDENTS_PREFIX}{uid}")
 }
-/// Attempts that fit into a chunk's value of this size: each is its number, its attempt and its host.
+/// A chunk's value, by itself and for each attempt: its number, its attempt and its host.
+const CHUNK_VALUE_HEAD: usize = 64;
+const CHUNK_VALUE_ATTEMPT: usize = 32;
+/// The value of a chunk whose tasks all have attempts.
+const CHUNK_VALUE_BYTES: usize = CHUNK_VALUE_HEAD + CHUNK_VALUE_ATTEMPT * CHUNK as usize;
+/// A chunk always has room for so many attempts.
+const LEAST_CHUNK_ROOM: usize = 8;
+
+/// Attempts that fit into a chunk's value of this size.
 pub fn chunk_room(value_bytes: usize) -> u32 {
-    const HEAD: usize = 64;
-    const ATTEMPT: usize = 32;
-    const LEAST: usize = 8;
-    let room = value_bytes.saturating_sub(HEAD) / ATTEMPT;
-    room.clamp(LEAST, CHUNK as usize) as u32
+    let room = value_bytes.saturating_sub(CHUNK_VALUE_HEAD) / CHUNK_VALUE_ATTEMPT;
+    room.clamp(LEAST_CHUNK_ROOM, CHUNK as usize) as u32
 }
 pub fn chunk_key(uid: &Uid, chunk: u32) -> String {
     format!("{INTENT_PREFIX}{uid}/{chunk}")
@@ -126,6 +138,8 @@
     },
     /// Not executed, or the outcome is unknown: the same may be tried again.
     Unknown,
+    /// Over a limit of the state service: the same would be refused again.
+    Refused,
 }
 
 /// What a batch in flight covers.
@@ -139,6 +153,8 @@
     pub cascaded: Vec<Uid>,
     pub deletes: Vec<String>,
     pub history: bool,
+    /// Puts and deletes.
+    pub ops: usize,
 }
 
 /// How long after a cancellation is heard of the leader leaves its dependents to the node that
@@ -257,7 +273,7 @@
             if !may_close {
                 return Room::Left;
             }
-            if !self.has_room(2) {
+            if !self.has_room(LEAST_BATCH_OPS) {
                 return Room::Full;
             }
             self.delete(live_key(uid));
@@ -287,8 +303,7 @@
         if self.in_flight.is_some() || self.store_pause.is_some_and(|p| now < p) {
             return None;
         }
-        // Closing a cancelled job takes two.
-        if self.allowance < 2 {
+        if self.allowance < LEAST_BATCH_OPS {
             return None;
         }
         let max_ops = self.params.txn_ops.max(1).min(self.allowance);
@@ -299,6 +314,7 @@
         if batch.ops.is_empty() {
             return None;
         }
+        batch.flight.ops = batch.ops.len();
         self.in_flight = Some(batch.flight);
         Some(Batch {
             conditions: batch.conditions,
@@ -412,7 +428,13 @@
                 false
             }
             BatchOutcome::Unknown => {
-                self.store_pause = Some(now + Duration::from_millis(300));
+                self.store_pause = Some(now + RETRY_PAUSE);
+                self.leftovers.extend(flight.deletes);
+                false
+            }
+            BatchOutcome::Refused => {
+                self.store_pause = Some(now + RETRY_PAUSE);
+                self.shrink_batches(now, flight.ops);
                 self.leftovers.extend(flight.deletes);
                 false
             }
@@ -452,6 +474,43 @@
         }
     }
 
+    /// Keeps to half of what was refused for the rest of the term: fewer changes a transaction, or,
+    /// where one change was too much, smaller values. The next leader begins with the settings again.
+    fn shrink_batches(&mut self, now: Instant, refused_ops: usize) {
+        if refused_ops > LEAST_BATCH_OPS {
+            self.params.txn_ops = (refused_ops / 2).max(LEAST_BATCH_OPS);
+        } else {
+            // Beyond a full chunk of intents, a smaller limit would change nothing.
+            let value_bytes = self.params.value_bytes.min(CHUNK_VALUE_BYTES) / 2;
+            self.params.value_bytes = value_bytes.max(LEAST_VALUE_BYTES);
+            self.shrink_chunks(now, chunk_room(self.params.value_bytes));
+        }
+        log::warn!(
+            "over a limit of the state service, keeping to txn_ops={} value_bytes={}",
+            self.params.txn_ops,
+            self.params.value_bytes
+        );
+    }
+
+    /// Attempts beyond a chunk's room that are only planned wait again: no command went out for them.
+    fn shrink_chunks(&mut self, now: Instant, room: u32) {
+        let mut excess = Vec::new();
+        for (uid, job) in &mut self.jobs {
+            job.chunk_room = room;
+            if job.spec.kind == JobKind::Gang {
+                continue;
+            }
+            for chunk in job.chunks.keys() {
+                let held = job.attempts_in(*chunk).saturating_sub(room as usize);
+                let planned = job.intents(*chunk).map(|(index, _)| index);
+                excess.extend(planned.take(held).map(|index| (uid.clone(), index)));
+            }
+        }
+        for (uid, index) in excess {
+            self.gone(now, &uid, index, false);
+        }
+    }
+
     fn applied(&mut self, now: Instant, flight: InFlight, revision: u64) {
         for (uid, index, version) in flight.chunks {
             if let Some(job) = self.jobs.get_mut(&uid) {
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -305,8 +305,8 @@
 
 pub(super) fn store_said<T>(shared: &Shared, r: &Result<T, StoreError>) {
     match r {
-        // Out of the rate is no sign of the state service's health.
-        Err(StoreError::Spent | StoreError::NoLease) => {}
+        // Out of the rate or over a limit is no sign of the state service's health.
+        Err(StoreError::Spent | StoreError::NoLease | StoreError::Refused) => {}
         r => shared.view.store_answered(r.is_ok(), Instant::now()),
     }
 }
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -24,6 +24,9 @@
     /// May have been executed, or may yet be.
     #[error("the state service did not answer")]
     Unknown,
+    /// Not executed, and never will be as it is: malformed or over a limit.
+    #[error("the state service takes no such request")]
+    Refused,
     #[error("no such lease")]
     NoLease,
     #[error("the watch's revision is too old")]
@@ -134,6 +137,11 @@
     pub stamp: u64,
 }
 
+#[derive(Deserialize)]
+struct ServiceError {
+    error: String,
+}
+
 #[derive(Deserialize)]
 struct Permit {
     #[serde(rename = "Permit")]
@@ -167,6 +175,8 @@
 }
 
 const NONE: Option<&()> = None;
+/// The error of a transaction that names a lease which has ended.
+const NO_SUCH_LEASE: &str = "no such lease";
 
 #[derive(Clone)]
 pub struct Store {
@@ -192,6 +202,8 @@
 struct Refusals {
     count: u32,
     since: Option<Instant>,
+    /// The last one that was counted.
+    last: Option<Instant>,
     fallen: bool,
 }
 
@@ -210,6 +222,9 @@
 /// So many refusals within this time show that the service's next rates hold.
 const REFUSALS_TELL: u32 = 3;
 const REFUSALS_WITHIN: Duration = Duration::from_secs(10);
+/// Refusals that follow each other sooner have one cause, such as calls that an interruption held back
+/// and let go together.
+const REFUSALS_APART: Duration = Duration::from_millis(500);
 /// Of the changes a second that the service takes, these are shared out.
 const SHARED_OUT: f64 = 0.97;
 /// The part of a node's requests that questions leave to submissions and withdrawals.
@@ -281,6 +296,11 @@
             return;
         }
         let mut r = self.refusals();
+        let together = |t: Instant| now.saturating_duration_since(t) < REFUSALS_APART;
+        if r.last.is_some_and(together) {
+            return;
+        }
+        r.last = Some(now);
         let fresh = |t: Instant| now.saturating_duration_since(t) < REFUSALS_WITHIN;
         if !r.since.is_some_and(fresh) {
             (r.count, r.since) = (0, Some(now));
@@ -384,6 +404,16 @@
     }
 }
 
+/// Why the service answered a transaction with 400.
+fn refused_txn(answer: &Answer) -> StoreError {
+    let error = answer.decode::<ServiceError>().map(|e| e.error);
+    if error.as_deref() == Some(NO_SUCH_LEASE) {
+        return StoreError::NoLease;
+    }
+    log::warn!("the state service refused a transaction answer={error:?}");
+    StoreError::Refused
+}
+
 impl Store {
     fn sent(&self, r: Result<Answer, CallError>) -> Result<Answer, StoreError> {
         match r {
@@ -570,13 +600,7 @@
                 let t: TxnAnswer = a.decode().ok_or(StoreError::Unavailable)?;
                 Ok(Txn::Failed { keys: t.failed })
             }
-            400 => {
-                log::warn!(
-                    "the state service refused a transaction answer={:?}",
-                    String::from_utf8_lossy(&a.body)
-                );
-                Err(StoreError::NoLease)
-            }
+            400 => Err(refused_txn(&a)),
             _ => Err(StoreError::Unknown),
         }
     }
--- a/src/runtime/duties.rs
+++ b/src/runtime/duties.rs
@@ -466,6 +466,7 @@
         let outcome = match shared.store.apply(&batch, limit) {
             Ok(Txn::Applied { revision }) => BatchOutcome::Applied { revision },
             Ok(Txn::Failed { keys }) => read_failed(shared, keys),
+            Err(StoreError::Refused) => BatchOutcome::Refused,
             Err(e) => {
                 log::debug!("write not confirmed why=\"{e}\" ops={}", batch.ops.len());
                 BatchOutcome::Unknown
--- /dev/null
+++ b/tests/end_to_end/side_by_side.rs
@@ -0,0 +1,183 @@
+//! This version beside the one in production: what that one does to the state service is done here by
+//! hand, by its layouts, while a node of this version serves.
+
+use crate::standins::site::*;
+use crate::standins::*;
+use std::time::Duration;
+
+/// The version in production, as the state service sees it.
+struct EarlierNode<'a> {
+    state: &'a StateService,
+}
+
+impl EarlierNode<'_> {
+    fn stamp(&self, key: &str) -> u64 {
+        let path = format!("/store/{key}");
+        call("GET", self.state.address, &path, None).1.int("Stamp")
+    }
+
+    fn txn(&self, conditions: &[(&str, u64)], puts: &[(&str, Any)]) -> u16 {
+        let conditions = conditions
+            .iter()
+            .map(|(key, stamp)| map([("Path", t(key)), ("Stamp", Any::Int(*stamp))]));
+        let puts = puts
+            .iter()
+            .map(|(key, value)| map([("Put", t(key)), ("V", value.clone())]));
+        let body = map([
+            ("If", Any::List(conditions.collect())),
+            ("Apply", Any::List(puts.collect())),
+        ]);
+        call("POST", self.state.address, "/txn", Some(&body)).0
+    }
+
+    /// Enters a job in the list of what it needs, then accepts it: no field says that it is listed.
+    fn accepts(&self, uid: &str, need: &str) {
+        let (list, verdict) = (format!("d/{need}"), format!("j/{need}"));
+        let names = map([("by", Any::List(vec![t(uid)]))]);
+        let listed = self.txn(
+            &[(&list, self.stamp(&list)), (&verdict, 0)],
+            &[(&list, names)],
+        );
+        assert_eq!(listed, 200);
+        let (own, live) = (format!("j/{uid}"), format!("q/l/{uid}"));
+        let accepted = self.txn(
+            &[(&own, 0), (&live, 0), (&verdict, 0)],
+            &[(&live, record(uid, need))],
+        );
+        assert_eq!(accepted, 200);
+    }
+
+    /// Its whole cancellation is one transaction, conditional on the list that it read.
+    fn cancels(&self, uid: &str, list_stamp: u64, dependents: &[&str]) -> u16 {
+        let list = format!("d/{uid}");
+        let verdicts: Vec<(String, String)> = std::iter::once(&uid)
+            .chain(dependents)
+            .map(|u| (format!("j/{u}"), format!("q/w/{u}")))
+            .collect();
+        let mut conditions = vec![(list.as_str(), list_stamp)];
+        let mut puts = Vec::new();
+        for (verdict, mark) in &verdicts {
+            conditions.push((verdict, 0));
+            puts.push((verdict.as_str(), map([("p", t("withdrawn"))])));
+            puts.push((mark.as_str(), Any::Int(1)));
+        }
+        self.txn(&conditions, &puts)
+    }
+}
+
+fn record(uid: &str, need: &str) -> Any {
+    let amounts = [2.0, 0.0, 4.0].map(Any::Float).to_vec();
+    map([
+        ("uid", t(uid)),
+        ("class", t("plain")),
+        ("owner", t("vision")),
+        ("gang", Any::Bool(false)),
+        ("urgency", Any::Int(1)),
+        ("shards", Any::Int(1)),
+        ("need", Any::List(amounts)),
+        ("types", Any::Nil(())),
+        ("site", Any::Nil(())),
+        ("same_place", Any::Bool(false)),
+        ("spread", Any::Bool(false)),
+        ("spot", Any::Bool(true)),
+        ("image", Any::List(vec![t("img-1"), Any::Float(1.0)])),
+        ("expected", Any::Float(1.0)),
+        ("every", Any::Float(0.0)),
+        ("save", Any::Float(0.0)),
+        ("due", Any::Nil(())),
+        ("at", Any::Int(7)),
+        ("needs", Any::List(vec![t(need)])),
+    ])
+}
+
+fn accepts(node: std::net::SocketAddr, uid: &str, needs: &[&str]) {
+    let body = awaiting(uid, needs);
+    until("accepted", || {
+        let status = call("POST", node, "/api/jobs", Some(&body)).0;
+        matches!(status, 200 | 201).then_some(())
+    });
+}
+
+/// A node of this version whose peer has never said what it knows, as the version in production has
+/// not until it is asked: it keeps the lists which that one needs.
+#[test]
+fn each_version_finds_what_the_other_accepted_and_cancelled() {
+    let site = Site::new(2);
+    let node = site.start(0);
+    let address = site.names[0].1;
+    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
+    let earlier = EarlierNode { state: &site.state };
+    until("it leads", || leads(&node));
+    let told = |uid: &str, expected: &str| {
+        until(uid, || (phase(address, uid)? == expected).then_some(()));
+    };
+    let cancel = |uid: &str| {
+        let path = format!("/api/jobs/{uid}/withdraw");
+        until("confirmed", || {
+            (call("POST", address, &path, None).0 == 200).then_some(())
+        });
+    };
+    submit(address, "wk-000800", 1);
+    until("started", || (worker.running() == 1).then_some(()));
+
+    // The earlier one accepts, this one cancels.
+    earlier.accepts("wk-000801", "wk-000800");
+    accepts(address, "wk-000802", &["wk-000801"]);
+    told("wk-000801", "queued");
+    cancel("wk-000801");
+    told("wk-000802", "withdrawn");
+    told("wk-000801", "withdrawn");
+
+    // This one accepts while the earlier one, which read the list before, cancels: the transaction
+    // fails, and its repetition finds the dependent.
+    accepts(address, "wk-000810", &["wk-000800"]);
+    accepts(address, "wk-000811", &["wk-000810"]);
+    let read_before = earlier.stamp("d/wk-000810");
+    accepts(address, "wk-000812", &["wk-000810"]);
+    assert_eq!(
+        earlier.cancels("wk-000810", read_before, &["wk-000811"]),
+        409
+    );
+    let read_now = earlier.stamp("d/wk-000810");
+    let dependents = ["wk-000811", "wk-000812"];
+    assert_eq!(earlier.cancels("wk-000810", read_now, &dependents), 200);
+    for uid in ["wk-000810", "wk-000811", "wk-000812"] {
+        told(uid, "withdrawn");
+    }
+    // And one that is submitted after it.
+    accepts(address, "wk-000813", &["wk-000810", "wk-000800"]);
+    told("wk-000813", "withdrawn");
+
+    // The earlier one, leading, made a `done` durable: what needs it starts here, and not before.
+    accepts(address, "wk-000820", &["wk-000800"]);
+    earlier.accepts("wk-000821", "wk-000820");
+    std::thread::sleep(Duration::from_secs(1));
+    assert_eq!(worker.starts().len(), 1, "all but the first wait");
+    let leader = earlier.stamp("ctl/leader");
+    let done = map([("p", t("done"))]);
+    // Late, after the next leader's first write: the leader's stamp is another.
+    let late = [("ctl/leader", leader - 1), ("j/wk-000820", 0)];
+    assert_eq!(earlier.txn(&late, &[("j/wk-000820", done.clone())]), 409);
+    assert_eq!(
+        earlier.txn(&[("j/wk-000820", 0)], &[("j/wk-000820", done)]),
+        200
+    );
+    node.stop();
+    // Another life of this version leads next, with the pipeline half done.
+    let mut site = site;
+    site.names[0].1 = free_port();
+    site.peers[0] = free_port();
+    let next = site.start(0);
+    until("it leads again", || leads(&next));
+    let fresh = Worker::start("i-2", Duration::from_millis(200), site.names.clone());
+    until("the last of the chain runs", || {
+        let starts = [worker.starts(), fresh.starts()].concat();
+        starts.iter().any(|s| s.0 == "wk-000821/0").then_some(())
+    });
+    let starts = [worker.starts(), fresh.starts()].concat();
+    assert!(
+        !starts.iter().any(|s| s.0 == "wk-000820/0"),
+        "it is done: {starts:?}"
+    );
+    next.stop();
+}
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -673,3 +673,62 @@
     assert_eq!(backoff.due(&us(&[2]), later), us(&[2]));
     assert_eq!(backoff.due(&us(&[1, 2]), later), us(&[1]));
 }
+
+/// What the state service refuses for its size is not sent again as it was, and nothing of it is lost.
+#[test]
+fn a_refused_transaction_is_sent_in_parts() {
+    // The limits that hold, unannounced: changes a transaction, and attempts a value.
+    for (most_ops, most_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
+        let mut p = params();
+        p.teams[0].cpus_max = None;
+        let mut w = World::with(p, vec![host_type("m99", 500.0)]);
+        let mut r = World::report("i-1", 1, 1, Epoch::first(TERM).0, vec![]);
+        r.host_type = "m99".into();
+        w.c.on_report(w.now, r, true);
+        w.job(spec("wk-000001", 100, 1.0));
+        (2..30).for_each(|n| w.job(spec(&u(n).0, 1, 1.0)));
+        w.job(needing(40, &[1]));
+        w.c.on_withdrawn(w.now, &u(29));
+        let mut refused = Vec::new();
+        let mut launched = BTreeSet::new();
+        for _ in 0..400 {
+            w.pass(Duration::from_millis(150));
+            for action in w.c.tick(w.now) {
+                launched.extend(
+                    launches(std::slice::from_ref(&action))
+                        .into_iter()
+                        .map(|l| l.1),
+                );
+                match action {
+                    Action::Send { host, .. } => {
+                        w.c.on_sent(w.now, &host, None);
+                    }
+                    Action::Store(batch) => {
+                        let too_long = |o: &Op| matches!(o, Op::Put(_, Value::Chunk(c)) if c.active.len() > most_attempts);
+                        let outcome =
+                            if batch.ops.len() > most_ops || batch.ops.iter().any(too_long) {
+                                assert!(
+                                    !refused.contains(&batch.ops),
+                                    "sent again as it was: {most_ops} {most_attempts}"
+                                );
+                                refused.push(batch.ops);
+                                BatchOutcome::Refused
+                            } else {
+                                w.revision += 1;
+                                BatchOutcome::Applied {
+                                    revision: w.revision,
+                                }
+                            };
+                        w.c.on_batch(w.now, outcome);
+                    }
+                    _ => {}
+                }
+            }
+        }
+        let why = format!("{most_ops} changes, {most_attempts} attempts");
+        let small = launched.iter().filter(|t| t.uid != u(1)).count();
+        assert_eq!(small, 27, "{why}: each job but the cancelled one");
+        assert!(launched.len() > small, "{why}: the large one too");
+        assert!(refused.len() < 12, "{why}: {}", refused.len());
+    }
+}
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -136,19 +136,21 @@
 /// refusal now and then, or without an announcement, says nothing.
 #[test]
 fn announced_rates_hold_once_refusals_show_it() {
-    // Seconds between refusals, how many, whether lower rates were announced -> whether they hold.
+    // Milliseconds between refusals, how many, whether lower rates were announced -> whether they hold.
     let cases = [
-        (1, 2, true, false),
-        (1, 3, true, true),
-        (6, 9, true, false),
-        (1, 9, false, false),
+        (1000, 2, true, false),
+        (1000, 3, true, true),
+        (6000, 9, true, false),
+        (1000, 9, false, false),
+        // Calls that were held back together are refused together.
+        (10, 40, true, false),
     ];
     for (apart, refusals, announced, holds) in cases {
         let start = Instant::now();
         let b = Budgets::new(200.0, 60.0, 3, start);
         let b = b.with_next(announced.then_some((200.0, 42.0)));
         for n in 0..refusals {
-            b.refused(start + Duration::from_secs(apart * n));
+            b.refused(start + Duration::from_millis(apart * n));
         }
         assert_eq!(b.fallen(), holds, "{apart} {refusals} {announced}");
         // A minute of calls, as fast as they are let through.
