--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -7,7 +7,8 @@
 use super::cluster::{Action, Cluster, Host, Job};
 use super::history::Average;
 use super::model::*;
-use super::placement::{contested, permits, Round};
+use super::placement::{contested, Round};
+use super::zones::{permits, ZoneUse};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -264,11 +265,12 @@
                     (true, false) => wait > boot + DEAR_PATIENCE && spec.urgency > Urgency::Idle,
                 }
             };
+            let zones = ZoneUse::of(job, &site_of);
             let mut left = w.count;
             open.retain(|i| {
                 let m = &mut plan[*i];
                 let o = &m.offer;
-                if left > 0 && spec.need.fits(&m.free) && permits(job, &site_of, &o.0, &o.1, o.2) {
+                if left > 0 && spec.need.fits(&m.free) && permits(spec, &zones, &o.0, &o.1, o.2) {
                     let n = spec.need.count_in(&m.free).min(left);
                     m.free.sub(&spec.need.times(n as f64));
                     m.tasks += n;
@@ -289,7 +291,7 @@
                     for spot in [true, false] {
                         let offer = (t.name.clone(), site.clone(), spot);
                         if worth(t, spot)
-                            && permits(job, &site_of, &t.name, site, spot)
+                            && permits(spec, &zones, &t.name, site, spot)
                             && !self.is_refused(now, &offer)
                         {
                             offers.push((t.price(spot), offer, t.room, slots));
--- a/src/core/emptying.rs
+++ b/src/core/emptying.rs
@@ -3,7 +3,8 @@
 use super::capacity::*;
 use super::cluster::{Cluster, Host};
 use super::model::*;
-use super::placement::{permits, Round};
+use super::placement::Round;
+use super::zones::{permits, ZoneUse};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -279,11 +280,12 @@
                 continue;
             };
             let site_of = |h: &HostId| self.hosts.get(h).map(|h| h.site.clone());
+            let zones = ZoneUse::of(job, &site_of);
             let mut left = w.count;
             draining.retain(|(h, free)| {
                 let n = job.spec.need.count_in(free);
                 let takes =
-                    left > 0 && n > 0 && permits(job, &site_of, &h.host_type, &h.site, h.spot);
+                    left > 0 && n > 0 && permits(&job.spec, &zones, &h.host_type, &h.site, h.spot);
                 if takes {
                     left = left.saturating_sub(n);
                     kept.push(h.id.clone());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -22,3 +22,4 @@
 mod reports;
 mod returning;
 pub mod watermark;
+pub mod zones;
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -12,6 +12,7 @@
 use super::cluster::{Cluster, Host, Job};
 use super::history::fetch_at;
 use super::model::*;
+use super::zones::{permits, ZoneUse};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -143,49 +144,6 @@
     }
 }
 
-/// Whether a job may start one more task there: the one place that every launch passes.
-pub fn permits(
-    job: &Job,
-    hosts: &impl Fn(&HostId) -> Option<Site>,
-    type_name: &TypeName,
-    site: &Site,
-    spot: bool,
-) -> bool {
-    permits_with(job, hosts, &[], type_name, site, spot)
-}
-
-/// The same, with zones that this round has already given to the job's tasks.
-fn permits_with(
-    job: &Job,
-    hosts: &impl Fn(&HostId) -> Option<Site>,
-    given: &[&Site],
-    type_name: &TypeName,
-    site: &Site,
-    spot: bool,
-) -> bool {
-    let spec = &job.spec;
-    if !spec.allows_type(type_name) || !spec.allows_site(site) || (spot && !spec.preemptible) {
-        return false;
-    }
-    if spec.same_place || spec.spread {
-        let mut here = 0;
-        let sites = job.active.values().map(|a| hosts(&a.host));
-        for s in sites.chain(given.iter().map(|s| Some((*s).clone()))) {
-            // A task whose zone is not known could be in any.
-            match s {
-                Some(s) if &s == site => here += 1,
-                Some(_) if spec.same_place => return false,
-                Some(_) => {}
-                None => return false,
-            }
-        }
-        if spec.spread && here + 1 > spec.shards.div_ceil(2) {
-            return false;
-        }
-    }
-    true
-}
-
 /// Tasks of one job that are alike, and what a round has computed for them by machine type.
 struct Group<'a> {
     job: &'a Job,
@@ -387,12 +345,11 @@
     }
 
     /// Whether the job may use this slot, its tasks placed so far aside.
-    pub(super) fn admits(&self, job: &Job, s: &Slot<'_>, given: &[&Site]) -> bool {
+    pub(super) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
         // In doubt, it has failed on many, and most of them are well.
         let failed = !job.doubted && job.error_hosts.contains(&s.host.id);
         let name = &self.types[s.type_index].name;
-        let site_of = self.site_of();
-        !failed && permits_with(job, &site_of, given, name, &s.host.site, s.host.spot)
+        !failed && permits(&job.spec, zones, name, &s.host.site, s.host.spot)
     }
 
     /// The slots that a group may use, least score first.
@@ -401,10 +358,10 @@
         now: Instant,
         g: &Group<'_>,
         slots: &[Slot<'_>],
-        given: &[&Site],
+        zones: &ZoneUse,
     ) -> BinaryHeap<Reverse<Choice>> {
         (0..slots.len())
-            .filter(|i| self.admits(g.job, &slots[*i], given))
+            .filter(|i| self.admits(g.job, &slots[*i], zones))
             .filter_map(|i| self.score(now, g, slots, i).map(Reverse))
             .collect()
     }
@@ -540,9 +497,9 @@
                 rates: &rates,
                 beyond: beyond.contains(&spec.owner),
             };
-            // Where a task goes decides where its siblings may: they are ranked anew each time.
-            let tied = spec.same_place || spec.spread;
-            let mut given: Vec<&Site> = Vec::new();
+            // Where a task goes decides where its siblings may: they are ranked anew when that changes.
+            let mut zones = ZoneUse::of(job, &self.site_of());
+            let mut zones_changed = false;
             let mut heap: Option<BinaryHeap<Reverse<Choice>>> = None;
             let Some(team) = self.params.teams.iter().find(|t| t.name == spec.owner) else {
                 continue;
@@ -566,9 +523,10 @@
                 }
                 sum.add(&spec.need);
                 let kept = Duration::from_secs_f64(steps(&index) as f64 * KEPT_STEP_S);
-                if heap.is_none() || tied || kept != group.kept {
+                if heap.is_none() || zones_changed || kept != group.kept {
                     group.kept = kept;
-                    heap = Some(self.ranked(now, &group, &slots, &given));
+                    zones_changed = false;
+                    heap = Some(self.ranked(now, &group, &slots, &zones));
                 }
                 let Some(queue) = &mut heap else {
                     break;
@@ -591,7 +549,7 @@
                     s.free.sub(&spec.need);
                     s.book(now, c.est + c.penalty, &spec.need);
                     s.started(job);
-                    given.push(&s.host.site);
+                    zones_changed = zones.start_in(spec, &s.host.site);
                     plan.starts.push(Start {
                         uid: uid.clone(),
                         index,
@@ -681,11 +639,12 @@
             sites.sort();
             sites.dedup();
         }
+        let zones = ZoneUse::of(job, &self.site_of());
         // What a member costs on each slot, least first: the same for all of them.
         let mut costs: Vec<(Duration, usize)> = slots
             .iter()
             .enumerate()
-            .filter(|(_, s)| s.up_at.is_none() && self.admits(job, s, &[]))
+            .filter(|(_, s)| s.up_at.is_none() && self.admits(job, s, &zones))
             .map(|(i, s)| {
                 let est = self.history.est(spec, &self.types[s.type_index].name);
                 let fetch = s.penalty(now, rates[s.type_index], job);
@@ -842,7 +801,7 @@
                     host: HostId(format!("i-{n:03}")),
                     endpoint: String::new(),
                     host_type: name.into(),
-                    site: "a".into(),
+                    site: if rng.gen_bool(0.5) { "a" } else { "b" }.into(),
                     spot: rng.gen_bool(0.5),
                     tenure: 1,
                     serial: 1,
@@ -884,8 +843,8 @@
             need: need(rng.gen_range(1..17) as f64),
             host_types: None,
             site: None,
-            same_place: false,
-            spread: false,
+            same_place: rng.gen_bool(0.25),
+            spread: rng.gen_bool(0.25),
             preemptible: rng.gen_bool(0.8),
             image: format!("img-{}", rng.gen_range(1..4)),
             image_gb: 4.0,
@@ -900,7 +859,7 @@
     /// The report's rule read plainly: each task is scored on every machine, the least sum wins.
     #[test]
     fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
-        let (mut started, mut booked) = (0, 0);
+        let (mut started, mut booked, mut tied) = (0, 0, 0);
         for seed in 0..30 {
             let mut rng = StdRng::seed_from_u64(seed);
             let now = Instant::now();
@@ -932,10 +891,11 @@
                     }
                     slot.book(c.at, c.est + c.penalty, &s.need);
                 };
-                let mut heap = c.ranked(now, &g, &quick, &[]);
+                let mut zones = ZoneUse::of(job, &c.site_of());
+                let mut heap = c.ranked(now, &g, &quick, &zones);
                 for _ in 0..s.shards {
                     let best = (0..plain.len())
-                        .filter(|i| c.admits(job, &plain[*i], &[]))
+                        .filter(|i| c.admits(job, &plain[*i], &zones))
                         .filter_map(|i| c.score(now, &g, &plain, i))
                         .min();
                     let first = heap.pop().map(|r| r.0);
@@ -951,8 +911,13 @@
                     take(&mut quick, &first);
                     take(&mut plain, &best);
                     heap.extend(c.score(now, &g, &quick, first.slot).map(Reverse));
+                    let site = &quick[first.slot].host.site;
+                    if first.free_now && zones.start_in(s, site) {
+                        heap = c.ranked(now, &g, &quick, &zones);
+                    }
                     if first.free_now {
                         started += 1;
+                        tied += usize::from(s.same_place || s.spread);
                     } else {
                         booked += 1;
                     }
@@ -960,6 +925,7 @@
             }
         }
         assert!(started > 1000 && booked > 1000, "{started} {booked}");
+        assert!(tied > 300, "{tied}");
     }
 
     #[test]
--- a/src/core/preemption.rs
+++ b/src/core/preemption.rs
@@ -3,6 +3,7 @@
 use super::cluster::{Active, Cluster, Job};
 use super::model::*;
 use super::placement::{Slot, Waiting, RESOLUTION_S, TURNAROUND};
+use super::zones::ZoneUse;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -216,8 +217,9 @@
                     victims,
                 }))
             };
+            let zones = ZoneUse::of(job, &self.site_of());
             let mut claims: BinaryHeap<Reverse<Claim>> = (0..slots.len())
-                .filter(|i| slots[*i].up_at.is_none() && self.admits(job, &slots[*i], &[]))
+                .filter(|i| slots[*i].up_at.is_none() && self.admits(job, &slots[*i], &zones))
                 .filter_map(|i| claim(i, &pool, &taken, &usage))
                 .collect();
             while left > 0 && chosen.len() < ROUND_VICTIMS {
