--- /dev/null
+++ b/tests/common/keys.rs
@@ -0,0 +1,47 @@
+//! The state service's keys, as the core's transactions change them.
+
+use super::World;
+use cypressgap::core::cluster::Action;
+use cypressgap::core::ledger::{dependents_key, live_key, BatchOutcome, Op};
+use cypressgap::core::model::JobSpec;
+use std::collections::BTreeSet;
+
+/// The keys that the state service holds of jobs, as the leader's transactions change them.
+#[derive(Default)]
+pub struct Keys {
+    pub all: BTreeSet<String>,
+    pub changes: usize,
+}
+
+impl Keys {
+    pub fn accept(&mut self, w: &mut World, spec: JobSpec) {
+        self.all.insert(live_key(&spec.uid));
+        if spec.listed {
+            self.all.extend(spec.needs.iter().map(dependents_key));
+        }
+        w.job(spec);
+    }
+
+    /// Lets a tick's transaction have so many changes, and carries it out.
+    pub fn tick(&mut self, w: &mut World, changes: usize) -> Vec<Op> {
+        w.c.allow(changes);
+        let mut written = Vec::new();
+        for action in w.c.tick(w.now) {
+            let Action::Store(batch) = action else {
+                continue;
+            };
+            self.changes += batch.ops.len();
+            for op in &batch.ops {
+                match op {
+                    Op::Put(key, _) => self.all.insert(key.clone()),
+                    Op::Delete(key) => self.all.remove(key),
+                };
+            }
+            written.extend(batch.ops);
+            w.revision += 1;
+            let revision = w.revision;
+            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+        }
+        written
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Builders for the core's tests: a small deployment, jobs, reports.
 #![allow(dead_code)]
 
+pub mod keys;
+
 use cypressgap::core::cluster::{Action, Answer, Cluster};
 use cypressgap::core::ledger::{Batch, BatchOutcome};
 use cypressgap::core::model::*;
--- /dev/null
+++ b/tests/end_to_end/close_looks.rs
@@ -0,0 +1,171 @@
+//! Users who look closely: at all nodes at the same time, again and again, right after a job was
+//! accepted, ended or cancelled. No node may answer something older than any node has told before.
+
+use crate::standins::site::*;
+use crate::standins::*;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
+use std::time::Duration;
+
+/// What a user was told of a job, in the order in which it may be told.
+const NOTHING: u8 = 0;
+const ACCEPTED: u8 = 1;
+const OVER: u8 = 2;
+
+/// A job, and the furthest that any user was told of it.
+struct Told {
+    uid: String,
+    stage: AtomicU8,
+    /// What it ended as: 0 as long as nobody was told.
+    done: AtomicBool,
+    withdrawn: AtomicBool,
+}
+
+impl Told {
+    fn new(uid: &str) -> Told {
+        Told {
+            uid: uid.to_owned(),
+            stage: AtomicU8::new(NOTHING),
+            done: AtomicBool::new(false),
+            withdrawn: AtomicBool::new(false),
+        }
+    }
+
+    fn hears(&self, stage: u8) {
+        self.stage.fetch_max(stage, Ordering::SeqCst);
+    }
+
+    fn hears_phase(&self, phase: &str) {
+        match phase {
+            "done" => self.done.store(true, Ordering::SeqCst),
+            "withdrawn" => self.withdrawn.store(true, Ordering::SeqCst),
+            _ => {
+                self.hears(ACCEPTED);
+                return;
+            }
+        }
+        self.hears(OVER);
+        let both = self.done.load(Ordering::SeqCst) && self.withdrawn.load(Ordering::SeqCst);
+        assert!(!both, "{}: done and withdrawn", self.uid);
+    }
+
+    /// Asks a node. What was known before the question went out is the least that it may answer.
+    fn ask(&self, node: SocketAddr) {
+        let before = self.stage.load(Ordering::SeqCst);
+        let (status, body) = call("GET", node, &format!("/api/jobs/{}", self.uid), None);
+        let phase = body.text("Phase");
+        match status {
+            200 => {
+                let over = matches!(phase.as_str(), "done" | "withdrawn");
+                assert!(over || before < OVER, "{}: {phase} after its end", self.uid);
+                self.hears_phase(&phase);
+            }
+            404 => assert_eq!(before, NOTHING, "{}: unknown after it was told", self.uid),
+            _ => {}
+        }
+    }
+
+    /// Submits it again.
+    fn submit(&self, node: SocketAddr) {
+        let before = self.stage.load(Ordering::SeqCst);
+        let body = submission(&self.uid, 1);
+        let (status, body) = call("POST", node, "/api/jobs", Some(&body));
+        match status {
+            201 => {
+                assert_eq!(before, NOTHING, "{}: accepted twice", self.uid);
+                self.hears(ACCEPTED);
+            }
+            200 => {
+                let phase = body.text("Phase");
+                let over = matches!(phase.as_str(), "done" | "withdrawn");
+                assert!(over || before < OVER, "{}: {phase} after its end", self.uid);
+                self.hears_phase(&phase);
+            }
+            400 | 422 => panic!("{}: refused with {status}", self.uid),
+            _ => {}
+        }
+    }
+
+    fn cancel(&self, node: SocketAddr) {
+        let path = format!("/api/jobs/{}/withdraw", self.uid);
+        let (status, body) = call("POST", node, &path, None);
+        if status == 200 {
+            self.hears_phase(&body.text("Phase"));
+        }
+    }
+}
+
+#[test]
+fn no_node_answers_something_older_however_closely_users_look() {
+    // Whether the state service refuses one node, whose peer asks in its place.
+    for refused in [false, true] {
+        let site = Site::new(2);
+        let nodes = [site.start(0), site.start(1)];
+        let _worker = Worker::start("i-1", Duration::from_millis(400), site.names.clone());
+        let addresses = [site.names[0].1, site.names[1].1];
+        until("one leads", || nodes.iter().find_map(leads));
+        submit(addresses[0], "wk-000900", 1);
+        until("it ends", || {
+            (phase(addresses[1], "wk-000900")? == "done").then_some(())
+        });
+        if refused {
+            let follower = nodes.iter().position(|n| leads(n).is_none());
+            site.to_state[follower.expect("a follower")].cut(true);
+            // Until it knows that the state service does not answer it.
+            std::thread::sleep(Duration::from_secs(4));
+        }
+        let jobs: Vec<Told> = (901..913)
+            .map(|n| Told::new(&format!("wk-{n:06}")))
+            .collect();
+        let stop = AtomicBool::new(false);
+        let (jobs_seen, stopped) = (&jobs, &stop);
+        std::thread::scope(|s| {
+            for node in addresses {
+                for _ in 0..4 {
+                    s.spawn(move || {
+                        while !stopped.load(Ordering::SeqCst) {
+                            for job in jobs_seen {
+                                job.ask(node);
+                            }
+                        }
+                    });
+                }
+            }
+            for (n, job) in jobs.iter().enumerate() {
+                let (one, other) = (addresses[n % 2], addresses[(n + 1) % 2]);
+                until("accepted", || {
+                    job.submit(one);
+                    (job.stage.load(Ordering::SeqCst) >= ACCEPTED).then_some(())
+                });
+                job.submit(other);
+                match n % 3 {
+                    // At once, some time before its end, and about then.
+                    0 => {}
+                    1 => std::thread::sleep(Duration::from_millis(200)),
+                    _ => std::thread::sleep(Duration::from_millis(900)),
+                }
+                if n % 4 != 3 {
+                    job.cancel(other);
+                    job.submit(one);
+                }
+            }
+            until("all are over", || {
+                let over = |j: &Told| j.stage.load(Ordering::SeqCst) == OVER;
+                for job in jobs.iter().filter(|j| !over(j)) {
+                    job.ask(addresses[0]);
+                }
+                jobs.iter().all(over).then_some(())
+            });
+            stop.store(true, Ordering::SeqCst);
+        });
+        let cancelled = jobs.iter().filter(|j| j.withdrawn.load(Ordering::SeqCst));
+        assert!(
+            cancelled.count() > 2,
+            "refused {refused}: some were cancelled"
+        );
+        assert!(jobs.iter().any(|j| j.done.load(Ordering::SeqCst)));
+        for node in nodes {
+            node.stop();
+        }
+    }
+}
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -3,6 +3,7 @@
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
 mod cascades;
+mod close_looks;
 mod side_by_side;
 #[path = "../standins/mod.rs"]
 mod standins;
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -2,6 +2,7 @@
 
 mod common;
 
+use common::keys::Keys;
 use common::*;
 use cypressgap::core::cluster::Action;
 use cypressgap::core::ledger::{ChunkValue, Op, Value, Verdict};
@@ -190,3 +191,50 @@
         );
     }
 }
+
+/// One-task jobs come four a second for minutes, a quarter of them cancelled soon after: all others run,
+/// none starts after its cancellation, and what is held of them is bounded by those that live.
+#[test]
+fn a_stream_of_small_jobs_leaves_nothing_behind() {
+    const SECONDS: u64 = 240;
+    const A_SECOND: u64 = 4;
+    let mut p = params();
+    p.teams[0].cpus_max = None;
+    let mut f = Fleet::new(p, 12, 8.0);
+    let mut keys = Keys::default();
+    let mut cancelled = Vec::new();
+    let mut most_jobs = 0;
+    for second in 0..SECONDS {
+        for n in 0..A_SECOND {
+            let number = second * A_SECOND + n;
+            let uid = format!("wk-{number:06}");
+            f.w.job(spec(&uid, 1, 1.0));
+            // Now one that has just come, now one that may be running.
+            let victim = number.saturating_sub(if number % 8 == 0 { 0 } else { 12 });
+            if number % 4 == 0 && victim % 4 == 0 {
+                let victim = Uid::from(format!("wk-{victim:06}").as_str());
+                let starts = f.launched.get(&victim).copied().unwrap_or_default();
+                f.w.c.on_withdrawn(f.w.now, &victim);
+                cancelled.push((victim, starts));
+            }
+        }
+        f.second(|_| secs(6));
+        most_jobs = most_jobs.max(f.w.c.jobs.len());
+    }
+    for _ in 0..60 {
+        f.second(|_| secs(6));
+        keys.tick(&mut f.w, 24);
+    }
+    assert!(f.w.c.jobs.is_empty(), "{} are left", f.w.c.jobs.len());
+    assert!(most_jobs < 150, "{most_jobs} at a time");
+    assert!(cancelled.len() > 100, "{}", cancelled.len());
+    for (uid, starts) in &cancelled {
+        let now = f.launched.get(uid).copied().unwrap_or_default();
+        assert_eq!(now, *starts, "{uid} started after its cancellation");
+    }
+    for number in 0..SECONDS * A_SECOND {
+        let uid = Uid::from(format!("wk-{number:06}").as_str());
+        let over = cancelled.iter().any(|c| c.0 == uid) || f.done.get(&uid) == Some(&1);
+        assert!(over, "{uid} was lost");
+    }
+}
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,6 +2,7 @@
 
 mod common;
 
+use common::keys::Keys;
 use common::*;
 use cypressgap::core::backoff::Backoff;
 use cypressgap::core::cluster::{Action, CancelSource};
@@ -255,46 +256,6 @@
     assert_eq!(value.active.len(), 62);
 }
 
-/// The keys that the state service holds of jobs, as the leader's transactions change them.
-#[derive(Default)]
-struct Keys {
-    all: BTreeSet<String>,
-    changes: usize,
-}
-
-impl Keys {
-    fn accept(&mut self, w: &mut World, spec: JobSpec) {
-        self.all.insert(live_key(&spec.uid));
-        if spec.listed {
-            self.all.extend(spec.needs.iter().map(dependents_key));
-        }
-        w.job(spec);
-    }
-
-    /// Lets a tick's transaction have so many changes, and carries it out.
-    fn tick(&mut self, w: &mut World, changes: usize) -> Vec<Op> {
-        w.c.allow(changes);
-        let mut written = Vec::new();
-        for action in w.c.tick(w.now) {
-            let Action::Store(batch) = action else {
-                continue;
-            };
-            self.changes += batch.ops.len();
-            for op in &batch.ops {
-                match op {
-                    Op::Put(key, _) => self.all.insert(key.clone()),
-                    Op::Delete(key) => self.all.remove(key),
-                };
-            }
-            written.extend(batch.ops);
-            w.revision += 1;
-            let revision = w.revision;
-            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
-        }
-        written
-    }
-}
-
 fn queue_read(w: &mut World) {
     let day = SystemTime::UNIX_EPOCH;
     w.c.withdrawals_read(Moment { steady: w.now, day });
