--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -25,9 +25,9 @@
 pub(super) const RENT_MARGIN: Duration = Duration::from_secs(3);
 
 /// A machine that costs this much more by the CPU than the cheapest allowed one is dear.
-pub(super) const DEAR: f64 = 1.5;
+pub(super) const EXPENSIVE_FACTOR: f64 = 1.5;
 /// How long work must wait before a dear machine is rented for it, unless that saves its deadline.
-pub(super) const DEAR_PATIENCE: Duration = Duration::from_secs(90);
+pub(super) const EXPENSIVE_PATIENCE: Duration = Duration::from_secs(90);
 /// Some machines take much longer to boot than most: a start promised within so many boots counts as
 /// one that no new machine can keep.
 const BOOTS_FOR_A_START: u32 = 2;
@@ -146,7 +146,7 @@
         self.keep_draining(round);
         self.return_hosts(now);
         self.rent(now, round);
-        self.replace_dear(now, round);
+        self.replace_expensive(now, round);
         if round.waiting.is_empty() {
             self.consolidate(now);
         }
@@ -255,14 +255,16 @@
                     .history
                     .fetch_time(&t.name, t.fetch_gb_per_s, spec.image_gb);
                 // A dear machine is only for what would otherwise be late or waits very long.
-                let dear = per_cpu(t, spot) > cheapest * DEAR;
+                let expensive = per_cpu(t, spot) > cheapest * EXPENSIVE_FACTOR;
                 let saves = slack.is_some_and(|s| wait > s && boot + fetch <= s);
-                match (dear, saves) {
+                match (expensive, saves) {
                     (false, true) => wait > boot,
                     (false, false) => wait > boot.mul_f64(RENT_SHARE),
                     (true, true) => wait > boot.mul_f64(1.2) + RENT_MARGIN,
                     // Idle work is for machines that would stand idle, and for cheap ones.
-                    (true, false) => wait > boot + DEAR_PATIENCE && spec.urgency > Urgency::Idle,
+                    (true, false) => {
+                        wait > boot + EXPENSIVE_PATIENCE && spec.urgency > Urgency::Idle
+                    }
                 }
             };
             let zones = ZoneUse::of(job, &site_of);
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -10,8 +10,8 @@
 use super::history::History;
 use super::ledger::{self, ChunkValue, InFlight, Verdict, CHUNK};
 use super::model::*;
-use super::pace::Pace;
-use super::watermark::{self, Moment, Watermark, Word};
+use super::start_limiter::StartLimiter;
+use super::watermark::{self, Moment, Statement, Watermark};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
 
@@ -66,7 +66,7 @@
     },
     /// Stale, or from a host that is gone: nothing was taken from it.
     Ignore,
-    /// Taken, but not to be answered: a renewed lease could outlast a withdrawal that is not known here.
+    /// Taken, but not to be answered: a renewed lease could outlast a cancellation that is not known here.
     Withheld,
     /// The worker follows a higher term than ours.
     Superseded(Term),
@@ -95,7 +95,7 @@
     pub usage: HashMap<TeamName, Need>,
     pub(super) usage_of_late: HashMap<TeamName, Need>,
     pub(super) usage_noted: Option<Instant>,
-    pub pace: Pace,
+    pub start_limiter: StartLimiter,
     pub history: History,
     pub capacity: Capacity,
     pub order: Vec<Uid>,
@@ -141,7 +141,7 @@
     pub ranks_computed: u64,
     /// When the queue was last asked for what an answer showed since.
     pub(super) last_queue_read: Option<Instant>,
-    /// Up to when all confirmed withdrawals are known.
+    /// Up to when all confirmed cancellations are known.
     watermark: Watermark,
     /// Both clocks as they were last read together.
     clocks: Moment,
@@ -169,7 +169,7 @@
             usage: HashMap::new(),
             usage_of_late: HashMap::new(),
             usage_noted: None,
-            pace: Pace::default(),
+            start_limiter: StartLimiter::default(),
             history: History::default(),
             capacity: Capacity::default(),
             order: Vec::new(),
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The other nodes, which confirm withdrawals too, and when the picture's first read was asked for.
+    /// The other nodes, which confirm cancellations too, and when the picture's first read was asked for.
     pub fn confirmed_by(&mut self, peers: impl IntoIterator<Item = String>, read: Moment) {
         self.watermark = Watermark::new(read, peers);
     }
@@ -220,18 +220,18 @@
         self.clocks = now;
     }
 
-    /// All withdrawals that the state service showed when it was asked have been taken on.
-    pub fn withdrawals_read(&mut self, asked: Moment) {
+    /// All cancellations that the state service showed when it was asked have been taken on.
+    pub fn cancellations_read(&mut self, asked: Moment) {
         self.last_queue_read = Some(asked.steady);
         self.watermark.read(asked);
     }
 
-    /// All withdrawals that a node told have been taken on.
-    pub fn withdrawals_told(&mut self, peer: &str, word: Word) {
+    /// All cancellations that a node told have been taken on.
+    pub fn cancellations_told(&mut self, peer: &str, word: Statement) {
         self.watermark.told(peer, word);
     }
 
-    /// Whether reports may be answered: a lease renewed now ends in time for any withdrawal.
+    /// Whether reports may be answered: a lease renewed now ends in time for any cancellation.
     pub fn renews(&self, now: Instant) -> bool {
         let (patience, _) = watermark::patience(self.params.lease, self.params.cancel);
         self.watermark.renews(self.clocks.at(now), patience)
@@ -317,7 +317,7 @@
         }
         match verdict {
             Verdict::Done => self.ready(now, uid),
-            Verdict::Withdrawn => self.orphan_dependents(None, uid),
+            Verdict::Cancelled => self.orphan_dependents(None, uid),
             Verdict::Live => {}
         }
     }
@@ -337,7 +337,7 @@
     }
 
     fn orphan_dependents(&mut self, heard: Option<Instant>, uid: &Uid) {
-        for dependent in self.dependencies.withdrawn(uid) {
+        for dependent in self.dependencies.cancelled(uid) {
             self.orphan(heard, &dependent);
         }
     }
@@ -424,7 +424,7 @@
     }
 
     /// The watch of the queue shows that a job is cancelled.
-    pub fn on_withdrawn(&mut self, now: Instant, uid: &Uid) {
+    pub fn on_cancel_marked(&mut self, now: Instant, uid: &Uid) {
         self.on_cancelled(now, uid, CancelSource::Watch);
     }
 
@@ -437,19 +437,19 @@
         match source {
             CancelSource::Watch => (job.cancel_marked, job.close_after) = (true, None),
             CancelSource::Load => (job.cancel_marked, job.close_after) = (true, Some(now)),
-            CancelSource::Peer | CancelSource::Verdict if job.withdrawn => {}
+            CancelSource::Peer | CancelSource::Verdict if job.cancelled => {}
             CancelSource::Peer | CancelSource::Verdict => job.close_after = Some(now),
         }
-        if job.withdrawn {
+        if job.cancelled {
             return;
         }
-        job.withdrawn = true;
-        job.withdrawn_at = Some(now);
+        job.cancelled = true;
+        job.cancelled_at = Some(now);
         job.requeued.clear();
         self.dirty_jobs.insert(uid.clone());
         let tasks: Vec<u32> = job.active.keys().copied().collect();
         log::info!(
-            "withdrawing job={uid} active={} term={}",
+            "cancelling job={uid} active={} term={}",
             tasks.len(),
             self.term.0
         );
@@ -545,7 +545,7 @@
         let Some(job) = self.jobs.get_mut(&task.uid) else {
             return;
         };
-        let withdrawn = job.withdrawn;
+        let cancelled = job.cancelled;
         let Some(a) = job.active.get_mut(&task.index) else {
             return;
         };
@@ -555,7 +555,7 @@
         a.durable = true;
         a.placed = now;
         job.unlaunched = job.unlaunched.saturating_sub(1);
-        if !withdrawn {
+        if !cancelled {
             self.urgent.insert(a.host.clone());
         }
     }
@@ -681,7 +681,7 @@
     /// This process stood still and has just woken; its clocks may have gone on by less or more than
     /// what happened outside. What it was waiting for is counted anew from now: silence while it could
     /// not hear, leases whose answers it may misjudge, the heeding of commands that did not go out.
-    /// What users wait for, withdrawals above all, is not put off.
+    /// What users wait for, cancellations above all, is not put off.
     pub fn woke(&mut self, now: Instant) {
         if self.awake_since == now {
             return;
@@ -714,10 +714,10 @@
         {
             self.last_sweep = Some(now);
             self.expire_leases(now);
-            self.overdue_withdrawals(now);
+            self.overdue_cancellations(now);
             self.evictions(now);
             self.press_kills(now);
-            self.clear_doubts(now);
+            self.clear_suspicions(now);
         }
         let every = if self.round_due {
             self.round_pace
--- a/src/core/emptying.rs
+++ b/src/core/consolidation.rs
@@ -21,7 +21,7 @@
 
 impl Cluster {
     /// Ordinary machines in use are replaced by spot ones of their type where these can be had.
-    pub(super) fn replace_dear(&mut self, now: Instant, round: &Round) {
+    pub(super) fn replace_expensive(&mut self, now: Instant, round: &Round) {
         if self.capacity.replace_after.is_none_or(|t| t <= now) && round.waiting.is_empty() {
             let on_the_way: u32 = self.capacity.replacing.values().sum();
             // Of each type: ordinary machines, and those of them that are in use and could move.
@@ -30,16 +30,16 @@
                 if h.spot || h.draining || h.returning || !h.reported {
                     continue;
                 }
-                let dear = self
+                let expensive = self
                     .host_type(&h.host_type)
-                    .is_some_and(|t| t.hourly > t.low_price * DEAR);
+                    .is_some_and(|t| t.hourly > t.low_price * EXPENSIVE_FACTOR);
                 let can_move = h.placed.keys().all(|t| {
                     let job = self.jobs.get(&t.uid);
                     job.is_none_or(|j| j.spec.preemptible)
                 });
                 let kind = kinds.entry(&h.host_type).or_default();
                 kind.0 += 1;
-                if dear && can_move && !h.placed.is_empty() {
+                if expensive && can_move && !h.placed.is_empty() {
                     kind.1 += 1;
                 }
             }
@@ -107,7 +107,7 @@
             .map(|(_, n)| n)
             .collect();
         let headroom = self.headroom(now);
-        let mut dear: Vec<(f64, &Host)> = self
+        let mut expensive: Vec<(f64, &Host)> = self
             .hosts
             .values()
             .filter(|h| h.reported && !h.spot && !h.draining && !h.returning)
@@ -115,13 +115,13 @@
             .filter(|h| !h.placed.is_empty())
             .filter_map(|h| {
                 let t = self.host_type(&h.host_type)?;
-                (t.hourly > t.low_price * DEAR).then_some((t.hourly, h))
+                (t.hourly > t.low_price * EXPENSIVE_FACTOR).then_some((t.hourly, h))
             })
             .collect();
-        dear.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let most = (dear.len() / REPLACING_PART as usize).max(1);
+        expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let most = (expensive.len() / REPLACING_PART as usize).max(1);
         let mut emptied: Vec<HostId> = Vec::new();
-        for (_, h) in dear {
+        for (_, h) in expensive {
             if emptied.len() >= most || room.is_empty() {
                 break;
             }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -2,7 +2,7 @@
 //!
 //! Only accepted jobs may be named, so the graph has no cycles. A job is blocked until a durable `done`
 //! of each of its dependencies is known; nothing else releases it, so what is not known blocks. When a
-//! job is withdrawn, so are all of its dependents, direct or through others: none of them can have
+//! job is cancelled, so are all of its dependents, direct or through others: none of them can have
 //! started, since what they need was not done.
 
 use super::ledger::Verdict;
@@ -17,7 +17,7 @@
 pub enum Standing {
     Ready,
     Blocked,
-    /// Something that it needs was withdrawn.
+    /// Something that it needs was cancelled.
     Orphaned,
 }
 
@@ -42,7 +42,7 @@
         for need in needs {
             match self.ends.get(need) {
                 Some(Verdict::Done) => {}
-                Some(Verdict::Withdrawn) => orphaned = true,
+                Some(Verdict::Cancelled) => orphaned = true,
                 _ => {
                     open.insert(need.clone());
                 }
@@ -94,16 +94,16 @@
         ready
     }
 
-    /// A job is withdrawn. Returns all jobs that need it, directly or through others.
-    pub fn withdrawn(&mut self, uid: &Uid) -> Vec<Uid> {
+    /// A job is cancelled. Returns all jobs that need it, directly or through others.
+    pub fn cancelled(&mut self, uid: &Uid) -> Vec<Uid> {
         self.forget(uid);
-        self.ended(uid, Verdict::Withdrawn);
+        self.ended(uid, Verdict::Cancelled);
         let mut all = Vec::new();
         let mut next = vec![uid.clone()];
         while let Some(u) = next.pop() {
             for d in self.dependents.remove(&u).unwrap_or_default() {
                 if self.forget(&d) {
-                    self.ended(&d, Verdict::Withdrawn);
+                    self.ended(&d, Verdict::Cancelled);
                     next.push(d.clone());
                     all.push(d);
                 }
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -61,8 +61,8 @@
     pub stamp: u64,
     /// Stamp of the verdict's key, the condition that nobody withdrew the job: 0, it is absent.
     pub verdict_stamp: u64,
-    pub withdrawn: bool,
-    pub withdrawn_at: Option<Instant>,
+    pub cancelled: bool,
+    pub cancelled_at: Option<Instant>,
     pub finished: bool,
     /// Something that it needs is not known to be done.
     pub blocked: bool,
@@ -91,7 +91,7 @@
     /// One of its tasks ended well, or runs for far longer than the others took to fail.
     pub sound: bool,
     /// It may have been submitted with a mistake: one task at a time tries, now and then.
-    pub doubted: bool,
+    pub suspected: bool,
     /// Such tries that failed.
     pub tries: u32,
     pub backoff_until: Option<Instant>,
@@ -130,8 +130,8 @@
             starved: false,
             turn: 0,
             unlaunched: 0,
-            withdrawn: false,
-            withdrawn_at: None,
+            cancelled: false,
+            cancelled_at: None,
             finished: false,
             blocked: false,
             chunk_room: CHUNK,
@@ -150,7 +150,7 @@
             failed_after: None,
             cleared: 0,
             sound: false,
-            doubted: false,
+            suspected: false,
             tries: 0,
             backoff_until: None,
             unknowns: 0,
@@ -169,11 +169,11 @@
             .is_some_and(|c| c.done & (1 << (index % CHUNK)) != 0)
     }
     pub fn over(&self) -> bool {
-        self.withdrawn || self.finished || self.orphaned || self.done_count == self.spec.shards
+        self.cancelled || self.finished || self.orphaned || self.done_count == self.spec.shards
     }
     /// A dependency was cancelled, and no verdict of its own is known yet.
     pub fn is_orphan(&self) -> bool {
-        self.orphaned && !self.withdrawn && !self.finished
+        self.orphaned && !self.cancelled && !self.finished
     }
     /// Whether an orphan's verdict is to be written by the leader by now.
     pub(super) fn cascade_due(&self, now: Instant, grace: Duration) -> bool {
@@ -181,7 +181,7 @@
         self.orphaned_at.is_none_or(waited)
     }
     pub fn final_due(&self) -> bool {
-        !self.withdrawn && !self.finished && self.done_count == self.spec.shards
+        !self.cancelled && !self.finished && self.done_count == self.spec.shards
     }
     pub(super) fn touch(&mut self, index: u32) -> &mut Chunk {
         let c = self.chunks.entry(index / CHUNK).or_default();
@@ -340,7 +340,7 @@
     /// Logarithm of measured over expected run time here.
     pub slowness: super::history::Average,
     pub lease_spent: bool,
-    /// A withdrawn task has been on it for too long: it goes whatever else is doubtful.
+    /// A cancelled task has been on it for too long: it goes whatever else is doubtful.
     pub overdue: bool,
 }
 
@@ -397,7 +397,7 @@
     pub fn heeds(&self) -> bool {
         (self.fenced || self.own) && self.must_show.is_none()
     }
-    pub(super) fn doubt(&mut self, now: Instant) {
+    pub(super) fn require_token(&mut self, now: Instant) {
         if self.must_show.is_none() {
             self.epoch = self.epoch.next();
             self.must_show = Some((self.epoch, now));
--- a/src/core/doubt.rs
+++ b/src/core/failure_attribution.rs
@@ -1,6 +1,6 @@
 //! Whose fault a failure is: the machine's or the job's.
 //!
-//! A job that was submitted with a mistake fails on every machine until its user withdraws it; a faulty
+//! A job that was submitted with a mistake fails on every machine until its user cancels it; a faulty
 //! machine fails every job. A job whose tasks failed on a few machines, none of them known as faulty,
 //! and of which nothing runs, is in doubt: one task at a time tries, at growing intervals, and nothing
 //! is rented, kept ready or stopped for it. Its marks on machines do not count while it is in doubt. As
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Machines on which a job must have failed to be in doubt: two may be faulty by chance.
-const FEW: usize = 3;
+const SUSPECT_AFTER: usize = 3;
 /// The same for a job of which something has run: many machines may be faulty at once.
-const MANY_FAULTY: usize = 12;
+const SUSPECT_AFTER_SUCCESS: usize = 12;
 /// Two jobs that fail on a machine, with no success there between, put it in quarantine.
 const JOBS_FAILED: usize = 2;
 /// A machine is given back after so long in quarantine: by then the jobs it failed are known better.
-pub(super) const SICK_PATIENCE: Duration = Duration::from_secs(8);
+pub(super) const QUARANTINE_PATIENCE: Duration = Duration::from_secs(8);
 /// The first pause before a job in doubt tries again; each failed try doubles it.
 const FIRST_PAUSE: Duration = Duration::from_secs(5);
 const LONGEST_PAUSE: Duration = Duration::from_secs(60);
@@ -33,12 +33,12 @@
     /// A task of this job failed there, so long after it was placed.
     pub(super) fn failed(&mut self, now: Instant, uid: &Uid, host: &HostId, after: Duration) {
         let faulty = self.faulty_by_others(uid, host);
-        let Some(job) = self.jobs.get_mut(uid).filter(|j| !j.withdrawn) else {
+        let Some(job) = self.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
             return;
         };
         job.errors += 1;
         job.failed_after = Some(job.failed_after.map_or(after, |f| f.min(after)));
-        if job.doubted {
+        if job.suspected {
             // What was under way when the doubt arose fails too; only a try that was due counts.
             if job.backoff_until.is_none_or(|t| now >= t) {
                 job.tries += 1;
@@ -50,10 +50,14 @@
         if !faulty {
             job.error_hosts.insert(host.clone());
         }
-        let few = if job.sound { MANY_FAULTY } else { FEW };
+        let few = if job.sound {
+            SUSPECT_AFTER_SUCCESS
+        } else {
+            SUSPECT_AFTER
+        };
         if job.error_hosts.len() >= few {
             log::info!("job is in doubt job={uid} failures={}", job.errors);
-            job.doubted = true;
+            job.suspected = true;
             job.sound = false;
             job.backoff_until = Some(now + pause(job.tries));
             // What was only planned is not launched.
@@ -62,14 +66,14 @@
             for i in planned {
                 self.kill(now, uid, i, Duration::ZERO);
             }
-            self.rejudge(now, uid);
+            self.update_quarantines_of(now, uid);
             return;
         }
         if let Some(h) = self.hosts.get_mut(host) {
             h.failed_jobs.insert(uid.clone());
             h.avoid_until = Some(now + AVOIDED);
         }
-        self.judge(now, host);
+        self.update_quarantine(now, host);
     }
 
     /// A task of this job ended well there.
@@ -77,7 +81,7 @@
         if let Some(h) = self.hosts.get_mut(host) {
             h.failed_jobs.clear();
         }
-        self.judge(now, host);
+        self.update_quarantine(now, host);
         self.sound(now, uid);
     }
 
@@ -87,13 +91,13 @@
             return;
         };
         job.sound = true;
-        if job.doubted {
+        if job.suspected {
             log::info!("job is in doubt no more job={uid}");
-            job.doubted = false;
+            job.suspected = false;
             job.tries = 0;
             job.backoff_until = None;
             self.round_due = true;
-            self.rejudge(now, uid);
+            self.update_quarantines_of(now, uid);
         }
         if let Some(job) = self.jobs.get_mut(uid) {
             // It keeps away from these no longer than the machines' own marks make it.
@@ -102,7 +106,7 @@
     }
 
     /// Jobs in doubt one of whose tasks outlives those that failed.
-    pub(super) fn clear_doubts(&mut self, now: Instant) {
+    pub(super) fn clear_suspicions(&mut self, now: Instant) {
         let outlives = |j: &Job| {
             let least = j.failed_after.unwrap_or_default() * OUTLIVES + OUTLIVES_LEAST;
             // One whose tasks fail sooner or later is believed less each time.
@@ -110,7 +114,7 @@
             let long = |t: Instant| now.saturating_duration_since(t) > most;
             j.active.values().any(|a| a.running_since.is_some_and(long))
         };
-        let cleared = |j: &&Job| j.doubted && !j.over() && outlives(j);
+        let cleared = |j: &&Job| j.suspected && !j.over() && outlives(j);
         let cleared: Vec<Uid> = self
             .jobs
             .values()
@@ -133,11 +137,11 @@
         h.quarantined
             || h.failed_jobs
                 .iter()
-                .any(|u| u != uid && !self.is_doubted(u) && self.is_sound(u))
+                .any(|u| u != uid && !self.is_suspected(u) && self.is_sound(u))
     }
 
-    fn is_doubted(&self, uid: &Uid) -> bool {
-        self.jobs.get(uid).is_some_and(|j| j.doubted)
+    fn is_suspected(&self, uid: &Uid) -> bool {
+        self.jobs.get(uid).is_some_and(|j| j.suspected)
     }
 
     fn is_sound(&self, uid: &Uid) -> bool {
@@ -145,7 +149,7 @@
     }
 
     /// What this job's failures said of machines counts differently now.
-    fn rejudge(&mut self, now: Instant, uid: &Uid) {
+    fn update_quarantines_of(&mut self, now: Instant, uid: &Uid) {
         let marked = |h: &super::cluster::Host| h.failed_jobs.contains(uid);
         let hosts: Vec<HostId> = self
             .hosts
@@ -153,21 +157,26 @@
             .filter(|h| marked(h))
             .map(|h| h.id.clone())
             .collect();
-        let doubted = self.is_doubted(uid);
+        let suspected = self.is_suspected(uid);
         for id in hosts {
-            if let Some(h) = self.hosts.get_mut(&id).filter(|_| doubted) {
+            if let Some(h) = self.hosts.get_mut(&id).filter(|_| suspected) {
                 h.avoid_until = None;
             }
-            self.judge(now, &id);
+            self.update_quarantine(now, &id);
         }
     }
 
     /// Whether a machine belongs in quarantine.
-    fn judge(&mut self, now: Instant, host: &HostId) {
+    fn update_quarantine(&mut self, now: Instant, host: &HostId) {
         let Some(h) = self.hosts.get(host) else {
             return;
         };
-        let blamed = h.failed_jobs.iter().filter(|u| !self.is_doubted(u)).count() >= JOBS_FAILED;
+        let blamed = h
+            .failed_jobs
+            .iter()
+            .filter(|u| !self.is_suspected(u))
+            .count()
+            >= JOBS_FAILED;
         if blamed == h.quarantined {
             return;
         }
@@ -185,7 +194,7 @@
     }
 
     /// A job that never showed that it can run is gone: its marks prove nothing.
-    pub(super) fn unmark(&mut self, now: Instant, job: &Job) {
+    pub(super) fn forget_failures_of(&mut self, now: Instant, job: &Job) {
         if job.errors == 0 || job.sound {
             return;
         }
@@ -201,7 +210,7 @@
             if let Some(h) = self.hosts.get_mut(&id) {
                 h.failed_jobs.remove(uid);
             }
-            self.judge(now, &id);
+            self.update_quarantine(now, &id);
         }
     }
 }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,7 +1,7 @@
 //! What the leader keeps in the state service, and in which transactions.
 //!
 //! Every write is conditional on the leader key's stamp, on the stamps of the keys it replaces and,
-//! for intents, on the job's not having been withdrawn. A transaction whose outcome is unknown may
+//! for intents, on the job's not having been cancelled. A transaction whose outcome is unknown may
 //! still be applied at any later time: because each key's own stamp is a condition, whichever of it
 //! and its repetition comes second fails, and the failed keys are read again.
 
@@ -48,14 +48,14 @@
 pub const CONTROL_PREFIX: &str = "ctl/";
 pub const QUEUE_PREFIX: &str = "q/";
 pub const LIVE_PREFIX: &str = "q/l/";
-pub const WITHDRAWN_PREFIX: &str = "q/w/";
+pub const CANCEL_MARK_PREFIX: &str = "q/w/";
 pub const INTENT_PREFIX: &str = "i/";
 
 pub const DEPENDENTS_PREFIX: &str = "d/";
 pub const VERDICT_PREFIX: &str = "j/";
 
 /// A job's verdict, once it is over. While this key is absent, an accepted job is live: `done` and
-/// `withdrawn` are both conditional on its absence, so just one of them can come true.
+/// `cancelled` are both conditional on its absence, so just one of them can come true.
 pub fn job_key(uid: &Uid) -> String {
     format!("{VERDICT_PREFIX}{uid}")
 }
@@ -64,8 +64,8 @@
 pub fn live_key(uid: &Uid) -> String {
     format!("{LIVE_PREFIX}{uid}")
 }
-pub fn withdrawn_key(uid: &Uid) -> String {
-    format!("{WITHDRAWN_PREFIX}{uid}")
+pub fn cancel_mark_key(uid: &Uid) -> String {
+    format!("{CANCEL_MARK_PREFIX}{uid}")
 }
 /// The list of a job's dependents, kept only for nodes of the version before this one. This version
 /// finds dependents in the index of live jobs.
@@ -98,7 +98,7 @@
 pub enum Verdict {
     Live,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 /// Up to 64 tasks of a job: which are done, and where the others were sent.
@@ -228,7 +228,7 @@
             self.put_chunk(job, index, value);
         }
         // A cancelled job's tasks are only ever removed: its intents need no further leave.
-        if self.ops.len() > before && !job.withdrawn && !job.finished {
+        if self.ops.len() > before && !job.cancelled && !job.finished {
             let key = job_key(&job.spec.uid);
             self.conditions.push((key, job.verdict_stamp));
         }
@@ -265,11 +265,11 @@
             if !self.has_room(1) {
                 return Room::Full;
             }
-            self.put_verdict(job, Verdict::Withdrawn);
+            self.put_verdict(job, Verdict::Cancelled);
             self.flight.cascaded.push(uid.clone());
             return Room::Left;
         }
-        if job.withdrawn && job.active.is_empty() {
+        if job.cancelled && job.active.is_empty() {
             if !may_close {
                 return Room::Left;
             }
@@ -278,7 +278,7 @@
             }
             self.delete(live_key(uid));
             if job.cancel_marked {
-                self.delete(withdrawn_key(uid));
+                self.delete(cancel_mark_key(uid));
             }
             self.flight.closing.push(uid.clone());
             return Room::Left;
@@ -335,7 +335,7 @@
             if batch.put_job(job, now, may_close) == Room::Full {
                 break;
             }
-            let closing = job.withdrawn && job.active.is_empty();
+            let closing = job.cancelled && job.active.is_empty();
             let waits = closing || job.is_orphan() || job.final_due() || job.is_dirty();
             if batch.ops.len() == before && !waits {
                 self.dirty_jobs.remove(&uid);
@@ -456,7 +456,7 @@
                     } else if let Some(uid) = key.strip_prefix(VERDICT_PREFIX).and_then(Uid::parse)
                     {
                         match verdict {
-                            Some(Verdict::Withdrawn) => {
+                            Some(Verdict::Cancelled) => {
                                 self.on_cancelled(now, &uid, CancelSource::Verdict)
                             }
                             Some(Verdict::Done) => self.closed(now, &uid),
@@ -529,7 +529,7 @@
             self.on_cancelled(now, &uid, CancelSource::Verdict);
         }
         for uid in flight.closing {
-            log::info!("withdrawn job is gone job={uid} term={}", self.term.0);
+            log::info!("cancelled job is gone job={uid} term={}", self.term.0);
             self.drop_job(now, &uid);
         }
     }
@@ -567,7 +567,7 @@
         if let Some(job) = self.jobs.remove(uid) {
             self.order_stale = true;
             self.dirty_jobs.remove(uid);
-            if !job.withdrawn {
+            if !job.cancelled {
                 self.leftovers.push(live_key(uid));
             }
             self.leftovers.extend(
@@ -577,7 +577,7 @@
                     .map(|(i, _)| chunk_key(uid, *i)),
             );
             self.gone_jobs.push(uid.clone());
-            self.unmark(now, &job);
+            self.forget_failures_of(now, &job);
         }
     }
 }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -347,7 +347,7 @@
     /// Whether the job may use this slot, its tasks placed so far aside.
     pub(super) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
         // In doubt, it has failed on many, and most of them are well.
-        let failed = !job.doubted && job.error_hosts.contains(&s.host.id);
+        let failed = !job.suspected && job.error_hosts.contains(&s.host.id);
         let name = &self.types[s.type_index].name;
         !failed && permits(&job.spec, zones, name, &s.host.site, s.host.spot)
     }
@@ -372,14 +372,14 @@
         self.note_usage(now);
         for j in self.jobs.values_mut() {
             let waited = now.saturating_duration_since(j.last_placed) > STARVED;
-            if waited && j.turn == 0 && !j.over() && !j.doubted && j.waiting_count() > 0 {
+            if waited && j.turn == 0 && !j.over() && !j.suspected && j.waiting_count() > 0 {
                 j.turn = j.spec.shards.div_ceil(STARVED_PART);
                 j.starved = true;
             }
         }
-        self.pace.round(now);
+        self.start_limiter.round(now);
         let plan = self.plan(now);
-        self.pace.started(plan.starts.len());
+        self.start_limiter.started(plan.starts.len());
         let mut gang: Option<(Uid, Attempt)> = None;
         for s in plan.starts {
             // A gang's members share their attempt's number.
@@ -433,7 +433,7 @@
             spare: Vec::new(),
             paced: false,
         };
-        let quota = self.pace.left();
+        let quota = self.start_limiter.left();
         let mut looked = 0;
         let mut longest = Duration::ZERO;
         let mut used = self.usage.clone();
@@ -459,7 +459,7 @@
             let waits = (job.waiting_count() as usize).saturating_sub(before);
             let most = part.map_or(waits, |p| (p as usize).min(waits));
             let most = most.min(ROUND_TASKS.saturating_sub(looked));
-            let most = if job.doubted { most.min(1) } else { most };
+            let most = if job.suspected { most.min(1) } else { most };
             if most == 0 {
                 // Beyond what a round looks at: it waits behind all that was looked at.
                 if waits > 0 && part.is_none() {
@@ -591,9 +591,9 @@
         let paced = plan.paced;
         plan.waiting.retain(|w| {
             let job = self.jobs.get(&w.uid);
-            job.is_some_and(|j| !(j.doubted || paced && self.is_ordinary(&j.spec, &within)))
+            job.is_some_and(|j| !(j.suspected || paced && self.is_ordinary(&j.spec, &within)))
         });
-        limited.retain(|u| self.jobs.get(*u).is_some_and(|j| !j.doubted));
+        limited.retain(|u| self.jobs.get(*u).is_some_and(|j| !j.suspected));
         plan.kills = self.preempt(now, &plan.waiting, &slots, &within, &rates);
         self.preempt_own(now, &limited, &within, &mut plan.kills);
         plan.spare = slots.iter().map(|s| (s.host.id.clone(), s.later)).collect();
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -34,7 +34,7 @@
     ) -> Vec<(&Uid, Option<u32>)> {
         let waits = |j: &&Job| {
             // In doubt, one task at a time tries.
-            let trying = j.doubted && !j.active.is_empty();
+            let trying = j.suspected && !j.active.is_empty();
             let due = j.backoff_until.is_none_or(|b| now >= b);
             !j.over() && j.waiting_count() > 0 && due && !trying
         };
@@ -48,7 +48,7 @@
         let overloaded: HashSet<Urgency> = jobs
             .iter()
             .zip(&late)
-            .filter(|(j, late)| **late && j.spec.due.is_some() && !j.doubted)
+            .filter(|(j, late)| **late && j.spec.due.is_some() && !j.suspected)
             .map(|(j, _)| j.spec.urgency)
             .collect();
         let mut order: Vec<(Place, &Job)> = jobs
@@ -124,7 +124,7 @@
         for j in self
             .jobs
             .values()
-            .filter(|j| !j.over() && !j.doubted && !j.blocked)
+            .filter(|j| !j.over() && !j.suspected && !j.blocked)
         {
             let team = &j.spec.owner;
             let of_team = || self.usage_of_late.get(team).copied().unwrap_or_default();
@@ -148,7 +148,7 @@
 
     /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
     pub(super) fn within_guarantee(&self) -> HashSet<&Uid> {
-        let counts = |j: &&Job| !j.over() && !j.doubted && !j.blocked;
+        let counts = |j: &&Job| !j.over() && !j.suspected && !j.blocked;
         let mut jobs: Vec<&Job> = self.jobs.values().filter(counts).collect();
         jobs.sort_by_key(|j| j.stamp);
         let mut sums: HashMap<&TeamName, Need> = HashMap::new();
--- a/src/core/returning.rs
+++ b/src/core/release.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::MANY;
 use super::cluster::{Action, Cluster, Host};
-use super::doubt::SICK_PATIENCE;
+use super::failure_attribution::QUARANTINE_PATIENCE;
 use super::model::*;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -86,8 +86,8 @@
                 }
                 continue;
             }
-            let sick = |t: Instant| now.saturating_duration_since(t) > SICK_PATIENCE;
-            if h.quarantined_at.is_some_and(sick) {
+            let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
+            if h.quarantined_at.is_some_and(faulty) {
                 leaving.push((h.id.clone(), "sick"));
             } else if h.eviction.is_some() && h.placed.is_empty() {
                 leaving.push((h.id.clone(), "to be taken"));
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -136,7 +136,7 @@
             // direct commands start in the new session.
             h.last_answer = h.last_answer.max(Some(now));
             // Reports that were answered, and yet its lease ran out.
-            h.doubt(now);
+            h.require_token(now);
         }
         h.eviction = match (r.eviction, h.eviction) {
             (Some(d), _) => {
@@ -156,7 +156,7 @@
         // before an end of the session: what it shows may long be otherwise, since a leader launches
         // the same attempt again where a session ended.
         let current = r.epoch.term() == term || h.own;
-        let mut strays = Vec::new();
+        let mut unexpected = Vec::new();
         let mut forgets = Vec::new();
         let mut foreign = Need::default();
         let mut listed: HashSet<(TaskId, Attempt)> = HashSet::with_capacity(r.tasks.len());
@@ -184,7 +184,7 @@
                     if let Some(j) = job {
                         foreign.add(&j.spec.need);
                     }
-                    strays.push(Directive::Kill {
+                    unexpected.push(Directive::Kill {
                         task: t.task.clone(),
                         attempt: t.attempt,
                         wind_down: Duration::ZERO,
@@ -201,7 +201,7 @@
         if beat {
             h.last_answer = Some(now);
         }
-        let mut directives = strays;
+        let mut directives = unexpected;
         // After a forget the worker would take a late copy of the launch for a new one, so the same
         // answer raises the token past every launch that went out before.
         if !forgets.is_empty() {
@@ -357,7 +357,7 @@
         });
         if ignored {
             if let Some(h) = self.hosts.get_mut(&r.host) {
-                h.doubt(now);
+                h.require_token(now);
             }
         }
     }
@@ -433,7 +433,7 @@
             let Some(job) = self.jobs.get_mut(&task.uid) else {
                 continue;
             };
-            let over = job.withdrawn || job.finished;
+            let over = job.cancelled || job.finished;
             let Some(a) = job.active.get_mut(&task.index) else {
                 continue;
             };
@@ -459,7 +459,7 @@
                     });
                 }
             } else if !known && !over && !leaving && self.confirmed {
-                // Without the state service the job may have been withdrawn unheard.
+                // Without the state service the job may have been cancelled unheard.
                 a.launch_epoch = a.launch_epoch.max(epoch);
                 a.tenure = Some(tenure);
                 a.given.get_or_insert(now);
--- a/src/core/pace.rs
+++ b/src/core/start_limiter.rs
@@ -23,7 +23,7 @@
 const OF_LATE: f64 = 3.0;
 
 #[derive(Debug)]
-pub struct Pace {
+pub struct StartLimiter {
     /// Starts a second; infinite: as many as there are.
     rate: f64,
     /// Starts left now.
@@ -35,9 +35,9 @@
     last_word: Option<Instant>,
 }
 
-impl Default for Pace {
+impl Default for StartLimiter {
     fn default() -> Self {
-        Pace {
+        StartLimiter {
             rate: f64::INFINITY,
             tokens: f64::INFINITY,
             of_late: 0.0,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Pace {
+impl StartLimiter {
     /// How late timers fire on the node that is worst off.
     pub fn strain(&mut self, now: Instant, late: Duration) {
         let passed = match self.last_word.replace(now) {
--- a/src/core/departures.rs
+++ b/src/core/termination.rs
@@ -1,4 +1,4 @@
-//! Hosts and tasks that go: returned, taken back, out of their lease, withdrawn or stopped.
+//! Hosts and tasks that go: returned, taken back, out of their lease, cancelled or stopped.
 
 use super::cluster::Cluster;
 use super::model::*;
@@ -84,11 +84,11 @@
     }
 
     /// Withdrawn tasks whose end is still unproved well before `cancel_s`: their host goes.
-    pub(super) fn overdue_withdrawals(&mut self, now: Instant) {
+    pub(super) fn overdue_cancellations(&mut self, now: Instant) {
         let limit = self.params.cancel.mul_f64(0.4);
         let mut hosts = BTreeSet::new();
         for j in self.jobs.values() {
-            let Some(since) = j.withdrawn_at else {
+            let Some(since) = j.cancelled_at else {
                 continue;
             };
             if now.saturating_duration_since(since) > limit {
--- a/src/core/watermark.rs
+++ b/src/core/watermark.rs
@@ -1,8 +1,8 @@
-//! The watermark of withdrawals: the time up to which this leader surely knows all that were confirmed.
+//! The watermark of cancellations: the time up to which this leader surely knows all that were confirmed.
 //!
-//! A withdrawal is confirmed by whichever node wrote or read its verdict; from then on its tasks have
+//! A cancellation is confirmed by whichever node wrote or read its verdict; from then on its tasks have
 //! `cancel_s`. A leader that answers a report renews the worker's lease, and with it every task there,
-//! those included of whose withdrawal it has not heard. So it answers only while a lease renewed now
+//! those included of whose cancellation it has not heard. So it answers only while a lease renewed now
 //! ends within `cancel_s` of the watermark; past that the leases run out by themselves.
 //!
 //! Two kinds of evidence move the watermark. A read of the state service shows all that was confirmed
@@ -22,7 +22,7 @@
 /// than this beyond `lease_s`, leases alone cannot keep the rule (`--check` says so).
 pub const LEAST_PATIENCE: Duration = Duration::from_secs(6);
 
-/// How old the watermark may be for a report to be answered, and whether that keeps every withdrawn
+/// How old the watermark may be for a report to be answered, and whether that keeps every cancelled
 /// task's end within `cancel`.
 pub fn patience(lease: Duration, cancel: Duration) -> (Duration, bool) {
     let spent = lease.mul_f64(1.0 + DRIFT) + MARGIN;
@@ -63,7 +63,7 @@
 
 /// One node's word on what it confirmed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct Statement {
     /// When it was asked, and when its answer came.
     pub asked: Moment,
     pub came: Moment,
@@ -85,7 +85,7 @@
 }
 
 impl Watermark {
-    /// From a read of all withdrawals that was asked for at this time, with the nodes that may
+    /// From a read of all cancellations that was asked for at this time, with the nodes that may
     /// confirm others.
     pub fn new(read: Moment, peers: impl IntoIterator<Item = String>) -> Watermark {
         Watermark {
@@ -101,7 +101,7 @@
     }
 
     /// A node told all that it confirmed since its word before.
-    pub fn told(&mut self, peer: &str, word: Word) {
+    pub fn told(&mut self, peer: &str, word: Statement) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
         };
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether a lease renewed now surely ends in time for all withdrawals that are not known.
+    /// Whether a lease renewed now surely ends in time for all cancellations that are not known.
     pub fn renews(&self, now: Moment, patience: Duration) -> bool {
         self.age(now) < patience
     }
--- a/src/net/cancellation.rs
+++ b/src/net/cancellation.rs
@@ -10,9 +10,9 @@
 use super::front::{problem, state, store_said, unavailable, verdict, Answer, STORE_CALL};
 use super::questions;
 use super::store::{Asked, Change, Content, StoreError, Txn};
-use crate::core::inquiry::{self, Records};
-use crate::core::ledger::{job_key, live_key, withdrawn_key, Verdict};
+use crate::core::ledger::{cancel_mark_key, job_key, live_key, Verdict};
 use crate::core::model::Uid;
+use crate::core::status_reads::{self, Records};
 use crate::runtime::budget::Rank;
 use crate::runtime::service::Shared;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,8 +44,8 @@
     pub dependents: BTreeSet<Uid>,
 }
 
-/// `POST /api/jobs/{id}/withdraw`.
-pub fn withdraw(shared: &Shared, id: &str) -> Result<Answer, StoreError> {
+/// `POST /api/jobs/{id}/cancel`.
+pub fn cancel(shared: &Shared, id: &str) -> Result<Answer, StoreError> {
     let Some(uid) = Uid::parse(id) else {
         return Ok((problem(404, "no such job"), None));
     };
@@ -53,7 +53,7 @@
         // The stamp is 0 while the job is live: its verdict's key is absent.
         let stamp = match verdict(shared, &uid)? {
             Some((Verdict::Live, stamp)) => stamp,
-            Some((Verdict::Withdrawn, _)) => return confirm(shared, &uid),
+            Some((Verdict::Cancelled, _)) => return confirm(shared, &uid),
             Some((Verdict::Done, _)) => {
                 let body = state(shared, &uid, Verdict::Done, false);
                 return Ok(((200, body), None));
@@ -64,7 +64,7 @@
         store_said(shared, &result);
         match result {
             Ok(Txn::Applied { .. }) => {
-                log::info!("withdrawn job={uid}");
+                log::info!("cancelled job={uid}");
                 return confirm(shared, &uid);
             }
             // Done or cancelled meanwhile, or of unknown outcome: read it again.
@@ -77,7 +77,7 @@
 
 /// The job's own verdict, and the mark by which the leader hears of it.
 fn write_verdict(shared: &Shared, uid: &Uid, stamp: u64) -> Result<Txn, StoreError> {
-    let (verdict_key, mark_key) = (job_key(uid), withdrawn_key(uid));
+    let (verdict_key, mark_key) = (job_key(uid), cancel_mark_key(uid));
     let conditions = [(verdict_key.clone(), stamp)];
     let changes = vec![
         put_cancelled(&verdict_key),
@@ -94,7 +94,7 @@
 fn put_cancelled(key: &str) -> Change<'_> {
     Change::Put {
         key,
-        value: Content::Verdict(Verdict::Withdrawn.into()),
+        value: Content::Verdict(Verdict::Cancelled.into()),
         permit: None,
     }
 }
@@ -122,13 +122,13 @@
         let wait = problem(503, "dependents are still being cancelled");
         return Ok((wait, Some(RETRY_AFTER_S)));
     }
-    let body = state(shared, uid, Verdict::Withdrawn, false);
+    let body = state(shared, uid, Verdict::Cancelled, false);
     Ok(((200, body), None))
 }
 
 fn remember(shared: &Shared, cascade: &Cascade) {
     for uid in &cascade.settled {
-        shared.view.remember_final(uid, Verdict::Withdrawn);
+        shared.view.remember_final(uid, Verdict::Cancelled);
     }
 }
 
@@ -145,7 +145,7 @@
     let indexed = still_indexed(shared, &open)?;
     // The leader removes a cancelled job from the index only when its dependents are cancelled.
     for uid in open.difference(&indexed) {
-        shared.view.remember_final(uid, Verdict::Withdrawn);
+        shared.view.remember_final(uid, Verdict::Cancelled);
         confirmed.insert(uid.clone());
     }
     if !indexed.is_empty() {
@@ -244,12 +244,12 @@
     for part in live.chunks(questions::most_at_once(shared)) {
         let part: BTreeSet<Uid> = part.iter().cloned().collect();
         let mut accepted = part.clone();
-        let (found, trouble) = inquiry::standings(&lookup(shared), &part, &mut accepted);
+        let (found, trouble) = status_reads::standings(&lookup(shared), &part, &mut accepted);
         if let Some(e) = trouble {
             return Err(e);
         }
         let before = cancelled.len();
-        let is_cancelled = |uid: &&Uid| found.get(*uid) == Some(&Some(Verdict::Withdrawn));
+        let is_cancelled = |uid: &&Uid| found.get(*uid) == Some(&Some(Verdict::Cancelled));
         cancelled.extend(part.iter().filter(is_cancelled).cloned());
         if cancelled.len() - before < part.len() {
             break;
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -1,7 +1,7 @@
 //! The front: users, workers and health checks.
 //!
 //! Requests pass through stages with small bounded queues: the listener's thread, then the pool for
-//! reports, for questions, or for submissions and withdrawals. A full queue is answered at once. Only
+//! reports, for questions, or for submissions and cancellations. A full queue is answered at once. Only
 //! the users' pools wait for the state service, so a slow one never holds reports up, and a storm of
 //! questions no submission; health checks and questions about what is over wait for nobody.
 
@@ -206,7 +206,7 @@
     }
 }
 
-/// A submission or a withdrawal, here or by a peer that reaches the state service where we do not.
+/// A submission or a cancellation, here or by a peer that reaches the state service where we do not.
 fn take(shared: &Shared, r: &Request) -> Answer {
     match local(shared, &r.method, &r.path, &r.body) {
         Ok(answer) => answer,
@@ -225,7 +225,7 @@
 fn local(shared: &Shared, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
     match route(method, path) {
         Ok(Route::Submit) => submission::submit(shared, body),
-        Ok(Route::Withdraw(id)) => cancellation::withdraw(shared, id),
+        Ok(Route::Withdraw(id)) => cancellation::cancel(shared, id),
         Ok(Route::Beat | Route::Query(_)) => Ok((problem(503, "busy"), Some(1))),
         Err(refusal) => Ok((refusal, None)),
     }
@@ -355,7 +355,7 @@
         return Ok(otherwise);
     };
     let cancelled = BTreeSet::from([uid.clone()]);
-    if verdict == Verdict::Withdrawn && cancellation::confirmed(shared, &cancelled)?.is_empty() {
+    if verdict == Verdict::Cancelled && cancellation::confirmed(shared, &cancelled)?.is_empty() {
         return Ok(unavailable(shared));
     }
     Ok(((200, state(shared, uid, verdict, false)), None))
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -45,19 +45,19 @@
     },
     /// How jobs stand, for a node that the state service does not answer.
     Questions(Vec<String>),
-    /// A submission or a withdrawal, for the same reason.
+    /// A submission or a cancellation, for the same reason.
     User {
         method: String,
         path: String,
         body: Vec<u8>,
     },
     // From here on only for peers that said they know these frames: see `FRAMES`.
-    /// The withdrawals that the peer knows of, from a position in its life on.
-    Withdrawals {
+    /// The cancellations that the peer knows of, from a position in its life on.
+    Cancellations {
         from: Option<(u64, u64)>,
     },
-    /// To the leader: users are about to be told that these jobs are withdrawn.
-    Withdrawn(Vec<String>),
+    /// To the leader: users are about to be told that these jobs are cancelled.
+    Cancelled(Vec<String>),
 }
 
 /// The frames that this version knows. `borsh` has no names, so the layouts of frames that an earlier
@@ -67,8 +67,8 @@
 pub const FRAMES: u32 = 3;
 const FRAMES_WORD: &str = "frames ";
 const FALLEN_WORD: &str = "next rates";
-/// From this version on peers know withdrawals' frames.
-pub const FRAMES_WITHDRAWALS: u32 = 2;
+/// From this version on peers know cancellations' frames.
+pub const FRAMES_CANCELLATIONS: u32 = 2;
 /// From this version on nodes find the dependents of a job in the index of live jobs, and need no lists
 /// of them. No frame came with it.
 pub const FRAMES_LIVE_INDEX: u32 = 3;
@@ -95,13 +95,13 @@
 
 /// What a peer found out about a job.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Word {
+pub enum JobStanding {
     /// It could not be asked.
     Silence,
     NeverAccepted,
     Live,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -111,20 +111,20 @@
     /// The worker's report, as it came. None: it did not answer.
     Command(Option<Vec<u8>>),
     /// In the order of the questions.
-    Words(Vec<Word>),
+    JobStandings(Vec<JobStanding>),
     /// Status, body, and when to come back.
     User(u16, Vec<u8>, Option<u64>),
     /// Its life; whether this goes on from where it was asked for; the jobs; where to go on; whether
     /// there are more already.
-    Withdrawals {
+    Cancellations {
         life: u64,
         continues: bool,
         uids: Vec<String>,
         next: u64,
         more: bool,
     },
-    /// Whether a leader took the withdrawals on.
-    Withdrawn(bool),
+    /// Whether a leader took the cancellations on.
+    Cancelled(bool),
 }
 
 pub fn write_frame<T: BorshSerialize>(w: &mut impl Write, message: &T) -> io::Result<()> {
@@ -206,7 +206,7 @@
         let kept = self.idle.lock().ok().and_then(|mut i| i.pop());
         if let Some(mut s) = kept {
             // A kept connection may have died with the peer's earlier life. All that is asked is safe
-            // to repeat: a report has its serial, a submission or withdrawal its conditions, and a hello
+            // to repeat: a report has its serial, a submission or cancellation its conditions, and a hello
             // changes nothing the second time.
             s.set_read_timeout(Some(limit))?;
             s.set_write_timeout(Some(limit))?;
--- a/src/net/questions.rs
+++ b/src/net/questions.rs
@@ -7,12 +7,12 @@
 use super::cancellation;
 use super::front::{problem, respond, state, store_said, unavailable, Answer, USER_STALE};
 use super::listen::Request;
-use super::peer::{Ask, Reply, Word};
+use super::peer::{Ask, JobStanding, Reply};
 use super::store::{Asked, StoreError};
 use super::wire;
-use crate::core::inquiry::{self, Standing};
 use crate::core::ledger::Verdict;
 use crate::core::model::Uid;
+use crate::core::status_reads::{self, Standing};
 use crate::runtime::budget::Rank;
 use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
@@ -31,7 +31,7 @@
 /// How many questions share one call, within the limits of a transaction.
 pub fn most_at_once(shared: &Shared) -> usize {
     // Four times as many conditions as changes.
-    inquiry::most_at_once(shared.settings.params.txn_ops * 4, wire::BODY_LIMIT)
+    status_reads::most_at_once(shared.settings.params.txn_ops * 4, wire::BODY_LIMIT)
 }
 
 /// The job that a question's path names.
@@ -120,7 +120,7 @@
     }
     let mut accepted = shared.view.accepted_of(open.iter());
     let before = accepted.len();
-    let (mut said, trouble) = inquiry::standings(asked, &open, &mut accepted);
+    let (mut said, trouble) = status_reads::standings(asked, &open, &mut accepted);
     if accepted.len() > before {
         shared.view.remember_accepted(accepted.iter());
     }
@@ -137,7 +137,7 @@
 /// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are.
 /// Returns what kept it from finding out.
 fn withhold_unconfirmed(shared: &Shared, found: &mut HashMap<Uid, Standing>) -> Option<StoreError> {
-    let is_cancelled = |s: &Standing| *s == Some(Verdict::Withdrawn);
+    let is_cancelled = |s: &Standing| *s == Some(Verdict::Cancelled);
     let cancelled: BTreeSet<Uid> = found
         .iter()
         .filter(|(_, s)| is_cancelled(s))
@@ -161,16 +161,16 @@
         return found;
     };
     let ask = Ask::Questions(uids.iter().map(|u| u.0.clone()).collect());
-    let Ok(Reply::Words(words)) = peer.ask(&ask, PEER_PATIENCE) else {
+    let Ok(Reply::JobStandings(words)) = peer.ask(&ask, PEER_PATIENCE) else {
         return found;
     };
     for (uid, word) in uids.iter().zip(words) {
         let standing = match word {
-            Word::Silence => continue,
-            Word::NeverAccepted => None,
-            Word::Live => Some(Verdict::Live),
-            Word::Done => Some(Verdict::Done),
-            Word::Withdrawn => Some(Verdict::Withdrawn),
+            JobStanding::Silence => continue,
+            JobStanding::NeverAccepted => None,
+            JobStanding::Live => Some(Verdict::Live),
+            JobStanding::Done => Some(Verdict::Done),
+            JobStanding::Cancelled => Some(Verdict::Cancelled),
         };
         found.insert((*uid).clone(), standing);
     }
@@ -179,7 +179,7 @@
 }
 
 /// A peer's questions, which are not passed on a second time.
-pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<Word> {
+pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<JobStanding> {
     let uids: Vec<Option<Uid>> = names.iter().map(|n| Uid::parse(n)).collect();
     let until = Instant::now() + PEER_PATIENCE;
     let asked = Asked::new(&shared.store, &shared.stop, Rank::User, until);
@@ -189,11 +189,11 @@
         found.extend(local(shared, &asked, &part.iter().cloned().collect()).0);
     }
     let word = |uid: &Option<Uid>| match uid.as_ref().and_then(|u| found.get(u)) {
-        None => Word::Silence,
-        Some(None) => Word::NeverAccepted,
-        Some(Some(Verdict::Live)) => Word::Live,
-        Some(Some(Verdict::Done)) => Word::Done,
-        Some(Some(Verdict::Withdrawn)) => Word::Withdrawn,
+        None => JobStanding::Silence,
+        Some(None) => JobStanding::NeverAccepted,
+        Some(Some(Verdict::Live)) => JobStanding::Live,
+        Some(Some(Verdict::Done)) => JobStanding::Done,
+        Some(Some(Verdict::Cancelled)) => JobStanding::Cancelled,
     };
     uids.iter().map(word).collect()
 }
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -2,9 +2,9 @@
 
 use super::http::{Answer, CallError, Client};
 use super::wire::{self, StoredChunk, StoredHistory, StoredVerdict};
-use crate::core::inquiry::{Page, Records};
 use crate::core::ledger::{job_key, live_key, Batch, Op, Value, Verdict, VERDICT_PREFIX};
 use crate::core::model::Uid;
+use crate::core::status_reads::{Page, Records};
 use crate::runtime::budget::{shares, Bucket, Demand, Rank, LEADER_CHANGES};
 use crate::runtime::stop::Stop;
 use serde::de::{DeserializeOwned, IgnoredAny};
@@ -227,7 +227,7 @@
 const REFUSALS_APART: Duration = Duration::from_millis(500);
 /// Of the changes a second that the service takes, these are shared out.
 const SHARED_OUT: f64 = 0.97;
-/// The part of a node's requests that questions leave to submissions and withdrawals.
+/// The part of a node's requests that questions leave to submissions and cancellations.
 const QUESTIONS_LEAVE: f64 = 0.4;
 /// A question that finds the rate used up waits this long before it looks again.
 const QUESTION_PAUSE: Duration = Duration::from_millis(15);
@@ -364,7 +364,7 @@
     }
 
     /// For a call that answers questions. It leaves this part of the bucket to submissions and
-    /// withdrawals, so that no storm of questions holds them up.
+    /// cancellations, so that no storm of questions holds them up.
     pub fn question(&self, now: Instant) -> bool {
         self.users.0.take_above(1.0, QUESTIONS_LEAVE, now)
     }
@@ -706,7 +706,7 @@
     stop: &'a Stop,
     rank: Rank,
     until: Instant,
-    /// For a submission or a withdrawal, to which questions leave a part of the rate.
+    /// For a submission or a cancellation, to which questions leave a part of the rate.
     change: bool,
     /// The first call's part of the rate has been taken already.
     paid: Cell<bool>,
@@ -724,7 +724,7 @@
         }
     }
 
-    /// What a submission or a withdrawal has to ask.
+    /// What a submission or a cancellation has to ask.
     pub fn for_change(store: &'a Store, stop: &'a Stop, until: Instant) -> Asked<'a> {
         Asked {
             change: true,
--- a/src/net/submission.rs
+++ b/src/net/submission.rs
@@ -10,9 +10,9 @@
 use super::store::{Asked, Change, Content, StoreError, Txn};
 use super::wire::{self, JustUid, StoredJob, Submission};
 use crate::core::admission;
-use crate::core::inquiry::{self, Standing};
 use crate::core::ledger::{job_key, live_key, Verdict};
 use crate::core::model::{JobSpec, Uid};
+use crate::core::status_reads::{self, Standing};
 use crate::runtime::budget::Rank;
 use crate::runtime::service::Shared;
 use std::collections::{BTreeSet, HashMap};
@@ -232,7 +232,7 @@
         match found.get(dependency) {
             Some(Some(Verdict::Live)) => open.push(dependency.clone()),
             Some(Some(Verdict::Done)) => {}
-            Some(Some(Verdict::Withdrawn)) => cancelled = true,
+            Some(Some(Verdict::Cancelled)) => cancelled = true,
             Some(None) => return Ok(Resolution::NeverAccepted(dependency.clone())),
             None => return Err(StoreError::Unavailable),
         }
@@ -260,10 +260,10 @@
     for part in left.chunks(questions::most_at_once(shared)) {
         let part: BTreeSet<Uid> = part.iter().map(|u| (*u).clone()).collect();
         let mut accepted = shared.view.accepted_of(part.iter());
-        let (mut said, trouble) = inquiry::standings(&asked, &part, &mut accepted);
+        let (mut said, trouble) = status_reads::standings(&asked, &part, &mut accepted);
         found.extend(said.iter().map(|(u, s)| (u.clone(), *s)));
         // Users are told of a cancellation only once it is confirmed.
-        said.retain(|_, standing| *standing != Some(Verdict::Withdrawn));
+        said.retain(|_, standing| *standing != Some(Verdict::Cancelled));
         shared.view.learn(&said);
         if let Some(e) = trouble {
             return Err(e);
@@ -278,7 +278,7 @@
     let key = job_key(uid);
     let change = Change::Put {
         key: &key,
-        value: Content::Verdict(Verdict::Withdrawn.into()),
+        value: Content::Verdict(Verdict::Cancelled.into()),
         permit: None,
     };
     let store = &shared.store;
@@ -286,9 +286,9 @@
     store_said(shared, &result);
     match result {
         Ok(Txn::Applied { .. }) => {
-            shared.view.remember_final(uid, Verdict::Withdrawn);
+            shared.view.remember_final(uid, Verdict::Cancelled);
             log::info!("accepted, cancelled with a dependency job={uid}");
-            // In the interface's form; from now on it is withdrawn.
+            // In the interface's form; from now on it is cancelled.
             Ok(((201, state(shared, uid, Verdict::Live, false)), None))
         }
         Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => {
--- a/src/net/wire.rs
+++ b/src/net/wire.rs
@@ -78,7 +78,7 @@
         let uid = self.uid.as_deref().and_then(Uid::parse).ok_or("Uid")?;
         let kind = match self.job_kind.as_deref() {
             // `service` is not in the protocol's list, yet the users' own trial submits it: tasks that
-            // run until they are withdrawn. They are placed like independent ones (docs/questions.md).
+            // run until they are cancelled. They are placed like independent ones (docs/questions.md).
             Some("batch" | "service") => JobKind::Batch,
             Some("group") => JobKind::Gang,
             _ => return Err("JobKind"),
@@ -303,7 +303,7 @@
         let p = match v {
             Verdict::Live => "live",
             Verdict::Done => "done",
-            Verdict::Withdrawn => "withdrawn",
+            Verdict::Cancelled => "withdrawn",
         };
         StoredVerdict { p: p.to_owned() }
     }
@@ -314,7 +314,7 @@
         match self.p.as_str() {
             "live" => Some(Verdict::Live),
             "done" => Some(Verdict::Done),
-            "withdrawn" => Some(Verdict::Withdrawn),
+            "withdrawn" => Some(Verdict::Cancelled),
             _ => None,
         }
     }
--- a/src/runtime/clerks.rs
+++ b/src/runtime/cloud_workers.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Carries out rentals and returns, in order, within the cloud's rate.
-pub fn cloud_clerk(shared: &Shared, bucket: &Bucket, orders: &Receiver<CloudOrder>) {
+pub fn cloud_worker(shared: &Shared, bucket: &Bucket, orders: &Receiver<CloudOrder>) {
     while let Ok(order) = orders.recv() {
         while !bucket.take(1.0) {
             if shared.stop.wait(Duration::from_millis(150)) {
--- a/src/runtime/duties.rs
+++ b/src/runtime/duties.rs
@@ -1,7 +1,7 @@
 //! The routines that serve a leader: the core's loop, the queue's feed and the store's writer.
 
 use super::budget::Rank;
-use super::elector::Sign;
+use super::elector::ElectorEvent;
 use super::service::Shared;
 use super::stop::Stop;
 use crate::core::backoff::Backoff;
@@ -9,7 +9,7 @@
 use crate::core::cluster::{Action, Answer, CancelSource, Cluster};
 use crate::core::ledger::{self, Batch, BatchOutcome, Verdict};
 use crate::core::model::*;
-use crate::core::watermark::{self, Moment, Word};
+use crate::core::watermark::{self, Moment, Statement};
 use crate::net::store::{StoreError, Txn};
 use crate::net::wire::{RentRequest, StoredJob, StoredVerdict};
 use crossbeam::channel::{Receiver, Sender};
@@ -25,7 +25,7 @@
     /// Reports that came together, answered together.
     Beats(Vec<Report>, Sender<Vec<BeatReply>>),
     Job(Term, Box<JobSpec>, u64),
-    Withdrawn(Term, Uid),
+    Cancelled(Term, Uid),
     Written(Term, BatchOutcome),
     Sent(Term, HostId, Option<Report>),
     Rented(Term, String, Rented),
@@ -34,10 +34,10 @@
     Types(Vec<HostType>),
     /// How jobs ended that others need and that were not known.
     Ended(Term, Vec<(Uid, Verdict)>),
-    /// All withdrawals that the state service held when it was asked have gone before this.
+    /// All cancellations that the state service held when it was asked have gone before this.
     Read(Term, Moment),
-    /// Jobs that a peer knows to be withdrawn, and what that covers; from users, it covers nothing.
-    Told(Term, Vec<Uid>, Option<(String, Word)>),
+    /// Jobs that a peer knows to be cancelled, and what that covers; from users, it covers nothing.
+    Told(Term, Vec<Uid>, Option<(String, Statement)>),
 }
 
 pub enum BeatReply {
@@ -66,7 +66,7 @@
     pub store: Sender<(Term, Batch)>,
     pub agents: Sender<SendOrder>,
     pub cloud: Sender<CloudOrder>,
-    pub signs: Sender<Sign>,
+    pub elector_events: Sender<ElectorEvent>,
 }
 
 /// Jobs' counts are for display: users may learn of them a second late.
@@ -139,7 +139,7 @@
         let certain = shared.surely_leads(c.term);
         c.confirm(certain);
         if ticking {
-            c.pace.strain(now, shared.worst_strain());
+            c.start_limiter.strain(now, shared.worst_strain());
         }
         let actions = if ticking { c.tick(now) } else { c.flush(now) };
         if ticking {
@@ -149,7 +149,7 @@
             c.tick_took(took);
             // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
             if certain && c.is_deaf(now) {
-                let _ = out.signs.try_send(Sign::Deaf(c.term));
+                let _ = out.elector_events.try_send(ElectorEvent::Deaf(c.term));
             }
         }
         perform(shared, c, actions, now, out);
@@ -206,7 +206,7 @@
                     Answer::Superseded(t) => {
                         // Never waits: the elector may be waiting for this loop. It will be seen
                         // again.
-                        let _ = out.signs.try_send(Sign::Term(t));
+                        let _ = out.elector_events.try_send(ElectorEvent::Term(t));
                         BeatReply::NotLeader
                     }
                 }
@@ -214,31 +214,31 @@
             let _ = reply.send(answers.collect());
         }
         Event::Job(t, spec, stamp) if t == term => c.on_job(*spec, stamp),
-        Event::Withdrawn(t, uid) if t == term => c.on_withdrawn(now, &uid),
+        Event::Cancelled(t, uid) if t == term => c.on_cancel_marked(now, &uid),
         Event::Ended(t, ends) if t == term => {
             for (uid, verdict) in ends {
                 c.ended_before(now, &uid, verdict);
             }
         }
-        Event::Read(t, asked) if t == term => c.withdrawals_read(asked),
+        Event::Read(t, asked) if t == term => c.cancellations_read(asked),
         Event::Told(t, uids, covers) if t == term => {
             for uid in &uids {
                 c.on_cancelled(now, uid, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
-                c.withdrawals_told(&peer, word);
+                c.cancellations_told(&peer, word);
             }
         }
         Event::Written(t, outcome) if t == term => {
             let superseded = c.on_batch(now, outcome);
             if superseded {
                 log::warn!("a write met a newer leader term={}", term.0);
-                let _ = out.signs.try_send(Sign::Leader(None));
+                let _ = out.elector_events.try_send(ElectorEvent::Leader(None));
             }
         }
         Event::Sent(t, host, report) if t == term => {
             if let Some(higher) = c.on_sent(now, &host, report) {
-                let _ = out.signs.try_send(Sign::Term(higher));
+                let _ = out.elector_events.try_send(ElectorEvent::Term(higher));
             }
         }
         Event::Rented(t, claim, outcome) if t == term => c.on_rented(now, &claim, outcome),
@@ -363,7 +363,7 @@
         c.term.0,
         c.jobs.len(),
         shared.strain.now().as_millis(),
-        c.pace.bound().map_or(-1.0, f64::round),
+        c.start_limiter.bound().map_or(-1.0, f64::round),
         c.hosts.len(),
         m.starts.facts("starts"),
         m.rounds.facts("rounds"),
@@ -379,9 +379,9 @@
     Other(IgnoredAny),
 }
 
-/// Follows the queue: accepted jobs and withdrawals, whichever node took them.
+/// Follows the queue: accepted jobs and cancellations, whichever node took them.
 pub fn feed(shared: &Shared, term: Term, mut revision: u64, stop: &Stop) {
-    // Each answer moves the watermark of withdrawals to when it was asked for.
+    // Each answer moves the watermark of cancellations to when it was asked for.
     let params = &shared.settings.params;
     let (patience, _) = watermark::patience(params.lease, params.cancel);
     let block = WATCH_BLOCK.min(patience / 3);
@@ -442,8 +442,8 @@
 }
 
 fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, stamp: u64) {
-    let event = if let Some(uid) = key.strip_prefix(ledger::WITHDRAWN_PREFIX) {
-        Uid::parse(uid).map(|u| Event::Withdrawn(term, u))
+    let event = if let Some(uid) = key.strip_prefix(ledger::CANCEL_MARK_PREFIX) {
+        Uid::parse(uid).map(|u| Event::Cancelled(term, u))
     } else {
         match value {
             // The index keeps a job for a while after its verdict.
@@ -524,6 +524,6 @@
         Verdict::Live if running > 0 => "running",
         Verdict::Live => "queued",
         Verdict::Done => "done",
-        Verdict::Withdrawn => "withdrawn",
+        Verdict::Cancelled => "withdrawn",
     }
 }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -6,10 +6,10 @@
 use super::view::RoleView;
 use crate::core::cluster::{CancelSource, Cluster};
 use crate::core::history::Summary;
-use crate::core::inquiry::{self, Standing};
 use crate::core::leadership::{LeaderRecord, Leadership, Role, Step};
 use crate::core::ledger::{self, Verdict, CONTROL_PREFIX, LEADER_KEY, TERM_KEY, TYPES_KEY};
 use crate::core::model::{Term, Uid};
+use crate::core::status_reads::{self, Standing};
 use crate::core::watermark::Moment;
 use crate::net::questions;
 use crate::net::store::{Asked, Change, Content, Pair, StoreError, Txn};
@@ -21,7 +21,7 @@
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
-use std::time::{Duration, Instant, SystemTime};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const CALL: Duration = Duration::from_millis(1500);
 /// Who gave the leadership up because it heard nobody takes it again only after this.
@@ -33,10 +33,12 @@
 const MOST_LONGER: f64 = 3.0;
 /// Before a call that failed is made again while loading.
 const LOAD_PAUSE: Duration = Duration::from_millis(100);
+/// How long reading the history's summary may take.
+const HISTORY_LIMIT: Duration = Duration::from_secs(4);
 const WATCH_BLOCK: Duration = Duration::from_secs(5);
 
 /// What the elector hears.
-pub enum Sign {
+pub enum ElectorEvent {
     Leader(Option<LeaderRecord>),
     Term(Term),
     /// The leader of this term hears no worker.
@@ -68,9 +70,9 @@
 }
 
 /// Follows the control keys: the leader and the machine types.
-pub fn watch_control(shared: &Shared, signs: &Sender<Sign>) {
+pub fn watch_control(shared: &Shared, elector_events: &Sender<ElectorEvent>) {
     while !shared.stop.stopped() {
-        if let Err(e) = watch_until_trouble(shared, signs) {
+        if let Err(e) = watch_until_trouble(shared, elector_events) {
             log::debug!("watch of the control keys ended why=\"{e}\"");
             shared
                 .view
@@ -81,7 +83,10 @@
     }
 }
 
-fn watch_until_trouble(shared: &Shared, signs: &Sender<Sign>) -> Result<(), StoreError> {
+fn watch_until_trouble(
+    shared: &Shared,
+    elector_events: &Sender<ElectorEvent>,
+) -> Result<(), StoreError> {
     let (pairs, mut revision) = shared
         .store
         .list::<Control>(CONTROL_PREFIX, Rank::Leader, CALL)?;
@@ -94,7 +99,7 @@
             _ => {}
         }
     }
-    let _ = signs.send(Sign::Leader(leader));
+    let _ = elector_events.send(ElectorEvent::Leader(leader));
     while !shared.stop.stopped() {
         let changes = shared
             .store
@@ -103,11 +108,11 @@
         revision = changes.revision.max(revision);
         for c in changes.log {
             if c.delete.as_deref() == Some(LEADER_KEY) {
-                let _ = signs.send(Sign::Leader(None));
+                let _ = elector_events.send(ElectorEvent::Leader(None));
             }
             match (c.put.as_deref(), c.value, c.stamp) {
                 (Some(LEADER_KEY), Some(Control::Leader(l)), Some(stamp)) => {
-                    let _ = signs.send(Sign::Leader(Some(record(l, stamp))));
+                    let _ = elector_events.send(ElectorEvent::Leader(Some(record(l, stamp))));
                 }
                 (Some(TYPES_KEY), Some(Control::Types(t)), _) => take_types(shared, &t),
                 _ => {}
@@ -118,7 +123,7 @@
 }
 
 /// Campaigns and renews; starts and stops what a term needs.
-pub fn elect(shared: &Arc<Shared>, signs: &Receiver<Sign>) {
+pub fn elect(shared: &Arc<Shared>, elector_events: &Receiver<ElectorEvent>) {
     let mut life = shared.settings.operations.leader_lease;
     let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
     let mut machine = Leadership::new(&shared.settings.member, boot, life / 4);
@@ -127,13 +132,13 @@
     let mut heard = false;
     let mut vacant: Option<Instant> = None;
     while !shared.stop.stopped() {
-        let mut step = match signs.recv_timeout(Duration::from_millis(250)) {
-            Ok(Sign::Leader(r)) => {
+        let mut step = match elector_events.recv_timeout(Duration::from_millis(250)) {
+            Ok(ElectorEvent::Leader(r)) => {
                 heard = true;
                 machine.observed(Instant::now(), r)
             }
-            Ok(Sign::Term(t)) => machine.term_seen(t),
-            Ok(Sign::Deaf(t)) => {
+            Ok(ElectorEvent::Term(t)) => machine.term_seen(t),
+            Ok(ElectorEvent::Deaf(t)) => {
                 let step = machine.resign(Instant::now(), t, RESIGNED);
                 if let (Step::StepDown, Some(p)) = (&step, permit) {
                     log::warn!(
@@ -397,7 +402,7 @@
         loop {
             let patience = (Instant::now() + CALL).min(until);
             let asked = Asked::new(&shared.store, stop, Rank::Leader, patience);
-            let (found, trouble) = inquiry::standings(&asked, &left, &mut accepted);
+            let (found, trouble) = status_reads::standings(&asked, &left, &mut accepted);
             left.retain(|u| !found.contains_key(u));
             all.extend(found);
             match trouble {
@@ -423,84 +428,118 @@
         .list_patiently(prefix, Rank::Leader, limit, patience, stop)
 }
 
+/// What the state service holds of the cluster.
+struct StoredPicture {
+    lists: Vec<Pair<IgnoredAny>>,
+    live: Vec<Pair<StoredJob>>,
+    cancel_marks: Vec<Pair<IgnoredAny>>,
+    intents: Vec<Pair<StoredChunk>>,
+    history: Option<StoredHistory>,
+    /// From here on the watch of the queue misses nothing of it.
+    revision: u64,
+}
+
+fn read_picture(shared: &Shared, stop: &Stop) -> Result<StoredPicture, StoreError> {
+    let (lists, _) = read_all(shared, ledger::DEPENDENTS_PREFIX, stop)?;
+    let (live, revision) = read_all(shared, ledger::LIVE_PREFIX, stop)?;
+    let (cancel_marks, _) = read_all(shared, ledger::CANCEL_MARK_PREFIX, stop)?;
+    let (intents, _) = read_all(shared, ledger::INTENT_PREFIX, stop)?;
+    let history =
+        shared
+            .store
+            .get::<StoredHistory>(ledger::HISTORY_KEY, Rank::Leader, HISTORY_LIMIT)?;
+    Ok(StoredPicture {
+        lists,
+        live,
+        cancel_marks,
+        intents,
+        history: history.map(|entry| entry.value),
+        revision,
+    })
+}
+
+/// The job that a key under a prefix names.
+fn job_under(prefix: &str, key: &str) -> Option<Uid> {
+    key.strip_prefix(prefix).and_then(Uid::parse)
+}
+
 fn load(
     shared: &Shared,
     term: Term,
     stamp: u64,
     stop: &Stop,
 ) -> Result<(Cluster, u64), StoreError> {
-    let limit = Duration::from_secs(4);
-    let rank = Rank::Leader;
     let began = Moment::now();
-    let store = &shared.store;
-    let (lists, _) = read_all::<IgnoredAny>(shared, ledger::DEPENDENTS_PREFIX, stop)?;
-    let (live, revision) = read_all::<StoredJob>(shared, ledger::LIVE_PREFIX, stop)?;
-    let (withdrawn, _) = read_all::<IgnoredAny>(shared, ledger::WITHDRAWN_PREFIX, stop)?;
-    let (intents, _) = read_all::<StoredChunk>(shared, ledger::INTENT_PREFIX, stop)?;
-    let history = store.get::<StoredHistory>(ledger::HISTORY_KEY, rank, limit)?;
+    let picture = read_picture(shared, stop)?;
+    let over = over_already(shared, &picture.live, stop)?;
+    let ends = ends_of_needed(shared, &picture.live, stop)?;
+    let (jobs, chunks) = (picture.live.len(), picture.intents.len());
+    let revision = picture.revision;
     let now = Instant::now();
-    let now_ms = std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
+    let mut cluster = empty_cluster(shared, term, stamp, now);
+    let peers = shared.peers.iter().map(|p| p.member.clone());
+    cluster.confirmed_by(peers, began);
+    for (uid, verdict) in ends {
+        cluster.ended_before(now, &uid, verdict);
+    }
+    enter_picture(&mut cluster, now, picture, &over);
+    log::info!("loaded term={} jobs={jobs} intent_keys={chunks}", term.0);
+    Ok((cluster, revision))
+}
+
+fn empty_cluster(shared: &Shared, term: Term, stamp: u64, now: Instant) -> Cluster {
+    let now_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_millis() as u64);
     let types = shared.view.read().types.clone();
     let params = shared.settings.params.clone();
-    let mut c = Cluster::new(params, term, stamp, types, now, now_ms);
-    let peers = shared.peers.iter().map(|p| p.member.clone());
-    c.confirmed_by(peers, began);
-    if let Some(h) = history {
-        c.history.load(&Summary::from(h.value));
-    }
-    let (jobs, chunks) = (live.len(), intents.len());
-    let over = over_already(shared, &live, stop)?;
-    let ends = ends_of_needed(shared, &live, stop)?;
-    for (uid, verdict) in ends {
-        c.ended_before(now, &uid, verdict);
+    Cluster::new(params, term, stamp, types, now, now_ms)
+}
+
+/// Takes over what was read, with the verdicts of jobs that are still in the index.
+fn enter_picture(
+    cluster: &mut Cluster,
+    now: Instant,
+    picture: StoredPicture,
+    over: &HashMap<Uid, Verdict>,
+) {
+    if let Some(history) = picture.history {
+        cluster.history.load(&Summary::from(history));
     }
     let mut cancelled = Vec::new();
-    for p in live {
-        let Some(spec) = p.value.into_spec() else {
+    for pair in picture.live {
+        let Some(spec) = pair.value.into_spec() else {
             continue;
         };
-        let uid = spec.uid.clone();
-        match over.get(&uid) {
+        match over.get(&spec.uid) {
             Some(Verdict::Done) => {
-                c.ended_before(now, &uid, Verdict::Done);
-                c.forget_index(&uid);
+                cluster.ended_before(now, &spec.uid, Verdict::Done);
+                cluster.forget_index(&spec.uid);
             }
-            Some(Verdict::Withdrawn) => {
-                c.on_job(spec, p.stamp);
-                cancelled.push(uid);
+            Some(Verdict::Cancelled) => {
+                cancelled.push(spec.uid.clone());
+                cluster.on_job(spec, pair.stamp);
             }
-            _ => c.on_job(spec, p.stamp),
+            _ => cluster.on_job(spec, pair.stamp),
         }
     }
-    for p in lists {
-        if let Some(uid) = p
-            .path
-            .strip_prefix(ledger::DEPENDENTS_PREFIX)
-            .and_then(Uid::parse)
-        {
-            c.load_list(&uid);
+    for pair in picture.lists {
+        if let Some(uid) = job_under(ledger::DEPENDENTS_PREFIX, &pair.path) {
+            cluster.load_list(&uid);
         }
     }
-    for p in intents {
-        if let Some((uid, index)) = ledger::parse_chunk_key(&p.path) {
-            c.load_chunk(now, &uid, index, p.value.into_value(), p.stamp);
+    for pair in picture.intents {
+        if let Some((uid, index)) = ledger::parse_chunk_key(&pair.path) {
+            cluster.load_chunk(now, &uid, index, pair.value.into_value(), pair.stamp);
         }
     }
-    for p in withdrawn {
-        if let Some(uid) = p
-            .path
-            .strip_prefix(ledger::WITHDRAWN_PREFIX)
-            .and_then(Uid::parse)
-        {
-            c.on_cancelled(now, &uid, CancelSource::Load);
+    // After the intents, so that no task of a cancelled job is overlooked.
+    for pair in picture.cancel_marks {
+        if let Some(uid) = job_under(ledger::CANCEL_MARK_PREFIX, &pair.path) {
+            cluster.on_cancelled(now, &uid, CancelSource::Load);
         }
     }
-    // After their intents, so that no task of theirs is overlooked.
     for uid in cancelled {
-        c.on_cancelled(now, &uid, CancelSource::Verdict);
+        cluster.on_cancelled(now, &uid, CancelSource::Verdict);
     }
-    log::info!("loaded term={} jobs={jobs} intent_keys={chunks}", term.0);
-    Ok((c, revision))
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,13 +1,13 @@
 //! Threads, channels, timers and cancellation round the core.
 
 pub mod budget;
-pub mod clerks;
+pub mod cloud_workers;
 pub mod duties;
 pub mod elector;
 pub mod metrics;
-pub mod peering;
-pub mod pulse;
+pub mod peer_duties;
 pub mod service;
+pub mod stall_detector;
 pub mod stop;
 pub mod view;
 pub mod workers;
--- a/src/runtime/peering.rs
+++ b/src/runtime/peer_duties.rs
@@ -2,11 +2,11 @@
 
 use super::budget::Demand;
 use super::duties::{Event, Order, SendOrder};
-use super::elector::Sign;
+use super::elector::ElectorEvent;
 use super::service::{Shared, AWAITED_RELAYED};
-use super::view::{PeerWord, RoleView};
+use super::view::{PeerStatus, RoleView};
 use crate::core::model::*;
-use crate::core::watermark::{Moment, Word};
+use crate::core::watermark::{Moment, Statement};
 use crate::net::agent;
 use crate::net::front;
 use crate::net::peer::{self, Ask, Hello, Peer, Reply};
@@ -162,7 +162,7 @@
     }
 }
 
-/// Reads what a peer knows to be withdrawn, for a leader that may not hear of it from the state service.
+/// Reads what a peer knows to be cancelled, for a leader that may not hear of it from the state service.
 #[derive(Default)]
 struct Reader {
     term: Option<Term>,
@@ -180,14 +180,14 @@
             // No word counts across a term.
             (self.term, self.from) = (term, None);
         }
-        let Some(term) = term.filter(|_| peer.knows(peer::FRAMES_WITHDRAWALS)) else {
+        let Some(term) = term.filter(|_| peer.knows(peer::FRAMES_CANCELLATIONS)) else {
             return;
         };
         let mut more = true;
         while more && !shared.stop.stopped() {
             let asked = Moment::now();
-            let ask = Ask::Withdrawals { from: self.from };
-            let Ok(Reply::Withdrawals {
+            let ask = Ask::Cancellations { from: self.from };
+            let Ok(Reply::Cancellations {
                 life,
                 continues,
                 uids,
@@ -200,7 +200,7 @@
             let came = Moment::now();
             self.from = Some((life, next));
             more = rest;
-            let word = Word {
+            let word = Statement {
                 asked,
                 came,
                 continues,
@@ -221,7 +221,7 @@
         users: h.users_changes,
         leader: h.leader_changes,
     };
-    let word = PeerWord {
+    let word = PeerStatus {
         at: now,
         store_ok: h.store_ok,
         workers: h.workers,
@@ -232,7 +232,7 @@
     if let Some(term) = h.leads {
         let own = shared.view.read().highest;
         if Term(term) > own {
-            let _ = shared.signs.send(Sign::Term(Term(term)));
+            let _ = shared.elector_events.send(ElectorEvent::Term(Term(term)));
         }
     }
 }
@@ -272,10 +272,10 @@
             Ask::Command { endpoint, body } => {
                 Reply::Command(agent::deliver(&shared.agent, &endpoint, &body))
             }
-            Ask::Questions(names) => Reply::Words(questions::for_peer(shared, &names)),
-            Ask::Withdrawals { from } => {
-                let page = shared.view.withdrawals(from);
-                Reply::Withdrawals {
+            Ask::Questions(names) => Reply::JobStandings(questions::for_peer(shared, &names)),
+            Ask::Cancellations { from } => {
+                let page = shared.view.cancellations(from);
+                Reply::Cancellations {
                     life: page.life,
                     continues: page.continues,
                     uids: page.uids.into_iter().map(|u| u.0).collect(),
@@ -283,9 +283,9 @@
                     more: page.more,
                 }
             }
-            Ask::Withdrawn(names) => {
+            Ask::Cancelled(names) => {
                 let uids: Vec<Uid> = names.iter().filter_map(|n| Uid::parse(n)).collect();
-                Reply::Withdrawn(shared.take_on_withdrawals(uids))
+                Reply::Cancelled(shared.take_on_cancellations(uids))
             }
             Ask::User { method, path, body } => {
                 let ((status, body), retry) = front::for_peer(shared, &method, &path, &body);
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -1,12 +1,12 @@
 //! One controller node: everything that its threads share, and how they are started and stopped.
 
 use super::budget::{Bucket, Crowd};
-use super::clerks;
+use super::cloud_workers;
 use super::duties::{self, BeatReply, Event, Outlets};
-use super::elector::{self, Sign};
+use super::elector::{self, ElectorEvent};
 use super::metrics::{Meter, Strain};
-use super::peering;
-use super::pulse::Pulse;
+use super::peer_duties;
+use super::stall_detector::StallDetector;
 use super::stop::Stop;
 use super::view::{RoleView, View};
 use super::workers::Workers;
@@ -41,7 +41,7 @@
 
 /// How long a frame of reports may take to the leader and back: a worker waits 4 s.
 const RELAY_LIMIT: Duration = Duration::from_millis(2500);
-/// How long a withdrawal's confirmation waits for the leader's acknowledgement.
+/// How long a cancellation's confirmation waits for the leader's acknowledgement.
 const TELL_LIMIT: Duration = Duration::from_millis(500);
 /// How long reports wait for a leader from when they came, or from when a peer passed them on, and how
 /// often that is looked at. With the relay they are answered within the worker's 4 s.
@@ -56,7 +56,7 @@
     pub store: Store,
     pub cloud: Cloud,
     pub events: Sender<Event>,
-    pub signs: Sender<Sign>,
+    pub elector_events: Sender<ElectorEvent>,
     pub peers: Vec<Arc<Peer>>,
     pub stop: Stop,
     /// Wakes the cloud's reader.
@@ -66,7 +66,7 @@
     pub workers: Workers,
     pub crowd: Crowd,
     pub live_index: LiveIndex,
-    pub pulse: Pulse,
+    pub stall_detector: StallDetector,
     pub strain: Strain,
 }
 
@@ -83,7 +83,7 @@
 
     /// When this process last woke from standing still.
     pub fn woke(&self) -> Option<Instant> {
-        self.pulse.look(Instant::now(), SystemTime::now())
+        self.stall_detector.look(Instant::now(), SystemTime::now())
     }
 
     /// How late timers fire on the node that is worst off, as far as this one knows.
@@ -109,7 +109,8 @@
 
     /// What is read now may have waited in its socket while this process stood still.
     pub fn waking(&self) -> bool {
-        self.pulse.waking(Instant::now(), SystemTime::now())
+        self.stall_detector
+            .waking(Instant::now(), SystemTime::now())
     }
 
     pub fn healthy(&self, now: Instant) -> bool {
@@ -123,8 +124,8 @@
         self.store.budgets().share_out(&peers, now);
     }
 
-    /// Jobs that a user is about to be told are withdrawn. Whether this node leads and heeds it.
-    pub fn take_on_withdrawals(&self, uids: Vec<Uid>) -> bool {
+    /// Jobs that a user is about to be told are cancelled. Whether this node leads and heeds it.
+    pub fn take_on_cancellations(&self, uids: Vec<Uid>) -> bool {
         let term = {
             let i = self.view.read();
             i.loaded.filter(|t| i.role == RoleView::Leader(*t))
@@ -136,7 +137,7 @@
         self.events.send_timeout(event, TELL_LIMIT / 2).is_ok()
     }
 
-    /// Tells the acting leader, where it can be reached, before a user hears that jobs are withdrawn:
+    /// Tells the acting leader, where it can be reached, before a user hears that jobs are cancelled:
     /// it may have lost the state service, and would start or keep the job's tasks. If it cannot be
     /// told, it reads it from us later, or answers no more reports (`core/watermark`).
     pub fn tell_leader(&self, uids: &[Uid]) {
@@ -146,20 +147,20 @@
             RoleView::Follower(None) => return,
         };
         let Some(leader) = leader else {
-            self.take_on_withdrawals(uids.to_vec());
+            self.take_on_cancellations(uids.to_vec());
             return;
         };
         let live = self.view.live_peers(Instant::now());
         let knows = |p: &&Arc<Peer>| {
             p.member == leader
-                && p.knows(peer::FRAMES_WITHDRAWALS)
+                && p.knows(peer::FRAMES_CANCELLATIONS)
                 && live.iter().any(|(m, _)| *m == leader)
         };
         if let Some(p) = self.peers.iter().find(knows) {
             let names: Vec<String> = uids.iter().map(|u| u.0.clone()).collect();
-            if let Err(e) = p.ask(&Ask::Withdrawn(names), TELL_LIMIT) {
+            if let Err(e) = p.ask(&Ask::Cancelled(names), TELL_LIMIT) {
                 let jobs = uids.len();
-                log::debug!("the leader was not told of withdrawals jobs={jobs} why=\"{e}\"");
+                log::debug!("the leader was not told of cancellations jobs={jobs} why=\"{e}\"");
             }
         }
     }
@@ -335,7 +336,7 @@
         let cloud = Cloud::new(client);
         let cloud_bucket = Arc::new(Bucket::new(settings.cloud_rps * 0.8, 1.5, now));
         let (events, event_queue) = bounded(512);
-        let (signs, sign_queue) = bounded(256);
+        let (elector_events, sign_queue) = bounded(256);
         let (batches, batch_queue) = bounded(1);
         let (orders, order_queue) = bounded(64);
         let (cloud_orders, cloud_queue) = bounded(32);
@@ -348,7 +349,7 @@
         let agents = settings.operations.agents;
         let sockets = settings.sockets();
         let settings_report = settings.params.report;
-        let pulse = Pulse::new(settings.skew, now, SystemTime::now());
+        let stall_detector = StallDetector::new(settings.skew, now, SystemTime::now());
         let shared = Arc::new(Shared {
             settings,
             meters,
@@ -356,7 +357,7 @@
             store,
             cloud,
             events,
-            signs: signs.clone(),
+            elector_events: elector_events.clone(),
             peers,
             stop: Stop::new(),
             wake,
@@ -364,7 +365,7 @@
             workers: Workers::new(settings_report),
             crowd: Crowd::default(),
             live_index: LiveIndex::default(),
-            pulse,
+            stall_detector,
             strain: Strain::default(),
         });
         let mut threads = Vec::new();
@@ -377,7 +378,7 @@
             store: batches,
             agents: orders,
             cloud: cloud_orders,
-            signs: signs.clone(),
+            elector_events: elector_events.clone(),
         };
         let s = shared.clone();
         spawn(
@@ -392,33 +393,33 @@
         let (s, b) = (shared.clone(), cloud_bucket.clone());
         spawn(
             "clerk",
-            Box::new(move || clerks::cloud_clerk(&s, &b, &cloud_queue)),
+            Box::new(move || cloud_workers::cloud_worker(&s, &b, &cloud_queue)),
         )?;
         let s = shared.clone();
         spawn(
             "cloud",
-            Box::new(move || clerks::cloud_reader(&s, &cloud_bucket, &wake_queue)),
+            Box::new(move || cloud_workers::cloud_reader(&s, &cloud_bucket, &wake_queue)),
         )?;
         for _ in 0..agents {
             let (s, q) = (shared.clone(), order_queue.clone());
-            let send = move || peering::send_commands(&s, &s.agent, &q);
+            let send = move || peer_duties::send_commands(&s, &s.agent, &q);
             spawn("agent", Box::new(send))?;
         }
         let s = shared.clone();
         spawn(
             "watch",
-            Box::new(move || elector::watch_control(&s, &signs)),
+            Box::new(move || elector::watch_control(&s, &elector_events)),
         )?;
         let s = shared.clone();
         spawn("elector", Box::new(move || elector::elect(&s, &sign_queue)))?;
         for p in shared.peers.clone() {
             let s = shared.clone();
-            spawn("announce", Box::new(move || peering::announce(&s, &p)))?;
+            spawn("announce", Box::new(move || peer_duties::announce(&s, &p)))?;
         }
         let s = shared.clone();
         spawn(
             "peers",
-            Box::new(move || peering::listen_peers(&s, &peer_listener)),
+            Box::new(move || peer_duties::listen_peers(&s, &peer_listener)),
         )?;
         front::serve(&shared, front_listener, &mut spawn)?;
         log::info!(
--- a/src/runtime/pulse.rs
+++ b/src/runtime/stall_detector.rs
@@ -17,15 +17,15 @@
     woke: Option<Instant>,
 }
 
-pub struct Pulse {
+pub struct StallDetector {
     /// How far the clocks of a running process may come apart between two looks.
     apart: Duration,
     state: Mutex<State>,
 }
 
-impl Pulse {
-    pub fn new(skew: Duration, now: Instant, day: SystemTime) -> Pulse {
-        Pulse {
+impl StallDetector {
+    pub fn new(skew: Duration, now: Instant, day: SystemTime) -> StallDetector {
+        StallDetector {
             // The time of day wanders by the skew either way.
             apart: STANDSTILL + skew * 2,
             state: Mutex::new(State {
--- a/src/runtime/view.rs
+++ b/src/runtime/view.rs
@@ -1,9 +1,9 @@
 //! What every thread of a node may know: who leads, the machine types, jobs' progress.
 
-use crate::core::inquiry::Standing;
 use crate::core::leadership::LeaderRecord;
 use crate::core::ledger::Verdict;
 use crate::core::model::{HostType, Term, Uid};
+use crate::core::status_reads::Standing;
 use crate::runtime::budget::Demand;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
@@ -13,7 +13,7 @@
 const FINALS_KEPT: usize = 20_000;
 /// Jobs known to have been accepted and not known to be over. Without one, a question costs more.
 const ACCEPTED_KEPT: usize = 100_000;
-/// Withdrawals told at a time.
+/// Cancellations told at a time.
 const PAGE: usize = 5_000;
 /// The state service counts as lost to this node after failing for this long.
 const STORE_LOST: Duration = Duration::from_secs(2);
@@ -41,25 +41,25 @@
     /// Until when nobody else can have taken the leadership that this node has, by both clocks: one of
     /// them may stand still with the process.
     leads_until: Option<(Instant, SystemTime)>,
-    peers: HashMap<String, PeerWord>,
-    withdrawals: Withdrawals,
+    peers: HashMap<String, PeerStatus>,
+    cancellations: Cancellations,
     pub live_jobs: usize,
     /// Jobs that others need and of which the leader knows nothing.
     pub unresolved: Vec<Uid>,
 }
 
-/// Withdrawals that this life of the node knows of and may confirm, in the order in which it learned
+/// Cancellations that this life of the node knows of and may confirm, in the order in which it learned
 /// of them. The leader reads it, by position.
-struct Withdrawals {
+struct Cancellations {
     life: u64,
     /// The position of the oldest that is kept.
     first: u64,
     kept: VecDeque<Uid>,
 }
 
-/// A part of a node's withdrawals.
+/// A part of a node's cancellations.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WithdrawalsPage {
+pub struct CancellationsPage {
     pub life: u64,
     /// It goes on from the position asked for, with nothing left out.
     pub continues: bool,
@@ -72,7 +72,7 @@
 
 /// What a peer said of itself last.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerWord {
+pub struct PeerStatus {
     pub at: Instant,
     pub store_ok: bool,
     /// Those that report to it.
@@ -120,7 +120,7 @@
                 store_failing: Some(now),
                 leads_until: None,
                 peers: HashMap::new(),
-                withdrawals: Withdrawals {
+                cancellations: Cancellations {
                     life: rand::random(),
                     first: 0,
                     kept: VecDeque::new(),
@@ -174,7 +174,7 @@
             self.remember_accepted(fresh.into_iter());
         }
         for (uid, standing) in found {
-            if let Some(v @ (Verdict::Done | Verdict::Withdrawn)) = standing {
+            if let Some(v @ (Verdict::Done | Verdict::Cancelled)) = standing {
                 self.remember_final(uid, *v);
             }
         }
@@ -185,8 +185,8 @@
         i.accepted.remove(uid);
         if i.finals.insert(uid.clone(), v).is_none() {
             // Before anybody can read the verdict here, and so confirm it.
-            if v == Verdict::Withdrawn {
-                let w = &mut i.withdrawals;
+            if v == Verdict::Cancelled {
+                let w = &mut i.cancellations;
                 w.kept.push_back(uid.clone());
                 if w.kept.len() > FINALS_KEPT {
                     w.kept.pop_front();
@@ -203,18 +203,18 @@
         i.progress.remove(uid);
     }
 
-    /// The withdrawals known here from a position in this life on. Asked without one, or with one that
+    /// The cancellations known here from a position in this life on. Asked without one, or with one that
     /// is not kept any more, it tells where a reader may begin.
-    pub fn withdrawals(&self, from: Option<(u64, u64)>) -> WithdrawalsPage {
+    pub fn cancellations(&self, from: Option<(u64, u64)>) -> CancellationsPage {
         let i = self.read();
-        let w = &i.withdrawals;
+        let w = &i.cancellations;
         let end = w.first + w.kept.len() as u64;
         let from = from.filter(|(life, at)| *life == w.life && (w.first..=end).contains(at));
         let at = from.map_or(end, |f| f.1);
         let skipped = (at - w.first) as usize;
         let uids: Vec<Uid> = w.kept.iter().skip(skipped).take(PAGE).cloned().collect();
         let next = at + uids.len() as u64;
-        WithdrawalsPage {
+        CancellationsPage {
             life: w.life,
             continues: from.is_some(),
             uids,
@@ -251,7 +251,7 @@
             .is_none_or(|t| now.saturating_duration_since(t) < STORE_LOST)
     }
 
-    pub fn peer_said(&self, member: &str, word: PeerWord) {
+    pub fn peer_said(&self, member: &str, word: PeerStatus) {
         self.write().peers.insert(member.to_owned(), word);
     }
 
@@ -265,7 +265,7 @@
     /// Peers heard of late that reach the state service.
     pub fn able_peers(&self, now: Instant) -> Vec<String> {
         let i = self.read();
-        let able = |p: &PeerWord| p.store_ok && p.is_fresh(now);
+        let able = |p: &PeerStatus| p.store_ok && p.is_fresh(now);
         let able = i.peers.iter().filter(|(_, p)| able(p));
         able.map(|(m, _)| m.clone()).collect()
     }
@@ -280,7 +280,7 @@
     /// Peers heard of late, with the workers that report to each.
     pub fn live_peers(&self, now: Instant) -> Vec<(String, u32)> {
         let i = self.read();
-        let live = |p: &PeerWord| p.is_fresh(now);
+        let live = |p: &PeerStatus| p.is_fresh(now);
         let mut peers: Vec<(String, u32)> = i
             .peers
             .iter()
@@ -305,7 +305,7 @@
     }
 }
 
-impl PeerWord {
+impl PeerStatus {
     fn is_fresh(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) < PEER_FRESH
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -261,7 +261,7 @@
     pub done: HashMap<Uid, u32>,
     /// Jobs that fail everywhere, and machines that fail everything.
     pub broken: Vec<Uid>,
-    pub sick: Vec<HostId>,
+    pub faulty: Vec<HostId>,
     pub launched: HashMap<Uid, u32>,
     pub rented: u32,
 }
@@ -279,7 +279,7 @@
             begun: HashMap::new(),
             done: HashMap::new(),
             broken: Vec::new(),
-            sick: Vec::new(),
+            faulty: Vec::new(),
             launched: HashMap::new(),
             rented: 0,
         }
@@ -294,7 +294,7 @@
                 .iter()
                 .map(|(t, a, since)| {
                     let over = now - *since >= runs(&t.uid);
-                    let fails = self.broken.contains(&t.uid) || self.sick.contains(h);
+                    let fails = self.broken.contains(&t.uid) || self.faulty.contains(h);
                     let phase = if fails {
                         TaskPhase::Ended(Exit::Error)
                     } else if over {
@@ -317,7 +317,7 @@
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt))
                     }
                     Directive::Forget { task, attempt } => {
-                        if !self.broken.contains(&task.uid) && !self.sick.contains(h) {
+                        if !self.broken.contains(&task.uid) && !self.faulty.contains(h) {
                             *self.done.entry(task.uid.clone()).or_default() += 1;
                         }
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt));
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -13,7 +13,7 @@
 use cypressgap::net::store::Budgets;
 use cypressgap::runtime::budget::{Bucket, Demand, Rank};
 use cypressgap::runtime::metrics::Meter;
-use cypressgap::runtime::view::{PeerWord, View};
+use cypressgap::runtime::view::{PeerStatus, View};
 use std::time::{Duration, Instant};
 
 type Edit = fn(&mut JobSpec);
@@ -126,7 +126,7 @@
     w.job(spec("wk-000001", 20, 4.0));
     // 32 CPUs at most: eight tasks, whatever else is free.
     assert_eq!(launches(&w.settle()).len(), 8);
-    w.c.on_withdrawn(w.now, &"wk-000001".into());
+    w.c.on_cancel_marked(w.now, &"wk-000001".into());
     w.job(spec("wk-000002", 1, 4.0));
     assert_eq!(launches(&w.settle()), vec![], "the withdrawn may still run");
     w.c.on_returned(w.now, &["i-1".into()]);
@@ -460,7 +460,7 @@
             view.store_answered(false, now - secs(s));
         }
         if let Some((ok, ago)) = peer {
-            let word = PeerWord {
+            let word = PeerStatus {
                 at: now - secs(ago),
                 store_ok: ok,
                 workers: 0,
@@ -518,7 +518,7 @@
 /// Guards against ordinary machines at several times the price for work that is meant to run when idle.
 #[test]
 fn dear_machines_are_not_for_idle_work() {
-    for (urgency, dear) in [(Urgency::Idle, false), (Urgency::Standard, true)] {
+    for (urgency, expensive) in [(Urgency::Idle, false), (Urgency::Standard, true)] {
         let mut w = renting();
         w.beat("i-1", 1, vec![]);
         let mut long = spec("wk-000001", 1, 8.0);
@@ -546,7 +546,7 @@
             asked.contains(&true),
             "{urgency:?}: cheap ones are asked for"
         );
-        assert_eq!(asked.contains(&false), dear, "{urgency:?}");
+        assert_eq!(asked.contains(&false), expensive, "{urgency:?}");
     }
 }
 
--- a/tests/end_to_end/cascades.rs
+++ b/tests/end_to_end/cascades.rs
@@ -21,7 +21,7 @@
     call("POST", node, &path, None).0
 }
 
-/// Asks about a job and then about a dependent, again and again: once the first is called withdrawn,
+/// Asks about a job and then about a dependent, again and again: once the first is called cancelled,
 /// the second may be called nothing else.
 fn never_orphaned(nodes: &[SocketAddr], root: &str, dependents: &[&str], why: &str) {
     let start = Instant::now();
@@ -48,7 +48,7 @@
 
 /// The first step of a cancellation is durable, and then the state service is out for longer than
 /// `cancel_s`; the node that began may have ended. Whoever asks first afterwards finds no dependent
-/// called queued whose dependency is called withdrawn.
+/// called queued whose dependency is called cancelled.
 #[test]
 fn an_outage_between_the_steps_of_a_cascade_orphans_nobody() {
     // The key whose write is followed by the outage, and whether the confirming node ends.
--- a/tests/end_to_end/close_looks.rs
+++ b/tests/end_to_end/close_looks.rs
@@ -18,7 +18,7 @@
     stage: AtomicU8,
     /// What it ended as: 0 as long as nobody was told.
     done: AtomicBool,
-    withdrawn: AtomicBool,
+    cancelled: AtomicBool,
 }
 
 impl Told {
@@ -27,7 +27,7 @@
             uid: uid.to_owned(),
             stage: AtomicU8::new(NOTHING),
             done: AtomicBool::new(false),
-            withdrawn: AtomicBool::new(false),
+            cancelled: AtomicBool::new(false),
         }
     }
 
@@ -38,14 +38,14 @@
     fn hears_phase(&self, phase: &str) {
         match phase {
             "done" => self.done.store(true, Ordering::SeqCst),
-            "withdrawn" => self.withdrawn.store(true, Ordering::SeqCst),
+            "withdrawn" => self.cancelled.store(true, Ordering::SeqCst),
             _ => {
                 self.hears(ACCEPTED);
                 return;
             }
         }
         self.hears(OVER);
-        let both = self.done.load(Ordering::SeqCst) && self.withdrawn.load(Ordering::SeqCst);
+        let both = self.done.load(Ordering::SeqCst) && self.cancelled.load(Ordering::SeqCst);
         assert!(!both, "{}: done and withdrawn", self.uid);
     }
 
@@ -158,7 +158,7 @@
             });
             stop.store(true, Ordering::SeqCst);
         });
-        let cancelled = jobs.iter().filter(|j| j.withdrawn.load(Ordering::SeqCst));
+        let cancelled = jobs.iter().filter(|j| j.cancelled.load(Ordering::SeqCst));
         assert!(
             cancelled.count() > 2,
             "refused {refused}: some were cancelled"
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -508,7 +508,7 @@
     }
     assert_eq!(worker.running(), left, "{name}");
     assert_eq!(worker.sessions_ended() > 0, !others, "{name}");
-    // The state service is back: the other job runs, this one is withdrawn and starts no more.
+    // The state service is back: the other job runs, this one is cancelled and starts no more.
     site.state.out.store(false, Ordering::SeqCst);
     let links = site.to_state.iter().chain(&site.to_peer);
     links.for_each(|l| l.cut(false));
@@ -517,7 +517,7 @@
             (phase(confirmer, "wk-000001")? == "withdrawn").then_some(())
         });
     }
-    // Its machine may have been given back, with the withdrawn task on it: there is another.
+    // Its machine may have been given back, with the cancelled task on it: there is another.
     let fresh = Worker::start("i-2", Duration::from_secs(600), site.names.clone());
     until("the other job runs", || {
         (worker.running() + fresh.running() == 1).then_some(())
@@ -530,7 +530,7 @@
     }
 }
 
-/// A chain over whole nodes: order, refusals, repetitions, and withdrawals that take what is behind.
+/// A chain over whole nodes: order, refusals, repetitions, and cancellations that take what is behind.
 #[test]
 fn pipelines_run_in_order_and_are_withdrawn_together() {
     let site = Site::new(2);
@@ -567,7 +567,7 @@
     until("it runs", || {
         (phase(b, "wk-000203")? == "done").then_some(())
     });
-    // More dependents than one transaction of a withdrawal holds, some through others.
+    // More dependents than one transaction of a cancellation holds, some through others.
     worker.runs_for(Duration::from_secs(600));
     let blocking: Vec<String> = (300..340).map(|n| format!("wk-{n:06}")).collect();
     submit(a, &blocking[0], 1);
@@ -593,7 +593,7 @@
         }
     }
     assert_ne!(phase(a, &blocking[0]).as_deref(), Some("withdrawn"));
-    // Whoever names a withdrawn one is accepted, and withdrawn.
+    // Whoever names a cancelled one is accepted, and cancelled.
     assert_eq!(post(a, "wk-000350", &["wk-000200", &blocking[5]]), 201);
     assert_eq!(phase(b, "wk-000350").as_deref(), Some("withdrawn"));
     assert_eq!(post(b, "wk-000351", &["wk-000350"]), 201);
@@ -602,7 +602,7 @@
     let started = worker.starts();
     let behind = |s: &(String, u64)| blocking[1..].iter().any(|u| s.0.starts_with(u.as_str()));
     assert!(!started.iter().any(behind), "{started:?}");
-    // A withdrawal answered done takes nothing with it.
+    // A cancellation answered done takes nothing with it.
     let (_, body) = call("POST", a, "/api/jobs/wk-000200/withdraw", None);
     assert_eq!(body.text("Phase"), "done");
     assert_eq!(phase(b, "wk-000203").as_deref(), Some("done"));
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -25,7 +25,7 @@
     let batch = w.batch().expect("an intent is written");
     let keys: Vec<&str> = batch.conditions.iter().map(|c| c.0.as_str()).collect();
     let uid = Uid::from("wk-000001");
-    // On the term, the intent's own stamp, and the job's not being withdrawn.
+    // On the term, the intent's own stamp, and the job's not being cancelled.
     assert!(keys.contains(&LEADER_KEY));
     assert!(keys.contains(&chunk_key(&uid, 0).as_str()));
     assert!(keys.contains(&job_key(&uid).as_str()));
@@ -72,7 +72,7 @@
     w.job(spec("wk-000001", 2, 4.0));
     w.batch().unwrap();
     let key = job_key(&"wk-000001".into());
-    let found = vec![(key, 180, Some(Verdict::Withdrawn))];
+    let found = vec![(key, 180, Some(Verdict::Cancelled))];
     w.c.on_batch(w.now, BatchOutcome::Failed { found });
     assert_eq!(launches(&w.settle()), vec![]);
     assert_eq!(w.active("wk-000001", 0), None);
@@ -98,7 +98,7 @@
     for (name, tenure, serial, token, listed, held) in cases {
         let (mut w, attempt) = launched();
         w.c.on_sent(w.now, &"i-1".into(), None);
-        w.c.on_withdrawn(w.now, &"wk-000001".into());
+        w.c.on_cancel_marked(w.now, &"wk-000001".into());
         // The kill goes out with a raised token, so that no copy of the launch comes after it.
         w.settle();
         let epoch = w.c.hosts[&HostId::from("i-1")].epoch.0 as i64 + token;
@@ -347,7 +347,7 @@
 #[test]
 fn an_overdue_withdrawal_costs_its_host() {
     let (mut w, attempt) = launched();
-    w.c.on_withdrawn(w.now, &"wk-000001".into());
+    w.c.on_cancel_marked(w.now, &"wk-000001".into());
     for serial in 10..30 {
         w.pass(secs(1));
         let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
--- a/tests/guests.rs
+++ b/tests/guests.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::pace::Pace;
+use cypressgap::core::start_limiter::StartLimiter;
 
 /// Two teams without a guarantee or limit, `red` and `grey`, and `blue` with a guarantee.
 fn teams() -> Params {
@@ -138,21 +138,21 @@
         ("timely again", &[(20, 20), (600, 5), (20, 60)], 500, None),
     ];
     for (name, phases, wanted, bound) in cases {
-        let mut pace = Pace::default();
+        let mut start_limiter = StartLimiter::default();
         let mut now = std::time::Instant::now();
         let mut started = 0;
         for (late, seconds) in phases {
             started = 0;
             for _ in 0..seconds * 5 {
                 now += std::time::Duration::from_millis(200);
-                pace.strain(now, std::time::Duration::from_millis(*late));
-                pace.round(now);
-                let n = pace.left().min(wanted / 5);
-                pace.started(n);
+                start_limiter.strain(now, std::time::Duration::from_millis(*late));
+                start_limiter.round(now);
+                let n = start_limiter.left().min(wanted / 5);
+                start_limiter.started(n);
                 started += n;
             }
         }
-        match (pace.bound(), bound) {
+        match (start_limiter.bound(), bound) {
             (None, None) => assert!(started >= wanted, "{name}"),
             (Some(b), Some((least, most))) => {
                 assert!((least..=most).contains(&b), "{name}: {b}");
@@ -173,7 +173,7 @@
     for _ in 0..3 {
         for _ in 0..10 {
             f.w.now += std::time::Duration::from_millis(100);
-            f.w.c.pace.strain(f.w.now, secs(2));
+            f.w.c.start_limiter.strain(f.w.now, secs(2));
         }
         f.second(|_| secs(500));
     }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -26,7 +26,7 @@
     )
 }
 
-/// A team at its limit, its jobs withdrawn on machines that are cut off or hang, and a new leader: what
+/// A team at its limit, its jobs cancelled on machines that are cut off or hang, and a new leader: what
 /// may still be there counts for the limit until it is proved gone, however it goes.
 #[test]
 fn withdrawn_tasks_on_unheard_machines_hold_their_teams_limit_until_proved_gone() {
@@ -41,7 +41,7 @@
         w.job(spec("wk-000001", 4, 8.0));
         let on = [(0, "i-1"), (1, "i-2"), (2, "i-3"), (3, "i-4")];
         loaded(&mut w, "wk-000001", 0, &on);
-        w.c.on_withdrawn(w.now, &"wk-000001".into());
+        w.c.on_cancel_marked(w.now, &"wk-000001".into());
         w.job(spec("wk-000002", 1, 8.0));
         w.beat("i-9", 1, vec![]);
         w.beat("i-9", 2, vec![]);
@@ -121,11 +121,11 @@
     assert!(done(&[Action::Store(written)]));
 }
 
-/// The end of a job's last task meets its withdrawal: whichever verdict is written first stands, and the
+/// The end of a job's last task meets its cancellation: whichever verdict is written first stands, and the
 /// other one is not written over it.
 #[test]
 fn the_last_end_and_a_withdrawal_exclude_each_other() {
-    // Whether the withdrawal's verdict was there when done was to be written.
+    // Whether the cancellation's verdict was there when done was to be written.
     for withdrawn_first in [false, true] {
         let mut w = World::new();
         w.beat("i-1", 1, vec![]);
@@ -139,14 +139,14 @@
         let batch = w.batch().expect("the verdict");
         assert!(batch.conditions.contains(&("j/wk-000001".to_owned(), 0)));
         let outcome = if withdrawn_first {
-            let found = vec![("j/wk-000001".to_owned(), 777, Some(Verdict::Withdrawn))];
+            let found = vec![("j/wk-000001".to_owned(), 777, Some(Verdict::Cancelled))];
             cypressgap::core::ledger::BatchOutcome::Failed { found }
         } else {
             cypressgap::core::ledger::BatchOutcome::Applied { revision: 777 }
         };
         w.c.on_batch(w.now, outcome);
         // What comes later of the other verdict changes nothing.
-        w.c.on_withdrawn(w.now, &"wk-000001".into());
+        w.c.on_cancel_marked(w.now, &"wk-000001".into());
         for a in w.settle() {
             let Action::Store(b) = a else { continue };
             let again = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(_)));
@@ -156,7 +156,7 @@
     }
 }
 
-/// A leader that has just taken over, with machines that cannot be reached: what was withdrawn there
+/// A leader that has just taken over, with machines that cannot be reached: what was cancelled there
 /// costs the machine well before the time is over, also when its reports come and nothing reaches it.
 #[test]
 fn withdrawn_tasks_of_machines_that_cannot_be_reached_go_with_the_machine() {
@@ -164,7 +164,7 @@
         let mut w = World::new();
         w.job(spec("wk-000001", 1, 8.0));
         loaded(&mut w, "wk-000001", 0, &[(0, "i-1")]);
-        w.c.on_withdrawn(w.now, &"wk-000001".into());
+        w.c.on_cancel_marked(w.now, &"wk-000001".into());
         let cancel = w.c.params.cancel.as_secs();
         let old = Epoch::first(Term(TERM.0 - 1)).0;
         let mut returned = None;
@@ -214,7 +214,7 @@
             if number % 4 == 0 && victim % 4 == 0 {
                 let victim = Uid::from(format!("wk-{victim:06}").as_str());
                 let starts = f.launched.get(&victim).copied().unwrap_or_default();
-                f.w.c.on_withdrawn(f.w.now, &victim);
+                f.w.c.on_cancel_marked(f.w.now, &victim);
                 cancelled.push((victim, starts));
             }
         }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -29,7 +29,7 @@
     ];
     for (name, broken, faulty, most, found) in cases {
         let mut f = Fleet::new(roomy(), 40, 8.0);
-        f.sick = (0..faulty)
+        f.faulty = (0..faulty)
             .map(|n| HostId(format!("i-{:02}", n * 2)))
             .collect();
         let all = f.on.len();
@@ -54,7 +54,7 @@
                 assert_eq!(f.done.get(&uid), Some(&80), "{name}: {uid}");
             }
         }
-        let gone: Vec<_> = f.sick.iter().filter(|h| !f.on.contains_key(h)).collect();
+        let gone: Vec<_> = f.faulty.iter().filter(|h| !f.on.contains_key(h)).collect();
         assert!(gone.len() >= found, "{name}: {} found", gone.len());
         assert_eq!(
             f.on.len() + gone.len(),
@@ -63,7 +63,7 @@
         );
         // Withdrawn, a broken job ends at once.
         for uid in f.broken.clone() {
-            f.w.c.on_withdrawn(f.w.now, &uid);
+            f.w.c.on_cancel_marked(f.w.now, &uid);
         }
         f.second(|_| secs(12));
         f.second(|_| secs(12));
@@ -76,13 +76,13 @@
 fn a_sound_job_is_not_slowed_by_the_first_machines_it_meets() {
     // All of its first machines but one fail everything: what runs on the last clears it.
     let mut f = Fleet::new(roomy(), 12, 8.0);
-    f.sick = (0..9).map(|n| HostId(format!("i-{n:02}"))).collect();
+    f.faulty = (0..9).map(|n| HostId(format!("i-{n:02}"))).collect();
     f.w.job(spec("wk-000001", 96, 1.0));
     let mut cleared = None;
     for second in 0..60 {
         f.second(|_| secs(30));
         let job = f.w.c.jobs.get(&"wk-000001".into());
-        if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.doubted) {
+        if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.suspected) {
             cleared = Some(second);
         }
     }
@@ -100,7 +100,7 @@
     for _ in 0..4 {
         f.second(|_| secs(500));
     }
-    assert!(f.w.c.jobs[&Uid::from("wk-000001")].doubted);
+    assert!(f.w.c.jobs[&Uid::from("wk-000001")].suspected);
     let before = f.rented;
     // The machines fill up with other work, and the urgent one's tries find no room.
     f.w.job(spec("wk-000002", 32, 1.0));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,4 +1,4 @@
-//! Jobs that need others, in the core: who waits, who may start, who is withdrawn with whom.
+//! Jobs that need others, in the core: who waits, who may start, who is cancelled with whom.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use cypressgap::core::cluster::{Action, CancelSource};
 use cypressgap::core::dependencies::{Dependencies, DependentsIndex, Standing};
 use cypressgap::core::ledger::{
-    chunk_room, dependents_key, live_key, withdrawn_key, BatchOutcome, Op, Value, Verdict,
+    cancel_mark_key, chunk_room, dependents_key, live_key, BatchOutcome, Op, Value, Verdict,
 };
 use cypressgap::core::model::*;
 use cypressgap::core::watermark::Moment;
@@ -28,7 +28,7 @@
     enum E {
         Add(u32, &'static [u32], Standing),
         Done(u32, &'static [u32]),
-        Withdrawn(u32, &'static [u32]),
+        Cancelled(u32, &'static [u32]),
     }
     use Standing::*;
     use E::*;
@@ -53,7 +53,7 @@
             &[
                 Done(1, &[]),
                 Add(2, &[1], Ready),
-                Withdrawn(5, &[]),
+                Cancelled(5, &[]),
                 Add(6, &[5, 1], Orphaned),
             ],
         ),
@@ -64,8 +64,8 @@
                 Add(3, &[1], Blocked),
                 Add(4, &[2, 3], Blocked),
                 Add(9, &[8], Blocked),
-                Withdrawn(1, &[2, 3, 4]),
-                Withdrawn(1, &[]),
+                Cancelled(1, &[2, 3, 4]),
+                Cancelled(1, &[]),
                 Done(8, &[9]),
             ],
         ),
@@ -74,13 +74,13 @@
             &[
                 Add(2, &[1], Blocked),
                 Add(3, &[2], Blocked),
-                Withdrawn(2, &[3]),
+                Cancelled(2, &[3]),
                 Done(1, &[]),
             ],
         ),
         (
             "one need withdrawn, the other done later",
-            &[Add(3, &[1, 2], Blocked), Withdrawn(1, &[3]), Done(2, &[])],
+            &[Add(3, &[1, 2], Blocked), Cancelled(1, &[3]), Done(2, &[])],
         ),
         (
             "dependents are heard of before what they need",
@@ -95,8 +95,8 @@
                     assert_eq!(d.add(&u(*n), &us(needs), false), *standing, "{name}: {n}");
                 }
                 Done(n, ready) => assert_eq!(d.done(&u(*n)), us(ready), "{name}: {n} done"),
-                Withdrawn(n, orphans) => {
-                    let mut all = d.withdrawn(&u(*n));
+                Cancelled(n, orphans) => {
+                    let mut all = d.cancelled(&u(*n));
                     all.sort();
                     assert_eq!(all, us(orphans), "{name}: {n} withdrawn");
                 }
@@ -151,16 +151,16 @@
     assert!(w.c.jobs[&u(2)].arrived >= before, "it waits from now on");
 }
 
-/// A new leader knows of what is needed only what it finds: live, done, withdrawn, or nothing yet.
+/// A new leader knows of what is needed only what it finds: live, done, cancelled, or nothing yet.
 #[test]
 fn a_new_leader_blocks_what_it_does_not_know_to_be_done() {
     // How the needed job is found -> whether the other starts, and whether its verdict is written.
     let cases = [
         (None, false, false),
         (Some(Verdict::Done), true, false),
-        (Some(Verdict::Withdrawn), false, true),
+        (Some(Verdict::Cancelled), false, true),
     ];
-    for (found, starts, withdrawn) in cases {
+    for (found, starts, cancelled) in cases {
         for told_first in [false, true] {
             let mut w = World::new();
             w.beat("i-1", 1, vec![]);
@@ -200,8 +200,8 @@
             let begun = sent.iter().any(|l| l.1.uid == u(2));
             assert_eq!(begun, starts, "{found:?} {told_first}");
             assert!(!sent.iter().any(|l| l.1.uid == u(3)), "{found:?}");
-            let both = written.len() == 2 && written.iter().all(|v| v.1 == Verdict::Withdrawn);
-            assert_eq!(both, withdrawn, "{found:?} {told_first}: {written:?}");
+            let both = written.len() == 2 && written.iter().all(|v| v.1 == Verdict::Cancelled);
+            assert_eq!(both, cancelled, "{found:?} {told_first}: {written:?}");
         }
     }
 }
@@ -258,7 +258,7 @@
 
 fn queue_read(w: &mut World) {
     let day = SystemTime::UNIX_EPOCH;
-    w.c.withdrawals_read(Moment { steady: w.now, day });
+    w.c.cancellations_read(Moment { steady: w.now, day });
 }
 
 /// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
@@ -281,8 +281,8 @@
         for n in 0..40 {
             keys.accept(&mut w, spec(&u(5000 + n).0, 3, 1.0));
         }
-        keys.all.insert(withdrawn_key(&u(0)));
-        w.c.on_withdrawn(w.now, &u(0));
+        keys.all.insert(cancel_mark_key(&u(0)));
+        w.c.on_cancel_marked(w.now, &u(0));
         let start = w.now;
         let mut verdicts = 0;
         let mut allowed = 0.0;
@@ -292,7 +292,7 @@
             let before = keys.changes;
             let root_indexed = keys.all.contains(&live_key(&u(0)));
             for op in keys.tick(&mut w, allowed as usize) {
-                if matches!(op, Op::Put(_, Value::Verdict(Verdict::Withdrawn))) {
+                if matches!(op, Op::Put(_, Value::Verdict(Verdict::Cancelled))) {
                     verdicts += 1;
                 }
             }
@@ -354,7 +354,7 @@
         let mut w = World::new();
         w.job(needing(1, &[]));
         w.job(needing(2, &[1]));
-        w.c.on_withdrawn(w.now, &u(1));
+        w.c.on_cancel_marked(w.now, &u(1));
         let mut written = Vec::new();
         let mut keys = Keys::default();
         for step in 0..20 {
@@ -388,8 +388,8 @@
                 keys.accept(&mut w, job);
             }
             if chain % 2 == 0 {
-                keys.all.insert(withdrawn_key(&u(first)));
-                w.c.on_withdrawn(w.now, &u(first));
+                keys.all.insert(cancel_mark_key(&u(first)));
+                w.c.on_cancel_marked(w.now, &u(first));
             } else {
                 // Their ends were found by the next leader.
                 (first..first + 3)
@@ -432,7 +432,7 @@
             keys.tick(&mut w, 24);
         }
         assert_eq!(keys.all.contains(&dependents_key(&u(1))), live);
-        w.c.on_withdrawn(w.now, &u(1));
+        w.c.on_cancel_marked(w.now, &u(1));
         for _ in 0..10 {
             w.pass(secs(1));
             keys.tick(&mut w, 24);
@@ -577,7 +577,7 @@
             w.settle();
             ranks(&w, case.before, "before");
             for n in case.cancelled {
-                w.c.on_withdrawn(w.now, &u(*n));
+                w.c.on_cancel_marked(w.now, &u(*n));
             }
             w.settle();
             ranks(&w, case.after, "after");
@@ -613,7 +613,7 @@
     w.job(needing(FAN + 1, &[0]));
     w.settle();
     assert_eq!(w.c.ranks_computed, u64::from(FAN) + 3);
-    w.c.on_withdrawn(w.now, &u(FAN + 1));
+    w.c.on_cancel_marked(w.now, &u(FAN + 1));
     w.settle();
     assert_eq!(w.c.ranks_computed, u64::from(FAN) + 4);
 }
@@ -649,7 +649,7 @@
         w.job(spec("wk-000001", 100, 1.0));
         (2..30).for_each(|n| w.job(spec(&u(n).0, 1, 1.0)));
         w.job(needing(40, &[1]));
-        w.c.on_withdrawn(w.now, &u(29));
+        w.c.on_cancel_marked(w.now, &u(29));
         let mut refused = Vec::new();
         let mut launched = BTreeSet::new();
         for _ in 0..400 {
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::secs;
-use cypressgap::core::inquiry::{self, Page, Records, Standing};
 use cypressgap::core::ledger::{job_key, live_key, Verdict};
 use cypressgap::core::model::Uid;
+use cypressgap::core::status_reads::{self, Page, Records, Standing};
 use cypressgap::net::store::Budgets;
 use cypressgap::runtime::budget::{shares, Crowd, Demand, Rank};
 use std::cell::Cell;
@@ -59,12 +59,12 @@
     Uid(format!("wk-{n:06}"))
 }
 
-/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 withdrawn and not yet closed, 160 to 169
+/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
 /// recorded as live by earlier versions; others were never accepted.
 fn shelf(named: usize, page: usize) -> Shelf {
     let verdict = |n: u32| match n {
         100..=149 => Some(Verdict::Done),
-        150..=159 => Some(Verdict::Withdrawn),
+        150..=159 => Some(Verdict::Cancelled),
         160..=169 => Some(Verdict::Live),
         _ => None,
     };
@@ -87,7 +87,7 @@
     match n {
         0..=99 | 160..=169 => Some(Verdict::Live),
         100..=149 => Some(Verdict::Done),
-        150..=159 => Some(Verdict::Withdrawn),
+        150..=159 => Some(Verdict::Cancelled),
         _ => None,
     }
 }
@@ -123,7 +123,7 @@
             .map(uid)
             .collect();
         let uids = asked.iter().map(|n| uid(*n)).collect();
-        let (found, trouble) = inquiry::standings(&s, &uids, &mut accepted);
+        let (found, trouble) = status_reads::standings(&s, &uids, &mut accepted);
         assert_eq!(trouble, None, "{name}");
         for n in &asked {
             assert_eq!(found.get(&uid(*n)), Some(&truth(*n)), "{name}: job {n}");
@@ -183,7 +183,7 @@
             let mut s = shelf(named, 2);
             s.out_after = out_after;
             let uids = (0..200).step_by(7).map(uid).collect();
-            let (found, trouble) = inquiry::standings(&s, &uids, &mut BTreeSet::new());
+            let (found, trouble) = status_reads::standings(&s, &uids, &mut BTreeSet::new());
             assert!(trouble.is_some() || named == 1, "{out_after} {named}");
             for (u, standing) in found {
                 let n: u32 = u.0[3..].parse().expect("a number");
@@ -191,9 +191,9 @@
             }
         }
     }
-    assert_eq!(inquiry::most_at_once(96, 64 * 1024), 48);
-    assert_eq!(inquiry::most_at_once(100_000, 64 * 1024), 512);
-    assert_eq!(inquiry::most_at_once(0, 0), 1);
+    assert_eq!(status_reads::most_at_once(96, 64 * 1024), 48);
+    assert_eq!(status_reads::most_at_once(100_000, 64 * 1024), 512);
+    assert_eq!(status_reads::most_at_once(0, 0), 1);
 }
 
 #[test]
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::cluster::{Action, Answer, Kill};
 use cypressgap::core::ledger::ChunkValue;
 use cypressgap::core::model::*;
-use cypressgap::runtime::pulse::Pulse;
+use cypressgap::runtime::stall_detector::StallDetector;
 use cypressgap::runtime::view::{RoleView, View};
 use cypressgap::runtime::workers::Workers;
 use std::net::{IpAddr, Ipv4Addr};
@@ -436,7 +436,7 @@
 /// carried out when it was back: by then they worked for its successor.
 #[test]
 fn a_leader_in_doubt_returns_nothing_but_what_holds_withdrawn_tasks() {
-    for withdrawn in [false, true] {
+    for cancelled in [false, true] {
         let mut w = World::new();
         w.beat("i-1", 1, vec![]);
         w.beat("i-2", 1, vec![]);
@@ -446,12 +446,12 @@
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
         w.beat(&on.0, 2, tasks);
         w.c.confirm(false);
-        if withdrawn {
-            w.c.on_withdrawn(w.now, &"wk-000001".into());
+        if cancelled {
+            w.c.on_cancel_marked(w.now, &"wk-000001".into());
         }
         let gone: Vec<HostId> = (0..13).flat_map(|_| given_back(&w.settle())).collect();
-        let expected = if withdrawn { vec![on] } else { vec![] };
-        assert_eq!(gone, expected, "withdrawn {withdrawn}");
+        let expected = if cancelled { vec![on] } else { vec![] };
+        assert_eq!(gone, expected, "cancelled {cancelled}");
         // Once it is the leader for certain, what is still silent goes.
         w.c.confirm(true);
         assert_eq!(given_back(&w.settle()).len(), 2 - gone.len());
@@ -546,7 +546,7 @@
     ];
     for (name, steady, day, stood) in cases {
         let start = (Instant::now(), SystemTime::now());
-        let pulse = Pulse::new(Duration::from_millis(100), start.0, start.1);
+        let stall_detector = StallDetector::new(Duration::from_millis(100), start.0, start.1);
         let now = start.0 + Duration::from_secs_f64(steady);
         let moved = Duration::from_secs_f64(day.abs());
         let today = if day < 0.0 {
@@ -554,15 +554,23 @@
         } else {
             start.1 + moved
         };
-        assert_eq!(pulse.waking(now, today), stood, "{name}");
-        assert_eq!(pulse.look(now, today), stood.then_some(now), "{name}");
+        assert_eq!(stall_detector.waking(now, today), stood, "{name}");
+        assert_eq!(
+            stall_detector.look(now, today),
+            stood.then_some(now),
+            "{name}"
+        );
         let later = now + secs(1);
         assert!(
-            !pulse.waking(later, today + secs(1)),
+            !stall_detector.waking(later, today + secs(1)),
             "{name}, a second later"
         );
         // A thread that read its clock before another one looked changes nothing.
-        assert_eq!(pulse.look(start.0, start.1).is_some(), stood, "{name}");
+        assert_eq!(
+            stall_detector.look(start.0, start.1).is_some(),
+            stood,
+            "{name}"
+        );
     }
 }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 //! `deploy/service.toml` names and of the one before it, not with this version's types.
 
 use cypressgap::net::peer::{
-    fallen_heard, frames_heard, read_frame, said, Ask, Hello, Reply, Word,
+    fallen_heard, frames_heard, read_frame, said, Ask, Hello, JobStanding, Reply,
 };
 use cypressgap::net::wire::{
     decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
@@ -225,16 +225,16 @@
                 body: vec![9, 9],
             },
         ),
-        (Bytes::variant(5).u8(0), Ask::Withdrawals { from: None }),
+        (Bytes::variant(5).u8(0), Ask::Cancellations { from: None }),
         (
             Bytes::variant(5).u8(1).u64(77).u64(12),
-            Ask::Withdrawals {
+            Ask::Cancellations {
                 from: Some((77, 12)),
             },
         ),
         (
             Bytes::variant(6).u32(1).text("wk-000003"),
-            Ask::Withdrawn(vec!["wk-000003".into()]),
+            Ask::Cancelled(vec!["wk-000003".into()]),
         ),
     ];
     for (old, new) in asks {
@@ -255,12 +255,12 @@
         ),
         (
             Bytes::variant(3).u32(5).u8(0).u8(1).u8(2).u8(3).u8(4),
-            Reply::Words(vec![
-                Word::Silence,
-                Word::NeverAccepted,
-                Word::Live,
-                Word::Done,
-                Word::Withdrawn,
+            Reply::JobStandings(vec![
+                JobStanding::Silence,
+                JobStanding::NeverAccepted,
+                JobStanding::Live,
+                JobStanding::Done,
+                JobStanding::Cancelled,
             ]),
         ),
         (
@@ -275,7 +275,7 @@
                 .text("wk-000003")
                 .u64(13)
                 .u8(0),
-            Reply::Withdrawals {
+            Reply::Cancellations {
                 life: 77,
                 continues: true,
                 uids: vec!["wk-000003".into()],
@@ -283,7 +283,7 @@
                 more: false,
             },
         ),
-        (Bytes::variant(6).u8(1), Reply::Withdrawn(true)),
+        (Bytes::variant(6).u8(1), Reply::Cancelled(true)),
     ];
     for (old, new) in replies {
         let frame = old.frame();
--- a/tests/watermark.rs
+++ b/tests/watermark.rs
@@ -1,4 +1,4 @@
-//! Withdrawals that the leader may not have heard of: how long it may keep leases alive.
+//! Cancellations that the leader may not have heard of: how long it may keep leases alive.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use cypressgap::core::cluster::{Action, Answer};
 use cypressgap::core::ledger::Verdict;
 use cypressgap::core::model::*;
-use cypressgap::core::watermark::{patience, Moment, Watermark, Word, LEAST_PATIENCE};
+use cypressgap::core::watermark::{patience, Moment, Statement, Watermark, LEAST_PATIENCE};
 use cypressgap::runtime::view::View;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -143,7 +143,7 @@
                 Read(asked) => w.read(at(asked)),
                 Told(peer, asked, came, continues) => {
                     let (asked, came) = (at(asked), at(came));
-                    let word = Word {
+                    let word = Statement {
                         asked,
                         came,
                         continues,
@@ -218,7 +218,7 @@
     let copy = World::report("i-1", 1, 2, epoch, tasks());
     assert_eq!(w.c.on_report(w.now, copy, true), Answer::Withheld);
     // A peer's word about the job: the kill goes straight to the machine.
-    w.c.on_withdrawn(w.now, &"wk-000001".into());
+    w.c.on_cancel_marked(w.now, &"wk-000001".into());
     let kills = |actions: &[Action]| {
         actions.iter().any(|a| match a {
             Action::Send { directives, .. } => directives
@@ -237,12 +237,12 @@
         day: SystemTime::now(),
     };
     w.c.clocks(read);
-    w.c.withdrawals_read(read);
+    w.c.cancellations_read(read);
     w.beat("i-1", 9, vec![]);
 }
 
 /// A leader without the state service launches nothing, not even what was durable before: the job
-/// may have been withdrawn since. It is launched as soon as the leadership is certain again.
+/// may have been cancelled since. It is launched as soon as the leadership is certain again.
 #[test]
 fn launches_wait_for_a_certain_leadership() {
     let mut w = World::new();
@@ -263,29 +263,29 @@
     let uid = |n: u32| Uid::from(format!("wk-{n:06}").as_str());
     let learn = |from: u32, to: u32| {
         for n in from..to {
-            v.remember_final(&uid(n), Verdict::Withdrawn);
+            v.remember_final(&uid(n), Verdict::Cancelled);
         }
     };
     learn(0, 3);
     // The first look covers nothing; it tells where to begin.
-    let first = v.withdrawals(None);
+    let first = v.cancellations(None);
     assert_eq!((first.continues, first.uids.len()), (false, 0));
     assert!(!first.more);
     learn(0, 5);
     v.remember_final(&uid(900), Verdict::Done);
-    let page = v.withdrawals(Some((first.life, first.next)));
+    let page = v.cancellations(Some((first.life, first.next)));
     assert_eq!(page.uids, vec![uid(3), uid(4)], "each once, and only those");
     assert!(page.continues && !page.more);
     // Another life's position, and one that is not kept any more or not reached yet.
-    assert!(!v.withdrawals(Some((first.life ^ 1, 0))).continues);
-    assert!(!v.withdrawals(Some((first.life, 99))).continues);
+    assert!(!v.cancellations(Some((first.life ^ 1, 0))).continues);
+    assert!(!v.cancellations(Some((first.life, 99))).continues);
     learn(1_000, 31_000);
-    assert!(!v.withdrawals(Some((first.life, page.next))).continues);
+    assert!(!v.cancellations(Some((first.life, page.next))).continues);
     // Many come in parts, with nothing left out.
-    let mut at = v.withdrawals(None).next - 12_000;
+    let mut at = v.cancellations(None).next - 12_000;
     let mut got = Vec::new();
     loop {
-        let p = v.withdrawals(Some((first.life, at)));
+        let p = v.cancellations(Some((first.life, at)));
         assert!(p.continues);
         got.extend(p.uids);
         at = p.next;
