--- /dev/null
+++ b/src/core/gang_placement.rs
@@ -0,0 +1,202 @@
+//! Placing gangs: all members start together, where every one of them has room now.
+
+use super::cluster::{Cluster, Job};
+use super::model::{JobSpec, Need, Site, TeamName};
+use super::placement::{push_waiting, Plan, Start, Waiting, ROUND_TASKS};
+use super::slots::Slot;
+use super::zones::ZoneUse;
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+/// What a round has to go on while it places a gang.
+pub(super) struct GangRound<'r, 'a> {
+    pub(super) now: Instant,
+    pub(super) slots: &'r mut [Slot<'a>],
+    /// Fetch rates by machine type.
+    pub(super) rates: &'r [f64],
+    /// What the teams' tasks use, this round's starts included.
+    pub(super) used: &'r mut HashMap<TeamName, Need>,
+    pub(super) plan: &'r mut Plan,
+}
+
+/// What one member costs on a slot, and the slot.
+type MemberCost = (Duration, usize);
+
+/// A slot for each member, and what the slowest of them costs.
+struct Members {
+    slowest: Duration,
+    slots: Vec<usize>,
+}
+
+impl Cluster {
+    /// Starts a gang where all of its members have room now, else lets it wait. `starved`: it has waited
+    /// so long that machines are kept free for it.
+    pub(super) fn plan_gang(&self, job: &Job, starved: bool, round: &mut GangRound<'_, '_>) {
+        let spec = &job.spec;
+        let Some(team) = self.params.teams.iter().find(|t| t.name == spec.owner) else {
+            return;
+        };
+        let mut sum = round.used.get(&spec.owner).copied().unwrap_or_default();
+        let whole = spec.need.times(f64::from(spec.shards));
+        if !team.allows(&sum, &whole) {
+            return;
+        }
+        let costs = self.member_costs(job, round);
+        if let Some(members) = choose_members(spec, round.slots, &costs) {
+            self.start_gang(job, &members.slots, round);
+            sum.add(&whole);
+            round.used.insert(spec.owner.clone(), sum);
+            return;
+        }
+        if starved {
+            self.reserve_for_gang(spec, &costs, round);
+        }
+        let waiting = Waiting {
+            uid: spec.uid.clone(),
+            count: (spec.shards as usize).min(ROUND_TASKS),
+            wait: None,
+            est: spec.expected,
+            coming: false,
+        };
+        push_waiting(&mut round.plan.waiting, waiting);
+    }
+
+    /// What a member costs on each slot, least first: the same for all of them.
+    fn member_costs(&self, job: &Job, round: &GangRound<'_, '_>) -> Vec<MemberCost> {
+        let zones = ZoneUse::of(job, &self.site_of());
+        let mut costs: Vec<MemberCost> = round
+            .slots
+            .iter()
+            .enumerate()
+            .filter(|(_, slot)| slot.up_at.is_none() && self.admits(job, slot, &zones))
+            .map(|(i, slot)| {
+                let (est, fetch) = self.member_cost(job, slot, round);
+                (est + fetch, i)
+            })
+            .collect();
+        costs.sort();
+        costs
+    }
+
+    /// A member's run time on a slot, and the fetch before it.
+    fn member_cost(
+        &self,
+        job: &Job,
+        slot: &Slot<'_>,
+        round: &GangRound<'_, '_>,
+    ) -> (Duration, Duration) {
+        let est = self
+            .history
+            .est(&job.spec, &self.types[slot.type_index].name)
+            .mul_f64(slot.speed);
+        let fetch = slot.penalty(round.now, round.rates[slot.type_index], job);
+        (est, fetch)
+    }
+
+    fn start_gang(&self, job: &Job, members: &[usize], round: &mut GangRound<'_, '_>) {
+        let spec = &job.spec;
+        for (index, i) in members.iter().enumerate() {
+            let (est, fetch) = self.member_cost(job, &round.slots[*i], round);
+            let slot = &mut round.slots[*i];
+            slot.free.sub(&spec.need);
+            slot.book(round.now, est, &spec.need);
+            slot.started(job);
+            round.plan.starts.push(Start {
+                uid: spec.uid.clone(),
+                index: index as u32,
+                host: slot.host.id.clone(),
+                est,
+                fetch,
+                gang: true,
+            });
+        }
+    }
+
+    /// Room for all members at once never comes by itself while others fill each gap: the machines
+    /// that can hold the gang soonest take nobody else.
+    fn reserve_for_gang(
+        &self,
+        spec: &JobSpec,
+        costs: &[MemberCost],
+        round: &mut GangRound<'_, '_>,
+    ) {
+        let mut soon: Vec<(Instant, usize)> = costs
+            .iter()
+            .filter_map(|(_, i)| {
+                let slot = &round.slots[*i];
+                let room = &self.types[slot.type_index].room;
+                let (at, _) = slot.avail(round.now, &spec.need, room)?;
+                Some((at, *i))
+            })
+            .collect();
+        soon.sort();
+        let mut missing = spec.shards as usize;
+        for (_, i) in soon {
+            if missing == 0 {
+                break;
+            }
+            let slot = &mut round.slots[i];
+            let room = &self.types[slot.type_index].room;
+            missing = missing.saturating_sub(spec.need.count_in(room));
+            slot.free = Need::default();
+        }
+    }
+}
+
+/// The slots whose slowest member is the fastest, in one zone where the job asks for that.
+fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<Members> {
+    let mut sites: Vec<Option<&Site>> = vec![None];
+    if spec.same_place {
+        sites = slots.iter().map(|s| Some(&s.host.site)).collect();
+        sites.sort();
+        sites.dedup();
+    }
+    let complete = sites
+        .into_iter()
+        .filter_map(|only| members_in(spec, slots, costs, only));
+    // The first of equals.
+    complete.reduce(|best, next| {
+        if next.slowest < best.slowest {
+            next
+        } else {
+            best
+        }
+    })
+}
+
+/// A slot for each member, cheapest first, if there is room for all of them.
+fn members_in(
+    spec: &JobSpec,
+    slots: &[Slot<'_>],
+    costs: &[MemberCost],
+    only: Option<&Site>,
+) -> Option<Members> {
+    let wanted = spec.shards as usize;
+    let half = spec.shards.div_ceil(2) as usize;
+    let mut members = Members {
+        slowest: Duration::ZERO,
+        slots: Vec::new(),
+    };
+    let mut per_site: HashMap<&Site, usize> = HashMap::new();
+    for (cost, i) in costs {
+        let slot = &slots[*i];
+        if only.is_some_and(|site| site != &slot.host.site) {
+            continue;
+        }
+        let missing = wanted - members.slots.len();
+        let mut n = spec.need.count_in(&slot.free).min(missing);
+        if spec.spread {
+            let there = per_site.entry(&slot.host.site).or_default();
+            n = n.min(half.saturating_sub(*there));
+            *there += n;
+        }
+        if n > 0 {
+            members.slowest = members.slowest.max(*cost);
+            members.slots.extend(std::iter::repeat_n(*i, n));
+        }
+        if members.slots.len() == wanted {
+            return Some(members);
+        }
+    }
+    None
+}
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -9,16 +9,17 @@
 //! which only the machine that took the last task is scored anew. The choice is the same as if each
 //! task were scored on every machine (a test compares the two).
 
-use super::cluster::{Cluster, Host, Job};
-use super::history::fetch_at;
+use super::cluster::{Cluster, Job};
+use super::gang_placement::GangRound;
 use super::model::*;
+use super::slots::Slot;
 use super::zones::{permits, ZoneUse};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 /// Tasks looked at in one round. A longer queue waits for the rounds to come.
-const ROUND_TASKS: usize = 4000;
+pub(super) const ROUND_TASKS: usize = 4000;
 /// Scores closer than this are equal: reports come no more often than every half second.
 pub(super) const RESOLUTION_S: f64 = 1.0;
 /// From a task's predicted end to the next one's start in its place. Also, of many predicted ends the
@@ -55,95 +56,6 @@
     pub spare: Vec<(HostId, Need)>,
 }
 
-/// A machine as the round sees it, with this round's starts and bookings on top.
-pub(super) struct Slot<'a> {
-    pub(super) host: &'a Host,
-    pub(super) type_index: usize,
-    /// Room free now; for a machine that is still booting, its whole room later.
-    pub(super) free: Need,
-    /// Room once bookings are taken off; may be negative.
-    pub(super) later: Need,
-    pub(super) releases: Vec<(Instant, Need)>,
-    pub(super) up_at: Option<Instant>,
-    pub(super) speed: f64,
-    pub(super) price: f64,
-    /// Images under way here, this round's included, and their size together.
-    pub(super) fetch_gb: f64,
-    pub(super) started_images: Vec<ImageKey>,
-    pub(super) booked_images: Vec<ImageKey>,
-    /// A task waits here for room to come free; teams beyond their fair part do not fill it up.
-    pub(super) claimed: bool,
-}
-
-/// Prices a half apart or nearer count as equal: spot prices move by a third.
-fn price_step(price: f64) -> f64 {
-    if price > 0.0 {
-        (price.ln() / 1.5f64.ln()).round()
-    } else {
-        f64::NEG_INFINITY
-    }
-}
-
-impl Slot<'_> {
-    /// Avail: now if room fits, else when booked tasks free enough.
-    pub(super) fn avail(&self, now: Instant, need: &Need, room: &Need) -> Option<(Instant, bool)> {
-        if !need.fits(room) {
-            return None;
-        }
-        if self.up_at.is_none() && need.fits(&self.free) {
-            return Some((now, true));
-        }
-        let mut at = self.up_at.unwrap_or(now);
-        let mut free = self.later;
-        if need.fits(&free) {
-            return Some((at, false));
-        }
-        for (t, n) in &self.releases {
-            free.add(n);
-            at = at.max(*t);
-            if need.fits(&free) {
-                return Some((at, false));
-            }
-        }
-        None
-    }
-
-    pub(super) fn book(&mut self, at: Instant, est: Duration, need: &Need) {
-        self.later.sub(need);
-        let end = at + est;
-        let i = self.releases.partition_point(|(t, _)| *t <= end);
-        self.releases.insert(i, (end, *need));
-    }
-
-    /// The penalty: zero where the image is cached, else its fetch behind those queued.
-    pub(super) fn penalty(&self, now: Instant, rate: f64, job: &Job) -> Duration {
-        if job.spec.image_gb <= 0.0
-            || self.host.has_image(job.image)
-            || self.booked_images.contains(&job.image)
-        {
-            return Duration::ZERO;
-        }
-        if let Some((since, _)) = self.host.fetching.get(&job.image) {
-            let whole = fetch_at(rate, self.fetch_gb);
-            return whole.saturating_sub(now.saturating_duration_since(*since));
-        }
-        if self.started_images.contains(&job.image) {
-            return fetch_at(rate, self.fetch_gb);
-        }
-        fetch_at(rate, self.fetch_gb + job.spec.image_gb)
-    }
-
-    pub(super) fn started(&mut self, job: &Job) {
-        if !self.host.has_image(job.image)
-            && !self.host.fetching.contains_key(&job.image)
-            && !self.started_images.contains(&job.image)
-        {
-            self.started_images.push(job.image);
-            self.fetch_gb += job.spec.image_gb;
-        }
-    }
-}
-
 /// Tasks of one job that are alike, and what a round has computed for them by machine type.
 struct Group<'a> {
     job: &'a Job,
@@ -198,17 +110,17 @@
 impl Eq for Choice {}
 
 /// A task of the plan, to be started.
-struct Start {
-    uid: Uid,
-    index: u32,
-    host: HostId,
-    est: Duration,
-    fetch: Duration,
-    gang: bool,
+pub(super) struct Start {
+    pub(super) uid: Uid,
+    pub(super) index: u32,
+    pub(super) host: HostId,
+    pub(super) est: Duration,
+    pub(super) fetch: Duration,
+    pub(super) gang: bool,
 }
 
 /// Where waiting tasks are counted together: waits this close are one.
-fn push_waiting(waiting: &mut Vec<Waiting>, w: Waiting) {
+pub(super) fn push_waiting(waiting: &mut Vec<Waiting>, w: Waiting) {
     if let Some(last) = waiting.last_mut() {
         let near = match (last.wait, w.wait) {
             (Some(a), Some(b)) => a.as_secs() == b.as_secs(),
@@ -223,90 +135,17 @@
     waiting.push(w);
 }
 
-struct Plan {
-    starts: Vec<Start>,
+/// What a round starts and stops, and what waits.
+pub(super) struct Plan {
+    pub(super) starts: Vec<Start>,
     kills: Vec<(TaskId, bool)>,
-    waiting: Vec<Waiting>,
+    pub(super) waiting: Vec<Waiting>,
     spare: Vec<(HostId, Need)>,
     /// Ordinary work waits for the controllers' processors, not for machines.
     paced: bool,
 }
 
 impl Cluster {
-    pub(super) fn usable(&self, now: Instant, h: &Host) -> bool {
-        let fresh = now.saturating_duration_since(h.last_heard) <= self.params.report.mul_f64(2.5);
-        h.reported
-            && fresh
-            && h.heeds()
-            && !h.returning
-            && !h.quarantined
-            && !h.draining
-            && h.eviction.is_none()
-            && h.avoid_until.is_none_or(|t| t <= now)
-    }
-
-    pub(super) fn slots(&self, now: Instant, rates: &[f64]) -> Vec<Slot<'_>> {
-        let mut slots = Vec::with_capacity(self.hosts.len());
-        for h in self.hosts.values() {
-            let Some(ti) = self.types.iter().position(|t| t.name == h.host_type) else {
-                continue;
-            };
-            let t = &self.types[ti];
-            let up_at = match h.booting {
-                Some(since) if !h.returning => {
-                    Some((since + self.capacity.boot_time(t)).max(now + Duration::from_secs(1)))
-                }
-                _ if self.usable(now, h) => None,
-                _ => continue,
-            };
-            let mut free = t.room;
-            free.sub(&h.used);
-            free.sub(&h.foreign);
-            let fetch_gb: f64 = h.fetching.values().map(|f| f.1).sum();
-            let mut releases = Vec::with_capacity(h.placed.len() + 2);
-            for task in h.placed.keys() {
-                let Some(job) = self.jobs.get(&task.uid) else {
-                    continue;
-                };
-                let Some(a) = job.active.get(&task.index) else {
-                    continue;
-                };
-                let rest = match (a.running_since, &a.kill) {
-                    (_, Some(k)) => (k.since + k.wind_down).saturating_duration_since(now),
-                    (Some(s), None) => {
-                        let ran = now.saturating_duration_since(s);
-                        // Past its estimate, a task is taken to need as much again as a tenth.
-                        a.est.saturating_sub(ran).max(ran.mul_f64(0.1))
-                    }
-                    (None, None) => {
-                        let fetch = h.fetching.get(&job.image).map(|(since, _)| {
-                            fetch_at(rates[ti], fetch_gb)
-                                .saturating_sub(now.saturating_duration_since(*since))
-                        });
-                        a.est + fetch.unwrap_or_default()
-                    }
-                };
-                releases.push((now + rest, job.spec.need));
-            }
-            releases.sort_by_key(|r| r.0);
-            slots.push(Slot {
-                host: h,
-                type_index: ti,
-                free,
-                later: free,
-                releases,
-                up_at,
-                speed: h.speed(),
-                price: price_step(t.price(h.spot) / t.room.cpus.max(1.0)),
-                fetch_gb,
-                started_images: Vec::new(),
-                booked_images: Vec::new(),
-                claimed: false,
-            });
-        }
-        slots
-    }
-
     /// Avail + Est + penalty of one slot. None: the task can never run there.
     fn score(&self, now: Instant, g: &Group<'_>, slots: &[Slot<'_>], i: usize) -> Option<Choice> {
         let s = &slots[i];
@@ -450,7 +289,14 @@
                     looked += spec.shards as usize;
                     taken.insert(uid, spec.shards as usize);
                     let starved = part.is_some();
-                    self.plan_gang(now, job, &mut slots, &rates, &mut used, starved, &mut plan);
+                    let mut round = GangRound {
+                        now,
+                        slots: &mut slots,
+                        rates: &rates,
+                        used: &mut used,
+                        plan: &mut plan,
+                    };
+                    self.plan_gang(job, starved, &mut round);
                 }
                 continue;
             }
@@ -611,135 +457,6 @@
             (!host.site.0.is_empty()).then(|| host.site.clone())
         }
     }
-
-    /// A gang starts only when every member has room now.
-    #[allow(clippy::too_many_arguments)]
-    fn plan_gang(
-        &self,
-        now: Instant,
-        job: &Job,
-        slots: &mut [Slot<'_>],
-        rates: &[f64],
-        used: &mut HashMap<TeamName, Need>,
-        starved: bool,
-        plan: &mut Plan,
-    ) {
-        let spec = &job.spec;
-        let Some(team) = self.params.teams.iter().find(|t| t.name == spec.owner) else {
-            return;
-        };
-        let sum = used.get(&spec.owner).copied().unwrap_or_default();
-        let whole = spec.need.times(f64::from(spec.shards));
-        if !team.allows(&sum, &whole) {
-            return;
-        }
-        let mut sites: Vec<Option<Site>> = vec![None];
-        if spec.same_place {
-            sites = slots.iter().map(|s| Some(s.host.site.clone())).collect();
-            sites.sort();
-            sites.dedup();
-        }
-        let zones = ZoneUse::of(job, &self.site_of());
-        // What a member costs on each slot, least first: the same for all of them.
-        let mut costs: Vec<(Duration, usize)> = slots
-            .iter()
-            .enumerate()
-            .filter(|(_, s)| s.up_at.is_none() && self.admits(job, s, &zones))
-            .map(|(i, s)| {
-                let est = self.history.est(spec, &self.types[s.type_index].name);
-                let fetch = s.penalty(now, rates[s.type_index], job);
-                (est.mul_f64(s.speed) + fetch, i)
-            })
-            .collect();
-        costs.sort();
-        let half = spec.shards.div_ceil(2) as usize;
-        let mut chosen: Option<(Duration, Vec<usize>)> = None;
-        for only in &sites {
-            let mut members: Vec<usize> = Vec::new();
-            let mut per_site: HashMap<&Site, usize> = HashMap::new();
-            let mut slowest = Duration::ZERO;
-            for (cost, i) in &costs {
-                let s = &slots[*i];
-                if only.as_ref().is_some_and(|o| o != &s.host.site) {
-                    continue;
-                }
-                let missing = spec.shards as usize - members.len();
-                let mut n = spec.need.count_in(&s.free).min(missing);
-                if spec.spread {
-                    let there = per_site.entry(&s.host.site).or_default();
-                    n = n.min(half.saturating_sub(*there));
-                    *there += n;
-                }
-                if n > 0 {
-                    slowest = slowest.max(*cost);
-                    members.extend(std::iter::repeat_n(*i, n));
-                }
-                if members.len() == spec.shards as usize {
-                    break;
-                }
-            }
-            let complete = members.len() == spec.shards as usize;
-            if complete && chosen.as_ref().is_none_or(|(s, _)| slowest < *s) {
-                chosen = Some((slowest, members));
-            }
-        }
-        if let Some((_, members)) = chosen {
-            for (index, i) in members.into_iter().enumerate() {
-                let s = &mut slots[i];
-                let est = self
-                    .history
-                    .est(spec, &self.types[s.type_index].name)
-                    .mul_f64(s.speed);
-                let fetch = s.penalty(now, rates[s.type_index], job);
-                s.free.sub(&spec.need);
-                s.book(now, est, &spec.need);
-                s.started(job);
-                plan.starts.push(Start {
-                    uid: spec.uid.clone(),
-                    index: index as u32,
-                    host: s.host.id.clone(),
-                    est,
-                    fetch,
-                    gang: true,
-                });
-            }
-            let mut sum = sum;
-            sum.add(&whole);
-            used.insert(spec.owner.clone(), sum);
-            return;
-        }
-        if starved {
-            // Room for all members at once never comes by itself while others fill each gap: the
-            // machines that can hold the gang soonest take nobody else.
-            let mut soon: Vec<(Instant, usize)> = costs
-                .iter()
-                .filter_map(|(_, i)| {
-                    let room = &self.types[slots[*i].type_index].room;
-                    slots[*i].avail(now, &spec.need, room).map(|a| (a.0, *i))
-                })
-                .collect();
-            soon.sort();
-            let mut missing = spec.shards as usize;
-            for (_, i) in soon {
-                if missing == 0 {
-                    break;
-                }
-                let room = &self.types[slots[i].type_index].room;
-                missing = missing.saturating_sub(spec.need.count_in(room));
-                slots[i].free = Need::default();
-            }
-        }
-        push_waiting(
-            &mut plan.waiting,
-            Waiting {
-                uid: spec.uid.clone(),
-                count: (spec.shards as usize).min(ROUND_TASKS),
-                wait: None,
-                est: spec.expected,
-                coming: false,
-            },
-        );
-    }
 }
 
 #[cfg(test)]
--- a/src/core/preemption.rs
+++ b/src/core/preemption.rs
@@ -2,7 +2,8 @@
 
 use super::cluster::{Active, Cluster, Job};
 use super::model::*;
-use super::placement::{Slot, Waiting, RESOLUTION_S, TURNAROUND};
+use super::placement::{Waiting, RESOLUTION_S, TURNAROUND};
+use super::slots::Slot;
 use super::zones::ZoneUse;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -5,6 +5,7 @@
 //! while. A thread for each would pass what a process may have, so a connection costs its socket and
 //! a few hundred bytes here, and a silent or slow client holds nothing else.
 
+use super::request_parser::{parse, Parsed, HEAD_LIMIT};
 use crate::runtime::stop::Stop;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -14,9 +15,6 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Of one request's line and headers.
-const HEAD_LIMIT: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
 /// Read from a connection at a time.
 const READ_SIZE: usize = 16 * 1024;
 /// A client that has begun a request gets this long to send the rest.
@@ -201,154 +199,6 @@
     began: Option<Instant>,
 }
 
-/// One request at the front of what has come.
-#[derive(Debug, PartialEq)]
-enum Parsed {
-    /// This much is needed at least.
-    More { want: usize, expects: bool },
-    Whole {
-        method: String,
-        path: String,
-        body: Vec<u8>,
-        keep: bool,
-        length: usize,
-    },
-    /// Answered 400 with this, and the connection ends.
-    Bad(&'static str),
-}
-
-fn parse(input: &[u8], body_limit: usize) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut r = httparse::Request::new(&mut headers);
-    let head = match r.parse(input) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if input.len() < HEAD_LIMIT => {
-            return Parsed::More {
-                want: input.len() + 1,
-                expects: false,
-            }
-        }
-        Ok(httparse::Status::Partial) => return Parsed::Bad("the headers are too long"),
-        Err(_) => return Parsed::Bad("not HTTP"),
-    };
-    let (Some(method), Some(target), Some(version)) = (r.method, r.path, r.version) else {
-        return Parsed::Bad("not HTTP");
-    };
-    let (mut length, mut chunked, mut expects) = (None, false, false);
-    let mut keep = version == 1;
-    for h in r.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let Ok(n) = value.parse::<usize>() else {
-                return Parsed::Bad("bad Content-Length");
-            };
-            if length.replace(n).is_some_and(|old| old != n) {
-                return Parsed::Bad("bad Content-Length");
-            }
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            if !value.eq_ignore_ascii_case("chunked") {
-                return Parsed::Bad("unknown Transfer-Encoding");
-            }
-            chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            for option in value.split(',').map(str::trim) {
-                if option.eq_ignore_ascii_case("close") {
-                    keep = false;
-                } else if option.eq_ignore_ascii_case("keep-alive") && version == 0 {
-                    keep = true;
-                }
-            }
-        } else if h.name.eq_ignore_ascii_case("expect") {
-            expects = value.eq_ignore_ascii_case("100-continue");
-        }
-    }
-    if chunked && length.is_some() {
-        return Parsed::Bad("both Content-Length and Transfer-Encoding");
-    }
-    let rest = &input[head..];
-    let (body, length) = if chunked {
-        match unchunk(rest, body_limit) {
-            Chunks::Whole(body, n) => (body, head + n),
-            Chunks::More => {
-                return Parsed::More {
-                    want: input.len() + 1,
-                    expects,
-                }
-            }
-            Chunks::Bad(why) => return Parsed::Bad(why),
-        }
-    } else {
-        let n = length.unwrap_or(0);
-        if n > body_limit {
-            return Parsed::Bad("the body is too long");
-        }
-        if rest.len() < n {
-            return Parsed::More {
-                want: head + n,
-                expects,
-            };
-        }
-        (rest[..n].to_vec(), head + n)
-    };
-    Parsed::Whole {
-        method: method.to_owned(),
-        path: target.split('?').next().unwrap_or(target).to_owned(),
-        body,
-        keep,
-        length,
-    }
-}
-
-enum Chunks {
-    Whole(Vec<u8>, usize),
-    More,
-    Bad(&'static str),
-}
-
-fn unchunk(input: &[u8], limit: usize) -> Chunks {
-    const BAD: Chunks = Chunks::Bad("bad chunk");
-    // Chunks of one byte each are six bytes on the wire.
-    if input.len() > limit.saturating_mul(8) + HEAD_LIMIT {
-        return Chunks::Bad("the body is too long");
-    }
-    let mut body = Vec::new();
-    let mut at = 0;
-    loop {
-        let (line, size) = match httparse::parse_chunk_size(&input[at..]) {
-            Ok(httparse::Status::Complete(found)) => found,
-            Ok(httparse::Status::Partial) => return Chunks::More,
-            Err(_) => return BAD,
-        };
-        at += line;
-        if size == 0 {
-            break;
-        }
-        let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > limit || body.len() + size > limit {
-            return Chunks::Bad("the body is too long");
-        }
-        let Some(chunk) = input.get(at..at + size + 2) else {
-            return Chunks::More;
-        };
-        if &chunk[size..] != b"\r\n" {
-            return BAD;
-        }
-        body.extend_from_slice(&chunk[..size]);
-        at += size + 2;
-    }
-    // Trailers are read past.
-    loop {
-        let rest = &input[at..];
-        let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-            return Chunks::More;
-        };
-        at += end + 2;
-        if end == 0 {
-            return Chunks::Whole(body, at);
-        }
-    }
-}
-
 /// The listening socket. Accepted sockets inherit its keep-alive, which ends the connections of
 /// machines that vanished.
 pub fn bind(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
@@ -687,62 +537,3 @@
     let (status, body) = super::front::problem(400, why);
     request.respond(status, &body, None);
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against requests split anywhere, and against lengths that lie.
-    #[test]
-    fn requests_are_parsed_however_they_are_cut() {
-        let whole: &[(&str, &str, &str, bool)] = &[
-            ("GET /up HTTP/1.1\r\n\r\n", "/up", "", true),
-            ("GET /up?x=1 HTTP/1.1\r\nConnection: close\r\n\r\n", "/up", "", false),
-            ("GET /up HTTP/1.0\r\n\r\n", "/up", "", false),
-            ("GET /up HTTP/1.0\r\nconnection: Keep-Alive\r\n\r\n", "/up", "", true),
-            ("POST /a HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", "/a", "abc", true),
-            (
-                "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: 1\r\n\r\n",
-                "/a",
-                "abc",
-                true,
-            ),
-        ];
-        for (text, path, body, keep) in whole {
-            for cut in 0..text.len() {
-                let part = parse(&text.as_bytes()[..cut], 8);
-                assert!(matches!(part, Parsed::More { .. }), "{text:?} cut at {cut}");
-            }
-            let next = format!("{text}GET / HTTP/1.1\r\n");
-            let Parsed::Whole {
-                path: p,
-                body: b,
-                keep: k,
-                length,
-                ..
-            } = parse(next.as_bytes(), 8)
-            else {
-                panic!("{text:?} is whole");
-            };
-            assert_eq!((p.as_str(), &b[..], k), (*path, body.as_bytes(), *keep));
-            assert_eq!(length, text.len(), "{text:?}");
-        }
-        let bad = [
-            "nonsense\r\n\r\n",
-            "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n",
-            "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-            "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-            "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-            "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
-            "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n",
-            "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-            "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
-        ];
-        for text in bad {
-            let found = parse(text.as_bytes(), 8);
-            assert!(matches!(found, Parsed::Bad(_)), "{text:?}: {found:?}");
-        }
-        let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
-        assert!(matches!(parse(long.as_bytes(), 8), Parsed::Bad(_)));
-    }
-}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -10,6 +10,8 @@
 pub mod live_index;
 pub mod peer;
 pub mod questions;
+pub mod request_parser;
 pub mod store;
+pub mod store_budget;
 pub mod submission;
 pub mod wire;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -10,7 +10,7 @@
 use cypressgap::core::leadership::{LeaderRecord, Leadership, Role, Step};
 use cypressgap::core::model::*;
 use cypressgap::core::placement::contested;
-use cypressgap::net::store::Budgets;
+use cypressgap::net::store_budget::Budgets;
 use cypressgap::runtime::budget::{Bucket, Demand, Rank};
 use cypressgap::runtime::metrics::Meter;
 use cypressgap::runtime::view::{PeerStatus, View};
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::ledger::{job_key, live_key, Verdict};
 use cypressgap::core::model::Uid;
 use cypressgap::core::status_reads::{self, Page, Records, Standing};
-use cypressgap::net::store::Budgets;
+use cypressgap::net::store_budget::Budgets;
 use cypressgap::runtime::budget::{shares, Crowd, Demand, Rank};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
