--- a/src/core/watermark.rs
+++ b/src/core/watermark.rs
@@ -30,6 +30,14 @@
     (left.max(LEAST_PATIENCE), left >= LEAST_PATIENCE)
 }
 
+/// By how much a cancelled task may outlast `cancel` where leases alone end it: its leader has lost the
+/// state service and its peers, and its machine is not reached. Zero where the rule is kept.
+pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
+    let (patience, _) = patience(lease, cancel);
+    let longest = patience + lease.mul_f64(1.0 + DRIFT) + MARGIN;
+    longest.saturating_sub(cancel.mul_f64(1.0 - DRIFT))
+}
+
 /// A point in time by both clocks. The steady one may stand still with the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -416,9 +416,11 @@
         if !watermark::patience(p.lease, p.cancel).1 {
             out.push(format!(
                 "deployment.workers.cancel_s: {:.1} is so close to lease_s, {:.1}, that the tasks of a \
-                 cancelled job may outlast it where their leader has lost the state service and its peers",
+                 cancelled job may outlast it by {:.1} s where their leader has lost the state service \
+                 and its peers",
                 p.cancel.as_secs_f64(),
-                p.lease.as_secs_f64()
+                p.lease.as_secs_f64(),
+                watermark::overshoot(p.lease, p.cancel).as_secs_f64()
             ));
         }
         out
--- a/tests/watermark.rs
+++ b/tests/watermark.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::cluster::{Action, Answer};
 use cypressgap::core::ledger::Verdict;
 use cypressgap::core::model::*;
-use cypressgap::core::watermark::{patience, Moment, Statement, Watermark, LEAST_PATIENCE};
+use cypressgap::core::watermark::{self, patience, Moment, Statement, Watermark, LEAST_PATIENCE};
 use cypressgap::runtime::view::View;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -296,3 +296,34 @@
     let expected: Vec<Uid> = (19_000..31_000).map(uid).collect();
     assert_eq!(got, expected);
 }
+
+/// What leases alone guarantee, for pairs of settings: how old the watermark may be for a report to be
+/// answered, and by how much a cancelled task may then outlast the bound.
+#[test]
+fn what_each_pair_of_settings_guarantees() {
+    // `lease_s` and `cancel_s` -> the watermark's age and the overshoot, in tenths of a second.
+    let cases = [
+        (22, 47, 229, 0),
+        (34, 54, 178, 0),
+        (31, 56, 228, 0),
+        (30, 39, 69, 0),
+        (30, 38, 60, 1),
+        (30, 37, 60, 11),
+        (30, 30, 60, 81),
+        (30, 10, 60, 281),
+        (10, 18, 60, 1),
+    ];
+    let tenths = |d: Duration| (d.as_secs_f64() * 10.0).round() as u64;
+    for (lease, cancel, age, over) in cases {
+        let (lease, cancel) = (secs(lease), secs(cancel));
+        let (patience, kept) = watermark::patience(lease, cancel);
+        assert_eq!(tenths(patience), age, "{lease:?} {cancel:?}");
+        let overshoot = watermark::overshoot(lease, cancel);
+        assert_eq!(tenths(overshoot), over, "{lease:?} {cancel:?}");
+        assert_eq!(
+            kept,
+            overshoot < Duration::from_millis(1),
+            "{lease:?} {cancel:?}"
+        );
+    }
+}
