--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -2,7 +2,7 @@
 //!
 //! Work that would wait longer than a new machine takes to come up is packed onto imagined
 //! machines, cheapest first; what fills one well enough is rented. Machines go back when they are
-//! idle, silent, sick, about to be taken, or never came up.
+//! idle, silent, faulty, about to be taken, or never came up.
 
 use super::cluster::{Action, Cluster, Host, Job};
 use super::history::Average;
@@ -24,9 +24,9 @@
 /// Waits beyond a boot that are not worth a machine.
 pub(super) const RENT_MARGIN: Duration = Duration::from_secs(3);
 
-/// A machine that costs this much more by the CPU than the cheapest allowed one is dear.
+/// A machine that costs this much more by the CPU than the cheapest allowed one is expensive.
 pub(super) const EXPENSIVE_FACTOR: f64 = 1.5;
-/// How long work must wait before a dear machine is rented for it, unless that saves its deadline.
+/// How long work must wait before an expensive machine is rented for it, unless that saves its deadline.
 pub(super) const EXPENSIVE_PATIENCE: Duration = Duration::from_secs(90);
 /// Some machines take much longer to boot than most: a start promised within so many boots counts as
 /// one that no new machine can keep.
@@ -254,7 +254,7 @@
                 let fetch = self
                     .history
                     .fetch_time(&t.name, t.fetch_gb_per_s, spec.image_gb);
-                // A dear machine is only for what would otherwise be late or waits very long.
+                // An expensive machine is only for what would otherwise be late or waits very long.
                 let expensive = per_cpu(t, spot) > cheapest * EXPENSIVE_FACTOR;
                 let saves = slack.is_some_and(|s| wait > s && boot + fetch <= s);
                 match (expensive, saves) {
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -133,7 +133,7 @@
     pub(super) last_tick: Option<Instant>,
     /// Since when this process has not stood still: silence before that says nothing.
     pub(super) awake_since: Instant,
-    /// The leadership is not in doubt.
+    /// The leadership is certain.
     pub(super) confirmed: bool,
     pub(super) last_return: Option<Instant>,
     pub(super) dependencies: Dependencies,
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -1,4 +1,4 @@
-//! Machines that are emptied: dear ones that cheaper ones can replace, and thinly used ones.
+//! Machines that are drained: expensive ones that cheaper ones can replace, and thinly used ones.
 
 use super::capacity::*;
 use super::cluster::{Cluster, Host};
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Work that waits for longer than this keeps a machine from being emptied.
+/// Work that waits for longer than this keeps a machine from being drained.
 const KEEP_WAIT: Duration = Duration::from_secs(5);
 const REPLACING_PART: u32 = 6;
-/// A machine is thinly used below this share. One in so many is emptied at a time.
+/// A machine is thinly used below this share. One in so many is drained at a time.
 const THIN: f64 = 0.55;
 const MOVING_PART: usize = 12;
 /// Tasks move that have run for this long, so that their start counts, and have this much left
@@ -89,7 +89,7 @@
             for h in self.hosts.values_mut() {
                 if left > 0 && h.host_type == name && !h.spot && !h.draining && h.booting.is_none()
                 {
-                    log::info!("host is emptied for a cheaper one host={}", h.id);
+                    log::info!("host is drained for a cheaper one host={}", h.id);
                     h.draining = true;
                     left -= 1;
                 }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Empties the dearest ordinary machines whose tasks would find room on spot machines by now,
+    /// Drains the most expensive ordinary machines whose tasks would find room on spot machines by now,
     /// with the headroom left as it is.
     pub(super) fn drain_superfluous(&mut self, now: Instant) {
         let mut room: Vec<Need> = self
@@ -120,9 +120,9 @@
             .collect();
         expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
         let most = (expensive.len() / REPLACING_PART as usize).max(1);
-        let mut emptied: Vec<HostId> = Vec::new();
+        let mut drained: Vec<HostId> = Vec::new();
         for (_, h) in expensive {
-            if emptied.len() >= most || room.is_empty() {
+            if drained.len() >= most || room.is_empty() {
                 break;
             }
             let before = room.clone();
@@ -142,7 +142,7 @@
                     slots >= *tasks as usize
                 });
             if enough {
-                emptied.push(h.id.clone());
+                drained.push(h.id.clone());
             } else {
                 room = before;
                 if moves {
@@ -151,9 +151,9 @@
                 }
             }
         }
-        for id in emptied {
+        for id in drained {
             if let Some(h) = self.hosts.get_mut(&id) {
-                log::info!("host is emptied, spot machines have room host={id}");
+                log::info!("host is drained, spot machines have room host={id}");
                 h.draining = true;
             }
         }
@@ -228,7 +228,7 @@
         }
         for (id, tasks) in moves {
             log::info!(
-                "host is emptied, its tasks move together host={id} tasks={}",
+                "host is drained, its tasks move together host={id} tasks={}",
                 tasks.len()
             );
             if let Some(h) = self.hosts.get_mut(&id) {
@@ -258,7 +258,7 @@
         Some(tasks)
     }
 
-    /// A machine that is being emptied is paid for in any case: while work waits, it takes some.
+    /// A machine that is being drained is paid for in any case: while work waits, it takes some.
     pub(super) fn keep_draining(&mut self, round: &Round) {
         let mut draining: Vec<(&Host, Need)> = Vec::new();
         for h in self.hosts.values().filter(|h| h.draining && !h.returning) {
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -86,7 +86,7 @@
     pub errors: u32,
     /// The least time that a failing task was seen to take: fetches and reports only add to it.
     pub failed_after: Option<Duration>,
-    /// How often a task that ran on ended the doubt about it.
+    /// How often a task that ran on ended the suspicion against it.
     pub cleared: u32,
     /// One of its tasks ended well, or runs for far longer than the others took to fail.
     pub sound: bool,
--- a/src/core/failure_attribution.rs
+++ b/src/core/failure_attribution.rs
@@ -2,16 +2,16 @@
 //!
 //! A job that was submitted with a mistake fails on every machine until its user cancels it; a faulty
 //! machine fails every job. A job whose tasks failed on a few machines, none of them known as faulty,
-//! and of which nothing runs, is in doubt: one task at a time tries, at growing intervals, and nothing
-//! is rented, kept ready or stopped for it. Its marks on machines do not count while it is in doubt. As
-//! soon as one of its tasks ends well, or runs for far longer than the others took to fail, the doubt is
-//! over, and the marks count again.
+//! and of which nothing runs, is suspected: one task at a time tries, at growing intervals, and nothing
+//! is rented, kept ready or stopped for it. Its marks on machines do not count while it is suspected. As
+//! soon as one of its tasks ends well, or runs for far longer than the others took to fail, the suspicion
+//! is over, and the marks count again.
 
 use super::cluster::{Cluster, Job};
 use super::model::*;
 use std::time::{Duration, Instant};
 
-/// Machines on which a job must have failed to be in doubt: two may be faulty by chance.
+/// Machines on which a job must have failed to be suspected: two may be faulty by chance.
 const SUSPECT_AFTER: usize = 3;
 /// The same for a job of which something has run: many machines may be faulty at once.
 const SUSPECT_AFTER_SUCCESS: usize = 12;
@@ -19,7 +19,7 @@
 const JOBS_FAILED: usize = 2;
 /// A machine is given back after so long in quarantine: by then the jobs it failed are known better.
 pub(super) const QUARANTINE_PATIENCE: Duration = Duration::from_secs(8);
-/// The first pause before a job in doubt tries again; each failed try doubles it.
+/// The first pause before a suspected job tries again; each failed try doubles it.
 const FIRST_PAUSE: Duration = Duration::from_secs(5);
 const LONGEST_PAUSE: Duration = Duration::from_secs(60);
 /// A task that runs for this many times as long as the others took to fail, and this much more, shows
@@ -39,7 +39,7 @@
         job.errors += 1;
         job.failed_after = Some(job.failed_after.map_or(after, |f| f.min(after)));
         if job.suspected {
-            // What was under way when the doubt arose fails too; only a try that was due counts.
+            // What was under way when the suspicion arose fails too; only a try that was due counts.
             if job.backoff_until.is_none_or(|t| now >= t) {
                 job.tries += 1;
                 job.backoff_until = Some(now + pause(job.tries));
@@ -56,7 +56,7 @@
             SUSPECT_AFTER
         };
         if job.error_hosts.len() >= few {
-            log::info!("job is in doubt job={uid} failures={}", job.errors);
+            log::info!("job is suspected job={uid} failures={}", job.errors);
             job.suspected = true;
             job.sound = false;
             job.backoff_until = Some(now + pause(job.tries));
@@ -92,7 +92,7 @@
         };
         job.sound = true;
         if job.suspected {
-            log::info!("job is in doubt no more job={uid}");
+            log::info!("job is suspected no more job={uid}");
             job.suspected = false;
             job.tries = 0;
             job.backoff_until = None;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Jobs in doubt one of whose tasks outlives those that failed.
+    /// Suspected jobs one of whose tasks outlives those that failed.
     pub(super) fn clear_suspicions(&mut self, now: Instant) {
         let outlives = |j: &Job| {
             let least = j.failed_after.unwrap_or_default() * OUTLIVES + OUTLIVES_LEAST;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether jobs that are not in doubt, this one aside, have failed there.
+    /// Whether jobs that are not suspected, this one aside, have failed there.
     fn faulty_by_others(&self, uid: &Uid, host: &HostId) -> bool {
         let Some(h) = self.hosts.get(host) else {
             return false;
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -185,7 +185,7 @@
 
     /// Whether the job may use this slot, its tasks placed so far aside.
     pub(super) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
-        // In doubt, it has failed on many, and most of them are well.
+        // A suspected job has failed on many, and most of them are well.
         let failed = !job.suspected && job.error_hosts.contains(&s.host.id);
         let name = &self.types[s.type_index].name;
         !failed && permits(&job.spec, zones, name, &s.host.site, s.host.spot)
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -33,7 +33,7 @@
         beyond: &HashSet<&TeamName>,
     ) -> Vec<(&Uid, Option<u32>)> {
         let waits = |j: &&Job| {
-            // In doubt, one task at a time tries.
+            // Of a suspected job, one task at a time tries.
             let trying = j.suspected && !j.active.is_empty();
             let due = j.backoff_until.is_none_or(|b| now >= b);
             !j.over() && j.waiting_count() > 0 && due && !trying
--- a/src/core/release.rs
+++ b/src/core/release.rs
@@ -1,4 +1,4 @@
-//! Machines that go back: idle, silent, sick, about to be taken, or never come up.
+//! Machines that go back: idle, silent, faulty, about to be taken, or never come up.
 
 use super::capacity::MANY;
 use super::cluster::{Action, Cluster, Host};
@@ -63,7 +63,7 @@
             own.insert(&h.id, free);
         }
         let mut leaving: Vec<(HostId, &str)> = Vec::new();
-        // The dearest idle machines go first.
+        // The most expensive idle machines go first.
         let mut hosts: Vec<(f64, &Host, Option<&HostType>)> = self
             .hosts
             .values()
@@ -88,7 +88,7 @@
             }
             let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
             if h.quarantined_at.is_some_and(faulty) {
-                leaving.push((h.id.clone(), "sick"));
+                leaving.push((h.id.clone(), "faulty"));
             } else if h.eviction.is_some() && h.placed.is_empty() {
                 leaving.push((h.id.clone(), "to be taken"));
             } else if silent(h)
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -22,7 +22,7 @@
         }
         let event = match order {
             CloudOrder::Rent(term, r) => {
-                // What is rented in doubt is adopted by whoever leads. But an order that waited while
+                // What is rented under an uncertain leadership is adopted by whoever leads. But an order that waited while
                 // this process stood still is not carried out for a term that may be over.
                 let leads =
                     shared.leads(term) && (shared.surely_leads(term) || !shared.woke_of_late());
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -393,7 +393,7 @@
         )?;
         let (s, b) = (shared.clone(), cloud_bucket.clone());
         spawn(
-            "clerk",
+            "cloud",
             Box::new(move || cloud_workers::cloud_worker(&s, &b, &cloud_queue)),
         )?;
         let s = shared.clone();
