--- a/tests/end_to_end/cascades.rs
+++ b/tests/end_to_end/cascades.rs
@@ -235,3 +235,63 @@
         }
     }
 }
+
+/// The state service allows fewer changes a transaction than the settings say, from one moment on: in
+/// the middle of a cascade, inside an outage, or while another leader loads. Nothing is lost, and what
+/// was refused goes on in parts.
+#[test]
+fn limits_fall_in_the_middle_of_a_cascade() {
+    #[derive(Clone, Copy, Debug)]
+    enum Meets {
+        Nothing,
+        AnOutage,
+        ANewLeader,
+    }
+    std::thread::scope(|s| {
+        for meets in [Meets::Nothing, Meets::AnOutage, Meets::ANewLeader] {
+            s.spawn(move || {
+                let site = Site::new(2);
+                let mut nodes = [Some(site.start(0)), Some(site.start(1))];
+                let worker = Worker::start("i-1", Duration::from_millis(300), site.names.clone());
+                until("one leads", || nodes.iter().flatten().find_map(leads));
+                let leading = nodes
+                    .iter()
+                    .position(|n| n.as_ref().is_some_and(|n| leads(n).is_some()))
+                    .expect("a leader");
+                let other = site.names[1 - leading].1;
+                worker.runs_for(Duration::from_secs(600));
+                submit(other, "wk-000750", 1);
+                let dependents: Vec<String> = (751..766).map(|n| format!("wk-{n:06}")).collect();
+                for uid in &dependents {
+                    await_on(other, uid, &["wk-000750"]);
+                }
+                site.state.most_ops.store(3, Ordering::SeqCst);
+                cancel(other, "wk-000750");
+                match meets {
+                    Meets::Nothing => {}
+                    Meets::AnOutage => {
+                        site.state.out.store(true, Ordering::SeqCst);
+                        std::thread::sleep(Duration::from_secs(3));
+                        site.state.out.store(false, Ordering::SeqCst);
+                    }
+                    Meets::ANewLeader => {
+                        if let Some(node) = nodes[leading].take() {
+                            node.stop();
+                        }
+                    }
+                }
+                let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
+                never_orphaned(&[other], "wk-000750", &names, &format!("{meets:?}"));
+                // What comes afterwards is served as well.
+                worker.runs_for(Duration::from_millis(300));
+                submit(other, "wk-000790", 2);
+                until("it ends", || {
+                    (phase(other, "wk-000790")? == "done").then_some(())
+                });
+                for node in nodes.into_iter().flatten() {
+                    node.stop();
+                }
+            });
+        }
+    });
+}
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -156,6 +156,8 @@
     pub out: Arc<AtomicBool>,
     /// So many of the next transactions that change nothing are not answered in time.
     pub lose: Arc<AtomicU64>,
+    /// Puts and deletes that a transaction may have; more are answered 400.
+    pub most_ops: Arc<AtomicU64>,
     /// For the next transaction that puts a key with this prefix.
     faults: Arc<Mutex<Vec<(&'static str, Fault)>>>,
     pub address: SocketAddr,
@@ -169,10 +171,15 @@
         let faults: Arc<Mutex<Vec<(&'static str, Fault)>>> = Arc::default();
         let (l, o, n) = (ledger.clone(), out.clone(), lose.clone());
         let f = faults.clone();
+        let most_ops = Arc::new(AtomicU64::new(u64::MAX));
+        let most = most_ops.clone();
         let address = serve(move |method, url, body| {
             if o.load(Ordering::SeqCst) {
                 return (503, Any::Nil(()));
             }
+            if body.list("Apply").len() as u64 > most.load(Ordering::SeqCst) {
+                return (400, map([("error", t("too many changes"))]));
+            }
             let left = |n: u64| n.checked_sub(1);
             let compares = url == "/txn" && body.list("Apply").is_empty();
             if compares
@@ -205,6 +212,7 @@
             ledger,
             out,
             lose,
+            most_ops,
             faults,
             address,
         }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use cypressgap::core::cluster::Action;
-use cypressgap::core::ledger::BatchOutcome;
+use cypressgap::core::ledger::{BatchOutcome, ChunkValue};
 use cypressgap::core::model::*;
 use cypressgap::core::zones::{permits, ZoneUse};
 use std::collections::{BTreeMap, BTreeSet};
@@ -270,3 +270,42 @@
         );
     }
 }
+
+/// A new leader knows of a task on a machine that it has not heard, whose zone could be any: until it
+/// knows, none of the job's tasks starts, and then only where the job may.
+#[test]
+fn tasks_in_zones_not_known_yet_keep_their_siblings_back() {
+    for same_place in [true, false] {
+        let mut w = two_zones(32.0);
+        w.job(tied("wk-000001", 3, same_place));
+        let active = vec![
+            (0, Attempt(100), HostId::from("i-9")),
+            (1, Attempt(101), HostId::from("i-9")),
+        ];
+        let value = ChunkValue { done: 0, active };
+        w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
+        for h in ["i-2", "i-3"] {
+            report_of(&mut w, h, 1, 1, vec![]);
+        }
+        let started = |actions: &[Action]| {
+            let launched = launches(actions).into_iter().map(|l| (l.0, l.1.index));
+            launched.filter(|l| l.1 == 2).collect::<Vec<_>>()
+        };
+        assert_eq!(started(&w.settle()), vec![], "same place {same_place}");
+        let listed = [0, 1].map(|i| {
+            let attempt = Attempt(100 + u64::from(i));
+            shown("wk-000001", i, attempt, TaskPhase::Running)
+        });
+        report_of(&mut w, "i-9", 1, 1, listed.to_vec());
+        for h in ["i-2", "i-3"] {
+            report_of(&mut w, h, 1, 2, vec![]);
+        }
+        // Two of three run in zone b: the third belongs there, or must go to the other one.
+        let zone = if same_place { "b" } else { "a" };
+        let sites: Vec<&str> = started(&w.settle())
+            .iter()
+            .map(|l| site_of(&l.0 .0))
+            .collect();
+        assert_eq!(sites, [zone], "same place {same_place}");
+    }
+}
