--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -8,6 +8,7 @@
 #[path = "../standins/mod.rs"]
 mod standins;
 
+use cypressgap::core::model::Epoch;
 use cypressgap::runtime::budget::Rank;
 use cypressgap::runtime::service::Service;
 use cypressgap::runtime::stop::Stop;
@@ -113,8 +114,14 @@
     until("the other leads", || {
         leads(&nodes[1 - old]).filter(|t| *t > term)
     });
-    // The new leader's token reaches the worker, whose next report ends the old leadership.
+    // The new leader's token reaches the worker.
+    until("the worker knows the next term", || {
+        (Epoch(worker.epoch()).term() > term).then_some(())
+    });
+    // Its next report there ends the old leadership. It may report to the other node by now, so one
+    // is sent to the old leader.
     until("the old leader gives up", || {
+        worker.report_to(cut_off);
         leads(&nodes[old]).is_none().then_some(())
     });
     submit(other, "wk-000006", 1);
