--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -1,14 +1,11 @@
-//! Renting and returning machines.
+//! The machines that a deployment has: rentals, the cloud's list, and what was learned of boots.
 //!
-//! Work that would wait longer than a new machine takes to come up is packed onto imagined
-//! machines, cheapest first; what fills one well enough is rented. Machines go back when they are
-//! idle, silent, faulty, about to be taken, or never came up.
+//! What to rent is planned in `rental_plan`, what goes back in `release`.
 
 use super::cluster::{Action, Cluster, Host, Job};
 use super::history::Average;
 use super::model::*;
-use super::placement::{contested, Round};
-use super::zones::{permits, ZoneUse};
+use super::placement::Round;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -19,18 +16,8 @@
 /// After a refusal, the same kind is not asked for again for this long.
 pub(super) const REFUSED_PAUSE: Duration = Duration::from_secs(12);
 
-/// Work that waits for more than this share of a boot shows that room is short.
-pub(super) const RENT_SHARE: f64 = 0.7;
-/// Waits beyond a boot that are not worth a machine.
-pub(super) const RENT_MARGIN: Duration = Duration::from_secs(3);
-
 /// A machine that costs this much more by the CPU than the cheapest allowed one is expensive.
 pub(super) const EXPENSIVE_FACTOR: f64 = 1.5;
-/// How long work must wait before an expensive machine is rented for it, unless that saves its deadline.
-pub(super) const EXPENSIVE_PATIENCE: Duration = Duration::from_secs(90);
-/// Some machines take much longer to boot than most: a start promised within so many boots counts as
-/// one that no new machine can keep.
-const BOOTS_FOR_A_START: u32 = 2;
 /// Jobs of a class that its typical size is taken from.
 pub(super) const RECENT_JOBS: usize = 20;
 /// A class is quiet after this many times the usual gap between its jobs, and this long at least.
@@ -51,8 +38,8 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Rental {
-    offer: Offer,
-    number: u32,
+    pub(super) offer: Offer,
+    pub(super) number: u32,
     sent: bool,
     retry_at: Option<Instant>,
 }
@@ -133,14 +120,6 @@
     }
 }
 
-/// A machine that might be rented, as the plan fills it.
-struct Imagined {
-    offer: Offer,
-    room: Need,
-    free: Need,
-    tasks: usize,
-}
-
 impl Cluster {
     pub(super) fn manage_capacity(&mut self, now: Instant, round: &Round) {
         self.keep_draining(round);
@@ -171,291 +150,6 @@
         Some(finish.saturating_sub(elapsed).saturating_sub(est))
     }
 
-    // --- renting ---
-
-    /// Machines by zone, for spreading rentals.
-    pub(super) fn crowds(&self) -> HashMap<Site, usize> {
-        let mut crowds: HashMap<Site, usize> = HashMap::new();
-        for h in self.hosts.values() {
-            match crowds.get_mut(&h.site) {
-                Some(n) => *n += 1,
-                None => {
-                    crowds.insert(h.site.clone(), 1);
-                }
-            }
-        }
-        crowds
-    }
-
-    pub(super) fn rent(&mut self, now: Instant, round: &Round) {
-        if self.types.is_empty() || !self.settled(now) {
-            return;
-        }
-        // When most machines cannot be heard, the work that seems to lack room may have it: what is
-        // rented now would come up to find the others back. They are heard again, or given up, soon.
-        let (all, quiet) = self.unheard(now);
-        if quiet >= MANY && quiet * 2 > all {
-            return;
-        }
-        let mut plan: Vec<Imagined> = Vec::new();
-        // Rentals under way will take the first of the waiting.
-        for r in self.capacity.rentals.values() {
-            if let Some(t) = self.types.iter().find(|t| t.name == r.offer.0) {
-                for _ in 0..r.number {
-                    plan.push(Imagined {
-                        offer: r.offer.clone(),
-                        room: t.room,
-                        free: t.room,
-                        tasks: 0,
-                    });
-                }
-            }
-        }
-        let under_way = plan.len();
-        let mut crowds = self.crowds();
-        let mut same: HashMap<&Uid, usize> = HashMap::new();
-        for w in &round.waiting {
-            *same.entry(&w.uid).or_default() += w.count;
-        }
-        let most = self.params.tuning.max_hosts;
-        // Imagined machines with room for the least of what waits: with a thousand small jobs waiting,
-        // looking at the full ones again for each took most of the leader's processor.
-        let needs = round.waiting.iter().filter_map(|w| self.jobs.get(&w.uid));
-        let least = needs.map(|j| j.spec.need).reduce(|a, b| Need {
-            cpus: a.cpus.min(b.cpus),
-            gpus: a.gpus.min(b.gpus),
-            memory: a.memory.min(b.memory),
-        });
-        let least = least.unwrap_or_default();
-        let mut open: Vec<usize> = (0..plan.len()).collect();
-        for w in &round.waiting {
-            let Some(job) = self.jobs.get(&w.uid) else {
-                continue;
-            };
-            let spec = &job.spec;
-            let site_of = |h: &HostId| self.hosts.get(h).map(|h| h.site.clone());
-            let slack = self.slack(now, job, w.est);
-            let per_cpu = |t: &HostType, spot: bool| t.price(spot) / t.room.cpus.max(1.0);
-            let cheapest = self
-                .types
-                .iter()
-                .filter(|t| spec.allows_type(&t.name) && spec.need.fits(&t.room))
-                .map(|t| per_cpu(t, spec.preemptible))
-                .fold(f64::INFINITY, f64::min);
-            // A task booked on a machine that is coming up has its machine.
-            if w.coming {
-                continue;
-            }
-            let worth = |t: &HostType, spot: bool| {
-                let boot = self.capacity.boot_time(t);
-                let Some(wait) = w.wait else {
-                    return true;
-                };
-                let fetch = self
-                    .history
-                    .fetch_time(&t.name, t.fetch_gb_per_s, spec.image_gb);
-                // An expensive machine is only for what would otherwise be late or waits very long.
-                let expensive = per_cpu(t, spot) > cheapest * EXPENSIVE_FACTOR;
-                let saves = slack.is_some_and(|s| wait > s && boot + fetch <= s);
-                match (expensive, saves) {
-                    (false, true) => wait > boot,
-                    (false, false) => wait > boot.mul_f64(RENT_SHARE),
-                    (true, true) => wait > boot.mul_f64(1.2) + RENT_MARGIN,
-                    // Idle work is for machines that would stand idle, and for cheap ones.
-                    (true, false) => {
-                        wait > boot + EXPENSIVE_PATIENCE && spec.urgency > Urgency::Idle
-                    }
-                }
-            };
-            let zones = ZoneUse::of(job, &site_of);
-            let mut left = w.count;
-            open.retain(|i| {
-                let m = &mut plan[*i];
-                let o = &m.offer;
-                if left > 0 && spec.need.fits(&m.free) && permits(spec, &zones, &o.0, &o.1, o.2) {
-                    let n = spec.need.count_in(&m.free).min(left);
-                    m.free.sub(&spec.need.times(n as f64));
-                    m.tasks += n;
-                    left -= n;
-                }
-                least.fits(&m.free)
-            });
-            if left == 0 {
-                continue;
-            }
-            let mut offers: Vec<(f64, Offer, Need, usize)> = Vec::new();
-            for t in &self.types {
-                let slots = spec.need.count_in(&t.room);
-                if slots == 0 {
-                    continue;
-                }
-                for site in &t.sites {
-                    for spot in [true, false] {
-                        let offer = (t.name.clone(), site.clone(), spot);
-                        if worth(t, spot)
-                            && permits(spec, &zones, &t.name, site, spot)
-                            && !self.is_refused(now, &offer)
-                        {
-                            offers.push((t.price(spot), offer, t.room, slots));
-                        }
-                    }
-                }
-            }
-            while left > 0 && plan.len() < most {
-                // The whole job counts, as far as it is not provided for yet: a large machine for
-                // many tasks may be cheaper than small ones, for a few it is not.
-                let of_job = same.get(&w.uid).copied().unwrap_or(1).max(1);
-                let best = offers
-                    .iter()
-                    .map(|o| {
-                        let crowd = crowds.get(&o.1 .1).copied().unwrap_or(0) as f64;
-                        let cost = o.0 / o.3.min(of_job) as f64 * (1.0 + 0.001 * crowd);
-                        (cost, o)
-                    })
-                    .min_by(|a, b| a.0.total_cmp(&b.0));
-                let Some((_, (_, offer, room, slots))) = best else {
-                    break;
-                };
-                let n = left.min(*slots);
-                let mut free = *room;
-                free.sub(&spec.need.times(n as f64));
-                *crowds.entry(offer.1.clone()).or_default() += 1;
-                if least.fits(&free) {
-                    open.push(plan.len());
-                }
-                plan.push(Imagined {
-                    offer: offer.clone(),
-                    room: *room,
-                    free,
-                    tasks: n,
-                });
-                left -= n;
-                if let Some(s) = same.get_mut(&w.uid) {
-                    *s = s.saturating_sub(n);
-                }
-            }
-        }
-        self.plan_headroom(now, round, &mut plan, &mut crowds);
-        let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
-        for m in plan
-            .iter()
-            .skip(under_way)
-            .filter(|m| m.tasks > 0 && m.room != Need::default())
-        {
-            *counts.entry(m.offer.clone()).or_default() += 1;
-        }
-        for (offer, mut n) in counts {
-            // Large demand takes several calls of the most that one may ask for.
-            while n > 0 {
-                let room = most.saturating_sub(self.hosts.len() + self.capacity.pending() as usize);
-                let call = n.min(MOST_RENTED).min(room as u32);
-                if call == 0 || self.capacity.rentals.len() >= MOST_RENTALS {
-                    break;
-                }
-                self.order_rental(offer.clone(), call);
-                n -= call;
-            }
-        }
-    }
-
-    /// Tasks of each class with a start aim that must find room at once: a class's typical job. A class
-    /// that is promised its start only after a machine can have come up needs none.
-    pub(super) fn headroom(&self, now: Instant) -> Vec<(u32, Need)> {
-        let mut promises: Vec<(&str, Duration)> = Vec::new();
-        for o in self.params.objectives.iter().filter(|o| o.kind == "wait") {
-            let Some(class) = o.class.as_deref() else {
-                continue;
-            };
-            let within = o.within.unwrap_or_default();
-            match promises.iter_mut().find(|p| p.0 == class) {
-                Some(p) => p.1 = p.1.min(within),
-                None => promises.push((class, within)),
-            }
-        }
-        let mut out = Vec::new();
-        for (class, within) in promises {
-            let Some((size, need)) = self.capacity.typical(now, class) else {
-                continue;
-            };
-            let suits = self.types.iter().filter(|t| need.count_in(&t.room) > 0);
-            let boot = suits.map(|t| self.capacity.boot_time(t)).max();
-            let deadline =
-                |o: &Objective| o.kind == "deadline" && o.class.as_deref() == Some(class);
-            let due = self.params.objectives.iter().any(deadline);
-            if due || boot.is_none_or(|b| within < b * BOOTS_FOR_A_START) {
-                let tasks = (f64::from(size) * self.params.tuning.headroom_jobs).ceil();
-                out.push((tasks as u32, need));
-            }
-        }
-        out
-    }
-
-    /// Imagines the cheapest machines for headroom that is missing.
-    fn plan_headroom(
-        &self,
-        now: Instant,
-        round: &Round,
-        plan: &mut Vec<Imagined>,
-        crowds: &mut HashMap<Site, usize>,
-    ) {
-        for (tasks, need) in self.headroom(now) {
-            // Room that larger waiting tasks will take is no headroom, where other machines serve.
-            let apart: Vec<bool> = self
-                .types
-                .iter()
-                .map(|t| need.count_in(&t.room) > 0 && !contested(&self.crowded_out, &need, t))
-                .collect();
-            let others = apart.contains(&true);
-            let counts = |name: Option<&TypeName>| {
-                let t = name.and_then(|n| self.types.iter().position(|t| &t.name == n));
-                !others || t.is_some_and(|t| apart[t])
-            };
-            let mut have: usize = round
-                .spare
-                .iter()
-                .map(|(id, n)| (id, need.count_in(n)))
-                .filter(|(_, n)| *n > 0)
-                .filter(|(id, _)| counts(self.hosts.get(id).map(|h| &h.host_type)))
-                .map(|(_, n)| n)
-                .sum();
-            have += plan
-                .iter()
-                .filter(|m| counts(Some(&m.offer.0)))
-                .map(|m| need.count_in(&m.free))
-                .sum::<usize>();
-            while have < tasks as usize && plan.len() < self.params.tuning.max_hosts {
-                let missing = tasks as usize - have;
-                let mut best: Option<(f64, Offer, Need, usize)> = None;
-                for t in self.types.iter().filter(|t| counts(Some(&t.name))) {
-                    let slots = need.count_in(&t.room);
-                    for site in t.sites.iter().filter(|_| slots > 0) {
-                        let offer = (t.name.clone(), site.clone(), true);
-                        if self.is_refused(now, &offer) {
-                            continue;
-                        }
-                        let crowd = crowds.get(site).copied().unwrap_or(0) as f64;
-                        let cost =
-                            t.price(true) / slots.min(missing) as f64 * (1.0 + 0.001 * crowd);
-                        if best.as_ref().is_none_or(|b| cost < b.0) {
-                            best = Some((cost, offer, t.room, slots));
-                        }
-                    }
-                }
-                let Some((_, offer, room, slots)) = best else {
-                    break;
-                };
-                have += slots;
-                *crowds.entry(offer.1.clone()).or_default() += 1;
-                plan.push(Imagined {
-                    offer,
-                    room,
-                    free: room,
-                    tasks: 1,
-                });
-            }
-        }
-    }
-
     /// Whether this term knows what machines there are: the cloud listed them and all of them have
     /// reported, or they have had time to.
     pub(super) fn settled(&self, now: Instant) -> bool {
--- a/src/core/release.rs
+++ b/src/core/release.rs
@@ -11,6 +11,76 @@
 /// Idle machines wait this long for others to go with: the cloud's rate is for rentals too.
 const RETURN_PAUSE: Duration = Duration::from_secs(2);
 
+/// A machine that has missed so many reports is silent, whatever its lease.
+const SILENT_REPORTS: f64 = 3.5;
+/// A machine never came up if it takes longer than so many usual boots and this margin.
+const LATE_BOOTS: f64 = 4.0;
+const LATE_BOOT_MARGIN: Duration = Duration::from_secs(30);
+/// The boot of a machine whose type is not known.
+const UNKNOWN_BOOT: Duration = Duration::from_secs(60);
+/// A return that was not answered is sent again after this long.
+const RETURN_AGAIN: Duration = Duration::from_secs(20);
+
+/// Why a machine goes back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WhyReturned {
+    NeverCameUp,
+    Faulty,
+    ToBeTaken,
+    Silent,
+    NothingReachesIt,
+    Idle,
+}
+
+impl WhyReturned {
+    fn text(self) -> &'static str {
+        match self {
+            WhyReturned::NeverCameUp => "never came up",
+            WhyReturned::Faulty => "faulty",
+            WhyReturned::ToBeTaken => "to be taken",
+            WhyReturned::Silent => "silent",
+            WhyReturned::NothingReachesIt => "nothing reaches it",
+            WhyReturned::Idle => "idle",
+        }
+    }
+}
+
+/// After what time machines count as silent, and whether most of them do.
+struct Silence {
+    after: Duration,
+    most: bool,
+}
+
+/// Room that stays free for each class with headroom while idle machines go.
+struct HeadroomLeft {
+    /// Tasks of each class, and what one needs.
+    wanted: Vec<(u32, Need)>,
+    /// For how many tasks of each class there is room.
+    slots: Vec<usize>,
+    free_of: HashMap<HostId, Need>,
+}
+
+impl HeadroomLeft {
+    /// Tasks of one class for which there is room without this machine.
+    fn slots_without(&self, host: &HostId, class: usize) -> usize {
+        let free = self.free_of.get(host);
+        let here = free.map_or(0, |free| self.wanted[class].1.count_in(free));
+        self.slots[class].saturating_sub(here)
+    }
+
+    fn enough_without(&self, host: &HostId) -> bool {
+        let mut classes = self.wanted.iter().enumerate();
+        classes.all(|(class, (tasks, _))| self.slots_without(host, class) >= *tasks as usize)
+    }
+
+    fn remove(&mut self, host: &HostId) {
+        for class in 0..self.wanted.len() {
+            self.slots[class] = self.slots_without(host, class);
+        }
+        self.free_of.remove(host);
+    }
+}
+
 impl Cluster {
     /// How many machines are up, and how many of them are silent or not heard of in this term.
     pub(super) fn unheard(&self, now: Instant) -> (usize, usize) {
@@ -21,118 +91,165 @@
         (all, self.hosts.values().filter(up).filter(quiet).count())
     }
 
+    /// Returns machines that are of no more use, as fast as the cloud takes them.
     pub(super) fn return_hosts(&mut self, now: Instant) {
+        for (id, why) in self.leaving_hosts(now) {
+            if let Some(h) = self.hosts.get_mut(&id) {
+                log::info!(
+                    "returning host={id} why={} tasks={}",
+                    why.text(),
+                    h.placed.len()
+                );
+                h.returning = true;
+            }
+        }
+        self.send_returns(now);
+    }
+
+    /// Machines that are to go back from now on.
+    fn leaving_hosts(&self, now: Instant) -> Vec<(HostId, WhyReturned)> {
+        let silence = self.silence(now);
+        let mut headroom = self.headroom_left(now);
+        let mut leaving = Vec::new();
+        for h in self.most_expensive_first() {
+            let why = if h.booting.is_some() {
+                self.never_came_up(now, h)
+            } else {
+                self.unusable(now, h, &silence)
+                    .or_else(|| self.idle(now, h, &mut headroom))
+            };
+            if let Some(why) = why {
+                leaving.push((h.id.clone(), why));
+            }
+        }
+        leaving
+    }
+
+    fn silence(&self, now: Instant) -> Silence {
         let p = &self.params;
         let silent_after = p
             .lease
             .mul_f64(p.tuning.silent_share)
-            .max(p.report.mul_f64(3.5));
+            .max(p.report.mul_f64(SILENT_REPORTS));
         let up = |h: &&Host| h.reported && !h.returning;
-        let silent = |h: &Host| {
-            let since = h.last_heard.max(self.awake_since);
-            now.saturating_duration_since(since) > silent_after
-        };
-        // Its reports come, but for as long nothing that was answered has reached it.
-        let deaf = |h: &Host| {
-            let since = match h.must_show {
-                Some((_, t)) => Some(t),
-                None if h.fenced || h.own => None,
-                None => Some(h.known_since),
-            };
-            let since = since.map(|t| t.max(self.awake_since));
-            h.reported && since.is_some_and(|t| now.saturating_duration_since(t) > silent_after)
+        let lost = |h: &&Host| {
+            self.is_silent(now, h, silent_after) || self.is_deaf_host(now, h, silent_after)
         };
         let all = self.hosts.values().filter(up).count();
-        let lost = |h: &&Host| silent(h) || deaf(h);
         let quiet = self.hosts.values().filter(up).filter(lost).count();
-        // When most fall silent at once, the fault is more likely on our side; but not for longer
-        // than their leases last.
-        let most = quiet >= MANY && quiet * 2 > all;
-        let ours = |h: &Host| {
-            let since = h.last_heard.max(self.awake_since);
-            most && now.saturating_duration_since(since) <= p.lease + p.report
+        Silence {
+            after: silent_after,
+            most: quiet >= MANY && quiet * 2 > all,
+        }
+    }
+
+    fn is_silent(&self, now: Instant, h: &Host, after: Duration) -> bool {
+        let since = h.last_heard.max(self.awake_since);
+        now.saturating_duration_since(since) > after
+    }
+
+    /// Its reports come, but for as long nothing that was answered has reached it.
+    fn is_deaf_host(&self, now: Instant, h: &Host, after: Duration) -> bool {
+        let since = match h.must_show {
+            Some((_, shown)) => Some(shown),
+            None if h.fenced || h.own => None,
+            None => Some(h.known_since),
+        };
+        let since = since.map(|t| t.max(self.awake_since));
+        h.reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
+    }
+
+    /// When most fall silent at once, the fault is more likely on our side; but not for longer than
+    /// their leases last.
+    fn fault_may_be_ours(&self, now: Instant, h: &Host, silence: &Silence) -> bool {
+        let since = h.last_heard.max(self.awake_since);
+        let silent = now.saturating_duration_since(since);
+        silence.most && silent <= self.params.lease + self.params.report
+    }
+
+    /// Machines that are not on their way back, by what they cost.
+    fn most_expensive_first(&self) -> Vec<&Host> {
+        let price = |h: &Host| {
+            let t = self.host_type(&h.host_type);
+            t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
+        };
+        let hosts = self.hosts.values().filter(|h| !h.returning);
+        let mut hosts: Vec<(f64, &Host)> = hosts.map(|h| (price(h), h)).collect();
+        hosts.sort_by(|a, b| b.0.total_cmp(&a.0));
+        hosts.into_iter().map(|(_, h)| h).collect()
+    }
+
+    fn never_came_up(&self, now: Instant, h: &Host) -> Option<WhyReturned> {
+        let t = self.host_type(&h.host_type);
+        let boot = t.map_or(UNKNOWN_BOOT, |t| t.boot);
+        // Its first report may be waiting for us.
+        let awake = now.saturating_duration_since(self.awake_since);
+        let late = boot.mul_f64(LATE_BOOTS) + LATE_BOOT_MARGIN;
+        let booting = h.booting.map(|since| now.saturating_duration_since(since));
+        let never = awake > self.params.report * 2 && booting.is_some_and(|b| b > late);
+        never.then_some(WhyReturned::NeverCameUp)
+    }
+
+    /// Faulty, about to be taken, or cut off.
+    fn unusable(&self, now: Instant, h: &Host, silence: &Silence) -> Option<WhyReturned> {
+        let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
+        if h.quarantined_at.is_some_and(faulty) {
+            return Some(WhyReturned::Faulty);
+        }
+        if h.eviction.is_some() && h.placed.is_empty() {
+            return Some(WhyReturned::ToBeTaken);
+        }
+        let ours = self.fault_may_be_ours(now, h, silence);
+        let known = now.saturating_duration_since(h.known_since.max(self.awake_since));
+        let expected = h.reported || known > self.params.lease;
+        if self.is_silent(now, h, silence.after) && !ours && expected {
+            return Some(WhyReturned::Silent);
+        }
+        let deaf = self.is_deaf_host(now, h, silence.after) && !ours;
+        deaf.then_some(WhyReturned::NothingReachesIt)
+    }
+
+    /// Idle for long enough, and no headroom is lost with it.
+    fn idle(&self, now: Instant, h: &Host, headroom: &mut HeadroomLeft) -> Option<WhyReturned> {
+        let since = h.idle_since?;
+        let tuning = &self.params.tuning;
+        let keep = if h.spot {
+            tuning.idle_spot
+        } else {
+            tuning.idle_ordinary
         };
-        // Room for each class's headroom, on all machines that take tasks.
-        let headroom = self.headroom(now);
-        let mut slots: Vec<usize> = vec![0; headroom.len()];
-        let mut own: HashMap<&HostId, Need> = HashMap::new();
+        let idle = now.saturating_duration_since(since) > keep;
+        if !h.reported || !h.placed.is_empty() || !(idle || h.draining) {
+            return None;
+        }
+        if !h.draining && !headroom.enough_without(&h.id) {
+            return None;
+        }
+        headroom.remove(&h.id);
+        Some(WhyReturned::Idle)
+    }
+
+    /// Room for each class's headroom, on all machines that take tasks.
+    fn headroom_left(&self, now: Instant) -> HeadroomLeft {
+        let wanted = self.headroom(now);
+        let mut slots: Vec<usize> = vec![0; wanted.len()];
+        let mut free_of: HashMap<HostId, Need> = HashMap::new();
         for (h, free) in self.free_room(now) {
-            for (n, (_, need)) in slots.iter_mut().zip(&headroom) {
+            for (n, (_, need)) in slots.iter_mut().zip(&wanted) {
                 *n += need.count_in(&free);
             }
-            own.insert(&h.id, free);
+            free_of.insert(h.id.clone(), free);
         }
-        let mut leaving: Vec<(HostId, &str)> = Vec::new();
-        // The most expensive idle machines go first.
-        let mut hosts: Vec<(f64, &Host, Option<&HostType>)> = self
-            .hosts
-            .values()
-            .filter(|h| !h.returning)
-            .map(|h| {
-                let t = self.host_type(&h.host_type);
-                let price = t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0));
-                (price, h, t)
-            })
-            .collect();
-        hosts.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, h, t) in hosts {
-            if let Some(since) = h.booting {
-                let boot = t.map_or(Duration::from_secs(60), |t| t.boot);
-                // Its first report may be waiting for us.
-                let heard = now.saturating_duration_since(self.awake_since) > p.report * 2;
-                let late = boot.mul_f64(4.0) + Duration::from_secs(30);
-                if heard && now.saturating_duration_since(since) > late {
-                    leaving.push((h.id.clone(), "never came up"));
-                }
-                continue;
-            }
-            let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
-            if h.quarantined_at.is_some_and(faulty) {
-                leaving.push((h.id.clone(), "faulty"));
-            } else if h.eviction.is_some() && h.placed.is_empty() {
-                leaving.push((h.id.clone(), "to be taken"));
-            } else if silent(h)
-                && !ours(h)
-                && (h.reported
-                    || now.saturating_duration_since(h.known_since.max(self.awake_since)) > p.lease)
-            {
-                leaving.push((h.id.clone(), "silent"));
-            } else if deaf(h) && !ours(h) {
-                leaving.push((h.id.clone(), "nothing reaches it"));
-            } else if let Some(since) = h.idle_since {
-                let keep = if h.spot {
-                    p.tuning.idle_spot
-                } else {
-                    p.tuning.idle_ordinary
-                };
-                let idle = now.saturating_duration_since(since) > keep;
-                if !h.reported || !h.placed.is_empty() || !(idle || h.draining) {
-                    continue;
-                }
-                let here = own.get(&h.id);
-                let left = |n: usize, need: &Need| {
-                    n.saturating_sub(here.map_or(0, |free| need.count_in(free)))
-                };
-                let enough = headroom
-                    .iter()
-                    .zip(&slots)
-                    .all(|((tasks, need), n)| left(*n, need) >= *tasks as usize);
-                if enough || h.draining {
-                    for ((_, need), n) in headroom.iter().zip(slots.iter_mut()) {
-                        *n = left(*n, need);
-                    }
-                    own.remove(&h.id);
-                    leaving.push((h.id.clone(), "idle"));
-                }
-            }
-        }
-        for (id, why) in leaving {
-            if let Some(h) = self.hosts.get_mut(&id) {
-                log::info!("returning host={id} why={why} tasks={}", h.placed.len());
-                h.returning = true;
-            }
+        HeadroomLeft {
+            wanted,
+            slots,
+            free_of,
         }
-        let again = |t: Instant| now.saturating_duration_since(t) > Duration::from_secs(20);
+    }
+
+    /// Asks the cloud to take back machines, many at a time.
+    fn send_returns(&mut self, now: Instant) {
+        let again = |t: Instant| now.saturating_duration_since(t) > RETURN_AGAIN;
         let mut due: Vec<&Host> = self
             .hosts
             .values()
@@ -146,15 +263,16 @@
         let soon = pressing || due.len() >= MOST_RETURNED || self.last_return.is_none_or(waited);
         due.truncate(MOST_RETURNED);
         let due: Vec<HostId> = due.iter().map(|h| h.id.clone()).collect();
-        if soon && !due.is_empty() {
-            self.last_return = Some(now);
-            for id in &due {
-                if let Some(h) = self.hosts.get_mut(id) {
-                    h.return_sent = Some(now);
-                }
+        if !soon || due.is_empty() {
+            return;
+        }
+        self.last_return = Some(now);
+        for id in &due {
+            if let Some(h) = self.hosts.get_mut(id) {
+                h.return_sent = Some(now);
             }
-            self.actions.push(Action::Return { hosts: due });
         }
+        self.actions.push(Action::Return { hosts: due });
     }
 
     /// Room free now on machines that take tasks.
