--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -5,14 +5,23 @@
 /// Why a job can never run.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
+    /// The team is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
+    /// No machine type has room for a task.
     #[error("a task fits no allowed machine type")]
     NoType,
+    /// A task needs more than its team's limit.
     #[error("the job needs more than the team's limit")]
     OverLimit,
+    /// Its record would be too long for a value of the state service.
     #[error("the job's description takes up to {size} bytes; one value of the state service holds {limit}")]
-    TooLong { size: usize, limit: usize },
+    TooLong {
+        /// What it would take, in bytes.
+        size: usize,
+        /// What a value may take.
+        limit: usize,
+    },
 }
 
 /// Whether the job's description, of this size at most, fits into one value of the state service. A
@@ -25,6 +34,7 @@
     }
 }
 
+/// Checks what the settings and the machine types allow.
 pub fn check(spec: &JobSpec, teams: &[Team], types: &[HostType]) -> Result<(), Refusal> {
     let team = teams
         .iter()
--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -44,6 +44,7 @@
     retry_at: Option<Instant>,
 }
 
+/// Rentals under way, and what was learned of machine types and classes.
 #[derive(Debug, Default)]
 pub struct Capacity {
     pub(super) claims: u64,
@@ -61,8 +62,10 @@
     pub(super) listed: bool,
 }
 
+/// How a rental ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rented {
+    /// These machines are ours.
     Hosts(Vec<HostId>),
     /// The cloud has none of this kind.
     NoCapacity,
@@ -71,6 +74,7 @@
 }
 
 impl Capacity {
+    /// A machine of this type came up.
     pub fn booted(&mut self, t: &TypeName, took: Duration, spot: bool) {
         if let Some(n) = self.replacing.get_mut(t).filter(|n| spot && **n > 0) {
             *n -= 1;
@@ -88,6 +92,7 @@
             _ => t.boot,
         }
     }
+    /// A job may start from now on.
     pub fn saw_job(&mut self, spec: &JobSpec, arrived: Instant) {
         let recent = self.recent.entry(spec.class.clone()).or_default();
         recent.push_back((arrived, spec.shards, spec.need));
@@ -202,6 +207,7 @@
         }
     }
 
+    /// How a rental ended.
     pub fn on_rented(&mut self, now: Instant, claim: &str, outcome: Rented) {
         match outcome {
             Rented::Unknown => {
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -27,41 +27,63 @@
 const CAPACITY_EVERY: Duration = Duration::from_millis(450);
 const SWEEP_EVERY: Duration = Duration::from_millis(450);
 
+/// What the core asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Commands sent straight to a worker.
     Send {
+        /// The worker.
         host: HostId,
+        /// Where it takes commands.
         endpoint: String,
+        /// The token to send.
         epoch: Epoch,
+        /// Its session.
         tenure: u64,
+        /// The commands.
         directives: Vec<Directive>,
     },
     /// Ask a worker for its report: a new leader need not wait for the next one.
     Probe {
+        /// The worker.
         host: HostId,
+        /// Where it takes commands.
         endpoint: String,
+        /// The token to send.
         epoch: Epoch,
+        /// Its session.
         tenure: u64,
     },
+    /// Rent machines.
     Rent {
+        /// Names this rental, however often it is asked for.
         claim: String,
+        /// Their type.
         host_type: TypeName,
+        /// Their zone.
         site: Site,
+        /// Whether the cloud may take them back.
         spot: bool,
+        /// How many.
         number: u32,
     },
+    /// Give machines back.
     Return {
+        /// Their names.
         hosts: Vec<HostId>,
     },
+    /// Carry out a transaction.
     Store(ledger::Batch),
 }
 
 /// What to answer to a report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
+    /// The report is taken.
     Accept {
+        /// The token to answer with.
         epoch: Epoch,
+        /// Commands that go with the answer.
         directives: Vec<Directive>,
     },
     /// Stale, or from a host that is gone: nothing was taken from it.
@@ -85,19 +107,31 @@
     Verdict,
 }
 
+/// The picture of one term: all that a leader knows and decides by.
 pub struct Cluster {
+    /// What the settings say.
     pub params: Params,
+    /// The term.
     pub term: Term,
+    /// The stamp of the leader key, on which all of the term's writes depend.
     pub leader_stamp: u64,
+    /// Live jobs, and those that are over with records left.
     pub jobs: HashMap<Uid, Job>,
+    /// Machines.
     pub hosts: BTreeMap<HostId, Host>,
+    /// Machine types on offer.
     pub types: Vec<HostType>,
+    /// What each team takes.
     pub usage: HashMap<TeamName, Need>,
     pub(super) usage_of_late: HashMap<TeamName, Need>,
     pub(super) usage_noted: Option<Instant>,
+    /// Limits starts while nodes cannot keep up.
     pub start_limiter: StartLimiter,
+    /// Run times and fetch times.
     pub history: History,
+    /// Rentals and what they teach.
     pub capacity: Capacity,
+    /// Jobs in the order of urgency and arrival.
     pub order: Vec<Uid>,
     pub(super) order_stale: bool,
     pub(super) dirty_jobs: BTreeSet<Uid>,
@@ -114,6 +148,7 @@
     pub(super) attempts: u64,
     pub(super) tombstones: HashSet<HostId>,
     pub(super) tombstone_order: VecDeque<HostId>,
+    /// When the term began.
     pub started: Instant,
     /// Time of day at `started`, in milliseconds since 1970.
     pub started_ms: u64,
@@ -148,6 +183,7 @@
 }
 
 impl Cluster {
+    /// An empty picture of a term.
     pub fn new(
         params: Params,
         term: Term,
@@ -480,6 +516,7 @@
         self.order = order.into_iter().map(|o| o.2).collect();
     }
 
+    /// A machine type by its name.
     pub fn host_type(&self, name: &TypeName) -> Option<&HostType> {
         self.types.iter().find(|t| &t.name == name)
     }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -13,14 +13,18 @@
 /// an end that followed it only by the watch's delay.
 const ENDS_KEPT: usize = 100_000;
 
+/// How a job stands to what it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
+    /// All that it needs is done.
     Ready,
+    /// Something that it needs is not known to be done.
     Blocked,
     /// Something that it needs was cancelled.
     Orphaned,
 }
 
+/// The graph of live jobs and of what they need.
 #[derive(Default)]
 pub struct Dependencies {
     /// What live jobs need that is not known to be done.
@@ -139,6 +143,7 @@
         self.open.get(uid).into_iter().flatten()
     }
 
+    /// The live jobs that need this one directly.
     pub fn dependents(&self, uid: &Uid) -> impl Iterator<Item = &Uid> {
         self.dependents.get(uid).into_iter().flatten()
     }
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -11,58 +11,80 @@
 /// Endings alone wait this long for company.
 const ENDINGS_WAIT: Duration = Duration::from_millis(4000);
 
+/// A request to end an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kill {
+    /// How long the task may save before it is stopped.
     pub wind_down: Duration,
+    /// When it was first asked for.
     pub since: Instant,
 }
 
 /// One attempt at a task, on its host until proved gone.
 #[derive(Clone, Debug)]
 pub struct Active {
+    /// Where it was placed.
     pub host: HostId,
+    /// Its number.
     pub attempt: Attempt,
     /// The intent is in the state service, so the launch may go out.
     pub durable: bool,
     /// The token under which the launch last went out. A worker past it accepts no late copy.
     pub launch_epoch: Epoch,
+    /// The session of the host that it was placed in, or last seen in.
     pub tenure: Option<u64>,
+    /// When it was placed; once the intent is durable, when that was known.
     pub placed: Instant,
+    /// How far it was by the host's last report.
     pub seen: Option<TaskPhase>,
     /// When it was last seen waiting for its image.
     pub waited: Option<Instant>,
+    /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// The start of the run was seen, so its length can be measured.
     pub measured: bool,
+    /// How long it was expected to run.
     pub est: Duration,
+    /// Its end was asked for.
     pub kill: Option<Kill>,
     /// When the launch was first given.
     pub given: Option<Instant>,
 }
 
+/// Tasks of a job that share a key of the state service.
 #[derive(Clone, Debug, Default)]
 pub struct Chunk {
+    /// The stamp of its key. 0: it was never written.
     pub stamp: u64,
+    /// Raised by every change.
     pub version: u64,
+    /// The version that is durable.
     pub written: u64,
     /// Since when it holds endings that are not written. They wait a little for company; intents
     /// do not.
     pub ended_since: Option<Instant>,
     /// Ended attempts that must not be forgotten before version `.2` is durable.
     pub held: Vec<(u32, Attempt, u64)>,
+    /// A bit for each task that is done.
     pub done: u64,
 }
 
+/// A live job, with its attempts.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// What its user asked for.
     pub spec: JobSpec,
+    /// The key of its image.
     pub image: ImageKey,
     /// Stamp of the acceptance: arrival order.
     pub stamp: u64,
     /// Stamp of the verdict's key, the condition that nobody withdrew the job: 0, it is absent.
     pub verdict_stamp: u64,
+    /// Its cancellation is durable.
     pub cancelled: bool,
+    /// When that was heard of.
     pub cancelled_at: Option<Instant>,
+    /// Its `done` is durable.
     pub finished: bool,
     /// Something that it needs is not known to be done.
     pub blocked: bool,
@@ -76,13 +98,19 @@
     pub cancel_marked: bool,
     /// Its records may be removed once the queue was read again after this time.
     pub close_after: Option<Instant>,
+    /// Tasks before this one were placed at least once.
     pub next: u32,
+    /// Tasks before `next` that wait again.
     pub requeued: BTreeSet<u32>,
+    /// Tasks that are done.
     pub done_count: u32,
+    /// Attempts that are not proved gone, by task.
     pub active: BTreeMap<u32, Active>,
+    /// What the state service holds of its tasks.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Where its tasks failed since one of them last showed that they can run.
     pub error_hosts: HashSet<HostId>,
+    /// How many of its attempts failed.
     pub errors: u32,
     /// The least time that a failing task was seen to take: fetches and reports only add to it.
     pub failed_after: Option<Duration>,
@@ -94,8 +122,11 @@
     pub suspected: bool,
     /// Such tries that failed.
     pub tries: u32,
+    /// No task is tried before this time.
     pub backoff_until: Option<Instant>,
+    /// Attempts in a row that were refused because the job is not known.
     pub unknowns: u32,
+    /// What stopped tasks have saved.
     pub progress: HashMap<u32, Duration>,
     /// When its user was told that it is accepted.
     /// For a job that needed others: when the last of them was known to be done.
@@ -157,17 +188,20 @@
             progress: HashMap::new(),
         }
     }
+    /// One of its tasks.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             uid: self.spec.uid.clone(),
             index,
         }
     }
+    /// Whether a task is done.
     pub fn is_done(&self, index: u32) -> bool {
         self.chunks
             .get(&(index / CHUNK))
             .is_some_and(|c| c.done & (1 << (index % CHUNK)) != 0)
     }
+    /// Whether no task of it may be placed any more.
     pub fn over(&self) -> bool {
         self.cancelled || self.finished || self.orphaned || self.done_count == self.spec.shards
     }
@@ -180,6 +214,7 @@
         let waited = |t: Instant| now.saturating_duration_since(t) >= grace;
         self.orphaned_at.is_none_or(waited)
     }
+    /// Whether its `done` is to be written.
     pub fn final_due(&self) -> bool {
         !self.cancelled && !self.finished && self.done_count == self.spec.shards
     }
@@ -199,9 +234,11 @@
         let dirty = self.chunks.iter().filter(|(i, c)| due(**i, c));
         dirty.map(|(i, _)| *i).collect()
     }
+    /// Whether some chunk has changes that are not durable.
     pub fn is_dirty(&self) -> bool {
         self.chunks.values().any(|c| c.version > c.written)
     }
+    /// A chunk as it is stored.
     pub fn chunk_value(&self, chunk: u32) -> ChunkValue {
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         ChunkValue {
@@ -218,6 +255,7 @@
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         self.active.range(range).count()
     }
+    /// Attempts of a chunk whose intents are not durable.
     pub fn intents(&self, chunk: u32) -> impl Iterator<Item = (u32, Attempt)> + '_ {
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         self.active
@@ -225,6 +263,7 @@
             .filter(|(_, a)| !a.durable)
             .map(|(i, a)| (*i, a.attempt))
     }
+    /// This version of a chunk is durable.
     pub fn written(&mut self, chunk: u32, version: u64, revision: u64) {
         if let Some(c) = self.chunks.get_mut(&chunk) {
             c.stamp = revision;
@@ -275,12 +314,14 @@
         }
         out
     }
+    /// Tasks that wait to be placed.
     pub fn waiting_count(&self) -> u32 {
         if self.blocked {
             return 0;
         }
         (self.spec.shards - self.done_count).saturating_sub(self.active.len() as u32)
     }
+    /// Tasks that were running by the last reports.
     pub fn running_count(&self) -> u32 {
         let running =
             |a: &&Active| matches!(a.seen, Some(TaskPhase::Running | TaskPhase::Flushing));
@@ -288,19 +329,28 @@
     }
 }
 
+/// A machine, with what was placed on it.
 #[derive(Clone, Debug)]
 pub struct Host {
+    /// Its name.
     pub id: HostId,
+    /// Where it takes commands.
     pub endpoint: String,
+    /// Its type.
     pub host_type: TypeName,
+    /// Its zone.
     pub site: Site,
+    /// Whether the cloud may take it back.
     pub spot: bool,
+    /// The session of its newest message.
     pub tenure: u64,
+    /// The number of its newest message in that session.
     pub serial: u64,
     /// The token that goes out with the next message.
     pub epoch: Epoch,
     /// The worker has shown a token of this term, so nobody else's answers renew its lease.
     pub fenced: bool,
+    /// It has reported in this term.
     pub reported: bool,
     /// Its report was asked for in this term.
     pub probed: bool,
@@ -314,37 +364,54 @@
     pub floor: Option<Epoch>,
     /// The token by which such a worker would show that it is alive.
     pub restart_probe: Option<Epoch>,
+    /// When this term first knew of it.
     pub known_since: Instant,
+    /// When its newest message came.
     pub last_heard: Instant,
+    /// When a report of it was last answered, which renews its lease.
     pub last_answer: Option<Instant>,
     /// Not up yet: when the rental was asked for.
     pub booting: Option<Instant>,
+    /// When the cloud will take it.
     pub eviction: Option<Instant>,
+    /// Attempts on it that are not proved gone, and what they take.
     pub placed: BTreeMap<TaskId, Need>,
+    /// What they take together.
     pub used: Need,
+    /// What tasks take that should not be on it.
     pub foreign: Need,
+    /// The images that it holds, oldest first, with their sizes in GB.
     pub images: VecDeque<(ImageKey, f64)>,
+    /// The images that it fetches, since when, with their sizes in GB.
     pub fetching: BTreeMap<ImageKey, (Instant, f64)>,
+    /// A command is on its way.
     pub sending: bool,
+    /// It goes back to the cloud.
     pub returning: bool,
+    /// When its return was last asked for.
     pub return_sent: Option<Instant>,
+    /// Since when nothing is placed on it.
     pub idle_since: Option<Instant>,
     /// A cheaper machine has taken its place: it gets no more tasks.
     pub draining: bool,
+    /// Nothing is placed on it before this time.
     pub avoid_until: Option<Instant>,
     /// Jobs whose tasks failed here since the last success.
     pub failed_jobs: HashSet<Uid>,
+    /// Tasks of several jobs failed on it: it gets no more.
     pub quarantined: bool,
     /// Since when it is; the jobs it failed may yet turn out to be at fault.
     pub quarantined_at: Option<Instant>,
     /// Logarithm of measured over expected run time here.
     pub slowness: super::history::Average,
+    /// Its lease has surely run out.
     pub lease_spent: bool,
     /// A cancelled task has been on it for too long: it goes whatever else is doubtful.
     pub overdue: bool,
 }
 
 impl Host {
+    /// A host of which nothing is known but this.
     pub fn new(
         id: HostId,
         host_type: TypeName,
@@ -403,6 +470,7 @@
             self.must_show = Some((self.epoch, now));
         }
     }
+    /// Whether it holds an image.
     pub fn has_image(&self, image: ImageKey) -> bool {
         self.images.iter().any(|(i, _)| *i == image)
     }
--- a/src/core/failure_attribution.rs
+++ b/src/core/failure_attribution.rs
@@ -148,17 +148,17 @@
         self.jobs.get(uid).is_none_or(|j| j.sound)
     }
 
+    /// The hosts on which tasks of this job failed.
+    fn hosts_failed_by(&self, uid: &Uid) -> Vec<HostId> {
+        let hosts = self.hosts.values();
+        let failed = hosts.filter(|h| h.failed_jobs.contains(uid));
+        failed.map(|h| h.id.clone()).collect()
+    }
+
     /// What this job's failures said of machines counts differently now.
     fn update_quarantines_of(&mut self, now: Instant, uid: &Uid) {
-        let marked = |h: &super::cluster::Host| h.failed_jobs.contains(uid);
-        let hosts: Vec<HostId> = self
-            .hosts
-            .values()
-            .filter(|h| marked(h))
-            .map(|h| h.id.clone())
-            .collect();
         let suspected = self.is_suspected(uid);
-        for id in hosts {
+        for id in self.hosts_failed_by(uid) {
             if let Some(h) = self.hosts.get_mut(&id).filter(|_| suspected) {
                 h.avoid_until = None;
             }
@@ -199,14 +199,7 @@
             return;
         }
         let uid = &job.spec.uid;
-        let marked = |h: &super::cluster::Host| h.failed_jobs.contains(uid);
-        let hosts: Vec<HostId> = self
-            .hosts
-            .values()
-            .filter(|h| marked(h))
-            .map(|h| h.id.clone())
-            .collect();
-        for id in hosts {
+        for id in self.hosts_failed_by(uid) {
             if let Some(h) = self.hosts.get_mut(&id) {
                 h.failed_jobs.remove(uid);
             }
--- a/src/core/history.rs
+++ b/src/core/history.rs
@@ -11,9 +11,12 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
+/// A running average, with a bounded weight of the past.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Average {
+    /// The average.
     pub mean: f64,
+    /// How many values it is of.
     pub count: u32,
 }
 
@@ -21,12 +24,14 @@
 const MEMORY: u32 = 40;
 
 impl Average {
+    /// Adds a value.
     pub fn add(&mut self, x: f64) {
         self.count = (self.count + 1).min(MEMORY);
         self.mean += (x - self.mean) / f64::from(self.count);
     }
 }
 
+/// What was measured of run times and image fetches.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     runs: HashMap<u64, Average>,
@@ -83,6 +88,7 @@
         Duration::from_secs_f64(est.clamp(0.1, 1e6))
     }
 
+    /// A task ran to its end.
     pub fn ran(&mut self, spec: &JobSpec, t: &TypeName, took: Duration) {
         let x = took.as_secs_f64();
         self.runs.entry(fine_key(spec, t)).or_default().add(x);
@@ -98,6 +104,7 @@
         self.dirty = true;
     }
 
+    /// An image of this size was fetched.
     pub fn fetched(&mut self, t: &TypeName, nominal: f64, gb: f64, took: Duration) {
         let s = took.as_secs_f64();
         if s > 0.5 && gb > 0.0 && nominal > 0.0 {
@@ -140,6 +147,7 @@
         })
     }
 
+    /// Takes over what the state service kept.
     pub fn load(&mut self, s: &Summary) {
         let fill = |m: &mut HashMap<u64, Average>, v: &[(u64, f64, u32)]| {
             for (k, mean, count) in v {
@@ -170,7 +178,10 @@
 /// The history as the state service keeps it: key, mean, count.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
+    /// Run times.
     pub runs: Vec<(u64, f64, u32)>,
+    /// Logarithms of measured over expected run times, by class.
     pub bias: Vec<(u64, f64, u32)>,
+    /// Fetch rates over nominal ones, by machine type.
     pub fetch: Vec<(u64, f64, u32)>,
 }
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -10,31 +10,50 @@
 /// The leader key's content as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderRecord {
+    /// The member that leads.
     pub member: String,
     /// Tells two lives of the same member apart.
     pub boot: u64,
+    /// Its term.
     pub term: Term,
+    /// The stamp of the leader key.
     pub stamp: u64,
 }
 
+/// What this node is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    Follower { leader: Option<LeaderRecord> },
-    Leader { term: Term, stamp: u64 },
+    /// Another node leads, or none.
+    Follower {
+        /// The leader, if one is known.
+        leader: Option<LeaderRecord>,
+    },
+    /// This node leads.
+    Leader {
+        /// Its term.
+        term: Term,
+        /// The stamp of its leader key.
+        stamp: u64,
+    },
 }
 
+/// What the elector does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing to do before the next observation.
     Wait,
     /// Try to take the leadership; the leader key must still have this stamp (0: absent).
-    Campaign { stamp: u64 },
+    Campaign {
+        /// The stamp that the leader key must have.
+        stamp: u64,
+    },
     /// Keep the lease alive.
     Renew,
     /// Another leads; stop at once.
     StepDown,
 }
 
+/// The state machine of one node.
 pub struct Leadership {
     member: String,
     boot: u64,
@@ -46,6 +65,7 @@
 }
 
 impl Leadership {
+    /// A follower that knows of no leader.
     pub fn new(member: &str, boot: u64, renew_every: Duration) -> Self {
         Leadership {
             member: member.to_owned(),
@@ -58,6 +78,7 @@
         }
     }
 
+    /// What this node is now.
     pub fn role(&self) -> &Role {
         &self.role
     }
@@ -111,6 +132,7 @@
         }
     }
 
+    /// The campaign was won.
     pub fn won(&mut self, now: Instant, term: Term, stamp: u64) {
         self.highest = self.highest.max(term);
         self.last_renewal = Some(now);
@@ -139,6 +161,7 @@
         self.renew_every = every;
     }
 
+    /// The lease was renewed by a request sent at this time.
     pub fn renewed(&mut self, now: Instant) {
         self.last_renewal = Some(now);
     }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -40,18 +40,28 @@
 const SUMMARY_HEAD_BYTES: usize = 400;
 const SUMMARY_ENTRY_BYTES: usize = 130;
 
+/// Who leads. On the lease of the leader.
 pub const LEADER_KEY: &str = "ctl/leader";
+/// The number of the latest term.
 pub const TERM_KEY: &str = "ctl/term";
+/// The machine types, as the cloud last named them.
 pub const TYPES_KEY: &str = "ctl/types";
 /// Outside `ctl/`, which every node watches.
 pub const HISTORY_KEY: &str = "h/summary";
+/// What every node watches.
 pub const CONTROL_PREFIX: &str = "ctl/";
+/// What the leader watches: accepted jobs and cancellations.
 pub const QUEUE_PREFIX: &str = "q/";
+/// The index of live jobs.
 pub const LIVE_PREFIX: &str = "q/l/";
+/// Marks by which the leader hears of cancellations.
 pub const CANCEL_MARK_PREFIX: &str = "q/w/";
+/// Where tasks were sent, in chunks.
 pub const INTENT_PREFIX: &str = "i/";
 
+/// Lists of dependents, for earlier versions.
 pub const DEPENDENTS_PREFIX: &str = "d/";
+/// How jobs ended.
 pub const VERDICT_PREFIX: &str = "j/";
 
 /// A job's verdict, once it is over. While this key is absent, an accepted job is live: `done` and
@@ -64,6 +74,7 @@
 pub fn live_key(uid: &Uid) -> String {
     format!("{LIVE_PREFIX}{uid}")
 }
+/// The mark of a cancelled job.
 pub fn cancel_mark_key(uid: &Uid) -> String {
     format!("{CANCEL_MARK_PREFIX}{uid}")
 }
@@ -85,9 +96,11 @@
     let room = value_bytes.saturating_sub(CHUNK_VALUE_HEAD) / CHUNK_VALUE_ATTEMPT;
     room.clamp(LEAST_CHUNK_ROOM, CHUNK as usize) as u32
 }
+/// The key of a chunk of a job.
 pub fn chunk_key(uid: &Uid, chunk: u32) -> String {
     format!("{INTENT_PREFIX}{uid}/{chunk}")
 }
+/// The job and chunk that a key names.
 pub fn parse_chunk_key(key: &str) -> Option<(Uid, u32)> {
     let (uid, chunk) = key.strip_prefix(INTENT_PREFIX)?.rsplit_once('/')?;
     Some((Uid::parse(uid)?, chunk.parse().ok()?))
@@ -96,44 +109,63 @@
 /// A job's state as its users may learn it from any node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// Accepted and not over.
     Live,
+    /// All of its tasks are done.
     Done,
+    /// Cancelled by its user, or with a job that it needs.
     Cancelled,
 }
 
 /// Up to 64 tasks of a job: which are done, and where the others were sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkValue {
+    /// A bit for each task that is done.
     pub done: u64,
+    /// Tasks with attempts, and on which hosts.
     pub active: Vec<(u32, Attempt, HostId)>,
 }
 
+/// A value that the leader writes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// Tasks of a job.
     Chunk(ChunkValue),
+    /// How a job ended.
     Verdict(Verdict),
+    /// What was measured.
     History(Summary),
 }
 
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
+    /// Writes a key.
     Put(String, Value),
+    /// Removes a key.
     Delete(String),
 }
 
+/// A transaction of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
+    /// Keys with the stamps that they must have; 0: absent.
     pub conditions: Vec<(String, u64)>,
+    /// What changes if all of them do.
     pub ops: Vec<Op>,
 }
 
+/// What became of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchOutcome {
+    /// It was carried out.
     Applied {
+        /// The keys' new stamp.
         revision: u64,
     },
     /// These conditions failed; the keys as they stand now (stamp 0: absent).
     Failed {
+        /// Those keys, with their stamps and verdicts.
         found: Vec<(String, u64, Option<Verdict>)>,
     },
     /// Not executed, or the outcome is unknown: the same may be tried again.
@@ -145,13 +177,19 @@
 /// What a batch in flight covers.
 #[derive(Debug, Default)]
 pub struct InFlight {
+    /// Chunks with the versions written.
     pub chunks: Vec<(Uid, u32, u64)>,
+    /// Attempts whose intents are written.
     pub launches: Vec<(TaskId, Attempt)>,
+    /// Jobs whose `done` is written.
     pub finals: Vec<Uid>,
+    /// Cancelled jobs whose records are removed.
     pub closing: Vec<Uid>,
     /// Jobs cancelled with a dependency.
     pub cascaded: Vec<Uid>,
+    /// Other keys that are removed.
     pub deletes: Vec<String>,
+    /// The history's summary is written.
     pub history: bool,
     /// Puts and deletes.
     pub ops: usize,
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -40,9 +40,13 @@
 /// Tasks of one job that found no room, and when the best machine is expected to have some.
 #[derive(Clone, Debug)]
 pub struct Waiting {
+    /// Their job.
     pub uid: Uid,
+    /// How many tasks.
     pub count: usize,
+    /// How long until the best machine has room. None: no machine is expected to.
     pub wait: Option<Duration>,
+    /// How long one is expected to run there.
     pub est: Duration,
     /// The machine they are booked on is still coming up and will start them at once.
     pub coming: bool,
@@ -50,6 +54,7 @@
 
 /// What a round leaves for the capacity to see to.
 pub struct Round {
+    /// Tasks that were not started.
     pub waiting: Vec<Waiting>,
     /// Room that neither running nor booked tasks take, on machines up or coming up.
     pub spare: Vec<(HostId, Need)>,
--- a/src/core/ranking.rs
+++ b/src/core/ranking.rs
@@ -14,7 +14,9 @@
 /// What orders a job in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
+    /// The more urgent goes first.
     pub urgency: Urgency,
+    /// Among the equally urgent, the earlier deadline goes first.
     pub due: Option<Instant>,
 }
 
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -11,6 +11,21 @@
 /// What was told to a host shows in its reports within one interval, or this.
 const HEED_LEAST: Duration = Duration::from_secs(4);
 
+/// A host that is silent for so many reports may have been restarted under its name.
+const RESTART_SILENCE_REPORTS: f64 = 2.5;
+
+/// The tasks that a report lists, sorted by what becomes of them.
+#[derive(Default)]
+struct ReportedTasks {
+    listed: HashSet<(TaskId, Attempt)>,
+    /// Those that should not be there.
+    unexpected: Vec<Directive>,
+    /// Ended ones that the worker may forget.
+    forgets: Vec<Directive>,
+    /// What the unexpected ones take.
+    foreign: Need,
+}
+
 impl Cluster {
     /// A report, or the body of a direct answer (`beat` false: it renews no lease).
     pub fn on_report(&mut self, now: Instant, r: Report, beat: bool) -> Answer {
@@ -41,8 +56,23 @@
         if self.tombstones.contains(&r.host) {
             return Answer::Ignore;
         }
+        if let Some(epoch) = self.outdated(now, &r, beat) {
+            return Answer::Accept {
+                epoch,
+                directives: Vec::new(),
+            };
+        }
+        self.take_host(now, &r);
+        let tasks = self.take_tasks(now, &r);
+        self.prove_absent(now, &r, &tasks.listed);
+        self.heeded(now, &r, &tasks.listed);
+        self.answer_report(now, &r.host, beat, tasks)
+    }
+
+    /// The host that a report names; one that was not known appears.
+    fn reporting_host(&mut self, now: Instant, r: &Report) -> &mut Host {
         let term = self.term;
-        let h = self.hosts.entry(r.host.clone()).or_insert_with(|| {
+        self.hosts.entry(r.host.clone()).or_insert_with(|| {
             log::info!(
                 "host appears host={} type={} site={}",
                 r.host,
@@ -57,61 +87,58 @@
                 term,
                 now,
             )
-        });
+        })
+    }
+
+    /// The token to answer with if nothing is to be learned from a report: a newer message of the host
+    /// came before, or it is its predecessor's.
+    fn outdated(&mut self, now: Instant, r: &Report, beat: bool) -> Option<Epoch> {
+        let silence = self.params.report.mul_f64(RESTART_SILENCE_REPORTS);
+        let h = self.reporting_host(now, r);
         if h.floor.is_some_and(|f| r.epoch < f) {
             // The predecessor's.
-            return Answer::Accept {
-                epoch: h.epoch,
-                directives: Vec::new(),
-            };
+            return Some(h.epoch);
         }
-        if h.reported && (r.tenure, r.serial) <= (h.tenure, h.serial) {
-            let silent =
-                now.saturating_duration_since(h.last_heard) > self.params.report.mul_f64(2.5);
-            let restarted = h.restart_probe.is_some_and(|p| r.epoch >= p);
-            if !restarted {
-                // Overtaken by a newer message, or a late copy: nothing is learned from it. When it
-                // is a live worker's report that crossed a direct command, its answer renews the
-                // lease, counted from its sending; that was before the newer message came.
-                if beat {
-                    h.last_answer = h.last_answer.max(Some(h.last_heard));
-                }
-                // Or the machine was restarted under its name and counts from the beginning. No
-                // copy can show a token that was first given out after it was sent.
-                if silent && beat && h.restart_probe.is_none() {
-                    h.epoch = h.epoch.next();
-                    h.restart_probe = Some(h.epoch);
-                }
-                return Answer::Accept {
-                    epoch: h.epoch,
-                    directives: Vec::new(),
-                };
+        if !h.reported || (r.tenure, r.serial) > (h.tenure, h.serial) {
+            return None;
+        }
+        let silent = now.saturating_duration_since(h.last_heard) > silence;
+        let restarted = h.restart_probe.is_some_and(|p| r.epoch >= p);
+        if !restarted {
+            // Overtaken by a newer message, or a late copy: nothing is learned from it. When it
+            // is a live worker's report that crossed a direct command, its answer renews the
+            // lease, counted from its sending; that was before the newer message came.
+            if beat {
+                h.last_answer = h.last_answer.max(Some(h.last_heard));
             }
-            log::info!("host was restarted host={}", r.host);
-            h.floor = h.restart_probe;
-            h.images.clear();
-            h.fetching.clear();
-            h.last_answer = h.last_answer.max(Some(now));
+            // Or the machine was restarted under its name and counts from the beginning. No
+            // copy can show a token that was first given out after it was sent.
+            if silent && beat && h.restart_probe.is_none() {
+                h.epoch = h.epoch.next();
+                h.restart_probe = Some(h.epoch);
+            }
+            return Some(h.epoch);
         }
+        log::info!("host was restarted host={}", r.host);
+        h.floor = h.restart_probe;
+        h.images.clear();
+        h.fetching.clear();
+        h.last_answer = h.last_answer.max(Some(now));
+        None
+    }
+
+    /// What a report shows of its host.
+    fn take_host(&mut self, now: Instant, r: &Report) {
+        let term = self.term;
+        let h = self.reporting_host(now, r);
         h.restart_probe = None;
         if !h.reported {
             h.idle_since = h.placed.is_empty().then_some(now);
             h.avoid_until = None;
         }
-        if let Some(since) = h.booting.take() {
-            let took = now.saturating_duration_since(since);
-            self.capacity.booted(&r.host_type, took, r.spot);
-            log::info!(
-                "host is up host={} type={} site={}",
-                r.host,
-                r.host_type,
-                r.site
-            );
-        }
-        let new_tenure = r.tenure > h.tenure && h.reported;
-        if !h.reported || r.tenure != h.tenure {
-            self.round_due = true;
-        }
+        let booting = h.booting.take();
+        let new_session = !h.reported || r.tenure != h.tenure;
+        let later_session = h.reported && r.tenure > h.tenure;
         h.reported = true;
         h.host_type = r.host_type.clone();
         h.site = r.site.clone();
@@ -128,7 +155,7 @@
                 h.must_show = None;
             }
         }
-        if new_tenure {
+        if later_session {
             h.images.clear();
             h.fetching.clear();
             // The new session's lease runs from its beginning, which is not long before now. Counted
@@ -138,30 +165,44 @@
             // Reports that were answered, and yet its lease ran out.
             h.require_token(now);
         }
-        h.eviction = match (r.eviction, h.eviction) {
-            (Some(d), _) => {
-                if h.eviction.is_none() {
-                    log::info!(
-                        "host will be taken host={} in_s={:.1}",
-                        r.host,
-                        d.as_secs_f64()
-                    );
-                    self.round_due = true;
-                }
-                Some(now + d)
-            }
-            (None, old) => old,
-        };
+        let noticed = h.eviction.is_none() && r.eviction.is_some();
+        if let Some(remaining) = r.eviction {
+            h.eviction = Some(now + remaining);
+        }
+        self.round_due |= new_session || noticed;
+        if let Some(since) = booting {
+            self.came_up(now.saturating_duration_since(since), r);
+        }
+        if let Some(remaining) = r.eviction.filter(|_| noticed) {
+            log::info!(
+                "host will be taken host={} in_s={:.1}",
+                r.host,
+                remaining.as_secs_f64()
+            );
+        }
+    }
+
+    /// The first report of a machine that was booting.
+    fn came_up(&mut self, took: Duration, r: &Report) {
+        self.capacity.booted(&r.host_type, took, r.spot);
+        log::info!(
+            "host is up host={} type={} site={}",
+            r.host,
+            r.host_type,
+            r.site
+        );
+    }
+
+    /// What a report shows of tasks.
+    fn take_tasks(&mut self, now: Instant, r: &Report) -> ReportedTasks {
         // Sent after this term began, or by a machine without a past. Any other may be a copy from
         // before an end of the session: what it shows may long be otherwise, since a leader launches
         // the same attempt again where a session ended.
-        let current = r.epoch.term() == term || h.own;
-        let mut unexpected = Vec::new();
-        let mut forgets = Vec::new();
-        let mut foreign = Need::default();
-        let mut listed: HashSet<(TaskId, Attempt)> = HashSet::with_capacity(r.tasks.len());
+        let own = self.hosts.get(&r.host).is_some_and(|h| h.own);
+        let current = r.epoch.term() == self.term || own;
+        let mut tasks = ReportedTasks::default();
         for t in &r.tasks {
-            listed.insert((t.task.clone(), t.attempt));
+            tasks.listed.insert((t.task.clone(), t.attempt));
             let job = self.jobs.get(&t.task.uid);
             let matches = job
                 .and_then(|j| j.active.get(&t.task.index))
@@ -170,21 +211,21 @@
             match t.phase {
                 TaskPhase::Ended(exit) if matches => {
                     if current {
-                        self.ended(now, &r, &t.task, exit);
+                        self.ended(now, r, &t.task, exit);
                     }
                 }
-                TaskPhase::Ended(_) if !held => forgets.push(Directive::Forget {
+                TaskPhase::Ended(_) if !held => tasks.forgets.push(Directive::Forget {
                     task: t.task.clone(),
                     attempt: t.attempt,
                 }),
                 TaskPhase::Ended(_) => {}
-                phase if matches => self.progress(now, &r, &t.task, phase),
+                phase if matches => self.progress(now, r, &t.task, phase),
                 _ => {
                     // No intent of any term names it: a command that came late.
                     if let Some(j) = job {
-                        foreign.add(&j.spec.need);
+                        tasks.foreign.add(&j.spec.need);
                     }
-                    unexpected.push(Directive::Kill {
+                    tasks.unexpected.push(Directive::Kill {
                         task: t.task.clone(),
                         attempt: t.attempt,
                         wind_down: Duration::ZERO,
@@ -192,27 +233,34 @@
                 }
             }
         }
-        self.prove_absent(now, &r, &listed);
-        self.heeded(now, &r, &listed);
-        let Some(h) = self.hosts.get_mut(&r.host) else {
+        tasks
+    }
+
+    fn answer_report(
+        &mut self,
+        now: Instant,
+        host: &HostId,
+        beat: bool,
+        tasks: ReportedTasks,
+    ) -> Answer {
+        let Some(h) = self.hosts.get_mut(host) else {
             return Answer::Ignore;
         };
-        h.foreign = foreign;
+        h.foreign = tasks.foreign;
         if beat {
             h.last_answer = Some(now);
         }
-        let mut directives = unexpected;
         // After a forget the worker would take a late copy of the launch for a new one, so the same
         // answer raises the token past every launch that went out before.
-        if !forgets.is_empty() {
+        if !tasks.forgets.is_empty() {
             h.epoch = h.epoch.next();
         }
-        directives.extend(forgets);
-        self.directives(now, &r.host, Some(&listed), &mut directives);
+        let mut directives = tasks.unexpected;
+        directives.extend(tasks.forgets);
+        self.directives(now, host, Some(&tasks.listed), &mut directives);
         directives.truncate(MOST_DIRECTIVES);
-        let h = &self.hosts[&r.host];
         Answer::Accept {
-            epoch: h.epoch,
+            epoch: self.hosts[host].epoch,
             directives,
         }
     }
--- a/src/core/start_limiter.rs
+++ b/src/core/start_limiter.rs
@@ -22,6 +22,7 @@
 /// Over how long the starts a second are averaged.
 const OF_LATE: f64 = 3.0;
 
+/// Limits the starts a second while nodes cannot keep up.
 #[derive(Debug)]
 pub struct StartLimiter {
     /// Starts a second; infinite: as many as there are.
@@ -67,6 +68,7 @@
         }
     }
 
+    /// A placement round begins.
     pub fn round(&mut self, now: Instant) {
         let passed = match self.last_round.replace(now) {
             Some(t) => now.saturating_duration_since(t).as_secs_f64(),
@@ -99,6 +101,7 @@
         }
     }
 
+    /// So many tasks were started in this round.
     pub fn started(&mut self, starts: usize) {
         self.since_round += starts;
         if self.tokens.is_finite() {
--- a/src/core/status_reads.rs
+++ b/src/core/status_reads.rs
@@ -17,11 +17,13 @@
 
 /// What is read of the state service. Every call sees at least all that was written before it.
 pub trait Records {
+    /// Why the state service could not be asked.
     type Error;
     /// The keys that do not have these stamps (0: absent). It may name only some of them.
     fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, Self::Error>;
     /// Those after this key.
     fn verdicts(&self, from: &str) -> Result<Page, Self::Error>;
+    /// A job's verdict. None: it has none.
     fn verdict(&self, key: &str) -> Result<Option<Verdict>, Self::Error>;
 }
 
--- a/src/core/termination.rs
+++ b/src/core/termination.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Whether this host was returned: what comes from it later is ignored.
     pub fn is_tombstone(&self, id: &HostId) -> bool {
         self.tombstones.contains(id)
     }
--- a/src/core/watermark.rs
+++ b/src/core/watermark.rs
@@ -41,11 +41,14 @@
 /// A point in time by both clocks. The steady one may stand still with the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
+    /// The steady clock.
     pub steady: Instant,
+    /// The time of day.
     pub day: SystemTime,
 }
 
 impl Moment {
+    /// Now, by both clocks.
     pub fn now() -> Moment {
         Moment {
             steady: Instant::now(),
@@ -74,6 +77,7 @@
 pub struct Statement {
     /// When it was asked, and when its answer came.
     pub asked: Moment,
+    /// When its answer came.
     pub came: Moment,
     /// It goes on from its word before, with nothing left out between.
     pub continues: bool,
@@ -86,6 +90,7 @@
     until: Moment,
 }
 
+/// Up to which moment all confirmed cancellations are known.
 #[derive(Clone, Debug)]
 pub struct Watermark {
     at: Moment,
--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -37,6 +37,7 @@
     matches!(a.status, 200 | 409).then_some(a.body)
 }
 
+/// Reads a worker's report. None: it is malformed.
 pub fn report(body: &[u8]) -> Option<Report> {
     wire::decode::<WireReport>(body)?.into_report()
 }
--- a/src/net/cancellation.rs
+++ b/src/net/cancellation.rs
@@ -31,7 +31,9 @@
 /// Whether dependents without a verdict are cancelled, or only looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effort {
+    /// Write the verdicts that are missing.
     Cancel,
+    /// Write nothing.
     Look,
 }
 
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -9,16 +9,19 @@
 const LIMIT: Duration = Duration::from_secs(8);
 const NONE: Option<&()> = None;
 
+/// A client of the cloud's interface.
 #[derive(Clone)]
 pub struct Cloud {
     client: Client,
 }
 
 impl Cloud {
+    /// A cloud that is called through this client.
     pub fn new(client: Client) -> Cloud {
         Cloud { client }
     }
 
+    /// The machine types on offer. None: no answer that can be read.
     pub fn types(&self) -> Option<WireTypes> {
         let a = self
             .client
@@ -27,6 +30,7 @@
         (a.status == 200).then(|| a.decode()).flatten()
     }
 
+    /// Rents machines under a claim, which makes repetitions harmless.
     pub fn rent(&self, request: &RentRequest) -> Rented {
         #[derive(serde::Deserialize)]
         struct Refusal {
--- a/src/net/dependents_list.rs
+++ b/src/net/dependents_list.rs
@@ -19,6 +19,7 @@
 /// Whether the lists were left consistent with the verdicts of the dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
+    /// The job is in the lists of its dependencies.
     Entered,
     /// A list or a verdict changed meanwhile.
     Changed,
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -28,6 +28,7 @@
 const USERS_WAITING: usize = 64;
 /// Threads for reports, and the reports that each takes on at a time.
 const BEAT_THREADS: usize = 4;
+/// Reports that one thread takes on at a time.
 pub const BEAT_BATCH: usize = 48;
 /// A worker waits 4 s for its answer. What has waited for most of that is answered at once instead.
 const BEAT_STALE: Duration = Duration::from_millis(2500);
@@ -39,6 +40,7 @@
 
 type Spawn<'a> = dyn FnMut(&str, Box<dyn FnOnce() + Send>) -> std::io::Result<()> + 'a;
 
+/// An answer that says what is wrong.
 pub fn problem(status: u16, error: &str) -> (u16, Vec<u8>) {
     let body = wire::Problem {
         error: error.to_owned(),
@@ -46,6 +48,7 @@
     (status, wire::encode(&body))
 }
 
+/// Starts the threads that answer users and workers.
 pub fn serve(
     shared: &Arc<Shared>,
     listener: TcpListener,
@@ -157,6 +160,7 @@
     }
 }
 
+/// Status and body, and after how many seconds the client should come back.
 pub type Answer = ((u16, Vec<u8>), Option<u64>);
 
 pub(super) fn respond(request: Request, ((status, body), retry_after): Answer) {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -13,6 +13,7 @@
 /// Answers of the state service's lists and watches are longer than bodies of the protocol's own.
 const ANSWER_LIMIT: u64 = 16 * 1024 * 1024;
 
+/// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent: the request was certainly not executed.
@@ -23,12 +24,16 @@
     NoAnswer,
 }
 
+/// An answer, whatever its status.
 pub struct Answer {
+    /// The status.
     pub status: u16,
+    /// The body, not decoded.
     pub body: Vec<u8>,
 }
 
 impl Answer {
+    /// The body as MessagePack. None: it is something else.
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         wire::decode(&self.body)
     }
@@ -43,6 +48,7 @@
 }
 
 impl Client {
+    /// A client of one address, with so many idle connections.
     pub fn new(address: SocketAddr, connect: Duration, idle: usize, meter: Arc<Meter>) -> Client {
         Client {
             agent: agent(connect, idle),
@@ -51,6 +57,7 @@
         }
     }
 
+    /// One call with a body to encode.
     pub fn call<T: Serialize>(
         &self,
         method: &str,
@@ -69,6 +76,7 @@
     }
 }
 
+/// Connections to any address, with so many idle ones for each.
 pub fn agent(connect: Duration, idle: usize) -> ureq::Agent {
     ureq::AgentBuilder::new()
         .timeout_connect(connect)
@@ -78,6 +86,7 @@
         .build()
 }
 
+/// One call with a body to encode.
 pub fn call<T: Serialize>(
     agent: &ureq::Agent,
     method: &str,
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -31,6 +31,7 @@
 
 const LISTENER: Token = Token(usize::MAX - 1);
 
+/// What the listener allows its clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Connections open at a time.
@@ -104,11 +105,15 @@
 
 /// A whole request. One that is dropped unanswered gets 503, so that no client waits in vain.
 pub struct Request {
+    /// The method's name.
     pub method: String,
     /// Without the query.
     pub path: String,
+    /// The body, whole.
     pub body: Vec<u8>,
+    /// The address that it came from.
     pub from: IpAddr,
+    /// When it was read.
     pub came: Instant,
     keep: bool,
     link: Option<Arc<Link>>,
@@ -116,6 +121,7 @@
 }
 
 impl Request {
+    /// Answers, with the seconds after which the client should come back.
     pub fn respond(mut self, status: u16, body: &[u8], retry_after: Option<u64>) {
         self.answer(status, body, retry_after, false);
     }
--- a/src/net/questions.rs
+++ b/src/net/questions.rs
@@ -39,6 +39,7 @@
     path.strip_prefix("/api/jobs/").and_then(Uid::parse)
 }
 
+/// Answers questions about jobs, many at a time, until the queue ends.
 pub fn pool(shared: &Shared, queue: &Receiver<Request>) {
     let most = most_at_once(shared);
     while let Ok(first) = queue.recv() {
--- a/src/net/request_parser.rs
+++ b/src/net/request_parser.rs
@@ -8,13 +8,23 @@
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
     /// This much is needed at least.
-    More { want: usize, expects: bool },
+    More {
+        /// How many bytes in all.
+        want: usize,
+        /// The client waits for leave to send them.
+        expects: bool,
+    },
     /// A whole request, and how long it is in the input.
     Whole {
+        /// The method's name.
         method: String,
+        /// The path with its query.
         path: String,
+        /// The body, whole.
         body: Vec<u8>,
+        /// Whether the connection stays open.
         keep: bool,
+        /// Its bytes in the input.
         length: usize,
     },
     /// Answered 400 with this, and the connection ends.
--- a/src/net/store_budget.rs
+++ b/src/net/store_budget.rs
@@ -195,6 +195,7 @@
         self.leader.1.left_at(now) as usize
     }
 
+    /// Whether a call with this many changes may go out now; if so, it is counted.
     pub fn leave(&self, rank: Rank, writes: usize, now: Instant) -> bool {
         self.leave_above(rank, writes, 0.0, now)
     }
--- a/src/runtime/budget.rs
+++ b/src/runtime/budget.rs
@@ -8,10 +8,13 @@
 /// Who asks: what the leader needs to keep leading and launching, or a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
+    /// What the leader needs to lead and to launch.
     Leader,
+    /// A user's request.
     User,
 }
 
+/// A token bucket.
 pub struct Bucket {
     state: Mutex<State>,
 }
@@ -58,18 +61,22 @@
         s.size = (rate * burst_s).max(1.0);
     }
 
+    /// Tokens a second.
     pub fn rate(&self) -> f64 {
         self.state.lock().unwrap_or_else(|e| e.into_inner()).rate
     }
 
+    /// Takes so many tokens now. False: there are too few.
     pub fn take(&self, n: f64) -> bool {
         self.take_at(n, Instant::now())
     }
 
+    /// Takes so many tokens at this time. False: there are too few.
     pub fn take_at(&self, n: f64, now: Instant) -> bool {
         self.take_above(n, 0.0, now)
     }
 
+    /// Tokens left at this time.
     pub fn left_at(&self, now: Instant) -> f64 {
         let mut s = self.state.lock().unwrap_or_else(|e| e.into_inner());
         s.refill(now);
@@ -94,7 +101,9 @@
 /// Changes a second that were asked for of late: by a node's users, and by its duties as leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
+    /// For users.
     pub users: f64,
+    /// For duties of the leader.
     pub leader: f64,
 }
 
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -39,7 +39,9 @@
 
 /// What the elector hears.
 pub enum ElectorEvent {
+    /// The leader key as it stands.
     Leader(Option<LeaderRecord>),
+    /// A term that a report or a peer has shown.
     Term(Term),
     /// The leader of this term hears no worker.
     Deaf(Term),
--- a/src/runtime/metrics.rs
+++ b/src/runtime/metrics.rs
@@ -19,6 +19,7 @@
 }
 
 impl Meter {
+    /// An empty meter.
     pub fn new() -> Meter {
         // Fixed bounds: a histogram that grows by itself clamps saturating records to its first size.
         let histogram =
@@ -28,6 +29,7 @@
         }
     }
 
+    /// Records one duration.
     pub fn record(&self, d: Duration) {
         let mut h = self.histogram.lock().unwrap_or_else(|e| e.into_inner());
         h.saturating_record(d.as_micros().min(u128::from(u64::MAX)) as u64);
@@ -60,11 +62,13 @@
 const LAST_PART: f64 = 0.15;
 
 impl Strain {
+    /// A timer fired this much too late.
     pub fn fired(&self, late: Duration) {
         let mut mean = self.late.lock().unwrap_or_else(|e| e.into_inner());
         *mean = mean.mul_f64(1.0 - LAST_PART) + late.min(MOST_LATE).mul_f64(LAST_PART);
     }
 
+    /// How late timers fire of late.
     pub fn now(&self) -> Duration {
         *self.late.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -298,6 +298,7 @@
     }
 }
 
+/// Accepts connections of other controllers until the service stops.
 pub fn listen_peers(shared: &std::sync::Arc<Shared>, listener: &TcpListener) {
     let most = shared.settings.sockets().peers;
     let open = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
--- a/src/runtime/stall_detector.rs
+++ b/src/runtime/stall_detector.rs
@@ -17,6 +17,7 @@
     woke: Option<Instant>,
 }
 
+/// Notices that this process stood still, by its two clocks.
 pub struct StallDetector {
     /// How far the clocks of a running process may come apart between two looks.
     apart: Duration,
@@ -24,6 +25,7 @@
 }
 
 impl StallDetector {
+    /// A detector for clocks that may differ by `skew`.
     pub fn new(skew: Duration, now: Instant, day: SystemTime) -> StallDetector {
         StallDetector {
             // The time of day wanders by the skew either way.
--- a/src/runtime/stop.rs
+++ b/src/runtime/stop.rs
@@ -3,22 +3,26 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
+/// A signal to end, shared by threads.
 #[derive(Clone, Default)]
 pub struct Stop {
     inner: Arc<(Mutex<bool>, Condvar)>,
 }
 
 impl Stop {
+    /// A signal that is not given yet.
     pub fn new() -> Stop {
         Stop::default()
     }
 
+    /// Gives the signal.
     pub fn stop(&self) {
         let mut stopped = self.inner.0.lock().unwrap_or_else(|e| e.into_inner());
         *stopped = true;
         self.inner.1.notify_all();
     }
 
+    /// Whether the signal was given.
     pub fn stopped(&self) -> bool {
         *self.inner.0.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/src/runtime/workers.rs
+++ b/src/runtime/workers.rs
@@ -27,12 +27,14 @@
     swept: Option<Instant>,
 }
 
+/// The workers that report to this node, by their addresses.
 pub struct Workers {
     report: Duration,
     inner: Mutex<Inner>,
 }
 
 impl Workers {
+    /// Workers that report this often.
     pub fn new(report: Duration) -> Workers {
         Workers {
             report,
@@ -44,18 +46,22 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// A report came from this address.
     pub fn saw(&self, ip: IpAddr, now: Instant) {
         self.lock().seen.insert(ip, now);
     }
 
+    /// The worker at this address will report elsewhere.
     pub fn lost(&self, ip: IpAddr) {
         self.lock().seen.remove(&ip);
     }
 
+    /// Whether any worker reports here.
     pub fn any(&self, now: Instant) -> bool {
         self.count(now) > 0
     }
 
+    /// How many workers report here.
     pub fn count(&self, now: Instant) -> u32 {
         let mut i = self.lock();
         let fresh = self.report.mul_f64(2.5);
