--- a/src/core/capacity.rs
+++ b/src/core/capacity.rs
@@ -4,7 +4,7 @@
 
 use super::cluster::{Action, Cluster, Host, Job};
 use super::history::Average;
-use super::model::*;
+use super::model::{HostId, HostType, JobSpec, Listed, ListedPhase, Need, Site, TypeName};
 use super::placement::Round;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -9,7 +9,10 @@
 pub use super::entities::{Active, Chunk, Host, Job, Kill};
 use super::history::History;
 use super::ledger::{self, ChunkValue, InFlight, Verdict, CHUNK};
-use super::model::*;
+use super::model::{
+    Attempt, Directive, Epoch, HostId, HostType, JobKind, JobSpec, Need, Params, Site, TaskId,
+    TeamName, Term, TypeName, Uid, Urgency,
+};
 use super::start_limiter::StartLimiter;
 use super::watermark::{self, Moment, Statement, Watermark};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::*;
 use super::cluster::{Cluster, Host};
-use super::model::*;
+use super::model::{HostId, JobKind, Need, TaskId, TypeName};
 use super::placement::Round;
 use super::zones::{permits, ZoneUse};
 use std::collections::BTreeMap;
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -1,7 +1,10 @@
 //! What the picture is made of: jobs with their attempts, and hosts.
 
 use super::ledger::{ChunkValue, CHUNK};
-use super::model::*;
+use super::model::{
+    Attempt, Epoch, HostId, ImageKey, JobKind, JobSpec, Need, Site, TaskId, TaskPhase, Term,
+    TypeName, Uid,
+};
 use super::ranking::Rank;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
--- a/src/core/failure_attribution.rs
+++ b/src/core/failure_attribution.rs
@@ -8,7 +8,7 @@
 //! is over, and the marks count again.
 
 use super::cluster::{Cluster, Job};
-use super::model::*;
+use super::model::{HostId, Uid};
 use std::time::{Duration, Instant};
 
 /// Machines on which a job must have failed to be suspected: two may be faulty by chance.
--- /dev/null
+++ b/src/core/placement/tests.rs
@@ -0,0 +1,225 @@
+//! The rounds' choices against the report's rule read plainly, and what preemption loses.
+
+use super::*;
+use crate::core::cluster::{Active, Answer};
+use crate::core::model::{Epoch, ImageKey, Params, Report, Team, Term, Tuning};
+use crate::core::preemption::victim_loss;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+fn need(cpus: f64) -> Need {
+    Need {
+        cpus,
+        gpus: 0.0,
+        memory: cpus * 3.5,
+    }
+}
+
+/// A cluster of hosts of two types, with some images and some tasks on them.
+fn cluster(rng: &mut StdRng, now: Instant) -> Cluster {
+    let types: Vec<HostType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
+        .into_iter()
+        .map(|(name, cpus, hourly)| HostType {
+            name: name.into(),
+            room: need(cpus),
+            cache_gb: 20.0,
+            fetch_gb_per_s: 0.3,
+            hourly,
+            low_price: hourly / 4.0,
+            boot: Duration::from_secs(30),
+            sites: vec!["a".into()],
+        })
+        .collect();
+    let params = Params {
+        teams: vec![Team {
+            name: "red".into(),
+            cpus: None,
+            cpus_max: None,
+            gpus: None,
+            gpus_max: None,
+        }],
+        objectives: Vec::new(),
+        report: Duration::from_secs(3),
+        lease: Duration::from_secs(30),
+        gang_wait: Duration::from_secs(40),
+        gang_peer: Duration::from_secs(5),
+        cancel: Duration::from_secs(50),
+        txn_ops: 24,
+        value_bytes: 8192,
+        list_lag: Duration::from_secs(8),
+        tuning: Tuning::default(),
+    };
+    let mut c = Cluster::new(params, Term(3), 50, types, now, 0);
+    for n in 0..40 {
+        let name = if rng.gen_bool(0.5) { "small" } else { "large" };
+        let answer = c.on_report(
+            now,
+            Report {
+                host: HostId(format!("i-{n:03}")),
+                endpoint: String::new(),
+                host_type: name.into(),
+                site: if rng.gen_bool(0.5) { "a" } else { "b" }.into(),
+                spot: rng.gen_bool(0.5),
+                tenure: 1,
+                serial: 1,
+                epoch: Epoch::first(Term(3)),
+                eviction: None,
+                tasks: Vec::new(),
+            },
+            true,
+        );
+        assert!(matches!(answer, Answer::Accept { .. }));
+    }
+    let ids: Vec<HostId> = c.hosts.keys().cloned().collect();
+    for id in ids {
+        let Some(h) = c.hosts.get_mut(&id) else {
+            continue;
+        };
+        for image in ["img-1", "img-2", "img-3"] {
+            if rng.gen_bool(0.3) {
+                h.images.push_back((ImageKey::of(image), 4.0));
+            }
+        }
+        if rng.gen_bool(0.4) {
+            h.slowness.add(rng.gen_range(-0.3..0.6));
+        }
+    }
+    c
+}
+
+fn job(rng: &mut StdRng, n: u32) -> JobSpec {
+    JobSpec {
+        uid: Uid(format!("wk-{n:06}")),
+        class: format!("c{}", n % 3),
+        owner: "red".into(),
+        kind: JobKind::Batch,
+        urgency: Urgency::Standard,
+        needs: Vec::new(),
+        listed: false,
+        shards: rng.gen_range(1..60),
+        need: need(rng.gen_range(1..17) as f64),
+        host_types: None,
+        site: None,
+        same_place: rng.gen_bool(0.25),
+        spread: rng.gen_bool(0.25),
+        preemptible: rng.gen_bool(0.8),
+        image: format!("img-{}", rng.gen_range(1..4)),
+        image_gb: 4.0,
+        expected: Duration::from_secs(rng.gen_range(5..90)),
+        snapshot_every: Duration::ZERO,
+        snapshot: Duration::ZERO,
+        due: None,
+        accepted_ms: 0,
+    }
+}
+
+/// The report's rule read plainly: each task is scored on every machine, the least sum wins.
+#[test]
+fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
+    let (mut started, mut booked, mut tied) = (0, 0, 0);
+    for seed in 0..30 {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let now = Instant::now();
+        let mut c = cluster(&mut rng, now);
+        let specs: Vec<JobSpec> = (0..8).map(|n| job(&mut rng, n)).collect();
+        for s in &specs {
+            c.on_job(s.clone(), 100);
+        }
+        let rates: Vec<f64> = c.types.iter().map(|t| t.fetch_gb_per_s).collect();
+        let (mut quick, mut plain) = (c.slots(now, &rates), c.slots(now, &rates));
+        for s in &specs {
+            let job = &c.jobs[&s.uid];
+            let ests: Vec<Duration> = c.types.iter().map(|t| c.history.est(s, &t.name)).collect();
+            let crowding = vec![false; c.types.len()];
+            let g = Group {
+                job,
+                ests: &ests,
+                kept: Duration::ZERO,
+                crowding: &crowding,
+                rates: &rates,
+                beyond: false,
+            };
+            let take = |slots: &mut [Slot<'_>], c: &Choice| {
+                let slot = &mut slots[c.slot];
+                if c.free_now {
+                    slot.free.sub(&s.need);
+                    slot.started(job);
+                }
+                slot.book(c.at, c.est + c.penalty, &s.need);
+            };
+            let mut zones = ZoneUse::of(job, &c.site_of());
+            let mut heap = c.ranked(now, &g, &quick, &zones);
+            for _ in 0..s.shards {
+                let best = (0..plain.len())
+                    .filter(|i| c.admits(job, &plain[*i], &zones))
+                    .filter_map(|i| c.score(now, &g, &plain, i))
+                    .min();
+                let first = heap.pop().map(|r| r.0);
+                assert_eq!(
+                    first.map(|f| (f.slot, f.at, f.free_now)),
+                    best.map(|b| (b.slot, b.at, b.free_now)),
+                    "seed {seed} job {}",
+                    s.uid
+                );
+                let (Some(first), Some(best)) = (first, best) else {
+                    break;
+                };
+                take(&mut quick, &first);
+                take(&mut plain, &best);
+                heap.extend(c.score(now, &g, &quick, first.slot).map(Reverse));
+                let site = &quick[first.slot].host.site;
+                if first.free_now && zones.start_in(s, site) {
+                    heap = c.ranked(now, &g, &quick, &zones);
+                }
+                if first.free_now {
+                    started += 1;
+                    tied += usize::from(s.same_place || s.spread);
+                } else {
+                    booked += 1;
+                }
+            }
+        }
+    }
+    assert!(started > 1000 && booked > 1000, "{started} {booked}");
+    assert!(tied > 300, "{tied}");
+}
+
+#[test]
+fn what_stopping_a_task_loses() {
+    let now = Instant::now();
+    let secs = Duration::from_secs;
+    // Seconds since it was placed and since it ran, whether it saves, whether its start counts.
+    let cases = [
+        ("only just placed", 1, None, true, false, Some(1.0)),
+        ("fetching for long", 20, None, true, false, Some(20.0)),
+        ("saved 3 s ago", 50, Some(43), true, false, Some(3.0)),
+        ("does not save", 50, Some(43), false, false, Some(43.0)),
+        ("its start was promised", 20, Some(10), true, true, None),
+        ("about to end", 99, Some(89), true, false, None),
+    ];
+    for (name, placed, ran, saves, counted, work) in cases {
+        let mut rng = StdRng::seed_from_u64(1);
+        let mut c = cluster(&mut rng, now);
+        let mut s = job(&mut rng, 1);
+        s.snapshot_every = if saves { secs(20) } else { Duration::ZERO };
+        c.on_job(s.clone(), 9);
+        let a = Active {
+            host: "i-000".into(),
+            attempt: Attempt(1),
+            durable: true,
+            launch_epoch: Epoch(1),
+            tenure: Some(1),
+            placed: now - secs(placed),
+            seen: None,
+            waited: None,
+            running_since: ran.map(|r| now - secs(r)),
+            measured: true,
+            est: secs(90),
+            kill: None,
+            given: None,
+        };
+        let loss = victim_loss(now, &c.jobs[&s.uid], &a, Duration::ZERO, counted);
+        // Never for nothing: it would be stopped each time that it is placed.
+        assert_eq!(loss, work.map(|w| w + 5.0), "{name}");
+    }
+}
--- a/src/core/preemption.rs
+++ b/src/core/preemption.rs
@@ -1,7 +1,7 @@
 //! Who is stopped for whom.
 
 use super::cluster::{Active, Cluster, Job};
-use super::model::*;
+use super::model::{JobKind, JobSpec, Need, Objective, TaskId, TeamName, Uid, Urgency};
 use super::placement::{Waiting, RESOLUTION_S, TURNAROUND};
 use super::slots::Slot;
 use super::zones::ZoneUse;
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,7 +1,7 @@
 //! The order in which waiting jobs are looked at.
 
 use super::cluster::{Cluster, Job};
-use super::model::*;
+use super::model::{JobSpec, Need, Team, TeamName, Uid, Urgency};
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
--- a/src/core/release.rs
+++ b/src/core/release.rs
@@ -3,7 +3,7 @@
 use super::capacity::MANY;
 use super::cluster::{Action, Cluster, Host};
 use super::failure_attribution::QUARANTINE_PATIENCE;
-use super::model::*;
+use super::model::{HostId, Need};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -2,7 +2,9 @@
 
 use super::cluster::{Action, Answer, Cluster};
 use super::entities::Host;
-use super::model::*;
+use super::model::{
+    Attempt, Directive, Epoch, Exit, HostId, Need, Report, TaskId, TaskPhase, Term,
+};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
--- a/src/core/termination.rs
+++ b/src/core/termination.rs
@@ -1,7 +1,7 @@
 //! Hosts and tasks that go: returned, taken back, out of their lease, cancelled or stopped.
 
 use super::cluster::Cluster;
-use super::model::*;
+use super::model::{HostId, JobKind, TaskId, Uid};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,8 @@
 //! `core` decides and performs no input or output; `net` speaks to users, workers, the cloud, the
 //! state service and the other controllers; `runtime` joins the two with threads and channels.
 
+#![warn(missing_docs)]
+
 pub mod core;
 pub mod net;
 pub mod runtime;
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -11,8 +11,10 @@
 const FRAME_LIMIT: u32 = 1024 * 1024;
 const IDLE_KEPT: usize = 16;
 
+/// What controllers tell each other all the time.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Hello {
+    /// The sender.
     pub member: String,
     /// The term that the sender leads in, if it leads.
     pub leads: Option<u64>,
@@ -24,6 +26,7 @@
     pub workers: u32,
     /// Changes a second of the state service that its users, and its duties as leader, asked for.
     pub users_changes: f64,
+    /// Changes a second that its duties as leader asked for.
     pub leader_changes: f64,
     /// How late its timers fire, in milliseconds.
     pub strain_ms: u32,
@@ -33,27 +36,35 @@
     pub over: Vec<String>,
 }
 
+/// What one controller asks another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Ask {
+    /// How the sender is.
     Hello(Hello),
     /// Workers' reports, as they came.
     Beats(Vec<Vec<u8>>),
     /// Commands for a worker, in the wire's form.
     Command {
+        /// Where the worker takes commands.
         endpoint: String,
+        /// The commands.
         body: Vec<u8>,
     },
     /// How jobs stand, for a node that the state service does not answer.
     Questions(Vec<String>),
     /// A submission or a cancellation, for the same reason.
     User {
+        /// The request's method.
         method: String,
+        /// Its path.
         path: String,
+        /// Its body.
         body: Vec<u8>,
     },
     // From here on only for peers that said they know these frames: see `FRAMES`.
     /// The cancellations that the peer knows of, from a position in its life on.
     Cancellations {
+        /// The life and the position to go on from. None: from the beginning.
         from: Option<(u64, u64)>,
     },
     /// To the leader: users are about to be told that these jobs are cancelled.
@@ -83,6 +94,7 @@
     out
 }
 
+/// Whether an answer to a hello says that the state service's next rates hold.
 pub fn fallen_heard(over: &[String]) -> bool {
     over.iter().any(|o| o == FALLEN_WORD)
 }
@@ -98,15 +110,22 @@
 pub enum JobStanding {
     /// It could not be asked.
     Silence,
+    /// It was never accepted.
     NeverAccepted,
+    /// It is not over.
     Live,
+    /// It is done.
     Done,
+    /// It is cancelled.
     Cancelled,
 }
 
+/// What a controller answers another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Reply {
+    /// How the answering one is.
     Hello(Hello),
+    /// Status and body for each report, in their order.
     Beats(Vec<(u16, Vec<u8>)>),
     /// The worker's report, as it came. None: it did not answer.
     Command(Option<Vec<u8>>),
@@ -117,16 +136,22 @@
     /// Its life; whether this goes on from where it was asked for; the jobs; where to go on; whether
     /// there are more already.
     Cancellations {
+        /// The life of the answering node.
         life: u64,
+        /// It goes on from the position asked for, with nothing left out.
         continues: bool,
+        /// The jobs.
         uids: Vec<String>,
+        /// The position to go on from.
         next: u64,
+        /// There are more already.
         more: bool,
     },
     /// Whether a leader took the cancellations on.
     Cancelled(bool),
 }
 
+/// Writes a message with its length before it.
 pub fn write_frame<T: BorshSerialize>(w: &mut impl Write, message: &T) -> io::Result<()> {
     let body = borsh::to_vec(message)?;
     let mut frame = Vec::with_capacity(body.len() + 4);
@@ -135,6 +160,7 @@
     w.write_all(&frame)
 }
 
+/// Reads a message with its length before it.
 pub fn read_frame<T: BorshDeserialize>(r: &mut impl Read) -> io::Result<T> {
     let mut length = [0; 4];
     r.read_exact(&mut length)?;
@@ -149,6 +175,7 @@
 
 /// Connections to one peer.
 pub struct Peer {
+    /// The name that the settings give it.
     pub member: String,
     address: SocketAddr,
     idle: Mutex<Vec<TcpStream>>,
@@ -164,6 +191,7 @@
 const REST: Duration = Duration::from_secs(10);
 
 impl Peer {
+    /// A peer that nothing was heard of yet.
     pub fn new(member: &str, address: SocketAddr) -> Peer {
         Peer {
             member: member.to_owned(),
@@ -180,6 +208,7 @@
         self.frames.load(Ordering::Relaxed) >= frames
     }
 
+    /// Remembers the frames that it said it knows.
     pub fn said_frames(&self, frames: u32) {
         self.frames.store(frames, Ordering::Relaxed);
     }
@@ -191,6 +220,7 @@
             .map_or(true, |r| r.is_none_or(|t| now >= t))
     }
 
+    /// Remembers whether a command went through this peer.
     pub fn delivered(&self, ok: bool, now: Instant) {
         if ok {
             self.failures.store(0, Ordering::Relaxed);
@@ -202,6 +232,7 @@
         }
     }
 
+    /// Asks on an idle connection, or on a new one.
     pub fn ask(&self, ask: &Ask, limit: Duration) -> io::Result<Reply> {
         let kept = self.idle.lock().ok().and_then(|mut i| i.pop());
         if let Some(mut s) = kept {
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -14,6 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Why a call of the state service has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// Not executed: refused, or never sent.
@@ -28,20 +29,34 @@
     /// Not executed, and never will be as it is: malformed or over a limit.
     #[error("the state service takes no such request")]
     Refused,
+    /// The lease has ended, or never was.
     #[error("no such lease")]
     NoLease,
+    /// Changes before this revision are no longer kept: list again.
     #[error("the watch's revision is too old")]
     TooOld,
 }
 
+/// What became of a transaction that was answered.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Txn {
-    Applied { revision: u64 },
-    Failed { keys: Vec<String> },
+    /// It was carried out.
+    Applied {
+        /// The stamp of the keys that it wrote.
+        revision: u64,
+    },
+    /// Conditions did not hold.
+    Failed {
+        /// Keys with other stamps; perhaps not all of them.
+        keys: Vec<String>,
+    },
 }
 
+/// A key as it was read.
 pub struct Entry<T> {
+    /// Its value.
     pub value: T,
+    /// Its stamp.
     pub stamp: u64,
 }
 
@@ -53,18 +68,25 @@
     stamp: u64,
 }
 
+/// A change of one key, in the wire's form.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Change<'a> {
+    /// Writes a key.
     Put {
+        /// The key.
         #[serde(rename = "Put")]
         key: &'a str,
+        /// The value.
         #[serde(rename = "V")]
         value: Content,
+        /// The lease with which the key ends.
         #[serde(rename = "Permit", skip_serializing_if = "Option::is_none")]
         permit: Option<u64>,
     },
+    /// Removes a key.
     Delete {
+        /// The key.
         #[serde(rename = "Delete")]
         key: &'a str,
     },
@@ -74,13 +96,21 @@
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Content {
+    /// Tasks of a job.
     Chunk(StoredChunk),
+    /// How a job ended.
     Verdict(StoredVerdict),
+    /// What was measured.
     History(StoredHistory),
+    /// A live job.
     Job(Box<wire::StoredJob>),
+    /// Who leads.
     Leader(wire::StoredLeader),
+    /// The dependents of a job, for earlier versions.
     Dependents(wire::StoredDependents),
+    /// A counter or a mark.
     Number(u64),
+    /// Machine types.
     Types(wire::WireTypes),
 }
 
@@ -128,12 +158,16 @@
     revision: u64,
 }
 
+/// A key of a list.
 #[derive(Deserialize)]
 pub struct Pair<T> {
+    /// The key.
     #[serde(rename = "Path")]
     pub path: String,
+    /// Its value.
     #[serde(rename = "V")]
     pub value: T,
+    /// Its stamp.
     #[serde(rename = "Stamp")]
     pub stamp: u64,
 }
@@ -155,22 +189,30 @@
     life_ms: u64,
 }
 
+/// Changes that a watch brought.
 #[derive(Deserialize)]
 pub struct Changes<T> {
+    /// Where to go on.
     #[serde(rename = "LedgerRev")]
     pub revision: u64,
+    /// The changes, oldest first.
     #[serde(rename = "Log", default = "Vec::new")]
     pub log: Vec<Logged<T>>,
 }
 
+/// One change.
 #[derive(Deserialize)]
 pub struct Logged<T> {
+    /// The key that was written.
     #[serde(rename = "Put")]
     pub put: Option<String>,
+    /// The key that was removed.
     #[serde(rename = "Delete")]
     pub delete: Option<String>,
+    /// Its value.
     #[serde(rename = "V")]
     pub value: Option<T>,
+    /// Its stamp.
     #[serde(rename = "Stamp")]
     pub stamp: Option<u64>,
 }
@@ -179,6 +221,7 @@
 /// The error of a transaction that names a lease which has ended.
 const NO_SUCH_LEASE: &str = "no such lease";
 
+/// A client of the state service, within the rates that are this node's part.
 #[derive(Clone)]
 pub struct Store {
     client: Client,
@@ -216,6 +259,7 @@
         }
     }
 
+    /// A store that is called through this client.
     pub fn new(client: Client, budgets: Budgets) -> Store {
         Store {
             client,
@@ -223,6 +267,7 @@
         }
     }
 
+    /// Changes that the leader could make now.
     pub fn changes_left(&self) -> usize {
         self.budgets.changes_left(Instant::now())
     }
@@ -235,10 +280,12 @@
         }
     }
 
+    /// The rates that are this node's part.
     pub fn budgets(&self) -> &Budgets {
         &self.budgets
     }
 
+    /// Reads a key. None: it is absent.
     pub fn get<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -334,6 +381,7 @@
         a.decode().ok_or(StoreError::Unavailable)
     }
 
+    /// A transaction: the changes are made if all keys have these stamps (0: absent).
     pub fn txn(
         &self,
         conditions: &[(String, u64)],
@@ -393,6 +441,7 @@
         }
     }
 
+    /// Carries out a transaction of the leader.
     pub fn apply(&self, batch: &Batch, limit: Duration) -> Result<Txn, StoreError> {
         let changes = batch
             .ops
@@ -409,6 +458,7 @@
         self.txn(&batch.conditions, changes, Rank::Leader, limit)
     }
 
+    /// A new lease.
     pub fn lease(&self, life: Duration, limit: Duration) -> Result<u64, StoreError> {
         self.leave(Rank::Leader, 0)?;
         let body = Life {
@@ -424,6 +474,7 @@
         }
     }
 
+    /// Renews a lease.
     pub fn extend(&self, permit: u64, limit: Duration) -> Result<(), StoreError> {
         self.leave(Rank::Leader, 0)?;
         let path = format!("/leases/{permit}/extend");
@@ -435,6 +486,7 @@
         }
     }
 
+    /// Ends a lease, and the keys on it.
     pub fn drop_lease(&self, permit: u64, limit: Duration) -> Result<(), StoreError> {
         self.leave(Rank::Leader, 0)?;
         self.sent(
@@ -444,6 +496,7 @@
         .map(|_| ())
     }
 
+    /// Waits for changes after this revision, for so long at most.
     pub fn follow<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -501,6 +554,7 @@
 }
 
 impl<'a> Asked<'a> {
+    /// Reads within the part of the rate that is for this rank, until this time.
     pub fn new(store: &'a Store, stop: &'a Stop, rank: Rank, until: Instant) -> Asked<'a> {
         Asked {
             store,
@@ -520,6 +574,7 @@
         }
     }
 
+    /// Reads a key. None: it is absent.
     pub fn value<T: DeserializeOwned>(&self, key: &str) -> Result<Option<Entry<T>>, StoreError> {
         self.charge()?;
         self.store.read(key, self.limit())
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -6,7 +6,7 @@
 use super::view::RoleView;
 use crate::core::capacity::Rented;
 use crate::core::ledger;
-use crate::core::model::*;
+use crate::core::model::{HostType, Term};
 use crate::net::store::{Change, Content};
 use crate::net::wire;
 use crossbeam::channel::Receiver;
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -5,7 +5,7 @@
 use super::elector::ElectorEvent;
 use super::service::{Shared, AWAITED_RELAYED};
 use super::view::{PeerStatus, RoleView};
-use crate::core::model::*;
+use crate::core::model::{HostId, ImageKey, Term, Uid};
 use crate::core::watermark::{Moment, Statement};
 use crate::net::agent;
 use crate::net::front;
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -32,7 +32,9 @@
 /// What the summary line tells about this node's calls.
 #[derive(Default)]
 pub struct Meters {
+    /// Calls of the state service.
     pub store: Arc<Meter>,
+    /// Calls of the cloud.
     pub cloud: Arc<Meter>,
     /// Ticks of the core: a placement round and what goes with it.
     pub rounds: Meter,
@@ -44,34 +46,50 @@
 const RELAY_LIMIT: Duration = Duration::from_millis(2500);
 /// How long a cancellation's confirmation waits for the leader's acknowledgement.
 const TELL_LIMIT: Duration = Duration::from_millis(500);
-/// How long reports wait for a leader from when they came, or from when a peer passed them on, and how
-/// often that is looked at. With the relay they are answered within the worker's 4 s.
+/// How long reports wait for a leader. With the relay they are answered within the worker's 4 s.
 pub const AWAITED: Duration = Duration::from_millis(2000);
+/// The same, for reports that a peer passed on.
 pub const AWAITED_RELAYED: Duration = Duration::from_millis(1000);
 const AWAIT_PAUSE: Duration = Duration::from_millis(40);
 
+/// What all threads of a node share.
 pub struct Shared {
+    /// The settings.
     pub settings: Settings,
+    /// How long things take.
     pub meters: Meters,
+    /// What this node knows.
     pub view: View,
+    /// The state service.
     pub store: Store,
+    /// The cloud.
     pub cloud: Cloud,
+    /// To the core's loop.
     pub events: Sender<Event>,
+    /// To the elector.
     pub elector_events: Sender<ElectorEvent>,
+    /// The other controllers.
     pub peers: Vec<Arc<Peer>>,
+    /// Given when the service ends.
     pub stop: Stop,
     /// Wakes the cloud's reader.
     pub wake: Sender<()>,
     /// For commands to workers.
     pub agent: ureq::Agent,
+    /// Workers that report here.
     pub workers: Workers,
+    /// How much of the rate each team uses.
     pub crowd: Crowd,
+    /// The last read of the index of live jobs.
     pub live_index: LiveIndex,
+    /// Notices that this process stood still.
     pub stall_detector: StallDetector,
+    /// How late timers fire.
     pub strain: Strain,
 }
 
 impl Shared {
+    /// Tells the core that this node leads no more.
     pub fn step_down(&self) {
         let _ = self.events.send(Event::StepDown);
     }
@@ -99,10 +117,12 @@
         self.woke().is_some_and(|t| t.elapsed() < late)
     }
 
+    /// Whether this node leads in this term, as far as it knows.
     pub fn leads(&self, term: Term) -> bool {
         self.view.read().role == RoleView::Leader(term)
     }
 
+    /// Whether nobody else can lead yet.
     pub fn surely_leads(&self, term: Term) -> bool {
         self.view
             .surely_leads(term, Instant::now(), SystemTime::now())
@@ -114,6 +134,7 @@
             .waking(Instant::now(), SystemTime::now())
     }
 
+    /// Whether this node should be sent users.
     pub fn healthy(&self, now: Instant) -> bool {
         self.view.healthy(!self.peers.is_empty(), now)
     }
@@ -314,11 +335,13 @@
 
 /// A running node. Dropping it leaves the threads to the process; `stop` ends them in order.
 pub struct Service {
+    /// What its threads share.
     pub shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Service {
+    /// Starts all threads. An error: a port cannot be had.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
         let now = Instant::now();
         let front_listener = listen::bind(settings.front)?;
--- a/src/runtime/view.rs
+++ b/src/runtime/view.rs
@@ -20,19 +20,28 @@
 /// What a peer said last counts for this long.
 const PEER_FRESH: Duration = Duration::from_secs(4);
 
+/// What this node is, as its threads see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleView {
+    /// It leads in this term.
     Leader(Term),
+    /// It follows this member, if it knows of one.
     Follower(Option<String>),
 }
 
+/// What the threads of this node share.
 pub struct Inner {
+    /// What this node is.
     pub role: RoleView,
     /// The term whose picture this node has loaded.
     pub loaded: Option<Term>,
+    /// The leader key as last read.
     pub leader: Option<LeaderRecord>,
+    /// The highest term seen.
     pub highest: Term,
+    /// Machine types on offer.
     pub types: Vec<HostType>,
+    /// Tasks done and running of live jobs, for display.
     pub progress: HashMap<Uid, (u32, u32)>,
     accepted: HashSet<Uid>,
     finals: HashMap<Uid, Verdict>,
@@ -43,6 +52,7 @@
     leads_until: Option<(Instant, SystemTime)>,
     peers: HashMap<String, PeerStatus>,
     cancellations: Cancellations,
+    /// Live jobs of the loaded picture.
     pub live_jobs: usize,
     /// Jobs that others need and of which the leader knows nothing.
     pub unresolved: Vec<Uid>,
@@ -60,9 +70,11 @@
 /// A part of a node's cancellations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CancellationsPage {
+    /// The life of the node.
     pub life: u64,
     /// It goes on from the position asked for, with nothing left out.
     pub continues: bool,
+    /// Its jobs.
     pub uids: Vec<Uid>,
     /// The position to go on from.
     pub next: u64,
@@ -73,14 +85,19 @@
 /// What a peer said of itself last.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStatus {
+    /// When it said so.
     pub at: Instant,
+    /// The state service answers it.
     pub store_ok: bool,
     /// Those that report to it.
     pub workers: u32,
+    /// Changes a second that it asks for.
     pub demand: Demand,
+    /// How late its timers fire.
     pub strain: Duration,
 }
 
+/// What the threads of this node share, behind a lock.
 pub struct View {
     inner: RwLock<Inner>,
 }
@@ -104,6 +121,7 @@
 }
 
 impl View {
+    /// The view of a node that has just started.
     pub fn new(now: Instant) -> View {
         View {
             inner: RwLock::new(Inner {
@@ -131,18 +149,22 @@
         }
     }
 
+    /// Reads several facts together.
     pub fn read(&self) -> RwLockReadGuard<'_, Inner> {
         self.inner.read().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// Changes several facts together.
     pub fn write(&self) -> RwLockWriteGuard<'_, Inner> {
         self.inner.write().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// How a job ended, if this node knows it for good.
     pub fn final_answer(&self, uid: &Uid) -> Option<Verdict> {
         self.read().finals.get(uid).copied()
     }
 
+    /// Whether this node knows that the job was accepted.
     pub fn is_accepted(&self, uid: &Uid) -> bool {
         self.read().accepted.contains(uid)
     }
@@ -180,6 +202,7 @@
         }
     }
 
+    /// Remembers how a job ended. Users may be told so at once.
     pub fn remember_final(&self, uid: &Uid, v: Verdict) {
         let mut i = self.write();
         i.accepted.remove(uid);
@@ -223,6 +246,7 @@
         }
     }
 
+    /// The state service answered, or did not.
     pub fn store_answered(&self, ok: bool, now: Instant) {
         let failing = self.read().store_failing;
         match (ok, failing) {
@@ -245,12 +269,14 @@
         i.role == RoleView::Leader(term) && i.leads_until.is_some_and(lasts)
     }
 
+    /// Whether the state service answers, as far as is known.
     pub fn store_ok(&self, now: Instant) -> bool {
         self.read()
             .store_failing
             .is_none_or(|t| now.saturating_duration_since(t) < STORE_LOST)
     }
 
+    /// Remembers what a peer said of itself.
     pub fn peer_said(&self, member: &str, word: PeerStatus) {
         self.write().peers.insert(member.to_owned(), word);
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,40 +10,60 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Why the settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
+        /// The file.
         path: String,
+        /// The cause.
         source: std::io::Error,
     },
+    /// The file is not TOML of this shape.
     #[error("{path}: {source}")]
     Toml {
+        /// The file.
         path: String,
+        /// The cause.
         source: Box<toml::de::Error>,
     },
+    /// A field has a value that cannot be used.
     #[error("{path}: {field}: {problem}")]
     Field {
+        /// The file.
         path: String,
+        /// The field.
         field: String,
+        /// What is wrong with it.
         problem: String,
     },
+    /// The operators' file is wrong.
     #[error("{path}: line {line}: {problem}")]
     Lisp {
+        /// The file.
         path: String,
+        /// The line.
         line: usize,
+        /// What is wrong there.
         problem: String,
     },
 }
 
+/// Another controller.
 #[derive(Clone, Debug)]
 pub struct Seed {
+    /// Its name.
     pub member: String,
+    /// Where it is reached.
     pub address: SocketAddr,
 }
 
+/// What a process may have.
 #[derive(Clone, Debug)]
 pub struct Quota {
+    /// Open sockets.
     pub sockets: usize,
 }
 
@@ -86,9 +106,13 @@
 /// Operators' settings outside the core.
 #[derive(Clone, Debug)]
 pub struct Operations {
+    /// The leader's lease.
     pub leader_lease: Duration,
+    /// Threads that answer users.
     pub handlers: usize,
+    /// Threads that send commands to workers.
     pub agents: usize,
+    /// How often a summary is logged.
     pub metrics_every: Duration,
 }
 
@@ -103,25 +127,40 @@
     }
 }
 
+/// All settings of one node.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// This node's name.
     pub member: String,
+    /// Its zone.
     pub site: Site,
+    /// Where users and workers reach it.
     pub front: SocketAddr,
+    /// Where other controllers reach it.
     pub peer_bind: SocketAddr,
+    /// The other controllers.
     pub seeds: Vec<Seed>,
+    /// The cloud's interface.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
+    /// Controllers in all.
     pub nodes: usize,
     /// How far the time of day may be from the true one.
     pub skew: Duration,
+    /// What the core needs.
     pub params: Params,
+    /// Requests a second of the state service.
     pub state_rps: f64,
+    /// Changes a second of the state service.
     pub state_write_rps: f64,
     /// Requests and changes a second that the state service may come to allow.
     pub state_next: Option<(f64, f64)>,
+    /// Requests a second of the cloud.
     pub cloud_rps: f64,
+    /// What this process may have.
     pub quota: Quota,
+    /// The operators' settings outside the core.
     pub operations: Operations,
 }
 
@@ -237,11 +276,13 @@
         }
     }
 
+    /// Reads a file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = read(path)?;
         Settings::parse(&path.display().to_string(), &text)
     }
 
+    /// Reads its text.
     pub fn parse(path: &str, text: &str) -> Result<Settings, SettingsError> {
         let f: File = toml::from_str(text).map_err(|e| SettingsError::Toml {
             path: path.to_owned(),
@@ -432,6 +473,7 @@
         self.parse_operators(&path.display().to_string(), &text)
     }
 
+    /// Reads the operators' own settings over the defaults.
     pub fn parse_operators(&mut self, path: &str, text: &str) -> Result<(), SettingsError> {
         let fail = |line: usize, problem: String| SettingsError::Lisp {
             path: path.to_owned(),
