--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -14,7 +14,6 @@
 use crate::core::ledger::Verdict;
 use crate::core::model::Uid;
 use crate::net::store::StoreError;
-use crate::runtime::duties::verdict_name;
 use crate::runtime::service::Shared;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 use std::collections::BTreeSet;
@@ -364,3 +363,13 @@
     }
     Ok(((200, state(shared, uid, verdict, false)), None))
 }
+
+/// What a verdict is called in answers.
+fn verdict_name(v: Verdict, running: u32) -> &'static str {
+    match v {
+        Verdict::Live if running > 0 => "running",
+        Verdict::Live => "queued",
+        Verdict::Done => "done",
+        Verdict::Cancelled => "withdrawn",
+    }
+}
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -1,7 +1,7 @@
 //! The duties towards the cloud: rentals and returns, machine types, the list of machines.
 
 use super::budget::{Bucket, Rank};
-use super::duties::{CloudOrder, Event};
+use super::events::{CloudOrder, Event};
 use super::service::Shared;
 use super::view::RoleView;
 use crate::core::capacity::Rented;
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -1,6 +1,7 @@
 //! Loading the picture of a new term from the state service.
 
-use super::duties::{feed, Event};
+use super::events::Event;
+use super::queue_feed::feed;
 use super::service::Shared;
 use super::stop::Stop;
 use crate::core::cluster::{CancelSource, Cluster};
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -1,8 +1,8 @@
 //! The duties among the nodes: commands by way of followers, hellos, and the peers' questions.
 
 use super::budget::Demand;
-use super::duties::{Event, Order, SendOrder};
 use super::elector::ElectorEvent;
+use super::events::{Event, Order, SendOrder};
 use super::service::{Shared, AWAITED_RELAYED};
 use super::view::{PeerStatus, RoleView};
 use crate::core::model::{HostId, ImageKey, Term, Uid};
--- /dev/null
+++ b/src/runtime/queue_feed.rs
@@ -0,0 +1,145 @@
+//! The watch of the queue: accepted jobs and cancellations, for the leader's core.
+
+use super::budget::Rank;
+use super::events::Event;
+use super::service::Shared;
+use super::stop::Stop;
+use crate::core::backoff::Backoff;
+use crate::core::ledger::{self, Verdict};
+use crate::core::model::{JobSpec, Term, Uid};
+use crate::core::watermark::{self, Moment};
+use crate::net::dependents_list;
+use crate::net::store::StoreError;
+use crate::net::wire::StoredJob;
+use serde::de::IgnoredAny;
+use serde::Deserialize;
+use std::time::{Duration, Instant};
+
+/// How long the watch of the queue waits for a change, at most.
+const WATCH_BLOCK: Duration = Duration::from_secs(5);
+/// How often lists of dependents without a use are looked for, and how long that may keep the watch.
+const LIST_SWEEP_EVERY: Duration = Duration::from_secs(20);
+const LIST_SWEEP_LIMIT: Duration = Duration::from_millis(500);
+
+#[derive(Deserialize)]
+#[serde(untagged)]
+enum Queued {
+    Job(Box<StoredJob>),
+    Other(IgnoredAny),
+}
+
+/// Follows the queue: accepted jobs and cancellations, whichever node took them.
+pub fn feed(shared: &Shared, term: Term, mut revision: u64, stop: &Stop) {
+    // Each answer moves the watermark of cancellations to when it was asked for.
+    let params = &shared.settings.params;
+    let (patience, _) = watermark::patience(params.lease, params.cancel);
+    let block = WATCH_BLOCK.min(patience / 3);
+    let mut backoff = Backoff::default();
+    let mut next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
+    while !stop.stopped() {
+        resolve(shared, term, &mut backoff, stop);
+        if Instant::now() >= next_list_sweep {
+            sweep_lists(shared, term);
+            next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
+        }
+        let asked = Moment::now();
+        match shared
+            .store
+            .follow::<Queued>(ledger::QUEUE_PREFIX, revision, block)
+        {
+            Ok(changes) => {
+                revision = revision.max(changes.revision);
+                for c in changes.log {
+                    if let Some(key) = c.put {
+                        take_queued(shared, term, &key, c.value, c.stamp.unwrap_or(0));
+                    }
+                }
+                let _ = shared.events.send(Event::Read(term, asked));
+            }
+            Err(StoreError::TooOld) => {
+                let limit = Duration::from_secs(4);
+                match shared
+                    .store
+                    .list::<Queued>(ledger::QUEUE_PREFIX, Rank::Leader, limit)
+                {
+                    Ok((pairs, r)) => {
+                        for p in pairs {
+                            take_queued(shared, term, &p.path, Some(p.value), p.stamp);
+                        }
+                        revision = r;
+                        let _ = shared.events.send(Event::Read(term, asked));
+                    }
+                    Err(_) => {
+                        stop.wait(Duration::from_millis(500));
+                    }
+                }
+            }
+            Err(_) => {
+                stop.wait(Duration::from_millis(300));
+            }
+        }
+    }
+}
+
+/// Asks how jobs ended that others need and of which the leader knows nothing: they ended while the
+/// acceptance of those others was under way. What stays unknown is asked for ever more rarely.
+fn resolve(shared: &Shared, term: Term, backoff: &mut Backoff, stop: &Stop) {
+    let unresolved = shared.view.read().unresolved.clone();
+    let due = backoff.due(&unresolved, Instant::now());
+    if due.is_empty() {
+        return;
+    }
+    if let Ok(found) = super::loading::standings_of(shared, &due, stop) {
+        let ends = found.into_iter().filter_map(|(u, s)| Some((u, s?)));
+        let _ = shared.events.send(Event::Ended(term, ends.collect()));
+    }
+}
+
+/// Finds lists of dependents that nobody needs any more. A submission may have been entered in one and
+/// then refused, so that no job in the index names it.
+fn sweep_lists(shared: &Shared, term: Term) {
+    if dependents_list::needed(shared) {
+        return;
+    }
+    let prefix = ledger::DEPENDENTS_PREFIX;
+    let listed = shared
+        .store
+        .list::<IgnoredAny>(prefix, Rank::Leader, LIST_SWEEP_LIMIT);
+    let Ok((lists, _)) = listed else {
+        return;
+    };
+    let uids: Vec<Uid> = lists
+        .iter()
+        .filter_map(|pair| pair.path.strip_prefix(prefix).and_then(Uid::parse))
+        .collect();
+    if !uids.is_empty() {
+        let _ = shared.events.send(Event::Lists(term, uids));
+    }
+}
+
+fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, stamp: u64) {
+    let event = if let Some(uid) = key.strip_prefix(ledger::CANCEL_MARK_PREFIX) {
+        Uid::parse(uid).map(|u| Event::Cancelled(term, u))
+    } else {
+        match value {
+            Some(Queued::Job(job)) => job
+                .into_spec()
+                .and_then(|spec| indexed_job(shared, term, spec, stamp)),
+            _ => None,
+        }
+    };
+    if let Some(e) = event {
+        let _ = shared.events.send(e);
+    }
+}
+
+/// The index keeps a job for a while after its verdict. One that is done was the leader's already. One
+/// that is cancelled may not have been, if the watch is late: its place in the index is the leader's
+/// to remove all the same.
+fn indexed_job(shared: &Shared, term: Term, spec: JobSpec, stamp: u64) -> Option<Event> {
+    match shared.view.final_answer(&spec.uid) {
+        Some(Verdict::Done) => None,
+        Some(Verdict::Cancelled) => Some(Event::CancelledJob(term, Box::new(spec), stamp)),
+        Some(Verdict::Live) | None => Some(Event::Job(term, Box::new(spec), stamp)),
+    }
+}
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -3,12 +3,14 @@
 use super::budget::{Bucket, Crowd};
 use super::cloud_workers;
 use super::control_watch;
-use super::duties::{self, BeatReply, Event, Outlets};
+use super::core_loop;
 use super::elector::{self, ElectorEvent};
+use super::events::{BeatReply, Event, Outlets};
 use super::metrics::{Meter, Strain};
 use super::peer_duties;
 use super::stall_detector::StallDetector;
 use super::stop::Stop;
+use super::store_writer;
 use super::view::{RoleView, View};
 use super::workers::Workers;
 use crate::core::model::{Term, Uid};
@@ -408,12 +410,12 @@
         let s = shared.clone();
         spawn(
             "core",
-            Box::new(move || duties::core_loop(&s, &event_queue, &out)),
+            Box::new(move || core_loop::core_loop(&s, &event_queue, &out)),
         )?;
         let s = shared.clone();
         spawn(
             "writer",
-            Box::new(move || duties::write_store(&s, &batch_queue)),
+            Box::new(move || store_writer::write_store(&s, &batch_queue)),
         )?;
         let (s, b) = (shared.clone(), cloud_bucket.clone());
         spawn(
