--- a/src/core/cluster.rs
+++ b/src/core/cluster.rs
@@ -167,7 +167,7 @@
     /// Starts of this term with their waits, for the log's summary.
     pub waits: Vec<Duration>,
     /// When a worker's report last came, by whichever node.
-    pub(super) last_beat: Option<Instant>,
+    pub(super) last_heartbeat: Option<Instant>,
     pub(super) last_tick: Option<Instant>,
     /// Since when this process has not stood still: silence before that says nothing.
     pub(super) awake_since: Instant,
@@ -236,7 +236,7 @@
             last_sweep: None,
             probes: VecDeque::new(),
             waits: Vec::new(),
-            last_beat: None,
+            last_heartbeat: None,
             last_tick: None,
             awake_since: now,
             confirmed: true,
@@ -266,8 +266,8 @@
     }
 
     /// All cancellations that a node told have been taken on.
-    pub fn cancellations_told(&mut self, peer: &str, word: Statement) {
-        self.watermark.told(peer, word);
+    pub fn cancellations_stated(&mut self, peer: &str, statement: Statement) {
+        self.watermark.stated(peer, statement);
     }
 
     /// Whether reports may be answered: a lease renewed now ends in time for any cancellation.
@@ -291,8 +291,8 @@
 
     /// No worker's report comes through any more, though there are workers: another node may hear
     /// them. A term that never heard one first gives up the hosts that are silent.
-    pub fn is_deaf(&self, now: Instant) -> bool {
-        let (since, patience) = match self.last_beat {
+    pub fn is_without_heartbeats(&self, now: Instant) -> bool {
+        let (since, patience) = match self.last_heartbeat {
             Some(t) => (t, self.params.report.mul_f64(1.25) + DEAF_MARGIN),
             None => (self.started, self.params.lease + self.params.report),
         };
@@ -731,7 +731,7 @@
         }
         self.awake_since = now;
         self.last_tick = Some(now);
-        self.last_beat = self.last_beat.map(|_| now);
+        self.last_heartbeat = self.last_heartbeat.map(|_| now);
         for h in self.hosts.values_mut().filter(|h| !h.lease_spent) {
             h.last_answer = h.last_answer.map(|_| now);
         }
--- a/src/core/entities.rs
+++ b/src/core/entities.rs
@@ -370,7 +370,7 @@
     /// When this term first knew of it.
     pub known_since: Instant,
     /// When its newest message came.
-    pub last_heard: Instant,
+    pub last_report: Instant,
     /// When a report of it was last answered, which renews its lease.
     pub last_answer: Option<Instant>,
     /// Not up yet: when the rental was asked for.
@@ -440,7 +440,7 @@
             floor: None,
             restart_probe: None,
             known_since: now,
-            last_heard: now,
+            last_report: now,
             last_answer: None,
             booting: None,
             eviction: None,
@@ -464,7 +464,7 @@
         }
     }
     /// Whether answers and commands of this term are known to reach it.
-    pub fn heeds(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         (self.fenced || self.own) && self.must_show.is_none()
     }
     pub(super) fn require_token(&mut self, now: Instant) {
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -56,7 +56,6 @@
 /// The state machine of one node.
 pub struct Leadership {
     member: String,
-    boot: u64,
     role: Role,
     renew_every: Duration,
     last_renewal: Option<Instant>,
@@ -66,10 +65,9 @@
 
 impl Leadership {
     /// A follower that knows of no leader.
-    pub fn new(member: &str, boot: u64, renew_every: Duration) -> Self {
+    pub fn new(member: &str, renew_every: Duration) -> Self {
         Leadership {
             member: member.to_owned(),
-            boot,
             role: Role::Follower { leader: None },
             renew_every,
             last_renewal: None,
@@ -121,11 +119,11 @@
                 }
                 match leader {
                     None => Step::Campaign { stamp: 0 },
-                    // Our own earlier life still holds the key: it is dead, since a member is one
-                    // process, and its late writes fail on the stamp. No need to wait for its lease.
-                    Some(r) if r.member == self.member && r.boot != self.boot => {
-                        Step::Campaign { stamp: r.stamp }
-                    }
+                    // Our own key, and we do not lead by it. An earlier life took it, which is dead,
+                    // since a member is one process; or a campaign whose answer was lost, so that
+                    // nobody acts in that term. Late writes fail on the stamp, and a lease that
+                    // nobody renews would keep all nodes waiting.
+                    Some(r) if r.member == self.member => Step::Campaign { stamp: r.stamp },
                     Some(_) => Step::Wait,
                 }
             }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -369,7 +369,7 @@
             };
             let before = batch.ops.len();
             // While a dependent may still be called live, the records that show it must stay.
-            let may_close = !cascading && self.heard_all_before_cancellation(job);
+            let may_close = !cascading && self.knows_all_before_cancellation(job);
             if batch.put_job(job, now, may_close) == Room::Full {
                 break;
             }
@@ -411,7 +411,7 @@
 
     /// Whether all jobs are known that were accepted before this one was cancelled: the watch of the
     /// queue was asked again since.
-    fn heard_all_before_cancellation(&self, job: &Job) -> bool {
+    fn knows_all_before_cancellation(&self, job: &Job) -> bool {
         match (job.close_after, self.last_queue_read) {
             (None, _) => true,
             (Some(after), Some(read)) => read > after,
--- a/src/core/release.rs
+++ b/src/core/release.rs
@@ -86,7 +86,7 @@
     pub(super) fn unheard(&self, now: Instant) -> (usize, usize) {
         let up = |h: &&Host| h.booting.is_none() && !h.returning;
         let limit = self.params.report.mul_f64(2.5);
-        let quiet = |h: &&Host| !h.reported || now.saturating_duration_since(h.last_heard) > limit;
+        let quiet = |h: &&Host| !h.reported || now.saturating_duration_since(h.last_report) > limit;
         let all = self.hosts.values().filter(up).count();
         (all, self.hosts.values().filter(up).filter(quiet).count())
     }
@@ -133,7 +133,7 @@
             .max(p.report.mul_f64(SILENT_REPORTS));
         let up = |h: &&Host| h.reported && !h.returning;
         let lost = |h: &&Host| {
-            self.is_silent(now, h, silent_after) || self.is_deaf_host(now, h, silent_after)
+            self.is_silent(now, h, silent_after) || self.is_unreachable(now, h, silent_after)
         };
         let all = self.hosts.values().filter(up).count();
         let quiet = self.hosts.values().filter(up).filter(lost).count();
@@ -144,12 +144,12 @@
     }
 
     fn is_silent(&self, now: Instant, h: &Host, after: Duration) -> bool {
-        let since = h.last_heard.max(self.awake_since);
+        let since = h.last_report.max(self.awake_since);
         now.saturating_duration_since(since) > after
     }
 
     /// Its reports come, but for as long nothing that was answered has reached it.
-    fn is_deaf_host(&self, now: Instant, h: &Host, after: Duration) -> bool {
+    fn is_unreachable(&self, now: Instant, h: &Host, after: Duration) -> bool {
         let since = match h.must_show {
             Some((_, shown)) => Some(shown),
             None if h.fenced || h.own => None,
@@ -162,7 +162,7 @@
     /// When most fall silent at once, the fault is more likely on our side; but not for longer than
     /// their leases last.
     fn fault_may_be_ours(&self, now: Instant, h: &Host, silence: &Silence) -> bool {
-        let since = h.last_heard.max(self.awake_since);
+        let since = h.last_report.max(self.awake_since);
         let silent = now.saturating_duration_since(since);
         silence.most && silent <= self.params.lease + self.params.report
     }
@@ -205,7 +205,7 @@
         if self.is_silent(now, h, silence.after) && !ours && expected {
             return Some(WhyReturned::Silent);
         }
-        let deaf = self.is_deaf_host(now, h, silence.after) && !ours;
+        let deaf = self.is_unreachable(now, h, silence.after) && !ours;
         deaf.then_some(WhyReturned::NothingReachesIt)
     }
 
@@ -282,7 +282,7 @@
             let Some(t) = self.host_type(&h.host_type) else {
                 continue;
             };
-            let fresh = now.saturating_duration_since(h.last_heard) <= self.params.report * 3;
+            let fresh = now.saturating_duration_since(h.last_report) <= self.params.report * 3;
             let leaving = h.returning || h.quarantined || h.draining || h.eviction.is_some();
             if h.reported && fresh && !leaving {
                 let mut free = t.room;
--- a/src/core/rental_plan.rs
+++ b/src/core/rental_plan.rs
@@ -52,7 +52,7 @@
     open: Vec<usize>,
     least: Need,
     /// Machines in each zone, planned ones too.
-    crowds: HashMap<Site, usize>,
+    zone_counts: HashMap<Site, usize>,
     most: usize,
 }
 
@@ -63,7 +63,7 @@
 
     fn add(&mut self, candidate: &Candidate, free: Need, tasks: usize) {
         let site = candidate.offer.1.clone();
-        *self.crowds.entry(site).or_default() += 1;
+        *self.zone_counts.entry(site).or_default() += 1;
         if self.least.fits(&free) {
             self.open.push(self.machines.len());
         }
@@ -101,7 +101,7 @@
         tasks: usize,
     ) -> Option<&'a Candidate> {
         let cost = |c: &Candidate| {
-            let crowd = self.crowds.get(&c.offer.1).copied().unwrap_or(0) as f64;
+            let crowd = self.zone_counts.get(&c.offer.1).copied().unwrap_or(0) as f64;
             c.price / c.slots.min(tasks) as f64 * (1.0 + ZONE_CROWDING_COST * crowd)
         };
         candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
@@ -188,23 +188,23 @@
             open: (0..machines.len()).collect(),
             machines,
             least: least_need(jobs.map(|j| j.spec.need)),
-            crowds: self.crowds(),
+            zone_counts: self.zone_counts(),
             most: self.params.tuning.max_hosts,
         }
     }
 
     /// Machines by zone, for spreading rentals.
-    fn crowds(&self) -> HashMap<Site, usize> {
-        let mut crowds: HashMap<Site, usize> = HashMap::new();
+    fn zone_counts(&self) -> HashMap<Site, usize> {
+        let mut zone_counts: HashMap<Site, usize> = HashMap::new();
         for host in self.hosts.values() {
-            match crowds.get_mut(&host.site) {
+            match zone_counts.get_mut(&host.site) {
                 Some(n) => *n += 1,
                 None => {
-                    crowds.insert(host.site.clone(), 1);
+                    zone_counts.insert(host.site.clone(), 1);
                 }
             }
         }
-        crowds
+        zone_counts
     }
 
     /// Provides for tasks of one job that wait. `of_job`: those of the whole job that nothing is
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -11,7 +11,7 @@
 /// Most directives in one message: far below 64 KiB.
 const MOST_DIRECTIVES: usize = 300;
 /// What was told to a host shows in its reports within one interval, or this.
-const HEED_LEAST: Duration = Duration::from_secs(4);
+const ACKNOWLEDGE_LEAST: Duration = Duration::from_secs(4);
 
 /// A host that is silent for so many reports may have been restarted under its name.
 const RESTART_SILENCE_REPORTS: f64 = 2.5;
@@ -29,12 +29,12 @@
 }
 
 impl Cluster {
-    /// A report, or the body of a direct answer (`beat` false: it renews no lease).
-    pub fn on_report(&mut self, now: Instant, r: Report, beat: bool) -> Answer {
+    /// A report, or the body of a direct answer (`heartbeat` false: it renews no lease).
+    pub fn on_report(&mut self, now: Instant, r: Report, heartbeat: bool) -> Answer {
         let host = r.host.clone();
         let renews = self.renews(now);
-        match self.take_report(now, r, beat, renews) {
-            Answer::Accept { directives, .. } if beat && !renews => {
+        match self.take_report(now, r, heartbeat, renews) {
+            Answer::Accept { directives, .. } if heartbeat && !renews => {
                 // What cannot go with the answer goes by itself; direct commands renew no lease.
                 let kill = |d: &Directive| matches!(d, Directive::Kill { .. });
                 if directives.iter().any(kill) {
@@ -47,18 +47,18 @@
     }
 
     /// `renews`: the answer may go to the worker, and then renews its lease.
-    fn take_report(&mut self, now: Instant, r: Report, beat: bool, renews: bool) -> Answer {
+    fn take_report(&mut self, now: Instant, r: Report, heartbeat: bool, renews: bool) -> Answer {
         if r.epoch.term() > self.term {
             return Answer::Superseded(r.epoch.term());
         }
-        if beat {
-            self.last_beat = Some(now);
+        if heartbeat {
+            self.last_heartbeat = Some(now);
         }
-        let beat = beat && renews;
+        let heartbeat = heartbeat && renews;
         if self.tombstones.contains(&r.host) {
             return Answer::Ignore;
         }
-        if let Some(epoch) = self.outdated(now, &r, beat) {
+        if let Some(epoch) = self.outdated(now, &r, heartbeat) {
             return Answer::Accept {
                 epoch,
                 directives: Vec::new(),
@@ -67,8 +67,8 @@
         self.take_host(now, &r);
         let tasks = self.take_tasks(now, &r);
         self.prove_absent(now, &r, &tasks.listed);
-        self.heeded(now, &r, &tasks.listed);
-        self.answer_report(now, &r.host, beat, tasks)
+        self.check_acknowledged(now, &r, &tasks.listed);
+        self.answer_report(now, &r.host, heartbeat, tasks)
     }
 
     /// The host that a report names; one that was not known appears.
@@ -94,7 +94,7 @@
 
     /// The token to answer with if nothing is to be learned from a report: a newer message of the host
     /// came before, or it is its predecessor's.
-    fn outdated(&mut self, now: Instant, r: &Report, beat: bool) -> Option<Epoch> {
+    fn outdated(&mut self, now: Instant, r: &Report, heartbeat: bool) -> Option<Epoch> {
         let silence = self.params.report.mul_f64(RESTART_SILENCE_REPORTS);
         let h = self.reporting_host(now, r);
         if h.floor.is_some_and(|f| r.epoch < f) {
@@ -104,18 +104,18 @@
         if !h.reported || (r.tenure, r.serial) > (h.tenure, h.serial) {
             return None;
         }
-        let silent = now.saturating_duration_since(h.last_heard) > silence;
+        let silent = now.saturating_duration_since(h.last_report) > silence;
         let restarted = h.restart_probe.is_some_and(|p| r.epoch >= p);
         if !restarted {
             // Overtaken by a newer message, or a late copy: nothing is learned from it. When it
             // is a live worker's report that crossed a direct command, its answer renews the
             // lease, counted from its sending; that was before the newer message came.
-            if beat {
-                h.last_answer = h.last_answer.max(Some(h.last_heard));
+            if heartbeat {
+                h.last_answer = h.last_answer.max(Some(h.last_report));
             }
             // Or the machine was restarted under its name and counts from the beginning. No
             // copy can show a token that was first given out after it was sent.
-            if silent && beat && h.restart_probe.is_none() {
+            if silent && heartbeat && h.restart_probe.is_none() {
                 h.epoch = h.epoch.next();
                 h.restart_probe = Some(h.epoch);
             }
@@ -148,7 +148,7 @@
         h.endpoint = r.endpoint.clone();
         h.tenure = r.tenure;
         h.serial = r.serial;
-        h.last_heard = now;
+        h.last_report = now;
         h.lease_spent = false;
         if r.epoch.term() == term {
             h.fenced = true;
@@ -242,14 +242,14 @@
         &mut self,
         now: Instant,
         host: &HostId,
-        beat: bool,
+        heartbeat: bool,
         tasks: ReportedTasks,
     ) -> Answer {
         let Some(h) = self.hosts.get_mut(host) else {
             return Answer::Ignore;
         };
         h.foreign = tasks.foreign;
-        if beat {
+        if heartbeat {
             h.last_answer = Some(now);
         }
         // After a forget the worker would take a late copy of the launch for a new one, so the same
@@ -389,8 +389,13 @@
 
     /// Whether the report shows what the host was told a while ago. A machine whose reports come
     /// through while nothing reaches it would otherwise be given task after task.
-    pub(super) fn heeded(&mut self, now: Instant, r: &Report, listed: &HashSet<(TaskId, Attempt)>) {
-        let patience = self.params.report.max(HEED_LEAST);
+    pub(super) fn check_acknowledged(
+        &mut self,
+        now: Instant,
+        r: &Report,
+        listed: &HashSet<(TaskId, Attempt)>,
+    ) {
+        let patience = self.params.report.max(ACKNOWLEDGE_LEAST);
         let Some(h) = self.hosts.get(&r.host) else {
             return;
         };
@@ -558,7 +563,7 @@
                 continue;
             }
             // A silent host would only hold a sender up: the next report carries the commands.
-            let silent = now.saturating_duration_since(h.last_heard) > self.params.report * 2;
+            let silent = now.saturating_duration_since(h.last_report) > self.params.report * 2;
             if !h.reported || h.endpoint.is_empty() || silent {
                 continue;
             }
--- a/src/core/slots.rs
+++ b/src/core/slots.rs
@@ -97,10 +97,10 @@
 impl Cluster {
     /// Whether a machine may be given tasks now.
     pub(super) fn usable(&self, now: Instant, h: &Host) -> bool {
-        let fresh = now.saturating_duration_since(h.last_heard) <= self.params.report.mul_f64(2.5);
+        let fresh = now.saturating_duration_since(h.last_report) <= self.params.report.mul_f64(2.5);
         h.reported
             && fresh
-            && h.heeds()
+            && h.is_reachable()
             && !h.returning
             && !h.quarantined
             && !h.draining
--- a/src/core/watermark.rs
+++ b/src/core/watermark.rs
@@ -114,19 +114,19 @@
     }
 
     /// A node told all that it confirmed since its word before.
-    pub fn told(&mut self, peer: &str, word: Statement) {
+    pub fn stated(&mut self, peer: &str, statement: Statement) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
         };
         *covered = match *covered {
-            Some(c) if word.continues => Some(Covered {
+            Some(c) if statement.continues => Some(Covered {
                 since: c.since,
-                until: word.asked,
+                until: statement.asked,
             }),
-            // The first word, or another life's: what went before it only the state service shows.
+            // The first statement, or another life's: what went before it only the state service shows.
             _ => Some(Covered {
-                since: word.came,
-                until: word.came,
+                since: statement.came,
+                until: statement.came,
             }),
         };
         self.advance();
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -23,14 +23,14 @@
 
 /// Reports that wait for a thread: for so many of the connections, since after an end of the leader all
 /// workers come at once. What does not fit is sent on, and comes back a second later.
-const BEATS_WAITING: f64 = 0.5;
+const HEARTBEATS_WAITING: f64 = 0.5;
 const USERS_WAITING: usize = 64;
 /// Threads for reports, and the reports that each takes on at a time.
-const BEAT_THREADS: usize = 4;
+const HEARTBEAT_THREADS: usize = 4;
 /// Reports that one thread takes on at a time.
-pub const BEAT_BATCH: usize = 48;
+pub const HEARTBEAT_BATCH: usize = 48;
 /// A worker waits 4 s for its answer. What has waited for most of that is answered at once instead.
-const BEAT_STALE: Duration = Duration::from_millis(2500);
+const HEARTBEAT_STALE: Duration = Duration::from_millis(2500);
 /// A user waits 2 s for an answer to a question, and 5 s for one to a submission.
 pub(super) const USER_STALE: Duration = Duration::from_millis(1800);
 /// Connections are closed after as many intervals of the workers' reports without a request.
@@ -53,12 +53,12 @@
     listener: TcpListener,
     spawn: &mut Spawn<'_>,
 ) -> std::io::Result<()> {
-    let waiting = shared.settings.sockets().front as f64 * BEATS_WAITING;
-    let (beats, beat_queue) = bounded::<Request>(waiting as usize);
+    let waiting = shared.settings.sockets().front as f64 * HEARTBEATS_WAITING;
+    let (heartbeats, heartbeat_queue) = bounded::<Request>(waiting as usize);
     let (users, user_queue) = bounded::<Request>(USERS_WAITING);
-    for _ in 0..BEAT_THREADS {
-        let (s, q) = (shared.clone(), beat_queue.clone());
-        spawn("beats", Box::new(move || beat_pool(&s, &q)))?;
+    for _ in 0..HEARTBEAT_THREADS {
+        let (s, q) = (shared.clone(), heartbeat_queue.clone());
+        spawn("heartbeats", Box::new(move || heartbeat_pool(&s, &q)))?;
     }
     for _ in 0..shared.settings.operations.handlers {
         let (s, q) = (shared.clone(), user_queue.clone());
@@ -78,7 +78,7 @@
     spawn(
         "front",
         Box::new(move || {
-            let take = |requests| dispatch(&s, requests, &beats, &users, &asking);
+            let take = |requests| dispatch(&s, requests, &heartbeats, &users, &asking);
             if let Err(e) = listen::serve(listener, limits, &s.stop, take) {
                 log::error!("the front cannot listen why=\"{e}\"");
             }
@@ -89,7 +89,7 @@
 fn dispatch(
     shared: &Shared,
     requests: Vec<Request>,
-    beats: &Sender<Request>,
+    heartbeats: &Sender<Request>,
     users: &Sender<Request>,
     asking: &Sender<Request>,
 ) {
@@ -109,11 +109,11 @@
             }
             _ => match route(&request.method, &request.path) {
                 // It waited while this process stood still: its worker has gone on to another node.
-                Ok(Route::Beat) if waking => {
+                Ok(Route::Heartbeat) if waking => {
                     request.give_up();
                     continue;
                 }
-                Ok(Route::Beat) => beats,
+                Ok(Route::Heartbeat) => heartbeats,
                 Ok(Route::Query(id)) => match at_once(shared, id) {
                     Some(answer) => {
                         respond(request, answer);
@@ -168,10 +168,10 @@
 
 /// Takes the reports that have come together on together: one word to the core, or one frame to the
 /// leader, serves all of them.
-fn beat_pool(shared: &Shared, queue: &Receiver<Request>) {
+fn heartbeat_pool(shared: &Shared, queue: &Receiver<Request>) {
     while let Ok(first) = queue.recv() {
         let mut batch = vec![first];
-        while batch.len() < BEAT_BATCH {
+        while batch.len() < HEARTBEAT_BATCH {
             match queue.try_recv() {
                 Ok(r) => batch.push(r),
                 Err(_) => break,
@@ -179,7 +179,7 @@
         }
         let now = Instant::now();
         batch.retain_mut(|r| {
-            let stale = now.saturating_duration_since(r.came) > BEAT_STALE;
+            let stale = now.saturating_duration_since(r.came) > HEARTBEAT_STALE;
             if stale {
                 r.give_up();
             }
@@ -190,7 +190,7 @@
             .map(|r| (r.from, std::mem::take(&mut r.body)))
             .collect();
         let came = batch.iter().map(|r| r.came).min().unwrap_or(now);
-        let answers = shared.beats(reports, came, now);
+        let answers = shared.heartbeats(reports, came, now);
         for (r, (status, body)) in batch.into_iter().zip(answers) {
             r.respond_briefly(status, &body, None);
         }
@@ -229,7 +229,7 @@
     match route(method, path) {
         Ok(Route::Submit) => submission::submit(shared, body),
         Ok(Route::Withdraw(id)) => cancellation::cancel(shared, id),
-        Ok(Route::Beat | Route::Query(_)) => Ok((problem(503, "busy"), Some(1))),
+        Ok(Route::Heartbeat | Route::Query(_)) => Ok((problem(503, "busy"), Some(1))),
         Err(refusal) => Ok((refusal, None)),
     }
 }
@@ -258,7 +258,7 @@
 }
 
 enum Route<'a> {
-    Beat,
+    Heartbeat,
     Submit,
     Query(&'a str),
     Withdraw(&'a str),
@@ -274,7 +274,7 @@
         }
     };
     if path == "/agent/beat" {
-        return allowed("POST", Route::Beat);
+        return allowed("POST", Route::Heartbeat);
     }
     if path == "/api/jobs" {
         return allowed("POST", Route::Submit);
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -42,7 +42,7 @@
     /// How the sender is.
     Hello(Hello),
     /// Workers' reports, as they came.
-    Beats(Vec<Vec<u8>>),
+    Heartbeats(Vec<Vec<u8>>),
     /// Commands for a worker, in the wire's form.
     Command {
         /// Where the worker takes commands.
@@ -95,12 +95,12 @@
 }
 
 /// Whether an answer to a hello says that the state service's next rates hold.
-pub fn fallen_heard(over: &[String]) -> bool {
+pub fn says_fallen(over: &[String]) -> bool {
     over.iter().any(|o| o == FALLEN_WORD)
 }
 
 /// 1 is the version that says nothing.
-pub fn frames_heard(over: &[String]) -> u32 {
+pub fn frames_of(over: &[String]) -> u32 {
     let said = over.iter().find_map(|o| o.strip_prefix(FRAMES_WORD));
     said.and_then(|n| n.parse().ok()).unwrap_or(1)
 }
@@ -126,18 +126,18 @@
     /// How the answering one is.
     Hello(Hello),
     /// Status and body for each report, in their order.
-    Beats(Vec<(u16, Vec<u8>)>),
+    Heartbeats(Vec<(u16, Vec<u8>)>),
     /// The worker's report, as it came. None: it did not answer.
     Command(Option<Vec<u8>>),
     /// In the order of the questions.
     JobStandings(Vec<JobStanding>),
     /// Status, body, and when to come back.
     User(u16, Vec<u8>, Option<u64>),
-    /// Its life; whether this goes on from where it was asked for; the jobs; where to go on; whether
+    /// Its incarnation; whether this goes on from where it was asked for; the jobs; where to go on; whether
     /// there are more already.
     Cancellations {
         /// The life of the answering node.
-        life: u64,
+        incarnation: u64,
         /// It goes on from the position asked for, with nothing left out.
         continues: bool,
         /// The jobs.
@@ -209,7 +209,7 @@
     }
 
     /// Remembers the frames that it said it knows.
-    pub fn said_frames(&self, frames: u32) {
+    pub fn set_frames(&self, frames: u32) {
         self.frames.store(frames, Ordering::Relaxed);
     }
 
@@ -236,7 +236,7 @@
     pub fn ask(&self, ask: &Ask, limit: Duration) -> io::Result<Reply> {
         let kept = self.idle.lock().ok().and_then(|mut i| i.pop());
         if let Some(mut s) = kept {
-            // A kept connection may have died with the peer's earlier life. All that is asked is safe
+            // A kept connection may have died with the peer's earlier incarnation. All that is asked is safe
             // to repeat: a report has its serial, a submission or cancellation its conditions, and a hello
             // changes nothing the second time.
             s.set_read_timeout(Some(limit))?;
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -10,7 +10,7 @@
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredVerdict,
 };
 pub use user::{JobState, JustUid, Problem, Submission};
-pub use worker::{BeatAnswer, Commands, Elsewhere, WireDirective, WireReport};
+pub use worker::{Commands, Elsewhere, HeartbeatAnswer, WireDirective, WireReport};
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -117,7 +117,7 @@
 /// The answer to a report.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct BeatAnswer {
+pub struct HeartbeatAnswer {
     /// The token.
     pub epoch: u64,
     /// The commands.
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -1,7 +1,7 @@
 //! The core's thread: events in, actions out.
 
 use super::elector::ElectorEvent;
-use super::events::{BeatReply, CloudOrder, Event, Order, Outlets, SendOrder};
+use super::events::{CloudOrder, Event, HeartbeatReply, Order, Outlets, SendOrder};
 use super::service::Shared;
 use crate::core::capacity::Rented;
 use crate::core::cluster::{Action, Answer, CancelSource, Cluster};
@@ -147,8 +147,11 @@
             shared.meters.rounds.record(took);
             c.tick_took(took);
             // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
-            if certain && c.is_deaf(now) {
-                let _ = self.out.elector_events.try_send(ElectorEvent::Deaf(c.term));
+            if certain && c.is_without_heartbeats(now) {
+                let _ = self
+                    .out
+                    .elector_events
+                    .try_send(ElectorEvent::NoHeartbeats(c.term));
             }
             actions
         } else {
@@ -198,23 +201,25 @@
         _ => {}
     }
     let Some(c) = cluster.as_mut() else {
-        if let Event::Beats(reports, reply) = event {
-            let _ = reply.send(reports.iter().map(|_| BeatReply::NotLeader).collect());
+        if let Event::Heartbeats(reports, reply) = event {
+            let _ = reply.send(reports.iter().map(|_| HeartbeatReply::NotLeader).collect());
         }
         return;
     };
     let term = c.term;
     match event {
-        Event::Beats(reports, reply) => {
+        Event::Heartbeats(reports, reply) => {
             let answers = reports.into_iter().map(|report| {
                 match c.on_report(now, report, true) {
-                    Answer::Accept { epoch, directives } => BeatReply::Accept(epoch, directives),
-                    Answer::Ignore | Answer::Withheld => BeatReply::NotLeader,
+                    Answer::Accept { epoch, directives } => {
+                        HeartbeatReply::Accept(epoch, directives)
+                    }
+                    Answer::Ignore | Answer::Withheld => HeartbeatReply::NotLeader,
                     Answer::Superseded(t) => {
                         // Never waits: the elector may be waiting for this loop. It will be seen
                         // again.
                         let _ = out.elector_events.try_send(ElectorEvent::Term(t));
-                        BeatReply::NotLeader
+                        HeartbeatReply::NotLeader
                     }
                 }
             });
@@ -234,12 +239,12 @@
             }
         }
         Event::Read(t, asked) if t == term => c.cancellations_read(asked),
-        Event::Told(t, uids, covers) if t == term => {
+        Event::CancelledElsewhere(t, uids, covers) if t == term => {
             for uid in &uids {
                 c.on_cancelled(now, uid, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
-                c.cancellations_told(&peer, word);
+                c.cancellations_stated(&peer, word);
             }
         }
         Event::Written(t, outcome) if t == term => {
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -20,7 +20,7 @@
 const CALL: Duration = Duration::from_millis(1500);
 /// How often the elector looks what is due, without an event.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// A lease is renewed, and may take to be renewed, this part of its life.
+/// A lease is renewed, and may take to be renewed, this part of its duration.
 const RENEWALS_PER_LEASE: u32 = 4;
 /// Who gave the leadership up because it heard nobody takes it again only after this.
 const RESIGNED: Duration = Duration::from_secs(10);
@@ -40,7 +40,7 @@
     /// A term that a report or a peer has shown.
     Term(Term),
     /// The leader of this term hears no worker.
-    Deaf(Term),
+    NoHeartbeats(Term),
 }
 
 /// Campaigns and renews; starts and stops what a term needs.
@@ -67,7 +67,7 @@
     /// Tells two lives of this member apart.
     boot: u64,
     /// How long the lease of the present term lasts without a renewal.
-    life: Duration,
+    lease_duration: Duration,
     /// The lease of the present term.
     permit: Option<u64>,
     /// Ends the threads of the present term.
@@ -80,13 +80,13 @@
 
 impl Elector {
     fn new(shared: Arc<Shared>) -> Elector {
-        let life = shared.settings.operations.leader_lease;
+        let lease_duration = shared.settings.operations.leader_lease;
         let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
         Elector {
-            machine: Leadership::new(&shared.settings.member, boot, life / RENEWALS_PER_LEASE),
+            machine: Leadership::new(&shared.settings.member, lease_duration / RENEWALS_PER_LEASE),
             shared,
             boot,
-            life,
+            lease_duration,
             permit: None,
             term_stop: Stop::new(),
             looked: false,
@@ -118,7 +118,7 @@
                 self.machine.observed(now, found)
             }
             Ok(ElectorEvent::Term(term)) => self.machine.term_seen(term),
-            Ok(ElectorEvent::Deaf(term)) => self.resign(now, term),
+            Ok(ElectorEvent::NoHeartbeats(term)) => self.resign(now, term),
             Err(_) => self.machine.due(now),
         }
     }
@@ -156,12 +156,12 @@
     }
 
     fn renew(&mut self, asked: (Instant, SystemTime)) {
-        let limit = self.life / RENEWALS_PER_LEASE;
+        let limit = self.lease_duration / RENEWALS_PER_LEASE;
         let view = &self.shared.view;
         match self.permit.map(|p| self.shared.store.extend(p, limit)) {
             Some(Ok(())) => {
                 view.store_answered(true, Instant::now());
-                view.lease_lasts(asked, self.life);
+                view.lease_lasts(asked, self.lease_duration);
                 self.machine.renewed(asked.0);
             }
             Some(Err(StoreError::NoLease)) | None => {
@@ -186,7 +186,7 @@
     }
 
     fn campaign(&mut self, stamp: u64, asked: (Instant, SystemTime)) {
-        match campaign(&self.shared, self.boot, stamp, &mut self.life) {
+        match campaign(&self.shared, self.boot, stamp, &mut self.lease_duration) {
             Ok(Some(won)) => self.lead(won, asked),
             Ok(None) => self.look_again(LOST_PAUSE_MS),
             Err(e) => {
@@ -199,8 +199,9 @@
 
     /// Begins the term that was won.
     fn lead(&mut self, won: Won, asked: (Instant, SystemTime)) {
-        self.machine.renew_every(self.life / RENEWALS_PER_LEASE);
-        self.shared.view.lease_lasts(asked, self.life);
+        self.machine
+            .renew_every(self.lease_duration / RENEWALS_PER_LEASE);
+        self.shared.view.lease_lasts(asked, self.lease_duration);
         self.machine.won(Instant::now(), won.term, won.leader_stamp);
         self.permit = Some(won.permit);
         self.term_stop = Stop::new();
@@ -263,7 +264,7 @@
     shared: &Shared,
     boot: u64,
     stamp: u64,
-    life: &mut Duration,
+    lease_duration: &mut Duration,
 ) -> Result<Option<Won>, StoreError> {
     let counter = shared.store.get::<u64>(TERM_KEY, Rank::Leader, CALL)?;
     let (old, term_stamp) = counter.map_or((0, 0), |e| (e.value, e.stamp));
@@ -271,8 +272,8 @@
     // while it loaded, and the next one began anew.
     let strain = shared.worst_strain().as_secs_f64() / STRAINED.as_secs_f64();
     let longer = 1.0 + strain.min(MOST_LONGER);
-    *life = shared.settings.operations.leader_lease.mul_f64(longer);
-    let lease = shared.store.lease(*life, CALL)?;
+    *lease_duration = shared.settings.operations.leader_lease.mul_f64(longer);
+    let lease = shared.store.lease(*lease_duration, CALL)?;
     let term = old + 1;
     let won = |leader_stamp| Won {
         term: Term(term),
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -16,7 +16,7 @@
     /// This node leads no more.
     StepDown,
     /// Reports that came together, answered together.
-    Beats(Vec<Report>, Sender<Vec<BeatReply>>),
+    Heartbeats(Vec<Report>, Sender<Vec<HeartbeatReply>>),
     /// A job was accepted: what it asks for, and the stamp of its acceptance.
     Job(Term, Box<JobSpec>, u64),
     /// The same, of a job that is known to be cancelled by the time its acceptance is heard of.
@@ -42,11 +42,11 @@
     /// All cancellations that the state service held when it was asked have gone before this.
     Read(Term, Moment),
     /// Jobs that a peer knows to be cancelled, and what that covers; from users, it covers nothing.
-    Told(Term, Vec<Uid>, Option<(String, Statement)>),
+    CancelledElsewhere(Term, Vec<Uid>, Option<(String, Statement)>),
 }
 
 /// What becomes of a report.
-pub enum BeatReply {
+pub enum HeartbeatReply {
     /// It is answered with this token and these commands.
     Accept(Epoch, Vec<Directive>),
     /// This node does not lead, or must not answer.
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -140,9 +140,9 @@
         let ask = Ask::Hello(hello(shared, progress.clone(), over.clone()));
         match peer.ask(&ask, Duration::from_millis(1500)) {
             Ok(Reply::Hello(h)) => {
-                heard_hello(shared, &h);
-                peer.said_frames(peer::frames_heard(&h.over));
-                if peer::fallen_heard(&h.over) {
+                hello_received(shared, &h);
+                peer.set_frames(peer::frames_of(&h.over));
+                if peer::says_fallen(&h.over) {
                     shared.store.budgets().fall(Instant::now());
                 }
                 for (uid, d, r) in progress {
@@ -166,7 +166,7 @@
 #[derive(Default)]
 struct Reader {
     term: Option<Term>,
-    /// The peer's life, and the position in it to go on from.
+    /// The peer's incarnation, and the position in it to go on from.
     from: Option<(u64, u64)>,
 }
 
@@ -188,7 +188,7 @@
             let asked = Moment::now();
             let ask = Ask::Cancellations { from: self.from };
             let Ok(Reply::Cancellations {
-                life,
+                incarnation,
                 continues,
                 uids,
                 next,
@@ -198,7 +198,7 @@
                 return;
             };
             let came = Moment::now();
-            self.from = Some((life, next));
+            self.from = Some((incarnation, next));
             more = rest;
             let word = Statement {
                 asked,
@@ -208,14 +208,18 @@
             let uids = uids.iter().filter_map(|u| Uid::parse(u)).collect();
             // What is told in parts covers nothing before the last of them.
             let covers = (!more || !continues).then(|| (peer.member.clone(), word));
-            if shared.events.send(Event::Told(term, uids, covers)).is_err() {
+            if shared
+                .events
+                .send(Event::CancelledElsewhere(term, uids, covers))
+                .is_err()
+            {
                 return;
             }
         }
     }
 }
 
-fn heard_hello(shared: &Shared, h: &Hello) {
+fn hello_received(shared: &Shared, h: &Hello) {
     let now = Instant::now();
     let demand = Demand {
         users: h.users_changes,
@@ -249,7 +253,7 @@
         };
         let reply = match ask {
             Ask::Hello(h) => {
-                heard_hello(shared, &h);
+                hello_received(shared, &h);
                 if h.leads.is_some() && !matches!(shared.view.read().role, RoleView::Leader(_)) {
                     let mut i = shared.view.write();
                     for (uid, d, r) in h.progress {
@@ -265,9 +269,9 @@
                     peer::said(shared.store.budgets().fallen()),
                 ))
             }
-            Ask::Beats(bodies) => {
+            Ask::Heartbeats(bodies) => {
                 let until = Instant::now() + AWAITED_RELAYED;
-                Reply::Beats(shared.local_beats(&bodies, until))
+                Reply::Heartbeats(shared.local_heartbeats(&bodies, until))
             }
             Ask::Command { endpoint, body } => {
                 Reply::Command(agent::deliver(&shared.agent, &endpoint, &body))
@@ -276,7 +280,7 @@
             Ask::Cancellations { from } => {
                 let page = shared.view.cancellations(from);
                 Reply::Cancellations {
-                    life: page.life,
+                    incarnation: page.incarnation,
                     continues: page.continues,
                     uids: page.uids.into_iter().map(|u| u.0).collect(),
                     next: page.next,
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -5,7 +5,7 @@
 use super::control_watch;
 use super::core_loop;
 use super::elector::{self, ElectorEvent};
-use super::events::{BeatReply, Event, Outlets};
+use super::events::{Event, HeartbeatReply, Outlets};
 use super::metrics::{Meter, Strain};
 use super::peer_duties;
 use super::stall_detector::StallDetector;
@@ -24,7 +24,7 @@
 use crate::net::questions;
 use crate::net::store::Store;
 use crate::net::store_budget::Budgets;
-use crate::net::wire::{self, BeatAnswer, Elsewhere, WireDirective, WireReport};
+use crate::net::wire::{self, Elsewhere, HeartbeatAnswer, WireDirective, WireReport};
 use crate::settings::Settings;
 use crossbeam::channel::{bounded, Sender};
 use std::net::{IpAddr, TcpListener};
@@ -149,7 +149,7 @@
         self.store.budgets().share_out(&peers, now);
     }
 
-    /// Jobs that a user is about to be told are cancelled. Whether this node leads and heeds it.
+    /// Jobs that a user is about to be told are cancelled. Whether this node leads and takes them on.
     pub fn take_on_cancellations(&self, uids: Vec<Uid>) -> bool {
         let term = {
             let i = self.view.read();
@@ -158,7 +158,7 @@
         let Some(term) = term else {
             return false;
         };
-        let event = Event::Told(term, uids, None);
+        let event = Event::CancelledElsewhere(term, uids, None);
         self.events.send_timeout(event, TELL_LIMIT / 2).is_ok()
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Reports at this node, answered only if this node leads.
-    pub fn local_beats(&self, bodies: &[Vec<u8>], until: Instant) -> Vec<(u16, Vec<u8>)> {
+    pub fn local_heartbeats(&self, bodies: &[Vec<u8>], until: Instant) -> Vec<(u16, Vec<u8>)> {
         self.await_leader(until);
         let loaded = {
             let i = self.view.read();
@@ -238,15 +238,15 @@
             return answers;
         }
         let (reply, answer) = bounded(1);
-        let event = Event::Beats(reports, reply);
+        let event = Event::Heartbeats(reports, reply);
         let queued = self.events.send_timeout(event, Duration::from_millis(500));
         if queued.is_err() {
             return answers;
         }
         let taken = answer.recv_timeout(Duration::from_secs(3));
         for (n, a) in places.into_iter().zip(taken.unwrap_or_default()) {
-            if let BeatReply::Accept(epoch, directives) = a {
-                let body = BeatAnswer {
+            if let HeartbeatReply::Accept(epoch, directives) = a {
+                let body = HeartbeatAnswer {
                     epoch: epoch.0,
                     directives: directives.iter().map(WireDirective::from).collect(),
                 };
@@ -259,7 +259,7 @@
     /// Reports at any node, answered in their order. The leader decides; a follower relays, so that
     /// the work of reading and answering is shared. A node with far more workers than its part sends
     /// some to another.
-    pub fn beats(
+    pub fn heartbeats(
         &self,
         reports: Vec<(IpAddr, Vec<u8>)>,
         came: Instant,
@@ -300,14 +300,17 @@
             return answers;
         }
         let Some(leader) = leader else {
-            for (n, a) in places.into_iter().zip(self.local_beats(&bodies, until)) {
+            for (n, a) in places
+                .into_iter()
+                .zip(self.local_heartbeats(&bodies, until))
+            {
                 answers[n] = a;
             }
             return answers;
         };
         let peer = self.peers.iter().find(|p| p.member == leader);
-        let told = match peer.map(|p| p.ask(&Ask::Beats(bodies), RELAY_LIMIT)) {
-            Some(Ok(Reply::Beats(told))) if told.len() == places.len() => told,
+        let told = match peer.map(|p| p.ask(&Ask::Heartbeats(bodies), RELAY_LIMIT)) {
+            Some(Ok(Reply::Heartbeats(told))) if told.len() == places.len() => told,
             _ => {
                 for ip in senders {
                     self.workers.lost(ip);
--- a/src/runtime/view.rs
+++ b/src/runtime/view.rs
@@ -61,7 +61,7 @@
 /// Cancellations that this life of the node knows of and may confirm, in the order in which it learned
 /// of them. The leader reads it, by position.
 struct Cancellations {
-    life: u64,
+    incarnation: u64,
     /// The position of the oldest that is kept.
     first: u64,
     kept: VecDeque<Uid>,
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CancellationsPage {
     /// The life of the node.
-    pub life: u64,
+    pub incarnation: u64,
     /// It goes on from the position asked for, with nothing left out.
     pub continues: bool,
     /// Its jobs.
@@ -139,7 +139,7 @@
                 leads_until: None,
                 peers: HashMap::new(),
                 cancellations: Cancellations {
-                    life: rand::random(),
+                    incarnation: rand::random(),
                     first: 0,
                     kept: VecDeque::new(),
                 },
@@ -232,13 +232,15 @@
         let i = self.read();
         let w = &i.cancellations;
         let end = w.first + w.kept.len() as u64;
-        let from = from.filter(|(life, at)| *life == w.life && (w.first..=end).contains(at));
+        let from = from.filter(|(incarnation, at)| {
+            *incarnation == w.incarnation && (w.first..=end).contains(at)
+        });
         let at = from.map_or(end, |f| f.1);
         let skipped = (at - w.first) as usize;
         let uids: Vec<Uid> = w.kept.iter().skip(skipped).take(PAGE).cloned().collect();
         let next = at + uids.len() as u64;
         CancellationsPage {
-            life: w.life,
+            incarnation: w.incarnation,
             continues: from.is_some(),
             uids,
             next,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -156,8 +156,8 @@
         }
     }
 
-    /// A report at the current token, as a beat: answers have reached the worker.
-    pub fn beat(
+    /// A report at the current token, as a heartbeat: answers have reached the worker.
+    pub fn heartbeat(
         &mut self,
         host: &str,
         serial: u64,
@@ -305,7 +305,7 @@
                     shown(&t.uid.0, t.index, *a, phase)
                 })
                 .collect();
-            let (_, directives) = self.w.beat(&h.0, self.serial, listed);
+            let (_, directives) = self.w.heartbeat(&h.0, self.serial, listed);
             for d in directives {
                 match d {
                     Directive::Launch { task, attempt } => {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -88,7 +88,7 @@
     ];
     for (name, edit, expected) in cases {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let mut s = spec("wk-000001", 2, 2.0);
         edit(&mut s);
         w.job(s);
@@ -99,7 +99,7 @@
         [(true, false, 3), (false, false, 1), (true, true, 1)]
     {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let mut r = World::report("i-2", 1, 1, Epoch::first(TERM).0, vec![]);
         r.spot = true;
         r.site = "b".into();
@@ -122,7 +122,7 @@
 #[test]
 fn the_teams_limit_counts_doubtful_tasks() {
     let mut w = World::with(params(), vec![host_type("m8", 64.0)]);
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 20, 4.0));
     // 32 CPUs at most: eight tasks, whatever else is free.
     assert_eq!(launches(&w.settle()).len(), 8);
@@ -130,7 +130,7 @@
     w.job(spec("wk-000002", 1, 4.0));
     assert_eq!(launches(&w.settle()), vec![], "the withdrawn may still run");
     w.c.on_returned(w.now, &["i-1".into()]);
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-2", 1, vec![]);
     assert_eq!(launches(&w.settle()).len(), 1);
 }
 
@@ -138,16 +138,16 @@
 fn placed_by_avail_est_and_penalty() {
     // Host 1 has the image; host 2 is empty. A busy host's room comes later.
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let a = launches(&w.settle())[0].2;
     let running = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-    w.beat("i-1", 2, running());
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-1", 2, running());
+    w.heartbeat("i-2", 1, vec![]);
     w.job(spec("wk-000002", 1, 4.0));
     let sent = launches(&w.settle());
     assert_eq!(sent[0].0, "i-1".into(), "the image is cached there");
-    w.beat("i-1", 3, running());
+    w.heartbeat("i-1", 3, running());
     w.job(spec("wk-000003", 1, 4.0));
     let sent = launches(&w.settle());
     assert_eq!(sent[0].0, "i-2".into(), "a fetch is shorter than the wait");
@@ -158,16 +158,16 @@
     // The busy machine's lead over the idle one: seconds until it is free, its measured speed.
     for (rest, slowness, waits) in [(1, 0.0, false), (1, -0.2, false), (0, -0.3, false)] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let mut s = spec("wk-000001", 1, 8.0);
         s.expected = secs(10);
         w.job(s);
         let a = launches(&w.settle())[0].2;
         let running = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat("i-1", 2, running());
+        w.heartbeat("i-1", 2, running());
         w.pass(secs(10 - rest));
-        w.beat("i-1", 3, running());
-        w.beat("i-2", 1, vec![]);
+        w.heartbeat("i-1", 3, running());
+        w.heartbeat("i-2", 1, vec![]);
         for _ in 0..4 {
             let h = w.c.hosts.get_mut(&HostId::from("i-1")).unwrap();
             h.slowness.add(slowness);
@@ -186,8 +186,8 @@
     // Size of the claimant's image, cached only where more urgent work ends soon -> stopped.
     for (gb, stopped) in [(1.0, true), (40.0, false)] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
-        w.beat("i-2", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
+        w.heartbeat("i-2", 1, vec![]);
         let mut soon = spec("wk-000001", 1, 8.0);
         soon.urgency = Urgency::High;
         soon.expected = secs(50);
@@ -203,7 +203,7 @@
         let mut run = |w: &mut World| {
             for (host, t, a) in [&one, &two] {
                 let running = vec![shown(&t.uid.0, 0, *a, TaskPhase::Running)];
-                w.beat(&host.0, serial, running);
+                w.heartbeat(&host.0, serial, running);
             }
             serial += 1;
         };
@@ -225,7 +225,7 @@
 fn a_slow_host_loses_its_draw() {
     let mut w = World::new();
     for (n, host) in ["i-1", "i-2"].iter().enumerate() {
-        w.beat(host, 1, vec![]);
+        w.heartbeat(host, 1, vec![]);
         let h = w.c.hosts.get_mut(&HostId::from(*host)).unwrap();
         h.images.push_back((ImageKey::of("img-1"), 2.0));
         for _ in 0..4 {
@@ -266,7 +266,7 @@
         let mut s = spec("wk-000002", 1, 8.0);
         second(&mut s);
         w.job(s);
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let sent = launches(&w.settle());
         assert_eq!(sent.len(), 1, "{name}");
         assert_eq!(sent[0].1.uid == "wk-000002".into(), wins, "{name}");
@@ -286,8 +286,8 @@
     s.owner = "blue".into();
     s.accepted_ms = 200_000;
     w.job(s);
-    w.beat("i-1", 1, vec![]);
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
+    w.heartbeat("i-2", 1, vec![]);
     let sent = launches(&w.settle());
     let of = |uid: &str| sent.iter().filter(|l| l.1.uid == uid.into()).count();
     assert_eq!((of("wk-000001"), of("wk-000002")), (1, 1));
@@ -314,7 +314,7 @@
             s.due = Some(secs(900));
             w.job(s);
         }
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let sent = launches(&w.settle());
         let first = if overtakes { "wk-000003" } else { "wk-000002" };
         assert_eq!(sent[0].1.uid, first.into(), "deadline {deadline}");
@@ -348,15 +348,15 @@
     ];
     for (name, ran, victim, claimant, stopped) in cases {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let mut s = spec("wk-000001", 1, 8.0);
         victim(&mut s);
         w.job(s);
         let a = launches(&w.settle())[0].2;
         let running = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat("i-1", 2, running());
+        w.heartbeat("i-1", 2, running());
         w.pass(secs(ran));
-        w.beat("i-1", 3, running());
+        w.heartbeat("i-1", 3, running());
         let mut s = spec("wk-000002", 1, 8.0);
         claimant(&mut s);
         w.job(s);
@@ -369,12 +369,12 @@
 #[test]
 fn a_gang_starts_whole_with_one_attempt_and_ends_whole() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     let mut s = spec("wk-000001", 3, 4.0);
     s.kind = JobKind::Gang;
     w.job(s);
     assert_eq!(launches(&w.settle()), vec![], "two of three have room");
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-2", 1, vec![]);
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 3);
     assert!(sent.iter().all(|l| l.2 == sent[0].2));
@@ -385,16 +385,16 @@
         }
     };
     // One lost member ends the attempt: the others are stopped, and only then it starts anew.
-    w.beat("i-2", 2, on("i-2").iter().map(ended(Exit::Peers)).collect());
+    w.heartbeat("i-2", 2, on("i-2").iter().map(ended(Exit::Peers)).collect());
     let job = &w.c.jobs[&Uid::from("wk-000001")];
     assert!(job.active.values().all(|a| a.kill.is_some()));
-    w.beat("i-1", 2, on("i-1").iter().map(ended(Exit::Peers)).collect());
+    w.heartbeat("i-1", 2, on("i-1").iter().map(ended(Exit::Peers)).collect());
     let again = launches(&w.settle());
     assert_eq!(again.len(), 3);
     assert_ne!(again[0].2, sent[0].2);
     // All are done when one is, counted once each.
     let done: Vec<_> = again.iter().filter(|l| l.0 == "i-1".into()).collect();
-    w.beat("i-1", 3, done.iter().map(ended(Exit::Done)).collect());
+    w.heartbeat("i-1", 3, done.iter().map(ended(Exit::Done)).collect());
     assert_eq!(w.c.jobs[&Uid::from("wk-000001")].done_count, 3);
 }
 
@@ -432,7 +432,7 @@
     w.c.on_report(w.now, r, true);
     w.job(spec("wk-000001", 3, 24.0));
     assert_eq!(launches(&w.settle()).len(), 2, "the third waits");
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-2", 1, vec![]);
     let mut s = spec("wk-000002", 1, 2.0);
     s.owner = "blue".into();
     w.job(s);
@@ -520,7 +520,7 @@
 fn dear_machines_are_not_for_idle_work() {
     for (urgency, expensive) in [(Urgency::Idle, false), (Urgency::Standard, true)] {
         let mut w = renting();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         let mut long = spec("wk-000001", 1, 8.0);
         long.expected = secs(3000);
         w.job(long);
@@ -536,7 +536,7 @@
         let mut asked = Vec::new();
         for n in 0..80 {
             let running = shown(&t.uid.0, t.index, a, TaskPhase::Running);
-            w.beat("i-1", n + 2, vec![running]);
+            w.heartbeat("i-1", n + 2, vec![running]);
             for (claim, spot, _) in rentals(&w.settle()) {
                 asked.push(spot);
                 w.c.on_rented(w.now, &claim, Rented::NoCapacity);
@@ -592,7 +592,7 @@
         t.hourly = t.low_price;
         let mut w = World::with(p, vec![t]);
         w.pass(secs(10));
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         // It takes the whole of the only machine.
         let mut job = spec("wk-000001", 1, 8.0);
         job.class = "quick".into();
@@ -607,7 +607,7 @@
     // Spot jobs aside: one host with a given history among others that report.
     let mut w = renting();
     for h in ["i-1", "i-2", "i-3"] {
-        w.beat(h, 1, vec![]);
+        w.heartbeat(h, 1, vec![]);
     }
     // All three fall silent together: the fault is on our side.
     w.pass(secs(25));
@@ -619,7 +619,7 @@
     assert_eq!(returned(&w), 0);
     // One alone is returned.
     for h in ["i-2", "i-3"] {
-        w.beat(h, 2, vec![]);
+        w.heartbeat(h, 2, vec![]);
     }
     for h in w.c.hosts.values_mut() {
         h.idle_since = None;
@@ -678,9 +678,15 @@
             Some(record("m0", 9, 4, 40)),
             Step::Campaign { stamp: 40 },
         ),
+        // Guards against nodes that all wait for a lease that nobody renews.
+        (
+            "our own, by a campaign whose answer was lost",
+            Some(record("m0", 1, 4, 40)),
+            Step::Campaign { stamp: 40 },
+        ),
     ];
     for (name, key, step) in cases {
-        let mut l = Leadership::new("m0", 1, renew);
+        let mut l = Leadership::new("m0", renew);
         assert_eq!(l.observed(now, key), step, "{name}");
     }
     // What a leader of term 4 makes of what it sees.
@@ -691,24 +697,24 @@
         ("its key gone", None, Step::StepDown),
     ];
     for (name, key, step) in cases {
-        let mut l = Leadership::new("m0", 1, renew);
+        let mut l = Leadership::new("m0", renew);
         l.won(now, Term(4), 40);
         assert_eq!(l.observed(now, key), step, "{name}");
     }
-    let mut l = Leadership::new("m0", 1, renew);
+    let mut l = Leadership::new("m0", renew);
     l.won(now, Term(4), 40);
     assert_eq!(l.term_seen(Term(4)), Step::Wait);
     assert_eq!(l.due(now + secs(2)), Step::Renew);
     // Renewals that fail leave it leading: the state service may be out for all.
     assert!(matches!(l.role(), Role::Leader { .. }));
     assert_eq!(l.term_seen(Term(5)), Step::StepDown);
-    let mut l = Leadership::new("m0", 1, renew);
+    let mut l = Leadership::new("m0", renew);
     l.observed(now, None);
     l.lost(now, secs(1));
     assert_eq!(l.due(now), Step::Wait);
     assert_eq!(l.due(now + secs(2)), Step::Campaign { stamp: 0 });
     // Given up, a term is left to others for a while; a word about an earlier term changes nothing.
-    let mut l = Leadership::new("m0", 1, renew);
+    let mut l = Leadership::new("m0", renew);
     l.won(now, Term(4), 40);
     assert_eq!(l.resign(now, Term(3), secs(9)), Step::Wait);
     assert_eq!(l.resign(now, Term(4), secs(9)), Step::StepDown);
--- a/tests/end_to_end/close_looks.rs
+++ b/tests/end_to_end/close_looks.rs
@@ -95,6 +95,15 @@
     }
 }
 
+/// Ends the askers, also when an assertion fails meanwhile: the scope waits for them.
+struct StopAtEnd<'a>(&'a AtomicBool);
+
+impl Drop for StopAtEnd<'_> {
+    fn drop(&mut self) {
+        self.0.store(true, Ordering::SeqCst);
+    }
+}
+
 #[test]
 fn no_node_answers_something_older_however_closely_users_look() {
     // Whether the state service refuses one node, whose peer asks in its place.
@@ -120,6 +129,7 @@
         let stop = AtomicBool::new(false);
         let (jobs_seen, stopped) = (&jobs, &stop);
         std::thread::scope(|s| {
+            let _askers_end = StopAtEnd(&stop);
             for node in addresses {
                 for _ in 0..4 {
                     s.spawn(move || {
@@ -156,7 +166,6 @@
                 }
                 jobs.iter().all(over).then_some(())
             });
-            stop.store(true, Ordering::SeqCst);
         });
         let cancelled = jobs.iter().filter(|j| j.cancelled.load(Ordering::SeqCst));
         assert!(
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -156,9 +156,9 @@
         ("Epoch", Any::Int(0)),
         ("Shards", Any::List(vec![])),
     ]);
-    let beat = || call("POST", site.names[0].1, "/agent/beat", Some(&report)).0;
+    let heartbeat = || call("POST", site.names[0].1, "/agent/beat", Some(&report)).0;
     let asked = Instant::now();
-    assert_eq!(beat(), 503, "nobody leads");
+    assert_eq!(heartbeat(), 503, "nobody leads");
     assert!(
         asked.elapsed() >= Duration::from_secs(1),
         "it waited for that"
@@ -179,7 +179,7 @@
     });
     assert!(list(PATIENCE));
     back.join().expect("the switch");
-    until("the leader answers", || (beat() == 200).then_some(()));
+    until("the leader answers", || (heartbeat() == 200).then_some(()));
     node.stop();
 }
 
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -10,7 +10,7 @@
 /// One host, one single-task job placed and launched there; its attempt.
 fn launched() -> (World, Attempt) {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1);
@@ -20,7 +20,7 @@
 #[test]
 fn nothing_is_launched_before_its_intent_is_durable() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let batch = w.batch().expect("an intent is written");
     let keys: Vec<&str> = batch.conditions.iter().map(|c| c.0.as_str()).collect();
@@ -29,21 +29,21 @@
     assert!(keys.contains(&LEADER_KEY));
     assert!(keys.contains(&chunk_key(&uid, 0).as_str()));
     assert!(keys.contains(&job_key(&uid).as_str()));
-    let (_, directives) = w.beat("i-1", 2, vec![]);
+    let (_, directives) = w.heartbeat("i-1", 2, vec![]);
     assert_eq!(directives, vec![]);
     w.c.on_batch(w.now, BatchOutcome::Unknown);
-    let (_, directives) = w.beat("i-1", 3, vec![]);
+    let (_, directives) = w.heartbeat("i-1", 3, vec![]);
     assert_eq!(directives, vec![], "an unknown outcome allows nothing");
     w.batch().expect("the write is repeated");
     w.c.on_batch(w.now, BatchOutcome::Applied { revision: 200 });
-    let (_, directives) = w.beat("i-1", 4, vec![]);
+    let (_, directives) = w.heartbeat("i-1", 4, vec![]);
     assert!(matches!(directives[..], [Directive::Launch { .. }]));
 }
 
 #[test]
 fn a_write_that_was_applied_after_all_is_met_and_repeated_on_its_stamp() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.batch().unwrap();
     w.c.on_batch(w.now, BatchOutcome::Unknown);
@@ -58,7 +58,7 @@
 #[test]
 fn a_write_that_meets_a_newer_leader_ends_the_term() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.batch().unwrap();
     let found = vec![(LEADER_KEY.to_owned(), STAMP + 9, None)];
@@ -68,7 +68,7 @@
 #[test]
 fn a_job_found_withdrawn_by_its_intents_write_is_never_launched() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 2, 4.0));
     w.batch().unwrap();
     let key = job_key(&"wk-000001".into());
@@ -117,7 +117,7 @@
 fn a_task_stays_with_a_silent_host_until_its_lease_has_certainly_run_out() {
     for (fenced, gone) in [(true, true), (false, false)] {
         let (mut w, _) = launched();
-        w.beat("i-1", 5, vec![]);
+        w.heartbeat("i-1", 5, vec![]);
         // Fenced: it has shown this term's token, and from then on only we renew its lease.
         for h in w.c.hosts.values_mut() {
             h.fenced = fenced;
@@ -135,7 +135,7 @@
 #[test]
 fn a_new_sessions_lease_is_not_counted_from_the_old_ones_last_answer() {
     let (mut w, _) = launched();
-    w.beat("i-1", 5, vec![]);
+    w.heartbeat("i-1", 5, vec![]);
     let host = HostId::from("i-1");
     let lease = params().lease;
     // Its answers were lost: the worker began a new session, of which a direct answer tells.
@@ -186,7 +186,7 @@
     let direct = World::report("i-1", 1, 8, epoch, running);
     w.c.on_sent(w.now, &"i-1".into(), Some(direct));
     // Sent before the command, arriving after it: its list without the task proves nothing.
-    let (_, directives) = w.beat("i-1", 7, vec![]);
+    let (_, directives) = w.heartbeat("i-1", 7, vec![]);
     assert_eq!(directives, vec![]);
     assert!(w.active("wk-000001", 0).is_some());
     assert_eq!(w.c.hosts[&HostId::from("i-1")].last_answer, Some(w.now));
@@ -196,10 +196,10 @@
 fn forgotten_only_once_the_end_is_durable_and_then_with_a_raised_token() {
     let (mut w, attempt) = launched();
     let done = || vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(Exit::Done))];
-    let (before, directives) = w.beat("i-1", 5, done());
+    let (before, directives) = w.heartbeat("i-1", 5, done());
     assert_eq!(directives, vec![], "not written yet");
     w.settle();
-    let (after, directives) = w.beat("i-1", 6, done());
+    let (after, directives) = w.heartbeat("i-1", 6, done());
     let forget = Directive::Forget {
         task: task("wk-000001", 0),
         attempt,
@@ -223,7 +223,7 @@
     ];
     for (exit, done, waits, avoided, held_back) in cases {
         let (mut w, attempt) = launched();
-        w.beat(
+        w.heartbeat(
             "i-1",
             5,
             vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
@@ -240,7 +240,7 @@
 #[test]
 fn a_host_that_fails_two_jobs_is_quarantined_and_a_job_that_fails_everywhere_waits() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.job(spec("wk-000002", 1, 4.0));
     let sent = launches(&w.settle());
@@ -249,18 +249,18 @@
         .iter()
         .map(|(_, t, a)| shown(&t.uid.0, 0, *a, TaskPhase::Ended(Exit::Error)))
         .collect();
-    w.beat("i-1", 5, ends);
+    w.heartbeat("i-1", 5, ends);
     assert!(w.c.hosts[&HostId::from("i-1")].quarantined);
 
     let mut w = World::new();
     w.job(spec("wk-000001", 1, 4.0));
     for (n, host) in ["i-1", "i-2", "i-3"].iter().enumerate() {
-        w.beat(host, 1, vec![]);
+        w.heartbeat(host, 1, vec![]);
         let sent = launches(&w.settle());
         assert_eq!(sent.len(), 1, "{host}");
         assert_eq!(&sent[0].0 .0, host, "not where it failed before");
         let end = shown("wk-000001", 0, sent[0].2, TaskPhase::Ended(Exit::Error));
-        w.beat(host, 5, vec![end]);
+        w.heartbeat(host, 5, vec![end]);
         let held = w.c.jobs[&Uid::from("wk-000001")].backoff_until.is_some();
         assert_eq!(held, n == 2);
     }
@@ -284,7 +284,7 @@
 #[test]
 fn a_new_leader_leaves_a_loaded_task_where_it_may_be() {
     let (mut w, attempt) = taken_over();
-    w.beat("i-2", 1, vec![]);
+    w.heartbeat("i-2", 1, vec![]);
     assert_eq!(launches(&w.settle()), vec![], "i-1 may have it");
     // The first report lacks it: the command may be in flight, so the same attempt is sent again.
     let r = World::report("i-1", 1, 40, Epoch::first(Term(2)).0, vec![]);
@@ -306,7 +306,7 @@
     for _ in 0..20 {
         w.pass(secs(2));
         for n in 0..3 {
-            w.beat("i-2", 100 + w.revision * 10 + n, vec![]);
+            w.heartbeat("i-2", 100 + w.revision * 10 + n, vec![]);
         }
         w.revision += 1;
         for a in w.c.tick(w.now) {
@@ -337,7 +337,7 @@
         shown("wk-000009", 0, Attempt(3), TaskPhase::Running),
         shown("wk-000009", 1, Attempt(3), TaskPhase::Ended(Exit::Done)),
     ];
-    let (_, d) = w.beat("i-1", 1, tasks);
+    let (_, d) = w.heartbeat("i-1", 1, tasks);
     assert!(matches!(
         d[..],
         [Directive::Kill { .. }, Directive::Forget { .. }]
@@ -351,7 +351,7 @@
     for serial in 10..30 {
         w.pass(secs(1));
         let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-        w.beat("i-1", serial, running);
+        w.heartbeat("i-1", serial, running);
         w.settle();
     }
     assert!(w.c.hosts[&HostId::from("i-1")].returning);
@@ -361,7 +361,7 @@
 fn a_done_job_is_recorded_only_while_it_has_no_verdict() {
     let (mut w, attempt) = launched();
     let done = shown("wk-000001", 0, attempt, TaskPhase::Ended(Exit::Done));
-    w.beat("i-1", 5, vec![done]);
+    w.heartbeat("i-1", 5, vec![done]);
     let batch = w.batch().unwrap();
     let condition = (job_key(&"wk-000001".into()), 0);
     assert!(batch.conditions.contains(&condition));
@@ -375,12 +375,12 @@
     let mut big = params();
     big.teams[0].cpus_max = None;
     let mut w = World::with(big, vec![host_type("m8", 10_000.0)]);
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 100_000, 1.0));
     for _ in 0..20 {
         w.pass(secs(1));
         let serial = w.revision;
-        w.beat("i-1", serial, vec![]);
+        w.heartbeat("i-1", serial, vec![]);
         if let Some(b) = w.batch() {
             assert!(b.ops.len() <= 24 && b.conditions.len() <= 4 * 24);
             w.revision += 1;
@@ -402,7 +402,7 @@
             now,
             revision: 100,
         };
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 2, 2.0));
         for (_, _, attempt) in launches(&w.settle()) {
             assert!(seen.insert(attempt));
@@ -444,11 +444,11 @@
     let mut p = params();
     p.teams[0].cpus_max = None;
     let mut w = World::with(p, vec![host_type("m8", 64.0)]);
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let ended = launches(&w.settle())[0].2;
     // An ending of the older job is unwritten; four others have intents.
-    w.beat(
+    w.heartbeat(
         "i-1",
         2,
         vec![shown(
@@ -468,7 +468,7 @@
         w.job(s);
     }
     w.pass(secs(5));
-    w.beat("i-1", 3, vec![]);
+    w.heartbeat("i-1", 3, vec![]);
     w.c.allow(0);
     assert_eq!(w.batch(), None);
     w.c.allow(3);
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -43,8 +43,8 @@
         loaded(&mut w, "wk-000001", 0, &on);
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         w.job(spec("wk-000002", 1, 8.0));
-        w.beat("i-9", 1, vec![]);
-        w.beat("i-9", 2, vec![]);
+        w.heartbeat("i-9", 1, vec![]);
+        w.heartbeat("i-9", 2, vec![]);
         assert_eq!(launches(&w.settle()), vec![], "the limit is full");
         match goes {
             Goes::Returned => w.c.on_returned(w.now, &["i-1".into()]),
@@ -78,7 +78,7 @@
     w.job(spec("wk-000001", 3, 2.0));
     // One ended under the leader before, one runs, one was never sent.
     loaded(&mut w, "wk-000001", 0b001, &[(1, "i-1")]);
-    w.beat("i-1", 1, vec![running("wk-000001", 1)]);
+    w.heartbeat("i-1", 1, vec![running("wk-000001", 1)]);
     let sent = launches(&w.settle());
     let started: Vec<u32> = sent.iter().map(|l| l.1.index).collect();
     assert_eq!(started, vec![2]);
@@ -93,7 +93,7 @@
         })
     };
     let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(Exit::Done));
-    w.beat(
+    w.heartbeat(
         "i-1",
         2,
         vec![
@@ -104,7 +104,7 @@
     for second in 0..60 {
         w.pass(secs(1));
         let left = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
-        w.beat("i-1", 10 + second, left);
+        w.heartbeat("i-1", 10 + second, left);
         let actions = w.c.tick(w.now);
         assert!(!done(&actions), "one task still runs");
         for a in actions {
@@ -116,7 +116,7 @@
             }
         }
     }
-    w.beat("i-1", 90, vec![ended(2, last)]);
+    w.heartbeat("i-1", 90, vec![ended(2, last)]);
     let written = w.batch().expect("the verdict");
     assert!(done(&[Action::Store(written)]));
 }
@@ -128,10 +128,10 @@
     // Whether the cancellation's verdict was there when done was to be written.
     for withdrawn_first in [false, true] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 1, 2.0));
         let a = launches(&w.settle())[0].2;
-        w.beat(
+        w.heartbeat(
             "i-1",
             2,
             vec![shown("wk-000001", 0, a, TaskPhase::Ended(Exit::Done))],
@@ -175,8 +175,8 @@
                 let r = World::report("i-1", 1, 10 + second, old, tasks);
                 w.c.on_report(w.now, r, true);
             }
-            w.beat("i-8", second, vec![]);
-            w.beat("i-9", second, vec![]);
+            w.heartbeat("i-8", second, vec![]);
+            w.heartbeat("i-9", second, vec![]);
             let back =
                 |a: &Action| matches!(a, Action::Return { hosts } if hosts.contains(&"i-1".into()));
             if returned.is_none() && w.c.tick(w.now).iter().any(back) {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -122,7 +122,7 @@
 #[test]
 fn a_blocked_job_starts_only_after_the_durable_end_of_what_it_needs() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(needing(1, &[]));
     w.job(needing(2, &[1]));
     let sent = launches(&w.settle());
@@ -130,7 +130,7 @@
     assert_eq!(sent[0].1.uid, u(1));
     let blocked = &w.c.jobs[&u(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
-    w.beat("i-1", 2, ended(1, sent[0].2));
+    w.heartbeat("i-1", 2, ended(1, sent[0].2));
     // The verdict's transaction gets no answer for a while.
     let verdict = w.batch().expect("the verdict");
     let done = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(Verdict::Done)));
@@ -140,7 +140,7 @@
         w.pass(secs(1));
         let actions = w.c.tick(w.now);
         assert_eq!(launches(&actions), vec![], "not durable yet");
-        w.beat("i-1", 100 + w.revision, vec![]);
+        w.heartbeat("i-1", 100 + w.revision, vec![]);
         w.revision += 1;
     }
     w.c.on_batch(w.now, BatchOutcome::Unknown);
@@ -163,7 +163,7 @@
     for (found, starts, cancelled) in cases {
         for told_first in [false, true] {
             let mut w = World::new();
-            w.beat("i-1", 1, vec![]);
+            w.heartbeat("i-1", 1, vec![]);
             if let (Some(v), true) = (found, told_first) {
                 w.c.ended_before(w.now, &u(1), v);
             }
@@ -195,7 +195,7 @@
                     }
                 }
                 let serial = 10 + w.revision;
-                w.beat("i-1", serial, vec![]);
+                w.heartbeat("i-1", serial, vec![]);
             }
             let begun = sent.iter().any(|l| l.1.uid == u(2));
             assert_eq!(begun, starts, "{found:?} {told_first}");
@@ -272,7 +272,7 @@
     for chain in [true, false] {
         let mut w = World::new();
         let mut keys = Keys::default();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         keys.accept(&mut w, needing(0, &[]));
         for n in 1..=DEPENDENTS {
             let needs = if chain { [n - 1] } else { [0] };
@@ -334,7 +334,7 @@
     ];
     for (source, at_once) in cases {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(needing(1, &[]));
         queue_read(&mut w);
         w.pass(secs(1));
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -536,7 +536,7 @@
         });
         worker.endpoint = address.to_string();
         let w = worker.clone();
-        std::thread::spawn(move || w.beats(&nodes));
+        std::thread::spawn(move || w.heartbeats(&nodes));
         worker
     }
 
@@ -666,7 +666,7 @@
         ])
     }
 
-    fn beats(&self, nodes: &[(String, SocketAddr)]) {
+    fn heartbeats(&self, nodes: &[(String, SocketAddr)]) {
         let mut at = 0;
         loop {
             let (sent, report) = (Instant::now(), self.report());
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -30,7 +30,7 @@
         w.c.on_report(w.now, r, true);
         // The others are well: the fault is not on our side.
         for h in ["i-8", "i-9"] {
-            w.beat(h, 100 + w.revision * 50 + n, vec![]);
+            w.heartbeat(h, 100 + w.revision * 50 + n, vec![]);
         }
         out.extend(w.settle());
     }
@@ -44,12 +44,12 @@
     p.tuning.idle_ordinary = secs(1000);
     let mut w = World::with(p, vec![host_type("m8", 8.0)]);
     for (n, h) in ["i-8", "i-9"].iter().enumerate() {
-        w.beat(h, 1, vec![]);
+        w.heartbeat(h, 1, vec![]);
         w.job(spec(&format!("wk-00090{n}"), 1, 8.0));
     }
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 2);
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w
 }
 
@@ -114,11 +114,11 @@
     ];
     for (name, tenure, serial, listed) in cases {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 1, 4.0));
         let a = launches(&w.settle())[0].2;
         let tasks = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat("i-1", 5, tasks());
+        w.heartbeat("i-1", 5, tasks());
         let (answered, epoch) = {
             let h = &w.c.hosts[&host()];
             (h.last_answer, h.epoch)
@@ -229,7 +229,7 @@
             active: vec![(0, a, host())],
         };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
-        w.beat("i-2", 1, vec![]);
+        w.heartbeat("i-2", 1, vec![]);
         let before = Epoch::first(Term(TERM.0 - 1)).0;
         for (tenure, serial, tasks) in copies {
             let copy = World::report("i-1", tenure, serial, before, tasks);
@@ -251,7 +251,7 @@
 #[test]
 fn a_copy_brings_no_returned_machine_back() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.c.on_returned(w.now, &[host()]);
     for late in [1, 30, 300] {
         w.pass(secs(late));
@@ -264,10 +264,10 @@
 #[test]
 fn a_machine_restarted_under_its_name_is_heard_again_and_its_predecessor_is_not() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let a = launches(&w.settle())[0].2;
-    w.beat(
+    w.heartbeat(
         "i-1",
         90,
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
@@ -438,13 +438,13 @@
 fn a_leader_in_doubt_returns_nothing_but_what_holds_withdrawn_tasks() {
     for cancelled in [false, true] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
-        w.beat("i-2", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
+        w.heartbeat("i-2", 1, vec![]);
         w.job(spec("wk-000001", 1, 8.0));
         let l = launches(&w.settle());
         let (on, a) = (l[0].0.clone(), l[0].2);
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat(&on.0, 2, tasks);
+        w.heartbeat(&on.0, 2, tasks);
         w.c.confirm(false);
         if cancelled {
             w.c.on_cancel_marked(w.now, &"wk-000001".into());
@@ -470,7 +470,7 @@
     for (name, heard, any, from) in cases {
         let mut w = World::new();
         if heard {
-            w.beat("i-1", 1, vec![]);
+            w.heartbeat("i-1", 1, vec![]);
         } else if any {
             w.job(spec("wk-000001", 1, 4.0));
             let value = ChunkValue {
@@ -479,7 +479,7 @@
             };
             w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         }
-        let first = (0..60).find(|s| w.c.is_deaf(w.now + secs(*s)));
+        let first = (0..60).find(|s| w.c.is_without_heartbeats(w.now + secs(*s)));
         assert_eq!(first, any.then_some(*from.start()), "{name}");
     }
 }
@@ -489,11 +489,11 @@
 fn who_stood_still_does_not_take_the_machines_for_silent() {
     for still in [false, true] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 1, 8.0));
         let a = launches(&w.settle())[0].2;
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat("i-1", 2, tasks);
+        w.heartbeat("i-1", 2, tasks);
         let mut gone = Vec::new();
         for _ in 0..12 {
             w.pass(secs(2));
@@ -503,7 +503,7 @@
         }
         gone.extend(given_back(&w.settle()));
         assert_eq!(gone.is_empty(), still, "stood still: {still}");
-        assert!(!still || !w.c.is_deaf(w.now));
+        assert!(!still || !w.c.is_without_heartbeats(w.now));
     }
 }
 
@@ -515,11 +515,11 @@
         let mut w = World::with(params(), types);
         let names: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for n in &names {
-            w.beat(n, 1, vec![]);
+            w.heartbeat(n, 1, vec![]);
         }
         w.pass(secs(8));
         for n in &names[quiet..] {
-            w.beat(n, 2, vec![]);
+            w.heartbeat(n, 2, vec![]);
         }
         // None of the eight would do.
         let mut job = spec("wk-000001", 2, 8.0);
@@ -600,11 +600,11 @@
 fn who_stood_still_judges_nothing_by_what_it_could_not_hear() {
     for woke in [false, true] {
         let mut w = World::new();
-        w.beat("i-1", 1, vec![]);
+        w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 1, 8.0));
         let a = launches(&w.settle())[0].2;
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.beat("i-1", 2, tasks.clone());
+        w.heartbeat("i-1", 2, tasks.clone());
         // An order to stop with some grace has not gone out yet.
         let job = w.c.jobs.get_mut(&"wk-000001".into()).unwrap();
         job.active.get_mut(&0).unwrap().kill = Some(Kill {
@@ -627,7 +627,7 @@
             let kill = w.c.jobs[&Uid::from("wk-000001")].active[&0].kill.clone();
             assert_eq!(kill.unwrap().wind_down, secs(6));
             // Its next report is heard as if nothing had been.
-            let (_, directives) = w.beat("i-1", 3, tasks);
+            let (_, directives) = w.heartbeat("i-1", 3, tasks);
             let graceful = |d: &Directive| matches!(d, Directive::Kill { wind_down, .. } if *wind_down > secs(0));
             assert!(directives.iter().any(graceful), "{directives:?}");
             assert!(w.c.hosts[&host()].must_show.is_none());
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 //! `deploy/service.toml` names and of the one before it, not with this version's types.
 
 use cypressgap::net::peer::{
-    fallen_heard, frames_heard, read_frame, said, Ask, Hello, JobStanding, Reply,
+    frames_of, read_frame, said, says_fallen, Ask, Hello, JobStanding, Reply,
 };
 use cypressgap::net::wire::{
     decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
@@ -201,7 +201,7 @@
         ),
         (
             Bytes::variant(1).u32(2).bytes(&[1, 2]).bytes(&[]),
-            Ask::Beats(vec![vec![1, 2], vec![]]),
+            Ask::Heartbeats(vec![vec![1, 2], vec![]]),
         ),
         (
             Bytes::variant(2).text("10.1.0.232:9000").bytes(&[7]),
@@ -246,7 +246,7 @@
         (hello_bytes(0, &[]), Reply::Hello(hello(vec![]))),
         (
             Bytes::variant(1).u32(1).u16(200).bytes(&[1]),
-            Reply::Beats(vec![(200, vec![1])]),
+            Reply::Heartbeats(vec![(200, vec![1])]),
         ),
         (Bytes::variant(2).u8(0), Reply::Command(None)),
         (
@@ -276,7 +276,7 @@
                 .u64(13)
                 .u8(0),
             Reply::Cancellations {
-                life: 77,
+                incarnation: 77,
                 continues: true,
                 uids: vec!["wk-000003".into()],
                 next: 13,
@@ -307,11 +307,11 @@
     ];
     for (over, known) in cases {
         let over: Vec<String> = over.iter().map(|o| o.to_string()).collect();
-        assert_eq!(frames_heard(&over), known, "{over:?}");
+        assert_eq!(frames_of(&over), known, "{over:?}");
     }
     for fallen in [false, true] {
         let said = said(fallen);
-        assert_eq!((frames_heard(&said), fallen_heard(&said)), (3, fallen));
+        assert_eq!((frames_of(&said), says_fallen(&said)), (3, fallen));
         // The production version reads the answer that says so as it stands.
         let texts: Vec<&str> = said.iter().map(String::as_str).collect();
         let new = borsh::to_vec(&Reply::Hello(hello(said.clone()))).unwrap();
--- a/tests/watermark.rs
+++ b/tests/watermark.rs
@@ -148,7 +148,7 @@
                         came,
                         continues,
                     };
-                    w.told(peer, word);
+                    w.stated(peer, word);
                 }
             }
         }
@@ -183,7 +183,7 @@
 /// A running task on a machine of a leader with one peer.
 fn in_doubt() -> (World, Attempt) {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let attempt = launches(&w.settle())[0].2;
     let read = Moment {
@@ -202,10 +202,10 @@
     let (mut w, attempt) = in_doubt();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let (bound, _) = patience(w.c.params.lease, w.c.params.cancel);
-    w.beat("i-1", 2, tasks());
+    w.heartbeat("i-1", 2, tasks());
     // The process runs all the while.
     w.run(bound.as_secs() - 1);
-    w.beat("i-1", 3, tasks());
+    w.heartbeat("i-1", 3, tasks());
     let answered = w.c.hosts[&HostId::from("i-1")].last_answer;
     w.run(2);
     let epoch = w.c.hosts[&HostId::from("i-1")].epoch.0;
@@ -213,7 +213,7 @@
     assert_eq!(w.c.on_report(w.now, report, true), Answer::Withheld);
     let h = &w.c.hosts[&HostId::from("i-1")];
     assert_eq!(h.last_answer, answered, "no lease is renewed in the books");
-    assert_eq!((h.serial, h.last_heard), (4, w.now), "yet it was heard");
+    assert_eq!((h.serial, h.last_report), (4, w.now), "yet it was heard");
     // A late copy's answer would renew a lease too.
     let copy = World::report("i-1", 1, 2, epoch, tasks());
     assert_eq!(w.c.on_report(w.now, copy, true), Answer::Withheld);
@@ -238,7 +238,7 @@
     };
     w.c.clocks(read);
     w.c.cancellations_read(read);
-    w.beat("i-1", 9, vec![]);
+    w.heartbeat("i-1", 9, vec![]);
 }
 
 /// A leader without the state service launches nothing, not even what was durable before: the job
@@ -246,11 +246,11 @@
 #[test]
 fn launches_wait_for_a_certain_leadership() {
     let mut w = World::new();
-    w.beat("i-1", 1, vec![]);
+    w.heartbeat("i-1", 1, vec![]);
     w.c.confirm(false);
     w.job(spec("wk-000001", 1, 4.0));
     assert_eq!(launches(&w.settle()), vec![]);
-    let (_, in_answer) = w.beat("i-1", 2, vec![]);
+    let (_, in_answer) = w.heartbeat("i-1", 2, vec![]);
     assert_eq!(in_answer, vec![]);
     assert!(w.active("wk-000001", 0).is_some(), "its intent is durable");
     w.c.confirm(true);
@@ -273,19 +273,22 @@
     assert!(!first.more);
     learn(0, 5);
     v.remember_final(&uid(900), Verdict::Done);
-    let page = v.cancellations(Some((first.life, first.next)));
+    let page = v.cancellations(Some((first.incarnation, first.next)));
     assert_eq!(page.uids, vec![uid(3), uid(4)], "each once, and only those");
     assert!(page.continues && !page.more);
     // Another life's position, and one that is not kept any more or not reached yet.
-    assert!(!v.cancellations(Some((first.life ^ 1, 0))).continues);
-    assert!(!v.cancellations(Some((first.life, 99))).continues);
+    assert!(!v.cancellations(Some((first.incarnation ^ 1, 0))).continues);
+    assert!(!v.cancellations(Some((first.incarnation, 99))).continues);
     learn(1_000, 31_000);
-    assert!(!v.cancellations(Some((first.life, page.next))).continues);
+    assert!(
+        !v.cancellations(Some((first.incarnation, page.next)))
+            .continues
+    );
     // Many come in parts, with nothing left out.
     let mut at = v.cancellations(None).next - 12_000;
     let mut got = Vec::new();
     loop {
-        let p = v.cancellations(Some((first.life, at)));
+        let p = v.cancellations(Some((first.incarnation, at)));
         assert!(p.continues);
         got.extend(p.uids);
         at = p.next;
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A report at the host's token, as a beat: its directives.
+/// A report at the host's token, as a heartbeat: its directives.
 fn report_of(w: &mut World, host: &str, tenure: u64, serial: u64, tasks: Vec<TaskReport>) {
     let known = w.c.hosts.get(&HostId::from(host));
     let epoch = known.map_or(Epoch::first(w.c.term).0, |h| h.epoch.0);
@@ -92,7 +92,7 @@
     /// They hang, and go on in their session.
     Hang,
     /// They hear nobody: they report on until their lease runs out.
-    Deaf,
+    NoHeartbeats,
     /// They are gone, and come back under their names.
     Restarted,
     /// The cloud has taken them.
@@ -103,7 +103,12 @@
 /// starts in the other zone, and no task starts twice at a time. An array finds its way to the end.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
-    for loss in [Loss::Hang, Loss::Deaf, Loss::Restarted, Loss::Returned] {
+    for loss in [
+        Loss::Hang,
+        Loss::NoHeartbeats,
+        Loss::Restarted,
+        Loss::Returned,
+    ] {
         let mut w = two_zones(16.0);
         let hosts: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for h in &hosts {
@@ -138,7 +143,7 @@
                         lost.iter()
                             .for_each(|h| on.entry(h.clone()).or_default().clear());
                     }
-                    Loss::Hang | Loss::Deaf => {}
+                    Loss::Hang | Loss::NoHeartbeats => {}
                 }
             }
             if !lost.is_empty() && w.now - start == secs(8) + lease {
@@ -152,7 +157,7 @@
             }
             for h in &hosts {
                 let away = lost.contains(h);
-                if away && !matches!(loss, Loss::Deaf) {
+                if away && !matches!(loss, Loss::NoHeartbeats) {
                     continue;
                 }
                 let mut listed = Vec::new();
