--- /dev/null
+++ b/tests/stored_formats/messages.rs
@@ -0,0 +1,102 @@
+//! Frames between the controllers, and bodies of users, workers and the cloud.
+
+use crate::golden::{read, Golden};
+use crate::values::*;
+use cypressgap::core::model::*;
+use cypressgap::net::peer::{read_frame, says_fallen, write_frame, Ask, Reply};
+use cypressgap::net::wire::*;
+use cypressgap::net::{agent, front};
+
+#[test]
+fn frames_between_controllers() {
+    let mut golden = Golden::of(include_str!("frames.txt"));
+    fn frame<T: borsh::BorshSerialize>(message: &T) -> Vec<u8> {
+        let mut out = Vec::new();
+        write_frame(&mut out, message).expect("written");
+        out
+    }
+    let ask = Ask::Hello(hello());
+    golden.both("hello of a follower", ask, frame, |mut b| {
+        read_frame(&mut b).expect("read")
+    });
+    let replies = [
+        ("hello with all that may be said", Reply::Hello(hello())),
+        (
+            "user to come back at any time",
+            Reply::User(200, vec![9], None),
+        ),
+        ("cancellations not taken on", Reply::Cancelled(false)),
+        (
+            "cancellations anew",
+            Reply::Cancellations {
+                incarnation: 77,
+                continues: false,
+                uids: vec![],
+                next: 0,
+                more: true,
+            },
+        ),
+    ];
+    for (name, reply) in replies {
+        golden.both(name, reply, frame, |mut b| {
+            read_frame(&mut b).expect("read")
+        });
+    }
+    assert!(says_fallen(&["frames 2".into(), "next rates".into()]));
+    golden.finish();
+}
+
+#[test]
+fn bodies_of_users_workers_and_the_cloud() {
+    let mut golden = Golden::of(include_str!("bodies.txt"));
+    // What is only read.
+    let accepted = job().accepted_ms;
+    let submissions = [
+        ("submission", job()),
+        ("submission of a service", plain_job(Urgency::High)),
+        ("submission standard", plain_job(Urgency::Standard)),
+        ("submission idle", plain_job(Urgency::Idle)),
+    ];
+    for (name, spec) in submissions {
+        let submission: Submission = read(&golden.sample(name));
+        assert_eq!(submission.to_spec(accepted), Ok(spec), "{name}");
+    }
+    let malformed = golden.sample("submission malformed");
+    assert!(decode::<Submission>(&malformed).is_none());
+    assert_eq!(read::<JustUid>(&malformed).uid, Some(uid().0));
+    let read_report = agent::report(&golden.sample("report"));
+    assert_eq!(read_report, Some(report()));
+    let short: WireTypes = read(&golden.sample("types in short"));
+    let expected = Some(machine_type(0.0, 0.0, 0.0));
+    assert_eq!(short.host_types[0].to_type(), expected);
+    // What is only written.
+    let state = |done, running| {
+        encode(&JobState {
+            uid: uid().0,
+            phase: "running",
+            done,
+            running,
+        })
+    };
+    let wire_directives = || directives().iter().map(WireDirective::from).collect();
+    let elsewhere = |controller| encode(&Elsewhere { controller });
+    let written = [
+        ("state", state(Some(5), Some(16))),
+        ("state without counts", state(None, None)),
+        ("problem", front::problem(404, "no such job").1),
+        (
+            "heartbeat answer",
+            encode(&HeartbeatAnswer {
+                epoch: epoch().0,
+                directives: wire_directives(),
+            }),
+        ),
+        ("commands", agent::encode(epoch(), 2, &directives())),
+        ("elsewhere", elsewhere(Some("10.1.0.1:8080".into()))),
+        ("elsewhere unknown", elsewhere(None)),
+    ];
+    for (name, bytes) in written {
+        golden.written(name, &bytes);
+    }
+    golden.finish();
+}
--- /dev/null
+++ b/tests/stored_formats/operators.lisp
@@ -0,0 +1,23 @@
+;; Every name, with a value of its own that is not the default.
+(cypressgap
+  (summary-every-s 31)
+  (silent-share 0.7)
+  (idle-spot-s 46.5)
+  (idle-ordinary-s 21)
+  (max-live-jobs 20001)
+  (headroom-jobs 1.5)
+  (max-hosts 4999)
+  (leader-lease-s 4.5)
+  (handlers 25)
+  (agents 13)
+  (metrics-every-s 61)
+  (recovery
+    (enabled #f)
+    (orders-per-s 1201)
+    (segment-orders-per-s 601)
+    (segment-prefix 20)
+    (segment-prefix-v6 56)
+    (replacements-per-s 51.5)
+    (unrecorded-hold-s 62)
+    (segment "rack" "10.1.7.0/24")
+    (segment "hall" "fd00:1::/48")))
--- /dev/null
+++ b/tests/stored_formats/records.rs
@@ -0,0 +1,147 @@
+//! Records and keys of the state service.
+
+use crate::common::{spec, World};
+use crate::golden::{read, Golden};
+use crate::values::*;
+use cypressgap::core::cluster::Action;
+use cypressgap::core::history::{History, Summary};
+use cypressgap::core::ledger::{self, ChunkValue, Value, Verdict};
+use cypressgap::core::model::*;
+use cypressgap::net::store::Content;
+use cypressgap::net::wire::*;
+
+#[test]
+fn records_of_the_state_service() {
+    let mut golden = Golden::of(include_str!("records.txt"));
+    let jobs = [
+        ("job", job()),
+        ("job in lists", listed_job()),
+        ("job of standard urgency", plain_job(Urgency::Standard)),
+        ("job of idle urgency", plain_job(Urgency::Idle)),
+    ];
+    for (name, spec) in jobs {
+        let write = |spec: &JobSpec| encode(&Content::Job(Box::new(spec.into())));
+        golden.both(name, spec, write, |b| {
+            read::<StoredJob>(b).into_spec().expect("a job")
+        });
+    }
+    let verdicts = [
+        ("verdict live", Verdict::Live),
+        ("verdict done", Verdict::Done),
+        ("verdict cancelled", Verdict::Cancelled),
+    ];
+    for (name, verdict) in verdicts {
+        let write = |v: &Verdict| encode(&Content::from(&Value::Verdict(*v)));
+        golden.both(name, verdict, write, |b| {
+            read::<StoredVerdict>(b).verdict().expect("a verdict")
+        });
+    }
+    let write = |c: &ChunkValue| encode(&Content::from(&Value::Chunk(c.clone())));
+    golden.both("chunk", chunk(), write, |b| {
+        read::<StoredChunk>(b).into_value()
+    });
+    let write = |s: &Summary| encode(&Content::from(&Value::History(s.clone())));
+    golden.both("history", summary(), write, |b| {
+        read::<StoredHistory>(b).into()
+    });
+    let dependents = vec!["wk-000415".to_owned(), "wk-000416".to_owned()];
+    let write = |by: &Vec<String>| {
+        let by = by.clone();
+        encode(&Content::Dependents(StoredDependents { by }))
+    };
+    golden.both("dependents", dependents, write, |b| {
+        read::<StoredDependents>(b).by
+    });
+    let leader = ("worker-1".to_owned(), 77, 4);
+    let write = |(member, boot, term): &(String, u64, u64)| {
+        encode(&Content::Leader(StoredLeader {
+            member: member.clone(),
+            boot: *boot,
+            term: *term,
+        }))
+    };
+    golden.both("leader", leader, write, |b| {
+        let leader: StoredLeader = read(b);
+        (leader.member, leader.boot, leader.term)
+    });
+    // A term's number and the mark of a cancelled job.
+    let write = |n: &u64| encode(&Content::Number(*n));
+    golden.both("term", 70_000, write, read);
+    golden.both("cancel mark", 1, write, read);
+    // As the cloud named them.
+    let types: WireTypes = read(&golden.sample("types"));
+    assert_eq!(
+        types.host_types[0].to_type(),
+        Some(machine_type(8.0, 50.0, 0.5))
+    );
+    golden.written("types", &encode(&Content::Types(types)));
+    golden.finish();
+}
+
+#[test]
+fn keys_of_the_state_service() {
+    let uid = uid();
+    let keys = [
+        (ledger::live_key(&uid), "q/l/wk-000412"),
+        (ledger::cancel_mark_key(&uid), "q/w/wk-000412"),
+        (ledger::job_key(&uid), "j/wk-000412"),
+        (ledger::chunk_key(&uid, 12), "i/wk-000412/12"),
+        (ledger::dependents_key(&uid), "d/wk-000412"),
+        (ledger::LEADER_KEY.into(), "ctl/leader"),
+        (ledger::TERM_KEY.into(), "ctl/term"),
+        (ledger::TYPES_KEY.into(), "ctl/types"),
+        (ledger::HISTORY_KEY.into(), "h/summary"),
+        (ledger::CONTROL_PREFIX.into(), "ctl/"),
+        (ledger::QUEUE_PREFIX.into(), "q/"),
+        (ledger::LIVE_PREFIX.into(), "q/l/"),
+        (ledger::CANCEL_MARK_PREFIX.into(), "q/w/"),
+        (ledger::VERDICT_PREFIX.into(), "j/"),
+        (ledger::INTENT_PREFIX.into(), "i/"),
+        (ledger::DEPENDENTS_PREFIX.into(), "d/"),
+    ];
+    for (key, golden) in keys {
+        assert_eq!(key, golden);
+    }
+    assert_eq!(ledger::CHUNK, 64);
+    let chunk = ledger::parse_chunk_key("i/wk-000412/12");
+    assert_eq!(chunk, Some((uid, 12)));
+    assert_eq!(TaskId::parse("wk-000412/7"), Some(task(7)));
+    assert_eq!(task(7).to_string(), "wk-000412/7");
+    // Numbers that say which term gave them out.
+    assert_eq!((attempt(9).0, attempt(9).term()), (0x4000_0009, Term(4)));
+    assert_eq!((epoch().0, epoch().term()), (0x400_0001, Term(4)));
+    // The keys of the history's entries, which are hashes.
+    let measured = Summary {
+        runs: vec![
+            (5_998_537_374_547_088_920, 240.0, 1),
+            (10_532_779_575_999_557_262, 240.0, 1),
+        ],
+        bias: vec![(14_697_005_218_476_546_050, 0.0, 1)],
+        fetch: vec![(15_304_317_958_570_790_783, 0.5, 1)],
+    };
+    let mut history = History::default();
+    history.ran(&job(), &"g8".into(), secs(240.0));
+    history.fetched(&"g8".into(), 1.0, 6.25, secs(12.5));
+    assert_eq!(history.summary(10), Some(measured.clone()));
+    let mut loaded = History::default();
+    loaded.load(&measured);
+    let other = JobSpec {
+        expected: secs(60.0),
+        ..job()
+    };
+    assert_eq!(loaded.est(&job(), &"g8".into()), secs(240.0));
+    assert_eq!(loaded.est(&other, &"g8".into()), secs(60.0));
+    assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
+    // A rental's claim, which the cloud keeps.
+    let mut world = World::new();
+    world.pass(secs(10.0));
+    world.job(spec("wk-000001", 1, 4.0));
+    let claims = world
+        .settle()
+        .into_iter()
+        .filter_map(|action| match action {
+            Action::Rent { claim, .. } => Some(claim),
+            _ => None,
+        });
+    assert_eq!(claims.collect::<Vec<_>>(), ["t3-1"]);
+}
