--- a/crates/model/src/reports.rs
+++ b/crates/model/src/heartbeats.rs
@@ -1,30 +1,30 @@
 //! What workers report, and what they are told.
 
-use crate::{Attempt, Epoch, HostId, Site, TaskId, TypeName};
+use crate::{AttemptId, FencingToken, MachineId, MachineTypeName, TaskId, Zone};
 use std::time::Duration;
 
 /// How a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitReason {
     /// It completed.
-    Done,
+    Completed,
     /// It was told to stop.
     Stopped {
         /// It saved first.
         stored: bool,
     },
     /// Another member of its gang ended.
-    Peers,
+    GangMemberEnded,
     /// Its gang did not assemble in time.
-    Incomplete,
+    GangIncomplete,
     /// It failed by itself.
-    Error,
+    Failed,
     /// The worker had no room for it.
-    NoRoom,
+    InsufficientResources,
     /// The worker still had an earlier attempt.
-    InUse,
+    EarlierAttemptRunning,
     /// The worker refused it: it knows of no such job or task.
-    Unknown,
+    UnknownTask,
 }
 
 /// How far a task is on its machine.
@@ -33,75 +33,75 @@
     /// Its image is being fetched.
     Fetching,
     /// It waits for its gang.
-    Gathering,
+    WaitingForGang,
     /// It runs.
     Running,
     /// It was told to stop and saves.
-    Flushing,
+    Checkpointing,
     /// It is over.
-    Ended(Exit),
+    Ended(ExitReason),
 }
 
 /// One task of a report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     pub task: TaskId,
     /// The attempt that the worker was given.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// How far it is.
     pub phase: TaskPhase,
 }
 
 /// A worker's report, or the body of a direct answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine's name.
-    pub host: HostId,
+    pub machine: MachineId,
     /// Where it takes commands.
     pub endpoint: String,
     /// Its type.
-    pub host_type: TypeName,
+    pub machine_type: MachineTypeName,
     /// Its zone.
-    pub site: Site,
+    pub zone: Zone,
     /// Whether the cloud may take it back.
     pub spot: bool,
     /// The number of its session. A new one begins when its lease has run out.
-    pub tenure: u64,
+    pub incarnation: u64,
     /// Increases with every message of a session.
     pub serial: u64,
     /// The highest token that it has seen.
-    pub epoch: Epoch,
+    pub token: FencingToken,
     /// When the cloud will take it, if that is known.
     pub eviction: Option<Duration>,
     /// The tasks on it, ended ones too until they may be forgotten.
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Directive {
+pub enum TaskCommand {
     /// Start a task.
     Launch {
         /// The task.
         task: TaskId,
         /// The attempt meant.
-        attempt: Attempt,
+        attempt: AttemptId,
     },
     /// Stop a task, with so much time to save.
     Kill {
         /// The task.
         task: TaskId,
         /// The attempt meant.
-        attempt: Attempt,
+        attempt: AttemptId,
         /// How long it may save.
-        wind_down: Duration,
+        grace_period: Duration,
     },
     /// Leave an ended task out of later reports.
     Forget {
         /// The task.
         task: TaskId,
         /// The attempt meant.
-        attempt: Attempt,
+        attempt: AttemptId,
     },
 }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -23,11 +23,11 @@
 
 text_id!(
     /// A job's id, chosen by its user.
-    Uid
+    JobId
 );
 text_id!(
     /// A machine's name, chosen by the cloud.
-    HostId
+    MachineId
 );
 text_id!(
     /// A team, as the settings name it.
@@ -35,19 +35,19 @@
 );
 text_id!(
     /// A zone, as the cloud names it.
-    Site
+    Zone
 );
 text_id!(
     /// The name of a machine type.
-    TypeName
+    MachineTypeName
 );
 
-impl Uid {
+impl JobId {
     /// Ids always read `wk-` and digits. Anything else never names a job.
-    pub fn parse(s: &str) -> Option<Uid> {
+    pub fn parse(s: &str) -> Option<JobId> {
         let digits = s.strip_prefix("wk-")?;
         let fits = (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        fits.then(|| Uid(s.to_owned()))
+        fits.then(|| JobId(s.to_owned()))
     }
 }
 
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// The task's job.
-    pub uid: Uid,
+    pub job_id: JobId,
     /// Its place in the job, from 0.
     pub index: u32,
 }
@@ -77,9 +77,9 @@
 impl TaskId {
     /// From `UID/INDEX`, as workers name it.
     pub fn parse(s: &str) -> Option<TaskId> {
-        let (uid, index) = s.rsplit_once('/')?;
+        let (job_id, index) = s.rsplit_once('/')?;
         Some(TaskId {
-            uid: Uid::parse(uid)?,
+            job_id: JobId::parse(job_id)?,
             index: index.parse().ok()?,
         })
     }
@@ -87,6 +87,6 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.uid, self.index)
+        write!(f, "{}/{}", self.job_id, self.index)
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -2,12 +2,12 @@
 
 #![warn(missing_docs)]
 
-mod amounts;
+mod heartbeats;
 mod ids;
-mod reports;
+mod resources;
 mod tokens;
 
-pub use amounts::{Need, ROUNDING};
-pub use ids::{HostId, ImageKey, Site, TaskId, TeamName, TypeName, Uid};
-pub use reports::{Directive, Exit, Report, TaskPhase, TaskReport};
-pub use tokens::{Attempt, Epoch, Term};
+pub use heartbeats::{ExitReason, Heartbeat, TaskCommand, TaskPhase, TaskStatus};
+pub use ids::{ImageKey, JobId, MachineId, MachineTypeName, TaskId, TeamName, Zone};
+pub use resources::{Resources, RESOURCE_EPSILON};
+pub use tokens::{AttemptId, FencingToken, Term};
--- a/crates/recovery/src/orders.rs
+++ b/crates/recovery/src/orders.rs
@@ -3,7 +3,7 @@
 use crate::pacing::{OrderClass, OrderPace};
 use crate::segments::Segment;
 use crate::settings::Paces;
-use cypressgap_model::{Attempt, HostId, TaskId};
+use cypressgap_model::{AttemptId, MachineId, TaskId};
 use fnv::FnvHasher;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -11,7 +11,7 @@
 
 /// An order that was not acknowledged may be repeated after this long, and twice as long each time.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 /// Times of retries differ by up to this part, so that machines do not come in step.
 const RETRY_JITTER: f64 = 0.25;
 
@@ -34,7 +34,7 @@
     /// Of which task.
     pub task: TaskId,
     /// Of which attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
 }
 
 /// An order that went out.
@@ -57,12 +57,12 @@
 #[derive(Clone, Debug)]
 pub struct OrderPacer {
     pace: OrderPace,
-    hosts: HashMap<HostId, HostOrders>,
+    machines: HashMap<MachineId, HostOrders>,
     /// Machines with orders that wait, first come first served.
-    waiting: VecDeque<HostId>,
-    is_waiting: BTreeSet<HostId>,
+    waiting: VecDeque<MachineId>,
+    is_waiting: BTreeSet<MachineId>,
     /// Machines whose turn it is.
-    in_turn: BTreeSet<HostId>,
+    in_turn: BTreeSet<MachineId>,
     last_deferral: Option<Instant>,
     /// Orders given out and orders put off so far.
     given: u64,
@@ -74,7 +74,7 @@
     pub fn new(paces: Paces, now: Instant) -> OrderPacer {
         OrderPacer {
             pace: OrderPace::new(paces, now),
-            hosts: HashMap::new(),
+            machines: HashMap::new(),
             waiting: VecDeque::new(),
             is_waiting: BTreeSet::new(),
             in_turn: BTreeSet::new(),
@@ -88,12 +88,12 @@
     pub fn admit(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         segment: &Segment,
         order: Order,
         class: OrderClass,
     ) -> bool {
-        let repeats = match self.sent(host, &order) {
+        let repeats = match self.sent(machine, &order) {
             // Kills are pressed as often as their wind-down asks for it.
             Some(sent) if order.kind != OrderKind::Kill && now < sent.retry_at => return false,
             Some(sent) => sent.repeats + 1,
@@ -102,33 +102,33 @@
         // Machines that wait go before those whose report just came.
         let queued = class == OrderClass::Ordinary
             && !self.waiting.is_empty()
-            && !self.in_turn.contains(host);
+            && !self.in_turn.contains(machine);
         if queued || !self.pace.admit(now, segment, class) {
-            self.defer(now, host, class);
+            self.defer(now, machine, class);
             return false;
         }
         self.given += 1;
-        self.note_sent(now, host, segment, order, repeats);
+        self.note_sent(now, machine, segment, order, repeats);
         true
     }
 
-    fn sent(&self, host: &HostId, order: &Order) -> Option<&SentOrder> {
-        let orders = self.hosts.get(host)?;
+    fn sent(&self, machine: &MachineId, order: &Order) -> Option<&SentOrder> {
+        let orders = self.machines.get(machine)?;
         orders.sent.iter().find(|sent| sent.order == *order)
     }
 
     fn note_sent(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         segment: &Segment,
         order: Order,
         repeats: u32,
     ) {
-        let retry_at = now + retry_after(host, &order, repeats);
+        let retry_at = now + retry_after(machine, &order, repeats);
         let orders = self
-            .hosts
-            .entry(host.clone())
+            .machines
+            .entry(machine.clone())
             .or_insert_with(|| HostOrders {
                 segment: segment.clone(),
                 sent: Vec::new(),
@@ -145,22 +145,22 @@
         self.pace.acknowledged(segment, repeated);
     }
 
-    fn defer(&mut self, now: Instant, host: &HostId, class: OrderClass) {
+    fn defer(&mut self, now: Instant, machine: &MachineId, class: OrderClass) {
         self.deferred += 1;
         self.last_deferral = Some(now);
         if class == OrderClass::Background {
             // The next report brings it up again.
             return;
         }
-        self.in_turn.remove(host);
-        if self.is_waiting.insert(host.clone()) {
-            self.waiting.push_back(host.clone());
+        self.in_turn.remove(machine);
+        if self.is_waiting.insert(machine.clone()) {
+            self.waiting.push_back(machine.clone());
         }
     }
 
     /// A message of a machine shows what became of its orders.
-    pub fn acknowledge(&mut self, host: &HostId, carried_out: impl Fn(&Order) -> bool) {
-        let Some(orders) = self.hosts.get_mut(host) else {
+    pub fn acknowledge(&mut self, machine: &MachineId, carried_out: impl Fn(&Order) -> bool) {
+        let Some(orders) = self.machines.get_mut(machine) else {
             return;
         };
         let before = orders.sent.len();
@@ -168,28 +168,28 @@
         let acknowledged = before - orders.sent.len();
         self.pace.acknowledged(&orders.segment, acknowledged);
         if orders.sent.is_empty() {
-            self.hosts.remove(host);
+            self.machines.remove(machine);
         }
     }
 
     /// Nothing more is expected from a machine.
-    pub fn host_gone(&mut self, host: &HostId) {
-        self.in_turn.remove(host);
-        if self.is_waiting.remove(host) {
-            self.waiting.retain(|waiting| waiting != host);
+    pub fn machine_gone(&mut self, machine: &MachineId) {
+        self.in_turn.remove(machine);
+        if self.is_waiting.remove(machine) {
+            self.waiting.retain(|waiting| waiting != machine);
         }
-        self.acknowledge(host, |_| true);
+        self.acknowledge(machine, |_| true);
     }
 
     /// Machines whose turn it is now: as many as the pace has room for.
-    pub fn take_waiting(&mut self, now: Instant) -> Vec<HostId> {
+    pub fn take_waiting(&mut self, now: Instant) -> Vec<MachineId> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
         let most = self.pace.left(now).min(self.waiting.len());
-        let taken: Vec<HostId> = self.waiting.drain(..most).collect();
-        for host in &taken {
-            self.is_waiting.remove(host);
+        let taken: Vec<MachineId> = self.waiting.drain(..most).collect();
+        for machine in &taken {
+            self.is_waiting.remove(machine);
         }
         self.in_turn.extend(taken.iter().cloned());
         taken
@@ -213,11 +213,11 @@
 }
 
 /// When an order may be repeated. The same machine and order always give the same jitter.
-fn retry_after(host: &HostId, order: &Order, repeats: u32) -> Duration {
+fn retry_after(machine: &MachineId, order: &Order, repeats: u32) -> Duration {
     let mut hasher = FnvHasher::default();
-    (host, order, repeats).hash(&mut hasher);
+    (machine, order, repeats).hash(&mut hasher);
     let part = hasher.finish() as f64 / u64::MAX as f64;
     let jitter = 1.0 + RETRY_JITTER * (2.0 * part - 1.0);
-    let doubled = RETRY_AFTER * (1 << repeats.min(MOST_DOUBLINGS));
+    let doubled = RETRY_AFTER * (1 << repeats.min(MAX_DOUBLINGS));
     doubled.mul_f64(jitter)
 }
--- a/crates/recovery/src/pacing.rs
+++ b/crates/recovery/src/pacing.rs
@@ -16,7 +16,7 @@
 /// What a bucket holds at the start: a few orders, so that a small fleet need not wait.
 const INITIAL_PART: f64 = 0.01;
 /// However few orders are acknowledged, some go out: the next ones may reach machines that answer.
-const LEAST_REFILL: f64 = 0.1;
+const MIN_REFILL: f64 = 0.1;
 /// Refilling slows down once so many seconds' worth of orders are not acknowledged.
 const UNACKNOWLEDGED_SECONDS: f64 = 4.0;
 
@@ -104,8 +104,7 @@
         let capacity = self.bucket.limit * UNACKNOWLEDGED_SECONDS;
         let free = 1.0 - self.unacknowledged as f64 / capacity;
         // In full as long as half of the capacity is free.
-        self.bucket
-            .refill(now, (free * 2.0).clamp(LEAST_REFILL, 1.0));
+        self.bucket.refill(now, (free * 2.0).clamp(MIN_REFILL, 1.0));
     }
 
     fn take(&mut self) {
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -8,7 +8,7 @@
 /// Significant digits of the histograms.
 const DIGITS: u8 = 2;
 /// The share of attempts after which most are reconciled.
-const MOST_PART: f64 = 0.95;
+const MAX_PART: f64 = 0.95;
 
 /// How far a takeover is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -115,7 +115,7 @@
         let _ = self
             .confirmations
             .record_n(after.as_millis() as u64, attempts as u64);
-        let most = (self.recorded as f64 * MOST_PART).ceil() as usize;
+        let most = (self.recorded as f64 * MAX_PART).ceil() as usize;
         if self.settled >= most && self.most_reconciled.is_none() {
             self.most_reconciled = Some(after);
         }
@@ -156,10 +156,10 @@
     }
 
     /// What operators read of it.
-    pub fn summary(&self, now: Instant) -> Summary {
+    pub fn summary(&self, now: Instant) -> TakeoverSummary {
         let percentile = |p: f64| Duration::from_millis(self.confirmations.value_at_quantile(p));
         let known = !self.confirmations.is_empty();
-        Summary {
+        TakeoverSummary {
             took: now.saturating_duration_since(self.began),
             recorded: self.recorded,
             settled: self.settled,
@@ -177,7 +177,7 @@
 
 /// A takeover in figures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Summary {
+pub struct TakeoverSummary {
     /// How long it has taken.
     pub took: Duration,
     /// Attempts that were on record.
@@ -202,7 +202,7 @@
     pub killed: u64,
 }
 
-impl fmt::Display for Summary {
+impl fmt::Display for TakeoverSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = |d: Option<Duration>| d.map_or(-1.0, |d| d.as_secs_f64());
         write!(
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -5,7 +5,7 @@
 //! enter.
 
 use crate::attempt_state::{AttemptState, Evidence};
-use cypressgap_model::{Attempt, HostId, TaskId};
+use cypressgap_model::{AttemptId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
 /// How many attempts are in each state.
@@ -40,23 +40,27 @@
 /// One attempt on record.
 #[derive(Clone, Copy, Debug)]
 struct Recorded {
-    attempt: Attempt,
+    attempt: AttemptId,
     state: AttemptState,
 }
 
 /// The attempts on record, by machine and task. A task has one attempt on record at a time.
 #[derive(Debug, Default)]
 pub struct Reconciliation {
-    hosts: BTreeMap<HostId, BTreeMap<TaskId, Recorded>>,
+    machines: BTreeMap<MachineId, BTreeMap<TaskId, Recorded>>,
     counts: StateCounts,
 }
 
 impl Reconciliation {
     /// An attempt found on record.
-    pub fn record(&mut self, host: HostId, task: TaskId, attempt: Attempt) {
+    pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         let state = AttemptState::Unheard;
         let recorded = Recorded { attempt, state };
-        let before = self.hosts.entry(host).or_default().insert(task, recorded);
+        let before = self
+            .machines
+            .entry(machine)
+            .or_default()
+            .insert(task, recorded);
         if let Some(before) = before {
             *self.counts.slot(before.state) -= 1;
         }
@@ -64,20 +68,25 @@
     }
 
     /// The state of an attempt; None: it is this term's own, or settled for good.
-    pub fn state(&self, host: &HostId, task: &TaskId, attempt: Attempt) -> Option<AttemptState> {
-        let recorded = self.hosts.get(host)?.get(task)?;
+    pub fn state(
+        &self,
+        machine: &MachineId,
+        task: &TaskId,
+        attempt: AttemptId,
+    ) -> Option<AttemptState> {
+        let recorded = self.machines.get(machine)?.get(task)?;
         (recorded.attempt == attempt).then_some(recorded.state)
     }
 
     /// A report of a machine. `shows`: whether it lists an attempt; `current`: it shows this term's token.
     /// Returns how many attempts became certain by it.
-    pub fn observe_report(
+    pub fn observe_heartbeat(
         &mut self,
-        host: &HostId,
+        machine: &MachineId,
         current: bool,
-        shows: impl Fn(&TaskId, Attempt) -> bool,
+        shows: impl Fn(&TaskId, AttemptId) -> bool,
     ) -> usize {
-        self.observe(host, |task, attempt| {
+        self.observe(machine, |task, attempt| {
             if shows(task, attempt) {
                 Evidence::Shown
             } else if current {
@@ -89,12 +98,16 @@
     }
 
     /// Evidence that concerns all attempts on a machine. Returns how many became certain by it.
-    pub fn observe_host(&mut self, host: &HostId, evidence: Evidence) -> usize {
-        self.observe(host, |_, _| evidence)
+    pub fn observe_machine(&mut self, machine: &MachineId, evidence: Evidence) -> usize {
+        self.observe(machine, |_, _| evidence)
     }
 
-    fn observe(&mut self, host: &HostId, evidence: impl Fn(&TaskId, Attempt) -> Evidence) -> usize {
-        let Some(attempts) = self.hosts.get_mut(host) else {
+    fn observe(
+        &mut self,
+        machine: &MachineId,
+        evidence: impl Fn(&TaskId, AttemptId) -> Evidence,
+    ) -> usize {
+        let Some(attempts) = self.machines.get_mut(machine) else {
             return 0;
         };
         let mut settled = 0;
@@ -110,19 +123,19 @@
 
     /// An attempt leaves: it was launched by this term, ended, or was proved gone. Returns the state that
     /// it was in.
-    pub fn remove(&mut self, host: &HostId, task: &TaskId) -> Option<AttemptState> {
-        let attempts = self.hosts.get_mut(host)?;
+    pub fn remove(&mut self, machine: &MachineId, task: &TaskId) -> Option<AttemptState> {
+        let attempts = self.machines.get_mut(machine)?;
         let removed = attempts.remove(task)?;
         if attempts.is_empty() {
-            self.hosts.remove(host);
+            self.machines.remove(machine);
         }
         *self.counts.slot(removed.state) -= 1;
         Some(removed.state)
     }
 
     /// Machines that hold attempts on record.
-    pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
-        self.hosts.keys()
+    pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
+        self.machines.keys()
     }
 
     /// How many attempts are in each state.
@@ -132,6 +145,6 @@
 
     /// Nothing is left to be reconciled.
     pub fn is_empty(&self) -> bool {
-        self.hosts.is_empty()
+        self.machines.is_empty()
     }
 }
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -5,7 +5,7 @@
 //! network, and its machines with their work are likely to come back together.
 
 use crate::segments::Segment;
-use cypressgap_model::Site;
+use cypressgap_model::Zone;
 use std::collections::HashMap;
 
 /// This many silent machines are no accident of each one's own.
@@ -19,7 +19,7 @@
     /// Most machines of a network segment.
     Segment,
     /// Most machines of a site.
-    Site,
+    Zone,
     /// Most machines of all.
     Fleet,
 }
@@ -46,34 +46,34 @@
 #[derive(Clone, Debug, Default)]
 pub struct SilenceSurvey {
     segments: HashMap<Segment, Tally>,
-    sites: HashMap<Site, Tally>,
+    zones: HashMap<Zone, Tally>,
     fleet: Tally,
 }
 
 impl SilenceSurvey {
     /// Counts a machine.
-    pub fn add(&mut self, segment: &Segment, site: &Site, silent: bool) {
+    pub fn add(&mut self, segment: &Segment, zone: &Zone, silent: bool) {
         if !self.segments.contains_key(segment) {
             self.segments.insert(segment.clone(), Tally::default());
         }
-        if !self.sites.contains_key(site) {
-            self.sites.insert(site.clone(), Tally::default());
+        if !self.zones.contains_key(zone) {
+            self.zones.insert(zone.clone(), Tally::default());
         }
         let segment = self.segments.get_mut(segment);
-        let site = self.sites.get_mut(site);
-        for tally in segment.into_iter().chain(site) {
+        let zone = self.zones.get_mut(zone);
+        for tally in segment.into_iter().chain(zone) {
             tally.add(silent);
         }
         self.fleet.add(silent);
     }
 
     /// How far the silence reaches that a silent machine of this segment and site is part of.
-    pub fn scope(&self, segment: &Segment, site: &Site) -> SilenceScope {
+    pub fn scope(&self, segment: &Segment, zone: &Zone) -> SilenceScope {
         let most = |tally: Option<&Tally>| tally.is_some_and(Tally::mostly_silent);
         if self.fleet.mostly_silent() {
             SilenceScope::Fleet
-        } else if most(self.sites.get(site)) {
-            SilenceScope::Site
+        } else if most(self.zones.get(zone)) {
+            SilenceScope::Zone
         } else if *segment != Segment::Unknown && most(self.segments.get(segment)) {
             SilenceScope::Segment
         } else {
@@ -88,8 +88,8 @@
         };
         if self.fleet.mostly_silent() {
             SilenceScope::Fleet
-        } else if self.sites.values().any(Tally::mostly_silent) {
-            SilenceScope::Site
+        } else if self.zones.values().any(Tally::mostly_silent) {
+            SilenceScope::Zone
         } else if self.segments.iter().any(known) {
             SilenceScope::Segment
         } else {
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -5,13 +5,13 @@
 use crate::attempt_state::{AttemptState, Evidence};
 use crate::orders::{Order, OrderKind, OrderPacer};
 use crate::pacing::{OrderClass, RentalPace};
-use crate::progress::{Progress, Remaining, Summary, TakeoverPhase};
+use crate::progress::{Progress, Remaining, TakeoverPhase, TakeoverSummary};
 use crate::reconciliation::{Reconciliation, StateCounts};
 use crate::segments::{Segment, SegmentMap};
 use crate::settings::{Deployment, RecoverySettings, CANCELLATION_PART};
 use crate::silence::{SilenceScope, SilenceSurvey};
 use crate::unrecorded::{Disposition, StoreAnswer, UnrecordedWork};
-use cypressgap_model::{Attempt, HostId, Site, TaskId, Uid};
+use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,7 @@
     /// Orders that were put off so far.
     pub deferred: u64,
     /// The takeover in figures.
-    pub summary: Summary,
+    pub summary: TakeoverSummary,
 }
 
 /// One term's takeover.
@@ -66,8 +66,8 @@
     }
 
     /// An attempt found on record.
-    pub fn record(&mut self, host: HostId, task: TaskId, attempt: Attempt) {
-        self.reconciliation.record(host, task, attempt);
+    pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
+        self.reconciliation.record(machine, task, attempt);
     }
 
     /// All records are read.
@@ -83,50 +83,58 @@
     // --- evidence ---
 
     /// A report. `current`: it shows this term's token.
-    pub fn on_report(
+    pub fn on_heartbeat(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         current: bool,
-        shows: impl Fn(&TaskId, Attempt) -> bool,
+        shows: impl Fn(&TaskId, AttemptId) -> bool,
     ) {
         if self.reconciliation.is_empty() {
             return;
         }
-        let settled = self.reconciliation.observe_report(host, current, shows);
+        let settled = self
+            .reconciliation
+            .observe_heartbeat(machine, current, shows);
         self.progress.settled(now, settled);
     }
 
     /// A machine has missed its reports.
-    pub fn on_silence(&mut self, host: &HostId) {
-        self.reconciliation.observe_host(host, Evidence::HostSilent);
+    pub fn on_silence(&mut self, machine: &MachineId) {
+        self.reconciliation
+            .observe_machine(machine, Evidence::HostSilent);
     }
 
     /// A machine's lease has certainly run out, or it is gone.
-    pub fn on_lease_expired(&mut self, now: Instant, host: &HostId) {
+    pub fn on_lease_expired(&mut self, now: Instant, machine: &MachineId) {
         let evidence = Evidence::LeaseExpired;
-        let settled = self.reconciliation.observe_host(host, evidence);
+        let settled = self.reconciliation.observe_machine(machine, evidence);
         self.progress.settled(now, settled);
-        self.unrecorded.host_cleared(host);
-        self.orders.host_gone(host);
+        self.unrecorded.machine_cleared(machine);
+        self.orders.machine_gone(machine);
     }
 
     /// An attempt ended, or is proved gone.
-    pub fn on_gone(&mut self, now: Instant, host: &HostId, task: &TaskId) {
-        let state = self.reconciliation.remove(host, task);
+    pub fn on_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
+        let state = self.reconciliation.remove(machine, task);
         if state.is_some_and(|state| !state.is_settled()) {
             self.progress.settled(now, 1);
         }
     }
 
     /// Machines that hold attempts on record.
-    pub fn recorded_hosts(&self) -> impl Iterator<Item = &HostId> {
-        self.reconciliation.hosts()
+    pub fn recorded_machines(&self) -> impl Iterator<Item = &MachineId> {
+        self.reconciliation.machines()
     }
 
     /// The state of an attempt on record; None: it is this term's own.
-    pub fn state(&self, host: &HostId, task: &TaskId, attempt: Attempt) -> Option<AttemptState> {
-        self.reconciliation.state(host, task, attempt)
+    pub fn state(
+        &self,
+        machine: &MachineId,
+        task: &TaskId,
+        attempt: AttemptId,
+    ) -> Option<AttemptState> {
+        self.reconciliation.state(machine, task, attempt)
     }
 
     // --- work that no record names ---
@@ -135,14 +143,14 @@
     pub fn unknown_jobs_shown(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         current: bool,
-        jobs: BTreeSet<Uid>,
-    ) -> Vec<Uid> {
+        jobs: BTreeSet<JobId>,
+    ) -> Vec<JobId> {
         if jobs.is_empty() && self.unrecorded.is_empty() {
             return Vec::new();
         }
-        let new = self.unrecorded.shown(now, host, current, jobs);
+        let new = self.unrecorded.shown(now, machine, current, jobs);
         if !new.is_empty() {
             self.progress.reopen();
         }
@@ -150,23 +158,23 @@
     }
 
     /// What becomes of the tasks of an unknown job.
-    pub fn disposition(&self, now: Instant, uid: &Uid) -> Disposition {
-        self.unrecorded.disposition(now, uid)
+    pub fn disposition(&self, now: Instant, job_id: &JobId) -> Disposition {
+        self.unrecorded.disposition(now, job_id)
     }
 
     /// Jobs that the state service is to be asked about.
-    pub fn jobs_to_ask(&self) -> Vec<Uid> {
+    pub fn jobs_to_ask(&self) -> Vec<JobId> {
         self.unrecorded.to_ask().cloned().collect()
     }
 
     /// The state service's answer about a job.
-    pub fn on_store_answer(&mut self, now: Instant, uid: &Uid, answer: StoreAnswer) {
-        self.unrecorded.answered(now, uid, answer);
+    pub fn on_store_answer(&mut self, now: Instant, job_id: &JobId, answer: StoreAnswer) {
+        self.unrecorded.answered(now, job_id, answer);
     }
 
     /// Whether a machine holds tasks whose size is not known.
-    pub fn holds_host(&self, host: &HostId) -> bool {
-        self.unrecorded.holds_host(host)
+    pub fn holds_machine(&self, machine: &MachineId) -> bool {
+        self.unrecorded.holds_machine(machine)
     }
 
     /// Whether tasks whose team is not known may be on machines.
@@ -183,8 +191,8 @@
     // --- orders ---
 
     /// Whether an attempt may be launched as far as this term knows what became of it before.
-    pub fn allows_launch(&self, host: &HostId, task: &TaskId, attempt: Attempt) -> bool {
-        let state = self.reconciliation.state(host, task, attempt);
+    pub fn allows_launch(&self, machine: &MachineId, task: &TaskId, attempt: AttemptId) -> bool {
+        let state = self.reconciliation.state(machine, task, attempt);
         state.is_none_or(AttemptState::allows_launch)
     }
 
@@ -204,11 +212,11 @@
     }
 
     /// Whether an order may go out now. If it may not, its machine is among those that
-    /// [`Takeover::waiting_hosts`] names later.
+    /// [`Takeover::waiting_machines`] names later.
     pub fn admit(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         endpoint: &str,
         order: Order,
         class: OrderClass,
@@ -219,21 +227,21 @@
         if self.enabled {
             let segment = self.segments.of_endpoint(endpoint);
             let launch = (order.kind == OrderKind::Launch).then(|| order.task.clone());
-            if !self.orders.admit(now, host, &segment, order, class) {
+            if !self.orders.admit(now, machine, &segment, order, class) {
                 return false;
             }
-            self.launched(host, launch);
+            self.launched(machine, launch);
         } else if order.kind == OrderKind::Launch {
-            self.launched(host, Some(order.task));
+            self.launched(machine, Some(order.task));
         }
         self.progress.ordered(now);
         true
     }
 
     /// From its launch on an attempt is this term's own.
-    fn launched(&mut self, host: &HostId, task: Option<TaskId>) {
+    fn launched(&mut self, machine: &MachineId, task: Option<TaskId>) {
         if let Some(task) = task {
-            self.reconciliation.remove(host, &task);
+            self.reconciliation.remove(machine, &task);
         }
     }
 
@@ -243,14 +251,14 @@
     }
 
     /// A message of a machine shows what became of its orders.
-    pub fn acknowledge(&mut self, host: &HostId, carried_out: impl Fn(&Order) -> bool) {
+    pub fn acknowledge(&mut self, machine: &MachineId, carried_out: impl Fn(&Order) -> bool) {
         if !self.is_over() {
-            self.orders.acknowledge(host, carried_out);
+            self.orders.acknowledge(machine, carried_out);
         }
     }
 
     /// Machines whose orders waited and may be tried again now.
-    pub fn waiting_hosts(&mut self, now: Instant) -> Vec<HostId> {
+    pub fn waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         self.orders.take_waiting(now)
     }
 
@@ -267,8 +275,8 @@
     }
 
     /// How far the silence reaches that a silent machine is part of.
-    pub fn silence_scope(&self, endpoint: &str, site: &Site) -> SilenceScope {
-        let scope = self.silence.scope(&self.segment_of(endpoint), site);
+    pub fn silence_scope(&self, endpoint: &str, zone: &Zone) -> SilenceScope {
+        let scope = self.silence.scope(&self.segment_of(endpoint), zone);
         if self.enabled || scope == SilenceScope::Fleet {
             scope
         } else {
@@ -312,7 +320,7 @@
     }
 
     /// The takeover in figures.
-    pub fn summary(&self, now: Instant) -> Summary {
+    pub fn summary(&self, now: Instant) -> TakeoverSummary {
         self.progress.summary(now)
     }
 }
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -6,7 +6,7 @@
 //! anything is done about it, and a read that failed decides nothing. Until the work is proved gone it
 //! holds its machine, and counts as work of any team, since its team is not known.
 
-use cypressgap_model::{HostId, Uid};
+use cypressgap_model::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -86,7 +86,7 @@
 /// What one machine shows of such jobs.
 #[derive(Debug)]
 struct ShownWork {
-    jobs: BTreeSet<Uid>,
+    jobs: BTreeSet<JobId>,
     /// By a report that shows this term's token: no late copy.
     current: bool,
 }
@@ -95,10 +95,10 @@
 #[derive(Debug)]
 pub struct UnrecordedWork {
     hold: Duration,
-    jobs: BTreeMap<Uid, Inquiry>,
-    hosts: BTreeMap<HostId, ShownWork>,
+    jobs: BTreeMap<JobId, Inquiry>,
+    machines: BTreeMap<MachineId, ShownWork>,
     /// Machines whose newest report is no late copy.
-    current_hosts: usize,
+    current_machines: usize,
 }
 
 impl UnrecordedWork {
@@ -107,8 +107,8 @@
         UnrecordedWork {
             hold,
             jobs: BTreeMap::new(),
-            hosts: BTreeMap::new(),
-            current_hosts: 0,
+            machines: BTreeMap::new(),
+            current_machines: 0,
         }
     }
 
@@ -116,78 +116,79 @@
     pub fn shown(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         current: bool,
-        jobs: BTreeSet<Uid>,
-    ) -> Vec<Uid> {
+        jobs: BTreeSet<JobId>,
+    ) -> Vec<JobId> {
         let mut new = Vec::new();
-        for uid in &jobs {
-            let inquiry = self.jobs.entry(uid.clone()).or_insert_with(|| {
-                new.push(uid.clone());
+        for job_id in &jobs {
+            let inquiry = self.jobs.entry(job_id.clone()).or_insert_with(|| {
+                new.push(job_id.clone());
                 Inquiry::new(now)
             });
             inquiry.machines += 1;
         }
-        self.host_cleared(host);
+        self.machine_cleared(machine);
         if !jobs.is_empty() {
-            self.current_hosts += usize::from(current);
-            self.hosts.insert(host.clone(), ShownWork { jobs, current });
+            self.current_machines += usize::from(current);
+            self.machines
+                .insert(machine.clone(), ShownWork { jobs, current });
         }
         new
     }
 
     /// Nothing of the kind is on a machine any more, or the machine is gone.
-    pub fn host_cleared(&mut self, host: &HostId) {
-        let Some(work) = self.hosts.remove(host) else {
+    pub fn machine_cleared(&mut self, machine: &MachineId) {
+        let Some(work) = self.machines.remove(machine) else {
             return;
         };
-        self.current_hosts -= usize::from(work.current);
-        for uid in work.jobs {
-            self.machine_cleared(&uid);
+        self.current_machines -= usize::from(work.current);
+        for job_id in work.jobs {
+            self.machine_left_job(&job_id);
         }
     }
 
     /// A job that no machine shows any more needs no answer.
-    fn machine_cleared(&mut self, uid: &Uid) {
-        let Some(inquiry) = self.jobs.get_mut(uid) else {
+    fn machine_left_job(&mut self, job_id: &JobId) {
+        let Some(inquiry) = self.jobs.get_mut(job_id) else {
             return;
         };
         inquiry.machines -= 1;
         if inquiry.machines == 0 {
-            self.jobs.remove(uid);
+            self.jobs.remove(job_id);
         }
     }
 
     /// The state service's answer about a job.
-    pub fn answered(&mut self, now: Instant, uid: &Uid, answer: StoreAnswer) {
-        if let Some(inquiry) = self.jobs.get_mut(uid) {
+    pub fn answered(&mut self, now: Instant, job_id: &JobId, answer: StoreAnswer) {
+        if let Some(inquiry) = self.jobs.get_mut(job_id) {
             inquiry.answered(now, answer);
         }
     }
 
     /// What becomes of a job's work.
-    pub fn disposition(&self, now: Instant, uid: &Uid) -> Disposition {
-        let inquiry = self.jobs.get(uid);
+    pub fn disposition(&self, now: Instant, job_id: &JobId) -> Disposition {
+        let inquiry = self.jobs.get(job_id);
         inquiry.map_or(Disposition::Hold, |i| i.disposition(now, self.hold))
     }
 
     /// Jobs to ask the state service about.
-    pub fn to_ask(&self) -> impl Iterator<Item = &Uid> {
+    pub fn to_ask(&self) -> impl Iterator<Item = &JobId> {
         let open = self.jobs.iter();
         open.filter(|(_, inquiry)| inquiry.answer != Some(StoreAnswer::Over))
-            .map(|(uid, _)| uid)
+            .map(|(job_id, _)| job_id)
     }
 
     /// Whether a machine holds work whose size is not known.
-    pub fn holds_host(&self, host: &HostId) -> bool {
-        self.hosts.contains_key(host)
+    pub fn holds_machine(&self, machine: &MachineId) -> bool {
+        self.machines.contains_key(machine)
     }
 
     /// Whether tasks of a team that is not known may be on machines. A job whose verdict is durable had
     /// nothing on machines then, so only a report that is no late copy can show work of it.
     pub fn may_use_any_team(&self) -> bool {
         let over = |inquiry: &Inquiry| inquiry.answer == Some(StoreAnswer::Over);
-        self.current_hosts > 0 || !self.jobs.values().all(over)
+        self.current_machines > 0 || !self.jobs.values().all(over)
     }
 
     /// How many jobs there are.
@@ -197,6 +198,6 @@
 
     /// There is no such work.
     pub fn is_empty(&self) -> bool {
-        self.hosts.is_empty()
+        self.machines.is_empty()
     }
 }
--- a/crates/recovery/tests/pacing.rs
+++ b/crates/recovery/tests/pacing.rs
@@ -1,6 +1,6 @@
 //! Orders by the second, for the fleet and each segment, whatever comes in whatever order.
 
-use cypressgap_model::{Attempt, HostId, TaskId, Term, Uid};
+use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::orders::{Order, OrderKind, OrderPacer};
 use cypressgap_recovery::pacing::{OrderClass, RentalPace, TokenBucket};
 use cypressgap_recovery::segments::{Segment, SegmentMap};
@@ -21,10 +21,10 @@
     Order {
         kind,
         task: TaskId {
-            uid: Uid::from("wk-000001"),
+            job_id: JobId::from("wk-000001"),
             index,
         },
-        attempt: Attempt::of(Term(1), 1),
+        attempt: AttemptId::of(Term(1), 1),
     }
 }
 
@@ -59,15 +59,15 @@
             // Idle for a while in between, so that buckets fill up.
             let now = start + ms(step * 5) + if step > 1500 { ms(20_000) } else { ms(0) };
             for n in 0..6u64 {
-                let host = HostId(format!("i-{}", n % 3));
+                let machine = MachineId(format!("i-{}", n % 3));
                 let segment = map.of_endpoint(&format!("10.0.{}.7:9000", n % 3));
                 let class = [OrderClass::Ordinary, OrderClass::Prompt][(n / 3) as usize];
                 let order = order(OrderKind::Kill, (step * 6 + n) as u32);
-                if pacer.admit(now, &host, &segment, order, class) {
+                if pacer.admit(now, &machine, &segment, order, class) {
                     sent.push((segment, now));
                 }
                 if acknowledged {
-                    pacer.acknowledge(&host, |_| true);
+                    pacer.acknowledge(&machine, |_| true);
                 }
             }
         }
@@ -135,10 +135,10 @@
     for n in 0..20 {
         let mut pacer =
             OrderPacer::new(settings.paces(DEPLOYMENT), start - Duration::from_secs(10));
-        let host = HostId(format!("i-{n}"));
+        let machine = MachineId(format!("i-{n}"));
         let launch = |pacer: &mut OrderPacer, at| {
             let order = order(OrderKind::Launch, 0);
-            pacer.admit(at, &host, &segment, order, OrderClass::Ordinary)
+            pacer.admit(at, &machine, &segment, order, OrderClass::Ordinary)
         };
         assert!(launch(&mut pacer, start));
         let again = (1..5000)
@@ -155,7 +155,7 @@
         );
         repeated.push(again);
         // What a report shows is over with: the same order would be a new one.
-        pacer.acknowledge(&host, |o| o.kind == OrderKind::Launch);
+        pacer.acknowledge(&machine, |o| o.kind == OrderKind::Launch);
         assert!(launch(&mut pacer, start + Duration::from_secs(60)));
     }
     repeated.sort_unstable();
@@ -169,9 +169,15 @@
     let start = Instant::now();
     let mut pacer = OrderPacer::new(settings.paces(DEPLOYMENT), start);
     for n in 0..1000u32 {
-        let host = HostId(format!("i-{n}"));
+        let machine = MachineId(format!("i-{n}"));
         let order = order(OrderKind::Launch, n);
-        assert!(!pacer.admit(start, &host, &Segment::Unknown, order, OrderClass::Ordinary));
+        assert!(!pacer.admit(
+            start,
+            &machine,
+            &Segment::Unknown,
+            order,
+            OrderClass::Ordinary
+        ));
     }
     assert!(pacer.take_waiting(start).len() <= 1);
     let now = start + ms(50);
@@ -220,10 +226,10 @@
     .paces(DEPLOYMENT);
     let start = Instant::now();
     let mut pacer = OrderPacer::new(paces, start - Duration::from_secs(10));
-    let (busy, first) = (HostId::from("busy"), HostId::from("first"));
-    let admit = |pacer: &mut OrderPacer, host: &HostId, index: u32, now: Instant| {
+    let (busy, first) = (MachineId::from("busy"), MachineId::from("first"));
+    let admit = |pacer: &mut OrderPacer, machine: &MachineId, index: u32, now: Instant| {
         let order = order(OrderKind::Launch, index);
-        pacer.admit(now, host, &Segment::Unknown, order, OrderClass::Ordinary)
+        pacer.admit(now, machine, &Segment::Unknown, order, OrderClass::Ordinary)
     };
     let mut given = 0;
     while given < 50 && admit(&mut pacer, &busy, given, start) {
--- a/crates/recovery/tests/segments.rs
+++ b/crates/recovery/tests/segments.rs
@@ -1,6 +1,6 @@
 //! Segments, silence by segment, and settings that cannot be used.
 
-use cypressgap_model::Site;
+use cypressgap_model::Zone;
 use cypressgap_recovery::segments::{NamedSegment, SegmentMap};
 use cypressgap_recovery::settings::{parse_segment, Deployment, RecoverySettings};
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey};
@@ -41,7 +41,7 @@
 /// machine of the first.
 #[test]
 fn silence_is_told_apart_by_its_reach() {
-    use SilenceScope::{Fleet, Machine, Segment, Site as WholeSite};
+    use SilenceScope::{Fleet, Machine, Segment, Zone as WholeSite};
     let cases = [
         ([(10, 1), (10, 0), (40, 0)], Machine),
         ([(10, 5), (10, 0), (40, 0)], Machine),
@@ -56,9 +56,9 @@
         let mut survey = SilenceSurvey::default();
         for (n, (machines, silent)) in groups.into_iter().enumerate() {
             let segment = map.of_endpoint(&format!("10.0.{n}.1:9"));
-            let site = Site::from(["a", "a", "b"][n]);
+            let zone = Zone::from(["a", "a", "b"][n]);
             for machine in 0..machines {
-                survey.add(&segment, &site, machine < silent);
+                survey.add(&segment, &zone, machine < silent);
             }
         }
         let segment = map.of_endpoint("10.0.0.1:9");
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -1,6 +1,6 @@
 //! What is known of attempts: transitions, reconciliation by reports, and work that no record names.
 
-use cypressgap_model::{Attempt, HostId, TaskId, Term, Uid};
+use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::attempt_state::{AttemptState, Evidence};
 use cypressgap_recovery::reconciliation::Reconciliation;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer, UnrecordedWork, DENIALS_APART};
@@ -11,13 +11,13 @@
 
 fn task(index: u32) -> TaskId {
     TaskId {
-        uid: Uid::from("wk-000001"),
+        job_id: JobId::from("wk-000001"),
         index,
     }
 }
 
-fn attempt(number: u64) -> Attempt {
-    Attempt::of(Term(2), number)
+fn attempt(number: u64) -> AttemptId {
+    AttemptId::of(Term(2), number)
 }
 
 /// The table in the design note, row by row, against the code.
@@ -53,30 +53,34 @@
 }
 
 #[test]
-fn reports_settle_the_attempts_of_their_machine() {
-    let host = HostId::from("i-1");
+fn heartbeats_settle_the_attempts_of_their_machine() {
+    let machine = MachineId::from("i-1");
     let mut r = Reconciliation::default();
     for index in 0..3 {
-        r.record(host.clone(), task(index), attempt(7));
+        r.record(machine.clone(), task(index), attempt(7));
     }
     r.record("i-2".into(), task(3), attempt(7));
-    let state = |r: &Reconciliation, index| r.state(&host, &task(index), attempt(7));
+    let state = |r: &Reconciliation, index| r.state(&machine, &task(index), attempt(7));
     // A report from before the term settles what it shows, and nothing else.
-    assert_eq!(r.observe_report(&host, false, |t, _| t.index == 0), 1);
+    assert_eq!(r.observe_heartbeat(&machine, false, |t, _| t.index == 0), 1);
     assert_eq!(state(&r, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&r, 1), Some(AttemptState::Unheard));
     // A machine that shows another attempt of the task does not show this one.
-    let other = |t: &TaskId, a: Attempt| t.index <= 1 && a == attempt(8);
-    assert_eq!(r.observe_report(&host, true, other), 2);
+    let other = |t: &TaskId, a: AttemptId| t.index <= 1 && a == attempt(8);
+    assert_eq!(r.observe_heartbeat(&machine, true, other), 2);
     assert_eq!(state(&r, 0), Some(AttemptState::Absent));
     assert_eq!(state(&r, 1), Some(AttemptState::Absent));
-    assert_eq!(r.state(&host, &task(1), attempt(8)), None, "not on record");
+    assert_eq!(
+        r.state(&machine, &task(1), attempt(8)),
+        None,
+        "not on record"
+    );
     assert_eq!(r.counts().unsettled(), 1);
-    r.observe_host(&"i-2".into(), Evidence::HostSilent);
+    r.observe_machine(&"i-2".into(), Evidence::HostSilent);
     assert_eq!(r.counts().of(AttemptState::Silent), 1);
-    assert_eq!(r.observe_host(&"i-2".into(), Evidence::LeaseExpired), 1);
+    assert_eq!(r.observe_machine(&"i-2".into(), Evidence::LeaseExpired), 1);
     for index in 0..3 {
-        assert_eq!(r.remove(&host, &task(index)), Some(AttemptState::Absent));
+        assert_eq!(r.remove(&machine, &task(index)), Some(AttemptState::Absent));
     }
     r.remove(&"i-2".into(), &task(3));
     assert!(r.is_empty() && r.counts().total() == 0);
@@ -125,16 +129,16 @@
     ];
     for (name, answers, at, expected) in cases {
         let start = Instant::now();
-        let uid = Uid::from("wk-000009");
+        let job_id = JobId::from("wk-000009");
         let mut work = UnrecordedWork::new(Duration::from_secs(60));
-        let jobs = BTreeSet::from([uid.clone()]);
+        let jobs = BTreeSet::from([job_id.clone()]);
         assert_eq!(work.shown(start, &"i-1".into(), true, jobs).len(), 1);
         for (after, answer) in answers {
-            work.answered(start + Duration::from_secs(*after), &uid, *answer);
+            work.answered(start + Duration::from_secs(*after), &job_id, *answer);
         }
         let now = start + Duration::from_secs(at);
-        assert_eq!(work.disposition(now, &uid), expected, "{name}");
-        assert!(work.holds_host(&"i-1".into()) && work.may_use_any_team());
+        assert_eq!(work.disposition(now, &job_id), expected, "{name}");
+        assert!(work.holds_machine(&"i-1".into()) && work.may_use_any_team());
     }
     assert!(DENIALS_APART > Duration::ZERO);
 }
@@ -142,9 +146,9 @@
 #[test]
 fn unrecorded_work_counts_until_its_machines_show_it_no_more() {
     let now = Instant::now();
-    let (first, second) = (HostId::from("i-1"), HostId::from("i-2"));
-    let uid = Uid::from("wk-000009");
-    let jobs = || BTreeSet::from([uid.clone()]);
+    let (first, second) = (MachineId::from("i-1"), MachineId::from("i-2"));
+    let job_id = JobId::from("wk-000009");
+    let jobs = || BTreeSet::from([job_id.clone()]);
     let mut work = UnrecordedWork::new(Duration::from_secs(60));
     assert_eq!(work.shown(now, &first, false, jobs()).len(), 1);
     assert_eq!(
@@ -154,12 +158,12 @@
     );
     assert_eq!(work.to_ask().count(), 1);
     // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
-    work.answered(now, &uid, StoreAnswer::Over);
+    work.answered(now, &job_id, StoreAnswer::Over);
     assert!(!work.may_use_any_team());
     work.shown(now, &second, true, jobs());
     assert!(work.may_use_any_team(), "this is no late copy");
     work.shown(now, &second, true, BTreeSet::new());
     assert!(!work.may_use_any_team() && work.len() == 1);
-    work.host_cleared(&first);
+    work.machine_cleared(&first);
     assert!(work.is_empty() && work.to_ask().next().is_none());
 }
--- a/src/net/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -7,13 +7,15 @@
 //! others, have their verdicts: an outage in between then leaves no dependent called live whose
 //! dependency was called cancelled.
 
-use super::front::{problem, state, store_said, unavailable, verdict, Answer, STORE_CALL};
-use super::questions;
-use super::store::{Asked, Change, Content, StoreError, Txn};
-use crate::core::ledger::{cancel_mark_key, job_key, live_key, Verdict};
-use crate::core::model::Uid;
-use crate::core::status_reads::{self, Records};
-use crate::runtime::budget::Rank;
+use crate::api::server::{
+    outcome, problem, state, store_said, unavailable, ApiResponse, STORE_CALL,
+};
+use crate::api::status_queries;
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::JobId;
+use crate::core::persistence::job_status_reads::{self, Records};
+use crate::core::persistence::ledger::{cancel_mark_key, job_key, live_key, JobOutcome};
+use crate::net::store::{Asked, Change, Content, StoreError, TransactionOutcome};
 use crate::runtime::service::Shared;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -41,36 +43,36 @@
 #[derive(Debug, Default)]
 pub struct Cascade {
     /// Those of the jobs asked about all of whose dependents are cancelled too.
-    pub settled: BTreeSet<Uid>,
+    pub settled: BTreeSet<JobId>,
     /// Dependents that are cancelled.
-    pub dependents: BTreeSet<Uid>,
+    pub dependents: BTreeSet<JobId>,
 }
 
 /// `POST /api/jobs/{id}/cancel`.
-pub fn cancel(shared: &Shared, id: &str) -> Result<Answer, StoreError> {
-    let Some(uid) = Uid::parse(id) else {
+pub fn cancel(shared: &Shared, id: &str) -> Result<ApiResponse, StoreError> {
+    let Some(job_id) = JobId::parse(id) else {
         return Ok((problem(404, "no such job"), None));
     };
     for _ in 0..CANCEL_TRIES {
         // The stamp is 0 while the job is live: its verdict's key is absent.
-        let stamp = match verdict(shared, &uid)? {
-            Some((Verdict::Live, stamp)) => stamp,
-            Some((Verdict::Cancelled, _)) => return confirm(shared, &uid),
-            Some((Verdict::Done, _)) => {
-                let body = state(shared, &uid, Verdict::Done, false);
+        let revision = match outcome(shared, &job_id)? {
+            Some((JobOutcome::Live, revision)) => revision,
+            Some((JobOutcome::Cancelled, _)) => return confirm(shared, &job_id),
+            Some((JobOutcome::Done, _)) => {
+                let body = state(shared, &job_id, JobOutcome::Done, false);
                 return Ok(((200, body), None));
             }
             None => return Ok((problem(404, "no such job"), None)),
         };
-        let result = write_verdict(shared, &uid, stamp);
+        let result = write_outcome(shared, &job_id, revision);
         store_said(shared, &result);
         match result {
-            Ok(Txn::Applied { .. }) => {
-                log::info!("cancelled job={uid}");
-                return confirm(shared, &uid);
+            Ok(TransactionOutcome::Applied { .. }) => {
+                log::info!("cancelled job={job_id}");
+                return confirm(shared, &job_id);
             }
             // Done or cancelled meanwhile, or of unknown outcome: read it again.
-            Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => {}
+            Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {}
             Err(e) => return Err(e),
         }
     }
@@ -78,11 +80,15 @@
 }
 
 /// The job's own verdict, and the mark by which the leader hears of it.
-fn write_verdict(shared: &Shared, uid: &Uid, stamp: u64) -> Result<Txn, StoreError> {
-    let (verdict_key, mark_key) = (job_key(uid), cancel_mark_key(uid));
-    let conditions = [(verdict_key.clone(), stamp)];
+fn write_outcome(
+    shared: &Shared,
+    job_id: &JobId,
+    revision: u64,
+) -> Result<TransactionOutcome, StoreError> {
+    let (outcome_key, mark_key) = (job_key(job_id), cancel_mark_key(job_id));
+    let conditions = [(outcome_key.clone(), revision)];
     let changes = vec![
-        put_cancelled(&verdict_key),
+        put_cancelled(&outcome_key),
         Change::Put {
             key: &mark_key,
             value: Content::Number(1),
@@ -90,65 +96,68 @@
         },
     ];
     let store = &shared.store;
-    store.txn(&conditions, changes, Rank::User, STORE_CALL)
+    store.txn(&conditions, changes, RequestClass::User, STORE_CALL)
 }
 
 fn put_cancelled(key: &str) -> Change<'_> {
     Change::Put {
         key,
-        value: Content::Verdict(Verdict::Cancelled.into()),
+        value: Content::JobOutcome(JobOutcome::Cancelled.into()),
         permit: None,
     }
 }
 
 /// Tells the user of a durable cancellation once all dependents are cancelled as well.
-fn confirm(shared: &Shared, uid: &Uid) -> Result<Answer, StoreError> {
-    let told_before = shared.view.final_answer(uid).is_some();
+fn confirm(shared: &Shared, job_id: &JobId) -> Result<ApiResponse, StoreError> {
+    let told_before = shared.view.final_answer(job_id).is_some();
     let cascade = if told_before {
         Ok(Cascade {
-            settled: BTreeSet::from([uid.clone()]),
+            settled: BTreeSet::from([job_id.clone()]),
             ..Cascade::default()
         })
     } else {
-        cascade(shared, &BTreeSet::from([uid.clone()]), Effort::Cancel)
+        cascade(shared, &BTreeSet::from([job_id.clone()]), Effort::Cancel)
     };
-    let mut cancelled = vec![uid.clone()];
+    let mut cancelled = vec![job_id.clone()];
     if let Ok(c) = &cascade {
         cancelled.extend(c.dependents.iter().cloned());
         remember(shared, c);
     }
     // Its tasks go whatever becomes of the rest.
     shared.tell_leader(&cancelled);
-    if !cascade?.settled.contains(uid) {
-        log::info!("dependents are still being cancelled job={uid}");
+    if !cascade?.settled.contains(job_id) {
+        log::info!("dependents are still being cancelled job={job_id}");
         let wait = problem(503, "dependents are still being cancelled");
         return Ok((wait, Some(RETRY_AFTER_S)));
     }
-    let body = state(shared, uid, Verdict::Cancelled, false);
+    let body = state(shared, job_id, JobOutcome::Cancelled, false);
     Ok(((200, body), None))
 }
 
 fn remember(shared: &Shared, cascade: &Cascade) {
-    for uid in &cascade.settled {
-        shared.view.remember_final(uid, Verdict::Cancelled);
+    for job_id in &cascade.settled {
+        shared.view.remember_final(job_id, JobOutcome::Cancelled);
     }
 }
 
 /// Which of these cancelled jobs users may be told of. What is found out is remembered.
-pub fn confirmed(shared: &Shared, cancelled: &BTreeSet<Uid>) -> Result<BTreeSet<Uid>, StoreError> {
-    let mut confirmed: BTreeSet<Uid> = BTreeSet::new();
-    let mut open: BTreeSet<Uid> = BTreeSet::new();
-    for uid in cancelled {
-        match shared.view.final_answer(uid) {
-            Some(_) => confirmed.insert(uid.clone()),
-            None => open.insert(uid.clone()),
+pub fn confirmed(
+    shared: &Shared,
+    cancelled: &BTreeSet<JobId>,
+) -> Result<BTreeSet<JobId>, StoreError> {
+    let mut confirmed: BTreeSet<JobId> = BTreeSet::new();
+    let mut open: BTreeSet<JobId> = BTreeSet::new();
+    for job_id in cancelled {
+        match shared.view.final_answer(job_id) {
+            Some(_) => confirmed.insert(job_id.clone()),
+            None => open.insert(job_id.clone()),
         };
     }
     let indexed = still_indexed(shared, &open)?;
     // The leader removes a cancelled job from the index only when its dependents are cancelled.
-    for uid in open.difference(&indexed) {
-        shared.view.remember_final(uid, Verdict::Cancelled);
-        confirmed.insert(uid.clone());
+    for job_id in open.difference(&indexed) {
+        shared.view.remember_final(job_id, JobOutcome::Cancelled);
+        confirmed.insert(job_id.clone());
     }
     if !indexed.is_empty() {
         let cascade = cascade(shared, &indexed, Effort::Look)?;
@@ -159,12 +168,16 @@
 }
 
 /// Those that are still in the index of live jobs.
-fn still_indexed(shared: &Shared, uids: &BTreeSet<Uid>) -> Result<BTreeSet<Uid>, StoreError> {
+fn still_indexed(
+    shared: &Shared,
+    job_ids: &BTreeSet<JobId>,
+) -> Result<BTreeSet<JobId>, StoreError> {
     let asked = lookup(shared);
-    let mut left: BTreeMap<String, Uid> = uids.iter().map(|u| (live_key(u), u.clone())).collect();
+    let mut left: BTreeMap<String, JobId> =
+        job_ids.iter().map(|u| (live_key(u), u.clone())).collect();
     let mut indexed = BTreeSet::new();
     while !left.is_empty() {
-        let most = questions::most_at_once(shared);
+        let most = status_queries::most_at_once(shared);
         let expected: Vec<(String, u64)> = left.keys().take(most).map(|k| (k.clone(), 0)).collect();
         let differing = asked.differing(&expected)?;
         if differing.is_empty() {
@@ -185,7 +198,7 @@
 /// Follows the dependents of jobs whose cancellation is durable.
 pub fn cascade(
     shared: &Shared,
-    roots: &BTreeSet<Uid>,
+    roots: &BTreeSet<JobId>,
     effort: Effort,
 ) -> Result<Cascade, StoreError> {
     // Cancelled for certain before the next read of the index begins.
@@ -194,9 +207,9 @@
     let mut found = Cascade::default();
     for _ in 0..INDEX_READS {
         let index = shared.live_index.read_since(shared, since)?;
-        let settled = |root: &&Uid| index.descendants([*root]).is_subset(&cancelled);
+        let settled = |root: &&JobId| index.descendants([*root]).is_subset(&cancelled);
         found.settled = roots.iter().filter(settled).cloned().collect();
-        let open: Vec<Uid> = index
+        let open: Vec<JobId> = index
             .descendants(roots)
             .difference(&cancelled)
             .cloned()
@@ -219,39 +232,40 @@
 }
 
 /// Writes the verdicts of dependents. False: they are too many for one transaction, and the leader's.
-fn cancel_dependents(shared: &Shared, open: &[Uid]) -> Result<bool, StoreError> {
-    if open.len() > shared.settings.params.txn_ops {
+fn cancel_dependents(shared: &Shared, open: &[JobId]) -> Result<bool, StoreError> {
+    if open.len() > shared.settings.config.txn_ops {
         return Ok(false);
     }
     let keys: Vec<String> = open.iter().map(job_key).collect();
     let conditions: Vec<(String, u64)> = keys.iter().map(|k| (k.clone(), 0)).collect();
     let changes = keys.iter().map(|key| put_cancelled(key)).collect();
     let store = &shared.store;
-    match store.txn(&conditions, changes, Rank::User, STORE_CALL) {
-        Ok(Txn::Applied { .. }) => {
-            for uid in open {
-                log::info!("cancelled with a dependency job={uid}");
+    match store.txn(&conditions, changes, RequestClass::User, STORE_CALL) {
+        Ok(TransactionOutcome::Applied { .. }) => {
+            for job_id in open {
+                log::info!("cancelled with a dependency job={job_id}");
             }
             Ok(true)
         }
         // The leader or another node was first with some of them: a look tells.
-        Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => Ok(true),
+        Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => Ok(true),
         Err(e) => Err(e),
     }
 }
 
 /// Those of these live jobs that are cancelled by now, up to the first that is not.
-fn cancelled_of(shared: &Shared, live: &[Uid]) -> Result<Vec<Uid>, StoreError> {
+fn cancelled_of(shared: &Shared, live: &[JobId]) -> Result<Vec<JobId>, StoreError> {
     let mut cancelled = Vec::new();
-    for part in live.chunks(questions::most_at_once(shared)) {
-        let part: BTreeSet<Uid> = part.iter().cloned().collect();
+    for part in live.chunks(status_queries::most_at_once(shared)) {
+        let part: BTreeSet<JobId> = part.iter().cloned().collect();
         let mut accepted = part.clone();
-        let (found, trouble) = status_reads::standings(&lookup(shared), &part, &mut accepted);
+        let (found, trouble) = job_status_reads::statuses(&lookup(shared), &part, &mut accepted);
         if let Some(e) = trouble {
             return Err(e);
         }
         let before = cancelled.len();
-        let is_cancelled = |uid: &&Uid| found.get(*uid) == Some(&Some(Verdict::Cancelled));
+        let is_cancelled =
+            |job_id: &&JobId| found.get(*job_id) == Some(&Some(JobOutcome::Cancelled));
         cancelled.extend(part.iter().filter(is_cancelled).cloned());
         if cancelled.len() - before < part.len() {
             break;
--- a/src/net/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -4,13 +4,13 @@
 //! submissions are entered there as well, so that a cancellation which it confirms finds them. A list
 //! that is full is left as it is: the leader finds the rest, and no submission is refused for it.
 
-use super::front::STORE_CALL;
-use super::peer::FRAMES_LIVE_INDEX;
-use super::store::{Change, Content, StoreError, Txn};
-use super::wire::StoredDependents;
-use crate::core::ledger::{dependents_key, job_key};
-use crate::core::model::Uid;
-use crate::runtime::budget::Rank;
+use crate::api::server::STORE_CALL;
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::{dependents_key, job_key};
+use crate::net::peer::FRAMES_LIVE_INDEX;
+use crate::net::store::{Change, Content, StoreError, TransactionOutcome};
+use crate::net::wire::StoredDependents;
 use crate::runtime::service::Shared;
 
 /// Lists written in one transaction: their values count together.
@@ -18,7 +18,7 @@
 
 /// Whether the lists were left consistent with the verdicts of the dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum DependentsListOutcome {
     /// The job is in the lists of its dependencies.
     Entered,
     /// A list or a verdict changed meanwhile.
@@ -31,39 +31,47 @@
 }
 
 /// Enters a job in the lists of its dependencies, on condition that none of them has a verdict.
-pub fn enter(shared: &Shared, uid: &Uid, dependencies: &[Uid]) -> Result<Listed, StoreError> {
-    let at_once = shared.settings.params.txn_ops.clamp(1, LISTS_AT_ONCE);
+pub fn enter(
+    shared: &Shared,
+    job_id: &JobId,
+    dependencies: &[JobId],
+) -> Result<DependentsListOutcome, StoreError> {
+    let at_once = shared.settings.config.txn_ops.clamp(1, LISTS_AT_ONCE);
     for part in dependencies.chunks(at_once) {
-        if enter_part(shared, uid, part)? == Listed::Changed {
-            return Ok(Listed::Changed);
+        if enter_part(shared, job_id, part)? == DependentsListOutcome::Changed {
+            return Ok(DependentsListOutcome::Changed);
         }
     }
-    Ok(Listed::Entered)
+    Ok(DependentsListOutcome::Entered)
 }
 
-fn enter_part(shared: &Shared, uid: &Uid, dependencies: &[Uid]) -> Result<Listed, StoreError> {
-    let room = shared.settings.params.value_bytes;
+fn enter_part(
+    shared: &Shared,
+    job_id: &JobId,
+    dependencies: &[JobId],
+) -> Result<DependentsListOutcome, StoreError> {
+    let room = shared.settings.config.value_bytes;
     let mut conditions = Vec::new();
     let mut lists = Vec::new();
     for dependency in dependencies {
         let key = dependents_key(dependency);
         let entry = shared
             .store
-            .get::<StoredDependents>(&key, Rank::User, STORE_CALL)?;
-        let (mut list, stamp) = entry.map_or_else(Default::default, |e| (e.value, e.stamp));
-        if list.by.contains(&uid.0) {
+            .get::<StoredDependents>(&key, RequestClass::User, STORE_CALL)?;
+        let (mut list, revision) = entry.map_or_else(Default::default, |e| (e.value, e.revision));
+        if list.by.contains(&job_id.0) {
             continue;
         }
-        list.by.push(uid.0.clone());
+        list.by.push(job_id.0.clone());
         if list.size_bound() > room {
             continue;
         }
-        conditions.push((key.clone(), stamp));
+        conditions.push((key.clone(), revision));
         conditions.push((job_key(dependency), 0));
         lists.push((key, list));
     }
     if lists.is_empty() {
-        return Ok(Listed::Entered);
+        return Ok(DependentsListOutcome::Entered);
     }
     let changes = lists.iter().map(|(key, list)| Change::Put {
         key,
@@ -71,10 +79,17 @@
         permit: None,
     });
     let store = &shared.store;
-    match store.txn(&conditions, changes.collect(), Rank::User, STORE_CALL) {
-        Ok(Txn::Applied { .. }) => Ok(Listed::Entered),
+    match store.txn(
+        &conditions,
+        changes.collect(),
+        RequestClass::User,
+        STORE_CALL,
+    ) {
+        Ok(TransactionOutcome::Applied { .. }) => Ok(DependentsListOutcome::Entered),
         // If it was carried out after all, the next look finds it in the lists.
-        Ok(Txn::Failed { .. }) | Err(StoreError::Unknown) => Ok(Listed::Changed),
+        Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
+            Ok(DependentsListOutcome::Changed)
+        }
         Err(e) => Err(e),
     }
 }
--- a/src/net/live_index.rs
+++ b/src/api/live_index.rs
@@ -4,11 +4,11 @@
 //! accepts the job. So a read of the index that begins after a job's verdict is durable shows every
 //! dependent that was accepted before: none can be accepted after.
 
-use super::store::StoreError;
-use crate::core::dependencies::DependentsIndex;
-use crate::core::ledger::LIVE_PREFIX;
-use crate::core::model::Uid;
-use crate::runtime::budget::Rank;
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::LIVE_PREFIX;
+use crate::core::state::dependencies::DependentsIndex;
+use crate::net::store::StoreError;
 use crate::runtime::service::Shared;
 use serde::Deserialize;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,8 +21,8 @@
 /// What is needed of a live job's record.
 #[derive(Deserialize)]
 struct LiveJob {
-    #[serde(default)]
-    needs: Vec<String>,
+    #[serde(default, rename = "needs")]
+    dependencies: Vec<String>,
 }
 
 /// The last read of the index. Those who wait for one share it.
@@ -44,8 +44,8 @@
         since: Instant,
     ) -> Result<Arc<DependentsIndex>, StoreError> {
         let mut last = self.lock();
-        if let Some(snapshot) = last.as_ref().filter(|s| s.begun >= since) {
-            return Ok(snapshot.dependents.clone());
+        if let Some(checkpoint_duration) = last.as_ref().filter(|s| s.begun >= since) {
+            return Ok(checkpoint_duration.dependents.clone());
         }
         let begun = Instant::now();
         let dependents = Arc::new(read(shared)?);
@@ -64,15 +64,19 @@
 fn read(shared: &Shared) -> Result<DependentsIndex, StoreError> {
     let (pairs, _) = shared.store.list_patiently::<LiveJob>(
         LIVE_PREFIX,
-        Rank::User,
+        RequestClass::User,
         PAGE_LIMIT,
         READ_LIMIT,
         &shared.stop,
     )?;
     let jobs = pairs.into_iter().filter_map(|pair| {
-        let uid = pair.path.strip_prefix(LIVE_PREFIX).and_then(Uid::parse)?;
-        let needs = pair.value.needs.iter().filter_map(|n| Uid::parse(n));
-        Some((uid, needs.collect()))
+        let job_id = pair.path.strip_prefix(LIVE_PREFIX).and_then(JobId::parse)?;
+        let dependencies = pair
+            .value
+            .dependencies
+            .iter()
+            .filter_map(|n| JobId::parse(n));
+        Some((job_id, dependencies.collect()))
     });
     Ok(DependentsIndex::new(jobs))
 }
--- a/src/net/front.rs
+++ b/src/api/server.rs
@@ -5,15 +5,15 @@
 //! the users' pools wait for the state service, so a slow one never holds reports up, and a storm of
 //! questions no submission; health checks and questions about what is over wait for nobody.
 
-use super::cancellation;
-use super::listen::{self, Limits, Request};
-use super::peer::{Ask, Reply};
-use super::questions;
-use super::submission::{self, read_submission};
-use super::wire::{self, JobState};
-use crate::core::ledger::Verdict;
-use crate::core::model::Uid;
+use crate::api::cancellation;
+use crate::api::status_queries;
+use crate::api::submission::{self, read_submission};
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::JobOutcome;
+use crate::net::http_server::{self, Limits, Request};
+use crate::net::peer::{PeerRequest, PeerResponse};
 use crate::net::store::StoreError;
+use crate::net::wire::{self, JobState};
 use crate::runtime::service::Shared;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 use std::collections::BTreeSet;
@@ -32,10 +32,10 @@
 /// A worker waits 4 s for its answer. What has waited for most of that is answered at once instead.
 const HEARTBEAT_STALE: Duration = Duration::from_millis(2500);
 /// A user waits 2 s for an answer to a question, and 5 s for one to a submission.
-pub(super) const USER_STALE: Duration = Duration::from_millis(1800);
+pub(crate) const USER_STALE: Duration = Duration::from_millis(1800);
 /// Connections are closed after as many intervals of the workers' reports without a request.
-const IDLE_REPORTS: u32 = 8;
-const IDLE_LEAST: Duration = Duration::from_secs(60);
+const IDLE_HEARTBEATS: u32 = 8;
+const IDLE_MIN: Duration = Duration::from_secs(60);
 
 type Spawn<'a> = dyn FnMut(&str, Box<dyn FnOnce() + Send>) -> std::io::Result<()> + 'a;
 
@@ -64,22 +64,22 @@
         let (s, q) = (shared.clone(), user_queue.clone());
         spawn("users", Box::new(move || user_pool(&s, &q)))?;
     }
-    let (asking, question_queue) = bounded::<Request>(questions::QUESTIONS_WAITING);
-    for _ in 0..questions::QUESTION_THREADS {
+    let (asking, question_queue) = bounded::<Request>(status_queries::QUESTIONS_WAITING);
+    for _ in 0..status_queries::QUESTION_THREADS {
         let (s, q) = (shared.clone(), question_queue.clone());
-        spawn("questions", Box::new(move || questions::pool(&s, &q)))?;
+        spawn("questions", Box::new(move || status_queries::pool(&s, &q)))?;
     }
     let limits = Limits {
         connections: shared.settings.sockets().front,
         body: wire::BODY_LIMIT,
-        idle: (shared.settings.params.report * IDLE_REPORTS).max(IDLE_LEAST),
+        idle: (shared.settings.config.heartbeat * IDLE_HEARTBEATS).max(IDLE_MIN),
     };
     let s = shared.clone();
     spawn(
         "front",
         Box::new(move || {
             let take = |requests| dispatch(&s, requests, &heartbeats, &users, &asking);
-            if let Err(e) = listen::serve(listener, limits, &s.stop, take) {
+            if let Err(e) = http_server::serve(listener, limits, &s.stop, take) {
                 log::error!("the front cannot listen why=\"{e}\"");
             }
         }),
@@ -139,16 +139,16 @@
 }
 
 /// The answer to a question that needs nobody else.
-fn at_once(shared: &Shared, id: &str) -> Option<Answer> {
-    let Some(uid) = Uid::parse(id) else {
+fn at_once(shared: &Shared, id: &str) -> Option<ApiResponse> {
+    let Some(job_id) = JobId::parse(id) else {
         return Some((problem(404, "no such job"), None));
     };
-    let v = shared.view.final_answer(&uid)?;
-    Some(((200, state(shared, &uid, v, true)), None))
+    let v = shared.view.final_answer(&job_id)?;
+    Some(((200, state(shared, &job_id, v, true)), None))
 }
 
 /// What can be refused for good without asking anybody: it must not be told to come back.
-fn hopeless(r: &Request) -> Option<Answer> {
+fn hopeless(r: &Request) -> Option<ApiResponse> {
     match route(&r.method, &r.path) {
         Err(refusal) => Some((refusal, None)),
         Ok(Route::Submit) => match read_submission(&r.body) {
@@ -160,9 +160,9 @@
 }
 
 /// Status and body, and after how many seconds the client should come back.
-pub type Answer = ((u16, Vec<u8>), Option<u64>);
+pub type ApiResponse = ((u16, Vec<u8>), Option<u64>);
 
-pub(super) fn respond(request: Request, ((status, body), retry_after): Answer) {
+pub(crate) fn respond(request: Request, ((status, body), retry_after): ApiResponse) {
     request.respond(status, &body, retry_after);
 }
 
@@ -185,12 +185,12 @@
             }
             !stale
         });
-        let reports = batch
+        let heartbeats = batch
             .iter_mut()
             .map(|r| (r.from, std::mem::take(&mut r.body)))
             .collect();
         let came = batch.iter().map(|r| r.came).min().unwrap_or(now);
-        let answers = shared.heartbeats(reports, came, now);
+        let answers = shared.heartbeats(heartbeats, came, now);
         for (r, (status, body)) in batch.into_iter().zip(answers) {
             r.respond_briefly(status, &body, None);
         }
@@ -210,7 +210,7 @@
 }
 
 /// A submission or a cancellation, here or by a peer that reaches the state service where we do not.
-fn take(shared: &Shared, r: &Request) -> Answer {
+fn take(shared: &Shared, r: &Request) -> ApiResponse {
     match local(shared, &r.method, &r.path, &r.body) {
         Ok(answer) => answer,
         Err(e) => {
@@ -225,7 +225,12 @@
 }
 
 /// What this node can do itself. Its errors say that the state service could not be asked.
-fn local(shared: &Shared, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
+fn local(
+    shared: &Shared,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Result<ApiResponse, StoreError> {
     match route(method, path) {
         Ok(Route::Submit) => submission::submit(shared, body),
         Ok(Route::Withdraw(id)) => cancellation::cancel(shared, id),
@@ -235,7 +240,7 @@
 }
 
 /// What a peer passes on to us. It is not passed on a second time.
-pub fn for_peer(shared: &Shared, method: &str, path: &str, body: &[u8]) -> Answer {
+pub fn for_peer(shared: &Shared, method: &str, path: &str, body: &[u8]) -> ApiResponse {
     match local(shared, method, path, body) {
         Ok(answer) => answer,
         Err(StoreError::Spent) => crowded(shared),
@@ -245,14 +250,14 @@
 
 /// A submission that failed here may still be carried out later: its conditions make the second one
 /// find the first, whichever it is.
-fn by_peer(shared: &Shared, r: &Request) -> Option<Answer> {
-    let ask = Ask::User {
+fn by_peer(shared: &Shared, r: &Request) -> Option<ApiResponse> {
+    let ask = PeerRequest::User {
         method: r.method.clone(),
         path: r.path.clone(),
         body: r.body.clone(),
     };
     match shared.able_peer()?.ask(&ask, PEER_CALL) {
-        Ok(Reply::User(status, body, retry)) => Some(((status, body), retry)),
+        Ok(PeerResponse::User(status, body, retry)) => Some(((status, body), retry)),
         _ => None,
     }
 }
@@ -292,21 +297,21 @@
 const PEER_CALL: Duration = Duration::from_millis(2000);
 
 /// When to come back: soon for a moment's shortage, later when the state service is out.
-pub(super) fn unavailable(shared: &Shared) -> Answer {
+pub(crate) fn unavailable(shared: &Shared) -> ApiResponse {
     let lost = !shared.view.store_ok(Instant::now());
     let retry = if lost { 3 } else { 1 };
     (problem(503, "not now"), Some(retry))
 }
 
 /// The rate is used up: when to come back depends on how many others are told the same.
-fn crowded(shared: &Shared) -> Answer {
+fn crowded(shared: &Shared) -> ApiResponse {
     let retry = shared.store.budgets().relief().as_secs_f64().ceil() as u64;
     (problem(503, "the rate is used up"), Some(retry))
 }
 
-pub(super) const STORE_CALL: Duration = USER_CALL;
+pub(crate) const STORE_CALL: Duration = USER_CALL;
 
-pub(super) fn store_said<T>(shared: &Shared, r: &Result<T, StoreError>) {
+pub(crate) fn store_said<T>(shared: &Shared, r: &Result<T, StoreError>) {
     match r {
         // Out of the rate or over a limit is no sign of the state service's health.
         Err(StoreError::Spent | StoreError::NoLease | StoreError::Refused) => {}
@@ -314,17 +319,17 @@
     }
 }
 
-pub(super) fn state(shared: &Shared, uid: &Uid, v: Verdict, counts: bool) -> Vec<u8> {
+pub(crate) fn state(shared: &Shared, job_id: &JobId, v: JobOutcome, counts: bool) -> Vec<u8> {
     let (done, running) = shared
         .view
         .read()
         .progress
-        .get(uid)
+        .get(job_id)
         .copied()
         .unwrap_or_default();
     wire::encode(&JobState {
-        uid: uid.0.clone(),
-        phase: verdict_name(v, running),
+        job_id: job_id.0.clone(),
+        phase: outcome_name(v, running),
         done: counts.then_some(done),
         running: counts.then_some(running),
     })
@@ -332,44 +337,51 @@
 
 /// The verdict from memory if users may be told it, else from the state service: no node may be behind
 /// another. A cancellation that was read may be told only once it is confirmed (`cancellation`).
-pub(super) fn verdict(shared: &Shared, uid: &Uid) -> Result<Option<(Verdict, u64)>, StoreError> {
-    if let Some(v) = shared.view.final_answer(uid) {
+pub(crate) fn outcome(
+    shared: &Shared,
+    job_id: &JobId,
+) -> Result<Option<(JobOutcome, u64)>, StoreError> {
+    if let Some(v) = shared.view.final_answer(job_id) {
         return Ok(Some((v, 0)));
     }
     if !shared.view.store_ok(Instant::now()) {
         return Err(StoreError::Unavailable);
     }
-    let accepted = shared.view.is_accepted(uid);
-    let found = shared.store.verdict(uid, accepted, USER_CALL);
+    let accepted = shared.view.is_accepted(job_id);
+    let found = shared.store.outcome(job_id, accepted, USER_CALL);
     store_said(shared, &found);
     match &found {
-        Ok(Some((Verdict::Live, _))) if !accepted => {
-            shared.view.remember_accepted(std::iter::once(uid));
+        Ok(Some((JobOutcome::Live, _))) if !accepted => {
+            shared.view.remember_accepted(std::iter::once(job_id));
         }
-        Ok(Some((Verdict::Done, _))) => shared.view.remember_final(uid, Verdict::Done),
+        Ok(Some((JobOutcome::Done, _))) => shared.view.remember_final(job_id, JobOutcome::Done),
         _ => {}
     }
     found
 }
 
 /// A known job's state, or the answer for one that was never accepted.
-pub(super) fn known(shared: &Shared, uid: &Uid, otherwise: Answer) -> Result<Answer, StoreError> {
-    let Some((verdict, _)) = verdict(shared, uid)? else {
+pub(crate) fn known(
+    shared: &Shared,
+    job_id: &JobId,
+    otherwise: ApiResponse,
+) -> Result<ApiResponse, StoreError> {
+    let Some((outcome, _)) = outcome(shared, job_id)? else {
         return Ok(otherwise);
     };
-    let cancelled = BTreeSet::from([uid.clone()]);
-    if verdict == Verdict::Cancelled && cancellation::confirmed(shared, &cancelled)?.is_empty() {
+    let cancelled = BTreeSet::from([job_id.clone()]);
+    if outcome == JobOutcome::Cancelled && cancellation::confirmed(shared, &cancelled)?.is_empty() {
         return Ok(unavailable(shared));
     }
-    Ok(((200, state(shared, uid, verdict, false)), None))
+    Ok(((200, state(shared, job_id, outcome, false)), None))
 }
 
 /// What a verdict is called in answers.
-fn verdict_name(v: Verdict, running: u32) -> &'static str {
+fn outcome_name(v: JobOutcome, running: u32) -> &'static str {
     match v {
-        Verdict::Live if running > 0 => "running",
-        Verdict::Live => "queued",
-        Verdict::Done => "done",
-        Verdict::Cancelled => "withdrawn",
+        JobOutcome::Live if running > 0 => "running",
+        JobOutcome::Live => "queued",
+        JobOutcome::Done => "done",
+        JobOutcome::Cancelled => "withdrawn",
     }
 }
--- a/src/net/questions.rs
+++ b/src/api/status_queries.rs
@@ -4,16 +4,18 @@
 //! state service. Each is answered from a read that began after it came, or from a final verdict. A
 //! node that the state service does not answer has a peer ask.
 
-use super::cancellation;
-use super::front::{problem, respond, state, store_said, unavailable, Answer, USER_STALE};
-use super::listen::Request;
-use super::peer::{Ask, JobStanding, Reply};
-use super::store::{Asked, StoreError};
-use super::wire;
-use crate::core::ledger::Verdict;
-use crate::core::model::Uid;
-use crate::core::status_reads::{self, Standing};
-use crate::runtime::budget::Rank;
+use crate::api::cancellation;
+use crate::api::server::{
+    problem, respond, state, store_said, unavailable, ApiResponse, USER_STALE,
+};
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::JobId;
+use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
+use crate::core::persistence::ledger::JobOutcome;
+use crate::net::http_server::Request;
+use crate::net::peer::{PeerJobStatus, PeerRequest, PeerResponse};
+use crate::net::store::{Asked, StoreError};
+use crate::net::wire;
 use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -31,12 +33,12 @@
 /// How many questions share one call, within the limits of a transaction.
 pub fn most_at_once(shared: &Shared) -> usize {
     // Four times as many conditions as changes.
-    status_reads::most_at_once(shared.settings.params.txn_ops * 4, wire::BODY_LIMIT)
+    job_status_reads::most_at_once(shared.settings.config.txn_ops * 4, wire::BODY_LIMIT)
 }
 
 /// The job that a question's path names.
-pub fn job_of(path: &str) -> Option<Uid> {
-    path.strip_prefix("/api/jobs/").and_then(Uid::parse)
+pub fn job_of(path: &str) -> Option<JobId> {
+    path.strip_prefix("/api/jobs/").and_then(JobId::parse)
 }
 
 /// Answers questions about jobs, many at a time, until the queue ends.
@@ -44,7 +46,7 @@
     let most = most_at_once(shared);
     while let Ok(first) = queue.recv() {
         let until = first.came + PATIENCE;
-        let asked = Asked::new(&shared.store, &shared.stop, Rank::User, until);
+        let asked = Asked::new(&shared.store, &shared.stop, RequestClass::User, until);
         // Those that come while the rate is short go together, once it is not.
         if shared.view.store_ok(Instant::now()) {
             asked.admit();
@@ -61,27 +63,27 @@
 }
 
 fn answer(shared: &Shared, asked: &Asked<'_>, batch: Vec<Request>) {
-    let mut by_job: BTreeMap<Uid, Vec<Request>> = BTreeMap::new();
+    let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
     for r in batch {
         match job_of(&r.path) {
             _ if r.came.elapsed() > USER_STALE => respond(r, unavailable(shared)),
-            Some(uid) => by_job.entry(uid).or_default().push(r),
+            Some(job_id) => by_job.entry(job_id).or_default().push(r),
             None => respond(r, (problem(404, "no such job"), None)),
         }
     }
-    let uids: BTreeSet<Uid> = by_job.keys().cloned().collect();
-    let (mut found, trouble) = local(shared, asked, &uids);
-    let missing: Vec<&Uid> = uids.iter().filter(|u| !found.contains_key(*u)).collect();
+    let job_ids: BTreeSet<JobId> = by_job.keys().cloned().collect();
+    let (mut found, trouble) = local(shared, asked, &job_ids);
+    let missing: Vec<&JobId> = job_ids.iter().filter(|u| !found.contains_key(*u)).collect();
     if !missing.is_empty() && trouble.is_some_and(|e| e != StoreError::Spent) {
         found.extend(by_peer(shared, &missing));
     }
-    for (uid, requests) in by_job {
-        let said = found.get(&uid).copied();
+    for (job_id, requests) in by_job {
+        let said = found.get(&job_id).copied();
         for r in requests {
             // A process that stood still meanwhile must not pass an old answer off as a new one.
             let late = r.came.elapsed() > USER_STALE;
             let answer = match said {
-                Some(standing) if !late => reply(shared, &uid, standing),
+                Some(status) if !late => reply(shared, &job_id, status),
                 _ => unavailable(shared),
             };
             respond(r, answer);
@@ -89,9 +91,9 @@
     }
 }
 
-fn reply(shared: &Shared, uid: &Uid, standing: Standing) -> Answer {
-    match standing {
-        Some(v) => ((200, state(shared, uid, v, true)), None),
+fn reply(shared: &Shared, job_id: &JobId, status: JobRecordStatus) -> ApiResponse {
+    match status {
+        Some(v) => ((200, state(shared, job_id, v, true)), None),
         None => (problem(404, "no such job"), None),
     }
 }
@@ -100,15 +102,15 @@
 fn local(
     shared: &Shared,
     asked: &Asked<'_>,
-    uids: &BTreeSet<Uid>,
-) -> (HashMap<Uid, Standing>, Option<StoreError>) {
-    let mut found: HashMap<Uid, Standing> = HashMap::new();
-    for uid in uids {
-        if let Some(v) = shared.view.final_answer(uid) {
-            found.insert(uid.clone(), Some(v));
+    job_ids: &BTreeSet<JobId>,
+) -> (HashMap<JobId, JobRecordStatus>, Option<StoreError>) {
+    let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
+    for job_id in job_ids {
+        if let Some(v) = shared.view.final_answer(job_id) {
+            found.insert(job_id.clone(), Some(v));
         }
     }
-    let open: BTreeSet<Uid> = uids
+    let open: BTreeSet<JobId> = job_ids
         .iter()
         .filter(|u| !found.contains_key(*u))
         .cloned()
@@ -121,7 +123,7 @@
     }
     let mut accepted = shared.view.accepted_of(open.iter());
     let before = accepted.len();
-    let (mut said, trouble) = status_reads::standings(asked, &open, &mut accepted);
+    let (mut said, trouble) = job_status_reads::statuses(asked, &open, &mut accepted);
     if accepted.len() > before {
         shared.view.remember_accepted(accepted.iter());
     }
@@ -137,9 +139,12 @@
 
 /// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are.
 /// Returns what kept it from finding out.
-fn withhold_unconfirmed(shared: &Shared, found: &mut HashMap<Uid, Standing>) -> Option<StoreError> {
-    let is_cancelled = |s: &Standing| *s == Some(Verdict::Cancelled);
-    let cancelled: BTreeSet<Uid> = found
+fn withhold_unconfirmed(
+    shared: &Shared,
+    found: &mut HashMap<JobId, JobRecordStatus>,
+) -> Option<StoreError> {
+    let is_cancelled = |s: &JobRecordStatus| *s == Some(JobOutcome::Cancelled);
+    let cancelled: BTreeSet<JobId> = found
         .iter()
         .filter(|(_, s)| is_cancelled(s))
         .map(|(u, _)| u.clone())
@@ -151,50 +156,50 @@
         Ok(confirmed) => (confirmed, None),
         Err(e) => (BTreeSet::new(), Some(e)),
     };
-    found.retain(|uid, standing| !is_cancelled(standing) || confirmed.contains(uid));
+    found.retain(|job_id, status| !is_cancelled(status) || confirmed.contains(job_id));
     trouble
 }
 
 /// Has a peer ask that reaches the state service.
-fn by_peer(shared: &Shared, uids: &[&Uid]) -> HashMap<Uid, Standing> {
+fn by_peer(shared: &Shared, job_ids: &[&JobId]) -> HashMap<JobId, JobRecordStatus> {
     let mut found = HashMap::new();
     let Some(peer) = shared.able_peer() else {
         return found;
     };
-    let ask = Ask::Questions(uids.iter().map(|u| u.0.clone()).collect());
-    let Ok(Reply::JobStandings(words)) = peer.ask(&ask, PEER_PATIENCE) else {
+    let ask = PeerRequest::Questions(job_ids.iter().map(|u| u.0.clone()).collect());
+    let Ok(PeerResponse::JobStandings(words)) = peer.ask(&ask, PEER_PATIENCE) else {
         return found;
     };
-    for (uid, word) in uids.iter().zip(words) {
-        let standing = match word {
-            JobStanding::Silence => continue,
-            JobStanding::NeverAccepted => None,
-            JobStanding::Live => Some(Verdict::Live),
-            JobStanding::Done => Some(Verdict::Done),
-            JobStanding::Cancelled => Some(Verdict::Cancelled),
+    for (job_id, word) in job_ids.iter().zip(words) {
+        let status = match word {
+            PeerJobStatus::Silence => continue,
+            PeerJobStatus::NeverAccepted => None,
+            PeerJobStatus::Live => Some(JobOutcome::Live),
+            PeerJobStatus::Done => Some(JobOutcome::Done),
+            PeerJobStatus::Cancelled => Some(JobOutcome::Cancelled),
         };
-        found.insert((*uid).clone(), standing);
+        found.insert((*job_id).clone(), status);
     }
     shared.view.learn(&found);
     found
 }
 
 /// A peer's questions, which are not passed on a second time.
-pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<JobStanding> {
-    let uids: Vec<Option<Uid>> = names.iter().map(|n| Uid::parse(n)).collect();
+pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<PeerJobStatus> {
+    let job_ids: Vec<Option<JobId>> = names.iter().map(|n| JobId::parse(n)).collect();
     let until = Instant::now() + PEER_PATIENCE;
-    let asked = Asked::new(&shared.store, &shared.stop, Rank::User, until);
-    let all: Vec<Uid> = uids.iter().flatten().cloned().collect();
+    let asked = Asked::new(&shared.store, &shared.stop, RequestClass::User, until);
+    let all: Vec<JobId> = job_ids.iter().flatten().cloned().collect();
     let mut found = HashMap::new();
     for part in all.chunks(most_at_once(shared)) {
         found.extend(local(shared, &asked, &part.iter().cloned().collect()).0);
     }
-    let word = |uid: &Option<Uid>| match uid.as_ref().and_then(|u| found.get(u)) {
-        None => JobStanding::Silence,
-        Some(None) => JobStanding::NeverAccepted,
-        Some(Some(Verdict::Live)) => JobStanding::Live,
-        Some(Some(Verdict::Done)) => JobStanding::Done,
-        Some(Some(Verdict::Cancelled)) => JobStanding::Cancelled,
+    let word = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|u| found.get(u)) {
+        None => PeerJobStatus::Silence,
+        Some(None) => PeerJobStatus::NeverAccepted,
+        Some(Some(JobOutcome::Live)) => PeerJobStatus::Live,
+        Some(Some(JobOutcome::Done)) => PeerJobStatus::Done,
+        Some(Some(JobOutcome::Cancelled)) => PeerJobStatus::Cancelled,
     };
-    uids.iter().map(word).collect()
+    job_ids.iter().map(word).collect()
 }
--- a/src/runtime/metrics.rs
+++ b/src/common/metrics.rs
@@ -5,26 +5,25 @@
 use std::time::Duration;
 
 /// An hour. Anything longer counts as an hour.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_US: u64 = 3_600_000_000;
 
 /// Durations of one kind since the last summary, in microseconds.
-pub struct Meter {
+pub struct LatencyMeter {
     histogram: Mutex<Histogram<u64>>,
 }
 
-impl Default for Meter {
+impl Default for LatencyMeter {
     fn default() -> Self {
-        Meter::new()
+        LatencyMeter::new()
     }
 }
 
-impl Meter {
+impl LatencyMeter {
     /// An empty meter.
-    pub fn new() -> Meter {
+    pub fn new() -> LatencyMeter {
         // Fixed bounds: a histogram that grows by itself clamps saturating records to its first size.
-        let histogram =
-            Histogram::new_with_bounds(1, LONGEST_US, 2).expect("the bounds are in order");
-        Meter {
+        let histogram = Histogram::new_with_bounds(1, MAX_US, 2).expect("the bounds are in order");
+        LatencyMeter {
             histogram: Mutex::new(histogram),
         }
     }
@@ -54,18 +53,18 @@
 /// How late this node's own timers fire, on average over the last few: in a process that runs out of its
 /// share of the processor, everything is late.
 #[derive(Default)]
-pub struct Strain {
+pub struct TimerLag {
     late: Mutex<Duration>,
 }
 
 /// Of the last timer in the average.
 const LAST_PART: f64 = 0.15;
 
-impl Strain {
+impl TimerLag {
     /// A timer fired this much too late.
     pub fn fired(&self, late: Duration) {
         let mut mean = self.late.lock().unwrap_or_else(|e| e.into_inner());
-        *mean = mean.mul_f64(1.0 - LAST_PART) + late.min(MOST_LATE).mul_f64(LAST_PART);
+        *mean = mean.mul_f64(1.0 - LAST_PART) + late.min(MAX_LATE).mul_f64(LAST_PART);
     }
 
     /// How late timers fire of late.
@@ -75,4 +74,4 @@
 }
 
 /// A standstill is no strain: one such timer must not count for many.
-const MOST_LATE: Duration = Duration::from_secs(2);
+const MAX_LATE: Duration = Duration::from_secs(2);
--- a/src/runtime/budget.rs
+++ b/src/common/rate_limit.rs
@@ -7,7 +7,7 @@
 
 /// Who asks: what the leader needs to keep leading and launching, or a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rank {
+pub enum RequestClass {
     /// What the leader needs to lead and to launch.
     Leader,
     /// A user's request.
@@ -142,7 +142,7 @@
 
 /// Whose submissions leave a part of the rate to other teams: a team that sends most of them.
 #[derive(Default)]
-pub struct Crowd {
+pub struct SubmissionFairness {
     recent: Mutex<HashMap<TeamName, (f64, Instant)>>,
 }
 
@@ -150,7 +150,7 @@
 const RECENT: Duration = Duration::from_secs(5);
 const CROWD_LEAVES: f64 = 0.4;
 
-impl Crowd {
+impl SubmissionFairness {
     /// Counts one submission, and tells which part of the rate it must leave.
     pub fn floor(&self, team: &TeamName, now: Instant) -> f64 {
         let mut recent = self.recent.lock().unwrap_or_else(|e| e.into_inner());
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,6 +1,6 @@
 //! Which submissions can be taken: the checks behind 422.
 
-use super::model::{HostType, JobKind, JobSpec, Need, Team};
+use super::model::{JobKind, JobSpec, MachineType, Resources, Team};
 
 /// Why a job can never run.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -35,24 +35,24 @@
 }
 
 /// Checks what the settings and the machine types allow.
-pub fn check(spec: &JobSpec, teams: &[Team], types: &[HostType]) -> Result<(), Refusal> {
+pub fn check(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), Refusal> {
     let team = teams
         .iter()
-        .find(|t| t.name == spec.owner)
+        .find(|t| t.name == spec.team)
         .ok_or(Refusal::UnknownTeam)?;
     let fits = types.iter().any(|t| {
         spec.allows_type(&t.name)
-            && spec.need.fits(&t.room)
-            && t.sites.iter().any(|s| spec.allows_site(s))
+            && spec.resources.fits(&t.room)
+            && t.zones.iter().any(|s| spec.allows_zone(s))
     });
     if !fits {
         return Err(Refusal::NoType);
     }
     let whole = match spec.kind {
-        JobKind::Batch => spec.need,
-        JobKind::Gang => spec.need.times(f64::from(spec.shards)),
+        JobKind::Batch => spec.resources,
+        JobKind::Gang => spec.resources.times(f64::from(spec.task_count)),
     };
-    if team.allows(&Need::default(), &whole) {
+    if team.allows(&Resources::default(), &whole) {
         Ok(())
     } else {
         Err(Refusal::OverLimit)
--- a/src/core/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -1,10 +1,10 @@
 //! Machines that are drained: expensive ones that cheaper ones can replace, and thinly used ones.
 
-use super::capacity::*;
-use super::cluster::{Cluster, Host};
-use super::model::{HostId, JobKind, Need, TaskId, TypeName};
-use super::placement::Round;
-use super::zones::{permits, ZoneUse};
+use crate::core::capacity::*;
+use crate::core::model::{JobKind, MachineId, MachineTypeName, Resources, TaskId};
+use crate::core::placement::zone_constraints::{permits, ZoneUse};
+use crate::core::placement::Round;
+use crate::core::state::cluster_state::{ClusterState, Machine};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -19,25 +19,25 @@
 const MOVE_RAN: Duration = Duration::from_secs(31);
 const MOVE_REST: Duration = Duration::from_secs(20);
 
-impl Cluster {
+impl ClusterState {
     /// Ordinary machines in use are replaced by spot ones of their type where these can be had.
-    pub(super) fn replace_expensive(&mut self, now: Instant, round: &Round) {
+    pub(in crate::core) fn replace_expensive(&mut self, now: Instant, round: &Round) {
         if self.capacity.replace_after.is_none_or(|t| t <= now) && round.waiting.is_empty() {
             let on_the_way: u32 = self.capacity.replacing.values().sum();
             // Of each type: ordinary machines, and those of them that are in use and could move.
-            let mut kinds: BTreeMap<&TypeName, (u32, u32)> = BTreeMap::new();
-            for h in self.hosts.values() {
+            let mut kinds: BTreeMap<&MachineTypeName, (u32, u32)> = BTreeMap::new();
+            for h in self.machines.values() {
                 if h.spot || h.draining || h.returning || !h.reported {
                     continue;
                 }
                 let expensive = self
-                    .host_type(&h.host_type)
+                    .machine_type(&h.machine_type)
                     .is_some_and(|t| t.hourly > t.low_price * EXPENSIVE_FACTOR);
                 let can_move = h.placed.keys().all(|t| {
-                    let job = self.jobs.get(&t.uid);
-                    job.is_none_or(|j| j.spec.preemptible)
+                    let job = self.jobs.get(&t.job_id);
+                    job.is_none_or(|j| j.spec.allows_spot)
                 });
-                let kind = kinds.entry(&h.host_type).or_default();
+                let kind = kinds.entry(&h.machine_type).or_default();
                 kind.0 += 1;
                 if expensive && can_move && !h.placed.is_empty() {
                     kind.1 += 1;
@@ -51,7 +51,7 @@
                 .filter(|(h, _)| h.spot)
                 .map(|(_, free)| free.cpus)
                 .sum();
-            let ordinary = self.hosts.values().filter(|h| !h.spot);
+            let ordinary = self.machines.values().filter(|h| !h.spot);
             let wanted: f64 = ordinary.map(|h| h.used.cpus).sum();
             let mut allowed = REPLACING
                 .max(all / REPLACING_PART)
@@ -63,15 +63,15 @@
             if let Some((name, (ordinary, busy))) = candidate.filter(|_| allowed > 0) {
                 let name = name.clone();
                 let under_way = self.capacity.replacing.get(&name).copied().unwrap_or(0);
-                let sites = self.host_type(&name).map(|t| t.sites.clone());
-                let offer = sites.unwrap_or_default().into_iter().find_map(|s| {
+                let zones = self.machine_type(&name).map(|t| t.zones.clone());
+                let offer = zones.unwrap_or_default().into_iter().find_map(|s| {
                     let offer = (name.clone(), s, true);
                     (!self.is_refused(now, &offer)).then_some(offer)
                 });
                 let n = allowed
                     .min(ordinary.saturating_sub(under_way))
                     .min(busy)
-                    .min(MOST_RENTED);
+                    .min(MAX_RENTED);
                 match offer {
                     Some(o) if n > 0 => {
                         *self.capacity.replacing.entry(name).or_default() += n;
@@ -86,8 +86,12 @@
         }
         for (name, n) in std::mem::take(&mut self.capacity.replaced) {
             let mut left = n;
-            for h in self.hosts.values_mut() {
-                if left > 0 && h.host_type == name && !h.spot && !h.draining && h.booting.is_none()
+            for h in self.machines.values_mut() {
+                if left > 0
+                    && h.machine_type == name
+                    && !h.spot
+                    && !h.draining
+                    && h.booting.is_none()
                 {
                     log::info!("host is drained for a cheaper one host={}", h.id);
                     h.draining = true;
@@ -99,46 +103,49 @@
 
     /// Drains the most expensive ordinary machines whose tasks would find room on spot machines by now,
     /// with the headroom left as it is.
-    pub(super) fn drain_superfluous(&mut self, now: Instant) {
-        let mut room: Vec<Need> = self
+    pub(in crate::core) fn drain_superfluous(&mut self, now: Instant) {
+        let mut room: Vec<Resources> = self
             .free_room(now)
             .into_iter()
             .filter(|(h, _)| h.spot)
             .map(|(_, n)| n)
             .collect();
         let headroom = self.headroom(now);
-        let mut expensive: Vec<(f64, &Host)> = self
-            .hosts
+        let mut expensive: Vec<(f64, &Machine)> = self
+            .machines
             .values()
             .filter(|h| h.reported && !h.spot && !h.draining && !h.returning)
             // Idle ones have their own time to go: a service that has just started has no tasks.
             .filter(|h| !h.placed.is_empty())
             .filter_map(|h| {
-                let t = self.host_type(&h.host_type)?;
+                let t = self.machine_type(&h.machine_type)?;
                 (t.hourly > t.low_price * EXPENSIVE_FACTOR).then_some((t.hourly, h))
             })
             .collect();
         expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
         let most = (expensive.len() / REPLACING_PART as usize).max(1);
-        let mut drained: Vec<HostId> = Vec::new();
+        let mut drained: Vec<MachineId> = Vec::new();
         for (_, h) in expensive {
             if drained.len() >= most || room.is_empty() {
                 break;
             }
             let before = room.clone();
-            let moves = h.placed.iter().all(|(task, need)| {
-                let spot = self.jobs.get(&task.uid).is_none_or(|j| j.spec.preemptible);
-                match room.iter_mut().find(|n| spot && need.fits(n)) {
+            let moves = h.placed.iter().all(|(task, resources)| {
+                let spot = self
+                    .jobs
+                    .get(&task.job_id)
+                    .is_none_or(|j| j.spec.allows_spot);
+                match room.iter_mut().find(|n| spot && resources.fits(n)) {
                     Some(n) => {
-                        n.sub(need);
+                        n.sub(resources);
                         true
                     }
                     None => false,
                 }
             });
             let enough = moves
-                && headroom.iter().all(|(tasks, need)| {
-                    let slots: usize = room.iter().map(|n| need.count_in(n)).sum();
+                && headroom.iter().all(|(tasks, resources)| {
+                    let slots: usize = room.iter().map(|n| resources.count_in(n)).sum();
                     slots >= *tasks as usize
                 });
             if enough {
@@ -152,7 +159,7 @@
             }
         }
         for id in drained {
-            if let Some(h) = self.hosts.get_mut(&id) {
+            if let Some(h) = self.machines.get_mut(&id) {
                 log::info!("host is drained, spot machines have room host={id}");
                 h.draining = true;
             }
@@ -162,18 +169,18 @@
     /// Moves the tasks of thinly used machines together, once nothing waits: the long tasks that are
     /// left when a burst is over would keep a machine each. Only what saves on being stopped moves,
     /// and only where the rest of its run is worth the trouble.
-    pub(super) fn consolidate(&mut self, now: Instant) {
-        let mut room: Vec<(&Host, Need, f64)> = self
+    pub(in crate::core) fn consolidate(&mut self, now: Instant) {
+        let mut room: Vec<(&Machine, Resources, f64)> = self
             .free_room(now)
             .into_iter()
             .filter_map(|(h, free)| {
-                let t = self.host_type(&h.host_type)?;
+                let t = self.machine_type(&h.machine_type)?;
                 Some((h, free, h.used.share_of(&t.room)))
             })
             .collect();
         // The fullest take; of equally full ones the cheaper.
-        let price = |h: &Host| {
-            let t = self.host_type(&h.host_type);
+        let price = |h: &Machine| {
+            let t = self.machine_type(&h.machine_type);
             t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
         };
         room.sort_by(|a, b| {
@@ -182,9 +189,9 @@
                 .then(a.0.id.cmp(&b.0.id))
         });
         let headroom = self.headroom(now);
-        let moving = self.hosts.values().filter(|h| h.draining).count();
+        let moving = self.machines.values().filter(|h| h.draining).count();
         let mut most = (room.len() / MOVING_PART).max(1).saturating_sub(moving);
-        let mut moves: Vec<(HostId, Vec<(TaskId, Duration)>)> = Vec::new();
+        let mut moves: Vec<(MachineId, Vec<(TaskId, Duration)>)> = Vec::new();
         let mut last = room.len();
         while most > 0 && last > 1 {
             last -= 1;
@@ -195,16 +202,16 @@
             let Some(tasks) = self.movable(now, h) else {
                 continue;
             };
-            let mut free: Vec<(usize, Need)> = Vec::new();
-            let fits = h.placed.values().all(|need| {
+            let mut free: Vec<(usize, Resources)> = Vec::new();
+            let fits = h.placed.values().all(|resources| {
                 let here = (0..last).find(|i| {
                     let taken = free.iter().rev().find(|f| f.0 == *i);
-                    need.fits(taken.map_or(&room[*i].1, |f| &f.1)) && room[*i].2 > 0.0
+                    resources.fits(taken.map_or(&room[*i].1, |f| &f.1)) && room[*i].2 > 0.0
                 });
                 here.is_some_and(|i| {
                     let taken = free.iter().rev().find(|f| f.0 == i);
                     let mut left = taken.map_or(room[i].1, |f| f.1);
-                    left.sub(need);
+                    left.sub(resources);
                     free.push((i, left));
                     true
                 })
@@ -212,8 +219,8 @@
             if !fits {
                 continue;
             }
-            let enough = headroom.iter().all(|(tasks, need)| {
-                let slots: usize = room[..last].iter().map(|r| need.count_in(&r.1)).sum();
+            let enough = headroom.iter().all(|(tasks, resources)| {
+                let slots: usize = room[..last].iter().map(|r| resources.count_in(&r.1)).sum();
                 slots >= *tasks as usize + h.placed.len()
             });
             if !enough {
@@ -231,44 +238,55 @@
                 "host is drained, its tasks move together host={id} tasks={}",
                 tasks.len()
             );
-            if let Some(h) = self.hosts.get_mut(&id) {
+            if let Some(h) = self.machines.get_mut(&id) {
                 h.draining = true;
             }
             for (t, grace) in tasks {
-                self.kill(now, &t.uid, t.index, grace);
+                self.kill(now, &t.job_id, t.index, grace);
             }
         }
     }
 
     /// The tasks of a host with the grace that each needs, when all of them can move.
-    pub(super) fn movable(&self, now: Instant, h: &Host) -> Option<Vec<(TaskId, Duration)>> {
+    pub(in crate::core) fn movable(
+        &self,
+        now: Instant,
+        h: &Machine,
+    ) -> Option<Vec<(TaskId, Duration)>> {
         let mut tasks = Vec::with_capacity(h.placed.len());
         for task in h.placed.keys() {
-            let job = self.jobs.get(&task.uid)?;
+            let job = self.jobs.get(&task.job_id)?;
             let a = job.active.get(&task.index)?;
             let ran = now.saturating_duration_since(a.running_since?);
             let rest = a.est.saturating_sub(ran);
             let plain = job.spec.kind == JobKind::Batch && !job.spec.same_place && !job.spec.spread;
-            let worth = job.spec.snapshot * 2 + MOVE_REST;
+            let worth = job.spec.checkpoint_duration * 2 + MOVE_REST;
             if !plain || !job.spec.saves() || a.kill.is_some() || ran < MOVE_RAN || rest < worth {
                 return None;
             }
-            tasks.push((task.clone(), job.spec.snapshot + Duration::from_secs(2)));
+            tasks.push((
+                task.clone(),
+                job.spec.checkpoint_duration + Duration::from_secs(2),
+            ));
         }
         Some(tasks)
     }
 
     /// A machine that is being drained is paid for in any case: while work waits, it takes some.
-    pub(super) fn keep_draining(&mut self, round: &Round) {
-        let mut draining: Vec<(&Host, Need)> = Vec::new();
-        for h in self.hosts.values().filter(|h| h.draining && !h.returning) {
-            if let Some(t) = self.host_type(&h.host_type) {
+    pub(in crate::core) fn keep_draining(&mut self, round: &Round) {
+        let mut draining: Vec<(&Machine, Resources)> = Vec::new();
+        for h in self
+            .machines
+            .values()
+            .filter(|h| h.draining && !h.returning)
+        {
+            if let Some(t) = self.machine_type(&h.machine_type) {
                 let mut free = t.room;
                 free.sub(&h.used);
                 draining.push((h, free));
             }
         }
-        let mut kept: Vec<HostId> = Vec::new();
+        let mut kept: Vec<MachineId> = Vec::new();
         for w in &round.waiting {
             if draining.is_empty() {
                 break;
@@ -276,16 +294,17 @@
             if w.coming || w.wait.is_some_and(|t| t <= KEEP_WAIT) {
                 continue;
             }
-            let Some(job) = self.jobs.get(&w.uid) else {
+            let Some(job) = self.jobs.get(&w.job_id) else {
                 continue;
             };
-            let site_of = |h: &HostId| self.hosts.get(h).map(|h| h.site.clone());
-            let zones = ZoneUse::of(job, &site_of);
+            let zone_of = |h: &MachineId| self.machines.get(h).map(|h| h.zone.clone());
+            let zones = ZoneUse::of(job, &zone_of);
             let mut left = w.count;
             draining.retain(|(h, free)| {
-                let n = job.spec.need.count_in(free);
-                let takes =
-                    left > 0 && n > 0 && permits(&job.spec, &zones, &h.host_type, &h.site, h.spot);
+                let n = job.spec.resources.count_in(free);
+                let takes = left > 0
+                    && n > 0
+                    && permits(&job.spec, &zones, &h.machine_type, &h.zone, h.spot);
                 if takes {
                     left = left.saturating_sub(n);
                     kept.push(h.id.clone());
@@ -294,7 +313,7 @@
             });
         }
         for id in kept {
-            if let Some(h) = self.hosts.get_mut(&id) {
+            if let Some(h) = self.machines.get_mut(&id) {
                 log::info!("host is kept after all host={id}");
                 h.draining = false;
                 self.round_due = true;
--- a/src/core/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -1,32 +1,34 @@
 //! Headroom: room that is kept free for classes whose tasks were promised an early start.
 
-use super::cluster::Cluster;
-use super::model::{HostType, Need, Objective, TypeName};
-use super::placement::{contested, Round};
-use super::rental_plan::{Candidate, RentalPlan};
+use crate::core::capacity::scale_out::{Candidate, RentalPlan};
+use crate::core::model::{MachineType, MachineTypeName, Resources, Slo};
+use crate::core::placement::{contested, Round};
+use crate::core::state::cluster_state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// Some machines take much longer to boot than most: a start promised within so many boots counts as
 /// one that no new machine can keep.
 const BOOTS_FOR_A_START: u32 = 2;
 
-impl Cluster {
+impl ClusterState {
     /// Tasks of each class with a start aim that must find room at once: a class's typical job. A class
     /// that is promised its start only after a machine can have come up needs none.
-    pub(super) fn headroom(&self, now: Instant) -> Vec<(u32, Need)> {
+    pub(in crate::core) fn headroom(&self, now: Instant) -> Vec<(u32, Resources)> {
         let mut out = Vec::new();
         for (class, within) in self.promised_starts() {
-            let Some((size, need)) = self.capacity.typical(now, class) else {
+            let Some((size, resources)) = self.capacity.typical(now, class) else {
                 continue;
             };
-            let suits = self.types.iter().filter(|t| need.count_in(&t.room) > 0);
+            let suits = self
+                .types
+                .iter()
+                .filter(|t| resources.count_in(&t.room) > 0);
             let boot = suits.map(|t| self.capacity.boot_time(t)).max();
-            let deadline =
-                |o: &Objective| o.kind == "deadline" && o.class.as_deref() == Some(class);
-            let due = self.params.objectives.iter().any(deadline);
+            let deadline = |o: &Slo| o.kind == "deadline" && o.class.as_deref() == Some(class);
+            let due = self.config.slos.iter().any(deadline);
             if due || boot.is_none_or(|b| within < b * BOOTS_FOR_A_START) {
-                let tasks = (f64::from(size) * self.params.tuning.headroom_jobs).ceil();
-                out.push((tasks as u32, need));
+                let tasks = (f64::from(size) * self.config.tuning.headroom_jobs).ceil();
+                out.push((tasks as u32, resources));
             }
         }
         out
@@ -35,7 +37,7 @@
     /// The earliest start that each class was promised.
     fn promised_starts(&self) -> Vec<(&str, Duration)> {
         let mut promises: Vec<(&str, Duration)> = Vec::new();
-        for o in self.params.objectives.iter().filter(|o| o.kind == "wait") {
+        for o in self.config.slos.iter().filter(|o| o.kind == "wait") {
             let Some(class) = o.class.as_deref() else {
                 continue;
             };
@@ -49,12 +51,17 @@
     }
 
     /// Plans the cheapest machines for headroom that is missing.
-    pub(super) fn plan_headroom(&self, now: Instant, round: &Round, plan: &mut RentalPlan) {
-        for (tasks, need) in self.headroom(now) {
+    pub(in crate::core) fn plan_headroom(
+        &self,
+        now: Instant,
+        round: &Round,
+        plan: &mut RentalPlan,
+    ) {
+        for (tasks, resources) in self.headroom(now) {
             let tasks = tasks as usize;
-            let types = self.headroom_types(&need);
-            let mut have = self.headroom_at_hand(round, plan, &need, &types);
-            let candidates = self.headroom_candidates(now, &need, &types);
+            let types = self.headroom_types(&resources);
+            let mut have = self.headroom_at_hand(round, plan, &resources, &types);
+            let candidates = self.headroom_candidates(now, &resources, &types);
             while have < tasks {
                 let Some(candidate) = plan.cheapest(&candidates, tasks - have) else {
                     break;
@@ -69,10 +76,11 @@
 
     /// The types whose room counts for a class. Room that larger waiting tasks will take is no
     /// headroom, where other machines serve.
-    fn headroom_types(&self, need: &Need) -> Vec<&HostType> {
-        let apart =
-            |t: &&HostType| need.count_in(&t.room) > 0 && !contested(&self.crowded_out, need, t);
-        let types: Vec<&HostType> = self.types.iter().filter(apart).collect();
+    fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
+        let apart = |t: &&MachineType| {
+            resources.count_in(&t.room) > 0 && !contested(&self.crowded_out, resources, t)
+        };
+        let types: Vec<&MachineType> = self.types.iter().filter(apart).collect();
         if types.is_empty() {
             return self.types.iter().collect();
         }
@@ -84,35 +92,35 @@
         &self,
         round: &Round,
         plan: &RentalPlan,
-        need: &Need,
-        types: &[&HostType],
+        resources: &Resources,
+        types: &[&MachineType],
     ) -> usize {
-        let counts = |name: &TypeName| types.iter().any(|t| &t.name == name);
+        let counts = |name: &MachineTypeName| types.iter().any(|t| &t.name == name);
         let all = types.len() == self.types.len();
         let spare = round.spare.iter().filter(|(id, _)| {
-            let host = self.hosts.get(id);
-            all || host.is_some_and(|h| counts(&h.host_type))
+            let machine = self.machines.get(id);
+            all || machine.is_some_and(|h| counts(&h.machine_type))
         });
         let planned = plan
             .machines
             .iter()
-            .filter(|m| all || counts(m.host_type()));
-        let up: usize = spare.map(|(_, free)| need.count_in(free)).sum();
-        let coming: usize = planned.map(|m| need.count_in(&m.free)).sum();
+            .filter(|m| all || counts(m.machine_type()));
+        let up: usize = spare.map(|(_, free)| resources.count_in(free)).sum();
+        let coming: usize = planned.map(|m| resources.count_in(&m.free)).sum();
         up + coming
     }
 
     fn headroom_candidates(
         &self,
         now: Instant,
-        need: &Need,
-        types: &[&HostType],
+        resources: &Resources,
+        types: &[&MachineType],
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for t in types {
-            let slots = need.count_in(&t.room);
-            for site in t.sites.iter().filter(|_| slots > 0) {
-                let offer = (t.name.clone(), site.clone(), true);
+            let slots = resources.count_in(&t.room);
+            for zone in t.zones.iter().filter(|_| slots > 0) {
+                let offer = (t.name.clone(), zone.clone(), true);
                 if !self.is_refused(now, &offer) {
                     candidates.push(Candidate {
                         price: t.price(true),
--- a/src/core/release.rs
+++ b/src/core/capacity/scale_in.rs
@@ -1,18 +1,18 @@
 //! Machines that go back: idle, silent, faulty, about to be taken, or never come up.
 
-use super::cluster::{Action, Cluster, Host};
-use super::failure_attribution::QUARANTINE_PATIENCE;
-use super::model::{HostId, Need};
+use crate::core::model::{MachineId, Resources};
+use crate::core::state::cluster_state::{Action, ClusterState, Machine};
+use crate::core::state::failure_attribution::QUARANTINE_PATIENCE;
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MANY};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-const MOST_RETURNED: usize = 100;
+const MAX_RETURNED: usize = 100;
 /// Idle machines wait this long for others to go with: the cloud's rate is for rentals too.
 const RETURN_PAUSE: Duration = Duration::from_secs(2);
 
 /// A machine that has missed so many reports is silent, whatever its lease.
-const SILENT_REPORTS: f64 = 3.5;
+const SILENT_HEARTBEATS: f64 = 3.5;
 /// A machine never came up if it takes longer than so many usual boots and this margin.
 const LATE_BOOTS: f64 = 4.0;
 const LATE_BOOT_MARGIN: Duration = Duration::from_secs(30);
@@ -48,49 +48,50 @@
 /// Room that stays free for each class with headroom while idle machines go.
 struct HeadroomLeft {
     /// Tasks of each class, and what one needs.
-    wanted: Vec<(u32, Need)>,
+    wanted: Vec<(u32, Resources)>,
     /// For how many tasks of each class there is room.
     slots: Vec<usize>,
-    free_of: HashMap<HostId, Need>,
+    free_of: HashMap<MachineId, Resources>,
 }
 
 impl HeadroomLeft {
     /// Tasks of one class for which there is room without this machine.
-    fn slots_without(&self, host: &HostId, class: usize) -> usize {
-        let free = self.free_of.get(host);
+    fn slots_without(&self, machine: &MachineId, class: usize) -> usize {
+        let free = self.free_of.get(machine);
         let here = free.map_or(0, |free| self.wanted[class].1.count_in(free));
         self.slots[class].saturating_sub(here)
     }
 
-    fn enough_without(&self, host: &HostId) -> bool {
+    fn enough_without(&self, machine: &MachineId) -> bool {
         let mut classes = self.wanted.iter().enumerate();
-        classes.all(|(class, (tasks, _))| self.slots_without(host, class) >= *tasks as usize)
+        classes.all(|(class, (tasks, _))| self.slots_without(machine, class) >= *tasks as usize)
     }
 
-    fn remove(&mut self, host: &HostId) {
+    fn remove(&mut self, machine: &MachineId) {
         for class in 0..self.wanted.len() {
-            self.slots[class] = self.slots_without(host, class);
+            self.slots[class] = self.slots_without(machine, class);
         }
-        self.free_of.remove(host);
+        self.free_of.remove(machine);
     }
 }
 
-impl Cluster {
+impl ClusterState {
     /// How many machines are up, and how many of them are silent or not heard of in this term.
-    pub(super) fn unheard(&self, now: Instant) -> (usize, usize) {
-        let up = |h: &&Host| h.booting.is_none() && !h.returning;
-        let limit = self.params.report.mul_f64(2.5);
-        let quiet = |h: &&Host| !h.reported || now.saturating_duration_since(h.last_report) > limit;
-        let all = self.hosts.values().filter(up).count();
-        (all, self.hosts.values().filter(up).filter(quiet).count())
+    pub(in crate::core) fn unheard(&self, now: Instant) -> (usize, usize) {
+        let up = |h: &&Machine| h.booting.is_none() && !h.returning;
+        let limit = self.config.heartbeat.mul_f64(2.5);
+        let quiet =
+            |h: &&Machine| !h.reported || now.saturating_duration_since(h.last_heartbeat) > limit;
+        let all = self.machines.values().filter(up).count();
+        (all, self.machines.values().filter(up).filter(quiet).count())
     }
 
     /// Returns machines that are of no more use, as fast as the cloud takes them.
-    pub(super) fn return_hosts(&mut self, now: Instant) {
+    pub(in crate::core) fn return_machines(&mut self, now: Instant) {
         let survey = self.survey_silence(now);
         self.takeover.survey(survey);
-        for (id, why) in self.leaving_hosts(now) {
-            if let Some(h) = self.hosts.get_mut(&id) {
+        for (id, why) in self.leaving_machines(now) {
+            if let Some(h) = self.machines.get_mut(&id) {
                 log::info!(
                     "returning host={id} why={} tasks={}",
                     why.text(),
@@ -103,7 +104,7 @@
     }
 
     /// Machines that are to go back from now on.
-    fn leaving_hosts(&self, now: Instant) -> Vec<(HostId, WhyReturned)> {
+    fn leaving_machines(&self, now: Instant) -> Vec<(MachineId, WhyReturned)> {
         let mut headroom = self.headroom_left(now);
         let mut leaving = Vec::new();
         for h in self.most_expensive_first() {
@@ -121,36 +122,37 @@
     }
 
     /// After what time machines count as silent.
-    pub(super) fn silent_after(&self) -> Duration {
-        let p = &self.params;
+    pub(in crate::core) fn silent_after(&self) -> Duration {
+        let p = &self.config;
         let share = p.lease.mul_f64(p.tuning.silent_share);
-        share.max(p.report.mul_f64(SILENT_REPORTS))
+        share.max(p.heartbeat.mul_f64(SILENT_HEARTBEATS))
     }
 
     /// Which machines are silent together. Machines are counted one by one only where enough are silent
     /// for it to matter.
     fn survey_silence(&self, now: Instant) -> SilenceSurvey {
         let after = self.silent_after();
-        let up = |h: &&Host| h.reported && !h.returning;
-        let lost = |h: &&Host| self.is_silent(now, h, after) || self.is_unreachable(now, h, after);
+        let up = |h: &&Machine| h.reported && !h.returning;
+        let lost =
+            |h: &&Machine| self.is_silent(now, h, after) || self.is_unreachable(now, h, after);
         let mut survey = SilenceSurvey::default();
-        if self.hosts.values().filter(up).filter(lost).count() < MANY {
+        if self.machines.values().filter(up).filter(lost).count() < MANY {
             return survey;
         }
-        for h in self.hosts.values().filter(up) {
+        for h in self.machines.values().filter(up) {
             let segment = self.takeover.segment_of(&h.endpoint);
-            survey.add(&segment, &h.site, lost(&h));
+            survey.add(&segment, &h.zone, lost(&h));
         }
         survey
     }
 
-    pub(super) fn is_silent(&self, now: Instant, h: &Host, after: Duration) -> bool {
-        let since = h.last_report.max(self.awake_since);
+    pub(in crate::core) fn is_silent(&self, now: Instant, h: &Machine, after: Duration) -> bool {
+        let since = h.last_heartbeat.max(self.awake_since);
         now.saturating_duration_since(since) > after
     }
 
     /// Its reports come, but for as long nothing that was answered has reached it.
-    fn is_unreachable(&self, now: Instant, h: &Host, after: Duration) -> bool {
+    fn is_unreachable(&self, now: Instant, h: &Machine, after: Duration) -> bool {
         let since = match h.must_show {
             Some((_, shown)) => Some(shown),
             None if h.fenced || h.own => None,
@@ -162,38 +164,38 @@
 
     /// When most of a segment, a site or all machines fall silent at once, the fault is more likely on our
     /// side or in the network; but not for longer than their leases last.
-    fn fault_may_be_ours(&self, now: Instant, h: &Host) -> bool {
-        let since = h.last_report.max(self.awake_since);
+    fn fault_may_be_ours(&self, now: Instant, h: &Machine) -> bool {
+        let since = h.last_heartbeat.max(self.awake_since);
         let silent = now.saturating_duration_since(since);
-        silent <= self.params.lease + self.params.report
-            && self.takeover.silence_scope(&h.endpoint, &h.site) != SilenceScope::Machine
+        silent <= self.config.lease + self.config.heartbeat
+            && self.takeover.silence_scope(&h.endpoint, &h.zone) != SilenceScope::Machine
     }
 
     /// Machines that are not on their way back, by what they cost.
-    fn most_expensive_first(&self) -> Vec<&Host> {
-        let price = |h: &Host| {
-            let t = self.host_type(&h.host_type);
+    fn most_expensive_first(&self) -> Vec<&Machine> {
+        let price = |h: &Machine| {
+            let t = self.machine_type(&h.machine_type);
             t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
         };
-        let hosts = self.hosts.values().filter(|h| !h.returning);
-        let mut hosts: Vec<(f64, &Host)> = hosts.map(|h| (price(h), h)).collect();
-        hosts.sort_by(|a, b| b.0.total_cmp(&a.0));
-        hosts.into_iter().map(|(_, h)| h).collect()
+        let machines = self.machines.values().filter(|h| !h.returning);
+        let mut machines: Vec<(f64, &Machine)> = machines.map(|h| (price(h), h)).collect();
+        machines.sort_by(|a, b| b.0.total_cmp(&a.0));
+        machines.into_iter().map(|(_, h)| h).collect()
     }
 
-    fn never_came_up(&self, now: Instant, h: &Host) -> Option<WhyReturned> {
-        let t = self.host_type(&h.host_type);
+    fn never_came_up(&self, now: Instant, h: &Machine) -> Option<WhyReturned> {
+        let t = self.machine_type(&h.machine_type);
         let boot = t.map_or(UNKNOWN_BOOT, |t| t.boot);
         // Its first report may be waiting for us.
         let awake = now.saturating_duration_since(self.awake_since);
         let late = boot.mul_f64(LATE_BOOTS) + LATE_BOOT_MARGIN;
         let booting = h.booting.map(|since| now.saturating_duration_since(since));
-        let never = awake > self.params.report * 2 && booting.is_some_and(|b| b > late);
+        let never = awake > self.config.heartbeat * 2 && booting.is_some_and(|b| b > late);
         never.then_some(WhyReturned::NeverCameUp)
     }
 
     /// Faulty, about to be taken, or cut off.
-    fn unusable(&self, now: Instant, h: &Host) -> Option<WhyReturned> {
+    fn unusable(&self, now: Instant, h: &Machine) -> Option<WhyReturned> {
         let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
         if h.quarantined_at.is_some_and(faulty) {
             return Some(WhyReturned::Faulty);
@@ -208,7 +210,7 @@
             return None;
         }
         let known = now.saturating_duration_since(h.known_since.max(self.awake_since));
-        let expected = h.reported || known > self.params.lease;
+        let expected = h.reported || known > self.config.lease;
         if silent && expected {
             return Some(WhyReturned::Silent);
         }
@@ -216,9 +218,9 @@
     }
 
     /// Idle for long enough, and no headroom is lost with it.
-    fn idle(&self, now: Instant, h: &Host, headroom: &mut HeadroomLeft) -> Option<WhyReturned> {
+    fn idle(&self, now: Instant, h: &Machine, headroom: &mut HeadroomLeft) -> Option<WhyReturned> {
         let since = h.idle_since?;
-        let tuning = &self.params.tuning;
+        let tuning = &self.config.tuning;
         let keep = if h.spot {
             tuning.idle_spot
         } else {
@@ -239,10 +241,10 @@
     fn headroom_left(&self, now: Instant) -> HeadroomLeft {
         let wanted = self.headroom(now);
         let mut slots: Vec<usize> = vec![0; wanted.len()];
-        let mut free_of: HashMap<HostId, Need> = HashMap::new();
+        let mut free_of: HashMap<MachineId, Resources> = HashMap::new();
         for (h, free) in self.free_room(now) {
-            for (n, (_, need)) in slots.iter_mut().zip(&wanted) {
-                *n += need.count_in(&free);
+            for (n, (_, resources)) in slots.iter_mut().zip(&wanted) {
+                *n += resources.count_in(&free);
             }
             free_of.insert(h.id.clone(), free);
         }
@@ -256,8 +258,8 @@
     /// Asks the cloud to take back machines, many at a time.
     fn send_returns(&mut self, now: Instant) {
         let again = |t: Instant| now.saturating_duration_since(t) > RETURN_AGAIN;
-        let mut due: Vec<&Host> = self
-            .hosts
+        let mut due: Vec<&Machine> = self
+            .machines
             .values()
             .filter(|h| h.returning && h.return_sent.is_none_or(again))
             .filter(|h| self.confirmed || h.overdue)
@@ -266,29 +268,30 @@
         due.sort_by_key(|h| (!h.overdue, h.placed.is_empty()));
         let pressing = due.first().is_some_and(|h| !h.placed.is_empty());
         let waited = |t: Instant| now.saturating_duration_since(t) >= RETURN_PAUSE;
-        let soon = pressing || due.len() >= MOST_RETURNED || self.last_return.is_none_or(waited);
-        due.truncate(MOST_RETURNED);
-        let due: Vec<HostId> = due.iter().map(|h| h.id.clone()).collect();
+        let soon = pressing || due.len() >= MAX_RETURNED || self.last_return.is_none_or(waited);
+        due.truncate(MAX_RETURNED);
+        let due: Vec<MachineId> = due.iter().map(|h| h.id.clone()).collect();
         if !soon || due.is_empty() {
             return;
         }
         self.last_return = Some(now);
         for id in &due {
-            if let Some(h) = self.hosts.get_mut(id) {
+            if let Some(h) = self.machines.get_mut(id) {
                 h.return_sent = Some(now);
             }
         }
-        self.actions.push(Action::Return { hosts: due });
+        self.actions.push(Action::Return { machines: due });
     }
 
     /// Room free now on machines that take tasks.
-    pub(super) fn free_room(&self, now: Instant) -> Vec<(&Host, Need)> {
+    pub(in crate::core) fn free_room(&self, now: Instant) -> Vec<(&Machine, Resources)> {
         let mut out = Vec::new();
-        for h in self.hosts.values() {
-            let Some(t) = self.host_type(&h.host_type) else {
+        for h in self.machines.values() {
+            let Some(t) = self.machine_type(&h.machine_type) else {
                 continue;
             };
-            let fresh = now.saturating_duration_since(h.last_report) <= self.params.report * 3;
+            let fresh =
+                now.saturating_duration_since(h.last_heartbeat) <= self.config.heartbeat * 3;
             let leaving = h.returning || h.quarantined || h.draining || h.eviction.is_some();
             if h.reported && fresh && !leaving {
                 let mut free = t.room;
--- a/src/core/rental_plan.rs
+++ b/src/core/capacity/scale_out.rs
@@ -1,10 +1,10 @@
 //! Which machines to rent: work that waits too long is packed onto imagined machines.
 
-use super::capacity::{Offer, EXPENSIVE_FACTOR, MOST_RENTALS, MOST_RENTED};
-use super::cluster::{Cluster, Job};
-use super::model::{HostType, JobSpec, Need, Site, TypeName, Uid, Urgency};
-use super::placement::{Round, Waiting};
-use super::zones::{permits, ZoneUse};
+use crate::core::capacity::{Offer, EXPENSIVE_FACTOR, MAX_RENTALS, MAX_RENTED};
+use crate::core::model::{JobId, JobSpec, MachineType, MachineTypeName, Priority, Resources, Zone};
+use crate::core::placement::zone_constraints::{permits, ZoneUse};
+use crate::core::placement::{Round, Waiting};
+use crate::core::state::cluster_state::{ClusterState, Job};
 use cypressgap_recovery::silence::MANY;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -22,38 +22,38 @@
 const ZONE_CROWDING_COST: f64 = 0.001;
 
 /// A machine that might be rented, as the plan fills it.
-pub(super) struct PlannedMachine {
+pub(in crate::core) struct PlannedMachine {
     offer: Offer,
-    room: Need,
-    pub(super) free: Need,
+    room: Resources,
+    pub(in crate::core) free: Resources,
     tasks: usize,
 }
 
 impl PlannedMachine {
-    pub(super) fn host_type(&self) -> &TypeName {
+    pub(in crate::core) fn machine_type(&self) -> &MachineTypeName {
         &self.offer.0
     }
 }
 
 /// What could be rented for a job, with the number of its tasks that fit.
-pub(super) struct Candidate {
-    pub(super) price: f64,
-    pub(super) offer: Offer,
-    pub(super) room: Need,
-    pub(super) slots: usize,
+pub(in crate::core) struct Candidate {
+    pub(in crate::core) price: f64,
+    pub(in crate::core) offer: Offer,
+    pub(in crate::core) room: Resources,
+    pub(in crate::core) slots: usize,
 }
 
 /// Machines to rent, filled with the work that they are for.
-pub(super) struct RentalPlan {
-    pub(super) machines: Vec<PlannedMachine>,
+pub(in crate::core) struct RentalPlan {
+    pub(in crate::core) machines: Vec<PlannedMachine>,
     /// The first so many are under way already.
     under_way: usize,
     /// Those that have room for the least of what waits: with a thousand small jobs waiting, looking
     /// at the full ones again for each took most of the leader's processor.
     open: Vec<usize>,
-    least: Need,
+    least: Resources,
     /// Machines in each zone, planned ones too.
-    zone_counts: HashMap<Site, usize>,
+    zone_counts: HashMap<Zone, usize>,
     most: usize,
 }
 
@@ -62,9 +62,9 @@
         self.machines.len() < self.most
     }
 
-    fn add(&mut self, candidate: &Candidate, free: Need, tasks: usize) {
-        let site = candidate.offer.1.clone();
-        *self.zone_counts.entry(site).or_default() += 1;
+    fn add(&mut self, candidate: &Candidate, free: Resources, tasks: usize) {
+        let zone = candidate.offer.1.clone();
+        *self.zone_counts.entry(zone).or_default() += 1;
         if self.least.fits(&free) {
             self.open.push(self.machines.len());
         }
@@ -82,11 +82,11 @@
         let (machines, least) = (&mut self.machines, &self.least);
         self.open.retain(|i| {
             let machine = &mut machines[*i];
-            let (name, site, spot) = &machine.offer;
-            let fits = spec.need.fits(&machine.free);
-            if left > 0 && fits && permits(spec, zones, name, site, *spot) {
-                let tasks = spec.need.count_in(&machine.free).min(left);
-                machine.free.sub(&spec.need.times(tasks as f64));
+            let (name, zone, spot) = &machine.offer;
+            let fits = spec.resources.fits(&machine.free);
+            if left > 0 && fits && permits(spec, zones, name, zone, *spot) {
+                let tasks = spec.resources.count_in(&machine.free).min(left);
+                machine.free.sub(&spec.resources.times(tasks as f64));
                 machine.tasks += tasks;
                 left -= tasks;
             }
@@ -96,7 +96,7 @@
     }
 
     /// The candidate that costs least for each of so many tasks.
-    pub(super) fn cheapest<'a>(
+    pub(in crate::core) fn cheapest<'a>(
         &self,
         candidates: &'a [Candidate],
         tasks: usize,
@@ -109,7 +109,7 @@
     }
 
     /// Adds an empty machine, to be kept as headroom. False: there are as many as there may be.
-    pub(super) fn add_headroom(&mut self, candidate: &Candidate) -> bool {
+    pub(in crate::core) fn add_headroom(&mut self, candidate: &Candidate) -> bool {
         let fits = self.has_room();
         if fits {
             self.add(candidate, candidate.room, 1);
@@ -121,7 +121,7 @@
     fn counts(&self) -> BTreeMap<Offer, u32> {
         let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
         let planned = self.machines.iter().skip(self.under_way);
-        for machine in planned.filter(|m| m.tasks > 0 && m.room != Need::default()) {
+        for machine in planned.filter(|m| m.tasks > 0 && m.room != Resources::default()) {
             *counts.entry(machine.offer.clone()).or_default() += 1;
         }
         counts
@@ -129,8 +129,8 @@
 }
 
 /// The least that any of these needs, in each dimension.
-fn least_need(needs: impl Iterator<Item = Need>) -> Need {
-    let least = needs.reduce(|a, b| Need {
+fn smallest_resources(dependencies: impl Iterator<Item = Resources>) -> Resources {
+    let least = dependencies.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
         memory: a.memory.min(b.memory),
@@ -138,13 +138,13 @@
     least.unwrap_or_default()
 }
 
-fn price_per_cpu(t: &HostType, spot: bool) -> f64 {
+fn price_per_cpu(t: &MachineType, spot: bool) -> f64 {
     t.price(spot) / t.room.cpus.max(1.0)
 }
 
-impl Cluster {
+impl ClusterState {
     /// Rents machines for work that waits too long, and for headroom that is missing.
-    pub(super) fn rent(&mut self, now: Instant, round: &Round) {
+    pub(in crate::core) fn rent(&mut self, now: Instant, round: &Round) {
         if self.types.is_empty() || !self.settled(now) {
             return;
         }
@@ -155,13 +155,13 @@
             return;
         }
         let mut plan = self.plan_under_way(round);
-        let mut unprovided: HashMap<&Uid, usize> = HashMap::new();
+        let mut unprovided: HashMap<&JobId, usize> = HashMap::new();
         for waiting in &round.waiting {
-            *unprovided.entry(&waiting.uid).or_default() += waiting.count;
+            *unprovided.entry(&waiting.job_id).or_default() += waiting.count;
         }
         // A task booked on a machine that is coming up has its machine.
         for waiting in round.waiting.iter().filter(|w| !w.coming) {
-            if let Some(of_job) = unprovided.get_mut(&waiting.uid) {
+            if let Some(of_job) = unprovided.get_mut(&waiting.job_id) {
                 self.plan_for(now, waiting, of_job, &mut plan);
             }
         }
@@ -173,7 +173,7 @@
     fn plan_under_way(&self, round: &Round) -> RentalPlan {
         let mut machines: Vec<PlannedMachine> = Vec::new();
         for rental in self.capacity.rentals.values() {
-            let Some(t) = self.host_type(&rental.offer.0) else {
+            let Some(t) = self.machine_type(&rental.offer.0) else {
                 continue;
             };
             machines.extend((0..rental.number).map(|_| PlannedMachine {
@@ -183,25 +183,28 @@
                 tasks: 0,
             }));
         }
-        let jobs = round.waiting.iter().filter_map(|w| self.jobs.get(&w.uid));
+        let jobs = round
+            .waiting
+            .iter()
+            .filter_map(|w| self.jobs.get(&w.job_id));
         RentalPlan {
             under_way: machines.len(),
             open: (0..machines.len()).collect(),
             machines,
-            least: least_need(jobs.map(|j| j.spec.need)),
+            least: smallest_resources(jobs.map(|j| j.spec.resources)),
             zone_counts: self.zone_counts(),
-            most: self.params.tuning.max_hosts,
+            most: self.config.tuning.max_machines,
         }
     }
 
     /// Machines by zone, for spreading rentals.
-    fn zone_counts(&self) -> HashMap<Site, usize> {
-        let mut zone_counts: HashMap<Site, usize> = HashMap::new();
-        for host in self.hosts.values() {
-            match zone_counts.get_mut(&host.site) {
+    fn zone_counts(&self) -> HashMap<Zone, usize> {
+        let mut zone_counts: HashMap<Zone, usize> = HashMap::new();
+        for machine in self.machines.values() {
+            match zone_counts.get_mut(&machine.zone) {
                 Some(n) => *n += 1,
                 None => {
-                    zone_counts.insert(host.site.clone(), 1);
+                    zone_counts.insert(machine.zone.clone(), 1);
                 }
             }
         }
@@ -211,11 +214,11 @@
     /// Provides for tasks of one job that wait. `of_job`: those of the whole job that nothing is
     /// provided for yet.
     fn plan_for(&self, now: Instant, waiting: &Waiting, of_job: &mut usize, plan: &mut RentalPlan) {
-        let Some(job) = self.jobs.get(&waiting.uid) else {
+        let Some(job) = self.jobs.get(&waiting.job_id) else {
             return;
         };
         let spec = &job.spec;
-        let zones = ZoneUse::of(job, &self.site_of());
+        let zones = ZoneUse::of(job, &self.zone_of());
         let mut left = plan.pack(spec, &zones, waiting.count);
         if left == 0 {
             return;
@@ -229,7 +232,7 @@
             };
             let tasks = left.min(candidate.slots);
             let mut free = candidate.room;
-            free.sub(&spec.need.times(tasks as f64));
+            free.sub(&spec.resources.times(tasks as f64));
             plan.add(candidate, free, tasks);
             left -= tasks;
             *of_job = of_job.saturating_sub(tasks);
@@ -245,25 +248,25 @@
         zones: &ZoneUse,
     ) -> Vec<Candidate> {
         let spec = &job.spec;
-        let suits = |t: &&HostType| spec.allows_type(&t.name) && spec.need.fits(&t.room);
+        let suits = |t: &&MachineType| spec.allows_type(&t.name) && spec.resources.fits(&t.room);
         let cheapest = self
             .types
             .iter()
             .filter(suits)
-            .map(|t| price_per_cpu(t, spec.preemptible))
+            .map(|t| price_per_cpu(t, spec.allows_spot))
             .fold(f64::INFINITY, f64::min);
         let mut candidates = Vec::new();
         for t in &self.types {
-            let slots = spec.need.count_in(&t.room);
+            let slots = spec.resources.count_in(&t.room);
             if slots == 0 {
                 continue;
             }
-            for site in &t.sites {
+            for zone in &t.zones {
                 for spot in [true, false] {
-                    let offer = (t.name.clone(), site.clone(), spot);
+                    let offer = (t.name.clone(), zone.clone(), spot);
                     let expensive = price_per_cpu(t, spot) > cheapest * EXPENSIVE_FACTOR;
                     if self.is_worth_renting(now, job, waiting, t, expensive)
-                        && permits(spec, zones, &t.name, site, spot)
+                        && permits(spec, zones, &t.name, zone, spot)
                         && !self.is_refused(now, &offer)
                     {
                         candidates.push(Candidate {
@@ -285,7 +288,7 @@
         now: Instant,
         job: &Job,
         waiting: &Waiting,
-        t: &HostType,
+        t: &MachineType,
         expensive: bool,
     ) -> bool {
         let Some(wait) = waiting.wait else {
@@ -301,19 +304,19 @@
             (false, false) => wait > boot.mul_f64(RENT_SHARE),
             (true, true) => wait > boot.mul_f64(EXPENSIVE_BOOT_FACTOR) + RENT_MARGIN,
             // Idle work is for machines that would stand idle, and for cheap ones.
-            (true, false) => wait > boot + EXPENSIVE_PATIENCE && job.spec.urgency > Urgency::Idle,
+            (true, false) => wait > boot + EXPENSIVE_PATIENCE && job.spec.priority > Priority::Idle,
         }
     }
 
     fn order_rentals(&mut self, now: Instant, counts: BTreeMap<Offer, u32>) {
-        let most = self.params.tuning.max_hosts;
+        let most = self.config.tuning.max_machines;
         for (offer, mut missing) in counts {
             // Large demand takes several calls of the most that one may ask for.
             while missing > 0 {
-                let hosts = self.hosts.len() + self.capacity.pending() as usize;
-                let room = most.saturating_sub(hosts) as u32;
-                let number = missing.min(MOST_RENTED).min(room);
-                if number == 0 || self.capacity.rentals.len() >= MOST_RENTALS {
+                let machines = self.machines.len() + self.capacity.pending() as usize;
+                let room = most.saturating_sub(machines) as u32;
+                let number = missing.min(MAX_RENTED).min(room);
+                if number == 0 || self.capacity.rentals.len() >= MAX_RENTALS {
                     break;
                 }
                 let number = self.takeover.rentals_allowed(now, number);
--- a/src/core/watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -20,14 +20,14 @@
 const MARGIN: Duration = Duration::from_secs(2);
 /// Even an undisturbed watch of the state service answers only so often. Where `cancel_s` leaves less
 /// than this beyond `lease_s`, leases alone cannot keep the rule (`--check` says so).
-pub const LEAST_PATIENCE: Duration = Duration::from_secs(6);
+pub const MIN_PATIENCE: Duration = Duration::from_secs(6);
 
 /// How old the watermark may be for a report to be answered, and whether that keeps every cancelled
 /// task's end within `cancel`.
 pub fn patience(lease: Duration, cancel: Duration) -> (Duration, bool) {
     let spent = lease.mul_f64(1.0 + DRIFT) + MARGIN;
     let left = cancel.mul_f64(1.0 - DRIFT).saturating_sub(spent);
-    (left.max(LEAST_PATIENCE), left >= LEAST_PATIENCE)
+    (left.max(MIN_PATIENCE), left >= MIN_PATIENCE)
 }
 
 /// By how much a cancelled task may outlast `cancel` where leases alone end it: its leader has lost the
@@ -40,33 +40,33 @@
 
 /// A point in time by both clocks. The steady one may stand still with the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moment {
+pub struct ClockReading {
     /// The steady clock.
     pub steady: Instant,
     /// The time of day.
     pub day: SystemTime,
 }
 
-impl Moment {
+impl ClockReading {
     /// Now, by both clocks.
-    pub fn now() -> Moment {
-        Moment {
+    pub fn now() -> ClockReading {
+        ClockReading {
             steady: Instant::now(),
             day: SystemTime::now(),
         }
     }
 
     /// This moment shifted to another reading of the steady clock.
-    pub fn at(self, steady: Instant) -> Moment {
+    pub fn at(self, steady: Instant) -> ClockReading {
         let day = match steady.checked_duration_since(self.steady) {
             Some(later) => self.day + later,
             None => self.day - self.steady.duration_since(steady),
         };
-        Moment { steady, day }
+        ClockReading { steady, day }
     }
 
     /// How long ago, by the clock that says more.
-    fn age(self, now: Moment) -> Duration {
+    fn age(self, now: ClockReading) -> Duration {
         let steady = now.steady.saturating_duration_since(self.steady);
         steady.max(now.day.duration_since(self.day).unwrap_or_default())
     }
@@ -74,11 +74,11 @@
 
 /// One node's word on what it confirmed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Statement {
+pub struct CancellationReport {
     /// When it was asked, and when its answer came.
-    pub asked: Moment,
+    pub asked: ClockReading,
     /// When its answer came.
-    pub came: Moment,
+    pub came: ClockReading,
     /// It goes on from its word before, with nothing left out between.
     pub continues: bool,
 }
@@ -86,21 +86,21 @@
 /// What one node's words cover.
 #[derive(Clone, Copy, Debug)]
 struct Covered {
-    since: Moment,
-    until: Moment,
+    since: ClockReading,
+    until: ClockReading,
 }
 
 /// Up to which moment all confirmed cancellations are known.
 #[derive(Clone, Debug)]
 pub struct Watermark {
-    at: Moment,
+    at: ClockReading,
     peers: BTreeMap<String, Option<Covered>>,
 }
 
 impl Watermark {
     /// From a read of all cancellations that was asked for at this time, with the nodes that may
     /// confirm others.
-    pub fn new(read: Moment, peers: impl IntoIterator<Item = String>) -> Watermark {
+    pub fn new(read: ClockReading, peers: impl IntoIterator<Item = String>) -> Watermark {
         Watermark {
             at: read,
             peers: peers.into_iter().map(|p| (p, None)).collect(),
@@ -108,13 +108,13 @@
     }
 
     /// All that the state service held when it was asked is known now.
-    pub fn read(&mut self, asked: Moment) {
+    pub fn read(&mut self, asked: ClockReading) {
         self.raise(asked);
         self.advance();
     }
 
     /// A node told all that it confirmed since its word before.
-    pub fn stated(&mut self, peer: &str, statement: Statement) {
+    pub fn stated(&mut self, peer: &str, statement: CancellationReport) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
         };
@@ -135,21 +135,21 @@
     fn advance(&mut self) {
         let at = self.at.steady;
         let covered = |c: &Option<Covered>| c.filter(|c| c.since.steady <= at).map(|c| c.until);
-        let all: Option<Vec<Moment>> = self.peers.values().map(covered).collect();
+        let all: Option<Vec<ClockReading>> = self.peers.values().map(covered).collect();
         let least = all.and_then(|a| a.into_iter().min_by_key(|m| m.steady));
         if let Some(least) = least {
             self.raise(least);
         }
     }
 
-    fn raise(&mut self, to: Moment) {
+    fn raise(&mut self, to: ClockReading) {
         if to.steady > self.at.steady {
             self.at = to;
         }
     }
 
     /// How old the watermark is. A node without others confirms everything itself.
-    pub fn age(&self, now: Moment) -> Duration {
+    pub fn age(&self, now: ClockReading) -> Duration {
         if self.peers.is_empty() {
             Duration::ZERO
         } else {
@@ -158,7 +158,7 @@
     }
 
     /// Whether a lease renewed now surely ends in time for all cancellations that are not known.
-    pub fn renews(&self, now: Moment, patience: Duration) -> bool {
+    pub fn renews(&self, now: ClockReading, patience: Duration) -> bool {
         self.age(now) < patience
     }
 }
--- a/src/core/leadership.rs
+++ b/src/core/leadership/election.rs
@@ -4,7 +4,7 @@
 //! raised by one. Everything the leader writes afterwards is conditional on the stamp that this
 //! transaction gave the leader key, so a superseded leader's writes fail wherever they linger.
 
-use super::model::Term;
+use crate::core::model::Term;
 use std::time::{Duration, Instant};
 
 /// The leader key's content as last read.
@@ -17,7 +17,7 @@
     /// Its term.
     pub term: Term,
     /// The stamp of the leader key.
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 /// What this node is.
@@ -33,7 +33,7 @@
         /// Its term.
         term: Term,
         /// The stamp of its leader key.
-        stamp: u64,
+        revision: u64,
     },
 }
 
@@ -45,7 +45,7 @@
     /// Try to take the leadership; the leader key must still have this stamp (0: absent).
     Campaign {
         /// The stamp that the leader key must have.
-        stamp: u64,
+        revision: u64,
     },
     /// Keep the lease alive.
     Renew,
@@ -92,9 +92,9 @@
             self.highest = self.highest.max(r.term);
         }
         match (&self.role, record) {
-            (Role::Leader { stamp, .. }, Some(r)) if r.stamp == *stamp => self.due(now),
+            (Role::Leader { revision, .. }, Some(r)) if r.revision == *revision => self.due(now),
             // An old read may be overtaken by our own takeover: only a newer stamp counts.
-            (Role::Leader { stamp, .. }, Some(r)) if r.stamp < *stamp => self.due(now),
+            (Role::Leader { revision, .. }, Some(r)) if r.revision < *revision => self.due(now),
             (Role::Leader { .. }, r) => {
                 self.role = Role::Follower { leader: r };
                 Step::StepDown
@@ -118,12 +118,14 @@
                     return Step::Wait;
                 }
                 match leader {
-                    None => Step::Campaign { stamp: 0 },
+                    None => Step::Campaign { revision: 0 },
                     // Our own key, and we do not lead by it. An earlier life took it, which is dead,
                     // since a member is one process; or a campaign whose answer was lost, so that
                     // nobody acts in that term. Late writes fail on the stamp, and a lease that
                     // nobody renews would keep all nodes waiting.
-                    Some(r) if r.member == self.member => Step::Campaign { stamp: r.stamp },
+                    Some(r) if r.member == self.member => Step::Campaign {
+                        revision: r.revision,
+                    },
                     Some(_) => Step::Wait,
                 }
             }
@@ -131,10 +133,10 @@
     }
 
     /// The campaign was won.
-    pub fn won(&mut self, now: Instant, term: Term, stamp: u64) {
+    pub fn won(&mut self, now: Instant, term: Term, revision: u64) {
         self.highest = self.highest.max(term);
         self.last_renewal = Some(now);
-        self.role = Role::Leader { term, stamp };
+        self.role = Role::Leader { term, revision };
     }
 
     /// A campaign that failed or whose outcome is unknown: look again after a pause.
--- /dev/null
+++ b/src/core/leadership/mod.rs
@@ -0,0 +1,4 @@
+//! Who leads, and up to when all confirmed cancellations are known.
+
+pub mod cancellation_watermark;
+pub mod election;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,37 +1,13 @@
 //! The deciding part: deterministic, without sockets, files, threads or clocks of its own.
+//!
+//! Events go in through the methods of [`state::cluster_state::ClusterState`], and what has to be done
+//! comes back as [`state::cluster_state::Action`]s.
 
 pub mod admission;
-mod attempts;
-pub mod backoff;
 pub mod capacity;
-pub mod cluster;
-mod commands;
-mod consolidation;
-pub mod dependencies;
-pub mod entities;
-mod failure_attribution;
-mod gang_placement;
-mod headroom;
-pub mod history;
-mod launch_check;
 pub mod leadership;
-pub mod ledger;
 pub mod model;
-mod order_pacing;
+pub mod persistence;
 pub mod placement;
-mod preemption;
-mod queue;
-pub mod ranking;
-mod release;
-mod rental_plan;
-mod reports;
-mod slots;
-pub mod start_limiter;
-pub mod status_reads;
-pub mod takeover;
-mod task_states;
-pub mod team_use;
-mod termination;
-mod unrecorded;
-pub mod watermark;
-pub mod zones;
+pub mod reconciliation;
+pub mod state;
--- a/src/core/model.rs
+++ b/src/core/model.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 pub use cypressgap_model::{
-    Attempt, Directive, Epoch, Exit, HostId, ImageKey, Need, Report, Site, TaskId, TaskPhase,
-    TaskReport, TeamName, Term, TypeName, Uid, ROUNDING,
+    AttemptId, ExitReason, FencingToken, Heartbeat, ImageKey, JobId, MachineId, MachineTypeName,
+    Resources, TaskCommand, TaskId, TaskPhase, TaskStatus, TeamName, Term, Zone, RESOURCE_EPSILON,
 };
 
 /// How urgent a job is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Urgency {
+pub enum Priority {
     /// For machines that would stand idle.
     Idle,
     /// The usual one.
@@ -34,29 +34,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSpec {
     /// Its id.
-    pub uid: Uid,
+    pub job_id: JobId,
     /// Its class, by which objectives and history know it.
     pub class: String,
     /// Its team.
-    pub owner: TeamName,
+    pub team: TeamName,
     /// How its tasks belong together.
     pub kind: JobKind,
     /// What it goes before.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// How many tasks it has.
-    pub shards: u32,
+    pub task_count: u32,
     /// What one task takes of a machine.
-    pub need: Need,
+    pub resources: Resources,
     /// The machine types that it may run on. None: all.
-    pub host_types: Option<Vec<TypeName>>,
+    pub machine_types: Option<Vec<MachineTypeName>>,
     /// The zone that it must run in, if any.
-    pub site: Option<Site>,
+    pub zone: Option<Zone>,
     /// All of its tasks run in one zone.
     pub same_place: bool,
     /// Its tasks are spread over zones.
     pub spread: bool,
     /// It may run on spot machines.
-    pub preemptible: bool,
+    pub allows_spot: bool,
     /// The name of its image.
     pub image: String,
     /// The size of its image.
@@ -64,13 +64,13 @@
     /// How long its user expects a task to run.
     pub expected: Duration,
     /// How often a running task saves its progress. Zero: never.
-    pub snapshot_every: Duration,
+    pub checkpoint_interval: Duration,
     /// How long a task takes to save when it is stopped.
-    pub snapshot: Duration,
+    pub checkpoint_duration: Duration,
     /// When it should be done, from its submission.
     pub due: Option<Duration>,
     /// Jobs that have to be done before any task of this one starts.
-    pub needs: Vec<Uid>,
+    pub dependencies: Vec<JobId>,
     /// It stands in the lists of its dependencies, which the version before this one keeps.
     pub listed: bool,
     /// Time of day of acceptance, as milliseconds since 1970.
@@ -79,26 +79,26 @@
 
 impl JobSpec {
     /// Whether it may run on this machine type.
-    pub fn allows_type(&self, t: &TypeName) -> bool {
-        self.host_types.as_ref().is_none_or(|l| l.contains(t))
+    pub fn allows_type(&self, t: &MachineTypeName) -> bool {
+        self.machine_types.as_ref().is_none_or(|l| l.contains(t))
     }
     /// Whether it may run in this zone.
-    pub fn allows_site(&self, s: &Site) -> bool {
-        self.site.as_ref().is_none_or(|only| only == s)
+    pub fn allows_zone(&self, s: &Zone) -> bool {
+        self.zone.as_ref().is_none_or(|only| only == s)
     }
     /// Whether its tasks save their progress.
     pub fn saves(&self) -> bool {
-        !self.snapshot_every.is_zero()
+        !self.checkpoint_interval.is_zero()
     }
 }
 
 /// A machine type, as the cloud offers it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostType {
+pub struct MachineType {
     /// Its name.
-    pub name: TypeName,
+    pub name: MachineTypeName,
     /// What a machine has.
-    pub room: Need,
+    pub room: Resources,
     /// How much of images a machine keeps.
     pub cache_gb: f64,
     /// How fast it fetches an image.
@@ -110,10 +110,10 @@
     /// How long it takes to come up.
     pub boot: Duration,
     /// Where it is on offer.
-    pub sites: Vec<Site>,
+    pub zones: Vec<Zone>,
 }
 
-impl HostType {
+impl MachineType {
     /// What an hour costs.
     pub fn price(&self, spot: bool) -> f64 {
         if spot {
@@ -141,22 +141,22 @@
 
 impl Team {
     /// Whether `used` plus `more` stays within the limit.
-    pub fn allows(&self, used: &Need, more: &Need) -> bool {
+    pub fn allows(&self, used: &Resources, more: &Resources) -> bool {
         let within = |max: Option<f64>, used: f64, more: f64| {
-            max.is_none_or(|m| used + more <= m + ROUNDING)
+            max.is_none_or(|m| used + more <= m + RESOURCE_EPSILON)
         };
         within(self.cpus_max, used.cpus, more.cpus) && within(self.gpus_max, used.gpus, more.gpus)
     }
     /// Whether `used` stays within the guarantee.
-    pub fn guarantees(&self, used: &Need) -> bool {
-        let within = |g: Option<f64>, used: f64| used <= g.unwrap_or(0.0) + ROUNDING;
+    pub fn guarantees(&self, used: &Resources) -> bool {
+        let within = |g: Option<f64>, used: f64| used <= g.unwrap_or(0.0) + RESOURCE_EPSILON;
         within(self.cpus, used.cpus) && within(self.gpus, used.gpus)
     }
 }
 
 /// What the settings promise the users of a class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Objective {
+pub struct Slo {
     /// What is promised: `wait`, `finished`, `deadline` and others.
     pub kind: String,
     /// The class; None: all of them.
@@ -167,7 +167,7 @@
 
 /// How far a listed machine is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ListedPhase {
+pub enum CloudMachinePhase {
     /// It is not up yet.
     Booting,
     /// It is up.
@@ -178,32 +178,32 @@
 
 /// An entry of the cloud's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct CloudMachine {
     /// The machine's name.
-    pub id: HostId,
+    pub id: MachineId,
     /// Where it takes commands; empty while it boots.
     pub endpoint: String,
     /// Its type.
-    pub host_type: TypeName,
+    pub machine_type: MachineTypeName,
     /// Its zone.
-    pub site: Site,
+    pub zone: Zone,
     /// Whether the cloud may take it back.
     pub spot: bool,
     /// How far it is.
-    pub phase: ListedPhase,
+    pub phase: CloudMachinePhase,
     /// How long ago it was rented.
     pub age: Duration,
 }
 
 /// What the deployment's settings say to the core.
 #[derive(Clone, Debug)]
-pub struct Params {
+pub struct SchedulerConfig {
     /// Guarantees and limits.
     pub teams: Vec<Team>,
     /// What users were promised.
-    pub objectives: Vec<Objective>,
+    pub slos: Vec<Slo>,
     /// How often workers report.
-    pub report: Duration,
+    pub heartbeat: Duration,
     /// How long a worker runs its tasks without an answer.
     pub lease: Duration,
     /// How long a gang may take to assemble.
@@ -240,7 +240,7 @@
     /// Room kept free for classes whose tasks must start soon, in jobs.
     pub headroom_jobs: f64,
     /// Most machines at a time.
-    pub max_hosts: usize,
+    pub max_machines: usize,
 }
 
 impl Default for Tuning {
@@ -252,7 +252,7 @@
             idle_ordinary: Duration::from_secs(20),
             max_live_jobs: 20_000,
             headroom_jobs: 1.0,
-            max_hosts: 5000,
+            max_machines: 5000,
         }
     }
 }
--- a/src/core/status_reads.rs
+++ b/src/core/persistence/job_status_reads.rs
@@ -5,15 +5,15 @@
 //! so that the cost of questions follows the calls and not the questions. Only what has changed is
 //! read, and what is final never changes again.
 
-use super::ledger::{job_key, live_key, Verdict};
-use super::model::Uid;
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::{job_key, live_key, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// How a job stands. None: it was never accepted.
-pub type Standing = Option<Verdict>;
+pub type JobRecordStatus = Option<JobOutcome>;
 
 /// Verdicts in the order of their keys, and whether there are more.
-pub type Page = (Vec<(String, Verdict)>, bool);
+pub type Page = (Vec<(String, JobOutcome)>, bool);
 
 /// What is read of the state service. Every call sees at least all that was written before it.
 pub trait Records {
@@ -22,9 +22,9 @@
     /// The keys that do not have these stamps (0: absent). It may name only some of them.
     fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, Self::Error>;
     /// Those after this key.
-    fn verdicts(&self, from: &str) -> Result<Page, Self::Error>;
+    fn outcomes(&self, from: &str) -> Result<Page, Self::Error>;
     /// A job's verdict. None: it has none.
-    fn verdict(&self, key: &str) -> Result<Option<Verdict>, Self::Error>;
+    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, Self::Error>;
 }
 
 /// Comparisons for one lot of questions. The first finds what has changed, the second settles the
@@ -42,27 +42,27 @@
 
 /// How these jobs stand, those that could not be asked about left out. `accepted` tells of which it is
 /// known that they were accepted; what is found out about that is added to it.
-pub fn standings<R: Records>(
+pub fn statuses<R: Records>(
     records: &R,
-    asked: &BTreeSet<Uid>,
-    accepted: &mut BTreeSet<Uid>,
-) -> (HashMap<Uid, Standing>, Option<R::Error>) {
+    asked: &BTreeSet<JobId>,
+    accepted: &mut BTreeSet<JobId>,
+) -> (HashMap<JobId, JobRecordStatus>, Option<R::Error>) {
     let mut found = HashMap::new();
-    let mut open: BTreeSet<Uid> = asked.clone();
+    let mut open: BTreeSet<JobId> = asked.clone();
     // Their verdict's key exists.
-    let mut over: BTreeMap<String, Uid> = BTreeMap::new();
+    let mut over: BTreeMap<String, JobId> = BTreeMap::new();
     for _ in 0..COMPARISONS {
         if open.is_empty() {
             break;
         }
         let mut expected = Vec::with_capacity(open.len() * 2);
-        let mut keys: HashMap<String, (&Uid, bool)> = HashMap::new();
-        for uid in &open {
-            keys.insert(job_key(uid), (uid, true));
-            expected.push((job_key(uid), 0));
-            if !accepted.contains(uid) {
-                keys.insert(live_key(uid), (uid, false));
-                expected.push((live_key(uid), 0));
+        let mut keys: HashMap<String, (&JobId, bool)> = HashMap::new();
+        for job_id in &open {
+            keys.insert(job_key(job_id), (job_id, true));
+            expected.push((job_key(job_id), 0));
+            if !accepted.contains(job_id) {
+                keys.insert(live_key(job_id), (job_id, false));
+                expected.push((live_key(job_id), 0));
             }
         }
         let differing = match records.differing(&expected) {
@@ -70,44 +70,44 @@
             Err(e) => return (found, Some(e)),
         };
         if differing.is_empty() {
-            for uid in std::mem::take(&mut open) {
-                let live = accepted.contains(&uid).then_some(Verdict::Live);
-                found.insert(uid, live);
+            for job_id in std::mem::take(&mut open) {
+                let live = accepted.contains(&job_id).then_some(JobOutcome::Live);
+                found.insert(job_id, live);
             }
             break;
         }
         let mut ended = Vec::new();
         for key in differing {
             match keys.get(&key) {
-                Some((uid, true)) => ended.push((key, (*uid).clone())),
-                Some((uid, false)) => {
-                    accepted.insert((*uid).clone());
+                Some((job_id, true)) => ended.push((key, (*job_id).clone())),
+                Some((job_id, false)) => {
+                    accepted.insert((*job_id).clone());
                 }
                 None => {}
             }
         }
-        for (key, uid) in ended {
-            open.remove(&uid);
-            over.insert(key, uid);
+        for (key, job_id) in ended {
+            open.remove(&job_id);
+            over.insert(key, job_id);
         }
     }
-    let mut rest: Vec<(String, Uid)> = over.into_iter().collect();
+    let mut rest: Vec<(String, JobId)> = over.into_iter().collect();
     while let Some((first, _)) = rest.first() {
         if rest.len() >= WORTH_A_PAGE {
             // Just before the first of them: a shorter key goes before those that it begins.
             let mut from = first.clone();
             from.pop();
-            let (page, more) = match records.verdicts(&from) {
+            let (page, more) = match records.outcomes(&from) {
                 Ok(p) => p,
                 Err(e) => return (found, Some(e)),
             };
             let last = page.last().map(|p| p.0.clone());
-            let said: HashMap<String, Verdict> = page.into_iter().collect();
+            let said: HashMap<String, JobOutcome> = page.into_iter().collect();
             let before = rest.len();
-            rest.retain(|(key, uid)| {
+            rest.retain(|(key, job_id)| {
                 let covered = !more || last.as_ref().is_some_and(|l| key <= l);
                 if let Some(v) = said.get(key) {
-                    found.insert(uid.clone(), Some(*v));
+                    found.insert(job_id.clone(), Some(*v));
                 }
                 !covered
             });
@@ -116,13 +116,13 @@
             }
         }
         // Few are left, or they lie far apart.
-        let Some((key, uid)) = rest.first().cloned() else {
+        let Some((key, job_id)) = rest.first().cloned() else {
             break;
         };
-        match records.verdict(&key) {
+        match records.outcome(&key) {
             Ok(v) => {
                 if let Some(v) = v {
-                    found.insert(uid, Some(v));
+                    found.insert(job_id, Some(v));
                 }
             }
             Err(e) => return (found, Some(e)),
--- a/src/core/ledger.rs
+++ b/src/core/persistence/ledger.rs
@@ -5,9 +5,9 @@
 //! still be applied at any later time: because each key's own stamp is a condition, whichever of it
 //! and its repetition comes second fails, and the failed keys are read again.
 
-use super::cluster::{CancelSource, Cluster, Job};
-use super::history::Summary;
-use super::model::{Attempt, HostId, JobKind, TaskId, Uid, Urgency};
+use crate::core::model::{AttemptId, JobId, JobKind, MachineId, Priority, TaskId};
+use crate::core::placement::history::HistorySummary;
+use crate::core::state::cluster_state::{CancelSource, ClusterState, Job};
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
@@ -20,9 +20,9 @@
 /// Before a transaction that was not carried out is put together anew.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Closing a cancelled job takes this many changes.
-const LEAST_BATCH_OPS: usize = 2;
+const MIN_BATCH_OPS: usize = 2;
 /// Values are not made smaller than this, whatever is refused.
-const LEAST_VALUE_BYTES: usize = CHUNK_VALUE_HEAD + CHUNK_VALUE_ATTEMPT * LEAST_CHUNK_ROOM;
+const MIN_VALUE_BYTES: usize = CHUNK_VALUE_HEAD + CHUNK_VALUE_ATTEMPT * MIN_CHUNK_ROOM;
 
 /// Keys of finished jobs removed at a time, and how often: what other changes leave of the rate is
 /// theirs, and a little in any case.
@@ -62,26 +62,26 @@
 /// Lists of dependents, for earlier versions.
 pub const DEPENDENTS_PREFIX: &str = "d/";
 /// How jobs ended.
-pub const VERDICT_PREFIX: &str = "j/";
+pub const OUTCOME_PREFIX: &str = "j/";
 
 /// A job's verdict, once it is over. While this key is absent, an accepted job is live: `done` and
 /// `cancelled` are both conditional on its absence, so just one of them can come true.
-pub fn job_key(uid: &Uid) -> String {
-    format!("{VERDICT_PREFIX}{uid}")
+pub fn job_key(job_id: &JobId) -> String {
+    format!("{OUTCOME_PREFIX}{job_id}")
 }
 /// The job itself, in the index of live jobs: its acceptance is this one key. It is removed some time
 /// after the verdict is written.
-pub fn live_key(uid: &Uid) -> String {
-    format!("{LIVE_PREFIX}{uid}")
+pub fn live_key(job_id: &JobId) -> String {
+    format!("{LIVE_PREFIX}{job_id}")
 }
 /// The mark of a cancelled job.
-pub fn cancel_mark_key(uid: &Uid) -> String {
-    format!("{CANCEL_MARK_PREFIX}{uid}")
+pub fn cancel_mark_key(job_id: &JobId) -> String {
+    format!("{CANCEL_MARK_PREFIX}{job_id}")
 }
 /// The list of a job's dependents, kept only for nodes of the version before this one. This version
 /// finds dependents in the index of live jobs.
-pub fn dependents_key(uid: &Uid) -> String {
-    format!("{DEPENDENTS_PREFIX}{uid}")
+pub fn dependents_key(job_id: &JobId) -> String {
+    format!("{DEPENDENTS_PREFIX}{job_id}")
 }
 /// A chunk's value, by itself and for each attempt: its number, its attempt and its host.
 const CHUNK_VALUE_HEAD: usize = 64;
@@ -89,26 +89,26 @@
 /// The value of a chunk whose tasks all have attempts.
 const CHUNK_VALUE_BYTES: usize = CHUNK_VALUE_HEAD + CHUNK_VALUE_ATTEMPT * CHUNK as usize;
 /// A chunk always has room for so many attempts.
-const LEAST_CHUNK_ROOM: usize = 8;
+const MIN_CHUNK_ROOM: usize = 8;
 
 /// Attempts that fit into a chunk's value of this size.
 pub fn chunk_room(value_bytes: usize) -> u32 {
     let room = value_bytes.saturating_sub(CHUNK_VALUE_HEAD) / CHUNK_VALUE_ATTEMPT;
-    room.clamp(LEAST_CHUNK_ROOM, CHUNK as usize) as u32
+    room.clamp(MIN_CHUNK_ROOM, CHUNK as usize) as u32
 }
 /// The key of a chunk of a job.
-pub fn chunk_key(uid: &Uid, chunk: u32) -> String {
-    format!("{INTENT_PREFIX}{uid}/{chunk}")
+pub fn chunk_key(job_id: &JobId, chunk: u32) -> String {
+    format!("{INTENT_PREFIX}{job_id}/{chunk}")
 }
 /// The job and chunk that a key names.
-pub fn parse_chunk_key(key: &str) -> Option<(Uid, u32)> {
-    let (uid, chunk) = key.strip_prefix(INTENT_PREFIX)?.rsplit_once('/')?;
-    Some((Uid::parse(uid)?, chunk.parse().ok()?))
+pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
+    let (job_id, chunk) = key.strip_prefix(INTENT_PREFIX)?.rsplit_once('/')?;
+    Some((JobId::parse(job_id)?, chunk.parse().ok()?))
 }
 
 /// A job's state as its users may learn it from any node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum JobOutcome {
     /// Accepted and not over.
     Live,
     /// All of its tasks are done.
@@ -123,7 +123,7 @@
     /// A bit for each task that is done.
     pub done: u64,
     /// Tasks with attempts, and on which hosts.
-    pub active: Vec<(u32, Attempt, HostId)>,
+    pub active: Vec<(u32, AttemptId, MachineId)>,
 }
 
 /// A value that the leader writes.
@@ -132,9 +132,9 @@
     /// Tasks of a job.
     Chunk(ChunkValue),
     /// How a job ended.
-    Verdict(Verdict),
+    JobOutcome(JobOutcome),
     /// What was measured.
-    History(Summary),
+    History(HistorySummary),
 }
 
 /// A change of one key.
@@ -166,7 +166,7 @@
     /// These conditions failed; the keys as they stand now (stamp 0: absent).
     Failed {
         /// Those keys, with their stamps and verdicts.
-        found: Vec<(String, u64, Option<Verdict>)>,
+        found: Vec<(String, u64, Option<JobOutcome>)>,
     },
     /// Not executed, or the outcome is unknown: the same may be tried again.
     Unknown,
@@ -178,15 +178,15 @@
 #[derive(Debug, Default)]
 pub struct InFlight {
     /// Chunks with the versions written.
-    pub chunks: Vec<(Uid, u32, u64)>,
+    pub chunks: Vec<(JobId, u32, u64)>,
     /// Attempts whose intents are written.
-    pub launches: Vec<(TaskId, Attempt)>,
+    pub launches: Vec<(TaskId, AttemptId)>,
     /// Jobs whose `done` is written.
-    pub finals: Vec<Uid>,
+    pub finals: Vec<JobId>,
     /// Cancelled jobs whose records are removed.
-    pub closing: Vec<Uid>,
+    pub closing: Vec<JobId>,
     /// Jobs cancelled with a dependency.
-    pub cascaded: Vec<Uid>,
+    pub cascaded: Vec<JobId>,
     /// Other keys that are removed.
     pub deletes: Vec<String>,
     /// The history's summary is written.
@@ -227,9 +227,9 @@
 }
 
 impl BatchBuilder {
-    fn new(leader_stamp: u64, max_ops: usize) -> BatchBuilder {
+    fn new(leader_revision: u64, max_ops: usize) -> BatchBuilder {
         BatchBuilder {
-            conditions: vec![(LEADER_KEY.to_owned(), leader_stamp)],
+            conditions: vec![(LEADER_KEY.to_owned(), leader_revision)],
             ops: Vec::new(),
             flight: InFlight::default(),
             bytes: 0,
@@ -241,10 +241,10 @@
         self.ops.len() + ops <= self.max_ops
     }
 
-    fn put_verdict(&mut self, job: &Job, verdict: Verdict) {
-        let key = job_key(&job.spec.uid);
-        self.conditions.push((key.clone(), job.verdict_stamp));
-        self.ops.push(Op::Put(key, Value::Verdict(verdict)));
+    fn put_outcome(&mut self, job: &Job, outcome: JobOutcome) {
+        let key = job_key(&job.spec.job_id);
+        self.conditions.push((key.clone(), job.outcome_revision));
+        self.ops.push(Op::Put(key, Value::JobOutcome(outcome)));
     }
 
     fn delete(&mut self, key: String) {
@@ -267,18 +267,20 @@
         }
         // A cancelled job's tasks are only ever removed: its intents need no further leave.
         if self.ops.len() > before && !job.cancelled && !job.finished {
-            let key = job_key(&job.spec.uid);
-            self.conditions.push((key, job.verdict_stamp));
+            let key = job_key(&job.spec.job_id);
+            self.conditions.push((key, job.outcome_revision));
         }
         room
     }
 
     fn put_chunk(&mut self, job: &Job, index: u32, value: ChunkValue) {
-        let uid = &job.spec.uid;
-        let key = chunk_key(uid, index);
+        let job_id = &job.spec.job_id;
+        let key = chunk_key(job_id, index);
         let chunk = &job.chunks[&index];
-        self.conditions.push((key.clone(), chunk.stamp));
-        self.flight.chunks.push((uid.clone(), index, chunk.version));
+        self.conditions.push((key.clone(), chunk.revision));
+        self.flight
+            .chunks
+            .push((job_id.clone(), index, chunk.version));
         let intents = job.intents(index).map(|(i, a)| (job.task(i), a));
         self.flight.launches.extend(intents);
         self.ops.push(Op::Put(key, Value::Chunk(value)));
@@ -286,13 +288,13 @@
 
     /// A job's verdict, the removal of its records, or its chunks: whichever is due.
     fn put_job(&mut self, job: &Job, now: Instant, may_close: bool) -> Room {
-        let uid = &job.spec.uid;
+        let job_id = &job.spec.job_id;
         if job.final_due() {
             if !self.has_room(1) {
                 return Room::Full;
             }
-            self.put_verdict(job, Verdict::Done);
-            self.flight.finals.push(uid.clone());
+            self.put_outcome(job, JobOutcome::Done);
+            self.flight.finals.push(job_id.clone());
             return Room::Left;
         }
         if job.is_orphan() {
@@ -303,22 +305,22 @@
             if !self.has_room(1) {
                 return Room::Full;
             }
-            self.put_verdict(job, Verdict::Cancelled);
-            self.flight.cascaded.push(uid.clone());
+            self.put_outcome(job, JobOutcome::Cancelled);
+            self.flight.cascaded.push(job_id.clone());
             return Room::Left;
         }
         if job.cancelled && job.active.is_empty() {
             if !may_close {
                 return Room::Left;
             }
-            if !self.has_room(LEAST_BATCH_OPS) {
+            if !self.has_room(MIN_BATCH_OPS) {
                 return Room::Full;
             }
-            self.delete(live_key(uid));
+            self.delete(live_key(job_id));
             if job.cancel_marked {
-                self.delete(cancel_mark_key(uid));
+                self.delete(cancel_mark_key(job_id));
             }
-            self.flight.closing.push(uid.clone());
+            self.flight.closing.push(job_id.clone());
             return Room::Left;
         }
         self.put_chunks(job, now)
@@ -335,17 +337,17 @@
     }
 }
 
-impl Cluster {
+impl ClusterState {
     /// The next transaction, when none is in flight and something is unwritten.
     pub fn next_batch(&mut self, now: Instant) -> Option<Batch> {
         if self.in_flight.is_some() || self.store_pause.is_some_and(|p| now < p) {
             return None;
         }
-        if self.allowance < LEAST_BATCH_OPS {
+        if self.allowance < MIN_BATCH_OPS {
             return None;
         }
-        let max_ops = self.params.txn_ops.max(1).min(self.allowance);
-        let mut batch = BatchBuilder::new(self.leader_stamp, max_ops);
+        let max_ops = self.config.txn_ops.max(1).min(self.allowance);
+        let mut batch = BatchBuilder::new(self.leader_revision, max_ops);
         self.batch_jobs(&mut batch, now);
         self.batch_cleanups(&mut batch, now);
         self.batch_history(&mut batch, now);
@@ -362,9 +364,9 @@
 
     fn batch_jobs(&mut self, batch: &mut BatchBuilder, now: Instant) {
         let cascading = self.cascading();
-        for uid in self.dirty_in_order() {
-            let Some(job) = self.jobs.get(&uid) else {
-                self.dirty_jobs.remove(&uid);
+        for job_id in self.dirty_in_order() {
+            let Some(job) = self.jobs.get(&job_id) else {
+                self.dirty_jobs.remove(&job_id);
                 continue;
             };
             let before = batch.ops.len();
@@ -376,26 +378,26 @@
             let closing = job.cancelled && job.active.is_empty();
             let waits = closing || job.is_orphan() || job.final_due() || job.is_dirty();
             if batch.ops.len() == before && !waits {
-                self.dirty_jobs.remove(&uid);
+                self.dirty_jobs.remove(&job_id);
             }
         }
     }
 
     /// Unwritten jobs in the order of their writes, without a walk over all jobs: this is asked after
     /// every event.
-    fn dirty_in_order(&self) -> Vec<Uid> {
-        let mut dirty: Vec<(WritePriority, Reverse<Urgency>, u64, Uid)> = self
+    fn dirty_in_order(&self) -> Vec<JobId> {
+        let mut dirty: Vec<(WritePriority, Reverse<Priority>, u64, JobId)> = self
             .dirty_jobs
             .iter()
-            .map(|uid| match self.jobs.get(uid) {
+            .map(|job_id| match self.jobs.get(job_id) {
                 Some(job) => {
-                    let priority = write_priority(job);
-                    let urgency = Reverse(job.spec.urgency);
-                    (priority, urgency, job.stamp, uid.clone())
+                    let order = write_priority(job);
+                    let priority = Reverse(job.spec.priority);
+                    (order, priority, job.revision, job_id.clone())
                 }
                 None => {
-                    let last = Reverse(Urgency::Idle);
-                    (WritePriority::Deferred, last, u64::MAX, uid.clone())
+                    let last = Reverse(Priority::Idle);
+                    (WritePriority::Deferred, last, u64::MAX, job_id.clone())
                 }
             })
             .collect();
@@ -431,7 +433,7 @@
         while cleanups > 0 && batch.has_room(1) {
             cleanups -= 1;
             self.next_cleanup = now + CLEANUP_EVERY;
-            let Some(key) = self.leftovers.pop() else {
+            let Some(key) = self.obsolete_keys.pop() else {
                 break;
             };
             batch.delete(key.clone());
@@ -443,9 +445,9 @@
         if !batch.has_room(1) || now < self.next_summary {
             return;
         }
-        self.next_summary = now + self.params.tuning.summary_every;
+        self.next_summary = now + self.config.tuning.summary_every;
         self.history.trim(HISTORY_KEPT);
-        let room = self.params.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
+        let room = self.config.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
         let entries = (room / SUMMARY_ENTRY_BYTES).min(SUMMARY_ENTRIES);
         if let Some(summary) = self.history.summary(entries) {
             let value = Value::History(summary);
@@ -467,41 +469,42 @@
             }
             BatchOutcome::Unknown => {
                 self.store_pause = Some(now + RETRY_PAUSE);
-                self.leftovers.extend(flight.deletes);
+                self.obsolete_keys.extend(flight.deletes);
                 false
             }
             BatchOutcome::Refused => {
                 self.store_pause = Some(now + RETRY_PAUSE);
                 self.shrink_batches(now, flight.ops);
-                self.leftovers.extend(flight.deletes);
+                self.obsolete_keys.extend(flight.deletes);
                 false
             }
             BatchOutcome::Failed { found } => {
-                self.leftovers.extend(flight.deletes);
+                self.obsolete_keys.extend(flight.deletes);
                 let mut lost = false;
-                for (key, stamp, verdict) in found {
+                for (key, revision, outcome) in found {
                     if key == LEADER_KEY {
-                        lost |= stamp != self.leader_stamp;
-                    } else if let Some((uid, index)) = parse_chunk_key(&key) {
+                        lost |= revision != self.leader_revision;
+                    } else if let Some((job_id, index)) = parse_chunk_key(&key) {
                         // An earlier transaction of unknown outcome was applied after all.
                         if let Some(c) = self
                             .jobs
-                            .get_mut(&uid)
+                            .get_mut(&job_id)
                             .and_then(|j| j.chunks.get_mut(&index))
                         {
-                            c.stamp = stamp;
+                            c.revision = revision;
                         }
-                    } else if let Some(uid) = key.strip_prefix(VERDICT_PREFIX).and_then(Uid::parse)
+                    } else if let Some(job_id) =
+                        key.strip_prefix(OUTCOME_PREFIX).and_then(JobId::parse)
                     {
-                        match verdict {
-                            Some(Verdict::Cancelled) => {
-                                self.on_cancelled(now, &uid, CancelSource::Verdict)
+                        match outcome {
+                            Some(JobOutcome::Cancelled) => {
+                                self.on_cancelled(now, &job_id, CancelSource::JobOutcome)
                             }
-                            Some(Verdict::Done) => self.closed(now, &uid),
+                            Some(JobOutcome::Done) => self.closed(now, &job_id),
                             _ => {
                                 // A record of earlier versions, which kept live jobs here too.
-                                if let Some(j) = self.jobs.get_mut(&uid) {
-                                    j.verdict_stamp = stamp;
+                                if let Some(j) = self.jobs.get_mut(&job_id) {
+                                    j.outcome_revision = revision;
                                 }
                             }
                         }
@@ -515,25 +518,25 @@
     /// Keeps to half of what was refused for the rest of the term: fewer changes a transaction, or,
     /// where one change was too much, smaller values. The next leader begins with the settings again.
     fn shrink_batches(&mut self, now: Instant, refused_ops: usize) {
-        if refused_ops > LEAST_BATCH_OPS {
-            self.params.txn_ops = (refused_ops / 2).max(LEAST_BATCH_OPS);
+        if refused_ops > MIN_BATCH_OPS {
+            self.config.txn_ops = (refused_ops / 2).max(MIN_BATCH_OPS);
         } else {
             // Beyond a full chunk of intents, a smaller limit would change nothing.
-            let value_bytes = self.params.value_bytes.min(CHUNK_VALUE_BYTES) / 2;
-            self.params.value_bytes = value_bytes.max(LEAST_VALUE_BYTES);
-            self.shrink_chunks(now, chunk_room(self.params.value_bytes));
+            let value_bytes = self.config.value_bytes.min(CHUNK_VALUE_BYTES) / 2;
+            self.config.value_bytes = value_bytes.max(MIN_VALUE_BYTES);
+            self.shrink_chunks(now, chunk_room(self.config.value_bytes));
         }
         log::warn!(
             "over a limit of the state service, keeping to txn_ops={} value_bytes={}",
-            self.params.txn_ops,
-            self.params.value_bytes
+            self.config.txn_ops,
+            self.config.value_bytes
         );
     }
 
     /// Attempts beyond a chunk's room that are only planned wait again: no command went out for them.
     fn shrink_chunks(&mut self, now: Instant, room: u32) {
         let mut excess = Vec::new();
-        for (uid, job) in &mut self.jobs {
+        for (job_id, job) in &mut self.jobs {
             job.chunk_room = room;
             if job.spec.kind == JobKind::Gang {
                 continue;
@@ -541,80 +544,83 @@
             for chunk in job.chunks.keys() {
                 let held = job.attempts_in(*chunk).saturating_sub(room as usize);
                 let planned = job.intents(*chunk).map(|(index, _)| index);
-                excess.extend(planned.take(held).map(|index| (uid.clone(), index)));
+                excess.extend(planned.take(held).map(|index| (job_id.clone(), index)));
             }
         }
-        for (uid, index) in excess {
-            self.gone(now, &uid, index, false);
+        for (job_id, index) in excess {
+            self.gone(now, &job_id, index, false);
         }
     }
 
     fn applied(&mut self, now: Instant, flight: InFlight, revision: u64) {
-        for (uid, index, version) in flight.chunks {
-            if let Some(job) = self.jobs.get_mut(&uid) {
+        for (job_id, index, version) in flight.chunks {
+            if let Some(job) = self.jobs.get_mut(&job_id) {
                 job.written(index, version, revision);
             }
         }
         for (task, attempt) in flight.launches {
             self.intent_durable(now, &task, attempt);
         }
-        for uid in flight.finals {
-            log::info!("job done job={uid} term={}", self.term.0);
-            self.closed(now, &uid);
+        for job_id in flight.finals {
+            log::info!("job done job={job_id} term={}", self.term.0);
+            self.closed(now, &job_id);
         }
-        for uid in flight.cascaded {
-            log::info!("cancelled with a dependency job={uid} term={}", self.term.0);
-            self.on_cancelled(now, &uid, CancelSource::Verdict);
+        for job_id in flight.cascaded {
+            log::info!(
+                "cancelled with a dependency job={job_id} term={}",
+                self.term.0
+            );
+            self.on_cancelled(now, &job_id, CancelSource::JobOutcome);
         }
-        for uid in flight.closing {
-            log::info!("cancelled job is gone job={uid} term={}", self.term.0);
-            self.drop_job(now, &uid);
+        for job_id in flight.closing {
+            log::info!("cancelled job is gone job={job_id} term={}", self.term.0);
+            self.drop_job(now, &job_id);
         }
     }
 
     /// The job's final record is durable.
-    pub(super) fn closed(&mut self, now: Instant, uid: &Uid) {
-        let Some(job) = self.jobs.get_mut(uid) else {
+    pub(in crate::core) fn closed(&mut self, now: Instant, job_id: &JobId) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         job.finished = true;
-        self.ready(now, uid);
-        let Some(job) = self.jobs.get_mut(uid) else {
+        self.ready(now, job_id);
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         // Found done by the write of an intent: what was only planned is not launched.
         let planned = job.active.iter().filter(|(_, a)| !a.durable);
         let planned: Vec<u32> = planned.map(|(i, _)| *i).collect();
         for i in planned {
-            self.kill(now, uid, i, Duration::ZERO);
+            self.kill(now, job_id, i, Duration::ZERO);
         }
-        if self.jobs.get(uid).is_some_and(|j| j.active.is_empty()) {
-            self.drop_job(now, uid);
+        if self.jobs.get(job_id).is_some_and(|j| j.active.is_empty()) {
+            self.drop_job(now, job_id);
         }
     }
 
     /// A job found over whose place in the index of live jobs was left behind.
-    pub fn forget_index(&mut self, uid: &Uid) {
-        self.leftovers.push(live_key(uid));
+    pub fn forget_index(&mut self, job_id: &JobId) {
+        self.obsolete_keys.push(live_key(job_id));
     }
 
-    pub(super) fn drop_job(&mut self, now: Instant, uid: &Uid) {
-        if self.dependencies.unlist(uid) {
-            self.leftovers.push(dependents_key(uid));
+    pub(in crate::core) fn drop_job(&mut self, now: Instant, job_id: &JobId) {
+        if self.dependencies.unlist(job_id) {
+            self.obsolete_keys.push(dependents_key(job_id));
         }
-        if let Some(job) = self.jobs.remove(uid) {
+        if let Some(job) = self.jobs.remove(job_id) {
             self.order_stale = true;
-            self.dirty_jobs.remove(uid);
+            self.dirty_jobs.remove(job_id);
             if !job.cancelled {
-                self.leftovers.push(live_key(uid));
+                self.obsolete_keys.push(live_key(job_id));
             }
-            self.leftovers.extend(
+            self.obsolete_keys.extend(
                 job.chunks
                     .iter()
-                    .filter(|(_, c)| c.stamp > 0 || c.version > 0)
-                    .map(|(i, _)| chunk_key(uid, *i)),
+                    .filter(|(_, c)| c.revision > 0 || c.version > 0)
+                    .map(|(i, _)| chunk_key(job_id, *i)),
             );
-            self.gone_jobs.push(uid.clone());
+            self.gone_jobs.push(job_id.clone());
             self.forget_failures_of(now, &job);
         }
     }
