--- a/src/core/gang_placement.rs
+++ b/src/core/placement/gang.rs
@@ -1,10 +1,10 @@
 //! Placing gangs: all members start together, where every one of them has room now.
 
-use super::cluster::{Cluster, Job};
-use super::model::{JobSpec, Need, Site};
-use super::placement::{push_waiting, PlacementRound, Start, Waiting, ROUND_TASKS};
-use super::slots::Slot;
-use super::zones::ZoneUse;
+use crate::core::model::{JobSpec, Resources, Zone};
+use crate::core::placement::slots::Slot;
+use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::placement::{push_waiting, PlacementRound, Start, Waiting, ROUND_TASKS};
+use crate::core::state::cluster_state::{ClusterState, Job};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -17,16 +17,21 @@
     slots: Vec<usize>,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Starts a gang where all of its members have room now, else lets it wait. `starved`: it has waited
     /// so long that machines are kept free for it.
-    pub(super) fn plan_gang(&self, job: &Job, starved: bool, round: &mut PlacementRound<'_>) {
+    pub(in crate::core) fn plan_gang(
+        &self,
+        job: &Job,
+        starved: bool,
+        round: &mut PlacementRound<'_>,
+    ) {
         let spec = &job.spec;
-        let Some(team) = self.team_that_may_start(&spec.owner) else {
+        let Some(team) = self.team_that_may_start(&spec.team) else {
             return;
         };
-        let mut sum = round.used.get(&spec.owner).copied().unwrap_or_default();
-        let whole = spec.need.times(f64::from(spec.shards));
+        let mut sum = round.used.get(&spec.team).copied().unwrap_or_default();
+        let whole = spec.resources.times(f64::from(spec.task_count));
         if !team.allows(&sum, &whole) {
             return;
         }
@@ -34,15 +39,15 @@
         if let Some(members) = choose_members(spec, &round.slots, &costs) {
             self.start_gang(job, &members.slots, round);
             sum.add(&whole);
-            round.used.insert(spec.owner.clone(), sum);
+            round.used.insert(spec.team.clone(), sum);
             return;
         }
         if starved {
             self.reserve_for_gang(spec, &costs, round);
         }
         let waiting = Waiting {
-            uid: spec.uid.clone(),
-            count: (spec.shards as usize).min(ROUND_TASKS),
+            job_id: spec.job_id.clone(),
+            count: (spec.task_count as usize).min(ROUND_TASKS),
             wait: None,
             est: spec.expected,
             coming: false,
@@ -52,7 +57,7 @@
 
     /// What a member costs on each slot, least first: the same for all of them.
     fn member_costs(&self, job: &Job, round: &PlacementRound<'_>) -> Vec<MemberCost> {
-        let zones = ZoneUse::of(job, &self.site_of());
+        let zones = ZoneUse::of(job, &self.zone_of());
         let mut costs: Vec<MemberCost> = round
             .slots
             .iter()
@@ -87,13 +92,13 @@
         for (index, i) in members.iter().enumerate() {
             let (est, fetch) = self.member_cost(job, &round.slots[*i], round);
             let slot = &mut round.slots[*i];
-            slot.free.sub(&spec.need);
-            slot.book(round.now, est, &spec.need);
+            slot.free.sub(&spec.resources);
+            slot.book(round.now, est, &spec.resources);
             slot.started(job);
             round.plan.starts.push(Start {
-                uid: spec.uid.clone(),
+                job_id: spec.job_id.clone(),
                 index: index as u32,
-                host: slot.host.id.clone(),
+                machine: slot.machine.id.clone(),
                 est,
                 fetch,
                 gang: true,
@@ -114,33 +119,33 @@
             .filter_map(|(_, i)| {
                 let slot = &round.slots[*i];
                 let room = &self.types[slot.type_index].room;
-                let (at, _) = slot.avail(round.now, &spec.need, room)?;
+                let (at, _) = slot.avail(round.now, &spec.resources, room)?;
                 Some((at, *i))
             })
             .collect();
         soon.sort();
-        let mut missing = spec.shards as usize;
+        let mut missing = spec.task_count as usize;
         for (_, i) in soon {
             if missing == 0 {
                 break;
             }
             let slot = &mut round.slots[i];
             let room = &self.types[slot.type_index].room;
-            missing = missing.saturating_sub(spec.need.count_in(room));
-            slot.free = Need::default();
+            missing = missing.saturating_sub(spec.resources.count_in(room));
+            slot.free = Resources::default();
         }
     }
 }
 
 /// The slots whose slowest member is the fastest, in one zone where the job asks for that.
 fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<Members> {
-    let mut sites: Vec<Option<&Site>> = vec![None];
+    let mut zones: Vec<Option<&Zone>> = vec![None];
     if spec.same_place {
-        sites = slots.iter().map(|s| Some(&s.host.site)).collect();
-        sites.sort();
-        sites.dedup();
+        zones = slots.iter().map(|s| Some(&s.machine.zone)).collect();
+        zones.sort();
+        zones.dedup();
     }
-    let complete = sites
+    let complete = zones
         .into_iter()
         .filter_map(|only| members_in(spec, slots, costs, only));
     // The first of equals.
@@ -158,24 +163,24 @@
     spec: &JobSpec,
     slots: &[Slot<'_>],
     costs: &[MemberCost],
-    only: Option<&Site>,
+    only: Option<&Zone>,
 ) -> Option<Members> {
-    let wanted = spec.shards as usize;
-    let half = spec.shards.div_ceil(2) as usize;
+    let wanted = spec.task_count as usize;
+    let half = spec.task_count.div_ceil(2) as usize;
     let mut members = Members {
         slowest: Duration::ZERO,
         slots: Vec::new(),
     };
-    let mut per_site: HashMap<&Site, usize> = HashMap::new();
+    let mut per_zone: HashMap<&Zone, usize> = HashMap::new();
     for (cost, i) in costs {
         let slot = &slots[*i];
-        if only.is_some_and(|site| site != &slot.host.site) {
+        if only.is_some_and(|zone| zone != &slot.machine.zone) {
             continue;
         }
         let missing = wanted - members.slots.len();
-        let mut n = spec.need.count_in(&slot.free).min(missing);
+        let mut n = spec.resources.count_in(&slot.free).min(missing);
         if spec.spread {
-            let there = per_site.entry(&slot.host.site).or_default();
+            let there = per_zone.entry(&slot.machine.zone).or_default();
             n = n.min(half.saturating_sub(*there));
             *there += n;
         }
--- a/src/core/history.rs
+++ b/src/core/placement/history.rs
@@ -5,7 +5,7 @@
 //! finest entry with a measurement decides, then the class's, then the owner's estimate, corrected
 //! by how far the class's owners have been off so far.
 
-use super::model::{JobSpec, TypeName};
+use crate::core::model::{JobSpec, MachineTypeName};
 use fnv::FnvHasher;
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -53,13 +53,13 @@
     h.finish()
 }
 
-fn fine_key(spec: &JobSpec, t: &TypeName) -> u64 {
+fn fine_key(spec: &JobSpec, t: &MachineTypeName) -> u64 {
     key(
         &[&spec.class, &spec.image, &t.0],
         &[
-            spec.need.cpus,
-            spec.need.gpus,
-            spec.need.memory,
+            spec.resources.cpus,
+            spec.resources.gpus,
+            spec.resources.memory,
             spec.expected.as_secs_f64(),
         ],
     )
@@ -72,13 +72,13 @@
 
 impl History {
     /// Est: the expected run time of a task on a machine of type `t`.
-    pub fn est(&self, spec: &JobSpec, t: &TypeName) -> Duration {
+    pub fn est(&self, spec: &JobSpec, t: &MachineTypeName) -> Duration {
         if let Some(a) = self.runs.get(&fine_key(spec, t)) {
             return Duration::from_secs_f64(a.mean);
         }
-        let owner = spec.expected.as_secs_f64();
+        let team = spec.expected.as_secs_f64();
         let bias = self.bias.get(&key(&[&spec.class], &[]));
-        let corrected = owner * bias.map_or(1.0, |b| b.mean.exp());
+        let corrected = team * bias.map_or(1.0, |b| b.mean.exp());
         let class = self.runs.get(&key(&[&spec.class, &t.0], &[]));
         let est = match class {
             // The owner's figure is often off by half: the class's mean draws it in.
@@ -89,23 +89,23 @@
     }
 
     /// A task ran to its end.
-    pub fn ran(&mut self, spec: &JobSpec, t: &TypeName, took: Duration) {
+    pub fn ran(&mut self, spec: &JobSpec, t: &MachineTypeName, took: Duration) {
         let x = took.as_secs_f64();
         self.runs.entry(fine_key(spec, t)).or_default().add(x);
         self.runs
             .entry(key(&[&spec.class, &t.0], &[]))
             .or_default()
             .add(x);
-        let owner = spec.expected.as_secs_f64();
-        if owner > 0.0 && x > 0.0 {
+        let team = spec.expected.as_secs_f64();
+        if team > 0.0 && x > 0.0 {
             let b = self.bias.entry(key(&[&spec.class], &[])).or_default();
-            b.add((x / owner).ln().clamp(-3.0, 3.0));
+            b.add((x / team).ln().clamp(-3.0, 3.0));
         }
         self.dirty = true;
     }
 
     /// An image of this size was fetched.
-    pub fn fetched(&mut self, t: &TypeName, nominal: f64, gb: f64, took: Duration) {
+    pub fn fetched(&mut self, t: &MachineTypeName, nominal: f64, gb: f64, took: Duration) {
         let s = took.as_secs_f64();
         if s > 0.5 && gb > 0.0 && nominal > 0.0 {
             let ratio = (gb / s / nominal).clamp(0.05, 3.0);
@@ -115,17 +115,17 @@
     }
 
     /// How far the type's fetches are off their nominal rate.
-    pub fn fetch_ratio(&self, t: &TypeName) -> f64 {
+    pub fn fetch_ratio(&self, t: &MachineTypeName) -> f64 {
         self.fetch.get(&key(&[&t.0], &[])).map_or(1.0, |a| a.mean)
     }
 
     /// How long a fetch of `gb` takes, without the queue before it.
-    pub fn fetch_time(&self, t: &TypeName, nominal: f64, gb: f64) -> Duration {
+    pub fn fetch_time(&self, t: &MachineTypeName, nominal: f64, gb: f64) -> Duration {
         fetch_at(nominal * self.fetch_ratio(t), gb)
     }
 
     /// Entries for the state service, the most measured first, when anything is new.
-    pub fn summary(&mut self, most: usize) -> Option<Summary> {
+    pub fn summary(&mut self, most: usize) -> Option<HistorySummary> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
@@ -140,7 +140,7 @@
         };
         // Together within the limit, however many kinds there are; what is few and general first.
         let (fetch, bias) = (cut(&self.fetch), cut(&self.bias));
-        Some(Summary {
+        Some(HistorySummary {
             runs: cut(&self.runs),
             bias,
             fetch,
@@ -148,7 +148,7 @@
     }
 
     /// Takes over what the state service kept.
-    pub fn load(&mut self, s: &Summary) {
+    pub fn load(&mut self, s: &HistorySummary) {
         let fill = |m: &mut HashMap<u64, Average>, v: &[(u64, f64, u32)]| {
             for (k, mean, count) in v {
                 if mean.is_finite() {
@@ -177,7 +177,7 @@
 
 /// The history as the state service keeps it: key, mean, count.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Summary {
+pub struct HistorySummary {
     /// Run times.
     pub runs: Vec<(u64, f64, u32)>,
     /// Logarithms of measured over expected run times, by class.
--- a/src/core/placement.rs
+++ b/src/core/placement/mod.rs
@@ -9,23 +9,33 @@
 //! which only the machine that took the last task is scored anew. The choice is the same as if each
 //! task were scored on every machine (a test compares the two).
 
-use super::cluster::{Cluster, Job};
-use super::model::{
-    Attempt, HostId, HostType, JobKind, JobSpec, Need, Site, TaskId, TeamName, Uid, Urgency,
+pub(crate) mod gang;
+pub mod history;
+pub mod preemption;
+pub mod priority_inheritance;
+pub(crate) mod queue;
+pub mod slots;
+pub mod start_limiter;
+pub mod zone_constraints;
+
+use crate::core::model::{
+    AttemptId, JobId, JobKind, JobSpec, MachineId, MachineType, Priority, Resources, TaskId,
+    TeamName, Zone,
 };
-use super::slots::Slot;
-use super::zones::{permits, ZoneUse};
+use crate::core::placement::slots::Slot;
+use crate::core::placement::zone_constraints::{permits, ZoneUse};
+use crate::core::state::cluster_state::{ClusterState, Job};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 /// Tasks looked at in one round. A longer queue waits for the rounds to come.
-pub(super) const ROUND_TASKS: usize = 4000;
+pub(in crate::core) const ROUND_TASKS: usize = 4000;
 /// Scores closer than this are equal: reports come no more often than every half second.
-pub(super) const RESOLUTION_S: f64 = 1.0;
+pub(in crate::core) const RESOLUTION_S: f64 = 1.0;
 /// From a task's predicted end to the next one's start in its place. Also, of many predicted ends the
 /// earliest is mostly an error: without this, tasks wait for busy machines while others stand idle.
-pub(super) const TURNAROUND: Duration = Duration::from_millis(2500);
+pub(in crate::core) const TURNAROUND: Duration = Duration::from_millis(2500);
 /// Kept progress of restarted tasks counts in steps of this, so that they share a scoring too.
 const KEPT_STEP_S: f64 = 5.0;
 
@@ -34,7 +44,7 @@
 const CROWDING: Duration = Duration::from_secs(3);
 /// Every job begins within four minutes. One none of whose tasks was placed for this long has a turn:
 /// it goes before all others, whatever their urgency or size, with one part in so many of its tasks.
-pub(super) const STARVED: Duration = Duration::from_secs(100);
+pub(in crate::core) const STARVED: Duration = Duration::from_secs(100);
 const STARVED_PART: u32 = 8;
 /// Of these, so many (one in 32 of the job) keep the machine that they wait for free of others.
 const RESERVED_PART: u32 = 32;
@@ -43,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Waiting {
     /// Their job.
-    pub uid: Uid,
+    pub job_id: JobId,
     /// How many tasks.
     pub count: usize,
     /// How long until the best machine has room. None: no machine is expected to.
@@ -59,7 +69,7 @@
     /// Tasks that were not started.
     pub waiting: Vec<Waiting>,
     /// Room that neither running nor booked tasks take, on machines up or coming up.
-    pub spare: Vec<(HostId, Need)>,
+    pub spare: Vec<(MachineId, Resources)>,
 }
 
 /// Tasks of one job that are alike, and what a round has computed for them by machine type.
@@ -74,11 +84,11 @@
     beyond: bool,
 }
 
-/// Whether a machine of this type is wanted by waiting tasks far larger than `need`.
-pub fn contested(crowded_out: &[Need], need: &Need, t: &HostType) -> bool {
+/// Whether a machine of this type is wanted by waiting tasks far larger than `resources`.
+pub fn contested(crowded_out: &[Resources], resources: &Resources, t: &MachineType) -> bool {
     crowded_out
         .iter()
-        .any(|n| n.cpus >= need.cpus * LARGER && n.fits(&t.room))
+        .any(|n| n.cpus >= resources.cpus * LARGER && n.fits(&t.room))
 }
 
 /// A slot scored for one task. The least wins: by score, then price, then room left, then place.
@@ -116,24 +126,24 @@
 impl Eq for Choice {}
 
 /// A task of the plan, to be started.
-pub(super) struct Start {
-    pub(super) uid: Uid,
-    pub(super) index: u32,
-    pub(super) host: HostId,
-    pub(super) est: Duration,
-    pub(super) fetch: Duration,
-    pub(super) gang: bool,
+pub(in crate::core) struct Start {
+    pub(in crate::core) job_id: JobId,
+    pub(in crate::core) index: u32,
+    pub(in crate::core) machine: MachineId,
+    pub(in crate::core) est: Duration,
+    pub(in crate::core) fetch: Duration,
+    pub(in crate::core) gang: bool,
 }
 
 /// Where waiting tasks are counted together: waits this close are one.
-pub(super) fn push_waiting(waiting: &mut Vec<Waiting>, w: Waiting) {
+pub(in crate::core) fn push_waiting(waiting: &mut Vec<Waiting>, w: Waiting) {
     if let Some(last) = waiting.last_mut() {
         let near = match (last.wait, w.wait) {
             (Some(a), Some(b)) => a.as_secs() == b.as_secs(),
             (None, None) => true,
             _ => false,
         };
-        if near && last.coming == w.coming && last.uid == w.uid {
+        if near && last.coming == w.coming && last.job_id == w.job_id {
             last.count += w.count;
             return;
         }
@@ -143,35 +153,35 @@
 
 /// What a round starts and stops, and what waits.
 #[derive(Default)]
-pub(super) struct Plan {
-    pub(super) starts: Vec<Start>,
+pub(in crate::core) struct Plan {
+    pub(in crate::core) starts: Vec<Start>,
     kills: Vec<(TaskId, bool)>,
-    pub(super) waiting: Vec<Waiting>,
-    spare: Vec<(HostId, Need)>,
+    pub(in crate::core) waiting: Vec<Waiting>,
+    spare: Vec<(MachineId, Resources)>,
     /// Ordinary work waits for the controllers' processors, not for machines.
     rate_limited: bool,
 }
 
 /// A round while it is planned: what it has to go on, and what it has decided so far.
-pub(super) struct PlacementRound<'a> {
-    pub(super) now: Instant,
+pub(in crate::core) struct PlacementRound<'a> {
+    pub(in crate::core) now: Instant,
     /// Fetch rates by machine type.
-    pub(super) rates: Vec<f64>,
-    pub(super) slots: Vec<Slot<'a>>,
+    pub(in crate::core) rates: Vec<f64>,
+    pub(in crate::core) slots: Vec<Slot<'a>>,
     /// Jobs within their team's guarantee.
-    within: HashSet<&'a Uid>,
+    within: HashSet<&'a JobId>,
     /// Teams that use more than a fair part.
     beyond: HashSet<&'a TeamName>,
     /// What the teams' tasks use, this round's starts included.
-    pub(super) used: HashMap<TeamName, Need>,
+    pub(in crate::core) used: HashMap<TeamName, Resources>,
     /// Tasks looked at so far, of all jobs and of each.
     looked: usize,
-    taken: HashMap<&'a Uid, usize>,
+    taken: HashMap<&'a JobId, usize>,
     /// The longest wait so far that is expected of a task.
     longest: Duration,
     /// Jobs kept back by their team's limit.
-    limited: Vec<&'a Uid>,
-    pub(super) plan: Plan,
+    limited: Vec<&'a JobId>,
+    pub(in crate::core) plan: Plan,
 }
 
 /// Estimates of one job's tasks by machine type, and whether far larger tasks want such machines.
@@ -200,14 +210,14 @@
 fn start_task(index: u32, choice: &Choice, array: &mut Array<'_>, round: &mut PlacementRound<'_>) {
     let job = array.group.job;
     let slot = &mut round.slots[choice.slot];
-    slot.free.sub(&job.spec.need);
-    slot.book(round.now, choice.est + choice.penalty, &job.spec.need);
+    slot.free.sub(&job.spec.resources);
+    slot.book(round.now, choice.est + choice.penalty, &job.spec.resources);
     slot.started(job);
-    array.zones_changed = array.zones.start_in(&job.spec, &slot.host.site);
+    array.zones_changed = array.zones.start_in(&job.spec, &slot.machine.zone);
     round.plan.starts.push(Start {
-        uid: job.spec.uid.clone(),
+        job_id: job.spec.job_id.clone(),
         index,
-        host: slot.host.id.clone(),
+        machine: slot.machine.id.clone(),
         est: choice.est,
         fetch: choice.penalty,
         gang: false,
@@ -217,7 +227,7 @@
 fn book_task(choice: &Choice, array: &mut Array<'_>, round: &mut PlacementRound<'_>) {
     let job = array.group.job;
     let slot = &mut round.slots[choice.slot];
-    slot.book(choice.at, choice.est + choice.penalty, &job.spec.need);
+    slot.book(choice.at, choice.est + choice.penalty, &job.spec.resources);
     slot.claimed |= !array.group.beyond && slot.up_at.is_none();
     if choice.penalty > Duration::ZERO {
         // The first booked task brings the image for those behind it.
@@ -226,12 +236,12 @@
     if array.reserve > 0 && slot.up_at.is_none() {
         // Others would fill each gap before it is large enough.
         array.reserve -= 1;
-        slot.free = Need::default();
+        slot.free = Resources::default();
     }
     let wait = choice.at.saturating_duration_since(round.now);
     round.longest = round.longest.max(wait);
     let waiting = Waiting {
-        uid: job.spec.uid.clone(),
+        job_id: job.spec.job_id.clone(),
         count: 1,
         wait: Some(wait),
         est: choice.est,
@@ -240,7 +250,7 @@
     push_waiting(&mut round.plan.waiting, waiting);
 }
 
-impl Cluster {
+impl ClusterState {
     /// Avail + Est + penalty of one slot. None: the task can never run there.
     fn score(&self, now: Instant, g: &Group<'_>, slots: &[Slot<'_>], i: usize) -> Option<Choice> {
         let s = &slots[i];
@@ -248,8 +258,8 @@
             return None;
         }
         let t = &self.types[s.type_index];
-        let need = &g.job.spec.need;
-        let (at, free_now) = s.avail(now, need, &t.room)?;
+        let resources = &g.job.spec.resources;
+        let (at, free_now) = s.avail(now, resources, &t.room)?;
         let est = g.ests[s.type_index].saturating_sub(g.kept).mul_f64(s.speed);
         let penalty = s.penalty(now, g.rates[s.type_index], g.job);
         let mut score = at.saturating_duration_since(now) + est + penalty;
@@ -266,9 +276,9 @@
             // What starts fills a machine up; what waits does so where most of its room is free
             // already, or it would change its machine each round and never find it empty enough.
             left: if free_now {
-                s.free.cpus - need.cpus
+                s.free.cpus - resources.cpus
             } else {
-                need.cpus - s.free.cpus
+                resources.cpus - s.free.cpus
             },
             slot: i,
             at,
@@ -279,11 +289,11 @@
     }
 
     /// Whether the job may use this slot, its tasks placed so far aside.
-    pub(super) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
+    pub(in crate::core) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
         // A suspected job has failed on many, and most of them are well.
-        let failed = !job.suspected && job.error_hosts.contains(&s.host.id);
+        let failed = !job.suspected && job.error_machines.contains(&s.machine.id);
         let name = &self.types[s.type_index].name;
-        !failed && permits(&job.spec, zones, name, &s.host.site, s.host.spot)
+        !failed && permits(&job.spec, zones, name, &s.machine.zone, s.machine.spot)
     }
 
     /// The slots that a group may use, least score first.
@@ -301,47 +311,47 @@
     }
 
     /// One round over the queue. Starts what can start; returns what waits.
-    pub(super) fn place(&mut self, now: Instant) -> Round {
+    pub(in crate::core) fn place(&mut self, now: Instant) -> Round {
         self.sort_order();
         self.note_usage(now);
         for j in self.jobs.values_mut() {
             let waited = now.saturating_duration_since(j.last_placed) > STARVED;
             if waited && j.turn == 0 && !j.over() && !j.suspected && j.waiting_count() > 0 {
-                j.turn = j.spec.shards.div_ceil(STARVED_PART);
+                j.turn = j.spec.task_count.div_ceil(STARVED_PART);
                 j.starved = true;
             }
         }
         self.start_limiter.round(now);
         let plan = self.plan(now);
         self.start_limiter.started(plan.starts.len());
-        let mut gang: Option<(Uid, Attempt)> = None;
+        let mut gang: Option<(JobId, AttemptId)> = None;
         for s in plan.starts {
             // A gang's members share their attempt's number.
             let attempt = match &gang {
-                Some((uid, a)) if s.gang && uid == &s.uid => *a,
+                Some((job_id, a)) if s.gang && job_id == &s.job_id => *a,
                 _ => self.next_attempt(),
             };
-            gang = s.gang.then(|| (s.uid.clone(), attempt));
+            gang = s.gang.then(|| (s.job_id.clone(), attempt));
             log::debug!(
                 "placing task={}/{} host={} est_s={:.1} fetch_s={:.1} term={}",
-                s.uid,
+                s.job_id,
                 s.index,
-                s.host,
+                s.machine,
                 s.est.as_secs_f64(),
                 s.fetch.as_secs_f64(),
                 self.term.0
             );
-            self.assign(now, &s.uid, s.index, &s.host, attempt, s.est);
+            self.assign(now, &s.job_id, s.index, &s.machine, attempt, s.est);
         }
         for (task, own) in plan.kills {
             log::debug!("preempting task={task} within_limit={own}");
-            self.kill(now, &task.uid, task.index, Duration::ZERO);
+            self.kill(now, &task.job_id, task.index, Duration::ZERO);
         }
         self.crowded_out.clear();
         for w in plan.waiting.iter().filter(|w| !w.coming) {
-            if let Some(j) = self.jobs.get(&w.uid) {
-                if self.crowded_out.len() < 32 && !self.crowded_out.contains(&j.spec.need) {
-                    self.crowded_out.push(j.spec.need);
+            if let Some(j) = self.jobs.get(&w.job_id) {
+                if self.crowded_out.len() < 32 && !self.crowded_out.contains(&j.spec.resources) {
+                    self.crowded_out.push(j.spec.resources);
                 }
             }
         }
@@ -355,8 +365,8 @@
     fn plan(&self, now: Instant) -> Plan {
         let mut round = self.begin_round(now);
         let order = self.queue_order(now, &round.within, &round.beyond);
-        for (uid, turn) in order {
-            let Some(job) = self.jobs.get(uid) else {
+        for (job_id, turn) in order {
+            let Some(job) = self.jobs.get(job_id) else {
                 continue;
             };
             match job.spec.kind {
@@ -389,14 +399,14 @@
     }
 
     fn plan_gang_once<'a>(&'a self, job: &'a Job, starved: bool, round: &mut PlacementRound<'a>) {
-        let uid = &job.spec.uid;
-        let looked_at = round.looked >= ROUND_TASKS || round.taken.contains_key(uid);
+        let job_id = &job.spec.job_id;
+        let looked_at = round.looked >= ROUND_TASKS || round.taken.contains_key(job_id);
         if looked_at || !job.active.is_empty() {
             return;
         }
-        let members = job.spec.shards as usize;
+        let members = job.spec.task_count as usize;
         round.looked += members;
-        round.taken.insert(uid, members);
+        round.taken.insert(job_id, members);
         self.plan_gang(job, starved, round);
     }
 
@@ -404,12 +414,12 @@
     /// many of its tasks go before all others.
     fn plan_array<'a>(&'a self, job: &'a Job, turn: Option<u32>, round: &mut PlacementRound<'a>) {
         let spec = &job.spec;
-        let uid = &spec.uid;
+        let job_id = &spec.job_id;
         let pending = self.pending_of(job, turn, round);
         if pending.is_empty() {
             return;
         }
-        let Some(team) = self.team_that_may_start(&spec.owner) else {
+        let Some(team) = self.team_that_may_start(&spec.team) else {
             return;
         };
         let by_type = self.by_type(spec);
@@ -421,28 +431,28 @@
                 kept: Duration::ZERO,
                 crowding: &by_type.crowding,
                 rates: &rates,
-                beyond: round.beyond.contains(&spec.owner),
+                beyond: round.beyond.contains(&spec.team),
             },
-            reserve: turn.map_or(0, |_| spec.shards.div_ceil(RESERVED_PART)),
-            zones: ZoneUse::of(job, &self.site_of()),
+            reserve: turn.map_or(0, |_| spec.task_count.div_ceil(RESERVED_PART)),
+            zones: ZoneUse::of(job, &self.zone_of()),
             zones_changed: false,
             ranked: None,
         };
         let ordinary = self.is_ordinary(spec, &round.within);
-        let mut sum = round.used.get(&spec.owner).copied().unwrap_or_default();
+        let mut sum = round.used.get(&spec.team).copied().unwrap_or_default();
         for index in pending {
             if ordinary && round.plan.starts.len() >= self.start_limiter.left() {
                 round.plan.rate_limited = true;
                 break;
             }
-            if !team.allows(&sum, &spec.need) {
-                round.limited.push(uid);
+            if !team.allows(&sum, &spec.resources) {
+                round.limited.push(job_id);
                 break;
             }
-            sum.add(&spec.need);
+            sum.add(&spec.resources);
             self.plan_task(index, &mut array, round);
         }
-        round.used.insert(spec.owner.clone(), sum);
+        round.used.insert(spec.team.clone(), sum);
     }
 
     /// The tasks of an array that a round looks at, those with most progress first.
@@ -452,8 +462,8 @@
         turn: Option<u32>,
         round: &mut PlacementRound<'a>,
     ) -> Vec<u32> {
-        let uid = &job.spec.uid;
-        let before = round.taken.get(uid).copied().unwrap_or(0);
+        let job_id = &job.spec.job_id;
+        let before = round.taken.get(job_id).copied().unwrap_or(0);
         let waits = (job.waiting_count() as usize).saturating_sub(before);
         let most = turn.map_or(waits, |part| (part as usize).min(waits));
         let most = most.min(ROUND_TASKS.saturating_sub(round.looked));
@@ -462,7 +472,7 @@
             // Beyond what a round looks at: it waits behind all that was looked at.
             if waits > 0 && turn.is_none() {
                 let waiting = Waiting {
-                    uid: uid.clone(),
+                    job_id: job_id.clone(),
                     count: waits,
                     wait: Some(round.longest),
                     est: job.spec.expected,
@@ -475,7 +485,7 @@
         let mut pending = job.pending(before + most);
         pending.drain(..before.min(pending.len()));
         round.looked += pending.len();
-        *round.taken.entry(uid).or_default() += pending.len();
+        *round.taken.entry(job_id).or_default() += pending.len();
         if !job.progress.is_empty() {
             pending.sort_by_key(|index| (Reverse(kept_steps(job, *index)), *index));
         }
@@ -488,7 +498,7 @@
         let crowding = self
             .types
             .iter()
-            .map(|t| contested(&self.crowded_out, &spec.need, t));
+            .map(|t| contested(&self.crowded_out, &spec.resources, t));
         ByType {
             ests: ests.collect(),
             crowding: crowding.collect(),
@@ -509,7 +519,7 @@
         let Some(Reverse(choice)) = best else {
             let least = array.group.ests.iter().min().copied();
             let waiting = Waiting {
-                uid: job.spec.uid.clone(),
+                job_id: job.spec.job_id.clone(),
                 count: 1,
                 wait: None,
                 est: least.unwrap_or(job.spec.expected),
@@ -543,24 +553,27 @@
         let rate_limited = plan.rate_limited;
         plan.waiting.retain(|w| {
             let held = |j: &Job| j.suspected || rate_limited && self.is_ordinary(&j.spec, &within);
-            self.jobs.get(&w.uid).is_some_and(|j| !held(j))
+            self.jobs.get(&w.job_id).is_some_and(|j| !held(j))
         });
         limited.retain(|u| self.jobs.get(*u).is_some_and(|j| !j.suspected));
         plan.kills = self.preempt(now, &plan.waiting, &slots, &within, &rates);
         self.preempt_own(now, &limited, &within, &mut plan.kills);
-        plan.spare = slots.iter().map(|s| (s.host.id.clone(), s.later)).collect();
+        plan.spare = slots
+            .iter()
+            .map(|s| (s.machine.id.clone(), s.later))
+            .collect();
         plan
     }
 
     /// Work that may wait while the controllers cannot keep up: neither urgent nor within a guarantee.
-    fn is_ordinary(&self, spec: &JobSpec, within: &HashSet<&Uid>) -> bool {
-        spec.urgency <= Urgency::Standard && !within.contains(&spec.uid)
+    fn is_ordinary(&self, spec: &JobSpec, within: &HashSet<&JobId>) -> bool {
+        spec.priority <= Priority::Standard && !within.contains(&spec.job_id)
     }
 
-    pub(super) fn site_of(&self) -> impl Fn(&HostId) -> Option<Site> + '_ {
+    pub(in crate::core) fn zone_of(&self) -> impl Fn(&MachineId) -> Option<Zone> + '_ {
         |h| {
-            let host = self.hosts.get(h)?;
-            (!host.site.0.is_empty()).then(|| host.site.clone())
+            let machine = self.machines.get(h)?;
+            (!machine.zone.0.is_empty()).then(|| machine.zone.clone())
         }
     }
 }
--- a/src/core/preemption.rs
+++ b/src/core/placement/preemption.rs
@@ -1,10 +1,10 @@
 //! Who is stopped for whom.
 
-use super::cluster::{Active, Cluster, Job};
-use super::model::{JobKind, JobSpec, Need, Objective, TaskId, TeamName, Uid, Urgency};
-use super::placement::{Waiting, RESOLUTION_S, TURNAROUND};
-use super::slots::Slot;
-use super::zones::ZoneUse;
+use crate::core::model::{JobId, JobKind, JobSpec, Priority, Resources, Slo, TaskId, TeamName};
+use crate::core::placement::slots::Slot;
+use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::placement::{Waiting, RESOLUTION_S, TURNAROUND};
+use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -23,10 +23,10 @@
 /// What stopping an attempt at once costs, in seconds of its work. None: it must not be stopped,
 /// since it only just started or will end by itself soon. `counted`: an early stop would also undo
 /// a start that its users were promised.
-pub(super) fn victim_loss(
+pub(in crate::core) fn victim_loss(
     now: Instant,
     job: &Job,
-    a: &Active,
+    a: &ActiveAttempt,
     kept: Duration,
     counted: bool,
 ) -> Option<f64> {
@@ -38,7 +38,7 @@
         return None;
     }
     let progress = ran.as_secs_f64() + kept.as_secs_f64();
-    let every = job.spec.snapshot_every.as_secs_f64();
+    let every = job.spec.checkpoint_interval.as_secs_f64();
     let work = match (a.running_since, every > 0.0) {
         (None, _) => now.saturating_duration_since(a.placed).as_secs_f64(),
         (_, true) => progress % every,
@@ -85,22 +85,22 @@
 }
 
 /// What a team uses beside what is being stopped, and its tasks with what stopping each loses.
-type OwnWork<'a> = (Need, Vec<(f64, TaskId, &'a Job)>);
+type OwnWork<'a> = (Resources, Vec<(f64, TaskId, &'a Job)>);
 
-impl Cluster {
+impl ClusterState {
     /// Running tasks by slot, those that lose least first.
     fn candidates<'a>(
         &'a self,
         now: Instant,
         slots: &[Slot<'a>],
-        within: &HashSet<&Uid>,
+        within: &HashSet<&JobId>,
     ) -> Vec<Vec<Candidate<'a>>> {
         let mut all = Vec::with_capacity(slots.len());
         for s in slots {
             let room = &self.types[s.type_index].room;
             let mut list: Vec<Candidate<'a>> = Vec::new();
-            for task in s.host.placed.keys().filter(|_| s.up_at.is_none()) {
-                let Some(v) = self.jobs.get(&task.uid) else {
+            for task in s.machine.placed.keys().filter(|_| s.up_at.is_none()) {
+                let Some(v) = self.jobs.get(&task.job_id) else {
                     continue;
                 };
                 let Some(a) = v.active.get(&task.index) else {
@@ -110,7 +110,7 @@
                     continue;
                 }
                 let kept = v.progress.get(&task.index).copied().unwrap_or_default();
-                let covered = within.contains(&task.uid);
+                let covered = within.contains(&task.job_id);
                 // What waited its turn for very long is not stopped right after its start.
                 let counted = covered || v.starved || self.start_promised(&v.spec);
                 if let Some(loss) = victim_loss(now, v, a, kept, counted) {
@@ -118,7 +118,7 @@
                         task,
                         job: v,
                         covered,
-                        loss: loss * v.spec.need.share_of(room),
+                        loss: loss * v.spec.resources.share_of(room),
                     });
                 }
             }
@@ -128,31 +128,31 @@
         all
     }
 
-    /// Stops tasks for those that have a claim on their room: of lower urgency, or borrowed by a
+    /// Stops tasks for those that have a booking on their room: of lower urgency, or borrowed by a
     /// team beyond its guarantee while another lacks its own. Victims are those that lose least.
-    pub(super) fn preempt(
+    pub(in crate::core) fn preempt(
         &self,
         now: Instant,
         waiting: &[Waiting],
         slots: &[Slot<'_>],
-        within: &HashSet<&Uid>,
+        within: &HashSet<&JobId>,
         rates: &[f64],
     ) -> Vec<(TaskId, bool)> {
         let mut chosen: Vec<(TaskId, bool)> = Vec::new();
-        let mut pool: Vec<Need> = slots.iter().map(|s| s.free).collect();
+        let mut pool: Vec<Resources> = slots.iter().map(|s| s.free).collect();
         let mut usage = self.team_use.by_team();
         let mut candidates: Option<Vec<Vec<Candidate<'_>>>> = None;
         let mut taken: Vec<HashSet<usize>> = vec![HashSet::new(); slots.len()];
         let mut rest = waiting;
         while let Some(first) = rest.first() {
             // What one job waits for is claimed together.
-            let same = rest.iter().take_while(|w| w.uid == first.uid).count();
+            let same = rest.iter().take_while(|w| w.job_id == first.job_id).count();
             let (group, others) = rest.split_at(same);
             rest = others;
             if chosen.len() >= ROUND_VICTIMS {
                 break;
             }
-            let Some(job) = self.jobs.get(&first.uid) else {
+            let Some(job) = self.jobs.get(&first.job_id) else {
                 continue;
             };
             let spec = &job.spec;
@@ -166,23 +166,23 @@
                 .iter()
                 .filter_map(|w| Some((w.wait.filter(|x| *x > patience)?, w.est)))
                 .min_by_key(|(wait, est)| *wait + *est);
-            let covered = within.contains(&first.uid);
+            let covered = within.contains(&first.job_id);
             if left == 0 || spec.kind == JobKind::Gang {
                 continue;
             }
-            if !covered && spec.urgency <= Urgency::Standard {
+            if !covered && spec.priority <= Priority::Standard {
                 continue;
             }
             let candidates = candidates.get_or_insert_with(|| self.candidates(now, slots, within));
-            let claim = |i: usize,
-                         pool: &[Need],
-                         taken: &[HashSet<usize>],
-                         usage: &HashMap<TeamName, Need>| {
+            let booking = |i: usize,
+                           pool: &[Resources],
+                           taken: &[HashSet<usize>],
+                           usage: &HashMap<TeamName, Resources>| {
                 let s = &slots[i];
                 // In the same unit as what the victims lose: seconds of a machine's share. Room that
                 // is free but lacks the image then goes before tasks that only just came.
                 let t = &self.types[s.type_index];
-                let share = spec.need.share_of(&t.room);
+                let share = spec.resources.share_of(&t.room);
                 let penalty = s.penalty(now, rates[s.type_index], job);
                 // Only where the claimant would then go: if the machine that it waits for stays the
                 // better one, others fill the room, and are stopped again in the next round.
@@ -195,50 +195,50 @@
                 let mut room = pool[i];
                 let mut victims = Vec::new();
                 for (n, v) in candidates[i].iter().enumerate() {
-                    if spec.need.fits(&room) {
+                    if spec.resources.fits(&room) {
                         break;
                     }
-                    let lower = v.job.spec.urgency < spec.urgency;
+                    let lower = v.job.spec.priority < spec.priority;
                     let borrowed = || {
                         covered
                             && !v.covered
-                            && v.job.spec.owner != spec.owner
+                            && v.job.spec.team != spec.team
                             && self.beyond_guarantee(usage, &v.job.spec)
                     };
                     if taken[i].contains(&n) || !(lower || borrowed()) {
                         continue;
                     }
-                    room.add(&v.job.spec.need);
+                    room.add(&v.job.spec.resources);
                     loss += v.loss;
                     victims.push(n);
                 }
-                spec.need.fits(&room).then_some(Reverse(Claim {
+                spec.resources.fits(&room).then_some(Reverse(Claim {
                     loss,
                     slot: i,
                     victims,
                 }))
             };
-            let zones = ZoneUse::of(job, &self.site_of());
-            let mut claims: BinaryHeap<Reverse<Claim>> = (0..slots.len())
+            let zones = ZoneUse::of(job, &self.zone_of());
+            let mut bookings: BinaryHeap<Reverse<Claim>> = (0..slots.len())
                 .filter(|i| slots[*i].up_at.is_none() && self.admits(job, &slots[*i], &zones))
-                .filter_map(|i| claim(i, &pool, &taken, &usage))
+                .filter_map(|i| booking(i, &pool, &taken, &usage))
                 .collect();
             while left > 0 && chosen.len() < ROUND_VICTIMS {
-                let Some(Reverse(c)) = claims.pop() else {
+                let Some(Reverse(c)) = bookings.pop() else {
                     break;
                 };
                 left -= 1;
                 for n in c.victims {
                     let v = &candidates[c.slot][n];
-                    pool[c.slot].add(&v.job.spec.need);
-                    if let Some(u) = usage.get_mut(&v.job.spec.owner) {
-                        u.sub(&v.job.spec.need);
+                    pool[c.slot].add(&v.job.spec.resources);
+                    if let Some(u) = usage.get_mut(&v.job.spec.team) {
+                        u.sub(&v.job.spec.resources);
                     }
                     taken[c.slot].insert(n);
                     chosen.push((v.task.clone(), false));
                 }
-                pool[c.slot].sub(&spec.need);
-                claims.extend(claim(c.slot, &pool, &taken, &usage));
+                pool[c.slot].sub(&spec.resources);
+                bookings.extend(booking(c.slot, &pool, &taken, &usage));
             }
         }
         chosen
@@ -246,11 +246,11 @@
 
     /// Stops a team's own work of lower urgency where only the team's limit holds up a more urgent
     /// job of its.
-    pub(super) fn preempt_own(
+    pub(in crate::core) fn preempt_own(
         &self,
         now: Instant,
-        limited: &[&Uid],
-        within: &HashSet<&Uid>,
+        limited: &[&JobId],
+        within: &HashSet<&JobId>,
         chosen: &mut Vec<(TaskId, bool)>,
     ) {
         // Of each team concerned: what it uses beside what is being stopped, and who may be.
@@ -258,13 +258,13 @@
         let limited: Vec<&Job> = limited
             .iter()
             .filter_map(|u| self.jobs.get(*u))
-            .filter(|j| j.spec.urgency > Urgency::Standard && j.spec.kind == JobKind::Batch)
+            .filter(|j| j.spec.priority > Priority::Standard && j.spec.kind == JobKind::Batch)
             .collect();
         for job in &limited {
-            let owner = &job.spec.owner;
-            if !teams.contains_key(owner) {
-                let used = self.team_use.of(owner);
-                teams.insert(owner, (used, Vec::new()));
+            let team = &job.spec.team;
+            if !teams.contains_key(team) {
+                let used = self.team_use.of(team);
+                teams.insert(team, (used, Vec::new()));
             }
         }
         if teams.is_empty() {
@@ -272,17 +272,18 @@
         }
         let already: HashSet<TaskId> = chosen.iter().map(|c| c.0.clone()).collect();
         for v in self.jobs.values() {
-            let Some((used, victims)) = teams.get_mut(&v.spec.owner) else {
+            let Some((used, victims)) = teams.get_mut(&v.spec.team) else {
                 continue;
             };
             for (i, a) in &v.active {
                 let task = v.task(*i);
                 if a.kill.is_some() || already.contains(&task) {
-                    used.sub(&v.spec.need);
+                    used.sub(&v.spec.resources);
                 } else if v.spec.kind == JobKind::Batch {
                     let kept = v.progress.get(i).copied().unwrap_or_default();
-                    let counted =
-                        within.contains(&v.spec.uid) || v.starved || self.start_promised(&v.spec);
+                    let counted = within.contains(&v.spec.job_id)
+                        || v.starved
+                        || self.start_promised(&v.spec);
                     if let Some(loss) = victim_loss(now, v, a, kept, counted) {
                         victims.push((loss, task, v));
                     }
@@ -294,22 +295,22 @@
         }
         for job in limited {
             let spec = &job.spec;
-            let Some(team) = self.params.teams.iter().find(|t| t.name == spec.owner) else {
+            let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else {
                 continue;
             };
-            let Some((used, victims)) = teams.get_mut(&spec.owner) else {
+            let Some((used, victims)) = teams.get_mut(&spec.team) else {
                 continue;
             };
-            let wanted = spec.need.times(f64::from(job.waiting_count()));
+            let wanted = spec.resources.times(f64::from(job.waiting_count()));
             while !team.allows(used, &wanted) && chosen.len() < ROUND_VICTIMS {
                 let Some(at) = victims
                     .iter()
-                    .rposition(|v| v.2.spec.urgency < spec.urgency)
+                    .rposition(|v| v.2.spec.priority < spec.priority)
                 else {
                     break;
                 };
                 let (_, task, v) = victims.remove(at);
-                used.sub(&v.spec.need);
+                used.sub(&v.spec.resources);
                 chosen.push((task, true));
             }
             used.add(&wanted);
@@ -317,16 +318,16 @@
     }
 
     /// Whether the users of the class were promised how soon its tasks start.
-    pub(super) fn start_promised(&self, spec: &JobSpec) -> bool {
-        let promised = |o: &Objective| o.kind == "wait" && o.class.as_ref() == Some(&spec.class);
-        self.params.objectives.iter().any(promised)
+    pub(in crate::core) fn start_promised(&self, spec: &JobSpec) -> bool {
+        let promised = |o: &Slo| o.kind == "wait" && o.class.as_ref() == Some(&spec.class);
+        self.config.slos.iter().any(promised)
     }
 
     /// How long a task may be expected to wait before others are stopped for it: a part of what its
     /// class's users were promised, less where nothing is said.
-    pub(super) fn patience(&self, spec: &JobSpec) -> Duration {
-        self.params
-            .objectives
+    pub(in crate::core) fn patience(&self, spec: &JobSpec) -> Duration {
+        self.config
+            .slos
             .iter()
             .filter(|o| o.kind == "wait" && o.class.as_ref() == Some(&spec.class))
             .filter_map(|o| o.within)
@@ -336,9 +337,13 @@
             })
     }
 
-    pub(super) fn beyond_guarantee(&self, usage: &HashMap<TeamName, Need>, spec: &JobSpec) -> bool {
-        let team = self.params.teams.iter().find(|t| t.name == spec.owner);
-        let used = usage.get(&spec.owner).copied().unwrap_or_default();
+    pub(in crate::core) fn beyond_guarantee(
+        &self,
+        usage: &HashMap<TeamName, Resources>,
+        spec: &JobSpec,
+    ) -> bool {
+        let team = self.config.teams.iter().find(|t| t.name == spec.team);
+        let used = usage.get(&spec.team).copied().unwrap_or_default();
         team.is_some_and(|t| !t.guarantees(&used))
     }
 }
--- a/src/core/ranking.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -5,9 +5,9 @@
 //! each job above a change is looked at once, after its dependents, so that the cost is bounded by the
 //! part of the graph that the changes reach.
 
-use super::cluster::Cluster;
-use super::entities::Job;
-use super::model::{Uid, Urgency};
+use crate::core::model::{JobId, Priority};
+use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::entities::Job;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
     /// The more urgent goes first.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Among the equally urgent, the earlier deadline goes first.
     pub due: Option<Instant>,
 }
@@ -28,34 +28,34 @@
             (a, b) => a.or(b),
         };
         Rank {
-            urgency: self.urgency.max(other.urgency),
+            priority: self.priority.max(other.priority),
             due,
         }
     }
 }
 
-impl Cluster {
+impl ClusterState {
     /// Brings the ranks up to date with all jobs that came, or were cancelled, since the last time.
-    pub(super) fn update_ranks(&mut self) {
+    pub(in crate::core) fn update_ranks(&mut self) {
         let changed = self.dependencies.take_changed();
         if changed.is_empty() {
             return;
         }
         let above = self.with_all_needed(changed);
-        for uid in self.dependents_first(&above) {
+        for job_id in self.dependents_first(&above) {
             self.ranks_computed += 1;
-            let Some(job) = self.jobs.get(&uid) else {
+            let Some(job) = self.jobs.get(&job_id) else {
                 continue;
             };
-            let dependents = self.dependencies.dependents(&uid);
+            let dependents = self.dependencies.dependents(&job_id);
             let ranks = dependents.filter_map(|d| self.jobs.get(d));
             let rank = ranks
                 .map(|d| self.rank_before(d))
                 .fold(job.own_rank, Rank::or);
-            if let Some(job) = self.jobs.get_mut(&uid) {
-                self.order_stale |= job.spec.urgency != rank.urgency;
-                job.spec.urgency = rank.urgency;
-                job.due_at = rank.due;
+            if let Some(job) = self.jobs.get_mut(&job_id) {
+                self.order_stale |= job.spec.priority != rank.priority;
+                job.spec.priority = rank.priority;
+                job.deadline = rank.due;
             }
         }
     }
@@ -66,19 +66,19 @@
         let est = allowed.map(|t| self.history.est(&job.spec, &t.name)).min();
         let est = est.unwrap_or(job.spec.expected);
         Rank {
-            urgency: job.spec.urgency,
-            due: job.due_at.and_then(|due| due.checked_sub(est)),
+            priority: job.spec.priority,
+            due: job.deadline.and_then(|due| due.checked_sub(est)),
         }
     }
 
     /// These jobs and all that they need, directly or through others.
-    fn with_all_needed(&self, of: BTreeSet<Uid>) -> BTreeSet<Uid> {
-        let mut next: Vec<Uid> = of.iter().cloned().collect();
+    fn with_all_needed(&self, of: BTreeSet<JobId>) -> BTreeSet<JobId> {
+        let mut next: Vec<JobId> = of.iter().cloned().collect();
         let mut all = of;
-        while let Some(uid) = next.pop() {
-            for need in self.dependencies.needs(&uid) {
-                if all.insert(need.clone()) {
-                    next.push(need.clone());
+        while let Some(job_id) = next.pop() {
+            for resources in self.dependencies.dependencies(&job_id) {
+                if all.insert(resources.clone()) {
+                    next.push(resources.clone());
                 }
             }
         }
@@ -86,23 +86,23 @@
     }
 
     /// These jobs, each after all of its dependents among them.
-    fn dependents_first(&self, jobs: &BTreeSet<Uid>) -> Vec<Uid> {
-        let among = |uid: &Uid| {
-            let dependents = self.dependencies.dependents(uid);
+    fn dependents_first(&self, jobs: &BTreeSet<JobId>) -> Vec<JobId> {
+        let among = |job_id: &JobId| {
+            let dependents = self.dependencies.dependents(job_id);
             dependents.filter(|d| jobs.contains(*d)).count()
         };
-        let mut waits_for: HashMap<&Uid, usize> = jobs.iter().map(|u| (u, among(u))).collect();
-        let mut ready: Vec<&Uid> = jobs.iter().filter(|u| waits_for[u] == 0).collect();
+        let mut waits_for: HashMap<&JobId, usize> = jobs.iter().map(|u| (u, among(u))).collect();
+        let mut ready: Vec<&JobId> = jobs.iter().filter(|u| waits_for[u] == 0).collect();
         let mut order = Vec::with_capacity(jobs.len());
-        while let Some(uid) = ready.pop() {
-            order.push(uid.clone());
-            for need in self.dependencies.needs(uid) {
-                let Some(left) = waits_for.get_mut(need) else {
+        while let Some(job_id) = ready.pop() {
+            order.push(job_id.clone());
+            for resources in self.dependencies.dependencies(job_id) {
+                let Some(left) = waits_for.get_mut(resources) else {
                     continue;
                 };
                 *left -= 1;
                 if *left == 0 {
-                    ready.push(need);
+                    ready.push(resources);
                 }
             }
         }
--- a/src/core/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -51,7 +51,7 @@
 
 impl StartLimiter {
     /// How late timers fire on the node that is worst off.
-    pub fn strain(&mut self, now: Instant, late: Duration) {
+    pub fn timer_lag(&mut self, now: Instant, late: Duration) {
         let passed = match self.last_word.replace(now) {
             Some(t) => now.saturating_duration_since(t).as_secs_f64().min(1.0),
             None => return,
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,14 +1,14 @@
 //! The rounds' choices against the report's rule read plainly, and what preemption loses.
 
 use super::*;
-use crate::core::cluster::{Active, Answer};
-use crate::core::model::{Epoch, ImageKey, Params, Report, Team, Term, Tuning};
-use crate::core::preemption::victim_loss;
+use crate::core::model::{FencingToken, Heartbeat, ImageKey, SchedulerConfig, Team, Term, Tuning};
+use crate::core::placement::preemption::victim_loss;
+use crate::core::state::cluster_state::{ActiveAttempt, HeartbeatDecision};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn need(cpus: f64) -> Need {
-    Need {
+fn resources(cpus: f64) -> Resources {
+    Resources {
         cpus,
         gpus: 0.0,
         memory: cpus * 3.5,
@@ -16,21 +16,21 @@
 }
 
 /// A cluster of hosts of two types, with some images and some tasks on them.
-fn cluster(rng: &mut StdRng, now: Instant) -> Cluster {
-    let types: Vec<HostType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
+fn cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
+    let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
-        .map(|(name, cpus, hourly)| HostType {
+        .map(|(name, cpus, hourly)| MachineType {
             name: name.into(),
-            room: need(cpus),
+            room: resources(cpus),
             cache_gb: 20.0,
             fetch_gb_per_s: 0.3,
             hourly,
             low_price: hourly / 4.0,
             boot: Duration::from_secs(30),
-            sites: vec!["a".into()],
+            zones: vec!["a".into()],
         })
         .collect();
-    let params = Params {
+    let config = SchedulerConfig {
         teams: vec![Team {
             name: "red".into(),
             cpus: None,
@@ -38,8 +38,8 @@
             gpus: None,
             gpus_max: None,
         }],
-        objectives: Vec::new(),
-        report: Duration::from_secs(3),
+        slos: Vec::new(),
+        heartbeat: Duration::from_secs(3),
         lease: Duration::from_secs(30),
         gang_wait: Duration::from_secs(40),
         gang_peer: Duration::from_secs(5),
@@ -50,30 +50,30 @@
         tuning: Tuning::default(),
         recovery: Default::default(),
     };
-    let mut c = Cluster::new(params, Term(3), 50, types, now, 0);
+    let mut c = ClusterState::new(config, Term(3), 50, types, now, 0);
     for n in 0..40 {
         let name = if rng.gen_bool(0.5) { "small" } else { "large" };
-        let answer = c.on_report(
+        let answer = c.on_heartbeat(
             now,
-            Report {
-                host: HostId(format!("i-{n:03}")),
+            Heartbeat {
+                machine: MachineId(format!("i-{n:03}")),
                 endpoint: String::new(),
-                host_type: name.into(),
-                site: if rng.gen_bool(0.5) { "a" } else { "b" }.into(),
+                machine_type: name.into(),
+                zone: if rng.gen_bool(0.5) { "a" } else { "b" }.into(),
                 spot: rng.gen_bool(0.5),
-                tenure: 1,
+                incarnation: 1,
                 serial: 1,
-                epoch: Epoch::first(Term(3)),
+                token: FencingToken::first(Term(3)),
                 eviction: None,
                 tasks: Vec::new(),
             },
             true,
         );
-        assert!(matches!(answer, Answer::Accept { .. }));
+        assert!(matches!(answer, HeartbeatDecision::Accept { .. }));
     }
-    let ids: Vec<HostId> = c.hosts.keys().cloned().collect();
+    let ids: Vec<MachineId> = c.machines.keys().cloned().collect();
     for id in ids {
-        let Some(h) = c.hosts.get_mut(&id) else {
+        let Some(h) = c.machines.get_mut(&id) else {
             continue;
         };
         for image in ["img-1", "img-2", "img-3"] {
@@ -90,25 +90,25 @@
 
 fn job(rng: &mut StdRng, n: u32) -> JobSpec {
     JobSpec {
-        uid: Uid(format!("wk-{n:06}")),
+        job_id: JobId(format!("wk-{n:06}")),
         class: format!("c{}", n % 3),
-        owner: "red".into(),
+        team: "red".into(),
         kind: JobKind::Batch,
-        urgency: Urgency::Standard,
-        needs: Vec::new(),
+        priority: Priority::Standard,
+        dependencies: Vec::new(),
         listed: false,
-        shards: rng.gen_range(1..60),
-        need: need(rng.gen_range(1..17) as f64),
-        host_types: None,
-        site: None,
+        task_count: rng.gen_range(1..60),
+        resources: resources(rng.gen_range(1..17) as f64),
+        machine_types: None,
+        zone: None,
         same_place: rng.gen_bool(0.25),
         spread: rng.gen_bool(0.25),
-        preemptible: rng.gen_bool(0.8),
+        allows_spot: rng.gen_bool(0.8),
         image: format!("img-{}", rng.gen_range(1..4)),
         image_gb: 4.0,
         expected: Duration::from_secs(rng.gen_range(5..90)),
-        snapshot_every: Duration::ZERO,
-        snapshot: Duration::ZERO,
+        checkpoint_interval: Duration::ZERO,
+        checkpoint_duration: Duration::ZERO,
         due: None,
         accepted_ms: 0,
     }
@@ -129,7 +129,7 @@
         let rates: Vec<f64> = c.types.iter().map(|t| t.fetch_gb_per_s).collect();
         let (mut quick, mut plain) = (c.slots(now, &rates), c.slots(now, &rates));
         for s in &specs {
-            let job = &c.jobs[&s.uid];
+            let job = &c.jobs[&s.job_id];
             let ests: Vec<Duration> = c.types.iter().map(|t| c.history.est(s, &t.name)).collect();
             let crowding = vec![false; c.types.len()];
             let g = Group {
@@ -143,14 +143,14 @@
             let take = |slots: &mut [Slot<'_>], c: &Choice| {
                 let slot = &mut slots[c.slot];
                 if c.free_now {
-                    slot.free.sub(&s.need);
+                    slot.free.sub(&s.resources);
                     slot.started(job);
                 }
-                slot.book(c.at, c.est + c.penalty, &s.need);
+                slot.book(c.at, c.est + c.penalty, &s.resources);
             };
-            let mut zones = ZoneUse::of(job, &c.site_of());
+            let mut zones = ZoneUse::of(job, &c.zone_of());
             let mut heap = c.ranked(now, &g, &quick, &zones);
-            for _ in 0..s.shards {
+            for _ in 0..s.task_count {
                 let best = (0..plain.len())
                     .filter(|i| c.admits(job, &plain[*i], &zones))
                     .filter_map(|i| c.score(now, &g, &plain, i))
@@ -160,7 +160,7 @@
                     first.map(|f| (f.slot, f.at, f.free_now)),
                     best.map(|b| (b.slot, b.at, b.free_now)),
                     "seed {seed} job {}",
-                    s.uid
+                    s.job_id
                 );
                 let (Some(first), Some(best)) = (first, best) else {
                     break;
@@ -168,8 +168,8 @@
                 take(&mut quick, &first);
                 take(&mut plain, &best);
                 heap.extend(c.score(now, &g, &quick, first.slot).map(Reverse));
-                let site = &quick[first.slot].host.site;
-                if first.free_now && zones.start_in(s, site) {
+                let zone = &quick[first.slot].machine.zone;
+                if first.free_now && zones.start_in(s, zone) {
                     heap = c.ranked(now, &g, &quick, &zones);
                 }
                 if first.free_now {
@@ -202,14 +202,14 @@
         let mut rng = StdRng::seed_from_u64(1);
         let mut c = cluster(&mut rng, now);
         let mut s = job(&mut rng, 1);
-        s.snapshot_every = if saves { secs(20) } else { Duration::ZERO };
+        s.checkpoint_interval = if saves { secs(20) } else { Duration::ZERO };
         c.on_job(s.clone(), 9);
-        let a = Active {
-            host: "i-000".into(),
-            attempt: Attempt(1),
+        let a = ActiveAttempt {
+            machine: "i-000".into(),
+            attempt: AttemptId(1),
             durable: true,
-            launch_epoch: Epoch(1),
-            tenure: Some(1),
+            launch_token: FencingToken(1),
+            incarnation: Some(1),
             placed: now - secs(placed),
             seen: None,
             waited: None,
@@ -219,7 +219,7 @@
             kill: None,
             given: None,
         };
-        let loss = victim_loss(now, &c.jobs[&s.uid], &a, Duration::ZERO, counted);
+        let loss = victim_loss(now, &c.jobs[&s.job_id], &a, Duration::ZERO, counted);
         // Never for nothing: it would be stopped each time that it is placed.
         assert_eq!(loss, work.map(|w| w + 5.0), "{name}");
     }
--- a/src/core/zones.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -4,28 +4,28 @@
 //! are counted once for each job and round, since looking at all of its tasks for each machine anew costs
 //! a leader minutes where jobs have hundreds of tasks.
 
-use super::entities::Job;
-use super::model::{HostId, JobSpec, Site, TypeName};
+use crate::core::model::{JobSpec, MachineId, MachineTypeName, Zone};
+use crate::core::state::entities::Job;
 use std::collections::BTreeMap;
 
 /// The zones of a job's tasks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneUse {
-    tasks: BTreeMap<Site, u32>,
+    tasks: BTreeMap<Zone, u32>,
     /// Some task's zone is not known: it could be any.
     unknown: bool,
 }
 
 impl ZoneUse {
     /// Of the tasks that are on machines. Nothing is counted for a job that no rule ties to zones.
-    pub fn of(job: &Job, site_of: &impl Fn(&HostId) -> Option<Site>) -> ZoneUse {
+    pub fn of(job: &Job, zone_of: &impl Fn(&MachineId) -> Option<Zone>) -> ZoneUse {
         let mut zones = ZoneUse::default();
         if !is_tied(&job.spec) {
             return zones;
         }
         for attempt in job.active.values() {
-            match site_of(&attempt.host) {
-                Some(site) => *zones.tasks.entry(site).or_default() += 1,
+            match zone_of(&attempt.machine) {
+                Some(zone) => *zones.tasks.entry(zone).or_default() += 1,
                 None => zones.unknown = true,
             }
         }
@@ -33,28 +33,28 @@
     }
 
     /// One more task starts in this zone. Whether the job may start its next one elsewhere than before.
-    pub fn start_in(&mut self, spec: &JobSpec, site: &Site) -> bool {
+    pub fn start_in(&mut self, spec: &JobSpec, zone: &Zone) -> bool {
         if !is_tied(spec) {
             return false;
         }
         let first = self.tasks.is_empty();
-        *self.tasks.entry(site.clone()).or_default() += 1;
-        (spec.same_place && first) || !self.permits(spec, site)
+        *self.tasks.entry(zone.clone()).or_default() += 1;
+        (spec.same_place && first) || !self.permits(spec, zone)
     }
 
     /// Whether one more task may start in this zone.
-    pub fn permits(&self, spec: &JobSpec, site: &Site) -> bool {
+    pub fn permits(&self, spec: &JobSpec, zone: &Zone) -> bool {
         if !is_tied(spec) {
             return true;
         }
         if self.unknown {
             return false;
         }
-        if spec.same_place && self.tasks.keys().any(|other| other != site) {
+        if spec.same_place && self.tasks.keys().any(|other| other != zone) {
             return false;
         }
-        let here = self.tasks.get(site).copied().unwrap_or_default();
-        !spec.spread || here < spec.shards.div_ceil(2)
+        let here = self.tasks.get(zone).copied().unwrap_or_default();
+        !spec.spread || here < spec.task_count.div_ceil(2)
     }
 }
 
@@ -67,12 +67,12 @@
 pub fn permits(
     spec: &JobSpec,
     zones: &ZoneUse,
-    type_name: &TypeName,
-    site: &Site,
+    type_name: &MachineTypeName,
+    zone: &Zone,
     spot: bool,
 ) -> bool {
     spec.allows_type(type_name)
-        && spec.allows_site(site)
-        && (!spot || spec.preemptible)
-        && zones.permits(spec, site)
+        && spec.allows_zone(zone)
+        && (!spot || spec.allows_spot)
+        && zones.permits(spec, zone)
 }
--- a/src/core/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -1,75 +1,77 @@
 //! What workers are told: launches and kills, with the answers to their reports or by direct commands.
 
-use super::cluster::{Action, Answer, Cluster};
-use super::entities::{Active, Kill};
-use super::launch_check::LaunchCheck;
-use super::model::{Attempt, Directive, Epoch, HostId, Report, TaskId, TaskPhase, Term, Urgency};
+use crate::core::model::{
+    AttemptId, FencingToken, Heartbeat, MachineId, Priority, TaskCommand, TaskId, TaskPhase, Term,
+};
+use crate::core::reconciliation::launch_check::LaunchCheck;
+use crate::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
+use crate::core::state::entities::{ActiveAttempt, KillRequest};
 use cypressgap_recovery::pacing::OrderClass;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 /// Most directives in one message: far below 64 KiB.
-pub(super) const MOST_DIRECTIVES: usize = 300;
+pub(in crate::core) const MAX_COMMANDS: usize = 300;
 
 /// The session of a machine that is written to, and the token that goes with it.
 #[derive(Clone, Copy)]
 struct Session {
-    epoch: Epoch,
-    tenure: u64,
+    token: FencingToken,
+    incarnation: u64,
     /// It gets no more tasks.
     leaving: bool,
 }
 
-impl Kill {
+impl KillRequest {
     /// How long a task may still save. Repeated without what has passed, so that repeats do not extend it.
     fn left(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.since);
-        self.wind_down.saturating_sub(passed)
+        self.grace_period.saturating_sub(passed)
     }
 }
 
-impl Active {
+impl ActiveAttempt {
     /// The command to end it, unless it is at that already. `shown`: its machine shows it, or it is not
     /// known what the machine shows.
-    fn kill_directive(&self, now: Instant, task: &TaskId, shown: bool) -> Option<Directive> {
+    fn kill_command(&self, now: Instant, task: &TaskId, shown: bool) -> Option<TaskCommand> {
         let kill = self.kill.as_ref()?;
-        let saving = self.seen == Some(TaskPhase::Flushing);
-        if !shown || (saving && !kill.wind_down.is_zero()) {
+        let saving = self.seen == Some(TaskPhase::Checkpointing);
+        if !shown || (saving && !kill.grace_period.is_zero()) {
             return None;
         }
-        Some(Directive::Kill {
+        Some(TaskCommand::Kill {
             task: task.clone(),
             attempt: self.attempt,
-            wind_down: if saving {
+            grace_period: if saving {
                 kill.left(now)
             } else {
-                kill.wind_down
+                kill.grace_period
             },
         })
     }
 }
 
-impl Cluster {
+impl ClusterState {
     /// Launches and kills that this host has not shown to have taken. `listed`: what it shows now, if
     /// that is known.
-    pub(super) fn directives(
+    pub(in crate::core) fn commands(
         &mut self,
         now: Instant,
-        host: &HostId,
-        listed: Option<&HashSet<(TaskId, Attempt)>>,
-        out: &mut Vec<Directive>,
+        machine: &MachineId,
+        listed: Option<&HashSet<(TaskId, AttemptId)>>,
+        out: &mut Vec<TaskCommand>,
     ) {
-        let Some(h) = self.hosts.get(host) else {
+        let Some(h) = self.machines.get(machine) else {
             return;
         };
         let session = Session {
-            epoch: h.epoch,
-            tenure: h.tenure,
+            token: h.token,
+            incarnation: h.incarnation,
             leaving: h.returning || h.eviction.is_some(),
         };
         let tasks: Vec<TaskId> = h.placed.keys().cloned().collect();
         for task in tasks {
-            let job = self.jobs.get(&task.uid);
+            let job = self.jobs.get(&task.job_id);
             let Some(a) = job.and_then(|j| j.active.get(&task.index)) else {
                 continue;
             };
@@ -81,131 +83,140 @@
                 Some(l) => l.contains(&(task.clone(), a.attempt)),
                 None => a.seen.is_some(),
             };
-            let directive = if a.kill.is_some() {
-                let kill = a.kill_directive(now, &task, known || listed.is_none());
-                kill.filter(|kill| self.admit(now, host, kill, self.kill_class(now, &task)))
+            let command = if a.kill.is_some() {
+                let kill = a.kill_command(now, &task, known || listed.is_none());
+                kill.filter(|kill| self.admit(now, machine, kill, self.kill_class(now, &task)))
             } else if known {
                 None
             } else {
-                self.launch_directive(now, host, &task, session)
+                self.launch_command(now, machine, &task, session)
             };
-            out.extend(directive);
-            if out.len() >= MOST_DIRECTIVES {
+            out.extend(command);
+            if out.len() >= MAX_COMMANDS {
                 break;
             }
         }
     }
 
     /// The command to start an attempt, if it may start now.
-    fn launch_directive(
+    fn launch_command(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         task: &TaskId,
         session: Session,
-    ) -> Option<Directive> {
+    ) -> Option<TaskCommand> {
         // Without the state service the job may have been cancelled unheard.
         if session.leaving || !self.confirmed || self.launch_check(task) != LaunchCheck::Allowed {
             return None;
         }
-        let job = self.jobs.get(&task.uid)?;
+        let job = self.jobs.get(&task.job_id)?;
         if job.cancelled || job.finished {
             return None;
         }
         let attempt = job.active.get(&task.index)?.attempt;
         // What an earlier term may have sent is launched again only once it is proved absent.
-        if !self.takeover.allows_launch(host, task, attempt) {
+        if !self.takeover.allows_launch(machine, task, attempt) {
             return None;
         }
-        let launch = Directive::Launch {
+        let launch = TaskCommand::Launch {
             task: task.clone(),
             attempt,
         };
-        let class = if job.spec.urgency >= Urgency::High {
+        let class = if job.spec.priority >= Priority::High {
             OrderClass::Prompt
         } else {
             OrderClass::Ordinary
         };
-        if !self.admit(now, host, &launch, class) {
+        if !self.admit(now, machine, &launch, class) {
             return None;
         }
-        let job = self.jobs.get_mut(&task.uid)?;
+        let job = self.jobs.get_mut(&task.job_id)?;
         let a = job.active.get_mut(&task.index)?;
-        a.launch_epoch = a.launch_epoch.max(session.epoch);
-        a.tenure = Some(session.tenure);
+        a.launch_token = a.launch_token.max(session.token);
+        a.incarnation = Some(session.incarnation);
         a.given.get_or_insert(now);
         Some(launch)
     }
 
     /// A direct command's answer, or None when there was none.
-    pub fn on_sent(&mut self, now: Instant, host: &HostId, report: Option<Report>) -> Option<Term> {
-        if let Some(h) = self.hosts.get_mut(host) {
+    pub fn on_sent(
+        &mut self,
+        now: Instant,
+        machine: &MachineId,
+        heartbeat: Option<Heartbeat>,
+    ) -> Option<Term> {
+        if let Some(h) = self.machines.get_mut(machine) {
             h.sending = false;
         }
-        match report {
-            Some(r) if &r.host == host => match self.on_report(now, r, false) {
-                Answer::Superseded(t) => Some(t),
-                Answer::Accept { directives, .. } => {
+        match heartbeat {
+            Some(r) if &r.machine == machine => match self.on_heartbeat(now, r, false) {
+                HeartbeatDecision::Superseded(t) => Some(t),
+                HeartbeatDecision::Accept { commands, .. } => {
                     // Forgets can wait for the next report; launches and kills cannot.
-                    if directives
+                    if commands
                         .iter()
-                        .any(|d| !matches!(d, Directive::Forget { .. }))
+                        .any(|d| !matches!(d, TaskCommand::Forget { .. }))
                     {
-                        self.urgent.insert(host.clone());
+                        self.urgent.insert(machine.clone());
                     }
                     None
                 }
-                Answer::Ignore | Answer::Withheld => None,
+                HeartbeatDecision::Ignore | HeartbeatDecision::Withheld => None,
             },
             _ => None,
         }
     }
 
     /// A launch still in flight would come after its kill: the raised token shuts it out.
-    fn fence_unseen_kills(&mut self, host: &HostId) {
-        let Some(h) = self.hosts.get_mut(host) else {
+    fn fence_unseen_kills(&mut self, machine: &MachineId) {
+        let Some(h) = self.machines.get_mut(machine) else {
             return;
         };
         let unseen = h.placed.keys().any(|t| {
-            let a = self.jobs.get(&t.uid).and_then(|j| j.active.get(&t.index));
+            let a = self
+                .jobs
+                .get(&t.job_id)
+                .and_then(|j| j.active.get(&t.index));
             a.is_some_and(|a| a.durable && a.kill.is_some() && a.seen.is_none())
         });
         if unseen {
-            h.epoch = h.epoch.next();
+            h.token = h.token.next();
         }
     }
 
     /// Direct commands to the hosts that have something to be told at once.
-    pub(super) fn send_urgent(&mut self, now: Instant) {
-        for host in std::mem::take(&mut self.urgent) {
-            let Some(h) = self.hosts.get(&host) else {
+    pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
+        for machine in std::mem::take(&mut self.urgent) {
+            let Some(h) = self.machines.get(&machine) else {
                 continue;
             };
             if h.sending {
-                self.urgent.insert(host);
+                self.urgent.insert(machine);
                 continue;
             }
             // A silent host would only hold a sender up: the next report carries the commands.
-            let silent = now.saturating_duration_since(h.last_report) > self.params.report * 2;
+            let silent =
+                now.saturating_duration_since(h.last_heartbeat) > self.config.heartbeat * 2;
             if !h.reported || h.endpoint.is_empty() || silent {
                 continue;
             }
-            self.fence_unseen_kills(&host);
-            let mut directives = Vec::new();
-            self.directives(now, &host, None, &mut directives);
-            if directives.is_empty() {
+            self.fence_unseen_kills(&machine);
+            let mut commands = Vec::new();
+            self.commands(now, &machine, None, &mut commands);
+            if commands.is_empty() {
                 continue;
             }
-            let Some(h) = self.hosts.get_mut(&host) else {
+            let Some(h) = self.machines.get_mut(&machine) else {
                 continue;
             };
             h.sending = true;
             self.actions.push(Action::Send {
-                host: host.clone(),
+                machine: machine.clone(),
                 endpoint: h.endpoint.clone(),
-                epoch: h.epoch,
-                tenure: h.tenure,
-                directives,
+                token: h.token,
+                incarnation: h.incarnation,
+                commands,
             });
         }
     }
--- a/src/core/reports.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -1,105 +1,117 @@
 //! What workers' reports tell, and what they are answered.
 
-use super::cluster::{Answer, Cluster};
-use super::commands::MOST_DIRECTIVES;
-use super::entities::Host;
-use super::launch_check::LaunchCheck;
-use super::model::{
-    Attempt, Directive, Epoch, HostId, Need, Report, TaskId, TaskPhase, TaskReport, TeamName, Uid,
+use crate::core::model::{
+    AttemptId, FencingToken, Heartbeat, JobId, MachineId, Resources, TaskCommand, TaskId,
+    TaskPhase, TaskStatus, TeamName,
 };
-use super::unrecorded::UnrecordedTask;
+use crate::core::reconciliation::commands::MAX_COMMANDS;
+use crate::core::reconciliation::launch_check::LaunchCheck;
+use crate::core::reconciliation::unrecorded_tasks::UnrecordedTask;
+use crate::core::state::cluster_state::{ClusterState, HeartbeatDecision};
+use crate::core::state::entities::Machine;
 use cypressgap_recovery::pacing::OrderClass;
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
 
 /// What was told to a host shows in its reports within one interval, or this.
-const ACKNOWLEDGE_LEAST: Duration = Duration::from_secs(4);
+const ACKNOWLEDGE_MIN: Duration = Duration::from_secs(4);
 
 /// A host that is silent for so many reports may have been restarted under its name.
-const RESTART_SILENCE_REPORTS: f64 = 2.5;
+const RESTART_SILENCE_HEARTBEATS: f64 = 2.5;
 
 /// The tasks that a report lists, sorted by what becomes of them.
 #[derive(Default)]
 struct ReportedTasks {
-    listed: HashSet<(TaskId, Attempt)>,
+    listed: HashSet<(TaskId, AttemptId)>,
     /// Those that should not be there.
-    unexpected: Vec<Directive>,
+    unexpected: Vec<TaskCommand>,
     /// Ended ones that the worker may forget.
-    forgets: Vec<Directive>,
+    forgets: Vec<TaskCommand>,
     /// What the unexpected ones take, and whose they are.
-    foreign: Vec<(TeamName, Need)>,
+    foreign: Vec<(TeamName, Resources)>,
     /// Jobs of unexpected tasks that are not known here.
-    unknown_jobs: BTreeSet<Uid>,
+    unknown_jobs: BTreeSet<JobId>,
     /// No late command may start what is killed.
     raise_token: bool,
 }
 
-impl Cluster {
+impl ClusterState {
     /// A report, or the body of a direct answer (`heartbeat` false: it renews no lease).
-    pub fn on_report(&mut self, now: Instant, r: Report, heartbeat: bool) -> Answer {
-        let host = r.host.clone();
+    pub fn on_heartbeat(
+        &mut self,
+        now: Instant,
+        r: Heartbeat,
+        heartbeat: bool,
+    ) -> HeartbeatDecision {
+        let machine = r.machine.clone();
         let renews = self.renews(now);
-        match self.take_report(now, r, heartbeat, renews) {
-            Answer::Accept { directives, .. } if heartbeat && !renews => {
+        match self.take_heartbeat(now, r, heartbeat, renews) {
+            HeartbeatDecision::Accept { commands, .. } if heartbeat && !renews => {
                 // What cannot go with the answer goes by itself; direct commands renew no lease.
-                let kill = |d: &Directive| matches!(d, Directive::Kill { .. });
-                if directives.iter().any(kill) {
-                    self.urgent.insert(host);
+                let kill = |d: &TaskCommand| matches!(d, TaskCommand::Kill { .. });
+                if commands.iter().any(kill) {
+                    self.urgent.insert(machine);
                 }
-                Answer::Withheld
+                HeartbeatDecision::Withheld
             }
             answer => answer,
         }
     }
 
     /// `renews`: the answer may go to the worker, and then renews its lease.
-    fn take_report(&mut self, now: Instant, r: Report, heartbeat: bool, renews: bool) -> Answer {
-        if r.epoch.term() > self.term {
-            return Answer::Superseded(r.epoch.term());
+    fn take_heartbeat(
+        &mut self,
+        now: Instant,
+        r: Heartbeat,
+        heartbeat: bool,
+        renews: bool,
+    ) -> HeartbeatDecision {
+        if r.token.term() > self.term {
+            return HeartbeatDecision::Superseded(r.token.term());
         }
         if heartbeat {
             self.last_heartbeat = Some(now);
         }
         let heartbeat = heartbeat && renews;
-        if self.tombstones.contains(&r.host) {
-            return Answer::Ignore;
+        if self.tombstones.contains(&r.machine) {
+            return HeartbeatDecision::Ignore;
         }
-        if let Some(epoch) = self.outdated(now, &r, heartbeat) {
-            return Answer::Accept {
-                epoch,
-                directives: Vec::new(),
+        if let Some(token) = self.outdated(now, &r, heartbeat) {
+            return HeartbeatDecision::Accept {
+                token,
+                commands: Vec::new(),
             };
         }
-        self.take_host(now, &r);
+        self.take_machine(now, &r);
         let mut tasks = self.take_tasks(now, &r);
         let current = self.is_current(&r);
         let unknown_jobs = std::mem::take(&mut tasks.unknown_jobs);
-        self.note_unknown_jobs(now, &r.host, current, unknown_jobs);
+        self.note_unknown_jobs(now, &r.machine, current, unknown_jobs);
         let listed = &tasks.listed;
         self.takeover
-            .on_report(now, &r.host, current, |task, attempt| {
+            .on_heartbeat(now, &r.machine, current, |task, attempt| {
                 listed.contains(&(task.clone(), attempt))
             });
         self.acknowledge_orders(&r);
         self.prove_absent(now, &r, &tasks.listed);
         self.check_acknowledged(now, &r, &tasks.listed);
-        self.answer_report(now, &r.host, heartbeat, tasks)
+        self.answer_heartbeat(now, &r.machine, heartbeat, tasks)
     }
 
     /// The host that a report names; one that was not known appears.
-    fn reporting_host(&mut self, now: Instant, r: &Report) -> &mut Host {
+    fn reporting_machine(&mut self, now: Instant, r: &Heartbeat) -> &mut Machine {
         let term = self.term;
-        self.hosts.entry(r.host.clone()).or_insert_with(|| {
+        self.machines.entry(r.machine.clone()).or_insert_with(|| {
             log::info!(
                 "host appears host={} type={} site={}",
-                r.host,
-                r.host_type,
-                r.site
+                r.machine,
+                r.machine_type,
+                r.zone
             );
-            Host::new(
-                r.host.clone(),
-                r.host_type.clone(),
-                r.site.clone(),
+            Machine::new(
+                r.machine.clone(),
+                r.machine_type.clone(),
+                r.zone.clone(),
                 r.spot,
                 term,
                 now,
@@ -109,37 +121,37 @@
 
     /// The token to answer with if nothing is to be learned from a report: a newer message of the host
     /// came before, or it is its predecessor's.
-    fn outdated(&mut self, now: Instant, r: &Report, heartbeat: bool) -> Option<Epoch> {
-        let silence = self.params.report.mul_f64(RESTART_SILENCE_REPORTS);
-        let h = self.reporting_host(now, r);
-        if h.floor.is_some_and(|f| r.epoch < f) {
+    fn outdated(&mut self, now: Instant, r: &Heartbeat, heartbeat: bool) -> Option<FencingToken> {
+        let silence = self.config.heartbeat.mul_f64(RESTART_SILENCE_HEARTBEATS);
+        let h = self.reporting_machine(now, r);
+        if h.floor.is_some_and(|f| r.token < f) {
             // The predecessor's.
-            return Some(h.epoch);
+            return Some(h.token);
         }
-        if !h.reported || (r.tenure, r.serial) > (h.tenure, h.serial) {
+        if !h.reported || (r.incarnation, r.serial) > (h.incarnation, h.serial) {
             return None;
         }
-        let silent = now.saturating_duration_since(h.last_report) > silence;
-        let restarted = h.restart_probe.is_some_and(|p| r.epoch >= p);
+        let silent = now.saturating_duration_since(h.last_heartbeat) > silence;
+        let restarted = h.restart_probe.is_some_and(|p| r.token >= p);
         if !restarted {
             // Overtaken by a newer message, or a late copy: nothing is learned from it. When it
             // is a live worker's report that crossed a direct command, its answer renews the
             // lease, counted from its sending; that was before the newer message came.
             if heartbeat {
-                h.last_answer = h.last_answer.max(Some(h.last_report));
+                h.last_answer = h.last_answer.max(Some(h.last_heartbeat));
             }
             // Or the machine was restarted under its name and counts from the beginning: it has been
             // silent, or shows a token below the one shown before. No copy can show a token that was
             // first given out after it was sent; and such a machine, which has forgotten what it was
             // told to stop, takes no command any more that was sent to it before.
-            let fallen_back = r.epoch < h.shown;
+            let fallen_back = r.token < h.shown;
             if (silent || fallen_back) && heartbeat && h.restart_probe.is_none() {
-                h.epoch = h.epoch.next();
-                h.restart_probe = Some(h.epoch);
+                h.token = h.token.next();
+                h.restart_probe = Some(h.token);
             }
-            return Some(h.epoch);
+            return Some(h.token);
         }
-        log::info!("host was restarted host={}", r.host);
+        log::info!("host was restarted host={}", r.machine);
         h.floor = h.restart_probe;
         h.images.clear();
         h.fetching.clear();
@@ -148,31 +160,31 @@
     }
 
     /// What a report shows of its host.
-    fn take_host(&mut self, now: Instant, r: &Report) {
+    fn take_machine(&mut self, now: Instant, r: &Heartbeat) {
         let term = self.term;
-        let h = self.reporting_host(now, r);
+        let h = self.reporting_machine(now, r);
         h.restart_probe = None;
         if !h.reported {
             h.idle_since = h.placed.is_empty().then_some(now);
             h.avoid_until = None;
         }
         let booting = h.booting.take();
-        let new_session = !h.reported || r.tenure != h.tenure;
-        let later_session = h.reported && r.tenure > h.tenure;
+        let new_session = !h.reported || r.incarnation != h.incarnation;
+        let later_session = h.reported && r.incarnation > h.incarnation;
         h.reported = true;
-        h.host_type = r.host_type.clone();
-        h.site = r.site.clone();
+        h.machine_type = r.machine_type.clone();
+        h.zone = r.zone.clone();
         h.spot = r.spot;
         h.endpoint = r.endpoint.clone();
-        h.tenure = r.tenure;
+        h.incarnation = r.incarnation;
         h.serial = r.serial;
-        h.shown = r.epoch;
-        h.last_report = now;
+        h.shown = r.token;
+        h.last_heartbeat = now;
         h.lease_spent = false;
-        if r.epoch.term() == term {
+        if r.token.term() == term {
             h.fenced = true;
-            h.epoch = h.epoch.max(r.epoch);
-            if h.must_show.is_some_and(|(e, _)| r.epoch >= e) {
+            h.token = h.token.max(r.token);
+            if h.must_show.is_some_and(|(e, _)| r.token >= e) {
                 h.must_show = None;
             }
         }
@@ -197,41 +209,41 @@
         if let Some(remaining) = r.eviction.filter(|_| noticed) {
             log::info!(
                 "host will be taken host={} in_s={:.1}",
-                r.host,
+                r.machine,
                 remaining.as_secs_f64()
             );
         }
     }
 
     /// The first report of a machine that was booting.
-    fn came_up(&mut self, took: Duration, r: &Report) {
-        self.capacity.booted(&r.host_type, took, r.spot);
+    fn came_up(&mut self, took: Duration, r: &Heartbeat) {
+        self.capacity.booted(&r.machine_type, took, r.spot);
         log::info!(
             "host is up host={} type={} site={}",
-            r.host,
-            r.host_type,
-            r.site
+            r.machine,
+            r.machine_type,
+            r.zone
         );
     }
 
     /// Sent after this term began, or by a machine without a past. Any other may be a copy from before an
     /// end of the session: what it shows may long be otherwise, since a leader launches the same attempt
     /// again where a session ended.
-    fn is_current(&self, r: &Report) -> bool {
-        let own = self.hosts.get(&r.host).is_some_and(|h| h.own);
-        r.epoch.term() == self.term || own
+    fn is_current(&self, r: &Heartbeat) -> bool {
+        let own = self.machines.get(&r.machine).is_some_and(|h| h.own);
+        r.token.term() == self.term || own
     }
 
     /// What a report shows of tasks.
-    fn take_tasks(&mut self, now: Instant, r: &Report) -> ReportedTasks {
+    fn take_tasks(&mut self, now: Instant, r: &Heartbeat) -> ReportedTasks {
         let current = self.is_current(r);
         let mut tasks = ReportedTasks::default();
         for t in &r.tasks {
             tasks.listed.insert((t.task.clone(), t.attempt));
-            let job = self.jobs.get(&t.task.uid);
+            let job = self.jobs.get(&t.task.job_id);
             let matches = job
                 .and_then(|j| j.active.get(&t.task.index))
-                .is_some_and(|a| a.attempt == t.attempt && a.host == r.host);
+                .is_some_and(|a| a.attempt == t.attempt && a.machine == r.machine);
             let held = job.is_some_and(|j| j.is_held(t.task.index, t.attempt));
             match t.phase {
                 TaskPhase::Ended(exit) if matches => {
@@ -239,7 +251,7 @@
                         self.ended(now, r, &t.task, exit);
                     }
                 }
-                TaskPhase::Ended(_) if !held => tasks.forgets.push(Directive::Forget {
+                TaskPhase::Ended(_) if !held => tasks.forgets.push(TaskCommand::Forget {
                     task: t.task.clone(),
                     attempt: t.attempt,
                 }),
@@ -257,17 +269,17 @@
     /// A task that no record names, and that is not adopted.
     fn note_unexpected(
         &mut self,
-        shown: &TaskReport,
+        shown: &TaskStatus,
         decision: UnrecordedTask,
         tasks: &mut ReportedTasks,
     ) {
-        match self.jobs.get(&shown.task.uid) {
+        match self.jobs.get(&shown.task.job_id) {
             Some(job) => {
-                let owner = job.spec.owner.clone();
-                tasks.foreign.push((owner, job.spec.need));
+                let team = job.spec.team.clone();
+                tasks.foreign.push((team, job.spec.resources));
             }
             None => {
-                tasks.unknown_jobs.insert(shown.task.uid.clone());
+                tasks.unknown_jobs.insert(shown.task.job_id.clone());
             }
         }
         if decision == UnrecordedTask::Held {
@@ -275,89 +287,92 @@
         }
         tasks.raise_token |= decision == UnrecordedTask::KilledUnderRaisedToken;
         self.takeover.on_killed();
-        tasks.unexpected.push(Directive::Kill {
+        tasks.unexpected.push(TaskCommand::Kill {
             task: shown.task.clone(),
             attempt: shown.attempt,
-            wind_down: Duration::ZERO,
+            grace_period: Duration::ZERO,
         });
     }
 
-    fn answer_report(
+    fn answer_heartbeat(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         heartbeat: bool,
         tasks: ReportedTasks,
-    ) -> Answer {
-        let mut directives = tasks.unexpected;
-        for kill in &directives {
-            self.admit(now, host, kill, OrderClass::Immediate);
+    ) -> HeartbeatDecision {
+        let mut commands = tasks.unexpected;
+        for kill in &commands {
+            self.admit(now, machine, kill, OrderClass::Immediate);
         }
         let mut forgets = tasks.forgets;
-        forgets.retain(|forget| self.admit(now, host, forget, OrderClass::Background));
-        let Some(h) = self.hosts.get_mut(host) else {
-            return Answer::Ignore;
+        forgets.retain(|forget| self.admit(now, machine, forget, OrderClass::Background));
+        let Some(h) = self.machines.get_mut(machine) else {
+            return HeartbeatDecision::Ignore;
         };
-        h.foreign = Need::default();
-        for (_, need) in &tasks.foreign {
-            h.foreign.add(need);
+        h.foreign = Resources::default();
+        for (_, resources) in &tasks.foreign {
+            h.foreign.add(resources);
         }
-        self.team_use.set_unexpected(host, &tasks.foreign);
+        self.team_use.set_unexpected(machine, &tasks.foreign);
         if heartbeat {
             h.last_answer = Some(now);
         }
         // After a forget the worker would take a late copy of the launch for a new one, so the same
         // answer raises the token past every launch that went out before.
         if !forgets.is_empty() || tasks.raise_token {
-            h.epoch = h.epoch.next();
+            h.token = h.token.next();
         }
-        directives.extend(forgets);
-        self.directives(now, host, Some(&tasks.listed), &mut directives);
-        directives.truncate(MOST_DIRECTIVES);
-        Answer::Accept {
-            epoch: self.hosts[host].epoch,
-            directives,
+        commands.extend(forgets);
+        self.commands(now, machine, Some(&tasks.listed), &mut commands);
+        commands.truncate(MAX_COMMANDS);
+        HeartbeatDecision::Accept {
+            token: self.machines[machine].token,
+            commands,
         }
     }
 
     /// Whether the report shows what the host was told a while ago. A machine whose reports come
     /// through while nothing reaches it would otherwise be given task after task.
-    pub(super) fn check_acknowledged(
+    pub(in crate::core) fn check_acknowledged(
         &mut self,
         now: Instant,
-        r: &Report,
-        listed: &HashSet<(TaskId, Attempt)>,
+        r: &Heartbeat,
+        listed: &HashSet<(TaskId, AttemptId)>,
     ) {
-        let patience = self.params.report.max(ACKNOWLEDGE_LEAST);
-        let Some(h) = self.hosts.get(&r.host) else {
+        let patience = self.config.heartbeat.max(ACKNOWLEDGE_MIN);
+        let Some(h) = self.machines.get(&r.machine) else {
             return;
         };
         let long = |t: Instant| now.saturating_duration_since(t) > patience;
         let ignored = h.placed.keys().any(|t| {
-            let a = self.jobs.get(&t.uid).and_then(|j| j.active.get(&t.index));
+            let a = self
+                .jobs
+                .get(&t.job_id)
+                .and_then(|j| j.active.get(&t.index));
             a.is_some_and(|a| {
                 let shown = listed.contains(&(t.clone(), a.attempt));
                 let lost = !shown && a.kill.is_none() && a.given.is_some_and(long);
                 let kill = a.kill.as_ref();
-                let runs = a.seen != Some(TaskPhase::Flushing);
-                lost || (shown && runs && kill.is_some_and(|k| long(k.since + k.wind_down)))
+                let runs = a.seen != Some(TaskPhase::Checkpointing);
+                lost || (shown && runs && kill.is_some_and(|k| long(k.since + k.grace_period)))
             })
         });
         if ignored {
-            if let Some(h) = self.hosts.get_mut(&r.host) {
+            if let Some(h) = self.machines.get_mut(&r.machine) {
                 h.require_token(now);
             }
         }
     }
 
     /// Attempts placed on this host that its report does not list.
-    pub(super) fn prove_absent(
+    pub(in crate::core) fn prove_absent(
         &mut self,
         now: Instant,
-        r: &Report,
-        listed: &HashSet<(TaskId, Attempt)>,
+        r: &Heartbeat,
+        listed: &HashSet<(TaskId, AttemptId)>,
     ) {
-        let Some(h) = self.hosts.get(&r.host) else {
+        let Some(h) = self.machines.get(&r.machine) else {
             return;
         };
         let mut gone = Vec::new();
@@ -365,7 +380,7 @@
         for task in h.placed.keys() {
             let Some(a) = self
                 .jobs
-                .get(&task.uid)
+                .get(&task.job_id)
                 .and_then(|j| j.active.get(&task.index))
             else {
                 continue;
@@ -373,9 +388,10 @@
             if !a.durable || listed.contains(&(task.clone(), a.attempt)) {
                 continue;
             }
-            let current = r.epoch.term() == self.term || h.own;
-            let earlier =
-                a.tenure.is_some_and(|t| t < r.tenure) && a.launch_epoch != Epoch(0) && current;
+            let current = r.token.term() == self.term || h.own;
+            let earlier = a.incarnation.is_some_and(|t| t < r.incarnation)
+                && a.launch_token != FencingToken(0)
+                && current;
             let unwanted = a.kill.is_some()
                 || h.returning
                 || h.eviction.is_some()
@@ -385,23 +401,23 @@
                 // session no longer match.
                 gone.push(task.clone());
             } else if unwanted {
-                if r.epoch > a.launch_epoch && r.epoch.term() == self.term {
+                if r.token > a.launch_token && r.token.term() == self.term {
                     gone.push(task.clone());
                 } else {
-                    fence |= h.epoch <= a.launch_epoch;
+                    fence |= h.token <= a.launch_token;
                 }
-            } else if a.seen.is_some() && r.epoch.term() == self.term && r.epoch > a.launch_epoch {
+            } else if a.seen.is_some() && r.token.term() == self.term && r.token > a.launch_token {
                 gone.push(task.clone());
             }
         }
         if fence {
-            if let Some(h) = self.hosts.get_mut(&r.host) {
-                h.epoch = h.epoch.next();
+            if let Some(h) = self.machines.get_mut(&r.machine) {
+                h.token = h.token.next();
             }
         }
         for t in gone {
-            log::debug!("task is proved absent task={t} host={}", r.host);
-            self.gone(now, &t.uid, t.index, false);
+            log::debug!("task is proved absent task={t} host={}", r.machine);
+            self.gone(now, &t.job_id, t.index, false);
         }
     }
 }
--- a/src/core/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -6,13 +6,13 @@
 //! all that is on record, keeps to the team's limit and to the job's zones. What may not be launched and
 //! is proved not to be on its machine leaves the account and waits to be placed anew.
 
-use super::cluster::Cluster;
-use super::entities::Job;
-use super::model::{Need, TaskId, Team, TeamName};
+use crate::core::model::{Resources, TaskId, Team, TeamName};
+use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::entities::Job;
 
 /// What may become of an attempt that its machine does not show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LaunchCheck {
+pub(in crate::core) enum LaunchCheck {
     /// It may be launched.
     Allowed,
     /// Where other tasks of its job are is not known yet.
@@ -21,49 +21,49 @@
     Refused,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Whether an attempt may be launched on its machine.
-    pub(super) fn launch_check(&self, task: &TaskId) -> LaunchCheck {
-        let Some(job) = self.jobs.get(&task.uid) else {
+    pub(in crate::core) fn launch_check(&self, task: &TaskId) -> LaunchCheck {
+        let Some(job) = self.jobs.get(&task.job_id) else {
             return LaunchCheck::Refused;
         };
-        if job.is_done(task.index) || !self.keeps_limit(&job.spec.owner) {
+        if job.is_done(task.index) || !self.keeps_limit(&job.spec.team) {
             return LaunchCheck::Refused;
         }
         self.check_zones(job, task.index)
     }
 
-    /// Whether an attempt that runs already may go on: as [`Cluster::launch_check`], but what is not known
+    /// Whether an attempt that runs already may go on: as [`ClusterState::launch_check`], but what is not known
     /// of other work does not end this one.
-    pub(super) fn may_go_on(&self, task: &TaskId) -> bool {
-        let Some(job) = self.jobs.get(&task.uid) else {
+    pub(in crate::core) fn may_go_on(&self, task: &TaskId) -> bool {
+        let Some(job) = self.jobs.get(&task.job_id) else {
             return false;
         };
-        let team = self.team(&job.spec.owner);
+        let team = self.team(&job.spec.team);
         let zones = self.check_zones(job, task.index);
         team.is_some_and(|t| self.is_within_limit(t)) && zones != LaunchCheck::Refused
     }
 
     /// Whether all that is on record of a team keeps to its limit.
-    fn keeps_limit(&self, owner: &TeamName) -> bool {
-        let team = self.team_that_may_start(owner);
+    fn keeps_limit(&self, team: &TeamName) -> bool {
+        let team = self.team_that_may_start(team);
         team.is_some_and(|t| self.is_within_limit(t))
     }
 
     fn is_within_limit(&self, team: &Team) -> bool {
-        team.allows(&self.team_use.of(&team.name), &Need::default())
+        team.allows(&self.team_use.of(&team.name), &Resources::default())
     }
 
     fn team(&self, name: &TeamName) -> Option<&Team> {
-        self.params.teams.iter().find(|t| &t.name == name)
+        self.config.teams.iter().find(|t| &t.name == name)
     }
 
     /// A team by its name, unless nothing may start for it: the settings do not name it, or it has a
     /// limit and what its tasks use is not known.
-    pub(super) fn team_that_may_start(&self, owner: &TeamName) -> Option<&Team> {
-        let team = self.team(owner)?;
+    pub(in crate::core) fn team_that_may_start(&self, team: &TeamName) -> Option<&Team> {
+        let team = self.team(team)?;
         let limited = team.cpus_max.is_some() || team.gpus_max.is_some();
-        let unknown = self.set_aside.may_run() || self.takeover.may_use_any_team();
+        let unknown = self.unreadable_records.may_run() || self.takeover.may_use_any_team();
         (!limited || !unknown).then_some(team)
     }
 
@@ -72,19 +72,19 @@
         if !spec.same_place && !spec.spread {
             return LaunchCheck::Allowed;
         }
-        let site_of = self.site_of();
-        let Some(site) = job.active.get(&index).and_then(|a| site_of(&a.host)) else {
+        let zone_of = self.zone_of();
+        let Some(zone) = job.active.get(&index).and_then(|a| zone_of(&a.machine)) else {
             return LaunchCheck::Unknown;
         };
         let (mut unknown, mut here, mut elsewhere) = (0, 0, 0);
         for (_, other) in job.active.iter().filter(|(i, _)| **i != index) {
-            match site_of(&other.host) {
+            match zone_of(&other.machine) {
                 None => unknown += 1,
-                Some(zone) if zone == site => here += 1,
+                Some(other_zone) if other_zone == zone => here += 1,
                 Some(_) => elsewhere += 1,
             }
         }
-        let half = spec.shards.div_ceil(2);
+        let half = spec.task_count.div_ceil(2);
         if (spec.same_place && elsewhere > 0) || (spec.spread && here + 1 > half) {
             LaunchCheck::Refused
         } else if (spec.same_place && unknown > 0) || (spec.spread && here + unknown + 1 > half) {
--- a/src/core/unrecorded.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -5,17 +5,17 @@
 //! allowed: its work goes on, and nothing is started twice. A job that is not known here is first asked
 //! for in the state service; `cypressgap_recovery::unrecorded` says what follows.
 
-use super::cluster::Cluster;
-use super::ledger::Verdict;
-use super::model::{HostId, JobKind, Report, TaskPhase, TaskReport, Uid};
-use super::status_reads::Standing;
+use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
+use crate::core::persistence::job_status_reads::JobRecordStatus;
+use crate::core::persistence::ledger::JobOutcome;
+use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 /// What becomes of a task that no record names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum UnrecordedTask {
+pub(in crate::core) enum UnrecordedTask {
     /// It is on record from now on.
     Adopted,
     /// Its job is not known: it stays until the state service has been asked.
@@ -26,19 +26,19 @@
     KilledUnderRaisedToken,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Decides on a task that a report shows running and that no record names. `current`: the report is
     /// no late copy of an earlier term's.
-    pub(super) fn take_unrecorded(
+    pub(in crate::core) fn take_unrecorded(
         &mut self,
         now: Instant,
-        r: &Report,
-        shown: &TaskReport,
+        r: &Heartbeat,
+        shown: &TaskStatus,
         current: bool,
     ) -> UnrecordedTask {
-        let uid = &shown.task.uid;
-        if !self.jobs.contains_key(uid) {
-            return match self.takeover.disposition(now, uid) {
+        let job_id = &shown.task.job_id;
+        if !self.jobs.contains_key(job_id) {
+            return match self.takeover.disposition(now, job_id) {
                 Disposition::Hold => UnrecordedTask::Held,
                 Disposition::Kill => UnrecordedTask::KilledUnderRaisedToken,
             };
@@ -51,80 +51,85 @@
 
     /// Whether a task is one that its job still lacks, on a machine that the job allows. An attempt of
     /// this term is never adopted: it is on record until it is proved gone.
-    fn may_adopt(&self, r: &Report, shown: &TaskReport) -> bool {
-        let (Some(job), Some(host)) = (self.jobs.get(&shown.task.uid), self.hosts.get(&r.host))
-        else {
+    fn may_adopt(&self, r: &Heartbeat, shown: &TaskStatus) -> bool {
+        let (Some(job), Some(machine)) = (
+            self.jobs.get(&shown.task.job_id),
+            self.machines.get(&r.machine),
+        ) else {
             return false;
         };
         let (spec, index) = (&job.spec, shown.task.index);
-        let lacked = index < spec.shards
+        let lacked = index < spec.task_count
             && !job.is_done(index)
             && !job.active.contains_key(&index)
             && !job.is_held(index, shown.attempt);
-        let allowed = spec.allows_type(&r.host_type)
-            && spec.allows_site(&r.site)
-            && (spec.preemptible || !r.spot);
+        let allowed = spec.allows_type(&r.machine_type)
+            && spec.allows_zone(&r.zone)
+            && (spec.allows_spot || !r.spot);
         let wanted = spec.kind == JobKind::Batch && !job.over() && !job.blocked && !job.suspected;
         let runs = matches!(shown.phase, TaskPhase::Fetching | TaskPhase::Running);
         let earlier = shown.attempt.term() < self.term;
-        let stays = !host.returning && host.eviction.is_none();
+        let stays = !machine.returning && machine.eviction.is_none();
         lacked && allowed && wanted && runs && earlier && stays
     }
 
     /// Enters a task as if it had been placed there, unless its team's limit or its job's zones forbid it.
-    fn adopt(&mut self, now: Instant, r: &Report, shown: &TaskReport) -> bool {
-        let (uid, index) = (&shown.task.uid, shown.task.index);
-        let Some(est) = self.jobs.get(uid).map(|job| job.spec.expected) else {
+    fn adopt(&mut self, now: Instant, r: &Heartbeat, shown: &TaskStatus) -> bool {
+        let (job_id, index) = (&shown.task.job_id, shown.task.index);
+        let Some(est) = self.jobs.get(job_id).map(|job| job.spec.expected) else {
             return false;
         };
         // What the report before showed of it is counted as its own from here on.
-        self.team_use.set_unexpected(&r.host, &[]);
-        self.assign(now, uid, index, &r.host, shown.attempt, est);
+        self.team_use.set_unexpected(&r.machine, &[]);
+        self.assign(now, job_id, index, &r.machine, shown.attempt, est);
         if !self.may_go_on(&shown.task) {
-            self.gone(now, uid, index, false);
+            self.gone(now, job_id, index, false);
             return false;
         }
         log::warn!(
             "a task that no record names is adopted task={} host={}",
             shown.task,
-            r.host
+            r.machine
         );
         self.takeover.on_adopted();
         true
     }
 
     /// The unknown jobs whose tasks a machine shows, in place of those that it showed before.
-    pub(super) fn note_unknown_jobs(
+    pub(in crate::core) fn note_unknown_jobs(
         &mut self,
         now: Instant,
-        host: &HostId,
+        machine: &MachineId,
         current: bool,
-        jobs: BTreeSet<Uid>,
+        jobs: BTreeSet<JobId>,
     ) {
-        for uid in self.takeover.unknown_jobs_shown(now, host, current, jobs) {
-            log::warn!("a task of an unknown job is held until the state service was asked job={uid} host={host}");
+        for job_id in self
+            .takeover
+            .unknown_jobs_shown(now, machine, current, jobs)
+        {
+            log::warn!("a task of an unknown job is held until the state service was asked job={job_id} host={machine}");
         }
     }
 
     /// Jobs of which machines show tasks and that the state service is to be asked about.
-    pub fn jobs_to_ask(&self) -> Vec<Uid> {
+    pub fn jobs_to_ask(&self) -> Vec<JobId> {
         self.takeover.jobs_to_ask()
     }
 
     /// How the jobs stand that were asked about. A job that could not be asked about is not among them.
-    pub fn on_standings(&mut self, now: Instant, standings: &[(Uid, Standing)]) {
-        for (uid, standing) in standings {
-            let answer = match standing {
+    pub fn on_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
+        for (job_id, status) in statuses {
+            let answer = match status {
                 None => StoreAnswer::NeverAccepted,
-                Some(Verdict::Live) => StoreAnswer::Live,
-                Some(Verdict::Done | Verdict::Cancelled) => StoreAnswer::Over,
+                Some(JobOutcome::Live) => StoreAnswer::Live,
+                Some(JobOutcome::Done | JobOutcome::Cancelled) => StoreAnswer::Over,
             };
             if answer == StoreAnswer::NeverAccepted {
                 log::error!(
-                    "machines show tasks of a job that the state service does not know job={uid}"
+                    "machines show tasks of a job that the state service does not know job={job_id}"
                 );
             }
-            self.takeover.on_store_answer(now, uid, answer);
+            self.takeover.on_store_answer(now, job_id, answer);
         }
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,56 +1,63 @@
 //! Attempts at tasks, from the decision to run one to the proof that it is off its host.
 
-use super::cluster::Cluster;
-use super::entities::{Active, Kill};
-use super::ledger::CHUNK;
-use super::model::{Attempt, HostId, JobKind, Need, TaskId, Uid};
+use crate::core::model::{AttemptId, JobId, JobKind, MachineId, Resources, TaskId};
+use crate::core::persistence::ledger::CHUNK;
+use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::entities::{ActiveAttempt, KillRequest};
 use std::time::{Duration, Instant};
 
-impl Cluster {
-    pub(super) fn next_attempt(&mut self) -> Attempt {
+impl ClusterState {
+    pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
         self.attempts += 1;
-        Attempt::of(self.term, self.attempts)
+        AttemptId::of(self.term, self.attempts)
     }
 
     /// Records the decision to run a task on a host. The launch goes out once this is durable.
-    pub(super) fn assign(
+    pub(in crate::core) fn assign(
         &mut self,
         now: Instant,
-        uid: &Uid,
+        job_id: &JobId,
         index: u32,
-        host: &HostId,
-        attempt: Attempt,
+        machine: &MachineId,
+        attempt: AttemptId,
         est: Duration,
     ) {
-        let (Some(job), Some(h)) = (self.jobs.get_mut(uid), self.hosts.get_mut(host)) else {
+        let (Some(job), Some(h)) = (self.jobs.get_mut(job_id), self.machines.get_mut(machine))
+        else {
             return;
         };
         job.requeued.remove(&index);
         if index == job.next {
             job.next += 1;
         }
-        let mut active = Active::planned(now, host.clone(), attempt, est);
-        active.tenure = Some(h.tenure);
+        let mut active = ActiveAttempt::planned(now, machine.clone(), attempt, est);
+        active.incarnation = Some(h.incarnation);
         job.active.insert(index, active);
         job.last_placed = now;
         job.turn = job.turn.saturating_sub(1);
         job.unlaunched += 1;
         job.touch(index);
-        let need = job.spec.need;
-        h.placed.insert(job.task(index), need);
-        h.used.add(&need);
+        let resources = job.spec.resources;
+        h.placed.insert(job.task(index), resources);
+        h.used.add(&resources);
         h.idle_since = None;
         if !h.has_image(job.image) {
             h.fetching
                 .entry(job.image)
                 .or_insert((now, job.spec.image_gb));
         }
-        self.team_use.enter(job.task(index), &job.spec.owner, need);
-        self.dirty_jobs.insert(uid.clone());
+        self.team_use
+            .enter(job.task(index), &job.spec.team, resources);
+        self.dirty_jobs.insert(job_id.clone());
     }
 
-    pub(super) fn intent_durable(&mut self, now: Instant, task: &TaskId, attempt: Attempt) {
-        let Some(job) = self.jobs.get_mut(&task.uid) else {
+    pub(in crate::core) fn intent_durable(
+        &mut self,
+        now: Instant,
+        task: &TaskId,
+        attempt: AttemptId,
+    ) {
+        let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
         let cancelled = job.cancelled;
@@ -64,52 +71,58 @@
         a.placed = now;
         job.unlaunched = job.unlaunched.saturating_sub(1);
         if !cancelled {
-            self.urgent.insert(a.host.clone());
+            self.urgent.insert(a.machine.clone());
         }
     }
 
     /// Asks for an attempt's end. One that was never sent ends here and now.
-    pub(super) fn kill(&mut self, now: Instant, uid: &Uid, index: u32, wind_down: Duration) {
+    pub(in crate::core) fn kill(
+        &mut self,
+        now: Instant,
+        job_id: &JobId,
+        index: u32,
+        grace_period: Duration,
+    ) {
         let Some(a) = self
             .jobs
-            .get_mut(uid)
+            .get_mut(job_id)
             .and_then(|j| j.active.get_mut(&index))
         else {
             return;
         };
         // One that was adopted is on its machine before its record is durable.
         if !a.durable && a.seen.is_none() {
-            self.gone(now, uid, index, false);
+            self.gone(now, job_id, index, false);
             return;
         }
         match &mut a.kill {
-            Some(k) if k.wind_down <= wind_down => return,
-            Some(k) => k.wind_down = wind_down,
+            Some(k) if k.grace_period <= grace_period => return,
+            Some(k) => k.grace_period = grace_period,
             None => {
-                a.kill = Some(Kill {
-                    wind_down,
+                a.kill = Some(KillRequest {
+                    grace_period,
                     since: now,
                 })
             }
         }
-        self.urgent.insert(a.host.clone());
+        self.urgent.insert(a.machine.clone());
     }
 
     /// The attempt is off its host for certain. Unless it was done, the task waits again.
-    pub(super) fn gone(
+    pub(in crate::core) fn gone(
         &mut self,
         now: Instant,
-        uid: &Uid,
+        job_id: &JobId,
         index: u32,
         done: bool,
-    ) -> Option<Active> {
-        let job = self.jobs.get_mut(uid)?;
+    ) -> Option<ActiveAttempt> {
+        let job = self.jobs.get_mut(job_id)?;
         let a = job.active.remove(&index)?;
         if !a.durable {
             job.unlaunched = job.unlaunched.saturating_sub(1);
         }
         let attempt = a.attempt;
-        let need = job.spec.need;
+        let resources = job.spec.resources;
         let chunk = job.touch(index);
         let version = chunk.version;
         chunk.held.push((index, attempt, version));
@@ -127,37 +140,37 @@
         }
         let task = job.task(index);
         self.team_use.leave(&task);
-        self.takeover.on_gone(now, &a.host, &task);
+        self.takeover.on_gone(now, &a.machine, &task);
         let gang = job.spec.kind == JobKind::Gang;
         if job.finished && job.active.is_empty() {
-            self.drop_job(now, uid);
+            self.drop_job(now, job_id);
         } else {
-            self.dirty_jobs.insert(uid.clone());
+            self.dirty_jobs.insert(job_id.clone());
         }
-        if let Some(h) = self.hosts.get_mut(&a.host) {
+        if let Some(h) = self.machines.get_mut(&a.machine) {
             if h.placed.remove(&task).is_some() {
-                h.used.sub(&need);
+                h.used.sub(&resources);
             }
             if h.placed.is_empty() {
-                h.used = Need::default();
+                h.used = Resources::default();
                 h.fetching.clear();
                 h.idle_since = Some(now);
             }
         }
         self.round_due = true;
         if gang {
-            self.gang_lost(now, uid, done);
+            self.gang_lost(now, job_id, done);
         }
         Some(a)
     }
 
     /// A gang ends as a whole: done when one task is, and otherwise stopped to start anew.
-    pub(super) fn gang_lost(&mut self, now: Instant, uid: &Uid, done: bool) {
-        let Some(job) = self.jobs.get_mut(uid) else {
+    pub(in crate::core) fn gang_lost(&mut self, now: Instant, job_id: &JobId, done: bool) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         if done {
-            for i in 0..job.spec.shards {
+            for i in 0..job.spec.task_count {
                 if !job.is_done(i) {
                     job.touch(i).done |= 1 << (i % CHUNK);
                     job.done_count += 1;
@@ -171,7 +184,7 @@
         }
         let rest: Vec<u32> = job.active.keys().copied().collect();
         for i in rest {
-            self.kill(now, uid, i, Duration::ZERO);
+            self.kill(now, job_id, i, Duration::ZERO);
         }
     }
 }
--- a/src/core/cluster.rs
+++ b/src/core/state/cluster_state.rs
@@ -4,19 +4,21 @@
 //! without it from a worker that no longer accepts the command that launched it, a report from a
 //! later tenure, the cloud's word that the host was returned, or a lease that certainly ran out.
 
-use super::capacity::Capacity;
-use super::dependencies::{Dependencies, Standing};
-pub use super::entities::{Active, Chunk, Host, Job, Kill};
-use super::history::History;
-use super::ledger::{self, InFlight, Verdict};
-use super::model::{
-    Directive, Epoch, HostId, HostType, JobSpec, Need, Params, Site, TeamName, Term, TypeName, Uid,
-    Urgency,
+use crate::core::capacity::Capacity;
+use crate::core::leadership::cancellation_watermark::{
+    self, CancellationReport, ClockReading, Watermark,
 };
-use super::start_limiter::StartLimiter;
-use super::takeover::SetAside;
-use super::team_use::TeamUse;
-use super::watermark::{self, Moment, Statement, Watermark};
+use crate::core::model::{
+    FencingToken, JobId, JobSpec, MachineId, MachineType, MachineTypeName, Priority, Resources,
+    SchedulerConfig, TaskCommand, TeamName, Term, Zone,
+};
+use crate::core::persistence::ledger::{self, InFlight, JobOutcome};
+use crate::core::placement::history::History;
+use crate::core::placement::start_limiter::StartLimiter;
+use crate::core::reconciliation::state_loading::UnreadableRecords;
+use crate::core::state::dependencies::{Dependencies, DependencyState};
+pub use crate::core::state::entities::{ActiveAttempt, Chunk, Job, KillRequest, Machine};
+use crate::core::state::quota_usage::QuotaUsage;
 use cypressgap_recovery::settings::Deployment;
 use cypressgap_recovery::Takeover;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -24,8 +26,8 @@
 
 /// Rounds take one part in so many of the time, and come within these bounds.
 const ROUND_SHARE: u32 = 5;
-const ROUND_LEAST: Duration = Duration::from_millis(100);
-const ROUND_MOST: Duration = Duration::from_millis(1500);
+const ROUND_MIN: Duration = Duration::from_millis(100);
+const ROUND_MAX: Duration = Duration::from_millis(1500);
 /// What passes, beyond a worker's interval, before its report has found its way round dead nodes.
 const DEAF_MARGIN: Duration = Duration::from_secs(5);
 /// Ticks are never this far apart in a process that runs.
@@ -40,35 +42,35 @@
     /// Commands sent straight to a worker.
     Send {
         /// The worker.
-        host: HostId,
+        machine: MachineId,
         /// Where it takes commands.
         endpoint: String,
         /// The token to send.
-        epoch: Epoch,
+        token: FencingToken,
         /// Its session.
-        tenure: u64,
+        incarnation: u64,
         /// The commands.
-        directives: Vec<Directive>,
+        commands: Vec<TaskCommand>,
     },
     /// Ask a worker for its report: a new leader need not wait for the next one.
     Probe {
         /// The worker.
-        host: HostId,
+        machine: MachineId,
         /// Where it takes commands.
         endpoint: String,
         /// The token to send.
-        epoch: Epoch,
+        token: FencingToken,
         /// Its session.
-        tenure: u64,
+        incarnation: u64,
     },
     /// Rent machines.
     Rent {
         /// Names this rental, however often it is asked for.
-        claim: String,
+        idempotency_key: String,
         /// Their type.
-        host_type: TypeName,
+        machine_type: MachineTypeName,
         /// Their zone.
-        site: Site,
+        zone: Zone,
         /// Whether the cloud may take them back.
         spot: bool,
         /// How many.
@@ -77,7 +79,7 @@
     /// Give machines back.
     Return {
         /// Their names.
-        hosts: Vec<HostId>,
+        machines: Vec<MachineId>,
     },
     /// Carry out a transaction.
     Store(ledger::Batch),
@@ -85,13 +87,13 @@
 
 /// What to answer to a report.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum HeartbeatDecision {
     /// The report is taken.
     Accept {
         /// The token to answer with.
-        epoch: Epoch,
+        token: FencingToken,
         /// Commands that go with the answer.
-        directives: Vec<Directive>,
+        commands: Vec<TaskCommand>,
     },
     /// Stale, or from a host that is gone: nothing was taken from it.
     Ignore,
@@ -111,30 +113,30 @@
     /// A node that confirms it.
     Peer,
     /// The verdict itself, read or written.
-    Verdict,
+    JobOutcome,
 }
 
 /// The picture of one term: all that a leader knows and decides by.
-pub struct Cluster {
+pub struct ClusterState {
     /// What the settings say.
-    pub params: Params,
+    pub config: SchedulerConfig,
     /// The term.
     pub term: Term,
     /// The stamp of the leader key, on which all of the term's writes depend.
-    pub leader_stamp: u64,
+    pub leader_revision: u64,
     /// Live jobs, and those that are over with records left.
-    pub jobs: HashMap<Uid, Job>,
+    pub jobs: HashMap<JobId, Job>,
     /// Machines.
-    pub hosts: BTreeMap<HostId, Host>,
+    pub machines: BTreeMap<MachineId, Machine>,
     /// Machine types on offer.
-    pub types: Vec<HostType>,
+    pub types: Vec<MachineType>,
     /// What each team takes.
-    pub team_use: TeamUse,
-    pub(super) set_aside: SetAside,
+    pub team_use: QuotaUsage,
+    pub(in crate::core) unreadable_records: UnreadableRecords,
     /// What is left of the taking over, and the pace of its orders.
     pub takeover: Takeover,
-    pub(super) usage_of_late: HashMap<TeamName, Need>,
-    pub(super) usage_noted: Option<Instant>,
+    pub(in crate::core) recent_usage: HashMap<TeamName, Resources>,
+    pub(in crate::core) usage_noted: Option<Instant>,
     /// Limits starts while nodes cannot keep up.
     pub start_limiter: StartLimiter,
     /// Run times and fetch times.
@@ -142,85 +144,85 @@
     /// Rentals and what they teach.
     pub capacity: Capacity,
     /// Jobs in the order of urgency and arrival.
-    pub order: Vec<Uid>,
-    pub(super) order_stale: bool,
-    pub(super) dirty_jobs: BTreeSet<Uid>,
-    pub(super) leftovers: Vec<String>,
-    pub(super) in_flight: Option<InFlight>,
-    pub(super) store_pause: Option<Instant>,
+    pub order: Vec<JobId>,
+    pub(in crate::core) order_stale: bool,
+    pub(in crate::core) dirty_jobs: BTreeSet<JobId>,
+    pub(in crate::core) obsolete_keys: Vec<String>,
+    pub(in crate::core) in_flight: Option<InFlight>,
+    pub(in crate::core) store_pause: Option<Instant>,
     /// Changes that the state service's rate has room for now.
-    pub(super) allowance: usize,
-    pub(super) next_summary: Instant,
-    pub(super) next_cleanup: Instant,
-    pub(super) gone_jobs: Vec<Uid>,
-    pub(super) actions: Vec<Action>,
-    pub(super) urgent: BTreeSet<HostId>,
-    pub(super) attempts: u64,
-    pub(super) tombstones: HashSet<HostId>,
-    pub(super) tombstone_order: VecDeque<HostId>,
+    pub(in crate::core) allowance: usize,
+    pub(in crate::core) next_summary: Instant,
+    pub(in crate::core) next_cleanup: Instant,
+    pub(in crate::core) gone_jobs: Vec<JobId>,
+    pub(in crate::core) actions: Vec<Action>,
+    pub(in crate::core) urgent: BTreeSet<MachineId>,
+    pub(in crate::core) attempts: u64,
+    pub(in crate::core) tombstones: HashSet<MachineId>,
+    pub(in crate::core) tombstone_order: VecDeque<MachineId>,
     /// When the term began.
     pub started: Instant,
     /// Time of day at `started`, in milliseconds since 1970.
     pub started_ms: u64,
-    pub(super) round_due: bool,
+    pub(in crate::core) round_due: bool,
     /// What the tasks need that found no room in the last round.
-    pub(super) crowded_out: Vec<Need>,
-    pub(super) last_round: Option<Instant>,
-    pub(super) round_pace: Duration,
-    pub(super) last_capacity: Option<Instant>,
-    pub(super) last_sweep: Option<Instant>,
+    pub(in crate::core) crowded_out: Vec<Resources>,
+    pub(in crate::core) last_round: Option<Instant>,
+    pub(in crate::core) round_pace: Duration,
+    pub(in crate::core) last_capacity: Option<Instant>,
+    pub(in crate::core) last_sweep: Option<Instant>,
     /// Listed hosts to be asked for their reports, with their endpoints.
-    pub(super) probes: VecDeque<(HostId, String)>,
+    pub(in crate::core) probes: VecDeque<(MachineId, String)>,
     /// Starts of this term with their waits, for the log's summary.
     pub waits: Vec<Duration>,
     /// When a worker's report last came, by whichever node.
-    pub(super) last_heartbeat: Option<Instant>,
-    pub(super) last_tick: Option<Instant>,
+    pub(in crate::core) last_heartbeat: Option<Instant>,
+    pub(in crate::core) last_tick: Option<Instant>,
     /// Since when this process has not stood still: silence before that says nothing.
-    pub(super) awake_since: Instant,
+    pub(in crate::core) awake_since: Instant,
     /// The leadership is certain.
-    pub(super) confirmed: bool,
-    pub(super) last_return: Option<Instant>,
-    pub(super) dependencies: Dependencies,
+    pub(in crate::core) confirmed: bool,
+    pub(in crate::core) last_return: Option<Instant>,
+    pub(in crate::core) dependencies: Dependencies,
     /// Ranks computed in this term, for the log's summary.
     pub ranks_computed: u64,
     /// When the queue was last asked for what an answer showed since.
-    pub(super) last_queue_read: Option<Instant>,
+    pub(in crate::core) last_queue_read: Option<Instant>,
     /// Up to when all confirmed cancellations are known.
     watermark: Watermark,
     /// Both clocks as they were last read together.
-    clocks: Moment,
+    clocks: ClockReading,
 }
 
-impl Cluster {
+impl ClusterState {
     /// An empty picture of a term.
     pub fn new(
-        params: Params,
+        config: SchedulerConfig,
         term: Term,
-        leader_stamp: u64,
-        types: Vec<HostType>,
+        leader_revision: u64,
+        types: Vec<MachineType>,
         now: Instant,
         started_ms: u64,
     ) -> Self {
-        let next_summary = now + params.tuning.summary_every;
+        let next_summary = now + config.tuning.summary_every;
         let day = SystemTime::UNIX_EPOCH + Duration::from_millis(started_ms);
-        let clocks = Moment { steady: now, day };
+        let clocks = ClockReading { steady: now, day };
         let deployment = Deployment {
-            cancel: params.cancel,
-            machines: params.tuning.max_hosts,
+            cancel: config.cancel,
+            machines: config.tuning.max_machines,
         };
-        let takeover = Takeover::new(&params.recovery, deployment, now);
-        Cluster {
-            params,
+        let takeover = Takeover::new(&config.recovery, deployment, now);
+        ClusterState {
+            config,
             term,
-            leader_stamp,
+            leader_revision,
             jobs: HashMap::new(),
-            hosts: BTreeMap::new(),
+            machines: BTreeMap::new(),
             types,
-            team_use: TeamUse::default(),
-            set_aside: SetAside::default(),
+            team_use: QuotaUsage::default(),
+            unreadable_records: UnreadableRecords::default(),
             takeover,
-            usage_of_late: HashMap::new(),
+            recent_usage: HashMap::new(),
             usage_noted: None,
             start_limiter: StartLimiter::default(),
             history: History::default(),
@@ -228,7 +230,7 @@
             order: Vec::new(),
             order_stale: false,
             dirty_jobs: BTreeSet::new(),
-            leftovers: Vec::new(),
+            obsolete_keys: Vec::new(),
             in_flight: None,
             store_pause: None,
             allowance: usize::MAX,
@@ -245,7 +247,7 @@
             round_due: true,
             crowded_out: Vec::new(),
             last_round: None,
-            round_pace: ROUND_LEAST,
+            round_pace: ROUND_MIN,
             last_capacity: None,
             last_sweep: None,
             probes: VecDeque::new(),
@@ -264,29 +266,29 @@
     }
 
     /// The other nodes, which confirm cancellations too, and when the picture's first read was asked for.
-    pub fn confirmed_by(&mut self, peers: impl IntoIterator<Item = String>, read: Moment) {
+    pub fn confirmed_by(&mut self, peers: impl IntoIterator<Item = String>, read: ClockReading) {
         self.watermark = Watermark::new(read, peers);
     }
 
     /// What both clocks say now.
-    pub fn clocks(&mut self, now: Moment) {
+    pub fn clocks(&mut self, now: ClockReading) {
         self.clocks = now;
     }
 
     /// All cancellations that the state service showed when it was asked have been taken on.
-    pub fn cancellations_read(&mut self, asked: Moment) {
+    pub fn cancellations_read(&mut self, asked: ClockReading) {
         self.last_queue_read = Some(asked.steady);
         self.watermark.read(asked);
     }
 
     /// All cancellations that a node told have been taken on.
-    pub fn cancellations_stated(&mut self, peer: &str, statement: Statement) {
+    pub fn cancellations_stated(&mut self, peer: &str, statement: CancellationReport) {
         self.watermark.stated(peer, statement);
     }
 
     /// Whether reports may be answered: a lease renewed now ends in time for any cancellation.
     pub fn renews(&self, now: Instant) -> bool {
-        let (patience, _) = watermark::patience(self.params.lease, self.params.cancel);
+        let (patience, _) = cancellation_watermark::patience(self.config.lease, self.config.cancel);
         self.watermark.renews(self.clocks.at(now), patience)
     }
 
@@ -295,10 +297,10 @@
     pub fn confirm(&mut self, confirmed: bool) {
         if confirmed && !self.confirmed {
             // Launches that were held back.
-            let waiting = |a: &&Active| a.durable && a.given.is_none() && a.kill.is_none();
+            let waiting = |a: &&ActiveAttempt| a.durable && a.given.is_none() && a.kill.is_none();
             let active = self.jobs.values().flat_map(|j| j.active.values());
             self.urgent
-                .extend(active.filter(waiting).map(|a| a.host.clone()));
+                .extend(active.filter(waiting).map(|a| a.machine.clone()));
         }
         self.confirmed = confirmed;
     }
@@ -307,22 +309,22 @@
     /// them. A term that never heard one first gives up the hosts that are silent.
     pub fn is_without_heartbeats(&self, now: Instant) -> bool {
         let (since, patience) = match self.last_heartbeat {
-            Some(t) => (t, self.params.report.mul_f64(1.25) + DEAF_MARGIN),
-            None => (self.started, self.params.lease + self.params.report),
+            Some(t) => (t, self.config.heartbeat.mul_f64(1.25) + DEAF_MARGIN),
+            None => (self.started, self.config.lease + self.config.heartbeat),
         };
         let since = since.max(self.awake_since);
-        let expected = |h: &Host| h.booting.is_none() && !h.returning;
-        now.saturating_duration_since(since) > patience && self.hosts.values().any(expected)
+        let expected = |h: &Machine| h.booting.is_none() && !h.returning;
+        now.saturating_duration_since(since) > patience && self.machines.values().any(expected)
     }
 
     // --- loading and jobs ---
 
     /// A live job, from the index at takeover or from the watch. Known ones are left as they are.
-    pub fn on_job(&mut self, spec: JobSpec, stamp: u64) {
-        if self.jobs.contains_key(&spec.uid) || spec.shards == 0 {
+    pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
+        if self.jobs.contains_key(&spec.job_id) || spec.task_count == 0 {
             return;
         }
-        let uid = spec.uid.clone();
+        let job_id = spec.job_id.clone();
         // Times of day of different nodes agree well enough for this.
         let age = self.started_ms.saturating_sub(spec.accepted_ms);
         let arrived = if age > 0 {
@@ -331,93 +333,95 @@
         } else {
             self.started + Duration::from_millis(spec.accepted_ms - self.started_ms)
         };
-        let standing = self.dependencies.add(&uid, &spec.needs, spec.listed);
-        if standing == Standing::Ready {
-            self.capacity.saw_job(&spec, arrived);
+        let status = self
+            .dependencies
+            .add(&job_id, &spec.dependencies, spec.listed);
+        if status == DependencyState::Ready {
+            self.capacity.record_arrival(&spec, arrived);
         }
-        let mut job = Job::new(spec, stamp, arrived);
-        job.blocked = standing != Standing::Ready;
-        job.chunk_room = ledger::chunk_room(self.params.value_bytes);
-        job.due_at = job.spec.due.map(|d| arrived + d);
-        job.own_rank.due = job.due_at;
-        self.jobs.insert(uid.clone(), job);
-        match standing {
-            Standing::Ready | Standing::Blocked => {}
-            Standing::Orphaned => self.orphan_new(&uid),
+        let mut job = Job::new(spec, revision, arrived);
+        job.blocked = status != DependencyState::Ready;
+        job.chunk_room = ledger::chunk_room(self.config.value_bytes);
+        job.deadline = job.spec.due.map(|d| arrived + d);
+        job.own_rank.due = job.deadline;
+        self.jobs.insert(job_id.clone(), job);
+        match status {
+            DependencyState::Ready | DependencyState::Blocked => {}
+            DependencyState::Orphaned => self.orphan_new(&job_id),
         }
         self.order_stale = true;
         self.round_due = true;
     }
 
     /// A job's `done` is durable: those that needed only it may start. Their waits count from now.
-    pub(super) fn ready(&mut self, now: Instant, uid: &Uid) {
-        for d in self.dependencies.done(uid) {
+    pub(in crate::core) fn ready(&mut self, now: Instant, job_id: &JobId) {
+        for d in self.dependencies.done(job_id) {
             if let Some(job) = self.jobs.get_mut(&d) {
                 log::debug!("all that it needs is done job={d}");
                 job.blocked = false;
                 job.arrived = now;
                 job.last_placed = now;
-                self.capacity.saw_job(&job.spec, now);
+                self.capacity.record_arrival(&job.spec, now);
                 self.round_due = true;
             }
         }
     }
 
     /// How a job ended that is not in the picture.
-    pub fn ended_before(&mut self, now: Instant, uid: &Uid, verdict: Verdict) {
-        if verdict != Verdict::Live && self.dependencies.unlist(uid) {
-            self.leftovers.push(ledger::dependents_key(uid));
+    pub fn ended_before(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
+        if outcome != JobOutcome::Live && self.dependencies.unlist(job_id) {
+            self.obsolete_keys.push(ledger::dependents_key(job_id));
         }
-        match verdict {
-            Verdict::Done => self.ready(now, uid),
-            Verdict::Cancelled => self.orphan_dependents(None, uid),
-            Verdict::Live => {}
+        match outcome {
+            JobOutcome::Done => self.ready(now, job_id),
+            JobOutcome::Cancelled => self.orphan_dependents(None, job_id),
+            JobOutcome::Live => {}
         }
     }
 
     /// Jobs that others need and of which nothing is known here.
-    pub fn unresolved(&self) -> Vec<Uid> {
+    pub fn unresolved(&self) -> Vec<JobId> {
         self.dependencies.unresolved(|u| self.jobs.contains_key(u))
     }
 
-    fn orphan_dependents(&mut self, heard: Option<Instant>, uid: &Uid) {
-        for dependent in self.dependencies.cancelled(uid) {
+    fn orphan_dependents(&mut self, heard: Option<Instant>, job_id: &JobId) {
+        for dependent in self.dependencies.cancelled(job_id) {
             self.orphan(heard, &dependent);
         }
     }
 
     /// Found orphaned when it was heard of; whatever needs it is, too.
-    fn orphan_new(&mut self, uid: &Uid) {
-        self.orphan(None, uid);
-        self.orphan_dependents(None, uid);
+    fn orphan_new(&mut self, job_id: &JobId) {
+        self.orphan(None, job_id);
+        self.orphan_dependents(None, job_id);
     }
 
     /// A dependency is cancelled, so it is. Its verdict is written unless the node that confirms the
     /// cancellation does it soon after this was heard (`None`: nobody is known to be at it).
-    fn orphan(&mut self, heard: Option<Instant>, uid: &Uid) {
-        if let Some(job) = self.jobs.get_mut(uid) {
+    fn orphan(&mut self, heard: Option<Instant>, job_id: &JobId) {
+        if let Some(job) = self.jobs.get_mut(job_id) {
             job.orphaned = true;
             job.orphaned_at = job.orphaned_at.or(heard);
-            self.dirty_jobs.insert(uid.clone());
+            self.dirty_jobs.insert(job_id.clone());
         }
     }
 
     /// The watch of the queue shows that a job is cancelled.
-    pub fn on_cancel_marked(&mut self, now: Instant, uid: &Uid) {
-        self.on_cancelled(now, uid, CancelSource::Watch);
+    pub fn on_cancel_marked(&mut self, now: Instant, job_id: &JobId) {
+        self.on_cancelled(now, job_id, CancelSource::Watch);
     }
 
     /// A job is cancelled: its tasks go, and its dependents are cancelled with it.
-    pub fn on_cancelled(&mut self, now: Instant, uid: &Uid, source: CancelSource) {
-        self.orphan_dependents(Some(now), uid);
-        let Some(job) = self.jobs.get_mut(uid) else {
+    pub fn on_cancelled(&mut self, now: Instant, job_id: &JobId, source: CancelSource) {
+        self.orphan_dependents(Some(now), job_id);
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         match source {
             CancelSource::Watch => (job.cancel_marked, job.close_after) = (true, None),
             CancelSource::Load => (job.cancel_marked, job.close_after) = (true, Some(now)),
-            CancelSource::Peer | CancelSource::Verdict if job.cancelled => {}
-            CancelSource::Peer | CancelSource::Verdict => job.close_after = Some(now),
+            CancelSource::Peer | CancelSource::JobOutcome if job.cancelled => {}
+            CancelSource::Peer | CancelSource::JobOutcome => job.close_after = Some(now),
         }
         if job.cancelled {
             return;
@@ -425,39 +429,39 @@
         job.cancelled = true;
         job.cancelled_at = Some(now);
         job.requeued.clear();
-        self.dirty_jobs.insert(uid.clone());
+        self.dirty_jobs.insert(job_id.clone());
         let tasks: Vec<u32> = job.active.keys().copied().collect();
         log::info!(
-            "cancelling job={uid} active={} term={}",
+            "cancelling job={job_id} active={} term={}",
             tasks.len(),
             self.term.0
         );
         for i in tasks {
-            self.kill(now, uid, i, Duration::ZERO);
+            self.kill(now, job_id, i, Duration::ZERO);
         }
         self.round_due = true;
     }
 
     /// Jobs that left the picture since the last call.
-    pub fn take_gone_jobs(&mut self) -> Vec<Uid> {
+    pub fn take_gone_jobs(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.gone_jobs)
     }
 
-    pub(super) fn sort_order(&mut self) {
+    pub(in crate::core) fn sort_order(&mut self) {
         if !std::mem::take(&mut self.order_stale) {
             return;
         }
-        let mut order: Vec<(Urgency, u64, Uid)> = self
+        let mut order: Vec<(Priority, u64, JobId)> = self
             .jobs
             .values()
-            .map(|j| (j.spec.urgency, j.stamp, j.spec.uid.clone()))
+            .map(|j| (j.spec.priority, j.revision, j.spec.job_id.clone()))
             .collect();
         order.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)));
         self.order = order.into_iter().map(|o| o.2).collect();
     }
 
     /// A machine type by its name.
-    pub fn host_type(&self, name: &TypeName) -> Option<&HostType> {
+    pub fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         self.types.iter().find(|t| &t.name == name)
     }
 
@@ -469,7 +473,7 @@
 
     /// How long the last tick took: rounds leave most of the processor to reports and users.
     pub fn tick_took(&mut self, took: Duration) {
-        self.round_pace = (took * ROUND_SHARE).clamp(ROUND_LEAST, ROUND_MOST);
+        self.round_pace = (took * ROUND_SHARE).clamp(ROUND_MIN, ROUND_MAX);
     }
 
     /// This process stood still and has just woken; its clocks may have gone on by less or more than
@@ -483,13 +487,13 @@
         self.awake_since = now;
         self.last_tick = Some(now);
         self.last_heartbeat = self.last_heartbeat.map(|_| now);
-        for h in self.hosts.values_mut().filter(|h| !h.lease_spent) {
+        for h in self.machines.values_mut().filter(|h| !h.lease_spent) {
             h.last_answer = h.last_answer.map(|_| now);
         }
         for a in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
             a.given = a.given.map(|_| now);
             // The grace was not given to a task that never heard of it.
-            if let Some(k) = a.kill.as_mut().filter(|k| !k.wind_down.is_zero()) {
+            if let Some(k) = a.kill.as_mut().filter(|k| !k.grace_period.is_zero()) {
                 k.since = now;
             }
         }
--- a/src/core/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -5,8 +5,8 @@
 //! job is cancelled, so are all of its dependents, direct or through others: none of them can have
 //! started, since what they need was not done.
 
-use super::ledger::Verdict;
-use super::model::Uid;
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// How jobs ended is remembered for this many, oldest first. A job's acceptance is heard of later than
@@ -15,7 +15,7 @@
 
 /// How a job stands to what it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum DependencyState {
     /// All that it needs is done.
     Ready,
     /// Something that it needs is not known to be done.
@@ -28,51 +28,51 @@
 #[derive(Default)]
 pub struct Dependencies {
     /// What live jobs need that is not known to be done.
-    open: HashMap<Uid, BTreeSet<Uid>>,
-    dependents: HashMap<Uid, BTreeSet<Uid>>,
+    open: HashMap<JobId, BTreeSet<JobId>>,
+    dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs for which the state service holds a list of dependents.
-    listed: BTreeSet<Uid>,
+    listed: BTreeSet<JobId>,
     /// Jobs whose dependents have changed since this was last taken.
-    changed: BTreeSet<Uid>,
-    ends: HashMap<Uid, Verdict>,
-    order: VecDeque<Uid>,
+    changed: BTreeSet<JobId>,
+    ends: HashMap<JobId, JobOutcome>,
+    order: VecDeque<JobId>,
 }
 
 impl Dependencies {
     /// A live job and what it needs. `listed`: its dependencies have lists of their dependents.
-    pub fn add(&mut self, uid: &Uid, needs: &[Uid], listed: bool) -> Standing {
+    pub fn add(&mut self, job_id: &JobId, dependencies: &[JobId], listed: bool) -> DependencyState {
         let mut open = BTreeSet::new();
         let mut orphaned = false;
-        for need in needs {
-            match self.ends.get(need) {
-                Some(Verdict::Done) => {}
-                Some(Verdict::Cancelled) => orphaned = true,
+        for resources in dependencies {
+            match self.ends.get(resources) {
+                Some(JobOutcome::Done) => {}
+                Some(JobOutcome::Cancelled) => orphaned = true,
                 _ => {
-                    open.insert(need.clone());
+                    open.insert(resources.clone());
                 }
             }
         }
         if orphaned {
-            return Standing::Orphaned;
+            return DependencyState::Orphaned;
         }
-        self.changed.insert(uid.clone());
+        self.changed.insert(job_id.clone());
         if open.is_empty() {
-            return Standing::Ready;
+            return DependencyState::Ready;
         }
-        for need in &open {
-            let of = self.dependents.entry(need.clone()).or_default();
-            of.insert(uid.clone());
+        for resources in &open {
+            let of = self.dependents.entry(resources.clone()).or_default();
+            of.insert(job_id.clone());
             if listed {
-                self.listed.insert(need.clone());
+                self.listed.insert(resources.clone());
             }
         }
-        self.open.insert(uid.clone(), open);
-        Standing::Blocked
+        self.open.insert(job_id.clone(), open);
+        DependencyState::Blocked
     }
 
-    fn ended(&mut self, uid: &Uid, verdict: Verdict) {
-        if self.ends.insert(uid.clone(), verdict).is_none() {
-            self.order.push_back(uid.clone());
+    fn ended(&mut self, job_id: &JobId, outcome: JobOutcome) {
+        if self.ends.insert(job_id.clone(), outcome).is_none() {
+            self.order.push_back(job_id.clone());
             if self.order.len() > ENDS_KEPT {
                 if let Some(old) = self.order.pop_front() {
                     self.ends.remove(&old);
@@ -82,14 +82,14 @@
     }
 
     /// A job's `done` is durable. Returns the jobs that now need nothing more.
-    pub fn done(&mut self, uid: &Uid) -> Vec<Uid> {
-        self.ended(uid, Verdict::Done);
+    pub fn done(&mut self, job_id: &JobId) -> Vec<JobId> {
+        self.ended(job_id, JobOutcome::Done);
         let mut ready = Vec::new();
-        for d in self.dependents.remove(uid).unwrap_or_default() {
+        for d in self.dependents.remove(job_id).unwrap_or_default() {
             let Some(open) = self.open.get_mut(&d) else {
                 continue;
             };
-            open.remove(uid);
+            open.remove(job_id);
             if open.is_empty() {
                 self.open.remove(&d);
                 ready.push(d);
@@ -99,15 +99,15 @@
     }
 
     /// A job is cancelled. Returns all jobs that need it, directly or through others.
-    pub fn cancelled(&mut self, uid: &Uid) -> Vec<Uid> {
-        self.forget(uid);
-        self.ended(uid, Verdict::Cancelled);
+    pub fn cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
+        self.forget(job_id);
+        self.ended(job_id, JobOutcome::Cancelled);
         let mut all = Vec::new();
-        let mut next = vec![uid.clone()];
+        let mut next = vec![job_id.clone()];
         while let Some(u) = next.pop() {
             for d in self.dependents.remove(&u).unwrap_or_default() {
                 if self.forget(&d) {
-                    self.ended(&d, Verdict::Cancelled);
+                    self.ended(&d, JobOutcome::Cancelled);
                     next.push(d.clone());
                     all.push(d);
                 }
@@ -117,50 +117,50 @@
     }
 
     /// Takes a job out that is over. Whether it was blocked.
-    fn forget(&mut self, uid: &Uid) -> bool {
-        let Some(open) = self.open.remove(uid) else {
+    fn forget(&mut self, job_id: &JobId) -> bool {
+        let Some(open) = self.open.remove(job_id) else {
             return false;
         };
-        for need in open {
-            if let Some(of) = self.dependents.get_mut(&need) {
-                of.remove(uid);
+        for resources in open {
+            if let Some(of) = self.dependents.get_mut(&resources) {
+                of.remove(job_id);
                 if of.is_empty() {
-                    self.dependents.remove(&need);
+                    self.dependents.remove(&resources);
                 }
             }
-            self.changed.insert(need);
+            self.changed.insert(resources);
         }
         true
     }
 
     /// Jobs that came, or lost dependents, since the last call.
-    pub fn take_changed(&mut self) -> BTreeSet<Uid> {
+    pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
 
     /// What a job still needs.
-    pub fn needs(&self, uid: &Uid) -> impl Iterator<Item = &Uid> {
-        self.open.get(uid).into_iter().flatten()
+    pub fn dependencies(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
+        self.open.get(job_id).into_iter().flatten()
     }
 
     /// The live jobs that need this one directly.
-    pub fn dependents(&self, uid: &Uid) -> impl Iterator<Item = &Uid> {
-        self.dependents.get(uid).into_iter().flatten()
+    pub fn dependents(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
+        self.dependents.get(job_id).into_iter().flatten()
     }
 
     /// The state service holds a list of this job's dependents.
-    pub fn listed(&mut self, uid: &Uid) {
-        self.listed.insert(uid.clone());
+    pub fn listed(&mut self, job_id: &JobId) {
+        self.listed.insert(job_id.clone());
     }
 
     /// Whether the state service holds a list for this job that can go now: it is over. Said once.
-    pub fn unlist(&mut self, uid: &Uid) -> bool {
-        self.listed.remove(uid)
+    pub fn unlist(&mut self, job_id: &JobId) -> bool {
+        self.listed.remove(job_id)
     }
 
     /// Needed jobs of which neither life nor end is known: the state service tells.
-    pub fn unresolved(&self, live: impl Fn(&Uid) -> bool) -> Vec<Uid> {
-        let unknown = |u: &&Uid| !live(u);
+    pub fn unresolved(&self, live: impl Fn(&JobId) -> bool) -> Vec<JobId> {
+        let unknown = |u: &&JobId| !live(u);
         self.dependents.keys().filter(unknown).cloned().collect()
     }
 }
@@ -168,27 +168,27 @@
 /// The dependents of all live jobs, as one read of their index shows them.
 #[derive(Debug, Default)]
 pub struct DependentsIndex {
-    direct: HashMap<Uid, Vec<Uid>>,
+    direct: HashMap<JobId, Vec<JobId>>,
 }
 
 impl DependentsIndex {
     /// From live jobs with their dependencies.
-    pub fn new(jobs: impl IntoIterator<Item = (Uid, Vec<Uid>)>) -> DependentsIndex {
-        let mut direct: HashMap<Uid, Vec<Uid>> = HashMap::new();
-        for (uid, needs) in jobs {
-            for need in needs {
-                direct.entry(need).or_default().push(uid.clone());
+    pub fn new(jobs: impl IntoIterator<Item = (JobId, Vec<JobId>)>) -> DependentsIndex {
+        let mut direct: HashMap<JobId, Vec<JobId>> = HashMap::new();
+        for (job_id, dependencies) in jobs {
+            for resources in dependencies {
+                direct.entry(resources).or_default().push(job_id.clone());
             }
         }
         DependentsIndex { direct }
     }
 
     /// All jobs that need one of these, directly or through others.
-    pub fn descendants<'a>(&self, of: impl IntoIterator<Item = &'a Uid>) -> BTreeSet<Uid> {
+    pub fn descendants<'a>(&self, of: impl IntoIterator<Item = &'a JobId>) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut next: Vec<&Uid> = of.into_iter().collect();
-        while let Some(uid) = next.pop() {
-            for dependent in self.direct.get(uid).into_iter().flatten() {
+        let mut next: Vec<&JobId> = of.into_iter().collect();
+        while let Some(job_id) = next.pop() {
+            for dependent in self.direct.get(job_id).into_iter().flatten() {
                 if found.insert(dependent.clone()) {
                     next.push(dependent);
                 }
--- a/src/core/entities.rs
+++ b/src/core/state/entities.rs
@@ -1,11 +1,11 @@
 //! What the picture is made of: jobs with their attempts, and hosts.
 
-use super::ledger::{ChunkValue, CHUNK};
-use super::model::{
-    Attempt, Epoch, HostId, ImageKey, JobKind, JobSpec, Need, Site, TaskId, TaskPhase, Term,
-    TypeName, Uid,
+use crate::core::model::{
+    AttemptId, FencingToken, ImageKey, JobId, JobKind, JobSpec, MachineId, MachineTypeName,
+    Resources, TaskId, TaskPhase, Term, Zone,
 };
-use super::ranking::Rank;
+use crate::core::persistence::ledger::{ChunkValue, CHUNK};
+use crate::core::placement::priority_inheritance::Rank;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -16,26 +16,26 @@
 
 /// A request to end an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kill {
+pub struct KillRequest {
     /// How long the task may save before it is stopped.
-    pub wind_down: Duration,
+    pub grace_period: Duration,
     /// When it was first asked for.
     pub since: Instant,
 }
 
 /// One attempt at a task, on its host until proved gone.
 #[derive(Clone, Debug)]
-pub struct Active {
+pub struct ActiveAttempt {
     /// Where it was placed.
-    pub host: HostId,
+    pub machine: MachineId,
     /// Its number.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// The intent is in the state service, so the launch may go out.
     pub durable: bool,
     /// The token under which the launch last went out. A worker past it accepts no late copy.
-    pub launch_epoch: Epoch,
+    pub launch_token: FencingToken,
     /// The session of the host that it was placed in, or last seen in.
-    pub tenure: Option<u64>,
+    pub incarnation: Option<u64>,
     /// When it was placed; once the intent is durable, when that was known.
     pub placed: Instant,
     /// How far it was by the host's last report.
@@ -49,20 +49,25 @@
     /// How long it was expected to run.
     pub est: Duration,
     /// Its end was asked for.
-    pub kill: Option<Kill>,
+    pub kill: Option<KillRequest>,
     /// When the launch was first given.
     pub given: Option<Instant>,
 }
 
-impl Active {
+impl ActiveAttempt {
     /// An attempt that was decided on and of which nothing was sent in this term.
-    pub(super) fn planned(now: Instant, host: HostId, attempt: Attempt, est: Duration) -> Active {
-        Active {
-            host,
+    pub(in crate::core) fn planned(
+        now: Instant,
+        machine: MachineId,
+        attempt: AttemptId,
+        est: Duration,
+    ) -> ActiveAttempt {
+        ActiveAttempt {
+            machine,
             attempt,
             durable: false,
-            launch_epoch: Epoch(0),
-            tenure: None,
+            launch_token: FencingToken(0),
+            incarnation: None,
             placed: now,
             seen: None,
             waited: None,
@@ -79,7 +84,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Chunk {
     /// The stamp of its key. 0: it was never written.
-    pub stamp: u64,
+    pub revision: u64,
     /// Raised by every change.
     pub version: u64,
     /// The version that is durable.
@@ -88,7 +93,7 @@
     /// do not.
     pub ended_since: Option<Instant>,
     /// Ended attempts that must not be forgotten before version `.2` is durable.
-    pub held: Vec<(u32, Attempt, u64)>,
+    pub held: Vec<(u32, AttemptId, u64)>,
     /// A bit for each task that is done.
     pub done: u64,
 }
@@ -101,9 +106,9 @@
     /// The key of its image.
     pub image: ImageKey,
     /// Stamp of the acceptance: arrival order.
-    pub stamp: u64,
+    pub revision: u64,
     /// Stamp of the verdict's key, the condition that nobody withdrew the job: 0, it is absent.
-    pub verdict_stamp: u64,
+    pub outcome_revision: u64,
     /// Its cancellation is durable.
     pub cancelled: bool,
     /// When that was heard of.
@@ -129,11 +134,11 @@
     /// Tasks that are done.
     pub done_count: u32,
     /// Attempts that are not proved gone, by task.
-    pub active: BTreeMap<u32, Active>,
+    pub active: BTreeMap<u32, ActiveAttempt>,
     /// What the state service holds of its tasks.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Where its tasks failed since one of them last showed that they can run.
-    pub error_hosts: HashSet<HostId>,
+    pub error_machines: HashSet<MachineId>,
     /// How many of its attempts failed.
     pub errors: u32,
     /// The least time that a failing task was seen to take: fetches and reports only add to it.
@@ -158,7 +163,7 @@
     /// Its urgency and deadline for its own sake.
     pub own_rank: Rank,
     /// When it should be complete, for its own sake or for those that need it.
-    pub due_at: Option<Instant>,
+    pub deadline: Option<Instant>,
     /// When one of its tasks was last placed; its arrival before that.
     pub last_placed: Instant,
     /// It once waited so long that it went before all others.
@@ -170,16 +175,16 @@
 }
 
 impl Job {
-    pub(super) fn new(spec: JobSpec, stamp: u64, arrived: Instant) -> Self {
+    pub(in crate::core) fn new(spec: JobSpec, revision: u64, arrived: Instant) -> Self {
         Job {
             image: ImageKey::of(&spec.image),
             own_rank: Rank {
-                urgency: spec.urgency,
+                priority: spec.priority,
                 due: None,
             },
             spec,
-            stamp,
-            verdict_stamp: 0,
+            revision,
+            outcome_revision: 0,
             arrived,
             last_placed: arrived,
             starved: false,
@@ -194,13 +199,13 @@
             orphaned_at: None,
             cancel_marked: false,
             close_after: None,
-            due_at: None,
+            deadline: None,
             next: 0,
             requeued: BTreeSet::new(),
             done_count: 0,
             active: BTreeMap::new(),
             chunks: BTreeMap::new(),
-            error_hosts: HashSet::new(),
+            error_machines: HashSet::new(),
             errors: 0,
             failed_after: None,
             cleared: 0,
@@ -215,7 +220,7 @@
     /// One of its tasks.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
-            uid: self.spec.uid.clone(),
+            job_id: self.spec.job_id.clone(),
             index,
         }
     }
@@ -227,22 +232,22 @@
     }
     /// Whether no task of it may be placed any more.
     pub fn over(&self) -> bool {
-        self.cancelled || self.finished || self.orphaned || self.done_count == self.spec.shards
+        self.cancelled || self.finished || self.orphaned || self.done_count == self.spec.task_count
     }
     /// A dependency was cancelled, and no verdict of its own is known yet.
     pub fn is_orphan(&self) -> bool {
         self.orphaned && !self.cancelled && !self.finished
     }
     /// Whether an orphan's verdict is to be written by the leader by now.
-    pub(super) fn cascade_due(&self, now: Instant, grace: Duration) -> bool {
+    pub(in crate::core) fn cascade_due(&self, now: Instant, grace: Duration) -> bool {
         let waited = |t: Instant| now.saturating_duration_since(t) >= grace;
         self.orphaned_at.is_none_or(waited)
     }
     /// Whether its `done` is to be written.
     pub fn final_due(&self) -> bool {
-        !self.cancelled && !self.finished && self.done_count == self.spec.shards
+        !self.cancelled && !self.finished && self.done_count == self.spec.task_count
     }
-    pub(super) fn touch(&mut self, index: u32) -> &mut Chunk {
+    pub(in crate::core) fn touch(&mut self, index: u32) -> &mut Chunk {
         let c = self.chunks.entry(index / CHUNK).or_default();
         c.version += 1;
         c
@@ -270,17 +275,17 @@
             active: self
                 .active
                 .range(range)
-                .map(|(i, a)| (*i, a.attempt, a.host.clone()))
+                .map(|(i, a)| (*i, a.attempt, a.machine.clone()))
                 .collect(),
         }
     }
     /// How many attempts a chunk's value names.
-    pub(super) fn attempts_in(&self, chunk: u32) -> usize {
+    pub(in crate::core) fn attempts_in(&self, chunk: u32) -> usize {
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         self.active.range(range).count()
     }
     /// Attempts of a chunk whose intents are not durable.
-    pub fn intents(&self, chunk: u32) -> impl Iterator<Item = (u32, Attempt)> + '_ {
+    pub fn intents(&self, chunk: u32) -> impl Iterator<Item = (u32, AttemptId)> + '_ {
         let range = chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK);
         self.active
             .range(range)
@@ -290,7 +295,7 @@
     /// This version of a chunk is durable.
     pub fn written(&mut self, chunk: u32, version: u64, revision: u64) {
         if let Some(c) = self.chunks.get_mut(&chunk) {
-            c.stamp = revision;
+            c.revision = revision;
             c.written = c.written.max(version);
             if c.written == c.version {
                 c.ended_since = None;
@@ -298,7 +303,7 @@
             c.held.retain(|(_, _, v)| *v > version);
         }
     }
-    pub(super) fn is_held(&self, index: u32, attempt: Attempt) -> bool {
+    pub(in crate::core) fn is_held(&self, index: u32, attempt: AttemptId) -> bool {
         self.chunks
             .get(&(index / CHUNK))
             .is_some_and(|c| c.held.iter().any(|(i, a, _)| *i == index && *a == attempt))
@@ -326,7 +331,7 @@
         let waiting = self.requeued.iter().copied().filter(|i| fits(*i));
         let mut out: Vec<u32> = waiting.take(most).collect();
         let mut i = self.next;
-        while out.len() < most && i < self.spec.shards {
+        while out.len() < most && i < self.spec.task_count {
             if !self.is_done(i)
                 && !self.active.contains_key(&i)
                 && !self.requeued.contains(&i)
@@ -343,35 +348,36 @@
         if self.blocked {
             return 0;
         }
-        (self.spec.shards - self.done_count).saturating_sub(self.active.len() as u32)
+        (self.spec.task_count - self.done_count).saturating_sub(self.active.len() as u32)
     }
     /// Tasks that were running by the last reports.
     pub fn running_count(&self) -> u32 {
-        let running =
-            |a: &&Active| matches!(a.seen, Some(TaskPhase::Running | TaskPhase::Flushing));
+        let running = |a: &&ActiveAttempt| {
+            matches!(a.seen, Some(TaskPhase::Running | TaskPhase::Checkpointing))
+        };
         self.active.values().filter(running).count() as u32
     }
 }
 
 /// A machine, with what was placed on it.
 #[derive(Clone, Debug)]
-pub struct Host {
+pub struct Machine {
     /// Its name.
-    pub id: HostId,
+    pub id: MachineId,
     /// Where it takes commands.
     pub endpoint: String,
     /// Its type.
-    pub host_type: TypeName,
+    pub machine_type: MachineTypeName,
     /// Its zone.
-    pub site: Site,
+    pub zone: Zone,
     /// Whether the cloud may take it back.
     pub spot: bool,
     /// The session of its newest message.
-    pub tenure: u64,
+    pub incarnation: u64,
     /// The number of its newest message in that session.
     pub serial: u64,
     /// The token that goes out with the next message.
-    pub epoch: Epoch,
+    pub token: FencingToken,
     /// The worker has shown a token of this term, so nobody else's answers renew its lease.
     pub fenced: bool,
     /// It has reported in this term.
@@ -381,19 +387,19 @@
     /// Rented in this term: no earlier life of it can have left reports behind.
     pub own: bool,
     /// The token that its newest message showed.
-    pub shown: Epoch,
+    pub shown: FencingToken,
     /// It is given nothing until it shows this token, first answered then: what reached us from it
     /// does not prove that answers and commands reach it.
-    pub must_show: Option<(Epoch, Instant)>,
+    pub must_show: Option<(FencingToken, Instant)>,
     /// Shown by a worker whose reports counted from the beginning again. Reports below it are its
     /// predecessor's, however high they count.
-    pub floor: Option<Epoch>,
+    pub floor: Option<FencingToken>,
     /// The token by which such a worker would show that it is alive.
-    pub restart_probe: Option<Epoch>,
+    pub restart_probe: Option<FencingToken>,
     /// When this term first knew of it.
     pub known_since: Instant,
     /// When its newest message came.
-    pub last_report: Instant,
+    pub last_heartbeat: Instant,
     /// When a report of it was last answered, which renews its lease.
     pub last_answer: Option<Instant>,
     /// Not up yet: when the rental was asked for.
@@ -401,11 +407,11 @@
     /// When the cloud will take it.
     pub eviction: Option<Instant>,
     /// Attempts on it that are not proved gone, and what they take.
-    pub placed: BTreeMap<TaskId, Need>,
+    pub placed: BTreeMap<TaskId, Resources>,
     /// What they take together.
-    pub used: Need,
+    pub used: Resources,
     /// What tasks take that should not be on it.
-    pub foreign: Need,
+    pub foreign: Resources,
     /// The images that it holds, oldest first, with their sizes in GB.
     pub images: VecDeque<(ImageKey, f64)>,
     /// The images that it fetches, since when, with their sizes in GB.
@@ -423,54 +429,54 @@
     /// Nothing is placed on it before this time.
     pub avoid_until: Option<Instant>,
     /// Jobs whose tasks failed here since the last success.
-    pub failed_jobs: HashSet<Uid>,
+    pub failed_jobs: HashSet<JobId>,
     /// Tasks of several jobs failed on it: it gets no more.
     pub quarantined: bool,
     /// Since when it is; the jobs it failed may yet turn out to be at fault.
     pub quarantined_at: Option<Instant>,
     /// Logarithm of measured over expected run time here.
-    pub slowness: super::history::Average,
+    pub slowness: crate::core::placement::history::Average,
     /// Its lease has surely run out.
     pub lease_spent: bool,
     /// A cancelled task has been on it for too long: it goes whatever else is doubtful.
     pub overdue: bool,
 }
 
-impl Host {
+impl Machine {
     /// A host of which nothing is known but this.
     pub fn new(
-        id: HostId,
-        host_type: TypeName,
-        site: Site,
+        id: MachineId,
+        machine_type: MachineTypeName,
+        zone: Zone,
         spot: bool,
         term: Term,
         now: Instant,
     ) -> Self {
-        Host {
+        Machine {
             id,
             endpoint: String::new(),
-            host_type,
-            site,
+            machine_type,
+            zone,
             spot,
-            tenure: 0,
+            incarnation: 0,
             serial: 0,
-            epoch: Epoch::first(term).next(),
+            token: FencingToken::first(term).next(),
             fenced: false,
             reported: false,
             probed: false,
             own: false,
-            shown: Epoch(0),
+            shown: FencingToken(0),
             must_show: None,
             floor: None,
             restart_probe: None,
             known_since: now,
-            last_report: now,
+            last_heartbeat: now,
             last_answer: None,
             booting: None,
             eviction: None,
             placed: BTreeMap::new(),
-            used: Need::default(),
-            foreign: Need::default(),
+            used: Resources::default(),
+            foreign: Resources::default(),
             images: VecDeque::new(),
             fetching: BTreeMap::new(),
             sending: false,
@@ -491,17 +497,17 @@
     pub fn is_reachable(&self) -> bool {
         (self.fenced || self.own) && self.must_show.is_none()
     }
-    pub(super) fn require_token(&mut self, now: Instant) {
+    pub(in crate::core) fn require_token(&mut self, now: Instant) {
         if self.must_show.is_none() {
-            self.epoch = self.epoch.next();
-            self.must_show = Some((self.epoch, now));
+            self.token = self.token.next();
+            self.must_show = Some((self.token, now));
         }
     }
     /// Whether it holds an image.
     pub fn has_image(&self, image: ImageKey) -> bool {
         self.images.iter().any(|(i, _)| *i == image)
     }
-    pub(super) fn cached(&mut self, image: ImageKey, gb: f64, cache_gb: f64) {
+    pub(in crate::core) fn cached(&mut self, image: ImageKey, gb: f64, cache_gb: f64) {
         self.fetching.remove(&image);
         if self.images.back().is_some_and(|(i, _)| *i == image) {
             return;
--- a/src/core/team_use.rs
+++ b/src/core/state/quota_usage.rs
@@ -5,37 +5,37 @@
 //! until a later report of the machine, or its end. So the account is never less than what is truly on
 //! machines, and whatever starts a task asks it first.
 
-use super::model::{HostId, Need, TaskId, TeamName};
+use crate::core::model::{MachineId, Resources, TaskId, TeamName};
 use std::collections::HashMap;
 
 /// One task's part.
 #[derive(Clone, Debug)]
 struct Entry {
-    owner: TeamName,
-    need: Need,
+    team: TeamName,
+    resources: Resources,
 }
 
 /// The sum of a team's entries, and their number: a sum of none is zero, whatever was rounded.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
-    need: Need,
+    resources: Resources,
     entries: usize,
 }
 
 /// The account of all teams.
 #[derive(Debug, Default)]
-pub struct TeamUse {
+pub struct QuotaUsage {
     attempts: HashMap<TaskId, Entry>,
-    unexpected: HashMap<HostId, Vec<Entry>>,
+    unexpected: HashMap<MachineId, Vec<Entry>>,
     totals: HashMap<TeamName, Total>,
 }
 
-impl TeamUse {
+impl QuotaUsage {
     /// An attempt at a task may be on a machine from now on. A task has one attempt at a time.
-    pub fn enter(&mut self, task: TaskId, owner: &TeamName, need: Need) {
+    pub fn enter(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
-            owner: owner.clone(),
-            need,
+            team: team.clone(),
+            resources,
         };
         self.add(&entry);
         if let Some(before) = self.attempts.insert(task, entry) {
@@ -51,61 +51,66 @@
     }
 
     /// What a machine shows beside the attempts on record, in place of what it showed before.
-    pub fn set_unexpected(&mut self, host: &HostId, tasks: &[(TeamName, Need)]) {
-        for entry in self.unexpected.remove(host).unwrap_or_default() {
+    pub fn set_unexpected(&mut self, machine: &MachineId, tasks: &[(TeamName, Resources)]) {
+        for entry in self.unexpected.remove(machine).unwrap_or_default() {
             self.subtract(&entry);
         }
         if tasks.is_empty() {
             return;
         }
-        let entries = tasks.iter().map(|(owner, need)| Entry {
-            owner: owner.clone(),
-            need: *need,
+        let entries = tasks.iter().map(|(team, resources)| Entry {
+            team: team.clone(),
+            resources: *resources,
         });
         let entries: Vec<Entry> = entries.collect();
         for entry in &entries {
             self.add(entry);
         }
-        self.unexpected.insert(host.clone(), entries);
+        self.unexpected.insert(machine.clone(), entries);
     }
 
     /// What a team's tasks use.
-    pub fn of(&self, team: &TeamName) -> Need {
-        self.totals.get(team).map(|t| t.need).unwrap_or_default()
+    pub fn of(&self, team: &TeamName) -> Resources {
+        self.totals
+            .get(team)
+            .map(|t| t.resources)
+            .unwrap_or_default()
     }
 
     /// What every team's tasks use.
-    pub fn by_team(&self) -> HashMap<TeamName, Need> {
+    pub fn by_team(&self) -> HashMap<TeamName, Resources> {
         let totals = self.totals.iter();
-        totals.map(|(team, t)| (team.clone(), t.need)).collect()
+        totals
+            .map(|(team, t)| (team.clone(), t.resources))
+            .collect()
     }
 
     /// A team's use counted anew, entry by entry.
-    pub fn recount(&self, team: &TeamName) -> Need {
-        let mut sum = Need::default();
+    pub fn recount(&self, team: &TeamName) -> Resources {
+        let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
         for entry in self.attempts.values().chain(unexpected) {
-            if &entry.owner == team {
-                sum.add(&entry.need);
+            if &entry.team == team {
+                sum.add(&entry.resources);
             }
         }
         sum
     }
 
     fn add(&mut self, entry: &Entry) {
-        let total = self.totals.entry(entry.owner.clone()).or_default();
-        total.need.add(&entry.need);
+        let total = self.totals.entry(entry.team.clone()).or_default();
+        total.resources.add(&entry.resources);
         total.entries += 1;
     }
 
     fn subtract(&mut self, entry: &Entry) {
-        let Some(total) = self.totals.get_mut(&entry.owner) else {
+        let Some(total) = self.totals.get_mut(&entry.team) else {
             return;
         };
-        total.need.sub(&entry.need);
+        total.resources.sub(&entry.resources);
         total.entries -= 1;
         if total.entries == 0 {
-            total.need = Need::default();
+            total.resources = Resources::default();
         }
     }
 }
--- a/src/core/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -1,35 +1,41 @@
 //! What a machine shows of an attempt on record: how far it is, and how it ended.
 
-use super::cluster::Cluster;
-use super::entities::Active;
-use super::model::{Exit, HostId, ImageKey, Report, TaskId, TaskPhase, Uid};
+use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
+use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::entities::ActiveAttempt;
 use std::time::{Duration, Instant};
 
 /// A machine that refused a start gets nothing for this long.
 const REFUSED_START_PAUSE: Duration = Duration::from_secs(4);
 /// The pause after a worker did not know the job, doubled with each time in a row, this often at most.
 const UNKNOWN_JOB_PAUSE: Duration = Duration::from_millis(500);
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// A run's length is compared with an estimate of this at least.
-const LEAST_RUN_S: f64 = 0.1;
+const MIN_RUN_S: f64 = 0.1;
 /// Logarithms of measured over expected run times count within these bounds.
 const SLOWNESS: std::ops::RangeInclusive<f64> = -1.0..=3.0;
 
-impl Cluster {
+impl ClusterState {
     /// An attempt is on its machine and has not ended.
-    pub(super) fn progress(&mut self, now: Instant, r: &Report, task: &TaskId, phase: TaskPhase) {
-        let Some(job) = self.jobs.get_mut(&task.uid) else {
+    pub(in crate::core) fn progress(
+        &mut self,
+        now: Instant,
+        r: &Heartbeat,
+        task: &TaskId,
+        phase: TaskPhase,
+    ) {
+        let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
         let (image, gb) = (job.image, job.spec.image_gb);
         let Some(a) = job.active.get_mut(&task.index) else {
             return;
         };
-        a.tenure = Some(r.tenure);
+        a.incarnation = Some(r.incarnation);
         let before = a.seen.replace(phase);
         if phase == TaskPhase::Fetching {
             a.waited = Some(now);
-            if let Some(h) = self.hosts.get_mut(&r.host) {
+            if let Some(h) = self.machines.get_mut(&r.machine) {
                 h.fetching.entry(image).or_insert((now, gb));
             }
             return;
@@ -41,79 +47,87 @@
         if matches!(before, None | Some(TaskPhase::Fetching)) {
             self.measure_fetch(now, r, image, before.is_some());
         }
-        let cache = self.host_type(&r.host_type).map_or(0.0, |t| t.cache_gb);
-        if let Some(h) = self.hosts.get_mut(&r.host) {
+        let cache = self
+            .machine_type(&r.machine_type)
+            .map_or(0.0, |t| t.cache_gb);
+        if let Some(h) = self.machines.get_mut(&r.machine) {
             h.cached(image, gb, cache);
         }
     }
 
     /// An image was fetched. How long that took is known if it was seen to begin, and only where it had the
     /// machine's rate for itself.
-    fn measure_fetch(&mut self, now: Instant, r: &Report, image: ImageKey, seen_to_begin: bool) {
-        let host = self.hosts.get(&r.host);
-        let alone = host.filter(|h| h.fetching.len() == 1);
+    fn measure_fetch(&mut self, now: Instant, r: &Heartbeat, image: ImageKey, seen_to_begin: bool) {
+        let machine = self.machines.get(&r.machine);
+        let alone = machine.filter(|h| h.fetching.len() == 1);
         let fetched = alone.and_then(|h| h.fetching.get(&image).copied());
         if let Some((since, gb)) = fetched.filter(|_| seen_to_begin) {
-            let nominal = self.host_type(&r.host_type);
+            let nominal = self.machine_type(&r.machine_type);
             let nominal = nominal.map_or(0.0, |t| t.fetch_gb_per_s);
             let took = now.saturating_duration_since(since);
-            self.history.fetched(&r.host_type, nominal, gb, took);
+            self.history.fetched(&r.machine_type, nominal, gb, took);
         }
     }
 
     /// An attempt ended by itself or by command.
-    pub(super) fn ended(&mut self, now: Instant, r: &Report, task: &TaskId, exit: Exit) {
-        let uid = &task.uid;
-        let Some(a) = self.gone(now, uid, task.index, exit == Exit::Done) else {
+    pub(in crate::core) fn ended(
+        &mut self,
+        now: Instant,
+        r: &Heartbeat,
+        task: &TaskId,
+        exit: ExitReason,
+    ) {
+        let job_id = &task.job_id;
+        let Some(a) = self.gone(now, job_id, task.index, exit == ExitReason::Completed) else {
             return;
         };
-        log::debug!("task ended task={task} host={} exit={exit:?}", r.host);
-        if !self.jobs.contains_key(uid) {
+        log::debug!("task ended task={task} host={} exit={exit:?}", r.machine);
+        if !self.jobs.contains_key(job_id) {
             return;
         }
         match exit {
-            Exit::Done => self.completed(now, r, task, &a),
-            Exit::Stopped { stored } => self.stopped(now, task, &a, stored),
-            Exit::Error => self.failed_by_itself(now, &r.host, task, &a),
-            Exit::NoRoom | Exit::InUse => {
-                if let Some(h) = self.hosts.get_mut(&r.host) {
+            ExitReason::Completed => self.completed(now, r, task, &a),
+            ExitReason::Stopped { stored } => self.stopped(now, task, &a, stored),
+            ExitReason::Failed => self.failed_by_itself(now, &r.machine, task, &a),
+            ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
+                if let Some(h) = self.machines.get_mut(&r.machine) {
                     h.avoid_until = Some(now + REFUSED_START_PAUSE);
                 }
             }
-            Exit::Unknown => self.refused_as_unknown(now, uid),
-            Exit::Peers | Exit::Incomplete => {}
+            ExitReason::UnknownTask => self.refused_as_unknown(now, job_id),
+            ExitReason::GangMemberEnded | ExitReason::GangIncomplete => {}
         }
     }
 
-    fn completed(&mut self, now: Instant, r: &Report, task: &TaskId, a: &Active) {
-        let uid = &task.uid;
-        let Some(job) = self.jobs.get_mut(uid) else {
+    fn completed(&mut self, now: Instant, r: &Heartbeat, task: &TaskId, a: &ActiveAttempt) {
+        let job_id = &task.job_id;
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         job.unknowns = 0;
         let ran = a.measured_run(now);
         let undisturbed = ran.filter(|_| a.kill.is_none() && job.done_count > 1);
-        if let (Some(took), Some(h)) = (undisturbed, self.hosts.get_mut(&r.host)) {
-            let expected = a.est.as_secs_f64().max(LEAST_RUN_S);
-            let ratio = (took.as_secs_f64().max(LEAST_RUN_S) / expected).ln();
+        if let (Some(took), Some(h)) = (undisturbed, self.machines.get_mut(&r.machine)) {
+            let expected = a.est.as_secs_f64().max(MIN_RUN_S);
+            let ratio = (took.as_secs_f64().max(MIN_RUN_S) / expected).ln();
             h.slowness
                 .add(ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end()));
         }
         if let Some(took) = ran.filter(|_| !job.progress.contains_key(&task.index)) {
-            self.history.ran(&job.spec, &r.host_type, took);
+            self.history.ran(&job.spec, &r.machine_type, took);
         }
-        self.succeeded(now, uid, &r.host);
+        self.succeeded(now, job_id, &r.machine);
     }
 
     /// What it has saved counts as its progress.
-    fn stopped(&mut self, now: Instant, task: &TaskId, a: &Active, stored: bool) {
-        let Some(job) = self.jobs.get_mut(&task.uid) else {
+    fn stopped(&mut self, now: Instant, task: &TaskId, a: &ActiveAttempt, stored: bool) {
+        let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
         let Some(took) = a.measured_run(now).filter(|_| job.spec.saves()) else {
             return;
         };
-        let every = job.spec.snapshot_every.as_secs_f64();
+        let every = job.spec.checkpoint_interval.as_secs_f64();
         let kept = if stored {
             took.as_secs_f64()
         } else {
@@ -122,33 +136,39 @@
         *job.progress.entry(task.index).or_default() += Duration::from_secs_f64(kept);
     }
 
-    fn failed_by_itself(&mut self, now: Instant, host: &HostId, task: &TaskId, a: &Active) {
-        let Some(job) = self.jobs.get(&task.uid) else {
+    fn failed_by_itself(
+        &mut self,
+        now: Instant,
+        machine: &MachineId,
+        task: &TaskId,
+        a: &ActiveAttempt,
+    ) {
+        let Some(job) = self.jobs.get(&task.job_id) else {
             return;
         };
         let began = a.running_since.or(a.waited).unwrap_or(a.placed);
         let after = now.saturating_duration_since(began);
         let failures = job.errors + 1;
-        log::info!("task failed task={task} host={host} failures={failures}");
-        self.failed(now, &task.uid, host, after);
+        log::info!("task failed task={task} host={machine} failures={failures}");
+        self.failed(now, &task.job_id, machine, after);
     }
 
     /// The worker could not fetch the description (yet): soon again, then ever later.
-    fn refused_as_unknown(&mut self, now: Instant, uid: &Uid) {
-        if let Some(job) = self.jobs.get_mut(uid) {
+    fn refused_as_unknown(&mut self, now: Instant, job_id: &JobId) {
+        if let Some(job) = self.jobs.get_mut(job_id) {
             job.unknowns += 1;
-            let pause = UNKNOWN_JOB_PAUSE * (1 << job.unknowns.min(MOST_DOUBLINGS));
+            let pause = UNKNOWN_JOB_PAUSE * (1 << job.unknowns.min(MAX_DOUBLINGS));
             job.backoff_until = Some(now + pause);
         }
     }
 }
 
-impl Active {
+impl ActiveAttempt {
     /// It is seen running for the first time. Returns whether its start was seen: at once after a takeover
     /// it is not known when it started.
-    fn note_start(&mut self, now: Instant, r: &Report, before: Option<TaskPhase>) -> bool {
+    fn note_start(&mut self, now: Instant, r: &Heartbeat, before: Option<TaskPhase>) -> bool {
         self.running_since = Some(now);
-        self.measured = before.is_some() || self.launch_epoch.term() == r.epoch.term();
+        self.measured = before.is_some() || self.launch_token.term() == r.token.term();
         self.measured
     }
 
--- a/src/core/termination.rs
+++ b/src/core/state/termination.rs
@@ -1,41 +1,41 @@
 //! Hosts and tasks that go: returned, taken back, out of their lease, cancelled or stopped.
 
-use super::cluster::Cluster;
-use super::model::{HostId, JobKind, Need, TaskId, Uid};
+use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
+use crate::core::state::cluster_state::ClusterState;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 /// Names of returned hosts that are remembered, so that late reports do not revive them: so many, or all
 /// machines that there may be, whichever is more.
-const LEAST_TOMBSTONES: usize = 5000;
+const MIN_TOMBSTONES: usize = 5000;
 /// Clocks drift by 0.05%; a lease counts as run out only after this much more of it, and a second.
 const DRIFT: f64 = 1.002;
 
-impl Cluster {
+impl ClusterState {
     /// The cloud confirmed that these hosts and all on them are gone.
-    pub fn on_returned(&mut self, now: Instant, hosts: &[HostId]) {
-        for id in hosts {
-            self.remove_host(now, id, "returned");
+    pub fn on_returned(&mut self, now: Instant, machines: &[MachineId]) {
+        for id in machines {
+            self.remove_machine(now, id, "returned");
         }
     }
 
-    pub(super) fn remove_host(&mut self, now: Instant, id: &HostId, why: &str) {
-        let Some(h) = self.hosts.get(id) else {
+    pub(in crate::core) fn remove_machine(&mut self, now: Instant, id: &MachineId, why: &str) {
+        let Some(h) = self.machines.get(id) else {
             return;
         };
         log::info!("host leaves host={id} why={why} tasks={}", h.placed.len());
         self.takeover.on_lease_expired(now, id);
         let tasks: Vec<TaskId> = h.placed.keys().cloned().collect();
         for t in tasks {
-            self.gone(now, &t.uid, t.index, false);
+            self.gone(now, &t.job_id, t.index, false);
         }
-        self.hosts.remove(id);
+        self.machines.remove(id);
         self.team_use.set_unexpected(id, &[]);
-        self.set_aside.host_gone(id);
+        self.unreadable_records.machine_gone(id);
         self.urgent.remove(id);
         if self.tombstones.insert(id.clone()) {
             self.tombstone_order.push_back(id.clone());
-            let kept = LEAST_TOMBSTONES.max(self.params.tuning.max_hosts);
+            let kept = MIN_TOMBSTONES.max(self.config.tuning.max_machines);
             if self.tombstone_order.len() > kept {
                 if let Some(old) = self.tombstone_order.pop_front() {
                     self.tombstones.remove(&old);
@@ -46,25 +46,25 @@
     }
 
     /// The return did not go through; it is asked for again.
-    pub fn on_return_failed(&mut self, hosts: &[HostId]) {
-        for id in hosts {
-            if let Some(h) = self.hosts.get_mut(id) {
+    pub fn on_return_failed(&mut self, machines: &[MachineId]) {
+        for id in machines {
+            if let Some(h) = self.machines.get_mut(id) {
                 h.return_sent = None;
             }
         }
     }
 
     /// Whether this host was returned: what comes from it later is ignored.
-    pub fn is_tombstone(&self, id: &HostId) -> bool {
+    pub fn is_tombstone(&self, id: &MachineId) -> bool {
         self.tombstones.contains(id)
     }
 
     /// Leases that ran out for certain. Only for hosts that this term has fenced: before that,
     /// another controller's answers may have renewed them.
-    pub(super) fn expire_leases(&mut self, now: Instant) {
-        let spent = self.params.lease.mul_f64(DRIFT) + Duration::from_secs(1);
+    pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
+        let spent = self.config.lease.mul_f64(DRIFT) + Duration::from_secs(1);
         let mut gone = Vec::new();
-        for h in self.hosts.values_mut() {
+        for h in self.machines.values_mut() {
             if !h.fenced || h.lease_spent {
                 continue;
             }
@@ -73,7 +73,7 @@
             };
             if now.saturating_duration_since(answer) > spent {
                 h.lease_spent = true;
-                h.foreign = Need::default();
+                h.foreign = Resources::default();
                 self.team_use.set_unexpected(&h.id, &[]);
                 self.takeover.on_lease_expired(now, &h.id);
                 gone.extend(h.placed.keys().cloned());
@@ -82,30 +82,30 @@
         for t in gone {
             let sent = self
                 .jobs
-                .get(&t.uid)
+                .get(&t.job_id)
                 .and_then(|j| j.active.get(&t.index))
                 .is_some();
             if sent {
                 log::info!("lease ran out under task={t}");
-                self.gone(now, &t.uid, t.index, false);
+                self.gone(now, &t.job_id, t.index, false);
             }
         }
     }
 
     /// Withdrawn tasks whose end is still unproved well before `cancel_s`: their host goes.
-    pub(super) fn overdue_cancellations(&mut self, now: Instant) {
-        let limit = self.params.cancel.mul_f64(0.4);
-        let mut hosts = BTreeSet::new();
+    pub(in crate::core) fn overdue_cancellations(&mut self, now: Instant) {
+        let limit = self.config.cancel.mul_f64(0.4);
+        let mut machines = BTreeSet::new();
         for j in self.jobs.values() {
             let Some(since) = j.cancelled_at else {
                 continue;
             };
             if now.saturating_duration_since(since) > limit {
-                hosts.extend(j.active.values().map(|a| a.host.clone()));
+                machines.extend(j.active.values().map(|a| a.machine.clone()));
             }
         }
-        for id in hosts {
-            if let Some(h) = self.hosts.get_mut(&id) {
+        for id in machines {
+            if let Some(h) = self.machines.get_mut(&id) {
                 h.returning = true;
                 h.overdue = true;
             }
@@ -113,15 +113,15 @@
     }
 
     /// Spot notices: tasks that can save do so in time, those that cannot finish move at once.
-    pub(super) fn evictions(&mut self, now: Instant) {
+    pub(in crate::core) fn evictions(&mut self, now: Instant) {
         let mut kills = Vec::new();
-        for h in self.hosts.values() {
+        for h in self.machines.values() {
             let Some(at) = h.eviction else {
                 continue;
             };
             let left = at.saturating_duration_since(now);
             for t in h.placed.keys() {
-                let Some(j) = self.jobs.get(&t.uid) else {
+                let Some(j) = self.jobs.get(&t.job_id) else {
                     continue;
                 };
                 let Some(a) = j.active.get(&t.index) else {
@@ -136,7 +136,7 @@
                     .unwrap_or_default();
                 let rest = a.est.saturating_sub(ran);
                 if j.spec.saves() && a.running_since.is_some() {
-                    let save = j.spec.snapshot;
+                    let save = j.spec.checkpoint_duration;
                     if left <= save.mul_f64(1.3) + Duration::from_secs(2) {
                         let grace = save.max(left.saturating_sub(Duration::from_millis(500)));
                         kills.push((t.clone(), grace));
@@ -149,38 +149,38 @@
         for (t, grace) in kills {
             let gang = self
                 .jobs
-                .get(&t.uid)
+                .get(&t.job_id)
                 .is_some_and(|j| j.spec.kind == JobKind::Gang);
             if gang {
-                self.stop_gang(now, &t.uid, grace);
+                self.stop_gang(now, &t.job_id, grace);
             } else {
-                self.kill(now, &t.uid, t.index, grace);
+                self.kill(now, &t.job_id, t.index, grace);
             }
         }
     }
 
     /// An orderly stop: every member hears of it in the same moment.
-    pub(super) fn stop_gang(&mut self, now: Instant, uid: &Uid, grace: Duration) {
-        let Some(job) = self.jobs.get(uid) else {
+    pub(in crate::core) fn stop_gang(&mut self, now: Instant, job_id: &JobId, grace: Duration) {
+        let Some(job) = self.jobs.get(job_id) else {
             return;
         };
         let members: Vec<u32> = job.active.keys().copied().collect();
         for i in members {
-            self.kill(now, uid, i, grace);
+            self.kill(now, job_id, i, grace);
         }
     }
 
     /// Kills that the grace has run out for become immediate; unproved ones are sent again.
-    pub(super) fn press_kills(&mut self, now: Instant) {
+    pub(in crate::core) fn press_kills(&mut self, now: Instant) {
         let again = Duration::from_secs(2);
         let mut due = Vec::new();
         for j in self.jobs.values_mut() {
             for a in j.active.values_mut() {
                 if let Some(k) = &mut a.kill {
                     let passed = now.saturating_duration_since(k.since);
-                    if !k.wind_down.is_zero() && passed > k.wind_down + again {
-                        k.wind_down = Duration::ZERO;
-                        due.push(a.host.clone());
+                    if !k.grace_period.is_zero() && passed > k.grace_period + again {
+                        k.grace_period = Duration::ZERO;
+                        due.push(a.machine.clone());
                     }
                 }
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,6 +5,8 @@
 
 #![warn(missing_docs)]
 
+pub mod api;
+pub mod common;
 pub mod core;
 pub mod net;
 pub mod runtime;
--- a/src/main.rs
+++ b/src/main.rs
@@ -51,7 +51,7 @@
             eprintln!("cypressgap: warning: {warning}");
         }
         println!("settings are valid: member {}", settings.member);
-        let p = &settings.params;
+        let p = &settings.config;
         println!(
             "state service: values of {} bytes, {} changes a transaction",
             p.value_bytes, p.txn_ops
--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -1,8 +1,8 @@
 //! Commands sent straight to workers.
 
-use super::http;
-use super::wire::{self, Commands, WireDirective, WireReport};
-use crate::core::model::{Directive, Epoch, Report};
+use crate::core::model::{FencingToken, Heartbeat, TaskCommand};
+use crate::net::http_client;
+use crate::net::wire::{self, CommandRequest, WireCommand, WireHeartbeat};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 }
 
 /// Commands in the form in which they go to a worker.
-pub fn encode(epoch: Epoch, tenure: u64, directives: &[Directive]) -> Vec<u8> {
-    wire::encode(&Commands {
-        epoch: epoch.0,
-        tenure,
-        directives: directives.iter().map(WireDirective::from).collect(),
+pub fn encode(token: FencingToken, incarnation: u64, commands: &[TaskCommand]) -> Vec<u8> {
+    wire::encode(&CommandRequest {
+        token: token.0,
+        incarnation,
+        commands: commands.iter().map(WireCommand::from).collect(),
     })
 }
 
@@ -33,11 +33,11 @@
 pub fn deliver(agent: &ureq::Agent, endpoint: &str, body: &[u8]) -> Option<Vec<u8>> {
     let address: SocketAddr = endpoint.parse().ok()?;
     let url = format!("http://{address}/commands");
-    let a = http::exchange(agent, "POST", &url, Some(body), LIMIT).ok()?;
+    let a = http_client::exchange(agent, "POST", &url, Some(body), LIMIT).ok()?;
     matches!(a.status, 200 | 409).then_some(a.body)
 }
 
 /// Reads a worker's report. None: it is malformed.
-pub fn report(body: &[u8]) -> Option<Report> {
-    wire::decode::<WireReport>(body)?.into_report()
+pub fn heartbeat(body: &[u8]) -> Option<Heartbeat> {
+    wire::decode::<WireHeartbeat>(body)?.into_heartbeat()
 }
