--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,9 +1,9 @@
 //! The cloud's protocol.
 
-use super::http::Client;
-use super::wire::{HostList, HostNames, RentRequest, WireTypes};
-use crate::core::capacity::Rented;
-use crate::core::model::{HostId, Listed};
+use crate::core::capacity::RentalOutcome;
+use crate::core::model::{CloudMachine, MachineId};
+use crate::net::http_client::Client;
+use crate::net::wire::{MachineList, MachineNames, RentRequest, WireMachineTypes};
 use std::time::Duration;
 
 const LIMIT: Duration = Duration::from_secs(8);
@@ -22,7 +22,7 @@
     }
 
     /// The machine types on offer. None: no answer that can be read.
-    pub fn types(&self) -> Option<WireTypes> {
+    pub fn types(&self) -> Option<WireMachineTypes> {
         let a = self
             .client
             .call("GET", "/machine_types", NONE, LIMIT)
@@ -31,32 +31,35 @@
     }
 
     /// Rents machines under a claim, which makes repetitions harmless.
-    pub fn rent(&self, request: &RentRequest) -> Rented {
+    pub fn rent(&self, request: &RentRequest) -> RentalOutcome {
         #[derive(serde::Deserialize)]
         struct Refusal {
             error: Option<String>,
         }
         match self.client.call("POST", "/hosts", Some(request), LIMIT) {
-            Ok(a) if a.status == 200 => match a.decode::<HostNames>() {
-                Some(n) => Rented::Hosts(n.hosts.into_iter().map(HostId).collect()),
-                None => Rented::Unknown,
+            Ok(a) if a.status == 200 => match a.decode::<MachineNames>() {
+                Some(n) => RentalOutcome::Machines(n.machines.into_iter().map(MachineId).collect()),
+                None => RentalOutcome::Unknown,
             },
             Ok(a) if a.status == 503 => match a.decode::<Refusal>().and_then(|r| r.error) {
-                Some(e) if e == "no capacity" => Rented::NoCapacity,
-                _ => Rented::Unknown,
+                Some(e) if e == "no capacity" => RentalOutcome::NoCapacity,
+                _ => RentalOutcome::Unknown,
             },
             Ok(a) if a.status == 400 => {
-                log::warn!("the cloud calls a rental malformed claim={}", request.claim);
-                Rented::NoCapacity
+                log::warn!(
+                    "the cloud calls a rental malformed claim={}",
+                    request.idempotency_key
+                );
+                RentalOutcome::NoCapacity
             }
-            _ => Rented::Unknown,
+            _ => RentalOutcome::Unknown,
         }
     }
 
     /// True: by now the machines and all that was on them are gone.
-    pub fn give_back(&self, hosts: &[HostId]) -> bool {
-        let body = HostNames {
-            hosts: hosts.iter().map(|h| h.0.clone()).collect(),
+    pub fn give_back(&self, machines: &[MachineId]) -> bool {
+        let body = MachineNames {
+            machines: machines.iter().map(|h| h.0.clone()).collect(),
         };
         match self
             .client
@@ -68,7 +71,7 @@
     }
 
     /// One page of the list, from after `from`; the flag tells whether there is more.
-    pub fn list(&self, from: &str) -> Option<(Vec<Listed>, bool)> {
+    pub fn list(&self, from: &str) -> Option<(Vec<CloudMachine>, bool)> {
         let path = if from.is_empty() {
             "/hosts?Most=500".to_owned()
         } else {
@@ -78,9 +81,12 @@
         if a.status != 200 {
             return None;
         }
-        let l: HostList = a.decode()?;
+        let l: MachineList = a.decode()?;
         let more = l.has_next;
-        let listed = l.hosts.into_iter().filter_map(|h| h.into_listed());
+        let listed = l
+            .machines
+            .into_iter()
+            .filter_map(|h| h.into_cloud_machine());
         Some((listed.collect(), more))
     }
 }
--- a/src/net/http.rs
+++ b/src/net/http_client.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::wire;
-use crate::runtime::metrics::Meter;
+use crate::common::metrics::LatencyMeter;
+use crate::net::wire;
 
 /// Answers of the state service's lists and watches are longer than bodies of the protocol's own.
 const ANSWER_LIMIT: u64 = 16 * 1024 * 1024;
@@ -25,14 +25,14 @@
 }
 
 /// An answer, whatever its status.
-pub struct Answer {
+pub struct HttpResponse {
     /// The status.
     pub status: u16,
     /// The body, not decoded.
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl HttpResponse {
     /// The body as MessagePack. None: it is something else.
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         wire::decode(&self.body)
@@ -44,12 +44,17 @@
 pub struct Client {
     agent: ureq::Agent,
     base: String,
-    meter: Arc<Meter>,
+    meter: Arc<LatencyMeter>,
 }
 
 impl Client {
     /// A client of one address, with so many idle connections.
-    pub fn new(address: SocketAddr, connect: Duration, idle: usize, meter: Arc<Meter>) -> Client {
+    pub fn new(
+        address: SocketAddr,
+        connect: Duration,
+        idle: usize,
+        meter: Arc<LatencyMeter>,
+    ) -> Client {
         Client {
             agent: agent(connect, idle),
             base: format!("http://{address}"),
@@ -64,7 +69,7 @@
         path: &str,
         body: Option<&T>,
         limit: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let url = format!("{}{path}", self.base);
         let start = Instant::now();
         let answer = call(&self.agent, method, &url, body, limit);
@@ -93,7 +98,7 @@
     url: &str,
     body: Option<&T>,
     limit: Duration,
-) -> Result<Answer, CallError> {
+) -> Result<HttpResponse, CallError> {
     let body = body.map(|b| wire::encode(b));
     exchange(agent, method, url, body.as_deref(), limit)
 }
@@ -105,7 +110,7 @@
     url: &str,
     body: Option<&[u8]>,
     limit: Duration,
-) -> Result<Answer, CallError> {
+) -> Result<HttpResponse, CallError> {
     let request = agent.request(method, url).timeout(limit);
     let result = match body {
         Some(b) => request
@@ -130,5 +135,5 @@
         .take(ANSWER_LIMIT)
         .read_to_end(&mut body)
         .map_err(|_| CallError::NoAnswer)?;
-    Ok(Answer { status, body })
+    Ok(HttpResponse { status, body })
 }
--- a/src/net/listen.rs
+++ b/src/net/http_server.rs
@@ -5,8 +5,8 @@
 //! while. A thread for each would pass what a process may have, so a connection costs its socket and
 //! a few hundred bytes here, and a silent or slow client holds nothing else.
 
-use super::request_parser::{parse, Parsed, HEAD_LIMIT};
-use crate::runtime::stop::Stop;
+use crate::common::stop_signal::Stop;
+use crate::net::request_parser::{parse, Parsed, HEAD_LIMIT};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use std::io::{ErrorKind, Read, Write};
@@ -540,6 +540,6 @@
         link: Some(c.link.clone()),
         fill: fill.clone(),
     };
-    let (status, body) = super::front::problem(400, why);
+    let (status, body) = crate::api::server::problem(400, why);
     request.respond(status, &body, None);
 }
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -29,7 +29,7 @@
     /// Changes a second that its duties as leader asked for.
     pub leader_changes: f64,
     /// How late its timers fire, in milliseconds.
-    pub strain_ms: u32,
+    pub timer_lag_ms: u32,
     /// From the leader: jobs whose counts changed (done, running), for display.
     pub progress: Vec<(String, u32, u32)>,
     /// From the leader: jobs that are over.
@@ -38,7 +38,7 @@
 
 /// What one controller asks another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// How the sender is.
     Hello(Hello),
     /// Workers' reports, as they came.
@@ -107,7 +107,7 @@
 
 /// What a peer found out about a job.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum JobStanding {
+pub enum PeerJobStatus {
     /// It could not be asked.
     Silence,
     /// It was never accepted.
@@ -122,7 +122,7 @@
 
 /// What a controller answers another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Reply {
+pub enum PeerResponse {
     /// How the answering one is.
     Hello(Hello),
     /// Status and body for each report, in their order.
@@ -130,7 +130,7 @@
     /// The worker's report, as it came. None: it did not answer.
     Command(Option<Vec<u8>>),
     /// In the order of the questions.
-    JobStandings(Vec<JobStanding>),
+    JobStandings(Vec<PeerJobStatus>),
     /// Status, body, and when to come back.
     User(u16, Vec<u8>, Option<u64>),
     /// Its incarnation; whether this goes on from where it was asked for; the jobs; where to go on; whether
@@ -141,7 +141,7 @@
         /// It goes on from the position asked for, with nothing left out.
         continues: bool,
         /// The jobs.
-        uids: Vec<String>,
+        job_ids: Vec<String>,
         /// The position to go on from.
         next: u64,
         /// There are more already.
@@ -233,7 +233,7 @@
     }
 
     /// Asks on an idle connection, or on a new one.
-    pub fn ask(&self, ask: &Ask, limit: Duration) -> io::Result<Reply> {
+    pub fn ask(&self, ask: &PeerRequest, limit: Duration) -> io::Result<PeerResponse> {
         let kept = self.idle.lock().ok().and_then(|mut i| i.pop());
         if let Some(mut s) = kept {
             // A kept connection may have died with the peer's earlier incarnation. All that is asked is safe
@@ -275,7 +275,7 @@
     )
 }
 
-fn exchange(s: &mut TcpStream, ask: &Ask) -> io::Result<Reply> {
+fn exchange(s: &mut TcpStream, ask: &PeerRequest) -> io::Result<PeerResponse> {
     write_frame(s, ask)?;
     read_frame(s)
 }
--- a/src/net/request_parser.rs
+++ b/src/net/request_parser.rs
@@ -2,7 +2,7 @@
 
 /// Of one request's line and headers.
 pub const HEAD_LIMIT: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// One request at the front of what has come.
 #[derive(Debug, PartialEq)]
@@ -33,7 +33,7 @@
 
 /// Reads the request at the front of the input; its body may be no longer than this.
 pub fn parse(input: &[u8], body_limit: usize) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut r = httparse::Request::new(&mut headers);
     let head = match r.parse(input) {
         Ok(httparse::Status::Complete(n)) => n,
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -1,13 +1,15 @@
 //! The state service's protocol.
 
-use super::http::{Answer, CallError, Client};
-use super::store_budget::Budgets;
-use super::wire::{self, StoredChunk, StoredHistory, StoredVerdict};
-use crate::core::ledger::{job_key, live_key, Batch, Op, Value, Verdict, VERDICT_PREFIX};
-use crate::core::model::Uid;
-use crate::core::status_reads::{Page, Records};
-use crate::runtime::budget::Rank;
-use crate::runtime::stop::Stop;
+use crate::common::rate_limit::RequestClass;
+use crate::common::stop_signal::Stop;
+use crate::core::model::JobId;
+use crate::core::persistence::job_status_reads::{Page, Records};
+use crate::core::persistence::ledger::{
+    job_key, live_key, Batch, JobOutcome, Op, Value, OUTCOME_PREFIX,
+};
+use crate::net::http_client::{CallError, Client, HttpResponse};
+use crate::net::store_budget::Budgets;
+use crate::net::wire::{self, StoredChunk, StoredHistory, StoredOutcome};
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -42,7 +44,7 @@
 
 /// What became of a transaction that was answered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Txn {
+pub enum TransactionOutcome {
     /// It was carried out.
     Applied {
         /// The stamp of the keys that it wrote.
@@ -60,7 +62,7 @@
     /// Its value.
     pub value: T,
     /// Its stamp.
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 #[derive(Serialize)]
@@ -68,7 +70,7 @@
     #[serde(rename = "Path")]
     path: &'a str,
     #[serde(rename = "Stamp")]
-    stamp: u64,
+    revision: u64,
 }
 
 /// A change of one key, in the wire's form.
@@ -102,7 +104,7 @@
     /// Tasks of a job.
     Chunk(StoredChunk),
     /// How a job ended.
-    Verdict(StoredVerdict),
+    JobOutcome(StoredOutcome),
     /// What was measured.
     History(StoredHistory),
     /// A live job.
@@ -114,14 +116,14 @@
     /// A counter or a mark.
     Number(u64),
     /// Machine types.
-    Types(wire::WireTypes),
+    Types(wire::WireMachineTypes),
 }
 
 impl From<&Value> for Content {
     fn from(v: &Value) -> Self {
         match v {
             Value::Chunk(c) => Content::Chunk(c.into()),
-            Value::Verdict(v) => Content::Verdict((*v).into()),
+            Value::JobOutcome(v) => Content::JobOutcome((*v).into()),
             Value::History(s) => Content::History(s.into()),
         }
     }
@@ -148,7 +150,7 @@
     #[serde(rename = "V")]
     value: T,
     #[serde(rename = "Stamp")]
-    stamp: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -172,7 +174,7 @@
     pub value: T,
     /// Its stamp.
     #[serde(rename = "Stamp")]
-    pub stamp: u64,
+    pub revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -217,7 +219,7 @@
     pub value: Option<T>,
     /// Its stamp.
     #[serde(rename = "Stamp")]
-    pub stamp: Option<u64>,
+    pub revision: Option<u64>,
 }
 
 const NONE: Option<&()> = None;
@@ -239,7 +241,7 @@
 const PAGE: usize = 1000;
 
 /// Why the service answered a transaction with 400.
-fn refused_txn(answer: &Answer) -> StoreError {
+fn refused_txn(answer: &HttpResponse) -> StoreError {
     let error = answer.decode::<ServiceError>().map(|e| e.error);
     if error.as_deref() == Some(NO_SUCH_LEASE) {
         return StoreError::NoLease;
@@ -249,7 +251,7 @@
 }
 
 impl Store {
-    fn sent(&self, r: Result<Answer, CallError>) -> Result<Answer, StoreError> {
+    fn sent(&self, r: Result<HttpResponse, CallError>) -> Result<HttpResponse, StoreError> {
         match r {
             Ok(a) if a.status == 429 => {
                 self.budgets.refused(Instant::now());
@@ -275,7 +277,7 @@
         self.budgets.changes_left(Instant::now())
     }
 
-    fn leave(&self, rank: Rank, writes: usize) -> Result<(), StoreError> {
+    fn leave(&self, rank: RequestClass, writes: usize) -> Result<(), StoreError> {
         if self.budgets.leave(rank, writes, Instant::now()) {
             Ok(())
         } else {
@@ -292,7 +294,7 @@
     pub fn get<T: DeserializeOwned>(
         &self,
         key: &str,
-        rank: Rank,
+        rank: RequestClass,
         limit: Duration,
     ) -> Result<Option<Entry<T>>, StoreError> {
         self.leave(rank, 0)?;
@@ -313,7 +315,7 @@
                 let g: GetAnswer<T> = a.decode().ok_or(StoreError::Unavailable)?;
                 Ok(Some(Entry {
                     value: g.value,
-                    stamp: g.stamp,
+                    revision: g.revision,
                 }))
             }
             404 => Ok(None),
@@ -325,7 +327,7 @@
     pub fn list<T: DeserializeOwned>(
         &self,
         prefix: &str,
-        rank: Rank,
+        rank: RequestClass,
         limit: Duration,
     ) -> Result<(Vec<Pair<T>>, u64), StoreError> {
         self.list_patiently(prefix, rank, limit, limit, &Stop::new())
@@ -337,7 +339,7 @@
     pub fn list_patiently<T: DeserializeOwned>(
         &self,
         prefix: &str,
-        rank: Rank,
+        rank: RequestClass,
         limit: Duration,
         patience: Duration,
         stop: &Stop,
@@ -370,7 +372,7 @@
         &self,
         prefix: &str,
         from: Option<&str>,
-        rank: Rank,
+        rank: RequestClass,
         limit: Duration,
     ) -> Result<ListAnswer<T>, StoreError> {
         self.leave(rank, 0)?;
@@ -390,9 +392,9 @@
         &self,
         conditions: &[(String, u64)],
         changes: Vec<Change<'_>>,
-        rank: Rank,
+        rank: RequestClass,
         limit: Duration,
-    ) -> Result<Txn, StoreError> {
+    ) -> Result<TransactionOutcome, StoreError> {
         self.leave(rank, changes.len())?;
         self.exchange(conditions, changes, limit)
     }
@@ -404,9 +406,9 @@
         conditions: &[(String, u64)],
         changes: Vec<Change<'_>>,
         limit: Duration,
-    ) -> Result<Txn, StoreError> {
+    ) -> Result<TransactionOutcome, StoreError> {
         let (now, n) = (Instant::now(), changes.len());
-        if !self.budgets.leave_above(Rank::User, n, floor, now) {
+        if !self.budgets.leave_above(RequestClass::User, n, floor, now) {
             return Err(StoreError::Spent);
         }
         self.exchange(conditions, changes, limit)
@@ -417,13 +419,13 @@
         conditions: &[(String, u64)],
         changes: Vec<Change<'_>>,
         limit: Duration,
-    ) -> Result<Txn, StoreError> {
+    ) -> Result<TransactionOutcome, StoreError> {
         let request = TxnRequest {
             conditions: conditions
                 .iter()
-                .map(|(path, stamp)| Condition {
+                .map(|(path, revision)| Condition {
                     path,
-                    stamp: *stamp,
+                    revision: *revision,
                 })
                 .collect(),
             apply: changes,
@@ -433,12 +435,12 @@
             200 => {
                 let t: TxnAnswer = a.decode().ok_or(StoreError::Unknown)?;
                 t.revision
-                    .map(|revision| Txn::Applied { revision })
+                    .map(|revision| TransactionOutcome::Applied { revision })
                     .ok_or(StoreError::Unknown)
             }
             409 => {
                 let t: TxnAnswer = a.decode().ok_or(StoreError::Unavailable)?;
-                Ok(Txn::Failed { keys: t.failed })
+                Ok(TransactionOutcome::Failed { keys: t.failed })
             }
             400 => Err(refused_txn(&a)),
             _ => Err(StoreError::Unknown),
@@ -446,7 +448,7 @@
     }
 
     /// Carries out a transaction of the leader.
-    pub fn apply(&self, batch: &Batch, limit: Duration) -> Result<Txn, StoreError> {
+    pub fn apply(&self, batch: &Batch, limit: Duration) -> Result<TransactionOutcome, StoreError> {
         let changes = batch
             .ops
             .iter()
@@ -459,12 +461,12 @@
                 Op::Delete(key) => Change::Delete { key },
             })
             .collect();
-        self.txn(&batch.conditions, changes, Rank::Leader, limit)
+        self.txn(&batch.conditions, changes, RequestClass::Leader, limit)
     }
 
     /// A new lease.
     pub fn lease(&self, life: Duration, limit: Duration) -> Result<u64, StoreError> {
-        self.leave(Rank::Leader, 0)?;
+        self.leave(RequestClass::Leader, 0)?;
         let body = Life {
             life_ms: life.as_millis() as u64,
         };
@@ -480,7 +482,7 @@
 
     /// Renews a lease.
     pub fn extend(&self, permit: u64, limit: Duration) -> Result<(), StoreError> {
-        self.leave(Rank::Leader, 0)?;
+        self.leave(RequestClass::Leader, 0)?;
         let path = format!("/leases/{permit}/extend");
         let a = self.sent(self.client.call("POST", &path, NONE, limit))?;
         match a.status {
@@ -492,7 +494,7 @@
 
     /// Ends a lease, and the keys on it.
     pub fn drop_lease(&self, permit: u64, limit: Duration) -> Result<(), StoreError> {
-        self.leave(Rank::Leader, 0)?;
+        self.leave(RequestClass::Leader, 0)?;
         self.sent(
             self.client
                 .call("DELETE", &format!("/leases/{permit}"), NONE, limit),
@@ -507,7 +509,7 @@
         from: u64,
         block: Duration,
     ) -> Result<Changes<T>, StoreError> {
-        self.leave(Rank::Leader, 0)?;
+        self.leave(RequestClass::Leader, 0)?;
         let path = format!(
             "/follow?Under={prefix}&From={from}&BlockMs={}",
             block.as_millis()
@@ -523,22 +525,22 @@
 
     /// A job's verdict by itself, with its key's stamp. `accepted`: the job is known to have been
     /// accepted; else that is asked first, since the verdict's key outlives the job's.
-    pub fn verdict(
+    pub fn outcome(
         &self,
-        uid: &Uid,
+        job_id: &JobId,
         accepted: bool,
         limit: Duration,
-    ) -> Result<Option<(Verdict, u64)>, StoreError> {
+    ) -> Result<Option<(JobOutcome, u64)>, StoreError> {
         let known = accepted || {
-            self.leave(Rank::User, 0)?;
-            self.read::<IgnoredAny>(&live_key(uid), limit)?.is_some()
+            self.leave(RequestClass::User, 0)?;
+            self.read::<IgnoredAny>(&live_key(job_id), limit)?.is_some()
         };
-        self.leave(Rank::User, 0)?;
-        let said = self.read::<StoredVerdict>(&job_key(uid), limit)?;
+        self.leave(RequestClass::User, 0)?;
+        let said = self.read::<StoredOutcome>(&job_key(job_id), limit)?;
         match said {
-            None => Ok(known.then_some((Verdict::Live, 0))),
-            Some(e) => match e.value.verdict() {
-                Some(v) => Ok(Some((v, e.stamp))),
+            None => Ok(known.then_some((JobOutcome::Live, 0))),
+            Some(e) => match e.value.outcome() {
+                Some(v) => Ok(Some((v, e.revision))),
                 None => Err(StoreError::Unavailable),
             },
         }
@@ -549,7 +551,7 @@
 pub struct Asked<'a> {
     store: &'a Store,
     stop: &'a Stop,
-    rank: Rank,
+    rank: RequestClass,
     until: Instant,
     /// For a submission or a cancellation, to which questions leave a part of the rate.
     change: bool,
@@ -559,7 +561,7 @@
 
 impl<'a> Asked<'a> {
     /// Reads within the part of the rate that is for this rank, until this time.
-    pub fn new(store: &'a Store, stop: &'a Stop, rank: Rank, until: Instant) -> Asked<'a> {
+    pub fn new(store: &'a Store, stop: &'a Stop, rank: RequestClass, until: Instant) -> Asked<'a> {
         Asked {
             store,
             stop,
@@ -574,7 +576,7 @@
     pub fn for_change(store: &'a Store, stop: &'a Stop, until: Instant) -> Asked<'a> {
         Asked {
             change: true,
-            ..Asked::new(store, stop, Rank::User, until)
+            ..Asked::new(store, stop, RequestClass::User, until)
         }
     }
 
@@ -589,9 +591,11 @@
         while !self.paid.get() {
             let now = Instant::now();
             let left = match self.rank {
-                Rank::User if self.change => self.store.budgets.leave(Rank::User, 0, now),
-                Rank::User => self.store.budgets.question(now),
-                Rank::Leader => self.store.budgets.leave(Rank::Leader, 0, now),
+                RequestClass::User if self.change => {
+                    self.store.budgets.leave(RequestClass::User, 0, now)
+                }
+                RequestClass::User => self.store.budgets.question(now),
+                RequestClass::Leader => self.store.budgets.leave(RequestClass::Leader, 0, now),
             };
             if !left && (now >= self.until || self.stop.wait(QUESTION_PAUSE)) {
                 return false;
@@ -623,28 +627,28 @@
     fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, StoreError> {
         self.charge()?;
         match self.store.exchange(expected, Vec::new(), self.limit())? {
-            Txn::Applied { .. } => Ok(Vec::new()),
-            Txn::Failed { keys } => Ok(keys),
+            TransactionOutcome::Applied { .. } => Ok(Vec::new()),
+            TransactionOutcome::Failed { keys } => Ok(keys),
         }
     }
 
-    fn verdicts(&self, from: &str) -> Result<Page, StoreError> {
+    fn outcomes(&self, from: &str) -> Result<Page, StoreError> {
         self.charge()?;
-        let path = format!("/store?Under={VERDICT_PREFIX}&From={from}&Most={PAGE}");
+        let path = format!("/store?Under={OUTCOME_PREFIX}&From={from}&Most={PAGE}");
         let call = self.store.client.call("GET", &path, NONE, self.limit());
         let a = self.store.sent(call)?;
         if a.status != 200 {
             return Err(StoreError::Unavailable);
         }
-        let page: ListAnswer<StoredVerdict> = a.decode().ok_or(StoreError::Unavailable)?;
+        let page: ListAnswer<StoredOutcome> = a.decode().ok_or(StoreError::Unavailable)?;
         let more = page.more;
-        let read = |p: Pair<StoredVerdict>| p.value.verdict().map(|v| (p.path, v));
+        let read = |p: Pair<StoredOutcome>| p.value.outcome().map(|v| (p.path, v));
         Ok((page.pairs.into_iter().filter_map(read).collect(), more))
     }
 
-    fn verdict(&self, key: &str) -> Result<Option<Verdict>, StoreError> {
+    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, StoreError> {
         self.charge()?;
-        let e = self.store.read::<StoredVerdict>(key, self.limit())?;
-        Ok(e.and_then(|e| e.value.verdict()))
+        let e = self.store.read::<StoredOutcome>(key, self.limit())?;
+        Ok(e.and_then(|e| e.value.outcome()))
     }
 }
--- a/src/net/store_budget.rs
+++ b/src/net/store_budget.rs
@@ -1,6 +1,6 @@
 //! The rates of the state service that a node keeps to, shared out among users and the leader.
 
-use crate::runtime::budget::{shares, Bucket, Demand, Rank, LEADER_CHANGES};
+use crate::common::rate_limit::{shares, Bucket, Demand, RequestClass, LEADER_CHANGES};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
@@ -50,7 +50,7 @@
 /// The part of a node's requests that questions leave to submissions and cancellations.
 const QUESTIONS_LEAVE: f64 = 0.4;
 /// Nobody is told to come back later than this for want of the rate: users give up after a minute.
-const MOST_RELIEF_S: f64 = 4.0;
+const MAX_RELIEF_S: f64 = 4.0;
 impl Budgets {
     /// Of the deployment's rates for `nodes` nodes. Only one of them leads, so each holds the
     /// leader's part ready.
@@ -187,7 +187,7 @@
     pub fn relief(&self) -> Duration {
         let (wanted, rate) = (self.wanted().demand.users, self.users.1.rate());
         let seconds = wanted / rate.max(0.1);
-        Duration::from_secs_f64(seconds.clamp(1.0, MOST_RELIEF_S))
+        Duration::from_secs_f64(seconds.clamp(1.0, MAX_RELIEF_S))
     }
 
     /// Changes that the leader could make now.
@@ -196,22 +196,22 @@
     }
 
     /// Whether a call with this many changes may go out now; if so, it is counted.
-    pub fn leave(&self, rank: Rank, writes: usize, now: Instant) -> bool {
+    pub fn leave(&self, rank: RequestClass, writes: usize, now: Instant) -> bool {
         self.leave_above(rank, writes, 0.0, now)
     }
 
     /// The same, leaving this part of the changes to others.
-    pub fn leave_above(&self, rank: Rank, writes: usize, floor: f64, now: Instant) -> bool {
+    pub fn leave_above(&self, rank: RequestClass, writes: usize, floor: f64, now: Instant) -> bool {
         if writes > 0 {
             let mut w = self.wanted();
             match rank {
-                Rank::User => w.users += writes,
-                Rank::Leader => w.leader += writes,
+                RequestClass::User => w.users += writes,
+                RequestClass::Leader => w.leader += writes,
             }
         }
         let (requests, changes) = match rank {
-            Rank::User => &self.users,
-            Rank::Leader => &self.leader,
+            RequestClass::User => &self.users,
+            RequestClass::Leader => &self.leader,
         };
         // What is refused for its changes must not use up requests.
         (writes == 0 || changes.take_above(writes as f64, floor, now)) && requests.take_at(1.0, now)
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -1,13 +1,15 @@
 //! The cloud's machine types, rentals and list.
 
 use super::duration;
-use crate::core::model::{HostId, HostType, Listed, ListedPhase, Need, Site, TypeName};
+use crate::core::model::{
+    CloudMachine, CloudMachinePhase, MachineId, MachineType, MachineTypeName, Resources, Zone,
+};
 use serde::{Deserialize, Serialize};
 
 /// A machine type in the cloud's form.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WireType {
+pub struct WireMachineType {
     name: String,
     vcpus: f64,
     #[serde(default)]
@@ -20,15 +22,16 @@
     hourly: f64,
     low_price: f64,
     boot_s: f64,
-    sites: Vec<String>,
+    #[serde(rename = "Sites")]
+    zones: Vec<String>,
 }
 
-impl WireType {
+impl WireMachineType {
     /// The type in the core's form. None: it makes no sense.
-    pub fn to_type(&self) -> Option<HostType> {
-        Some(HostType {
-            name: TypeName(self.name.clone()),
-            room: Need {
+    pub fn to_machine_type(&self) -> Option<MachineType> {
+        Some(MachineType {
+            name: MachineTypeName(self.name.clone()),
+            room: Resources {
                 cpus: self.vcpus,
                 gpus: self.gpus,
                 memory: self.memory_gb,
@@ -38,7 +41,7 @@
             hourly: self.hourly,
             low_price: self.low_price,
             boot: duration(self.boot_s)?,
-            sites: self.sites.iter().map(|s| Site(s.clone())).collect(),
+            zones: self.zones.iter().map(|s| Zone(s.clone())).collect(),
         })
     }
 }
@@ -46,9 +49,10 @@
 /// `GET /types` of the cloud.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WireTypes {
+pub struct WireMachineTypes {
     /// The types.
-    pub host_types: Vec<WireType>,
+    #[serde(rename = "HostTypes")]
+    pub machine_types: Vec<WireMachineType>,
 }
 
 /// A rental.
@@ -56,13 +60,17 @@
 #[serde(rename_all = "PascalCase")]
 pub struct RentRequest {
     /// Names it, however often it is asked for.
-    pub claim: String,
+    #[serde(rename = "Claim")]
+    pub idempotency_key: String,
     /// The machine type.
-    pub host_type: String,
+    #[serde(rename = "HostType")]
+    pub machine_type: String,
     /// The zone.
-    pub site: String,
+    #[serde(rename = "Site")]
+    pub zone: String,
     /// Whether the cloud may take the machines back.
-    pub preemptible: bool,
+    #[serde(rename = "Preemptible")]
+    pub allows_spot: bool,
     /// How many.
     pub number: u32,
 }
@@ -70,17 +78,19 @@
 /// Machines by their names.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HostNames {
+pub struct MachineNames {
     /// Their names.
-    pub hosts: Vec<String>,
+    #[serde(rename = "Hosts")]
+    pub machines: Vec<String>,
 }
 
 /// A page of the cloud's list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HostList {
+pub struct MachineList {
     /// The machines.
-    pub hosts: Vec<WireListed>,
+    #[serde(rename = "Hosts")]
+    pub machines: Vec<WireCloudMachine>,
     /// There are more pages.
     #[serde(default)]
     pub has_next: bool,
@@ -89,30 +99,34 @@
 /// A machine in the cloud's list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WireListed {
+pub struct WireCloudMachine {
     /// Its name.
-    pub uid: String,
+    #[serde(rename = "Uid")]
+    pub job_id: String,
     endpoint: Option<String>,
-    host_type: String,
-    site: String,
-    preemptible: bool,
+    #[serde(rename = "HostType")]
+    machine_type: String,
+    #[serde(rename = "Site")]
+    zone: String,
+    #[serde(rename = "Preemptible")]
+    allows_spot: bool,
     phase: String,
     age_s: f64,
 }
 
-impl WireListed {
+impl WireCloudMachine {
     /// The machine in the core's form. None: it makes no sense.
-    pub fn into_listed(self) -> Option<Listed> {
-        Some(Listed {
-            id: HostId(self.uid),
+    pub fn into_cloud_machine(self) -> Option<CloudMachine> {
+        Some(CloudMachine {
+            id: MachineId(self.job_id),
             endpoint: self.endpoint.unwrap_or_default(),
-            host_type: TypeName(self.host_type),
-            site: Site(self.site),
-            spot: self.preemptible,
+            machine_type: MachineTypeName(self.machine_type),
+            zone: Zone(self.zone),
+            spot: self.allows_spot,
             phase: match self.phase.as_str() {
-                "booting" => ListedPhase::Booting,
-                "running" => ListedPhase::Running,
-                "failed" => ListedPhase::Failed,
+                "booting" => CloudMachinePhase::Booting,
+                "running" => CloudMachinePhase::Running,
+                "failed" => CloudMachinePhase::Failed,
                 _ => return None,
             },
             age: duration(self.age_s.max(0.0))?,
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -5,12 +5,14 @@
 mod user;
 mod worker;
 
-pub use cloud::{HostList, HostNames, RentRequest, WireListed, WireType, WireTypes};
+pub use cloud::{
+    MachineList, MachineNames, RentRequest, WireCloudMachine, WireMachineType, WireMachineTypes,
+};
 pub use stored::{
-    StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredVerdict,
+    StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
 };
-pub use user::{JobState, JustUid, Problem, Submission};
-pub use worker::{Commands, Elsewhere, HeartbeatAnswer, WireDirective, WireReport};
+pub use user::{JobState, Problem, Submission, SubmissionId};
+pub use worker::{CommandRequest, HeartbeatResponse, LeaderRedirect, WireCommand, WireHeartbeat};
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -20,7 +22,7 @@
 pub const BODY_LIMIT: usize = 64 * 1024;
 
 /// Longest duration that a submission may name; keeps arithmetic on times far from overflow.
-const LONGEST_S: f64 = 1e7;
+const MAX_S: f64 = 1e7;
 
 /// A value as MessagePack.
 pub fn encode<T: Serialize>(v: &T) -> Vec<u8> {
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -1,25 +1,32 @@
 //! Records of the state service. Earlier versions read them and wrote them: they grow by optional fields.
 
 use super::duration;
-use crate::core::history::Summary;
-use crate::core::ledger::{ChunkValue, Verdict};
 use crate::core::model::{
-    Attempt, HostId, JobKind, JobSpec, Need, Site, TeamName, TypeName, Uid, Urgency,
+    AttemptId, JobId, JobKind, JobSpec, MachineId, MachineTypeName, Priority, Resources, TeamName,
+    Zone,
 };
+use crate::core::persistence::ledger::{ChunkValue, JobOutcome};
+use crate::core::placement::history::HistorySummary;
 use serde::{Deserialize, Serialize};
 
 /// A job as the state service keeps it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredJob {
-    uid: String,
+    #[serde(rename = "uid")]
+    job_id: String,
     class: String,
-    owner: String,
+    #[serde(rename = "owner")]
+    team: String,
     gang: bool,
-    urgency: u8,
-    shards: u32,
-    need: (f64, f64, f64),
+    #[serde(rename = "urgency")]
+    priority: u8,
+    #[serde(rename = "shards")]
+    task_count: u32,
+    #[serde(rename = "need")]
+    resources: (f64, f64, f64),
     types: Option<Vec<String>>,
-    site: Option<String>,
+    #[serde(rename = "site")]
+    zone: Option<String>,
     same_place: bool,
     spread: bool,
     spot: bool,
@@ -32,7 +39,8 @@
     /// Jobs that it needs and that were not over when it was accepted. Earlier versions know no such
     /// field, and jobs without it are written as they were.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    needs: Vec<String>,
+    #[serde(rename = "needs")]
+    dependencies: Vec<String>,
     /// It is in no list of dependents. The version before this one enters each job and knows no such
     /// field.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
@@ -42,29 +50,29 @@
 impl From<&JobSpec> for StoredJob {
     fn from(s: &JobSpec) -> Self {
         StoredJob {
-            uid: s.uid.0.clone(),
+            job_id: s.job_id.0.clone(),
             class: s.class.clone(),
-            owner: s.owner.0.clone(),
+            team: s.team.0.clone(),
             gang: s.kind == JobKind::Gang,
-            urgency: s.urgency as u8,
-            shards: s.shards,
-            need: (s.need.cpus, s.need.gpus, s.need.memory),
+            priority: s.priority as u8,
+            task_count: s.task_count,
+            resources: (s.resources.cpus, s.resources.gpus, s.resources.memory),
             types: s
-                .host_types
+                .machine_types
                 .as_ref()
                 .map(|l| l.iter().map(|t| t.0.clone()).collect()),
-            site: s.site.as_ref().map(|z| z.0.clone()),
+            zone: s.zone.as_ref().map(|z| z.0.clone()),
             same_place: s.same_place,
             spread: s.spread,
-            spot: s.preemptible,
+            spot: s.allows_spot,
             image: (s.image.clone(), s.image_gb),
             expected: s.expected.as_secs_f64(),
-            every: s.snapshot_every.as_secs_f64(),
-            save: s.snapshot.as_secs_f64(),
+            every: s.checkpoint_interval.as_secs_f64(),
+            save: s.checkpoint_duration.as_secs_f64(),
             due: s.due.map(|d| d.as_secs_f64()),
             at: s.accepted_ms,
-            needs: s.needs.iter().map(|n| n.0.clone()).collect(),
-            unlisted: !s.needs.is_empty() && !s.listed,
+            dependencies: s.dependencies.iter().map(|n| n.0.clone()).collect(),
+            unlisted: !s.dependencies.is_empty() && !s.listed,
         }
     }
 }
@@ -86,66 +94,72 @@
     pub fn size_bound(&self) -> usize {
         const FIELDS: usize = 600;
         let types: usize = self.types.iter().flatten().map(|t| text_bound(t)).sum();
-        let texts = [&self.uid, &self.class, &self.owner, &self.image.0];
+        let texts = [&self.job_id, &self.class, &self.team, &self.image.0];
         let texts: usize = texts
             .into_iter()
-            .chain(&self.site)
+            .chain(&self.zone)
             .map(|t| text_bound(t))
             .sum();
-        let needs: usize = self.needs.iter().map(|n| text_bound(n)).sum();
-        FIELDS + types + texts + needs
+        let dependencies: usize = self.dependencies.iter().map(|n| text_bound(n)).sum();
+        FIELDS + types + texts + dependencies
     }
 }
 
 impl StoredJob {
     /// Leaves only these of the jobs that it needs: the others are done. `listed`: it is in the lists
     /// of their dependents.
-    pub fn keep_needs(&mut self, open: &[Uid], listed: bool) {
-        self.needs = open.iter().map(|u| u.0.clone()).collect();
+    pub fn keep_dependencies(&mut self, open: &[JobId], listed: bool) {
+        self.dependencies = open.iter().map(|u| u.0.clone()).collect();
         self.unlisted = !open.is_empty() && !listed;
     }
 
     /// The jobs that it needs, as stored.
-    pub fn needs(&self) -> &[String] {
-        &self.needs
+    pub fn dependencies(&self) -> &[String] {
+        &self.dependencies
     }
 
     /// The job. None: the record makes no sense.
     pub fn into_spec(self) -> Option<JobSpec> {
         Some(JobSpec {
-            uid: Uid::parse(&self.uid)?,
+            job_id: JobId::parse(&self.job_id)?,
             class: self.class,
-            owner: TeamName(self.owner),
+            team: TeamName(self.team),
             kind: if self.gang {
                 JobKind::Gang
             } else {
                 JobKind::Batch
             },
-            urgency: match self.urgency {
-                0 => Urgency::Idle,
-                1 => Urgency::Standard,
-                2 => Urgency::High,
-                _ => Urgency::Production,
+            priority: match self.priority {
+                0 => Priority::Idle,
+                1 => Priority::Standard,
+                2 => Priority::High,
+                _ => Priority::Production,
             },
-            shards: self.shards,
-            need: Need {
-                cpus: self.need.0,
-                gpus: self.need.1,
-                memory: self.need.2,
+            task_count: self.task_count,
+            resources: Resources {
+                cpus: self.resources.0,
+                gpus: self.resources.1,
+                memory: self.resources.2,
             },
-            host_types: self.types.map(|l| l.into_iter().map(TypeName).collect()),
-            site: self.site.map(Site),
+            machine_types: self
+                .types
+                .map(|l| l.into_iter().map(MachineTypeName).collect()),
+            zone: self.zone.map(Zone),
             same_place: self.same_place,
             spread: self.spread,
-            preemptible: self.spot,
+            allows_spot: self.spot,
             image: self.image.0,
             image_gb: self.image.1,
             expected: duration(self.expected)?,
-            snapshot_every: duration(self.every)?,
-            snapshot: duration(self.save)?,
+            checkpoint_interval: duration(self.every)?,
+            checkpoint_duration: duration(self.save)?,
             due: self.due.and_then(duration),
-            needs: self.needs.iter().filter_map(|n| Uid::parse(n)).collect(),
-            listed: !self.needs.is_empty() && !self.unlisted,
+            dependencies: self
+                .dependencies
+                .iter()
+                .filter_map(|n| JobId::parse(n))
+                .collect(),
+            listed: !self.dependencies.is_empty() && !self.unlisted,
             accepted_ms: self.at,
         })
     }
@@ -153,28 +167,28 @@
 
 /// `j/<uid>`.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct StoredVerdict {
+pub struct StoredOutcome {
     p: String,
 }
 
-impl From<Verdict> for StoredVerdict {
-    fn from(v: Verdict) -> Self {
+impl From<JobOutcome> for StoredOutcome {
+    fn from(v: JobOutcome) -> Self {
         let p = match v {
-            Verdict::Live => "live",
-            Verdict::Done => "done",
-            Verdict::Cancelled => "withdrawn",
+            JobOutcome::Live => "live",
+            JobOutcome::Done => "done",
+            JobOutcome::Cancelled => "withdrawn",
         };
-        StoredVerdict { p: p.to_owned() }
+        StoredOutcome { p: p.to_owned() }
     }
 }
 
-impl StoredVerdict {
+impl StoredOutcome {
     /// The verdict. None: it is none that this version knows.
-    pub fn verdict(&self) -> Option<Verdict> {
+    pub fn outcome(&self) -> Option<JobOutcome> {
         match self.p.as_str() {
-            "live" => Some(Verdict::Live),
-            "done" => Some(Verdict::Done),
-            "withdrawn" => Some(Verdict::Cancelled),
+            "live" => Some(JobOutcome::Live),
+            "done" => Some(JobOutcome::Done),
+            "withdrawn" => Some(JobOutcome::Cancelled),
             _ => None,
         }
     }
@@ -207,7 +221,7 @@
             active: self
                 .a
                 .into_iter()
-                .map(|(i, t, h)| (i, Attempt(t), HostId(h)))
+                .map(|(i, t, h)| (i, AttemptId(t), MachineId(h)))
                 .collect(),
         }
     }
@@ -246,8 +260,8 @@
     fetch: Vec<(u64, f64, u32)>,
 }
 
-impl From<&Summary> for StoredHistory {
-    fn from(s: &Summary) -> Self {
+impl From<&HistorySummary> for StoredHistory {
+    fn from(s: &HistorySummary) -> Self {
         StoredHistory {
             runs: s.runs.clone(),
             bias: s.bias.clone(),
@@ -256,9 +270,9 @@
     }
 }
 
-impl From<StoredHistory> for Summary {
+impl From<StoredHistory> for HistorySummary {
     fn from(s: StoredHistory) -> Self {
-        Summary {
+        HistorySummary {
             runs: s.runs,
             bias: s.bias,
             fetch: s.fetch,
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -1,7 +1,9 @@
 //! Users' submissions, and what users are answered.
 
-use super::LONGEST_S;
-use crate::core::model::{JobKind, JobSpec, Need, Site, TeamName, TypeName, Uid, Urgency};
+use super::MAX_S;
+use crate::core::model::{
+    JobId, JobKind, JobSpec, MachineTypeName, Priority, Resources, TeamName, Zone,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,17 +13,21 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Submission {
     /// The job's id.
-    pub uid: Option<String>,
+    #[serde(rename = "Uid")]
+    pub job_id: Option<String>,
     /// Its class.
     pub job_class: Option<String>,
     /// Its team.
-    pub owner: Option<String>,
+    #[serde(rename = "Owner")]
+    pub team: Option<String>,
     /// `batch` or `gang`.
     pub job_kind: Option<String>,
     /// How urgent it is.
-    pub urgency: Option<String>,
+    #[serde(rename = "Urgency")]
+    pub priority: Option<String>,
     /// How many tasks.
-    pub shards: Option<u64>,
+    #[serde(rename = "Shards")]
+    pub task_count: Option<u64>,
     /// Processors of a task.
     pub vcpus: Option<f64>,
     /// Graphics processors of a task.
@@ -33,15 +39,18 @@
     /// The image's size.
     pub pull_gb: Option<f64>,
     /// The machine types that it may run on.
-    pub host_types: Option<Vec<String>>,
+    #[serde(rename = "HostTypes")]
+    pub machine_types: Option<Vec<String>>,
     /// The zone that it must run in.
-    pub site: Option<String>,
+    #[serde(rename = "Site")]
+    pub zone: Option<String>,
     /// All tasks in one zone.
     pub same_place: Option<bool>,
     /// Tasks over several zones.
     pub spread: Option<bool>,
     /// It may run on spot machines.
-    pub preemptible: Option<bool>,
+    #[serde(rename = "Preemptible")]
+    pub allows_spot: Option<bool>,
     /// How long a task is expected to run.
     pub expected_s: Option<f64>,
     /// How often a task saves its progress.
@@ -57,12 +66,13 @@
 /// Only the id, for a submission that is otherwise malformed.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct JustUid {
+pub struct SubmissionId {
     /// The job's id.
-    pub uid: Option<String>,
+    #[serde(rename = "Uid")]
+    pub job_id: Option<String>,
 }
 
-const MOST_SHARDS: u64 = 100_000;
+const MAX_TASKS: u64 = 100_000;
 
 impl Submission {
     /// The job, or the name of the first field that is missing or invalid.
@@ -75,11 +85,11 @@
         }
         fn amount(v: Option<f64>, name: &'static str) -> Result<f64, &'static str> {
             match v {
-                Some(x) if x.is_finite() && (0.0..=LONGEST_S).contains(&x) => Ok(x),
+                Some(x) if x.is_finite() && (0.0..=MAX_S).contains(&x) => Ok(x),
                 _ => Err(name),
             }
         }
-        let uid = self.uid.as_deref().and_then(Uid::parse).ok_or("Uid")?;
+        let job_id = self.job_id.as_deref().and_then(JobId::parse).ok_or("Uid")?;
         let kind = match self.job_kind.as_deref() {
             // `service` is not in the protocol's list, yet the users' own trial submits it: tasks that
             // run until they are cancelled. They are placed like independent ones (docs/questions.md).
@@ -87,64 +97,64 @@
             Some("group") => JobKind::Gang,
             _ => return Err("JobKind"),
         };
-        let urgency = match self.urgency.as_deref() {
-            Some("production") => Urgency::Production,
-            Some("high") => Urgency::High,
-            Some("standard") => Urgency::Standard,
-            Some("idle") => Urgency::Idle,
+        let priority = match self.priority.as_deref() {
+            Some("production") => Priority::Production,
+            Some("high") => Priority::High,
+            Some("standard") => Priority::Standard,
+            Some("idle") => Priority::Idle,
             _ => return Err("Urgency"),
         };
-        let shards = match self.shards {
-            Some(n) if (1..=MOST_SHARDS).contains(&n) => n as u32,
+        let task_count = match self.task_count {
+            Some(n) if (1..=MAX_TASKS).contains(&n) => n as u32,
             _ => return Err("Shards"),
         };
-        let host_types = match &self.host_types {
+        let machine_types = match &self.machine_types {
             None => None,
             Some(l) if l.len() <= 100 && l.iter().all(|t| !t.is_empty() && t.len() <= 200) => {
-                Some(l.iter().map(|t| TypeName(t.clone())).collect())
+                Some(l.iter().map(|t| MachineTypeName(t.clone())).collect())
             }
             _ => return Err("HostTypes"),
         };
-        let site = match &self.site {
+        let zone = match &self.zone {
             None => None,
-            some => Some(Site(text(some, "Site")?)),
+            some => Some(Zone(text(some, "Site")?)),
         };
         let due = match self.due_s {
             None => None,
             some => Some(Duration::from_secs_f64(amount(some, "DueS")?)),
         };
         // Named twice counts once.
-        let needs: Option<BTreeSet<Uid>> = self
+        let dependencies: Option<BTreeSet<JobId>> = self
             .awaits
             .iter()
             .flatten()
-            .map(|u| Uid::parse(u))
+            .map(|u| JobId::parse(u))
             .collect();
         let seconds = |v, name| amount(v, name).map(Duration::from_secs_f64);
         Ok(JobSpec {
-            uid,
+            job_id,
             class: text(&self.job_class, "JobClass")?,
-            owner: TeamName(text(&self.owner, "Owner")?),
+            team: TeamName(text(&self.team, "Owner")?),
             kind,
-            urgency,
-            shards,
-            need: Need {
+            priority,
+            task_count,
+            resources: Resources {
                 cpus: amount(self.vcpus, "Vcpus")?,
                 gpus: amount(self.gpus, "Gpus")?,
                 memory: amount(self.memory_gb, "MemoryGb")?,
             },
-            host_types,
-            site,
+            machine_types,
+            zone,
             same_place: self.same_place.ok_or("SamePlace")?,
             spread: self.spread.ok_or("Spread")?,
-            preemptible: self.preemptible.ok_or("Preemptible")?,
+            allows_spot: self.allows_spot.ok_or("Preemptible")?,
             image: text(&self.image_ref, "ImageRef")?,
             image_gb: amount(self.pull_gb, "PullGb")?,
             expected: seconds(self.expected_s, "ExpectedS")?,
-            snapshot_every: seconds(self.snapshot_every_s, "SnapshotEveryS")?,
-            snapshot: seconds(self.snapshot_s, "SnapshotS")?,
+            checkpoint_interval: seconds(self.snapshot_every_s, "SnapshotEveryS")?,
+            checkpoint_duration: seconds(self.snapshot_s, "SnapshotS")?,
             due,
-            needs: needs.ok_or("Awaits")?.into_iter().collect(),
+            dependencies: dependencies.ok_or("Awaits")?.into_iter().collect(),
             listed: false,
             accepted_ms,
         })
@@ -156,7 +166,7 @@
 pub struct JobState {
     /// The job's id.
     #[serde(rename = "Uid")]
-    pub uid: String,
+    pub job_id: String,
     /// Queued, running, done or withdrawn.
     #[serde(rename = "Phase")]
     pub phase: &'static str,
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -2,24 +2,32 @@
 
 use super::duration;
 use crate::core::model::{
-    Attempt, Directive, Epoch, Exit, HostId, Report, Site, TaskId, TaskPhase, TaskReport, TypeName,
+    AttemptId, ExitReason, FencingToken, Heartbeat, MachineId, MachineTypeName, TaskCommand,
+    TaskId, TaskPhase, TaskStatus, Zone,
 };
 use serde::{Deserialize, Serialize};
 
 /// `POST /agent/beat`, and the body of a direct answer.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WireReport {
-    host: String,
+pub struct WireHeartbeat {
+    #[serde(rename = "Host")]
+    machine: String,
     endpoint: String,
-    host_type: String,
-    site: String,
-    preemptible: bool,
-    tenure: u64,
+    #[serde(rename = "HostType")]
+    machine_type: String,
+    #[serde(rename = "Site")]
+    zone: String,
+    #[serde(rename = "Preemptible")]
+    allows_spot: bool,
+    #[serde(rename = "Tenure")]
+    incarnation: u64,
     serial: u64,
-    epoch: u64,
+    #[serde(rename = "Epoch")]
+    token: u64,
     eviction_s: Option<f64>,
-    shards: Vec<WireTask>,
+    #[serde(rename = "Shards")]
+    task_count: Vec<WireTask>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -33,46 +41,46 @@
     stored: Option<bool>,
 }
 
-impl WireReport {
+impl WireHeartbeat {
     /// None when a field makes no sense. A task that cannot be read voids the whole report: leaving
     /// it out would look like proof that it is gone.
-    pub fn into_report(self) -> Option<Report> {
-        let mut tasks = Vec::with_capacity(self.shards.len());
-        for t in self.shards {
+    pub fn into_heartbeat(self) -> Option<Heartbeat> {
+        let mut tasks = Vec::with_capacity(self.task_count.len());
+        for t in self.task_count {
             let phase = match (t.phase.as_str(), t.exit_reason.as_deref()) {
                 ("fetching", _) => TaskPhase::Fetching,
-                ("gathering", _) => TaskPhase::Gathering,
+                ("gathering", _) => TaskPhase::WaitingForGang,
                 ("running", _) => TaskPhase::Running,
-                ("flushing", _) => TaskPhase::Flushing,
+                ("flushing", _) => TaskPhase::Checkpointing,
                 ("ended", why) => TaskPhase::Ended(match why? {
-                    "done" => Exit::Done,
-                    "stopped" => Exit::Stopped {
+                    "done" => ExitReason::Completed,
+                    "stopped" => ExitReason::Stopped {
                         stored: t.stored.unwrap_or(false),
                     },
-                    "peers" => Exit::Peers,
-                    "incomplete" => Exit::Incomplete,
-                    "no_room" => Exit::NoRoom,
-                    "in_use" => Exit::InUse,
-                    "unknown" => Exit::Unknown,
-                    _ => Exit::Error,
+                    "peers" => ExitReason::GangMemberEnded,
+                    "incomplete" => ExitReason::GangIncomplete,
+                    "no_room" => ExitReason::InsufficientResources,
+                    "in_use" => ExitReason::EarlierAttemptRunning,
+                    "unknown" => ExitReason::UnknownTask,
+                    _ => ExitReason::Failed,
                 }),
                 _ => return None,
             };
-            tasks.push(TaskReport {
+            tasks.push(TaskStatus {
                 task: TaskId::parse(&t.shard)?,
-                attempt: Attempt(t.attempt),
+                attempt: AttemptId(t.attempt),
                 phase,
             });
         }
-        Some(Report {
-            host: HostId(self.host),
+        Some(Heartbeat {
+            machine: MachineId(self.machine),
             endpoint: self.endpoint,
-            host_type: TypeName(self.host_type),
-            site: Site(self.site),
-            spot: self.preemptible,
-            tenure: self.tenure,
+            machine_type: MachineTypeName(self.machine_type),
+            zone: Zone(self.zone),
+            spot: self.allows_spot,
+            incarnation: self.incarnation,
             serial: self.serial,
-            epoch: Epoch(self.epoch),
+            token: FencingToken(self.token),
             eviction: match self.eviction_s {
                 None => None,
                 Some(s) => Some(duration(s.max(0.0))?),
@@ -85,7 +93,7 @@
 /// A command in the wire's form.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WireDirective {
+pub struct WireCommand {
     verb: &'static str,
     shard: String,
     #[serde(rename = "Try")]
@@ -94,22 +102,22 @@
     wind_down_s: Option<f64>,
 }
 
-impl From<&Directive> for WireDirective {
-    fn from(d: &Directive) -> Self {
-        let (verb, task, attempt, wind_down) = match d {
-            Directive::Launch { task, attempt } => ("launch", task, attempt, None),
-            Directive::Kill {
+impl From<&TaskCommand> for WireCommand {
+    fn from(d: &TaskCommand) -> Self {
+        let (verb, task, attempt, grace_period) = match d {
+            TaskCommand::Launch { task, attempt } => ("launch", task, attempt, None),
+            TaskCommand::Kill {
                 task,
                 attempt,
-                wind_down,
-            } => ("kill", task, attempt, Some(wind_down.as_secs_f64())),
-            Directive::Forget { task, attempt } => ("forget", task, attempt, None),
+                grace_period,
+            } => ("kill", task, attempt, Some(grace_period.as_secs_f64())),
+            TaskCommand::Forget { task, attempt } => ("forget", task, attempt, None),
         };
-        WireDirective {
+        WireCommand {
             verb,
             shard: task.to_string(),
             attempt: attempt.0,
-            wind_down_s: wind_down,
+            wind_down_s: grace_period,
         }
     }
 }
@@ -117,29 +125,34 @@
 /// The answer to a report.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HeartbeatAnswer {
+pub struct HeartbeatResponse {
     /// The token.
-    pub epoch: u64,
+    #[serde(rename = "Epoch")]
+    pub token: u64,
     /// The commands.
-    pub directives: Vec<WireDirective>,
+    #[serde(rename = "Directives")]
+    pub commands: Vec<WireCommand>,
 }
 
 /// `POST /commands` of a worker.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Commands {
+pub struct CommandRequest {
     /// The token.
-    pub epoch: u64,
+    #[serde(rename = "Epoch")]
+    pub token: u64,
     /// The session that they are for.
-    pub tenure: u64,
+    #[serde(rename = "Tenure")]
+    pub incarnation: u64,
     /// The commands.
-    pub directives: Vec<WireDirective>,
+    #[serde(rename = "Directives")]
+    pub commands: Vec<WireCommand>,
 }
 
 /// The answer to a report that another controller should get.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Elsewhere {
+pub struct LeaderRedirect {
     /// That controller, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -1,14 +1,14 @@
 //! The duties towards the cloud: rentals and returns, machine types, the list of machines.
 
-use super::budget::{Bucket, Rank};
-use super::events::{CloudOrder, Event};
-use super::service::Shared;
-use super::view::RoleView;
-use crate::core::capacity::Rented;
-use crate::core::ledger;
-use crate::core::model::{HostType, Term};
+use crate::common::rate_limit::{Bucket, RequestClass};
+use crate::core::capacity::RentalOutcome;
+use crate::core::model::{MachineType, Term};
+use crate::core::persistence::ledger;
 use crate::net::store::{Change, Content};
 use crate::net::wire;
+use crate::runtime::events::{CloudOrder, Event};
+use crate::runtime::node_view::RoleView;
+use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
@@ -24,28 +24,28 @@
             CloudOrder::Rent(term, r) => {
                 // What is rented under an uncertain leadership is adopted by whoever leads. But an order that waited while
                 // this process stood still is not carried out for a term that may be over.
-                let leads =
-                    shared.leads(term) && (shared.surely_leads(term) || !shared.woke_of_late());
+                let leads = shared.leads(term)
+                    && (shared.holds_leader_lease(term) || !shared.woke_recently());
                 let outcome = if leads {
                     shared.cloud.rent(&r)
                 } else {
-                    Rented::Unknown
+                    RentalOutcome::Unknown
                 };
-                if outcome == Rented::NoCapacity {
+                if outcome == RentalOutcome::NoCapacity {
                     log::info!(
                         "no capacity type={} site={} spot={}",
-                        r.host_type,
-                        r.site,
-                        r.preemptible
+                        r.machine_type,
+                        r.zone,
+                        r.allows_spot
                     );
                 }
-                Event::Rented(term, r.claim, outcome)
+                Event::RentalEnded(term, r.idempotency_key, outcome)
             }
-            CloudOrder::Return(term, hosts) => {
+            CloudOrder::Return(term, machines) => {
                 // One that waited through a cut must not take machines that work for a new leader.
-                let leads = shared.surely_leads(term);
-                let ok = leads && shared.cloud.give_back(&hosts);
-                Event::Returned(term, hosts, ok)
+                let leads = shared.holds_leader_lease(term);
+                let ok = leads && shared.cloud.give_back(&machines);
+                Event::Returned(term, machines, ok)
             }
         };
         if shared.events.send(event).is_err() {
@@ -75,8 +75,11 @@
             next_types = now + Duration::from_secs(5);
             if let Some(t) = shared.cloud.types() {
                 next_types = now + Duration::from_secs(120);
-                let types: Vec<HostType> =
-                    t.host_types.iter().filter_map(|t| t.to_type()).collect();
+                let types: Vec<MachineType> = t
+                    .machine_types
+                    .iter()
+                    .filter_map(|t| t.to_machine_type())
+                    .collect();
                 if !types.is_empty() {
                     keep_types(shared, term, t);
                     shared.view.write().types = types.clone();
@@ -101,14 +104,14 @@
         }
     }
     if !all.is_empty() {
-        let _ = shared.events.send(Event::Listed(term, all));
+        let _ = shared.events.send(Event::CloudListed(term, all));
     }
 }
 
 /// Machine types outlive the cloud's outages in the state service.
-fn keep_types(shared: &Shared, term: Term, types: wire::WireTypes) {
+fn keep_types(shared: &Shared, term: Term, types: wire::WireMachineTypes) {
     let limit = Duration::from_millis(1500);
-    let rank = Rank::Leader;
+    let rank = RequestClass::Leader;
     let Ok(Some(leader)) = shared
         .store
         .get::<wire::StoredLeader>(ledger::LEADER_KEY, rank, limit)
@@ -118,7 +121,7 @@
     if leader.value.term != term.0 {
         return;
     }
-    let conditions = [(ledger::LEADER_KEY.to_owned(), leader.stamp)];
+    let conditions = [(ledger::LEADER_KEY.to_owned(), leader.revision)];
     let change = Change::Put {
         key: ledger::TYPES_KEY,
         value: Content::Types(types),
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -1,13 +1,13 @@
 //! Watching the control keys: who leads, and the machine types.
 
-use super::elector::ElectorEvent;
-use super::service::Shared;
-use crate::core::leadership::LeaderRecord;
-use crate::core::ledger::{CONTROL_PREFIX, LEADER_KEY, TYPES_KEY};
+use crate::common::rate_limit::RequestClass;
+use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::Term;
+use crate::core::persistence::ledger::{CONTROL_PREFIX, LEADER_KEY, TYPES_KEY};
 use crate::net::store::StoreError;
-use crate::net::wire::{StoredLeader, WireTypes};
-use crate::runtime::budget::Rank;
+use crate::net::wire::{StoredLeader, WireMachineTypes};
+use crate::runtime::elector::ElectorEvent;
+use crate::runtime::service::Shared;
 use crossbeam::channel::Sender;
 use rand::Rng;
 use serde::de::IgnoredAny;
@@ -23,22 +23,26 @@
 #[serde(untagged)]
 enum Control {
     Leader(StoredLeader),
-    Types(WireTypes),
+    Types(WireMachineTypes),
     Other(IgnoredAny),
 }
 
 /// The leader key's content with its stamp.
-pub(super) fn record(l: StoredLeader, stamp: u64) -> LeaderRecord {
+pub(super) fn record(l: StoredLeader, revision: u64) -> LeaderRecord {
     LeaderRecord {
         member: l.member,
         boot: l.boot,
         term: Term(l.term),
-        stamp,
+        revision,
     }
 }
 
-fn take_types(shared: &Shared, t: &WireTypes) {
-    let types: Vec<_> = t.host_types.iter().filter_map(|t| t.to_type()).collect();
+fn take_types(shared: &Shared, t: &WireMachineTypes) {
+    let types: Vec<_> = t
+        .machine_types
+        .iter()
+        .filter_map(|t| t.to_machine_type())
+        .collect();
     if !types.is_empty() {
         shared.view.write().types = types;
     }
@@ -62,14 +66,15 @@
     shared: &Shared,
     elector_events: &Sender<ElectorEvent>,
 ) -> Result<(), StoreError> {
-    let (pairs, mut revision) = shared
-        .store
-        .list::<Control>(CONTROL_PREFIX, Rank::Leader, CALL)?;
+    let (pairs, mut revision) =
+        shared
+            .store
+            .list::<Control>(CONTROL_PREFIX, RequestClass::Leader, CALL)?;
     shared.view.store_answered(true, Instant::now());
     let mut leader = None;
     for p in pairs {
         match p.value {
-            Control::Leader(l) if p.path == LEADER_KEY => leader = Some(record(l, p.stamp)),
+            Control::Leader(l) if p.path == LEADER_KEY => leader = Some(record(l, p.revision)),
             Control::Types(t) if p.path == TYPES_KEY => take_types(shared, &t),
             _ => {}
         }
@@ -85,9 +90,9 @@
             if c.delete.as_deref() == Some(LEADER_KEY) {
                 let _ = elector_events.send(ElectorEvent::Leader(None));
             }
-            match (c.put.as_deref(), c.value, c.stamp) {
-                (Some(LEADER_KEY), Some(Control::Leader(l)), Some(stamp)) => {
-                    let _ = elector_events.send(ElectorEvent::Leader(Some(record(l, stamp))));
+            match (c.put.as_deref(), c.value, c.revision) {
+                (Some(LEADER_KEY), Some(Control::Leader(l)), Some(revision)) => {
+                    let _ = elector_events.send(ElectorEvent::Leader(Some(record(l, revision))));
                 }
                 (Some(TYPES_KEY), Some(Control::Types(t)), _) => take_types(shared, &t),
                 _ => {}
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -1,14 +1,16 @@
 //! The core's thread: events in, actions out.
 
-use super::elector::ElectorEvent;
-use super::events::{CloudOrder, Event, HeartbeatReply, Order, Outlets, SendOrder};
-use super::service::Shared;
-use crate::core::capacity::Rented;
-use crate::core::cluster::{Action, Answer, CancelSource, Cluster};
-use crate::core::ledger::BatchOutcome;
-use crate::core::model::Uid;
-use crate::core::watermark::Moment;
+use crate::core::capacity::RentalOutcome;
+use crate::core::leadership::cancellation_watermark::ClockReading;
+use crate::core::model::JobId;
+use crate::core::persistence::ledger::BatchOutcome;
+use crate::core::state::cluster_state::{Action, CancelSource, ClusterState, HeartbeatDecision};
 use crate::net::wire::RentRequest;
+use crate::runtime::elector::ElectorEvent;
+use crate::runtime::events::{
+    CloudOrder, CommandDelivery, CommandPayload, Event, HeartbeatReply, Outlets,
+};
+use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -38,9 +40,9 @@
     shared: &'a Shared,
     out: &'a Outlets,
     /// The picture of the term that this node leads in.
-    cluster: Option<Cluster>,
+    cluster: Option<ClusterState>,
     /// The counts of live jobs (done, running) that were published.
-    published: HashMap<Uid, (u32, u32)>,
+    published: HashMap<JobId, (u32, u32)>,
     next_tick: Instant,
     last_tick: Instant,
     next_publish: Instant,
@@ -76,7 +78,7 @@
         self.take_events(first, events, now);
         let ticking = now >= self.next_tick;
         if ticking {
-            self.measure_strain(now);
+            self.measure_timer_lag(now);
         }
         self.advance(now, ticking);
     }
@@ -91,7 +93,7 @@
 
     fn look_at_clocks(&mut self, now: Instant) {
         if let Some(c) = self.cluster.as_mut() {
-            c.clocks(Moment::now());
+            c.clocks(ClockReading::now());
         }
         let woke = self.shared.woke();
         if woke == self.last_woke {
@@ -121,9 +123,9 @@
     }
 
     /// The last tick's own length counts: in a node that cannot keep up that is what grows.
-    fn measure_strain(&mut self, now: Instant) {
+    fn measure_timer_lag(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.last_tick);
-        self.shared.strain.fired(passed.saturating_sub(TICK));
+        self.shared.timer_lag.fired(passed.saturating_sub(TICK));
         self.last_tick = now;
     }
 
@@ -137,10 +139,10 @@
             return;
         };
         c.allow(shared.store.changes_left());
-        let certain = shared.surely_leads(c.term);
+        let certain = shared.holds_leader_lease(c.term);
         c.confirm(certain);
         let actions = if ticking {
-            c.start_limiter.strain(now, shared.worst_strain());
+            c.start_limiter.timer_lag(now, shared.worst_timer_lag());
             let actions = c.tick(now);
             let took = now.elapsed();
             self.next_tick = Instant::now() + TICK;
@@ -174,7 +176,7 @@
 }
 
 /// Jobs that others need and that the leader knows nothing of, for the queue's feed to ask about.
-fn publish_unresolved(shared: &Shared, c: &Cluster) {
+fn publish_unresolved(shared: &Shared, c: &ClusterState) {
     let unresolved = c.unresolved();
     if !unresolved.is_empty() || !shared.view.read().unresolved.is_empty() {
         shared.view.write().unresolved = unresolved;
@@ -182,7 +184,7 @@
 }
 
 /// Jobs of which machines show tasks and that the leader does not know, for the inquiries.
-fn publish_unrecorded(shared: &Shared, c: &Cluster) {
+fn publish_unrecorded(shared: &Shared, c: &ClusterState) {
     let unrecorded = c.jobs_to_ask();
     if shared.view.read().unrecorded != unrecorded {
         shared.view.write().unrecorded = unrecorded;
@@ -191,8 +193,8 @@
 
 fn handle(
     shared: &Shared,
-    cluster: &mut Option<Cluster>,
-    published: &mut HashMap<Uid, (u32, u32)>,
+    cluster: &mut Option<ClusterState>,
+    published: &mut HashMap<JobId, (u32, u32)>,
     event: Event,
     now: Instant,
     out: &Outlets,
@@ -212,21 +214,28 @@
         _ => {}
     }
     let Some(c) = cluster.as_mut() else {
-        if let Event::Heartbeats(reports, reply) = event {
-            let _ = reply.send(reports.iter().map(|_| HeartbeatReply::NotLeader).collect());
+        if let Event::Heartbeats(heartbeats, reply) = event {
+            let _ = reply.send(
+                heartbeats
+                    .iter()
+                    .map(|_| HeartbeatReply::NotLeader)
+                    .collect(),
+            );
         }
         return;
     };
     let term = c.term;
     match event {
-        Event::Heartbeats(reports, reply) => {
-            let answers = reports.into_iter().map(|report| {
-                match c.on_report(now, report, true) {
-                    Answer::Accept { epoch, directives } => {
-                        HeartbeatReply::Accept(epoch, directives)
+        Event::Heartbeats(heartbeats, reply) => {
+            let answers = heartbeats.into_iter().map(|heartbeat| {
+                match c.on_heartbeat(now, heartbeat, true) {
+                    HeartbeatDecision::Accept { token, commands } => {
+                        HeartbeatReply::Accept(token, commands)
                     }
-                    Answer::Ignore | Answer::Withheld => HeartbeatReply::NotLeader,
-                    Answer::Superseded(t) => {
+                    HeartbeatDecision::Ignore | HeartbeatDecision::Withheld => {
+                        HeartbeatReply::NotLeader
+                    }
+                    HeartbeatDecision::Superseded(t) => {
                         // Never waits: the elector may be waiting for this loop. It will be seen
                         // again.
                         let _ = out.elector_events.try_send(ElectorEvent::Term(t));
@@ -236,24 +245,26 @@
             });
             let _ = reply.send(answers.collect());
         }
-        Event::Job(t, spec, stamp) if t == term => c.on_job(*spec, stamp),
-        Event::CancelledJob(t, spec, stamp) if t == term => {
-            let uid = spec.uid.clone();
-            c.on_job(*spec, stamp);
-            c.on_cancelled(now, &uid, CancelSource::Verdict);
+        Event::Job(t, spec, revision) if t == term => c.on_job(*spec, revision),
+        Event::CancelledJob(t, spec, revision) if t == term => {
+            let job_id = spec.job_id.clone();
+            c.on_job(*spec, revision);
+            c.on_cancelled(now, &job_id, CancelSource::JobOutcome);
         }
-        Event::Lists(t, uids) if t == term => uids.iter().for_each(|uid| c.load_list(uid)),
-        Event::Cancelled(t, uid) if t == term => c.on_cancel_marked(now, &uid),
+        Event::Lists(t, job_ids) if t == term => {
+            job_ids.iter().for_each(|job_id| c.load_list(job_id))
+        }
+        Event::Cancelled(t, job_id) if t == term => c.on_cancel_marked(now, &job_id),
         Event::Ended(t, ends) if t == term => {
-            for (uid, verdict) in ends {
-                c.ended_before(now, &uid, verdict);
+            for (job_id, outcome) in ends {
+                c.ended_before(now, &job_id, outcome);
             }
         }
-        Event::Standings(t, standings) if t == term => c.on_standings(now, &standings),
+        Event::Standings(t, statuses) if t == term => c.on_statuses(now, &statuses),
         Event::Read(t, asked) if t == term => c.cancellations_read(asked),
-        Event::CancelledElsewhere(t, uids, covers) if t == term => {
-            for uid in &uids {
-                c.on_cancelled(now, uid, CancelSource::Peer);
+        Event::CancelledElsewhere(t, job_ids, covers) if t == term => {
+            for job_id in &job_ids {
+                c.on_cancelled(now, job_id, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
                 c.cancellations_stated(&peer, word);
@@ -266,26 +277,34 @@
                 let _ = out.elector_events.try_send(ElectorEvent::Leader(None));
             }
         }
-        Event::Sent(t, host, report) if t == term => {
-            if let Some(higher) = c.on_sent(now, &host, report) {
+        Event::Sent(t, machine, heartbeat) if t == term => {
+            if let Some(higher) = c.on_sent(now, &machine, heartbeat) {
                 let _ = out.elector_events.try_send(ElectorEvent::Term(higher));
             }
         }
-        Event::Rented(t, claim, outcome) if t == term => c.on_rented(now, &claim, outcome),
-        Event::Returned(t, hosts, ok) if t == term => {
+        Event::RentalEnded(t, idempotency_key, outcome) if t == term => {
+            c.on_rented(now, &idempotency_key, outcome)
+        }
+        Event::Returned(t, machines, ok) if t == term => {
             if ok {
-                c.on_returned(now, &hosts);
+                c.on_returned(now, &machines);
             } else {
-                c.on_return_failed(&hosts);
+                c.on_return_failed(&machines);
             }
         }
-        Event::Listed(t, listed) if t == term => c.on_list(now, &listed),
+        Event::CloudListed(t, listed) if t == term => c.on_list(now, &listed),
         Event::Types(types) => c.types = types,
         _ => {}
     }
 }
 
-fn perform(shared: &Shared, c: &mut Cluster, actions: Vec<Action>, now: Instant, out: &Outlets) {
+fn perform(
+    shared: &Shared,
+    c: &mut ClusterState,
+    actions: Vec<Action>,
+    now: Instant,
+    out: &Outlets,
+) {
     let term = c.term;
     for a in actions {
         match a {
@@ -295,34 +314,34 @@
                 }
             }
             Action::Send {
-                host,
+                machine,
                 endpoint,
-                epoch,
-                tenure,
-                directives,
+                token,
+                incarnation,
+                commands,
             } => {
-                let order = SendOrder {
+                let order = CommandDelivery {
                     term,
-                    host: host.clone(),
+                    machine: machine.clone(),
                     endpoint,
-                    what: Order::Commands(epoch, tenure, directives),
+                    what: CommandPayload::CommandRequest(token, incarnation, commands),
                 };
                 if out.agents.try_send(order).is_err() {
                     // The host's next report carries them.
-                    c.on_sent(now, &host, None);
+                    c.on_sent(now, &machine, None);
                 }
             }
             Action::Probe {
-                host,
+                machine,
                 endpoint,
-                epoch,
-                tenure,
+                token,
+                incarnation,
             } => {
                 // Without directives: it shows the term's token and answers with its report.
-                let what = Order::Commands(epoch, tenure, Vec::new());
-                let order = SendOrder {
+                let what = CommandPayload::CommandRequest(token, incarnation, Vec::new());
+                let order = CommandDelivery {
                     term,
-                    host,
+                    machine,
                     endpoint,
                     what,
                 };
@@ -330,58 +349,58 @@
                 let _ = out.agents.try_send(order);
             }
             Action::Rent {
-                claim,
-                host_type,
-                site,
+                idempotency_key,
+                machine_type,
+                zone,
                 spot,
                 number,
             } => {
                 let request = RentRequest {
-                    claim: claim.clone(),
-                    host_type: host_type.0,
-                    site: site.0,
-                    preemptible: spot,
+                    idempotency_key: idempotency_key.clone(),
+                    machine_type: machine_type.0,
+                    zone: zone.0,
+                    allows_spot: spot,
                     number,
                 };
                 if out.cloud.try_send(CloudOrder::Rent(term, request)).is_err() {
-                    c.on_rented(now, &claim, Rented::Unknown);
+                    c.on_rented(now, &idempotency_key, RentalOutcome::Unknown);
                 }
             }
-            Action::Return { hosts } => {
-                let order = CloudOrder::Return(term, hosts.clone());
+            Action::Return { machines } => {
+                let order = CloudOrder::Return(term, machines.clone());
                 if out.cloud.try_send(order).is_err() {
-                    c.on_return_failed(&hosts);
+                    c.on_return_failed(&machines);
                 }
             }
         }
     }
-    for uid in c.take_gone_jobs() {
-        shared.view.write().progress.remove(&uid);
+    for job_id in c.take_gone_jobs() {
+        shared.view.write().progress.remove(&job_id);
     }
 }
 
 /// Puts the counts that changed where the front and the announcer find them.
-fn publish(shared: &Shared, c: &Cluster, published: &mut HashMap<Uid, (u32, u32)>) {
+fn publish(shared: &Shared, c: &ClusterState, published: &mut HashMap<JobId, (u32, u32)>) {
     let mut changed = Vec::new();
-    for (uid, j) in &c.jobs {
+    for (job_id, j) in &c.jobs {
         let counts = (j.done_count, j.running_count());
-        if published.get(uid) != Some(&counts) {
-            changed.push((uid.clone(), counts));
+        if published.get(job_id) != Some(&counts) {
+            changed.push((job_id.clone(), counts));
         }
     }
-    published.retain(|uid, _| c.jobs.contains_key(uid));
+    published.retain(|job_id, _| c.jobs.contains_key(job_id));
     if changed.is_empty() && shared.view.read().live_jobs == c.jobs.len() {
         return;
     }
     let mut i = shared.view.write();
     i.live_jobs = c.jobs.len();
-    for (uid, counts) in changed {
-        i.progressed(uid.clone(), counts.0, counts.1);
-        published.insert(uid, counts);
+    for (job_id, counts) in changed {
+        i.progressed(job_id.clone(), counts.0, counts.1);
+        published.insert(job_id, counts);
     }
 }
 
-fn metrics(shared: &Shared, c: &mut Cluster) {
+fn metrics(shared: &Shared, c: &mut ClusterState) {
     let m = &shared.meters;
     for w in c.waits.drain(..) {
         m.starts.record(w);
@@ -392,9 +411,9 @@
         "summary term={} jobs={} queued={queued} active={active} strain_ms={} starts_bound={} hosts={} {} {} {} {}",
         c.term.0,
         c.jobs.len(),
-        shared.strain.now().as_millis(),
+        shared.timer_lag.now().as_millis(),
         c.start_limiter.bound().map_or(-1.0, f64::round),
-        c.hosts.len(),
+        c.machines.len(),
         m.starts.facts("starts"),
         m.rounds.facts("rounds"),
         m.store.facts("store_calls"),
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,16 +1,16 @@
 //! Campaigning for the leadership, renewing its lease, and giving it up.
 
-use super::control_watch::record;
-use super::loading::serve_term;
-use super::service::Shared;
-use super::stop::Stop;
-use super::view::RoleView;
-use crate::core::leadership::{LeaderRecord, Leadership, Role, Step};
-use crate::core::ledger::{LEADER_KEY, TERM_KEY};
+use crate::common::rate_limit::RequestClass;
+use crate::common::stop_signal::Stop;
+use crate::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use crate::core::model::Term;
-use crate::net::store::{Change, Content, StoreError, Txn};
+use crate::core::persistence::ledger::{LEADER_KEY, TERM_KEY};
+use crate::net::store::{Change, Content, StoreError, TransactionOutcome};
 use crate::net::wire::StoredLeader;
-use crate::runtime::budget::Rank;
+use crate::runtime::control_watch::record;
+use crate::runtime::loading::serve_term;
+use crate::runtime::node_view::RoleView;
+use crate::runtime::service::Shared;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use rand::Rng;
 use std::ops::Range;
@@ -29,9 +29,9 @@
 /// Pauses after a campaign that another node won, and after one that failed, in milliseconds.
 const LOST_PAUSE_MS: Range<u64> = 100..400;
 const FAILED_PAUSE_MS: Range<u64> = 300..800;
-/// Timers this late double the leader's lease, at most `MOST_LONGER` times more is added to it.
+/// Timers this late double the leader's lease, at most `MAX_LONGER` times more is added to it.
 const STRAINED: Duration = Duration::from_millis(200);
-const MOST_LONGER: f64 = 3.0;
+const MAX_LONGER: f64 = 3.0;
 
 /// What the elector hears.
 pub enum ElectorEvent {
@@ -56,7 +56,7 @@
 /// A term that was won, with its lease.
 struct Won {
     term: Term,
-    leader_stamp: u64,
+    leader_revision: u64,
     permit: u64,
 }
 
@@ -105,7 +105,7 @@
                 log::info!("stepping down");
                 self.step_down();
             }
-            Step::Campaign { stamp } => self.campaign(stamp, asked),
+            Step::Campaign { revision } => self.campaign(revision, asked),
         }
         publish(&self.shared, &self.machine);
     }
@@ -140,14 +140,14 @@
     /// Campaigns that must wait. Before the first look at the leader key its absence means nothing. And
     /// who hears no worker lets those go first who may, unless the key is its own earlier life's.
     fn hold_back(&mut self, step: Step) -> Step {
-        let Step::Campaign { stamp } = step else {
+        let Step::Campaign { revision } = step else {
             self.vacant = None;
             return step;
         };
         let now = Instant::now();
         let since = *self.vacant.get_or_insert(now);
         let waited = now.saturating_duration_since(since) >= YIELD;
-        let first = stamp != 0 || waited || self.shared.workers.any(now);
+        let first = revision != 0 || waited || self.shared.workers.any(now);
         if self.looked && first {
             step
         } else {
@@ -185,8 +185,8 @@
         publish(&self.shared, &self.machine);
     }
 
-    fn campaign(&mut self, stamp: u64, asked: (Instant, SystemTime)) {
-        match campaign(&self.shared, self.boot, stamp, &mut self.lease_duration) {
+    fn campaign(&mut self, revision: u64, asked: (Instant, SystemTime)) {
+        match campaign(&self.shared, self.boot, revision, &mut self.lease_duration) {
             Ok(Some(won)) => self.lead(won, asked),
             Ok(None) => self.look_again(LOST_PAUSE_MS),
             Err(e) => {
@@ -202,7 +202,8 @@
         self.machine
             .renew_every(self.lease_duration / RENEWALS_PER_LEASE);
         self.shared.view.lease_lasts(asked, self.lease_duration);
-        self.machine.won(Instant::now(), won.term, won.leader_stamp);
+        self.machine
+            .won(Instant::now(), won.term, won.leader_revision);
         self.permit = Some(won.permit);
         self.term_stop = Stop::new();
         log::info!("leading term={}", won.term.0);
@@ -210,7 +211,7 @@
         let (shared, stop) = (self.shared.clone(), self.term_stop.clone());
         let spawned = std::thread::Builder::new()
             .name("term".into())
-            .spawn(move || serve_term(&shared, won.term, won.leader_stamp, &stop));
+            .spawn(move || serve_term(&shared, won.term, won.leader_revision, &stop));
         if spawned.is_err() {
             log::error!("no thread for the term");
         }
@@ -224,9 +225,9 @@
         let found = self
             .shared
             .store
-            .get::<StoredLeader>(LEADER_KEY, Rank::Leader, CALL);
+            .get::<StoredLeader>(LEADER_KEY, RequestClass::Leader, CALL);
         if let Ok(found) = found {
-            let found = found.map(|e| record(e.value, e.stamp));
+            let found = found.map(|e| record(e.value, e.revision));
             self.machine.observed(Instant::now(), found);
         }
     }
@@ -263,29 +264,31 @@
 fn campaign(
     shared: &Shared,
     boot: u64,
-    stamp: u64,
+    revision: u64,
     lease_duration: &mut Duration,
 ) -> Result<Option<Won>, StoreError> {
-    let counter = shared.store.get::<u64>(TERM_KEY, Rank::Leader, CALL)?;
-    let (old, term_stamp) = counter.map_or((0, 0), |e| (e.value, e.stamp));
+    let counter = shared
+        .store
+        .get::<u64>(TERM_KEY, RequestClass::Leader, CALL)?;
+    let (old, term_revision) = counter.map_or((0, 0), |e| (e.value, e.revision));
     // Nodes that cannot keep up renew late: with a lease that is short for that, each leader lost it
     // while it loaded, and the next one began anew.
-    let strain = shared.worst_strain().as_secs_f64() / STRAINED.as_secs_f64();
-    let longer = 1.0 + strain.min(MOST_LONGER);
+    let timer_lag = shared.worst_timer_lag().as_secs_f64() / STRAINED.as_secs_f64();
+    let longer = 1.0 + timer_lag.min(MAX_LONGER);
     *lease_duration = shared.settings.operations.leader_lease.mul_f64(longer);
     let lease = shared.store.lease(*lease_duration, CALL)?;
     // Above all terms that workers and peers have shown, too: a state service that was put back to an
     // earlier state would give out numbers that are in use.
     let shown = shared.view.read().highest;
     let term = old.max(shown.0) + 1;
-    let won = |leader_stamp| Won {
+    let won = |leader_revision| Won {
         term: Term(term),
-        leader_stamp,
+        leader_revision,
         permit: lease,
     };
     let conditions = [
-        (LEADER_KEY.to_owned(), stamp),
-        (TERM_KEY.to_owned(), term_stamp),
+        (LEADER_KEY.to_owned(), revision),
+        (TERM_KEY.to_owned(), term_revision),
     ];
     let changes = vec![
         Change::Put {
@@ -303,9 +306,12 @@
             permit: None,
         },
     ];
-    match shared.store.txn(&conditions, changes, Rank::Leader, CALL) {
-        Ok(Txn::Applied { revision }) => Ok(Some(won(revision))),
-        Ok(Txn::Failed { .. }) => {
+    match shared
+        .store
+        .txn(&conditions, changes, RequestClass::Leader, CALL)
+    {
+        Ok(TransactionOutcome::Applied { revision }) => Ok(Some(won(revision))),
+        Ok(TransactionOutcome::Failed { .. }) => {
             let _ = shared.store.drop_lease(lease, CALL);
             Ok(None)
         }
@@ -314,10 +320,10 @@
             // nobody renews ends that leadership by itself.
             let found = shared
                 .store
-                .get::<StoredLeader>(LEADER_KEY, Rank::Leader, CALL)?;
+                .get::<StoredLeader>(LEADER_KEY, RequestClass::Leader, CALL)?;
             Ok(found
                 .filter(|e| e.value.boot == boot && e.value.term == term)
-                .map(|e| won(e.stamp)))
+                .map(|e| won(e.revision)))
         }
         Err(e) => Err(e),
     }
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Workers' reports: decided on by the leader, relayed by the other nodes.
 
-use super::events::{Event, HeartbeatReply};
-use super::shared::Shared;
-use super::view::RoleView;
-use crate::net::front::problem;
-use crate::net::peer::{Ask, Reply};
-use crate::net::wire::{self, Elsewhere, HeartbeatAnswer, WireDirective, WireReport};
+use crate::api::server::problem;
+use crate::net::peer::{PeerRequest, PeerResponse};
+use crate::net::wire::{self, HeartbeatResponse, LeaderRedirect, WireCommand, WireHeartbeat};
+use crate::runtime::events::{Event, HeartbeatReply};
+use crate::runtime::node_view::RoleView;
+use crate::runtime::shared::Shared;
 use crossbeam::channel::bounded;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -50,34 +50,34 @@
             return vec![problem(503, "not leading"); bodies.len()];
         }
         let mut answers: Vec<(u16, Vec<u8>)> = Vec::with_capacity(bodies.len());
-        let mut reports = Vec::with_capacity(bodies.len());
+        let mut heartbeats = Vec::with_capacity(bodies.len());
         let mut places = Vec::with_capacity(bodies.len());
         for (n, body) in bodies.iter().enumerate() {
-            match wire::decode::<WireReport>(body).and_then(|r| r.into_report()) {
+            match wire::decode::<WireHeartbeat>(body).and_then(|r| r.into_heartbeat()) {
                 Some(r) => {
                     answers.push(problem(503, "not leading"));
                     places.push(n);
-                    reports.push(r);
+                    heartbeats.push(r);
                 }
                 None => answers.push(problem(400, "malformed report")),
             }
         }
         // Reports that waited while we stood still are no news, and their workers have gone on.
-        if reports.is_empty() || self.waking() {
+        if heartbeats.is_empty() || self.waking() {
             return answers;
         }
         let (reply, answer) = bounded(1);
-        let event = Event::Heartbeats(reports, reply);
+        let event = Event::Heartbeats(heartbeats, reply);
         let queued = self.events.send_timeout(event, Duration::from_millis(500));
         if queued.is_err() {
             return answers;
         }
         let taken = answer.recv_timeout(Duration::from_secs(3));
         for (n, a) in places.into_iter().zip(taken.unwrap_or_default()) {
-            if let HeartbeatReply::Accept(epoch, directives) = a {
-                let body = HeartbeatAnswer {
-                    epoch: epoch.0,
-                    directives: directives.iter().map(WireDirective::from).collect(),
+            if let HeartbeatReply::Accept(token, commands) = a {
+                let body = HeartbeatResponse {
+                    token: token.0,
+                    commands: commands.iter().map(WireCommand::from).collect(),
                 };
                 answers[n] = (200, wire::encode(&body));
             }
@@ -90,11 +90,11 @@
     /// some to another.
     pub fn heartbeats(
         &self,
-        reports: Vec<(IpAddr, Vec<u8>)>,
+        heartbeats: Vec<(IpAddr, Vec<u8>)>,
         came: Instant,
         now: Instant,
     ) -> Vec<(u16, Vec<u8>)> {
-        for (ip, _) in &reports {
+        for (ip, _) in &heartbeats {
             self.workers.saw(*ip, now);
         }
         let until = came + AWAITED;
@@ -105,16 +105,16 @@
             RoleView::Follower(Some(l)) if l != self.settings.member => Some(l),
             RoleView::Follower(_) => {
                 let none = |_| problem(503, "no leader");
-                return reports.iter().map(none).collect();
+                return heartbeats.iter().map(none).collect();
             }
         };
         let peers = self.view.live_peers(now);
         let own = (self.settings.member.as_str(), leader.as_deref());
-        let mut answers = Vec::with_capacity(reports.len());
-        let mut places = Vec::with_capacity(reports.len());
-        let mut bodies = Vec::with_capacity(reports.len());
-        let mut senders = Vec::with_capacity(reports.len());
-        for (n, (ip, body)) in reports.into_iter().enumerate() {
+        let mut answers = Vec::with_capacity(heartbeats.len());
+        let mut places = Vec::with_capacity(heartbeats.len());
+        let mut bodies = Vec::with_capacity(heartbeats.len());
+        let mut senders = Vec::with_capacity(heartbeats.len());
+        for (n, (ip, body)) in heartbeats.into_iter().enumerate() {
             match self.workers.elsewhere(ip, own, &peers, now) {
                 Some(to) => answers.push(elsewhere(to)),
                 None => {
@@ -138,8 +138,8 @@
             return answers;
         };
         let peer = self.peers.iter().find(|p| p.member == leader);
-        let told = match peer.map(|p| p.ask(&Ask::Heartbeats(bodies), RELAY_LIMIT)) {
-            Some(Ok(Reply::Heartbeats(told))) if told.len() == places.len() => told,
+        let told = match peer.map(|p| p.ask(&PeerRequest::Heartbeats(bodies), RELAY_LIMIT)) {
+            Some(Ok(PeerResponse::Heartbeats(told))) if told.len() == places.len() => told,
             _ => {
                 for ip in senders {
                     self.workers.lost(ip);
@@ -162,7 +162,7 @@
 }
 
 fn elsewhere(controller: String) -> (u16, Vec<u8>) {
-    let answer = Elsewhere {
+    let answer = LeaderRedirect {
         controller: Some(controller),
     };
     (421, wire::encode(&answer))
--- a/src/runtime/inquiries.rs
+++ b/src/runtime/job_lookups.rs
@@ -3,15 +3,15 @@
 //! The reads are linearizable and carry no assumption that the jobs were ever accepted. What could not be
 //! asked is asked again; it is never told to the core as an answer.
 
-use super::events::Event;
-use super::service::Shared;
-use super::view::RoleView;
-use crate::core::backoff::Backoff;
-use crate::core::model::{Term, Uid};
-use crate::core::status_reads::{self, Standing};
-use crate::net::questions;
+use crate::api::status_queries;
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::{JobId, Term};
+use crate::core::persistence::backoff::Backoff;
+use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::net::store::Asked;
-use crate::runtime::budget::Rank;
+use crate::runtime::events::Event;
+use crate::runtime::node_view::RoleView;
+use crate::runtime::service::Shared;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -38,18 +38,18 @@
     }
 }
 
-fn ask(shared: &Shared, term: Term, jobs: &[Uid]) {
-    for part in jobs.chunks(questions::most_at_once(shared)) {
-        let asked: BTreeSet<Uid> = part.iter().cloned().collect();
+fn ask(shared: &Shared, term: Term, jobs: &[JobId]) {
+    for part in jobs.chunks(status_queries::most_at_once(shared)) {
+        let asked: BTreeSet<JobId> = part.iter().cloned().collect();
         let until = Instant::now() + CALL;
-        let records = Asked::new(&shared.store, &shared.stop, Rank::Leader, until);
-        let (found, trouble) = status_reads::standings(&records, &asked, &mut BTreeSet::new());
+        let records = Asked::new(&shared.store, &shared.stop, RequestClass::Leader, until);
+        let (found, trouble) = job_status_reads::statuses(&records, &asked, &mut BTreeSet::new());
         if let Some(why) = trouble {
             log::info!("unknown jobs could not be asked about why=\"{why}\"");
         }
-        let standings: Vec<(Uid, Standing)> = found.into_iter().collect();
-        if !standings.is_empty() {
-            let _ = shared.events.send(Event::Standings(term, standings));
+        let statuses: Vec<(JobId, JobRecordStatus)> = found.into_iter().collect();
+        if !statuses.is_empty() {
+            let _ = shared.events.send(Event::Standings(term, statuses));
         }
     }
 }
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -1,20 +1,20 @@
 //! Loading the picture of a new term from the state service.
 
-use super::events::Event;
-use super::queue_feed::feed;
-use super::service::Shared;
-use super::stop::Stop;
-use crate::core::cluster::Cluster;
-use crate::core::history::Summary;
-use crate::core::ledger::{self, Verdict};
-use crate::core::model::{Term, Uid};
-use crate::core::status_reads::{self, Standing};
-use crate::core::takeover::{IndexedChunk, IndexedJob, StoredPicture};
-use crate::core::watermark::Moment;
-use crate::net::questions;
+use crate::api::status_queries;
+use crate::common::rate_limit::RequestClass;
+use crate::common::stop_signal::Stop;
+use crate::core::leadership::cancellation_watermark::ClockReading;
+use crate::core::model::{JobId, Term};
+use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
+use crate::core::persistence::ledger::{self, JobOutcome};
+use crate::core::placement::history::HistorySummary;
+use crate::core::reconciliation::state_loading::{StoredIntents, StoredLiveJob, StoredSnapshot};
+use crate::core::state::cluster_state::ClusterState;
 use crate::net::store::{Asked, Pair, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
-use crate::runtime::budget::Rank;
+use crate::runtime::events::Event;
+use crate::runtime::queue_feed::feed;
+use crate::runtime::service::Shared;
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::Deserialize;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -35,12 +35,12 @@
 const HISTORY_LIMIT: Duration = Duration::from_secs(4);
 
 /// Loads the picture, hands it to the core, then feeds it the queue's changes.
-pub(super) fn serve_term(shared: &Arc<Shared>, term: Term, stamp: u64, stop: &Stop) {
+pub(super) fn serve_term(shared: &Arc<Shared>, term: Term, leader_revision: u64, stop: &Stop) {
     loop {
         if stop.stopped() {
             return;
         }
-        match load(shared, term, stamp, stop) {
+        match load(shared, term, leader_revision, stop) {
             Ok((cluster, revision)) => {
                 let event = Event::Lead(Box::new(cluster));
                 if shared.events.send(event).is_ok() {
@@ -65,13 +65,13 @@
     shared: &Shared,
     live: &[Pair<StoredJob>],
     stop: &Stop,
-) -> Result<HashMap<Uid, Verdict>, StoreError> {
-    let uids = jobs_under(ledger::LIVE_PREFIX, live);
-    let found = standings_of(shared, &uids, stop)?;
+) -> Result<HashMap<JobId, JobOutcome>, StoreError> {
+    let job_ids = jobs_under(ledger::LIVE_PREFIX, live);
+    let found = statuses_of(shared, &job_ids, stop)?;
     let over = found
         .into_iter()
-        .filter_map(|(uid, standing)| Some((uid, standing?)))
-        .filter(|(_, verdict)| *verdict != Verdict::Live);
+        .filter_map(|(job_id, status)| Some((job_id, status?)))
+        .filter(|(_, outcome)| *outcome != JobOutcome::Live);
     Ok(over.collect())
 }
 
@@ -80,19 +80,19 @@
     shared: &Shared,
     live: &[Pair<StoredJob>],
     stop: &Stop,
-) -> Result<Vec<(Uid, Verdict)>, StoreError> {
+) -> Result<Vec<(JobId, JobOutcome)>, StoreError> {
     let prefix = ledger::LIVE_PREFIX;
     let known: HashSet<&str> = live
         .iter()
         .filter_map(|p| p.path.strip_prefix(prefix))
         .collect();
-    let needed = live.iter().flat_map(|p| p.value.needs());
-    let needed: BTreeSet<Uid> = needed
+    let needed = live.iter().flat_map(|p| p.value.dependencies());
+    let needed: BTreeSet<JobId> = needed
         .filter(|n| !known.contains(n.as_str()))
-        .filter_map(|n| Uid::parse(n))
+        .filter_map(|n| JobId::parse(n))
         .collect();
-    let needed: Vec<Uid> = needed.into_iter().collect();
-    let found = standings_of(shared, &needed, stop)?;
+    let needed: Vec<JobId> = needed.into_iter().collect();
+    let found = statuses_of(shared, &needed, stop)?;
     Ok(found
         .into_iter()
         .filter_map(|(u, s)| Some((u, s?)))
@@ -100,20 +100,20 @@
 }
 
 /// How accepted jobs stand.
-pub(super) fn standings_of(
+pub(super) fn statuses_of(
     shared: &Shared,
-    uids: &[Uid],
+    job_ids: &[JobId],
     stop: &Stop,
-) -> Result<HashMap<Uid, Standing>, StoreError> {
+) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
     let mut all = HashMap::new();
     let until = Instant::now() + STANDINGS_LIMIT;
-    for part in uids.chunks(questions::most_at_once(shared)) {
-        let mut left: BTreeSet<Uid> = part.iter().cloned().collect();
+    for part in job_ids.chunks(status_queries::most_at_once(shared)) {
+        let mut left: BTreeSet<JobId> = part.iter().cloned().collect();
         let mut accepted = left.clone();
         loop {
             let patience = (Instant::now() + CALL).min(until);
-            let asked = Asked::new(&shared.store, stop, Rank::Leader, patience);
-            let (found, trouble) = status_reads::standings(&asked, &left, &mut accepted);
+            let asked = Asked::new(&shared.store, stop, RequestClass::Leader, patience);
+            let (found, trouble) = job_status_reads::statuses(&asked, &left, &mut accepted);
             left.retain(|u| !found.contains_key(u));
             all.extend(found);
             match trouble {
@@ -133,9 +133,13 @@
     prefix: &str,
     stop: &Stop,
 ) -> Result<(Vec<Pair<T>>, u64), StoreError> {
-    shared
-        .store
-        .list_patiently(prefix, Rank::Leader, PAGE_LIMIT, PAGE_PATIENCE, stop)
+    shared.store.list_patiently(
+        prefix,
+        RequestClass::Leader,
+        PAGE_LIMIT,
+        PAGE_PATIENCE,
+        stop,
+    )
 }
 
 /// A record that may be of a form that this version does not know.
@@ -174,9 +178,18 @@
     }
     let (pairs, revision) = read_all::<MaybeReadable<T>>(shared, prefix, stop)?;
     let (mut records, mut unreadable) = (Vec::new(), Vec::new());
-    for Pair { path, value, stamp } in pairs {
+    for Pair {
+        path,
+        value,
+        revision,
+    } in pairs
+    {
         match value {
-            MaybeReadable::Readable(value) => records.push(Pair { path, value, stamp }),
+            MaybeReadable::Readable(value) => records.push(Pair {
+                path,
+                value,
+                revision,
+            }),
             MaybeReadable::Unreadable(_) => unreadable.push(path),
         }
     }
@@ -205,10 +218,11 @@
     let live = read_readable(shared, ledger::LIVE_PREFIX, stop)?;
     let (cancel_marks, _) = read_all(shared, ledger::CANCEL_MARK_PREFIX, stop)?;
     let intents = read_readable(shared, ledger::INTENT_PREFIX, stop)?;
-    let history =
-        shared
-            .store
-            .get::<StoredHistory>(ledger::HISTORY_KEY, Rank::Leader, HISTORY_LIMIT)?;
+    let history = shared.store.get::<StoredHistory>(
+        ledger::HISTORY_KEY,
+        RequestClass::Leader,
+        HISTORY_LIMIT,
+    )?;
     Ok(StoredRecords {
         lists,
         cancel_marks,
@@ -222,25 +236,25 @@
 }
 
 /// The jobs that keys under a prefix name.
-fn jobs_under<T>(prefix: &str, pairs: &[Pair<T>]) -> Vec<Uid> {
+fn jobs_under<T>(prefix: &str, pairs: &[Pair<T>]) -> Vec<JobId> {
     let names = pairs.iter().filter_map(|p| p.path.strip_prefix(prefix));
-    names.filter_map(Uid::parse).collect()
+    names.filter_map(JobId::parse).collect()
 }
 
 fn load(
     shared: &Shared,
     term: Term,
-    stamp: u64,
+    leader_revision: u64,
     stop: &Stop,
-) -> Result<(Cluster, u64), StoreError> {
-    let began = Moment::now();
+) -> Result<(ClusterState, u64), StoreError> {
+    let began = ClockReading::now();
     let records = read_records(shared, stop)?;
     let over = over_already(shared, &records.live, stop)?;
     let ends = ends_of_needed(shared, &records.live, stop)?;
     let (jobs, chunks) = (records.live.len(), records.intents.len());
     let revision = records.revision;
     let now = Instant::now();
-    let mut cluster = empty_cluster(shared, term, stamp, now);
+    let mut cluster = empty_cluster(shared, term, leader_revision, now);
     let peers = shared.peers.iter().map(|p| p.member.clone());
     cluster.confirmed_by(peers, began);
     cluster.take_over(now, picture(records, over, ends));
@@ -248,36 +262,41 @@
     Ok((cluster, revision))
 }
 
-fn empty_cluster(shared: &Shared, term: Term, stamp: u64, now: Instant) -> Cluster {
+fn empty_cluster(shared: &Shared, term: Term, leader_revision: u64, now: Instant) -> ClusterState {
     let now_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_millis() as u64);
     let types = shared.view.read().types.clone();
-    let params = shared.settings.params.clone();
-    Cluster::new(params, term, stamp, types, now, now_ms)
+    let config = shared.settings.config.clone();
+    ClusterState::new(config, term, leader_revision, types, now, now_ms)
 }
 
 /// The records in the core's form. What cannot be read is named, and no part of it is dropped.
 fn picture(
     records: StoredRecords,
-    over: HashMap<Uid, Verdict>,
-    ends: Vec<(Uid, Verdict)>,
-) -> StoredPicture {
+    over: HashMap<JobId, JobOutcome>,
+    ends: Vec<(JobId, JobOutcome)>,
+) -> StoredSnapshot {
     let mut unreadable_live = records.unreadable_live;
     let mut jobs = Vec::new();
-    for Pair { path, value, stamp } in records.live {
+    for Pair {
+        path,
+        value,
+        revision,
+    } in records.live
+    {
         match value.into_spec() {
-            Some(spec) => jobs.push(IndexedJob { spec, stamp }),
+            Some(spec) => jobs.push(StoredLiveJob { spec, revision }),
             None => unreadable_live.push(path),
         }
     }
     let chunks = records.intents.into_iter().filter_map(|pair| {
-        let (uid, index) = ledger::parse_chunk_key(&pair.path)?;
-        Some(IndexedChunk {
-            uid,
+        let (job_id, index) = ledger::parse_chunk_key(&pair.path)?;
+        Some(StoredIntents {
+            job_id,
             index,
             value: pair.value.into_value(),
-            stamp: pair.stamp,
+            revision: pair.revision,
         })
     });
     for key in unreadable_live.iter().chain(&records.unreadable_intents) {
@@ -288,15 +307,15 @@
         .iter()
         .filter_map(|k| k.strip_prefix(prefix));
     let unreadable_intents = records.unreadable_intents.iter();
-    StoredPicture {
-        history: records.history.map(Summary::from),
+    StoredSnapshot {
+        history: records.history.map(HistorySummary::from),
         jobs,
         over,
         ends,
         lists: jobs_under(ledger::DEPENDENTS_PREFIX, &records.lists),
         cancel_marks: jobs_under(ledger::CANCEL_MARK_PREFIX, &records.cancel_marks),
         chunks: chunks.collect(),
-        unreadable_jobs: unreadable_jobs.filter_map(Uid::parse).collect(),
+        unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
         unreadable_intents: unreadable_intents
             .filter_map(|key| Some(ledger::parse_chunk_key(key)?.0))
             .collect(),
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,21 +1,18 @@
-//! Threads, channels, timers and cancellation round the core.
+//! The threads of a node, and the channels and timers that join them with the core.
 
-pub mod budget;
 pub mod cloud_workers;
 pub mod control_watch;
 pub mod core_loop;
 pub mod elector;
 pub mod events;
 mod heartbeats;
-mod inquiries;
+mod job_lookups;
 pub mod loading;
-pub mod metrics;
+pub mod node_view;
 pub mod peer_duties;
 pub mod queue_feed;
 pub mod service;
 pub mod shared;
 pub mod stall_detector;
-pub mod stop;
 pub mod store_writer;
-pub mod view;
-pub mod workers;
+pub mod worker_distribution;
--- a/src/runtime/view.rs
+++ b/src/runtime/node_view.rs
@@ -1,10 +1,10 @@
 //! What every thread of a node may know: who leads, the machine types, jobs' progress.
 
-use crate::core::leadership::LeaderRecord;
-use crate::core::ledger::Verdict;
-use crate::core::model::{HostType, Term, Uid};
-use crate::core::status_reads::Standing;
-use crate::runtime::budget::Demand;
+use crate::common::rate_limit::Demand;
+use crate::core::leadership::election::LeaderRecord;
+use crate::core::model::{JobId, MachineType, Term};
+use crate::core::persistence::job_status_reads::JobRecordStatus;
+use crate::core::persistence::ledger::JobOutcome;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::time::{Duration, Instant, SystemTime};
@@ -40,12 +40,12 @@
     /// The highest term seen.
     pub highest: Term,
     /// Machine types on offer.
-    pub types: Vec<HostType>,
+    pub types: Vec<MachineType>,
     /// Tasks done and running of live jobs, for display.
-    pub progress: HashMap<Uid, (u32, u32)>,
-    accepted: HashSet<Uid>,
-    finals: HashMap<Uid, Verdict>,
-    final_order: VecDeque<Uid>,
+    pub progress: HashMap<JobId, (u32, u32)>,
+    accepted: HashSet<JobId>,
+    finals: HashMap<JobId, JobOutcome>,
+    final_order: VecDeque<JobId>,
     store_failing: Option<Instant>,
     /// Until when nobody else can have taken the leadership that this node has, by both clocks: one of
     /// them may stand still with the process.
@@ -55,9 +55,9 @@
     /// Live jobs of the loaded picture.
     pub live_jobs: usize,
     /// Jobs that others need and of which the leader knows nothing.
-    pub unresolved: Vec<Uid>,
+    pub unresolved: Vec<JobId>,
     /// Jobs that the leader does not know and of which machines show tasks.
-    pub unrecorded: Vec<Uid>,
+    pub unrecorded: Vec<JobId>,
 }
 
 /// Cancellations that this life of the node knows of and may confirm, in the order in which it learned
@@ -66,7 +66,7 @@
     incarnation: u64,
     /// The position of the oldest that is kept.
     first: u64,
-    kept: VecDeque<Uid>,
+    kept: VecDeque<JobId>,
 }
 
 /// A part of a node's cancellations.
@@ -77,7 +77,7 @@
     /// It goes on from the position asked for, with nothing left out.
     pub continues: bool,
     /// Its jobs.
-    pub uids: Vec<Uid>,
+    pub job_ids: Vec<JobId>,
     /// The position to go on from.
     pub next: u64,
     /// There are more already.
@@ -96,36 +96,36 @@
     /// Changes a second that it asks for.
     pub demand: Demand,
     /// How late its timers fire.
-    pub strain: Duration,
+    pub timer_lag: Duration,
 }
 
 /// What the threads of this node share, behind a lock.
-pub struct View {
+pub struct NodeView {
     inner: RwLock<Inner>,
 }
 
 impl Inner {
-    fn accept(&mut self, uid: &Uid) {
-        if self.finals.contains_key(uid) {
+    fn accept(&mut self, job_id: &JobId) {
+        if self.finals.contains_key(job_id) {
             return;
         }
         if self.accepted.len() >= ACCEPTED_KEPT {
             self.accepted.clear();
         }
-        self.accepted.insert(uid.clone());
+        self.accepted.insert(job_id.clone());
     }
 
     /// How far a job's tasks are, as the leader tells it.
-    pub fn progressed(&mut self, uid: Uid, done: u32, running: u32) {
-        self.accept(&uid);
-        self.progress.insert(uid, (done, running));
+    pub fn progressed(&mut self, job_id: JobId, done: u32, running: u32) {
+        self.accept(&job_id);
+        self.progress.insert(job_id, (done, running));
     }
 }
 
-impl View {
+impl NodeView {
     /// The view of a node that has just started.
-    pub fn new(now: Instant) -> View {
-        View {
+    pub fn new(now: Instant) -> NodeView {
+        NodeView {
             inner: RwLock::new(Inner {
                 role: RoleView::Follower(None),
                 loaded: None,
@@ -163,33 +163,36 @@
     }
 
     /// How a job ended, if this node knows it for good.
-    pub fn final_answer(&self, uid: &Uid) -> Option<Verdict> {
-        self.read().finals.get(uid).copied()
+    pub fn final_answer(&self, job_id: &JobId) -> Option<JobOutcome> {
+        self.read().finals.get(job_id).copied()
     }
 
     /// Whether this node knows that the job was accepted.
-    pub fn is_accepted(&self, uid: &Uid) -> bool {
-        self.read().accepted.contains(uid)
+    pub fn is_accepted(&self, job_id: &JobId) -> bool {
+        self.read().accepted.contains(job_id)
     }
 
     /// Those of these jobs that are known to have been accepted.
-    pub fn accepted_of<'a>(&self, uids: impl Iterator<Item = &'a Uid>) -> BTreeSet<Uid> {
+    pub fn accepted_of<'a>(&self, job_ids: impl Iterator<Item = &'a JobId>) -> BTreeSet<JobId> {
         let i = self.read();
-        uids.filter(|u| i.accepted.contains(u)).cloned().collect()
+        job_ids
+            .filter(|u| i.accepted.contains(u))
+            .cloned()
+            .collect()
     }
 
     /// That a job was accepted stays true, whatever becomes of it.
-    pub fn remember_accepted<'a>(&self, uids: impl Iterator<Item = &'a Uid>) {
+    pub fn remember_accepted<'a>(&self, job_ids: impl Iterator<Item = &'a JobId>) {
         let mut i = self.write();
-        for uid in uids {
-            i.accept(uid);
+        for job_id in job_ids {
+            i.accept(job_id);
         }
     }
 
     /// What was found out about jobs, from whichever node.
-    pub fn learn(&self, found: &HashMap<Uid, Standing>) {
-        let live = found.iter().filter(|(_, s)| **s == Some(Verdict::Live));
-        let fresh: Vec<&Uid> = {
+    pub fn learn(&self, found: &HashMap<JobId, JobRecordStatus>) {
+        let live = found.iter().filter(|(_, s)| **s == Some(JobOutcome::Live));
+        let fresh: Vec<&JobId> = {
             let i = self.read();
             live.map(|f| f.0)
                 .filter(|u| !i.accepted.contains(u))
@@ -198,35 +201,35 @@
         if !fresh.is_empty() {
             self.remember_accepted(fresh.into_iter());
         }
-        for (uid, standing) in found {
-            if let Some(v @ (Verdict::Done | Verdict::Cancelled)) = standing {
-                self.remember_final(uid, *v);
+        for (job_id, status) in found {
+            if let Some(v @ (JobOutcome::Done | JobOutcome::Cancelled)) = status {
+                self.remember_final(job_id, *v);
             }
         }
     }
 
     /// Remembers how a job ended. Users may be told so at once.
-    pub fn remember_final(&self, uid: &Uid, v: Verdict) {
+    pub fn remember_final(&self, job_id: &JobId, v: JobOutcome) {
         let mut i = self.write();
-        i.accepted.remove(uid);
-        if i.finals.insert(uid.clone(), v).is_none() {
+        i.accepted.remove(job_id);
+        if i.finals.insert(job_id.clone(), v).is_none() {
             // Before anybody can read the verdict here, and so confirm it.
-            if v == Verdict::Cancelled {
+            if v == JobOutcome::Cancelled {
                 let w = &mut i.cancellations;
-                w.kept.push_back(uid.clone());
+                w.kept.push_back(job_id.clone());
                 if w.kept.len() > FINALS_KEPT {
                     w.kept.pop_front();
                     w.first += 1;
                 }
             }
-            i.final_order.push_back(uid.clone());
+            i.final_order.push_back(job_id.clone());
             if i.final_order.len() > FINALS_KEPT {
                 if let Some(old) = i.final_order.pop_front() {
                     i.finals.remove(&old);
                 }
             }
         }
-        i.progress.remove(uid);
+        i.progress.remove(job_id);
     }
 
     /// The cancellations known here from a position in this life on. Asked without one, or with one that
@@ -240,12 +243,12 @@
         });
         let at = from.map_or(end, |f| f.1);
         let skipped = (at - w.first) as usize;
-        let uids: Vec<Uid> = w.kept.iter().skip(skipped).take(PAGE).cloned().collect();
-        let next = at + uids.len() as u64;
+        let job_ids: Vec<JobId> = w.kept.iter().skip(skipped).take(PAGE).cloned().collect();
+        let next = at + job_ids.len() as u64;
         CancellationsPage {
             incarnation: w.incarnation,
             continues: from.is_some(),
-            uids,
+            job_ids,
             next,
             more: next < end,
         }
@@ -268,7 +271,7 @@
 
     /// Whether this node leads in this term for certain: its lease, counted from when its renewal was
     /// asked for, has not run out. A process that stood still, or was cut off, finds out here first.
-    pub fn surely_leads(&self, term: Term, now: Instant, day: SystemTime) -> bool {
+    pub fn holds_leader_lease(&self, term: Term, now: Instant, day: SystemTime) -> bool {
         let i = self.read();
         let lasts = |t: (Instant, SystemTime)| now < t.0 && day < t.1;
         i.role == RoleView::Leader(term) && i.leads_until.is_some_and(lasts)
@@ -287,10 +290,10 @@
     }
 
     /// How late timers fire on the peer that is worst off, of those heard of late.
-    pub fn strain_of_peers(&self, now: Instant) -> Duration {
+    pub fn timer_lag_of_peers(&self, now: Instant) -> Duration {
         let i = self.read();
         let fresh = i.peers.values().filter(|p| p.is_fresh(now));
-        fresh.map(|p| p.strain).max().unwrap_or_default()
+        fresh.map(|p| p.timer_lag).max().unwrap_or_default()
     }
 
     /// Peers heard of late that reach the state service.
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -1,17 +1,17 @@
 //! The duties among the nodes: commands by way of followers, hellos, and the peers' questions.
 
-use super::budget::Demand;
-use super::elector::ElectorEvent;
-use super::events::{Event, Order, SendOrder};
-use super::heartbeats::AWAITED_RELAYED;
-use super::service::Shared;
-use super::view::{PeerStatus, RoleView};
-use crate::core::model::{HostId, ImageKey, Term, Uid};
-use crate::core::watermark::{Moment, Statement};
+use crate::api::server;
+use crate::api::status_queries;
+use crate::common::rate_limit::Demand;
+use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
+use crate::core::model::{ImageKey, JobId, MachineId, Term};
 use crate::net::agent;
-use crate::net::front;
-use crate::net::peer::{self, Ask, Hello, Peer, Reply};
-use crate::net::questions;
+use crate::net::peer::{self, Hello, Peer, PeerRequest, PeerResponse};
+use crate::runtime::elector::ElectorEvent;
+use crate::runtime::events::{CommandDelivery, CommandPayload, Event};
+use crate::runtime::heartbeats::AWAITED_RELAYED;
+use crate::runtime::node_view::{PeerStatus, RoleView};
+use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -19,24 +19,24 @@
 
 /// Sends direct commands. The followers do the sending where they can: the leader's processor is the
 /// one that binds.
-pub fn send_commands(shared: &Shared, client: &ureq::Agent, orders: &Receiver<SendOrder>) {
+pub fn send_commands(shared: &Shared, client: &ureq::Agent, orders: &Receiver<CommandDelivery>) {
     while let Ok(o) = orders.recv() {
         // Judged when it is sent: it may have waited while the leadership went.
         if !shared.leads(o.term) {
-            let event = Event::Sent(o.term, o.host, None);
+            let event = Event::Sent(o.term, o.machine, None);
             if shared.events.send(event).is_err() {
                 return;
             }
             continue;
         }
-        let Order::Commands(epoch, tenure, directives) = &o.what;
-        let body = agent::encode(*epoch, *tenure, directives);
-        let answer = match helper(shared, &o.host) {
+        let CommandPayload::CommandRequest(token, incarnation, commands) = &o.what;
+        let body = agent::encode(*token, *incarnation, commands);
+        let answer = match helper(shared, &o.machine) {
             Some(p) => through_peer(p, client, &o.endpoint, body),
             None => agent::deliver(client, &o.endpoint, &body),
         };
-        let report = answer.and_then(|b| agent::report(&b));
-        let event = Event::Sent(o.term, o.host, report);
+        let heartbeat = answer.and_then(|b| agent::heartbeat(&b));
+        let event = Event::Sent(o.term, o.machine, heartbeat);
         if shared.events.send(event).is_err() {
             return;
         }
@@ -44,7 +44,7 @@
 }
 
 /// The peer that sends to this host: always the same one, so that its connections are used again.
-fn helper<'a>(shared: &'a Shared, host: &HostId) -> Option<&'a Peer> {
+fn helper<'a>(shared: &'a Shared, machine: &MachineId) -> Option<&'a Peer> {
     let now = Instant::now();
     let live = shared.view.live_peers(now);
     let able: Vec<&std::sync::Arc<Peer>> = shared
@@ -55,7 +55,7 @@
     if able.is_empty() {
         return None;
     }
-    let n = ImageKey::of(&host.0).0 as usize % able.len();
+    let n = ImageKey::of(&machine.0).0 as usize % able.len();
     Some(able[n])
 }
 
@@ -65,7 +65,7 @@
     endpoint: &str,
     body: Vec<u8>,
 ) -> Option<Vec<u8>> {
-    let ask = Ask::Command {
+    let ask = PeerRequest::Command {
         endpoint: endpoint.to_owned(),
         body,
     };
@@ -73,14 +73,14 @@
     let answer = peer.ask(&ask, limit);
     let now = Instant::now();
     match answer {
-        Ok(Reply::Command(answer)) => {
+        Ok(PeerResponse::Command(answer)) => {
             peer.delivered(answer.is_some(), now);
             answer
         }
         Ok(_) => None,
         Err(e) => {
             peer.delivered(false, now);
-            let Ask::Command { body, .. } = ask else {
+            let PeerRequest::Command { body, .. } = ask else {
                 return None;
             };
             // A refusal came at once, so there is time to send it ourselves.
@@ -110,7 +110,7 @@
         workers: shared.workers.count(now),
         users_changes: demand.users,
         leader_changes: demand.leader,
-        strain_ms: shared.strain.now().as_millis() as u32,
+        timer_lag_ms: shared.timer_lag.now().as_millis() as u32,
         progress,
         over,
     }
@@ -118,7 +118,7 @@
 
 /// Tells one peer each second who we are, and as leader how the jobs stand.
 pub fn announce(shared: &Shared, peer: &Peer) {
-    let mut told: HashMap<Uid, (u32, u32)> = HashMap::new();
+    let mut told: HashMap<JobId, (u32, u32)> = HashMap::new();
     let mut reader = Reader::default();
     while !shared.stop.wait(Duration::from_millis(1000)) {
         let mut progress = Vec::new();
@@ -126,31 +126,31 @@
         {
             let i = shared.view.read();
             if matches!(i.role, RoleView::Leader(_)) {
-                for (uid, counts) in &i.progress {
-                    if told.get(uid) != Some(counts) && progress.len() < 2000 {
-                        progress.push((uid.0.clone(), counts.0, counts.1));
+                for (job_id, counts) in &i.progress {
+                    if told.get(job_id) != Some(counts) && progress.len() < 2000 {
+                        progress.push((job_id.0.clone(), counts.0, counts.1));
                     }
                 }
-                for uid in told.keys().filter(|u| !i.progress.contains_key(*u)) {
-                    over.push(uid.0.clone());
+                for job_id in told.keys().filter(|u| !i.progress.contains_key(*u)) {
+                    over.push(job_id.0.clone());
                 }
             } else {
                 told.clear();
             }
         }
-        let ask = Ask::Hello(hello(shared, progress.clone(), over.clone()));
+        let ask = PeerRequest::Hello(hello(shared, progress.clone(), over.clone()));
         match peer.ask(&ask, Duration::from_millis(1500)) {
-            Ok(Reply::Hello(h)) => {
+            Ok(PeerResponse::Hello(h)) => {
                 hello_received(shared, &h);
                 peer.set_frames(peer::frames_of(&h.over));
                 if peer::says_fallen(&h.over) {
                     shared.store.budgets().fall(Instant::now());
                 }
-                for (uid, d, r) in progress {
-                    told.insert(Uid(uid), (d, r));
+                for (job_id, d, r) in progress {
+                    told.insert(JobId(job_id), (d, r));
                 }
-                for uid in over {
-                    told.remove(&Uid(uid));
+                for job_id in over {
+                    told.remove(&JobId(job_id));
                 }
             }
             Ok(_) => {}
@@ -186,32 +186,32 @@
         };
         let mut more = true;
         while more && !shared.stop.stopped() {
-            let asked = Moment::now();
-            let ask = Ask::Cancellations { from: self.from };
-            let Ok(Reply::Cancellations {
+            let asked = ClockReading::now();
+            let ask = PeerRequest::Cancellations { from: self.from };
+            let Ok(PeerResponse::Cancellations {
                 incarnation,
                 continues,
-                uids,
+                job_ids,
                 next,
                 more: rest,
             }) = peer.ask(&ask, Duration::from_millis(1500))
             else {
                 return;
             };
-            let came = Moment::now();
+            let came = ClockReading::now();
             self.from = Some((incarnation, next));
             more = rest;
-            let word = Statement {
+            let word = CancellationReport {
                 asked,
                 came,
                 continues,
             };
-            let uids = uids.iter().filter_map(|u| Uid::parse(u)).collect();
+            let job_ids = job_ids.iter().filter_map(|u| JobId::parse(u)).collect();
             // What is told in parts covers nothing before the last of them.
             let covers = (!more || !continues).then(|| (peer.member.clone(), word));
             if shared
                 .events
-                .send(Event::CancelledElsewhere(term, uids, covers))
+                .send(Event::CancelledElsewhere(term, job_ids, covers))
                 .is_err()
             {
                 return;
@@ -231,7 +231,7 @@
         store_ok: h.store_ok,
         workers: h.workers,
         demand,
-        strain: Duration::from_millis(h.strain_ms.into()),
+        timer_lag: Duration::from_millis(h.timer_lag_ms.into()),
     };
     shared.view.peer_said(&h.member, word);
     if let Some(term) = h.leads {
@@ -249,52 +249,54 @@
     let _ = stream.set_read_timeout(Some(Duration::from_secs(30)));
     let _ = stream.set_write_timeout(Some(Duration::from_secs(5)));
     while !shared.stop.stopped() {
-        let Ok(ask) = peer::read_frame::<Ask>(&mut stream) else {
+        let Ok(ask) = peer::read_frame::<PeerRequest>(&mut stream) else {
             return;
         };
         let reply = match ask {
-            Ask::Hello(h) => {
+            PeerRequest::Hello(h) => {
                 hello_received(shared, &h);
                 if h.leads.is_some() && !matches!(shared.view.read().role, RoleView::Leader(_)) {
                     let mut i = shared.view.write();
-                    for (uid, d, r) in h.progress {
-                        i.progressed(Uid(uid), d, r);
+                    for (job_id, d, r) in h.progress {
+                        i.progressed(JobId(job_id), d, r);
                     }
-                    for uid in h.over {
-                        i.progress.remove(&Uid(uid));
+                    for job_id in h.over {
+                        i.progress.remove(&JobId(job_id));
                     }
                 }
-                Reply::Hello(hello(
+                PeerResponse::Hello(hello(
                     shared,
                     Vec::new(),
                     peer::said(shared.store.budgets().fallen()),
                 ))
             }
-            Ask::Heartbeats(bodies) => {
+            PeerRequest::Heartbeats(bodies) => {
                 let until = Instant::now() + AWAITED_RELAYED;
-                Reply::Heartbeats(shared.local_heartbeats(&bodies, until))
+                PeerResponse::Heartbeats(shared.local_heartbeats(&bodies, until))
             }
-            Ask::Command { endpoint, body } => {
-                Reply::Command(agent::deliver(&shared.agent, &endpoint, &body))
+            PeerRequest::Command { endpoint, body } => {
+                PeerResponse::Command(agent::deliver(&shared.agent, &endpoint, &body))
             }
-            Ask::Questions(names) => Reply::JobStandings(questions::for_peer(shared, &names)),
-            Ask::Cancellations { from } => {
+            PeerRequest::Questions(names) => {
+                PeerResponse::JobStandings(status_queries::for_peer(shared, &names))
+            }
+            PeerRequest::Cancellations { from } => {
                 let page = shared.view.cancellations(from);
-                Reply::Cancellations {
+                PeerResponse::Cancellations {
                     incarnation: page.incarnation,
                     continues: page.continues,
-                    uids: page.uids.into_iter().map(|u| u.0).collect(),
+                    job_ids: page.job_ids.into_iter().map(|u| u.0).collect(),
                     next: page.next,
                     more: page.more,
                 }
             }
-            Ask::Cancelled(names) => {
-                let uids: Vec<Uid> = names.iter().filter_map(|n| Uid::parse(n)).collect();
-                Reply::Cancelled(shared.take_on_cancellations(uids))
+            PeerRequest::Cancelled(names) => {
+                let job_ids: Vec<JobId> = names.iter().filter_map(|n| JobId::parse(n)).collect();
+                PeerResponse::Cancelled(shared.take_on_cancellations(job_ids))
             }
-            Ask::User { method, path, body } => {
-                let ((status, body), retry) = front::for_peer(shared, &method, &path, &body);
-                Reply::User(status, body, retry)
+            PeerRequest::User { method, path, body } => {
+                let ((status, body), retry) = server::for_peer(shared, &method, &path, &body);
+                PeerResponse::User(status, body, retry)
             }
         };
         if peer::write_frame(&mut stream, &reply).is_err() {
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -1,16 +1,16 @@
 //! The watch of the queue: accepted jobs and cancellations, for the leader's core.
 
-use super::budget::Rank;
-use super::events::Event;
-use super::service::Shared;
-use super::stop::Stop;
-use crate::core::backoff::Backoff;
-use crate::core::ledger::{self, Verdict};
-use crate::core::model::{JobSpec, Term, Uid};
-use crate::core::watermark::{self, Moment};
-use crate::net::dependents_list;
+use crate::api::dependents_list;
+use crate::common::rate_limit::RequestClass;
+use crate::common::stop_signal::Stop;
+use crate::core::leadership::cancellation_watermark::{self, ClockReading};
+use crate::core::model::{JobId, JobSpec, Term};
+use crate::core::persistence::backoff::Backoff;
+use crate::core::persistence::ledger::{self, JobOutcome};
 use crate::net::store::StoreError;
 use crate::net::wire::StoredJob;
+use crate::runtime::events::Event;
+use crate::runtime::service::Shared;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 use std::time::{Duration, Instant};
@@ -31,8 +31,8 @@
 /// Follows the queue: accepted jobs and cancellations, whichever node took them.
 pub fn feed(shared: &Shared, term: Term, mut revision: u64, stop: &Stop) {
     // Each answer moves the watermark of cancellations to when it was asked for.
-    let params = &shared.settings.params;
-    let (patience, _) = watermark::patience(params.lease, params.cancel);
+    let config = &shared.settings.config;
+    let (patience, _) = cancellation_watermark::patience(config.lease, config.cancel);
     let block = WATCH_BLOCK.min(patience / 3);
     let mut backoff = Backoff::default();
     let mut next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
@@ -42,7 +42,7 @@
             sweep_lists(shared, term);
             next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
         }
-        let asked = Moment::now();
+        let asked = ClockReading::now();
         match shared
             .store
             .follow::<Queued>(ledger::QUEUE_PREFIX, revision, block)
@@ -51,7 +51,7 @@
                 revision = revision.max(changes.revision);
                 for c in changes.log {
                     if let Some(key) = c.put {
-                        take_queued(shared, term, &key, c.value, c.stamp.unwrap_or(0));
+                        take_queued(shared, term, &key, c.value, c.revision.unwrap_or(0));
                     }
                 }
                 let _ = shared.events.send(Event::Read(term, asked));
@@ -60,11 +60,11 @@
                 let limit = Duration::from_secs(4);
                 match shared
                     .store
-                    .list::<Queued>(ledger::QUEUE_PREFIX, Rank::Leader, limit)
+                    .list::<Queued>(ledger::QUEUE_PREFIX, RequestClass::Leader, limit)
                 {
                     Ok((pairs, r)) => {
                         for p in pairs {
-                            take_queued(shared, term, &p.path, Some(p.value), p.stamp);
+                            take_queued(shared, term, &p.path, Some(p.value), p.revision);
                         }
                         revision = r;
                         let _ = shared.events.send(Event::Read(term, asked));
@@ -89,7 +89,7 @@
     if due.is_empty() {
         return;
     }
-    if let Ok(found) = super::loading::standings_of(shared, &due, stop) {
+    if let Ok(found) = crate::runtime::loading::statuses_of(shared, &due, stop) {
         let ends = found.into_iter().filter_map(|(u, s)| Some((u, s?)));
         let _ = shared.events.send(Event::Ended(term, ends.collect()));
     }
@@ -104,26 +104,26 @@
     let prefix = ledger::DEPENDENTS_PREFIX;
     let listed = shared
         .store
-        .list::<IgnoredAny>(prefix, Rank::Leader, LIST_SWEEP_LIMIT);
+        .list::<IgnoredAny>(prefix, RequestClass::Leader, LIST_SWEEP_LIMIT);
     let Ok((lists, _)) = listed else {
         return;
     };
-    let uids: Vec<Uid> = lists
+    let job_ids: Vec<JobId> = lists
         .iter()
-        .filter_map(|pair| pair.path.strip_prefix(prefix).and_then(Uid::parse))
+        .filter_map(|pair| pair.path.strip_prefix(prefix).and_then(JobId::parse))
         .collect();
-    if !uids.is_empty() {
-        let _ = shared.events.send(Event::Lists(term, uids));
+    if !job_ids.is_empty() {
+        let _ = shared.events.send(Event::Lists(term, job_ids));
     }
 }
 
-fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, stamp: u64) {
-    let event = if let Some(uid) = key.strip_prefix(ledger::CANCEL_MARK_PREFIX) {
-        Uid::parse(uid).map(|u| Event::Cancelled(term, u))
+fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, revision: u64) {
+    let event = if let Some(job_id) = key.strip_prefix(ledger::CANCEL_MARK_PREFIX) {
+        JobId::parse(job_id).map(|u| Event::Cancelled(term, u))
     } else {
         match value {
             Some(Queued::Job(job)) => match job.into_spec() {
-                Some(spec) => indexed_job(shared, term, spec, stamp),
+                Some(spec) => indexed_job(shared, term, spec, revision),
                 None => unreadable(key),
             },
             Some(Queued::Other(_)) if key.starts_with(ledger::LIVE_PREFIX) => unreadable(key),
@@ -144,10 +144,10 @@
 /// The index keeps a job for a while after its verdict. One that is done was the leader's already. One
 /// that is cancelled may not have been, if the watch is late: its place in the index is the leader's
 /// to remove all the same.
-fn indexed_job(shared: &Shared, term: Term, spec: JobSpec, stamp: u64) -> Option<Event> {
-    match shared.view.final_answer(&spec.uid) {
-        Some(Verdict::Done) => None,
-        Some(Verdict::Cancelled) => Some(Event::CancelledJob(term, Box::new(spec), stamp)),
-        Some(Verdict::Live) | None => Some(Event::Job(term, Box::new(spec), stamp)),
+fn indexed_job(shared: &Shared, term: Term, spec: JobSpec, revision: u64) -> Option<Event> {
+    match shared.view.final_answer(&spec.job_id) {
+        Some(JobOutcome::Done) => None,
+        Some(JobOutcome::Cancelled) => Some(Event::CancelledJob(term, Box::new(spec), revision)),
+        Some(JobOutcome::Live) | None => Some(Event::Job(term, Box::new(spec), revision)),
     }
 }
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -1,32 +1,32 @@
 //! A node: its channels, its threads, and their end.
 
-use super::budget::{Bucket, Crowd};
-use super::cloud_workers;
-use super::control_watch;
-use super::core_loop;
-use super::elector::{self, ElectorEvent};
-use super::events::{CloudOrder, Event, Outlets, SendOrder};
-use super::inquiries;
-use super::metrics::Strain;
-use super::peer_duties;
-pub use super::shared::{Meters, Shared};
-use super::stall_detector::StallDetector;
-use super::stop::Stop;
-use super::store_writer;
-use super::view::View;
-use super::workers::Workers;
-use crate::core::ledger::Batch;
+use crate::api::live_index::LiveIndex;
+use crate::api::server;
+use crate::api::status_queries;
+use crate::common::metrics::TimerLag;
+use crate::common::rate_limit::{Bucket, SubmissionFairness};
+use crate::common::stop_signal::Stop;
 use crate::core::model::Term;
+use crate::core::persistence::ledger::Batch;
 use crate::net::agent;
 use crate::net::cloud::Cloud;
-use crate::net::front;
-use crate::net::http::Client;
-use crate::net::listen;
-use crate::net::live_index::LiveIndex;
+use crate::net::http_client::Client;
+use crate::net::http_server;
 use crate::net::peer::Peer;
-use crate::net::questions;
 use crate::net::store::Store;
 use crate::net::store_budget::Budgets;
+use crate::runtime::cloud_workers;
+use crate::runtime::control_watch;
+use crate::runtime::core_loop;
+use crate::runtime::elector::{self, ElectorEvent};
+use crate::runtime::events::{CloudOrder, CommandDelivery, Event, Outlets};
+use crate::runtime::job_lookups;
+use crate::runtime::node_view::NodeView;
+use crate::runtime::peer_duties;
+pub use crate::runtime::shared::{LatencyMeters, Shared};
+use crate::runtime::stall_detector::StallDetector;
+use crate::runtime::store_writer;
+use crate::runtime::worker_distribution::Workers;
 use crate::settings::Settings;
 use crossbeam::channel::{bounded, Receiver};
 use std::net::TcpListener;
@@ -65,7 +65,7 @@
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
     batches: Receiver<(Term, Batch)>,
-    commands: Receiver<SendOrder>,
+    commands: Receiver<CommandDelivery>,
     cloud_orders: Receiver<CloudOrder>,
     wake: Receiver<()>,
 }
@@ -87,7 +87,7 @@
 impl Service {
     /// Starts all threads. An error: a port cannot be had.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
-        let front_listener = listen::bind(settings.front)?;
+        let front_listener = http_server::bind(settings.front)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
         let (shared, outlets, queues) = connect(settings);
         let mut threads = Threads::default();
@@ -95,7 +95,7 @@
         start_cloud(&mut threads, &shared, &queues)?;
         start_leadership(&mut threads, &shared, &queues)?;
         start_peers(&mut threads, &shared, peer_listener)?;
-        front::serve(&shared, front_listener, &mut |name, duty| {
+        server::serve(&shared, front_listener, &mut |name, duty| {
             threads.spawn(name, duty)
         })?;
         log::info!(
@@ -147,7 +147,7 @@
         wake: wake_queue,
     };
     let now = Instant::now();
-    let meters = Meters::default();
+    let meters = LatencyMeters::default();
     let seeds = settings.seeds.iter();
     let shared = Shared {
         store: state_service(&settings, &meters, now),
@@ -158,7 +158,7 @@
             meters.cloud.clone(),
         )),
         meters,
-        view: View::new(now),
+        view: NodeView::new(now),
         events,
         elector_events,
         peers: seeds
@@ -167,22 +167,22 @@
         stop: Stop::new(),
         wake,
         agent: agent::client(settings.sockets().workers),
-        workers: Workers::new(settings.params.report),
-        crowd: Crowd::default(),
+        workers: Workers::new(settings.config.heartbeat),
+        crowd: SubmissionFairness::default(),
         live_index: LiveIndex::default(),
         stall_detector: StallDetector::new(settings.skew, now, SystemTime::now()),
-        strain: Strain::default(),
+        timer_lag: TimerLag::default(),
         settings,
     };
     (Arc::new(shared), outlets, queues)
 }
 
-fn state_service(settings: &Settings, meters: &Meters, now: Instant) -> Store {
+fn state_service(settings: &Settings, meters: &LatencyMeters, now: Instant) -> Store {
     let (rps, write_rps) = (settings.state_rps, settings.state_write_rps);
     let budgets = Budgets::new(rps, write_rps, settings.nodes, now);
     let budgets = budgets.with_next(settings.state_next);
     // One for each thread that asks for a user, and for the leader's own duties.
-    let users = settings.operations.handlers + questions::QUESTION_THREADS;
+    let users = settings.operations.handlers + status_queries::QUESTION_THREADS;
     let kept = users + OWN_STATE_CONNECTIONS;
     let client = Client::new(settings.state, STATE_CONNECT, kept, meters.store.clone());
     Store::new(client, budgets)
@@ -206,7 +206,7 @@
         })?;
     }
     let s = shared.clone();
-    threads.spawn("inquiries", move || inquiries::ask_about_unrecorded(&s))
+    threads.spawn("inquiries", move || job_lookups::ask_about_unrecorded(&s))
 }
 
 /// Rentals and returns, and the reader of the cloud's list, which share its rate.
--- a/src/runtime/shared.rs
+++ b/src/runtime/shared.rs
@@ -1,18 +1,18 @@
 //! What the threads of a node share, and what it knows of its own standing.
 
-use super::budget::Crowd;
-use super::elector::ElectorEvent;
-use super::events::Event;
-use super::metrics::{Meter, Strain};
-use super::stall_detector::StallDetector;
-use super::stop::Stop;
-use super::view::{RoleView, View};
-use super::workers::Workers;
-use crate::core::model::{Term, Uid};
+use crate::api::live_index::LiveIndex;
+use crate::common::metrics::{LatencyMeter, TimerLag};
+use crate::common::rate_limit::SubmissionFairness;
+use crate::common::stop_signal::Stop;
+use crate::core::model::{JobId, Term};
 use crate::net::cloud::Cloud;
-use crate::net::live_index::LiveIndex;
-use crate::net::peer::{self, Ask, Peer};
+use crate::net::peer::{self, Peer, PeerRequest};
 use crate::net::store::Store;
+use crate::runtime::elector::ElectorEvent;
+use crate::runtime::events::Event;
+use crate::runtime::node_view::{NodeView, RoleView};
+use crate::runtime::stall_detector::StallDetector;
+use crate::runtime::worker_distribution::Workers;
 use crate::settings::Settings;
 use crossbeam::channel::Sender;
 use std::sync::Arc;
@@ -23,15 +23,15 @@
 
 /// What the summary line tells about this node's calls.
 #[derive(Default)]
-pub struct Meters {
+pub struct LatencyMeters {
     /// Calls of the state service.
-    pub store: Arc<Meter>,
+    pub store: Arc<LatencyMeter>,
     /// Calls of the cloud.
-    pub cloud: Arc<Meter>,
+    pub cloud: Arc<LatencyMeter>,
     /// Ticks of the core: a placement round and what goes with it.
-    pub rounds: Meter,
+    pub rounds: LatencyMeter,
     /// From a durable intent to the task's start.
-    pub starts: Meter,
+    pub starts: LatencyMeter,
 }
 
 /// What all threads of a node share.
@@ -39,9 +39,9 @@
     /// The settings.
     pub settings: Settings,
     /// How long things take.
-    pub meters: Meters,
+    pub meters: LatencyMeters,
     /// What this node knows.
-    pub view: View,
+    pub view: NodeView,
     /// The state service.
     pub store: Store,
     /// The cloud.
@@ -61,13 +61,13 @@
     /// Workers that report here.
     pub workers: Workers,
     /// How much of the rate each team uses.
-    pub crowd: Crowd,
+    pub crowd: SubmissionFairness,
     /// The last read of the index of live jobs.
     pub live_index: LiveIndex,
     /// Notices that this process stood still.
     pub stall_detector: StallDetector,
     /// How late timers fire.
-    pub strain: Strain,
+    pub timer_lag: TimerLag,
 }
 
 impl Shared {
@@ -88,13 +88,13 @@
     }
 
     /// How late timers fire on the node that is worst off, as far as this one knows.
-    pub fn worst_strain(&self) -> Duration {
-        let peers = self.view.strain_of_peers(Instant::now());
-        peers.max(self.strain.now())
+    pub fn worst_timer_lag(&self) -> Duration {
+        let peers = self.view.timer_lag_of_peers(Instant::now());
+        peers.max(self.timer_lag.now())
     }
 
     /// So lately that a leader's lease may have ended without its knowing.
-    pub fn woke_of_late(&self) -> bool {
+    pub fn woke_recently(&self) -> bool {
         let late = self.settings.operations.leader_lease * 2;
         self.woke().is_some_and(|t| t.elapsed() < late)
     }
@@ -105,9 +105,9 @@
     }
 
     /// Whether nobody else can lead yet.
-    pub fn surely_leads(&self, term: Term) -> bool {
+    pub fn holds_leader_lease(&self, term: Term) -> bool {
         self.view
-            .surely_leads(term, Instant::now(), SystemTime::now())
+            .holds_leader_lease(term, Instant::now(), SystemTime::now())
     }
 
     /// What is read now may have waited in its socket while this process stood still.
@@ -129,7 +129,7 @@
     }
 
     /// Jobs that a user is about to be told are cancelled. Whether this node leads and takes them on.
-    pub fn take_on_cancellations(&self, uids: Vec<Uid>) -> bool {
+    pub fn take_on_cancellations(&self, job_ids: Vec<JobId>) -> bool {
         let term = {
             let i = self.view.read();
             i.loaded.filter(|t| i.role == RoleView::Leader(*t))
@@ -137,21 +137,21 @@
         let Some(term) = term else {
             return false;
         };
-        let event = Event::CancelledElsewhere(term, uids, None);
+        let event = Event::CancelledElsewhere(term, job_ids, None);
         self.events.send_timeout(event, TELL_LIMIT / 2).is_ok()
     }
 
     /// Tells the acting leader, where it can be reached, before a user hears that jobs are cancelled:
     /// it may have lost the state service, and would start or keep the job's tasks. If it cannot be
     /// told, it reads it from us later, or answers no more reports (`core/watermark`).
-    pub fn tell_leader(&self, uids: &[Uid]) {
+    pub fn tell_leader(&self, job_ids: &[JobId]) {
         let leader = match &self.view.read().role {
             RoleView::Leader(_) => None,
             RoleView::Follower(Some(l)) => Some(l.clone()),
             RoleView::Follower(None) => return,
         };
         let Some(leader) = leader else {
-            self.take_on_cancellations(uids.to_vec());
+            self.take_on_cancellations(job_ids.to_vec());
             return;
         };
         let live = self.view.live_peers(Instant::now());
@@ -161,9 +161,9 @@
                 && live.iter().any(|(m, _)| *m == leader)
         };
         if let Some(p) = self.peers.iter().find(knows) {
-            let names: Vec<String> = uids.iter().map(|u| u.0.clone()).collect();
-            if let Err(e) = p.ask(&Ask::Cancelled(names), TELL_LIMIT) {
-                let jobs = uids.len();
+            let names: Vec<String> = job_ids.iter().map(|u| u.0.clone()).collect();
+            if let Err(e) = p.ask(&PeerRequest::Cancelled(names), TELL_LIMIT) {
+                let jobs = job_ids.len();
                 log::debug!("the leader was not told of cancellations jobs={jobs} why=\"{e}\"");
             }
         }
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -1,12 +1,12 @@
 //! The leader's transactions, one at a time.
 
-use super::budget::Rank;
-use super::events::Event;
-use super::service::Shared;
-use crate::core::ledger::{self, Batch, BatchOutcome, Verdict};
-use crate::core::model::{Term, Uid};
-use crate::net::store::{StoreError, Txn};
-use crate::net::wire::StoredVerdict;
+use crate::common::rate_limit::RequestClass;
+use crate::core::model::{JobId, Term};
+use crate::core::persistence::ledger::{self, Batch, BatchOutcome, JobOutcome};
+use crate::net::store::{StoreError, TransactionOutcome};
+use crate::net::wire::StoredOutcome;
+use crate::runtime::events::Event;
+use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use serde::de::IgnoredAny;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     while let Ok((term, batch)) = batches.recv() {
         let limit = Duration::from_millis(2000);
         let outcome = match shared.store.apply(&batch, limit) {
-            Ok(Txn::Applied { revision }) => BatchOutcome::Applied { revision },
-            Ok(Txn::Failed { keys }) => read_failed(shared, keys),
+            Ok(TransactionOutcome::Applied { revision }) => BatchOutcome::Applied { revision },
+            Ok(TransactionOutcome::Failed { keys }) => read_failed(shared, keys),
             Err(StoreError::Refused) => BatchOutcome::Refused,
             Err(e) => {
                 log::debug!("write not confirmed why=\"{e}\" ops={}", batch.ops.len());
@@ -36,12 +36,12 @@
 /// Users may be told of these at once. A cancellation has to be confirmed first.
 fn remember_done(shared: &Shared, batch: &Batch) {
     for op in &batch.ops {
-        let ledger::Op::Put(key, ledger::Value::Verdict(Verdict::Done)) = op else {
+        let ledger::Op::Put(key, ledger::Value::JobOutcome(JobOutcome::Done)) = op else {
             continue;
         };
-        let uid = key.strip_prefix(ledger::VERDICT_PREFIX);
-        if let Some(uid) = uid.and_then(Uid::parse) {
-            shared.view.remember_final(&uid, Verdict::Done);
+        let job_id = key.strip_prefix(ledger::OUTCOME_PREFIX);
+        if let Some(job_id) = job_id.and_then(JobId::parse) {
+            shared.view.remember_final(&job_id, JobOutcome::Done);
         }
     }
 }
@@ -50,19 +50,19 @@
     let limit = Duration::from_millis(1500);
     let mut found = Vec::new();
     for key in keys {
-        let entry = if key.starts_with(ledger::VERDICT_PREFIX) {
+        let entry = if key.starts_with(ledger::OUTCOME_PREFIX) {
             shared
                 .store
-                .get::<StoredVerdict>(&key, Rank::Leader, limit)
-                .map(|e| e.map(|e| (e.stamp, e.value.verdict())))
+                .get::<StoredOutcome>(&key, RequestClass::Leader, limit)
+                .map(|e| e.map(|e| (e.revision, e.value.outcome())))
         } else {
             shared
                 .store
-                .get::<IgnoredAny>(&key, Rank::Leader, limit)
-                .map(|e| e.map(|e| (e.stamp, None)))
+                .get::<IgnoredAny>(&key, RequestClass::Leader, limit)
+                .map(|e| e.map(|e| (e.revision, None)))
         };
         match entry {
-            Ok(Some((stamp, verdict))) => found.push((key, stamp, verdict)),
+            Ok(Some((revision, outcome))) => found.push((key, revision, outcome)),
             Ok(None) => found.push((key, 0, None)),
             Err(_) => return BatchOutcome::Unknown,
         }
--- a/src/runtime/workers.rs
+++ b/src/runtime/worker_distribution.rs
@@ -14,7 +14,7 @@
 const PACE: Duration = Duration::from_millis(60);
 /// How much beyond its part a node may have.
 const EXCESS: f64 = 1.2;
-const EXCESS_LEAST: f64 = 6.0;
+const EXCESS_MIN: f64 = 6.0;
 /// The parts of a follower and of the leader.
 const FOLLOWER_PART: f64 = 4.0;
 const LEADER_PART: f64 = 1.0;
@@ -29,15 +29,15 @@
 
 /// The workers that report to this node, by their addresses.
 pub struct Workers {
-    report: Duration,
+    heartbeat: Duration,
     inner: Mutex<Inner>,
 }
 
 impl Workers {
     /// Workers that report this often.
-    pub fn new(report: Duration) -> Workers {
+    pub fn new(heartbeat: Duration) -> Workers {
         Workers {
-            report,
+            heartbeat,
             inner: Mutex::default(),
         }
     }
@@ -64,7 +64,7 @@
     /// How many workers report here.
     pub fn count(&self, now: Instant) -> u32 {
         let mut i = self.lock();
-        let fresh = self.report.mul_f64(2.5);
+        let fresh = self.heartbeat.mul_f64(2.5);
         i.seen
             .retain(|_, t| now.saturating_duration_since(*t) < fresh);
         i.seen.len() as u32
@@ -96,7 +96,7 @@
         {
             return None;
         }
-        let fresh = self.report.mul_f64(2.5);
+        let fresh = self.heartbeat.mul_f64(2.5);
         if i.swept
             .is_none_or(|t| now.saturating_duration_since(t) >= Duration::from_secs(1))
         {
@@ -110,7 +110,7 @@
         let all = here + peers.iter().map(|p| f64::from(p.1)).sum::<f64>();
         let parts = part(own.0) + peers.iter().map(|p| part(&p.0)).sum::<f64>();
         let due = |member: &str| all * part(member) / parts;
-        if here <= due(own.0) * EXCESS + EXCESS_LEAST || i.sent_away.contains_key(&ip) {
+        if here <= due(own.0) * EXCESS + EXCESS_MIN || i.sent_away.contains_key(&ip) {
             return None;
         }
         let (to, there) = peers
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,8 +3,8 @@
 //! Of the platform's file, unknown fields are ignored and missing or absurd ones refused. Of the
 //! operators' file, everything unknown is refused, with its name and line.
 
-use crate::core::model::{Objective, Params, Site, Team, TeamName, Tuning};
-use crate::core::watermark;
+use crate::core::leadership::cancellation_watermark;
+use crate::core::model::{SchedulerConfig, Slo, Team, TeamName, Tuning, Zone};
 use cypressgap_recovery::settings::RecoverySettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
 
 /// Another controller.
 #[derive(Clone, Debug)]
-pub struct Seed {
+pub struct PeerAddress {
     /// Its name.
     pub member: String,
     /// Where it is reached.
@@ -90,21 +90,21 @@
 /// The state service, its watches, the cloud, the listeners, what we keep open to peers.
 const OWN_SOCKETS: usize = 80;
 /// For workers, users and health checks at least.
-const LEAST_FRONT: usize = 32;
-const LEAST_SOCKETS: usize = 256;
+const MIN_FRONT: usize = 32;
+const MIN_SOCKETS: usize = 256;
 /// A process with its threads and no work takes some 8 MB.
-const LEAST_RAM_MB: f64 = 32.0;
+const MIN_RAM_MB: f64 = 32.0;
 /// A leader renews its lease and watches two prefixes within its part; every node asks for its users.
-const LEAST_RPS: f64 = 10.0;
+const MIN_RPS: f64 = 10.0;
 /// A verdict takes two changes of the leader's part, an acceptance two of a node's.
-const LEAST_WRITE_RPS: f64 = 6.0;
+const MIN_WRITE_RPS: f64 = 6.0;
 /// A job, or 64 tasks' intents, fit into one value.
 /// Values may become this small: a chunk of intents fits.
-const LEAST_NEXT_KB: f64 = 2.0;
-const LEAST_VALUE_KB: f64 = 6.0;
-const LEAST_CLOUD_RPS: f64 = 0.1;
+const MIN_NEXT_KB: f64 = 2.0;
+const MIN_VALUE_KB: f64 = 6.0;
+const MIN_CLOUD_RPS: f64 = 0.1;
 /// Clocks further apart would tell jobs' ages wrongly by more than any aim allows.
-const MOST_SKEW_MS: f64 = 60_000.0;
+const MAX_SKEW_MS: f64 = 60_000.0;
 
 /// Operators' settings outside the core.
 #[derive(Clone, Debug)]
@@ -136,13 +136,13 @@
     /// This node's name.
     pub member: String,
     /// Its zone.
-    pub site: Site,
+    pub zone: Zone,
     /// Where users and workers reach it.
     pub front: SocketAddr,
     /// Where other controllers reach it.
     pub peer_bind: SocketAddr,
     /// The other controllers.
-    pub seeds: Vec<Seed>,
+    pub seeds: Vec<PeerAddress>,
     /// The cloud's interface.
     pub cloud: SocketAddr,
     /// The state service.
@@ -152,7 +152,7 @@
     /// How far the time of day may be from the true one.
     pub skew: Duration,
     /// What the core needs.
-    pub params: Params,
+    pub config: SchedulerConfig,
     /// Requests a second of the state service.
     pub state_rps: f64,
     /// Changes a second of the state service.
@@ -198,7 +198,8 @@
     skew_ms: f64,
     teams: Vec<FileTeam>,
     #[serde(default)]
-    objectives: Vec<FileObjective>,
+    #[serde(rename = "objectives")]
+    slos: Vec<FileObjective>,
     workers: Workers,
     state: State,
     cloud: Cloud,
@@ -273,7 +274,7 @@
         let under_way = self.operations.agents + self.operations.handlers;
         let taken = workers + PEER_SOCKETS + OWN_SOCKETS + under_way;
         Sockets {
-            front: all.saturating_sub(taken).max(LEAST_FRONT),
+            front: all.saturating_sub(taken).max(MIN_FRONT),
             workers,
             peers: PEER_SOCKETS,
         }
@@ -316,7 +317,7 @@
             return Err(bad("member", "is empty"));
         }
         let d = &f.deployment;
-        if !(0.0..=MOST_SKEW_MS).contains(&d.skew_ms) {
+        if !(0.0..=MAX_SKEW_MS).contains(&d.skew_ms) {
             return Err(bad("deployment.skew_ms", "must be from 0 to 60000"));
         }
         if d.count == 0 || d.count > 1000 {
@@ -337,21 +338,13 @@
         };
         let (state, cloud, quota) = (&d.state, &d.cloud, &d.quota);
         let sockets = quota.max_sockets as f64;
-        least(
-            "deployment.quota.max_sockets",
-            sockets,
-            LEAST_SOCKETS as f64,
-        )?;
-        let ram = quota.ram_mb.unwrap_or(LEAST_RAM_MB);
-        least("deployment.quota.ram_mb", ram, LEAST_RAM_MB)?;
-        least("deployment.state.rps", state.rps, LEAST_RPS)?;
-        least(
-            "deployment.state.write_rps",
-            state.write_rps,
-            LEAST_WRITE_RPS,
-        )?;
-        least("deployment.state.value_kb", state.value_kb, LEAST_VALUE_KB)?;
-        least("deployment.cloud.rps", cloud.rps, LEAST_CLOUD_RPS)?;
+        least("deployment.quota.max_sockets", sockets, MIN_SOCKETS as f64)?;
+        let ram = quota.ram_mb.unwrap_or(MIN_RAM_MB);
+        least("deployment.quota.ram_mb", ram, MIN_RAM_MB)?;
+        least("deployment.state.rps", state.rps, MIN_RPS)?;
+        least("deployment.state.write_rps", state.write_rps, MIN_WRITE_RPS)?;
+        least("deployment.state.value_kb", state.value_kb, MIN_VALUE_KB)?;
+        least("deployment.cloud.rps", cloud.rps, MIN_CLOUD_RPS)?;
         // Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
         // next ones hold.
         let mut sizes = (state.value_kb, state.txn_ops);
@@ -361,12 +354,12 @@
                 n.rps.unwrap_or(state.rps),
                 n.write_rps.unwrap_or(state.write_rps),
             );
-            least("deployment.state.next.rps", rps, LEAST_RPS)?;
-            least("deployment.state.next.write_rps", writes, LEAST_WRITE_RPS)?;
+            least("deployment.state.next.rps", rps, MIN_RPS)?;
+            least("deployment.state.next.write_rps", writes, MIN_WRITE_RPS)?;
             positive("deployment.state.next.rps", rps, 1e9)?;
             positive("deployment.state.next.write_rps", writes, 1e9)?;
             let value_kb = n.value_kb.unwrap_or(state.value_kb);
-            least("deployment.state.next.value_kb", value_kb, LEAST_NEXT_KB)?;
+            least("deployment.state.next.value_kb", value_kb, MIN_NEXT_KB)?;
             positive("deployment.state.next.value_kb", value_kb, 1e6)?;
             let ops = n.txn_ops.unwrap_or(state.txn_ops);
             least("deployment.state.next.txn_ops", ops as f64, 4.0)?;
@@ -395,15 +388,15 @@
         }
         let mut seeds = Vec::new();
         for s in &f.seeds {
-            seeds.push(Seed {
+            seeds.push(PeerAddress {
                 member: s.member.clone(),
                 address: address(&format!("seeds address of {}", s.member), &s.address)?,
             });
         }
-        let objectives = d
-            .objectives
+        let slos = d
+            .slos
             .iter()
-            .map(|o| Objective {
+            .map(|o| Slo {
                 kind: o.kind.clone(),
                 class: o.class.clone(),
                 within: o
@@ -420,7 +413,7 @@
         }
         Ok(Settings {
             member: f.member,
-            site: Site(f.domain),
+            zone: Zone(f.domain),
             front: address("front", &f.front)?,
             peer_bind: address("peer_bind", &f.peer_bind)?,
             seeds,
@@ -436,10 +429,10 @@
                 sockets: d.quota.max_sockets,
             },
             operations: Operations::default(),
-            params: Params {
+            config: SchedulerConfig {
                 teams,
-                objectives,
-                report: seconds("deployment.workers.report_s", w.report_s)?,
+                slos,
+                heartbeat: seconds("deployment.workers.report_s", w.report_s)?,
                 lease: seconds("deployment.workers.lease_s", w.lease_s)?,
                 gang_wait: seconds("deployment.workers.gang_wait_s", w.gang_wait_s)?,
                 gang_peer: seconds("deployment.workers.gang_peer_s", w.gang_peer_s)?,
@@ -457,15 +450,15 @@
     /// What can be run with, but not without loss.
     pub fn warnings(&self) -> Vec<String> {
         let mut out = Vec::new();
-        let p = &self.params;
-        if !watermark::patience(p.lease, p.cancel).1 {
+        let p = &self.config;
+        if !cancellation_watermark::patience(p.lease, p.cancel).1 {
             out.push(format!(
                 "deployment.workers.cancel_s: {:.1} is so close to lease_s, {:.1}, that the tasks of a \
                  cancelled job may outlast it by {:.1} s where their leader has lost the state service \
                  and its peers",
                 p.cancel.as_secs_f64(),
                 p.lease.as_secs_f64(),
-                watermark::overshoot(p.lease, p.cancel).as_secs_f64()
+                cancellation_watermark::overshoot(p.lease, p.cancel).as_secs_f64()
             ));
         }
         out
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -4,7 +4,7 @@
 //! unknown or out of range is refused with its name and line.
 
 use super::{
-    read, Operations, Settings, SettingsError, LEAST_FRONT, OWN_SOCKETS, PEER_SOCKETS, WORKERS_PART,
+    read, Operations, Settings, SettingsError, MIN_FRONT, OWN_SOCKETS, PEER_SOCKETS, WORKERS_PART,
 };
 use crate::core::model::Tuning;
 use cypressgap_recovery::segments::NamedSegment;
@@ -85,11 +85,11 @@
         let mut recovery_lines = HashMap::new();
         for item in items {
             if head_of(&item).as_deref() == Some("recovery") {
-                take_recovery(&mut self.params.recovery, &item, &mut recovery_lines)?;
+                take_recovery(&mut self.config.recovery, &item, &mut recovery_lines)?;
             } else {
                 let number = named_number(&item)?;
                 let taken = set(
-                    &mut self.params.tuning,
+                    &mut self.config.tuning,
                     &mut self.operations,
                     number.0,
                     number.1,
@@ -103,7 +103,7 @@
 
     fn check_sockets(&self) -> Result<(), Problem> {
         let threads = self.operations.agents + self.operations.handlers;
-        let own = PEER_SOCKETS + OWN_SOCKETS + threads + LEAST_FRONT;
+        let own = PEER_SOCKETS + OWN_SOCKETS + threads + MIN_FRONT;
         let all = self.quota.sockets;
         if all / WORKERS_PART + own <= all {
             return Ok(());
@@ -115,10 +115,10 @@
     /// What the settings of a takeover come to together, and with the deployment's.
     fn check_recovery(&self, lines: &HashMap<SettingName, usize>) -> Result<(), Problem> {
         let deployment = Deployment {
-            cancel: self.params.cancel,
-            machines: self.params.tuning.max_hosts,
+            cancel: self.config.cancel,
+            machines: self.config.tuning.max_machines,
         };
-        let Err(unusable) = self.params.recovery.validate(deployment) else {
+        let Err(unusable) = self.config.recovery.validate(deployment) else {
             return Ok(());
         };
         let name = match &unusable.setting {
@@ -174,7 +174,7 @@
         "idle-ordinary-s" => t.idle_ordinary = number.seconds(0.0, 86_400.0)?,
         "max-live-jobs" => t.max_live_jobs = number.whole(1.0, 1e6)?,
         "headroom-jobs" => t.headroom_jobs = number.within(0.0, 100.0)?,
-        "max-hosts" => t.max_hosts = number.whole(1.0, 1e5)?,
+        "max-hosts" => t.max_machines = number.whole(1.0, 1e5)?,
         "leader-lease-s" => o.leader_lease = number.seconds(1.0, 600.0)?,
         "handlers" => o.handlers = number.whole(2.0, 256.0)?,
         "agents" => o.agents = number.whole(1.0, 64.0)?,
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -9,8 +9,8 @@
 
 use common::peaks::peak;
 use common::{secs, team};
-use cypressgap::core::model::Params;
-use simulation::{tight_params, Simulation, Troubles};
+use cypressgap::core::model::SchedulerConfig;
+use simulation::{tight_config, Simulation, Troubles};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -21,8 +21,8 @@
     Duration::from_millis(n)
 }
 
-fn paced(fleet: f64, segment: f64) -> Params {
-    let mut p = tight_params();
+fn paced(fleet: f64, segment: f64) -> SchedulerConfig {
+    let mut p = tight_config();
     p.lease = secs(LEASE);
     p.recovery.orders_per_second = Some(fleet);
     p.recovery.segment_orders_per_second = Some(segment);
@@ -118,8 +118,8 @@
 }
 
 fn worker_segment(address: std::net::SocketAddr) -> String {
-    let params = paced(1.0, 1.0);
-    let map = cypressgap_recovery::segments::SegmentMap::new(&[], params.recovery.prefixes);
+    let config = paced(1.0, 1.0);
+    let map = cypressgap_recovery::segments::SegmentMap::new(&[], config.recovery.prefixes);
     map.of(address.ip()).to_string()
 }
 
@@ -132,7 +132,7 @@
     for (seed, outage) in [(1, secs(5)), (2, secs(60))] {
         let mut p = paced(FLEET, SEGMENT);
         p.teams = vec![team("red", 2000.0, 2000.0)];
-        p.tuning.max_hosts = 100;
+        p.tuning.max_machines = 100;
         let mut s = Simulation::with(seed, 100, Troubles::none(), p);
         s.submits = false;
         s.run = Some(secs(12));
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -1,9 +1,9 @@
 //! The state service's keys, as the core's transactions change them.
 
 use super::World;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::ledger::{dependents_key, live_key, BatchOutcome, Op};
 use cypressgap::core::model::JobSpec;
+use cypressgap::core::persistence::ledger::{dependents_key, live_key, BatchOutcome, Op};
+use cypressgap::core::state::cluster_state::Action;
 use std::collections::BTreeSet;
 
 /// The keys that the state service holds of jobs, as the leader's transactions change them.
@@ -15,9 +15,10 @@
 
 impl Keys {
     pub fn accept(&mut self, w: &mut World, spec: JobSpec) {
-        self.all.insert(live_key(&spec.uid));
+        self.all.insert(live_key(&spec.job_id));
         if spec.listed {
-            self.all.extend(spec.needs.iter().map(dependents_key));
+            self.all
+                .extend(spec.dependencies.iter().map(dependents_key));
         }
         w.job(spec);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,38 +4,38 @@
 pub mod keys;
 pub mod peaks;
 
-use cypressgap::core::cluster::{Action, Answer, Cluster};
-use cypressgap::core::ledger::{Batch, BatchOutcome};
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
 use cypressgap_recovery::settings::RecoverySettings;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
 pub const TERM: Term = Term(3);
-pub const STAMP: u64 = 50;
+pub const REVISION: u64 = 50;
 
 pub fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
 }
 
-pub fn need(cpus: f64) -> Need {
-    Need {
+pub fn resources(cpus: f64) -> Resources {
+    Resources {
         cpus,
         gpus: 0.0,
         memory: cpus,
     }
 }
 
-pub fn host_type(name: &str, cpus: f64) -> HostType {
-    HostType {
+pub fn machine_type(name: &str, cpus: f64) -> MachineType {
+    MachineType {
         name: name.into(),
-        room: need(cpus),
+        room: resources(cpus),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
         hourly: 4.0,
         low_price: 1.0,
         boot: secs(30),
-        sites: vec!["a".into(), "b".into()],
+        zones: vec!["a".into(), "b".into()],
     }
 }
 
@@ -49,19 +49,19 @@
     }
 }
 
-pub fn params() -> Params {
-    Params {
+pub fn config() -> SchedulerConfig {
+    SchedulerConfig {
         teams: vec![
             team("red", 8.0, 32.0),
             team("blue", 8.0, 32.0),
             team("grey", 0.0, 32.0),
         ],
-        objectives: vec![Objective {
+        slos: vec![Slo {
             kind: "wait".into(),
             class: Some("quick".into()),
             within: Some(secs(5)),
         }],
-        report: secs(3),
+        heartbeat: secs(3),
         lease: secs(30),
         gang_wait: secs(40),
         gang_peer: secs(5),
@@ -74,27 +74,27 @@
     }
 }
 
-pub fn spec(uid: &str, shards: u32, cpus: f64) -> JobSpec {
+pub fn spec(job_id: &str, task_count: u32, cpus: f64) -> JobSpec {
     JobSpec {
-        uid: uid.into(),
+        job_id: job_id.into(),
         class: "plain".into(),
-        owner: "red".into(),
+        team: "red".into(),
         kind: JobKind::Batch,
-        urgency: Urgency::Standard,
-        shards,
-        need: need(cpus),
-        host_types: None,
-        site: None,
+        priority: Priority::Standard,
+        task_count,
+        resources: resources(cpus),
+        machine_types: None,
+        zone: None,
         same_place: false,
         spread: false,
-        preemptible: true,
+        allows_spot: true,
         image: "img-1".into(),
         image_gb: 2.0,
         expected: secs(60),
-        snapshot_every: secs(20),
-        snapshot: secs(4),
+        checkpoint_interval: secs(20),
+        checkpoint_duration: secs(4),
         due: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
         listed: false,
         accepted_ms: 0,
     }
@@ -102,20 +102,20 @@
 
 /// A cluster with a simulated clock and a worker's view of one or more hosts.
 pub struct World {
-    pub c: Cluster,
+    pub c: ClusterState,
     pub now: Instant,
     pub revision: u64,
 }
 
 impl World {
     pub fn new() -> World {
-        World::with(params(), vec![host_type("m8", 8.0)])
+        World::with(config(), vec![machine_type("m8", 8.0)])
     }
 
-    pub fn with(params: Params, types: Vec<HostType>) -> World {
+    pub fn with(config: SchedulerConfig, types: Vec<MachineType>) -> World {
         let now = Instant::now();
         World {
-            c: Cluster::new(params, TERM, STAMP, types, now, 0),
+            c: ClusterState::new(config, TERM, REVISION, types, now, 0),
             now,
             revision: 100,
         }
@@ -138,22 +138,22 @@
         self.c.on_job(spec, self.revision);
     }
 
-    pub fn report(
-        host: &str,
-        tenure: u64,
+    pub fn heartbeat_from(
+        machine: &str,
+        incarnation: u64,
         serial: u64,
-        epoch: u64,
-        tasks: Vec<TaskReport>,
-    ) -> Report {
-        Report {
-            host: host.into(),
+        token: u64,
+        tasks: Vec<TaskStatus>,
+    ) -> Heartbeat {
+        Heartbeat {
+            machine: machine.into(),
             endpoint: "127.0.0.1:9".into(),
-            host_type: "m8".into(),
-            site: "a".into(),
+            machine_type: "m8".into(),
+            zone: "a".into(),
             spot: false,
-            tenure,
+            incarnation,
             serial,
-            epoch: Epoch(epoch),
+            token: FencingToken(token),
             eviction: None,
             tasks,
         }
@@ -162,18 +162,18 @@
     /// A report at the current token, as a heartbeat: answers have reached the worker.
     pub fn heartbeat(
         &mut self,
-        host: &str,
+        machine: &str,
         serial: u64,
-        tasks: Vec<TaskReport>,
-    ) -> (Epoch, Vec<Directive>) {
-        let epoch = self
+        tasks: Vec<TaskStatus>,
+    ) -> (FencingToken, Vec<TaskCommand>) {
+        let token = self
             .c
-            .hosts
-            .get(&HostId::from(host))
-            .map_or(Epoch::first(self.c.term).0, |h| h.epoch.0);
-        let r = World::report(host, 1, serial, epoch, tasks);
-        match self.c.on_report(self.now, r, true) {
-            Answer::Accept { epoch, directives } => (epoch, directives),
+            .machines
+            .get(&MachineId::from(machine))
+            .map_or(FencingToken::first(self.c.term).0, |h| h.token.0);
+        let r = World::heartbeat_from(machine, 1, serial, token, tasks);
+        match self.c.on_heartbeat(self.now, r, true) {
+            HeartbeatDecision::Accept { token, commands } => (token, commands),
             other => panic!("report refused: {other:?}"),
         }
     }
@@ -193,8 +193,8 @@
                     }
                     other => {
                         // The worker's answer is lost; what it shows comes by its reports.
-                        if let Action::Send { host, .. } = &other {
-                            self.c.on_sent(self.now, host, None);
+                        if let Action::Send { machine, .. } = &other {
+                            self.c.on_sent(self.now, machine, None);
                         }
                         out.push(other);
                     }
@@ -217,37 +217,39 @@
         None
     }
 
-    pub fn active(&self, uid: &str, index: u32) -> Option<(HostId, Attempt)> {
-        let job = self.c.jobs.get(&Uid::from(uid))?;
-        job.active.get(&index).map(|a| (a.host.clone(), a.attempt))
+    pub fn active(&self, job_id: &str, index: u32) -> Option<(MachineId, AttemptId)> {
+        let job = self.c.jobs.get(&JobId::from(job_id))?;
+        job.active
+            .get(&index)
+            .map(|a| (a.machine.clone(), a.attempt))
     }
 }
 
-pub fn task(uid: &str, index: u32) -> TaskId {
+pub fn task(job_id: &str, index: u32) -> TaskId {
     TaskId {
-        uid: uid.into(),
+        job_id: job_id.into(),
         index,
     }
 }
 
-pub fn shown(uid: &str, index: u32, attempt: Attempt, phase: TaskPhase) -> TaskReport {
-    TaskReport {
-        task: task(uid, index),
+pub fn shown(job_id: &str, index: u32, attempt: AttemptId, phase: TaskPhase) -> TaskStatus {
+    TaskStatus {
+        task: task(job_id, index),
         attempt,
         phase,
     }
 }
 
-pub fn launches(actions: &[Action]) -> Vec<(HostId, TaskId, Attempt)> {
+pub fn launches(actions: &[Action]) -> Vec<(MachineId, TaskId, AttemptId)> {
     let mut out = Vec::new();
     for a in actions {
         if let Action::Send {
-            host, directives, ..
+            machine, commands, ..
         } = a
         {
-            for d in directives {
-                if let Directive::Launch { task, attempt } = d {
-                    out.push((host.clone(), task.clone(), *attempt));
+            for d in commands {
+                if let TaskCommand::Launch { task, attempt } = d {
+                    out.push((machine.clone(), task.clone(), *attempt));
                 }
             }
         }
@@ -259,22 +261,22 @@
 pub struct Fleet {
     pub w: World,
     pub serial: u64,
-    pub on: BTreeMap<HostId, Vec<(TaskId, Attempt, Instant)>>,
-    pub begun: HashMap<Uid, Instant>,
-    pub done: HashMap<Uid, u32>,
+    pub on: BTreeMap<MachineId, Vec<(TaskId, AttemptId, Instant)>>,
+    pub begun: HashMap<JobId, Instant>,
+    pub done: HashMap<JobId, u32>,
     /// Jobs that fail everywhere, and machines that fail everything.
-    pub broken: Vec<Uid>,
-    pub faulty: Vec<HostId>,
-    pub launched: HashMap<Uid, u32>,
+    pub broken: Vec<JobId>,
+    pub faulty: Vec<MachineId>,
+    pub launched: HashMap<JobId, u32>,
     pub rented: u32,
 }
 
 impl Fleet {
-    pub fn new(p: Params, hosts: usize, cpus: f64) -> Fleet {
-        let mut w = World::with(p, vec![host_type("m8", cpus)]);
-        w.c.params.tuning.max_hosts = hosts;
-        w.c.params.tuning.idle_ordinary = secs(100_000);
-        let on = (0..hosts).map(|n| (HostId(format!("i-{n:02}")), vec![]));
+    pub fn new(p: SchedulerConfig, machines: usize, cpus: f64) -> Fleet {
+        let mut w = World::with(p, vec![machine_type("m8", cpus)]);
+        w.c.config.tuning.max_machines = machines;
+        w.c.config.tuning.idle_ordinary = secs(100_000);
+        let on = (0..machines).map(|n| (MachineId(format!("i-{n:02}")), vec![]));
         Fleet {
             w,
             serial: 0,
@@ -289,39 +291,39 @@
     }
 
     /// One second: all report, finished tasks end, what is launched starts.
-    pub fn second(&mut self, runs: impl Fn(&Uid) -> Duration) {
+    pub fn second(&mut self, runs: impl Fn(&JobId) -> Duration) {
         self.serial += 1;
         let now = self.w.now;
         for (h, tasks) in &mut self.on {
             let listed = tasks
                 .iter()
                 .map(|(t, a, since)| {
-                    let over = now - *since >= runs(&t.uid);
-                    let fails = self.broken.contains(&t.uid) || self.faulty.contains(h);
+                    let over = now - *since >= runs(&t.job_id);
+                    let fails = self.broken.contains(&t.job_id) || self.faulty.contains(h);
                     let phase = if fails {
-                        TaskPhase::Ended(Exit::Error)
+                        TaskPhase::Ended(ExitReason::Failed)
                     } else if over {
-                        TaskPhase::Ended(Exit::Done)
+                        TaskPhase::Ended(ExitReason::Completed)
                     } else {
                         TaskPhase::Running
                     };
-                    shown(&t.uid.0, t.index, *a, phase)
+                    shown(&t.job_id.0, t.index, *a, phase)
                 })
                 .collect();
-            let (_, directives) = self.w.heartbeat(&h.0, self.serial, listed);
-            for d in directives {
+            let (_, commands) = self.w.heartbeat(&h.0, self.serial, listed);
+            for d in commands {
                 match d {
-                    Directive::Launch { task, attempt } => {
-                        self.begun.entry(task.uid.clone()).or_insert(now);
-                        *self.launched.entry(task.uid.clone()).or_default() += 1;
+                    TaskCommand::Launch { task, attempt } => {
+                        self.begun.entry(task.job_id.clone()).or_insert(now);
+                        *self.launched.entry(task.job_id.clone()).or_default() += 1;
                         tasks.push((task, attempt, now));
                     }
-                    Directive::Kill { task, attempt, .. } => {
+                    TaskCommand::Kill { task, attempt, .. } => {
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt))
                     }
-                    Directive::Forget { task, attempt } => {
-                        if !self.broken.contains(&task.uid) && !self.faulty.contains(h) {
-                            *self.done.entry(task.uid.clone()).or_default() += 1;
+                    TaskCommand::Forget { task, attempt } => {
+                        if !self.broken.contains(&task.job_id) && !self.faulty.contains(h) {
+                            *self.done.entry(task.job_id.clone()).or_default() += 1;
                         }
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt));
                     }
@@ -340,15 +342,15 @@
                         self.w.c.on_batch(now, BatchOutcome::Applied { revision });
                     }
                     // Commands come with the reports' answers, a second later at most.
-                    Action::Send { host, .. } => {
-                        self.w.c.on_sent(self.w.now, &host, None);
+                    Action::Send { machine, .. } => {
+                        self.w.c.on_sent(self.w.now, &machine, None);
                     }
                     Action::Rent { .. } => self.rented += 1,
-                    Action::Return { hosts } => {
-                        for h in &hosts {
+                    Action::Return { machines } => {
+                        for h in &machines {
                             self.on.remove(h);
                         }
-                        self.w.c.on_returned(self.w.now, &hosts);
+                        self.w.c.on_returned(self.w.now, &machines);
                     }
                     _ => {}
                 }
