--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -3,52 +3,56 @@
 mod common;
 
 use common::*;
+use cypressgap::common::metrics::LatencyMeter;
+use cypressgap::common::rate_limit::{Bucket, Demand, RequestClass};
 use cypressgap::core::admission::{check, Refusal};
-use cypressgap::core::capacity::Rented;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::history::History;
-use cypressgap::core::leadership::{LeaderRecord, Leadership, Role, Step};
+use cypressgap::core::capacity::RentalOutcome;
+use cypressgap::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use cypressgap::core::model::*;
 use cypressgap::core::placement::contested;
+use cypressgap::core::placement::history::History;
+use cypressgap::core::state::cluster_state::Action;
 use cypressgap::net::store_budget::Budgets;
-use cypressgap::runtime::budget::{Bucket, Demand, Rank};
-use cypressgap::runtime::metrics::Meter;
-use cypressgap::runtime::view::{PeerStatus, View};
+use cypressgap::runtime::node_view::{NodeView, PeerStatus};
 use std::time::{Duration, Instant};
 
 type Edit = fn(&mut JobSpec);
 
 #[test]
 fn admission_cases() {
-    let types = [host_type("m8", 8.0)];
+    let types = [machine_type("m8", 8.0)];
     let cases: [(&str, Edit, Result<(), Refusal>); 8] = [
         ("fits", |_| {}, Ok(())),
         (
             "unknown team",
-            |s| s.owner = "green".into(),
+            |s| s.team = "green".into(),
             Err(Refusal::UnknownTeam),
         ),
-        ("too large", |s| s.need = need(9.0), Err(Refusal::NoType)),
+        (
+            "too large",
+            |s| s.resources = resources(9.0),
+            Err(Refusal::NoType),
+        ),
         (
             "no such type",
-            |s| s.host_types = Some(vec!["g8".into()]),
+            |s| s.machine_types = Some(vec!["g8".into()]),
             Err(Refusal::NoType),
         ),
         (
             "no such zone",
-            |s| s.site = Some("z".into()),
+            |s| s.zone = Some("z".into()),
             Err(Refusal::NoType),
         ),
         (
             "an array over the limit as a whole",
-            |s| s.shards = 90,
+            |s| s.task_count = 90,
             Ok(()),
         ),
         (
             "a gang over the limit",
             |s| {
                 s.kind = JobKind::Gang;
-                s.shards = 9;
+                s.task_count = 9;
             },
             Err(Refusal::OverLimit),
         ),
@@ -56,7 +60,7 @@
             "a gang at the limit",
             |s| {
                 s.kind = JobKind::Gang;
-                s.shards = 8;
+                s.task_count = 8;
             },
             Ok(()),
         ),
@@ -64,7 +68,7 @@
     for (name, edit, expected) in cases {
         let mut s = spec("wk-000001", 2, 4.0);
         edit(&mut s);
-        assert_eq!(check(&s, &params().teams, &types), expected, "{name}");
+        assert_eq!(check(&s, &config().teams, &types), expected, "{name}");
     }
 }
 
@@ -73,14 +77,14 @@
     // The host offered is an ordinary m8 in zone a.
     let cases: [(&str, Edit, usize); 6] = [
         ("anything", |_| {}, 2),
-        ("type", |s| s.host_types = Some(vec!["m9".into()]), 0),
-        ("zone", |s| s.site = Some("b".into()), 0),
+        ("type", |s| s.machine_types = Some(vec!["m9".into()]), 0),
+        ("zone", |s| s.zone = Some("b".into()), 0),
         ("spread: half of two", |s| s.spread = true, 1),
         (
             "spread: one of one",
             |s| {
                 s.spread = true;
-                s.shards = 1;
+                s.task_count = 1;
             },
             1,
         ),
@@ -95,17 +99,17 @@
         assert_eq!(launches(&w.settle()).len(), expected, "{name}");
     }
     // Spot machines only for those that allow them; one zone once a task has chosen it.
-    for (preemptible, same_place, expected) in
+    for (allows_spot, same_place, expected) in
         [(true, false, 3), (false, false, 1), (true, true, 1)]
     {
         let mut w = World::new();
         w.heartbeat("i-1", 1, vec![]);
-        let mut r = World::report("i-2", 1, 1, Epoch::first(TERM).0, vec![]);
+        let mut r = World::heartbeat_from("i-2", 1, 1, FencingToken::first(TERM).0, vec![]);
         r.spot = true;
-        r.site = "b".into();
-        w.c.on_report(w.now, r, true);
+        r.zone = "b".into();
+        w.c.on_heartbeat(w.now, r, true);
         let mut s = spec("wk-000001", 3, 4.0);
-        s.preemptible = preemptible;
+        s.allows_spot = allows_spot;
         s.same_place = same_place;
         w.job(s);
         let sent = launches(&w.settle());
@@ -113,7 +117,7 @@
             assert!(sent.windows(2).all(|p| p[0].0 == p[1].0));
         } else {
             let ordinary = sent.iter().filter(|l| l.0 == "i-1".into()).count();
-            assert_eq!(sent.len() - ordinary > 0, preemptible);
+            assert_eq!(sent.len() - ordinary > 0, allows_spot);
             assert!(sent.len() >= expected.min(2), "{}", sent.len());
         }
     }
@@ -121,7 +125,7 @@
 
 #[test]
 fn the_teams_limit_counts_doubtful_tasks() {
-    let mut w = World::with(params(), vec![host_type("m8", 64.0)]);
+    let mut w = World::with(config(), vec![machine_type("m8", 64.0)]);
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 20, 4.0));
     // 32 CPUs at most: eight tasks, whatever else is free.
@@ -169,10 +173,10 @@
         w.heartbeat("i-1", 3, running());
         w.heartbeat("i-2", 1, vec![]);
         for _ in 0..4 {
-            let h = w.c.hosts.get_mut(&HostId::from("i-1")).unwrap();
+            let h = w.c.machines.get_mut(&MachineId::from("i-1")).unwrap();
             h.slowness.add(slowness);
         }
-        let h = w.c.hosts.get_mut(&HostId::from("i-2")).unwrap();
+        let h = w.c.machines.get_mut(&MachineId::from("i-2")).unwrap();
         h.images.push_back((ImageKey::of("img-1"), 2.0));
         w.job(spec("wk-000002", 1, 4.0));
         let sent = launches(&w.settle());
@@ -189,7 +193,7 @@
         w.heartbeat("i-1", 1, vec![]);
         w.heartbeat("i-2", 1, vec![]);
         let mut soon = spec("wk-000001", 1, 8.0);
-        soon.urgency = Urgency::High;
+        soon.priority = Priority::High;
         soon.expected = secs(50);
         w.job(soon);
         let one = launches(&w.settle())[0].clone();
@@ -201,9 +205,9 @@
         assert_ne!(one.0, two.0);
         let mut serial = 5;
         let mut run = |w: &mut World| {
-            for (host, t, a) in [&one, &two] {
-                let running = vec![shown(&t.uid.0, 0, *a, TaskPhase::Running)];
-                w.heartbeat(&host.0, serial, running);
+            for (machine, t, a) in [&one, &two] {
+                let running = vec![shown(&t.job_id.0, 0, *a, TaskPhase::Running)];
+                w.heartbeat(&machine.0, serial, running);
             }
             serial += 1;
         };
@@ -211,22 +215,24 @@
         w.pass(secs(43));
         run(&mut w);
         let mut claimant = spec("wk-000003", 1, 8.0);
-        claimant.urgency = Urgency::High;
+        claimant.priority = Priority::High;
         claimant.image_gb = gb;
         claimant.expected = secs(10);
         w.job(claimant);
         w.settle();
-        let kill = w.c.jobs[&Uid::from("wk-000002")].active[&0].kill.is_some();
+        let kill = w.c.jobs[&JobId::from("wk-000002")].active[&0]
+            .kill
+            .is_some();
         assert_eq!(kill, stopped, "{gb}");
     }
 }
 
 #[test]
-fn a_slow_host_loses_its_draw() {
+fn a_slow_machine_loses_its_draw() {
     let mut w = World::new();
-    for (n, host) in ["i-1", "i-2"].iter().enumerate() {
-        w.heartbeat(host, 1, vec![]);
-        let h = w.c.hosts.get_mut(&HostId::from(*host)).unwrap();
+    for (n, machine) in ["i-1", "i-2"].iter().enumerate() {
+        w.heartbeat(machine, 1, vec![]);
+        let h = w.c.machines.get_mut(&MachineId::from(*machine)).unwrap();
         h.images.push_back((ImageKey::of("img-1"), 2.0));
         for _ in 0..4 {
             h.slowness.add(if n == 0 { 1.5 } else { 0.0 });
@@ -241,17 +247,17 @@
     // Two jobs compete for one place; the second to arrive wins only with the stated edge.
     let cases: [(&str, Edit, Edit, bool); 4] = [
         ("arrival", |_| {}, |_| {}, false),
-        ("urgency", |_| {}, |s| s.urgency = Urgency::High, true),
+        ("urgency", |_| {}, |s| s.priority = Priority::High, true),
         (
             "a guarantee",
-            |s| s.shards = 3,
-            |s| s.owner = "blue".into(),
+            |s| s.task_count = 3,
+            |s| s.team = "blue".into(),
             true,
         ),
         (
             "the other is late beyond help",
             |s| {
-                s.shards = 3;
+                s.task_count = 3;
                 s.due = Some(secs(30));
             },
             |s| s.due = Some(secs(500)),
@@ -269,7 +275,7 @@
         w.heartbeat("i-1", 1, vec![]);
         let sent = launches(&w.settle());
         assert_eq!(sent.len(), 1, "{name}");
-        assert_eq!(sent[0].1.uid == "wk-000002".into(), wins, "{name}");
+        assert_eq!(sent[0].1.job_id == "wk-000002".into(), wins, "{name}");
     }
 }
 
@@ -279,17 +285,17 @@
     // every round. Of the borrowed job only its turn, an eighth, goes first.
     let mut w = World::new();
     let mut s = spec("wk-000001", 8, 8.0);
-    s.owner = "grey".into();
+    s.team = "grey".into();
     w.job(s);
     w.pass(secs(200));
     let mut s = spec("wk-000002", 1, 8.0);
-    s.owner = "blue".into();
+    s.team = "blue".into();
     s.accepted_ms = 200_000;
     w.job(s);
     w.heartbeat("i-1", 1, vec![]);
     w.heartbeat("i-2", 1, vec![]);
     let sent = launches(&w.settle());
-    let of = |uid: &str| sent.iter().filter(|l| l.1.uid == uid.into()).count();
+    let of = |job_id: &str| sent.iter().filter(|l| l.1.job_id == job_id.into()).count();
     assert_eq!((of("wk-000001"), of("wk-000002")), (1, 1));
 }
 
@@ -297,19 +303,19 @@
 fn small_jobs_go_first_while_jobs_with_deadlines_are_late() {
     // Whether the late job has a deadline of its own -> the small one of two overtakes.
     for (deadline, overtakes) in [(true, true), (false, false)] {
-        let mut p = params();
-        p.objectives.push(Objective {
+        let mut p = config();
+        p.slos.push(Slo {
             kind: "finished".into(),
             class: Some("slow".into()),
             within: Some(secs(30)),
         });
-        let mut w = World::with(p, vec![host_type("m8", 8.0)]);
+        let mut w = World::with(p, vec![machine_type("m8", 8.0)]);
         let mut late = spec("wk-000001", 3, 8.0);
         late.class = "slow".into();
         late.due = deadline.then_some(secs(30));
         w.job(late);
-        for (uid, expected) in [("wk-000002", 100), ("wk-000003", 10)] {
-            let mut s = spec(uid, 1, 8.0);
+        for (job_id, expected) in [("wk-000002", 100), ("wk-000003", 10)] {
+            let mut s = spec(job_id, 1, 8.0);
             s.expected = secs(expected);
             s.due = Some(secs(900));
             w.job(s);
@@ -317,15 +323,15 @@
         w.heartbeat("i-1", 1, vec![]);
         let sent = launches(&w.settle());
         let first = if overtakes { "wk-000003" } else { "wk-000002" };
-        assert_eq!(sent[0].1.uid, first.into(), "deadline {deadline}");
+        assert_eq!(sent[0].1.job_id, first.into(), "deadline {deadline}");
     }
 }
 
 #[test]
 fn who_is_stopped_for_whom() {
     // Seconds that the victim ran, edits of the victim and of the claimant -> stopped.
-    let high: Edit = |s| s.urgency = Urgency::High;
-    let blue: Edit = |s| s.owner = "blue".into();
+    let high: Edit = |s| s.priority = Priority::High;
+    let blue: Edit = |s| s.team = "blue".into();
     let cases: [(&str, u64, Edit, Edit, bool); 6] = [
         ("higher urgency", 40, |_| {}, high, true),
         ("same urgency", 40, |_| {}, |_| {}, false),
@@ -339,7 +345,7 @@
         (
             "a guarantee against borrowed room",
             40,
-            |s| s.owner = "grey".into(),
+            |s| s.team = "grey".into(),
             blue,
             true,
         ),
@@ -361,7 +367,9 @@
         claimant(&mut s);
         w.job(s);
         w.settle();
-        let kill = w.c.jobs[&Uid::from("wk-000001")].active[&0].kill.is_some();
+        let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0]
+            .kill
+            .is_some();
         assert_eq!(kill, stopped, "{name}");
     }
 }
@@ -380,61 +388,85 @@
     assert!(sent.iter().all(|l| l.2 == sent[0].2));
     let on = |h: &str| sent.iter().filter(|l| l.0 == h.into()).collect::<Vec<_>>();
     let ended = |exit| {
-        move |l: &&(HostId, TaskId, Attempt)| {
+        move |l: &&(MachineId, TaskId, AttemptId)| {
             shown("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
         }
     };
     // One lost member ends the attempt: the others are stopped, and only then it starts anew.
-    w.heartbeat("i-2", 2, on("i-2").iter().map(ended(Exit::Peers)).collect());
-    let job = &w.c.jobs[&Uid::from("wk-000001")];
+    w.heartbeat(
+        "i-2",
+        2,
+        on("i-2")
+            .iter()
+            .map(ended(ExitReason::GangMemberEnded))
+            .collect(),
+    );
+    let job = &w.c.jobs[&JobId::from("wk-000001")];
     assert!(job.active.values().all(|a| a.kill.is_some()));
-    w.heartbeat("i-1", 2, on("i-1").iter().map(ended(Exit::Peers)).collect());
+    w.heartbeat(
+        "i-1",
+        2,
+        on("i-1")
+            .iter()
+            .map(ended(ExitReason::GangMemberEnded))
+            .collect(),
+    );
     let again = launches(&w.settle());
     assert_eq!(again.len(), 3);
     assert_ne!(again[0].2, sent[0].2);
     // All are done when one is, counted once each.
     let done: Vec<_> = again.iter().filter(|l| l.0 == "i-1".into()).collect();
-    w.heartbeat("i-1", 3, done.iter().map(ended(Exit::Done)).collect());
-    assert_eq!(w.c.jobs[&Uid::from("wk-000001")].done_count, 3);
+    w.heartbeat(
+        "i-1",
+        3,
+        done.iter().map(ended(ExitReason::Completed)).collect(),
+    );
+    assert_eq!(w.c.jobs[&JobId::from("wk-000001")].done_count, 3);
 }
 
 #[test]
 fn small_tasks_make_way_only_for_far_larger_ones_that_fit() {
-    let large = host_type("m64", 64.0);
-    let small = host_type("m8", 8.0);
+    let large = machine_type("m64", 64.0);
+    let small = machine_type("m8", 8.0);
     let cases = [
         ("nothing waits", vec![], 2.0, &large, false),
         (
             "a far larger task waits",
-            vec![need(16.0)],
+            vec![resources(16.0)],
             2.0,
             &large,
             true,
         ),
         (
             "it does not fit there",
-            vec![need(16.0)],
+            vec![resources(16.0)],
             2.0,
             &small,
             false,
         ),
-        ("it is not far larger", vec![need(4.0)], 2.0, &large, false),
+        (
+            "it is not far larger",
+            vec![resources(4.0)],
+            2.0,
+            &large,
+            false,
+        ),
     ];
     for (name, waiting, cpus, t, expected) in cases {
-        assert_eq!(contested(&waiting, &need(cpus), t), expected, "{name}");
+        assert_eq!(contested(&waiting, &resources(cpus), t), expected, "{name}");
     }
     // With room on both kinds, the small task leaves the large machine alone while one waits.
-    let mut unlimited = params();
+    let mut unlimited = config();
     unlimited.teams[0].cpus_max = None;
     let mut w = World::with(unlimited, vec![small, large]);
-    let mut r = World::report("i-1", 1, 1, Epoch::first(TERM).0, vec![]);
-    r.host_type = "m64".into();
-    w.c.on_report(w.now, r, true);
+    let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
+    r.machine_type = "m64".into();
+    w.c.on_heartbeat(w.now, r, true);
     w.job(spec("wk-000001", 3, 24.0));
     assert_eq!(launches(&w.settle()).len(), 2, "the third waits");
     w.heartbeat("i-2", 1, vec![]);
     let mut s = spec("wk-000002", 1, 2.0);
-    s.owner = "blue".into();
+    s.team = "blue".into();
     w.job(s);
     assert_eq!(launches(&w.settle())[0].0, "i-2".into());
 }
@@ -454,7 +486,7 @@
     for (name, failing, peer, healthy) in cases {
         let start = Instant::now();
         let now = start + secs(100);
-        let view = View::new(start);
+        let view = NodeView::new(start);
         view.store_answered(true, start);
         if let Some(s) = failing {
             view.store_answered(false, now - secs(s));
@@ -465,7 +497,7 @@
                 store_ok: ok,
                 workers: 0,
                 demand: Demand::default(),
-                strain: secs(0),
+                timer_lag: secs(0),
             };
             view.peer_said("worker-1", word);
         }
@@ -479,11 +511,11 @@
 fn rentals(actions: &[Action]) -> Vec<(String, bool, u32)> {
     let rent = |a: &Action| match a {
         Action::Rent {
-            claim,
+            idempotency_key,
             spot,
             number,
             ..
-        } => Some((claim.clone(), *spot, *number)),
+        } => Some((idempotency_key.clone(), *spot, *number)),
         _ => None,
     };
     actions.iter().filter_map(rent).collect()
@@ -506,11 +538,11 @@
     assert!(first.iter().all(|r| r.1), "spot is cheaper and allowed");
     assert!(first.iter().all(|r| r.0.starts_with("t3-")), "{first:?}");
     assert_eq!(rentals(&w.settle()), vec![], "asked for already");
-    let names: Vec<HostId> = vec!["i-8".into(), "i-9".into()];
+    let names: Vec<MachineId> = vec!["i-8".into(), "i-9".into()];
     let mut left = names.clone();
-    for (claim, _, n) in &first {
+    for (idempotency_key, _, n) in &first {
         let given = left.split_off(left.len() - *n as usize);
-        w.c.on_rented(w.now, claim, Rented::Hosts(given));
+        w.c.on_rented(w.now, idempotency_key, RentalOutcome::Machines(given));
     }
     assert_eq!(rentals(&w.settle()), vec![], "coming up");
 }
@@ -518,7 +550,7 @@
 /// Guards against ordinary machines at several times the price for work that is meant to run when idle.
 #[test]
 fn dear_machines_are_not_for_idle_work() {
-    for (urgency, expensive) in [(Urgency::Idle, false), (Urgency::Standard, true)] {
+    for (priority, expensive) in [(Priority::Idle, false), (Priority::Standard, true)] {
         let mut w = renting();
         w.heartbeat("i-1", 1, vec![]);
         let mut long = spec("wk-000001", 1, 8.0);
@@ -527,38 +559,38 @@
         let first = w.settle();
         let (_, t, a) = launches(&first)[0].clone();
         // Asked for while the machine had not reported: the cloud has none.
-        for (claim, ..) in rentals(&first) {
-            w.c.on_rented(w.now, &claim, Rented::NoCapacity);
+        for (idempotency_key, ..) in rentals(&first) {
+            w.c.on_rented(w.now, &idempotency_key, RentalOutcome::NoCapacity);
         }
         let mut waits = spec("wk-000002", 1, 8.0);
-        waits.urgency = urgency;
+        waits.priority = priority;
         w.job(waits);
         let mut asked = Vec::new();
         for n in 0..80 {
-            let running = shown(&t.uid.0, t.index, a, TaskPhase::Running);
+            let running = shown(&t.job_id.0, t.index, a, TaskPhase::Running);
             w.heartbeat("i-1", n + 2, vec![running]);
-            for (claim, spot, _) in rentals(&w.settle()) {
+            for (idempotency_key, spot, _) in rentals(&w.settle()) {
                 asked.push(spot);
-                w.c.on_rented(w.now, &claim, Rented::NoCapacity);
+                w.c.on_rented(w.now, &idempotency_key, RentalOutcome::NoCapacity);
             }
         }
         assert!(
             asked.contains(&true),
-            "{urgency:?}: cheap ones are asked for"
+            "{priority:?}: cheap ones are asked for"
         );
-        assert_eq!(asked.contains(&false), expensive, "{urgency:?}");
+        assert_eq!(asked.contains(&false), expensive, "{priority:?}");
     }
 }
 
 #[test]
-fn a_rental_of_unknown_outcome_is_repeated_under_its_claim_and_a_refused_one_is_not() {
+fn a_rental_of_unknown_outcome_is_repeated_under_its_idempotency_key_and_a_refused_one_is_not() {
     let mut w = renting();
     w.job(spec("wk-000001", 1, 4.0));
     let first = rentals(&w.settle());
-    w.c.on_rented(w.now, &first[0].0, Rented::Unknown);
+    w.c.on_rented(w.now, &first[0].0, RentalOutcome::Unknown);
     w.pass(secs(3));
     assert_eq!(rentals(&w.settle()), first);
-    w.c.on_rented(w.now, &first[0].0, Rented::NoCapacity);
+    w.c.on_rented(w.now, &first[0].0, RentalOutcome::NoCapacity);
     let other = rentals(&w.settle());
     assert_ne!(other[0].0, first[0].0, "another kind, another claim");
 }
@@ -574,21 +606,21 @@
         (None, true, false),
     ];
     for (start, deadline, kept) in cases {
-        let aim = |kind: &str, within| Objective {
+        let aim = |kind: &str, within| Slo {
             kind: kind.into(),
             class: Some("quick".into()),
             within,
         };
-        let mut p = params();
-        p.objectives = start
+        let mut p = config();
+        p.slos = start
             .map(|s| aim("wait", Some(secs(s))))
             .into_iter()
             .collect();
         if deadline {
-            p.objectives.push(aim("deadline", None));
+            p.slos.push(aim("deadline", None));
         }
         // No stand-in is looked for where ordinary machines cost no more.
-        let mut t = host_type("m8", 8.0);
+        let mut t = machine_type("m8", 8.0);
         t.hourly = t.low_price;
         let mut w = World::with(p, vec![t]);
         w.pass(secs(10));
@@ -603,7 +635,7 @@
 }
 
 #[test]
-fn which_hosts_are_returned() {
+fn which_machines_are_returned() {
     // Spot jobs aside: one host with a given history among others that report.
     let mut w = renting();
     for h in ["i-1", "i-2", "i-3"] {
@@ -611,8 +643,8 @@
     }
     // All three fall silent together: the fault is on our side.
     w.pass(secs(25));
-    let returned = |w: &World| w.c.hosts.values().filter(|h| h.returning).count();
-    for h in w.c.hosts.values_mut() {
+    let returned = |w: &World| w.c.machines.values().filter(|h| h.returning).count();
+    for h in w.c.machines.values_mut() {
         h.idle_since = None;
     }
     w.settle();
@@ -621,68 +653,69 @@
     for h in ["i-2", "i-3"] {
         w.heartbeat(h, 2, vec![]);
     }
-    for h in w.c.hosts.values_mut() {
+    for h in w.c.machines.values_mut() {
         h.idle_since = None;
     }
     w.pass(Duration::from_millis(1100));
     w.settle();
-    assert!(w.c.hosts[&HostId::from("i-1")].returning);
+    assert!(w.c.machines[&MachineId::from("i-1")].returning);
     assert_eq!(returned(&w), 1);
 }
 
 #[test]
 fn a_listed_machine_is_adopted_and_a_failed_one_returned() {
     let mut w = renting();
-    let listed = |id: &str, phase| Listed {
+    let listed = |id: &str, phase| CloudMachine {
         id: id.into(),
         endpoint: "127.0.0.1:9".into(),
-        host_type: "m8".into(),
-        site: "a".into(),
+        machine_type: "m8".into(),
+        zone: "a".into(),
         spot: true,
         phase,
         age: secs(4),
     };
     let list = [
-        listed("i-1", ListedPhase::Booting),
-        listed("i-2", ListedPhase::Running),
-        listed("i-3", ListedPhase::Failed),
+        listed("i-1", CloudMachinePhase::Booting),
+        listed("i-2", CloudMachinePhase::Running),
+        listed("i-3", CloudMachinePhase::Failed),
     ];
     w.c.on_list(w.now, &list);
-    assert!(w.c.hosts[&HostId::from("i-1")].booting.is_some());
-    assert!(w.c.hosts[&HostId::from("i-3")].returning);
+    assert!(w.c.machines[&MachineId::from("i-1")].booting.is_some());
+    assert!(w.c.machines[&MachineId::from("i-3")].returning);
     let actions = w.settle();
-    let probes = |a: &&Action| matches!(a, Action::Probe { host, .. } if host == &"i-2".into());
+    let probes =
+        |a: &&Action| matches!(a, Action::Probe { machine, .. } if machine == &"i-2".into());
     assert_eq!(actions.iter().filter(probes).count(), 1);
     w.c.on_returned(w.now, &["i-3".into()]);
     // The list lags: what was returned does not come back.
     w.c.on_list(w.now, &list);
-    assert!(!w.c.hosts.contains_key(&"i-3".into()));
+    assert!(!w.c.machines.contains_key(&"i-3".into()));
 }
 
 #[test]
 fn leadership_cases() {
     let renew = secs(1);
-    let record = |member: &str, boot, term, stamp| LeaderRecord {
+    let record = |member: &str, boot, term, revision| LeaderRecord {
         member: member.into(),
         boot,
         term: Term(term),
-        stamp,
+        revision,
     };
     let now = Instant::now();
     // What the leader key shows to a follower `m0` of boot 1.
     let cases = [
-        ("absent", None, Step::Campaign { stamp: 0 }),
+        ("absent", None, Step::Campaign { revision: 0 }),
         ("another", Some(record("m1", 5, 4, 40)), Step::Wait),
         (
             "our own earlier life",
             Some(record("m0", 9, 4, 40)),
-            Step::Campaign { stamp: 40 },
+            Step::Campaign { revision: 40 },
         ),
         // Guards against nodes that all wait for a lease that nobody renews.
         (
             "our own, by a campaign whose answer was lost",
             Some(record("m0", 1, 4, 40)),
-            Step::Campaign { stamp: 40 },
+            Step::Campaign { revision: 40 },
         ),
     ];
     for (name, key, step) in cases {
@@ -712,20 +745,20 @@
     l.observed(now, None);
     l.lost(now, secs(1));
     assert_eq!(l.due(now), Step::Wait);
-    assert_eq!(l.due(now + secs(2)), Step::Campaign { stamp: 0 });
+    assert_eq!(l.due(now + secs(2)), Step::Campaign { revision: 0 });
     // Given up, a term is left to others for a while; a word about an earlier term changes nothing.
     let mut l = Leadership::new("m0", renew);
     l.won(now, Term(4), 40);
     assert_eq!(l.resign(now, Term(3), secs(9)), Step::Wait);
     assert_eq!(l.resign(now, Term(4), secs(9)), Step::StepDown);
     assert_eq!(l.observed(now, None), Step::Wait);
-    assert_eq!(l.due(now + secs(10)), Step::Campaign { stamp: 0 });
+    assert_eq!(l.due(now + secs(10)), Step::Campaign { revision: 0 });
 }
 
 #[test]
 fn history_goes_from_the_owners_estimate_to_what_was_measured() {
     let mut h = History::default();
-    let t = TypeName::from("m8");
+    let t = MachineTypeName::from("m8");
     let s = spec("wk-000001", 1, 4.0);
     assert_eq!(h.est(&s, &t), secs(60), "the owner's word");
     h.ran(&s, &t, secs(30));
@@ -744,8 +777,8 @@
     for n in 0..500 {
         let mut kind = s.clone();
         kind.class = format!("class-{n}");
-        h.ran(&kind, &TypeName(format!("type-{n}")), secs(30));
-        h.fetched(&TypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
+        h.ran(&kind, &MachineTypeName(format!("type-{n}")), secs(30));
+        h.fetched(&MachineTypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
     }
     let kept = h.summary(60).expect("something is new");
     assert_eq!(kept.runs.len() + kept.bias.len() + kept.fetch.len(), 60);
@@ -759,25 +792,25 @@
     let now = Instant::now();
     let taken = |b: &Budgets, rank, writes| (0..100).filter(|_| b.leave(rank, writes, now)).count();
     let b = Budgets::new(100.0, 40.0, 2, now);
-    let users = taken(&b, Rank::User, 2);
+    let users = taken(&b, RequestClass::User, 2);
     assert_eq!(users, 3, "of 8 changes a second, a second's burst");
     // What users have used up leaves the leader its part, and the reverse.
-    let leader = taken(&b, Rank::Leader, 2);
+    let leader = taken(&b, RequestClass::Leader, 2);
     assert!(leader > 2 * users, "{leader}");
     let b = Budgets::new(100.0, 40.0, 2, now);
-    taken(&b, Rank::Leader, 2);
-    assert_eq!(taken(&b, Rank::User, 2), users);
+    taken(&b, RequestClass::Leader, 2);
+    assert_eq!(taken(&b, RequestClass::User, 2), users);
     // All nodes together stay within the rates, one of them leading.
     let (mut requests, mut changes) = (0, 0);
     for leads in [true, false] {
         let b = Budgets::new(100.0, 40.0, 2, now);
-        changes += taken(&b, Rank::User, 1);
+        changes += taken(&b, RequestClass::User, 1);
         let b = Budgets::new(100.0, 40.0, 2, now);
-        requests += taken(&b, Rank::User, 0);
+        requests += taken(&b, RequestClass::User, 0);
         if leads {
-            changes += taken(&b, Rank::Leader, 1);
+            changes += taken(&b, RequestClass::Leader, 1);
             let b = Budgets::new(100.0, 40.0, 2, now);
-            requests += taken(&b, Rank::Leader, 0);
+            requests += taken(&b, RequestClass::Leader, 0);
         }
     }
     assert!((80..=100).contains(&requests), "{requests}");
@@ -791,7 +824,7 @@
 
 #[test]
 fn meters_tell_percentiles_and_start_anew() {
-    let m = Meter::new();
+    let m = LatencyMeter::new();
     for ms in 1..=100 {
         m.record(Duration::from_millis(ms));
     }
--- a/tests/end_to_end/cascades.rs
+++ b/tests/end_to_end/cascades.rs
@@ -1,23 +1,23 @@
 //! Jobs cancelled together with their dependents, over whole nodes: outages, lost answers and ends of
 //! nodes between the steps.
 
-use crate::standins::site::*;
+use crate::standins::test_cluster::*;
 use crate::standins::*;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-fn await_on(node: SocketAddr, uid: &str, needs: &[&str]) {
-    let body = awaiting(uid, needs);
+fn await_on(node: SocketAddr, job_id: &str, dependencies: &[&str]) {
+    let body = awaiting(job_id, dependencies);
     until("accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
-        assert_ne!(status, 422, "{uid}");
+        assert_ne!(status, 422, "{job_id}");
         matches!(status, 200 | 201).then_some(())
     });
 }
 
-fn cancel(node: SocketAddr, uid: &str) -> u16 {
-    let path = format!("/api/jobs/{uid}/withdraw");
+fn cancel(node: SocketAddr, job_id: &str) -> u16 {
+    let path = format!("/api/jobs/{job_id}/withdraw");
     call("POST", node, &path, None).0
 }
 
@@ -75,10 +75,10 @@
 fn outage_in_a_cascade(key: &'static str, ends: bool) {
     let why = format!("{key}, ends {ends}");
     let (lease, cancel_bound) = (Duration::from_secs(3), Duration::from_secs(11));
-    let site = Site::new(2);
+    let zone = TestCluster::new(2);
     let mut nodes = [0, 1].map(|n| {
-        Some(site.start_with(n, |s| {
-            (s.params.lease, s.params.cancel) = (lease, cancel_bound);
+        Some(zone.start_with(n, |s| {
+            (s.config.lease, s.config.cancel) = (lease, cancel_bound);
         }))
     });
     until("one leads", || nodes.iter().flatten().find_map(leads));
@@ -86,14 +86,14 @@
         .iter()
         .position(|n| n.as_ref().is_some_and(|n| leads(n).is_none()))
         .expect("a follower");
-    let [a, b] = [site.names[confirming].1, site.names[1 - confirming].1];
+    let [a, b] = [zone.names[confirming].1, zone.names[1 - confirming].1];
     submit(a, "wk-000400", 1);
     await_on(b, "wk-000401", &["wk-000400"]);
     await_on(a, "wk-000402", &["wk-000401"]);
-    site.state.fault(key, Fault::ThenOut);
+    zone.state.fault(key, Fault::ThenOut);
     cancel(a, "wk-000400");
     until("the outage", || {
-        site.state.out.load(Ordering::SeqCst).then_some(())
+        zone.state.out.load(Ordering::SeqCst).then_some(())
     });
     if ends {
         if let Some(node) = nodes[confirming].take() {
@@ -101,7 +101,7 @@
         }
     }
     std::thread::sleep(cancel_bound);
-    site.state.out.store(false, Ordering::SeqCst);
+    zone.state.out.store(false, Ordering::SeqCst);
     let asked: Vec<SocketAddr> = if ends { vec![b] } else { vec![b, a] };
     never_orphaned(&asked, "wk-000400", &["wk-000401", "wk-000402"], &why);
     until("confirmed", || {
@@ -112,11 +112,11 @@
     }
 }
 
-fn index_is_cleared(site: &Site, why: &str) {
+fn index_is_cleared(zone: &TestCluster, why: &str) {
     let start = Instant::now();
     loop {
-        let mut left = site.state.keys("q/");
-        left.extend(site.state.keys("d/"));
+        let mut left = zone.state.keys("q/");
+        left.extend(zone.state.keys("d/"));
         if left.is_empty() {
             return;
         }
@@ -129,20 +129,22 @@
 /// when its own node has told users that the job is cancelled.
 #[test]
 fn a_job_cancelled_before_its_acceptance_is_heard_of_leaves_the_index() {
-    let site = Site::new(1);
-    let node = site.start(0);
-    let address = site.names[0].1;
+    let zone = TestCluster::new(1);
+    let node = zone.start(0);
+    let address = zone.names[0].1;
     until("one leads", || leads(&node));
     submit(address, "wk-000600", 1);
-    site.state.queue_watch_held.store(true, Ordering::SeqCst);
+    zone.state.queue_watch_held.store(true, Ordering::SeqCst);
     await_on(address, "wk-000601", &["wk-000600"]);
     submit(address, "wk-000602", 1);
-    for uid in ["wk-000600", "wk-000602"] {
-        until("confirmed", || (cancel(address, uid) == 200).then_some(()));
+    for job_id in ["wk-000600", "wk-000602"] {
+        until("confirmed", || {
+            (cancel(address, job_id) == 200).then_some(())
+        });
     }
     never_orphaned(&[address], "wk-000600", &["wk-000601"], "a late watch");
-    site.state.queue_watch_held.store(false, Ordering::SeqCst);
-    index_is_cleared(&site, "a late watch");
+    zone.state.queue_watch_held.store(false, Ordering::SeqCst);
+    index_is_cleared(&zone, "a late watch");
     node.stop();
 }
 
@@ -150,19 +152,19 @@
 /// because another of its dependencies was cancelled, while the leader still lived.
 #[test]
 fn a_list_without_a_dependent_goes_once_no_node_needs_lists() {
-    let site = Site::new(1);
-    let node = site.start(0);
-    let address = site.names[0].1;
+    let zone = TestCluster::new(1);
+    let node = zone.start(0);
+    let address = zone.names[0].1;
     until("one leads", || leads(&node));
     submit(address, "wk-000620", 1);
-    site.state.put(
+    zone.state.put(
         "d/wk-000620",
         map([("by", Any::List(vec![t("wk-000621")]))]),
     );
     until("confirmed", || {
         (cancel(address, "wk-000620") == 200).then_some(())
     });
-    index_is_cleared(&site, "a list without a dependent");
+    index_is_cleared(&zone, "a list without a dependent");
     node.stop();
 }
 
@@ -192,23 +194,23 @@
 }
 
 fn race(why: &str, faults: &[(&'static str, Fault)]) {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    let [a, b] = [site.names[0].1, site.names[1].1];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    let [a, b] = [zone.names[0].1, zone.names[1].1];
     until("one leads", || nodes.iter().find_map(leads));
     submit(a, "wk-000500", 1);
     let submit_some = |node: SocketAddr, first: u32| {
         let mut accepted = Vec::new();
         let mut before = "wk-000500".to_owned();
         for n in first..first + 12 {
-            let uid = format!("wk-{n:06}");
+            let job_id = format!("wk-{n:06}");
             // A fan and chains at once.
-            let body = awaiting(&uid, &["wk-000500", &before]);
+            let body = awaiting(&job_id, &["wk-000500", &before]);
             let start = Instant::now();
             while start.elapsed() < Duration::from_secs(6) {
                 if matches!(call("POST", node, "/api/jobs", Some(&body)).0, 200 | 201) {
-                    accepted.push(uid.clone());
-                    before = uid;
+                    accepted.push(job_id.clone());
+                    before = job_id;
                     break;
                 }
                 std::thread::sleep(Duration::from_millis(20));
@@ -222,7 +224,7 @@
         let second = s.spawn(|| submit_some(b, 540));
         std::thread::sleep(Duration::from_millis(60));
         for (prefix, fault) in faults {
-            site.state.fault(prefix, *fault);
+            zone.state.fault(prefix, *fault);
         }
         until("confirmed", || {
             (cancel(b, "wk-000500") == 200).then_some(())
@@ -234,7 +236,7 @@
     assert!(dependents.len() > 6, "{why}: {dependents:?}");
     let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
     never_orphaned(&[a, b], "wk-000500", &names, why);
-    index_is_cleared(&site, why);
+    index_is_cleared(&zone, why);
     for node in nodes {
         node.stop();
     }
@@ -247,12 +249,12 @@
     const DEPENDENTS: u32 = 60;
     // Two nodes that know each other's version, and one that has never heard its peer.
     for heard in [true, false] {
-        let site = Site::new(2);
+        let zone = TestCluster::new(2);
         // Lists with room for a few names only.
-        let small = |s: &mut cypressgap::settings::Settings| s.params.value_bytes = 700;
-        let mut nodes = vec![site.start_with(0, small)];
+        let small = |s: &mut cypressgap::settings::Settings| s.config.value_bytes = 700;
+        let mut nodes = vec![zone.start_with(0, small)];
         if heard {
-            nodes.push(site.start_with(1, small));
+            nodes.push(zone.start_with(1, small));
             until("they know each other", || {
                 let knows = |n: &cypressgap::runtime::service::Service| {
                     n.shared.peers.iter().all(|p| p.knows(3))
@@ -260,12 +262,12 @@
                 nodes.iter().all(knows).then_some(())
             });
         }
-        let node = site.names[0].1;
+        let node = zone.names[0].1;
         submit(node, "wk-000600", 1);
         for n in 0..DEPENDENTS {
             await_on(node, &format!("wk-{:06}", 700 + n), &["wk-000600"]);
         }
-        let lists = site.state.keys("d/").len();
+        let lists = zone.state.keys("d/").len();
         assert_eq!(
             lists == 0,
             heard,
@@ -280,12 +282,12 @@
             }
         });
         for n in 0..DEPENDENTS {
-            let uid = format!("wk-{:06}", 700 + n);
-            let said = until("told", || phase(node, &uid));
-            assert_eq!(said, "withdrawn", "{uid}");
+            let job_id = format!("wk-{:06}", 700 + n);
+            let said = until("told", || phase(node, &job_id));
+            assert_eq!(said, "withdrawn", "{job_id}");
         }
         until("lists and index are cleared", || {
-            let left = site.state.keys("q/").len() + site.state.keys("d/").len();
+            let left = zone.state.keys("q/").len() + zone.state.keys("d/").len();
             (left == 0).then_some(())
         });
         for node in nodes {
@@ -308,35 +310,35 @@
     std::thread::scope(|s| {
         for meets in [Meets::Nothing, Meets::AnOutage, Meets::ANewLeader] {
             s.spawn(move || {
-                let site = Site::new(2);
-                let mut nodes = [Some(site.start(0)), Some(site.start(1))];
-                let worker = Worker::start("i-1", Duration::from_millis(300), site.names.clone());
+                let zone = TestCluster::new(2);
+                let mut nodes = [Some(zone.start(0)), Some(zone.start(1))];
+                let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
                 until("one leads", || nodes.iter().flatten().find_map(leads));
                 let leading = nodes
                     .iter()
                     .position(|n| n.as_ref().is_some_and(|n| leads(n).is_some()))
                     .expect("a leader");
-                let other = site.names[1 - leading].1;
+                let other = zone.names[1 - leading].1;
                 worker.runs_for(Duration::from_secs(600));
                 submit(other, "wk-000750", 1);
                 let dependents: Vec<String> = (751..766).map(|n| format!("wk-{n:06}")).collect();
-                for uid in &dependents {
-                    await_on(other, uid, &["wk-000750"]);
+                for job_id in &dependents {
+                    await_on(other, job_id, &["wk-000750"]);
                 }
-                site.state.most_ops.store(3, Ordering::SeqCst);
+                zone.state.most_ops.store(3, Ordering::SeqCst);
                 // It may be told to come back while the rate of changes is used up. Once its own
                 // verdict is durable, nobody asks again: the rest is the nodes' to finish.
                 until("the cancellation is durable", || {
                     cancel(other, "wk-000750");
-                    let verdicts = site.state.keys("j/wk-000750").len();
-                    (verdicts == 1).then_some(())
+                    let outcomes = zone.state.keys("j/wk-000750").len();
+                    (outcomes == 1).then_some(())
                 });
                 match meets {
                     Meets::Nothing => {}
                     Meets::AnOutage => {
-                        site.state.out.store(true, Ordering::SeqCst);
+                        zone.state.out.store(true, Ordering::SeqCst);
                         std::thread::sleep(Duration::from_secs(3));
-                        site.state.out.store(false, Ordering::SeqCst);
+                        zone.state.out.store(false, Ordering::SeqCst);
                     }
                     Meets::ANewLeader => {
                         if let Some(node) = nodes[leading].take() {
--- a/tests/end_to_end/close_looks.rs
+++ b/tests/end_to_end/close_looks.rs
@@ -1,7 +1,7 @@
 //! Users who look closely: at all nodes at the same time, again and again, right after a job was
 //! accepted, ended or cancelled. No node may answer something older than any node has told before.
 
-use crate::standins::site::*;
+use crate::standins::test_cluster::*;
 use crate::standins::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
@@ -14,7 +14,7 @@
 
 /// A job, and the furthest that any user was told of it.
 struct Told {
-    uid: String,
+    job_id: String,
     stage: AtomicU8,
     /// What it ended as: 0 as long as nobody was told.
     done: AtomicBool,
@@ -22,9 +22,9 @@
 }
 
 impl Told {
-    fn new(uid: &str) -> Told {
+    fn new(job_id: &str) -> Told {
         Told {
-            uid: uid.to_owned(),
+            job_id: job_id.to_owned(),
             stage: AtomicU8::new(NOTHING),
             done: AtomicBool::new(false),
             cancelled: AtomicBool::new(false),
@@ -46,21 +46,29 @@
         }
         self.hears(OVER);
         let both = self.done.load(Ordering::SeqCst) && self.cancelled.load(Ordering::SeqCst);
-        assert!(!both, "{}: done and withdrawn", self.uid);
+        assert!(!both, "{}: done and withdrawn", self.job_id);
     }
 
     /// Asks a node. What was known before the question went out is the least that it may answer.
     fn ask(&self, node: SocketAddr) {
         let before = self.stage.load(Ordering::SeqCst);
-        let (status, body) = call("GET", node, &format!("/api/jobs/{}", self.uid), None);
+        let (status, body) = call("GET", node, &format!("/api/jobs/{}", self.job_id), None);
         let phase = body.text("Phase");
         match status {
             200 => {
                 let over = matches!(phase.as_str(), "done" | "withdrawn");
-                assert!(over || before < OVER, "{}: {phase} after its end", self.uid);
+                assert!(
+                    over || before < OVER,
+                    "{}: {phase} after its end",
+                    self.job_id
+                );
                 self.hears_phase(&phase);
             }
-            404 => assert_eq!(before, NOTHING, "{}: unknown after it was told", self.uid),
+            404 => assert_eq!(
+                before, NOTHING,
+                "{}: unknown after it was told",
+                self.job_id
+            ),
             _ => {}
         }
     }
@@ -68,26 +76,30 @@
     /// Submits it again.
     fn submit(&self, node: SocketAddr) {
         let before = self.stage.load(Ordering::SeqCst);
-        let body = submission(&self.uid, 1);
+        let body = submission(&self.job_id, 1);
         let (status, body) = call("POST", node, "/api/jobs", Some(&body));
         match status {
             201 => {
-                assert_eq!(before, NOTHING, "{}: accepted twice", self.uid);
+                assert_eq!(before, NOTHING, "{}: accepted twice", self.job_id);
                 self.hears(ACCEPTED);
             }
             200 => {
                 let phase = body.text("Phase");
                 let over = matches!(phase.as_str(), "done" | "withdrawn");
-                assert!(over || before < OVER, "{}: {phase} after its end", self.uid);
+                assert!(
+                    over || before < OVER,
+                    "{}: {phase} after its end",
+                    self.job_id
+                );
                 self.hears_phase(&phase);
             }
-            400 | 422 => panic!("{}: refused with {status}", self.uid),
+            400 | 422 => panic!("{}: refused with {status}", self.job_id),
             _ => {}
         }
     }
 
     fn cancel(&self, node: SocketAddr) {
-        let path = format!("/api/jobs/{}/withdraw", self.uid);
+        let path = format!("/api/jobs/{}/withdraw", self.job_id);
         let (status, body) = call("POST", node, &path, None);
         if status == 200 {
             self.hears_phase(&body.text("Phase"));
@@ -108,10 +120,10 @@
 fn no_node_answers_something_older_however_closely_users_look() {
     // Whether the state service refuses one node, whose peer asks in its place.
     for refused in [false, true] {
-        let site = Site::new(2);
-        let nodes = [site.start(0), site.start(1)];
-        let _worker = Worker::start("i-1", Duration::from_millis(400), site.names.clone());
-        let addresses = [site.names[0].1, site.names[1].1];
+        let zone = TestCluster::new(2);
+        let nodes = [zone.start(0), zone.start(1)];
+        let _worker = Worker::start("i-1", Duration::from_millis(400), zone.names.clone());
+        let addresses = [zone.names[0].1, zone.names[1].1];
         until("one leads", || nodes.iter().find_map(leads));
         submit(addresses[0], "wk-000900", 1);
         until("it ends", || {
@@ -119,7 +131,7 @@
         });
         if refused {
             let follower = nodes.iter().position(|n| leads(n).is_none());
-            site.to_state[follower.expect("a follower")].cut(true);
+            zone.to_state[follower.expect("a follower")].cut(true);
             // Until it knows that the state service does not answer it.
             std::thread::sleep(Duration::from_secs(4));
         }
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -3,9 +3,9 @@
 
 use super::peaks::peak;
 use super::standins::process::Node;
-use super::standins::site::*;
+use super::standins::test_cluster::*;
 use super::standins::*;
-use cypressgap::core::model::{Epoch, Term};
+use cypressgap::core::model::{FencingToken, Term};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
@@ -27,25 +27,25 @@
 }
 
 /// Controllers and machines in two segments.
-struct Cluster {
-    site: Site,
+struct ClusterState {
+    zone: TestCluster,
     nodes: Vec<Option<Node>>,
     workers: Vec<Worker>,
     operators: String,
 }
 
-impl Cluster {
-    fn start(machines: u16, operators: String) -> Cluster {
-        let site = Site::new(NODES);
+impl ClusterState {
+    fn start(machines: u16, operators: String) -> ClusterState {
+        let zone = TestCluster::new(NODES);
         let machine = |n: u16| {
             let [_, last] = (1 + n / 2).to_be_bytes();
             let address = Ipv4Addr::new(127, 0, 1 + (n % 2) as u8, last);
             let (run, pause) = (Duration::from_secs(600), Duration::from_millis(300));
-            Worker::start_at(address, &format!("i-{n}"), run, pause, site.names.clone())
+            Worker::start_at(address, &format!("i-{n}"), run, pause, zone.names.clone())
         };
         let workers = (0..machines).map(machine).collect();
-        let mut cluster = Cluster {
-            site,
+        let mut cluster = ClusterState {
+            zone,
             nodes: Vec::new(),
             workers,
             operators,
@@ -66,7 +66,7 @@
             text.replace("cpus_max = 128.0", "cpus_max = 4000.0")
                 .replace("report_s = 3.0", "report_s = 0.5")
         };
-        self.nodes[n] = Some(Node::start(&self.site, n, edit, &self.operators));
+        self.nodes[n] = Some(Node::start(&self.zone, n, edit, &self.operators));
     }
 
     fn kill_all(&mut self) {
@@ -77,8 +77,8 @@
 
     /// The node that leads, by the leader key.
     fn leader(&self) -> Option<usize> {
-        let member = self.site.state.value("ctl/leader")?.text("member");
-        self.site.names.iter().position(|n| n.0 == member)
+        let member = self.zone.state.value("ctl/leader")?.text("member");
+        self.zone.names.iter().position(|n| n.0 == member)
     }
 
     /// Tasks that run, with the machines that they run on. Each on one at most.
@@ -101,7 +101,7 @@
     fn submit_all(&self) {
         let jobs = self.all() as u64 / TASKS_A_JOB;
         for job in 1..=jobs {
-            submit(self.site.names[0].1, &format!("wk-{job:06}"), TASKS_A_JOB);
+            submit(self.zone.names[0].1, &format!("wk-{job:06}"), TASKS_A_JOB);
         }
     }
 
@@ -131,7 +131,12 @@
 
     /// Until all machines know a later term. Returns it.
     fn await_term_after(&self, term: Term) -> Term {
-        let terms = || self.workers.iter().map(|w| Epoch(w.epoch()).term()).min();
+        let terms = || {
+            self.workers
+                .iter()
+                .map(|w| FencingToken(w.token()).term())
+                .min()
+        };
         until("the machines know the next term", || {
             terms().filter(|t| *t > term)
         })
@@ -154,7 +159,7 @@
 
 #[test]
 fn all_controllers_killed_and_back() {
-    let mut cluster = Cluster::start(MACHINES, paced(MACHINES));
+    let mut cluster = ClusterState::start(MACHINES, paced(MACHINES));
     cluster.submit_all();
     cluster.await_all_running();
     let all = cluster.all();
@@ -163,9 +168,9 @@
     // Shorter than a lease; the state service is back later than they are, and one of them stays cut off it.
     let term = cluster.await_term_after(Term(0));
     cluster.kill_all();
-    let out = cluster.site.state.out.clone();
+    let out = cluster.zone.state.out.clone();
     out.store(true, std::sync::atomic::Ordering::SeqCst);
-    cluster.site.to_state[0].cut(true);
+    cluster.zone.to_state[0].cut(true);
     cluster.start_nodes();
     std::thread::sleep(Duration::from_secs(1));
     out.store(false, std::sync::atomic::Ordering::SeqCst);
@@ -176,7 +181,7 @@
     // All leases run out meanwhile; and the first leader dies while it starts the tasks again.
     cluster.kill_all();
     cluster.let_leases_run_out();
-    cluster.site.to_state[0].cut(false);
+    cluster.zone.to_state[0].cut(false);
     let back = Instant::now();
     cluster.start_nodes();
     until("some are started again", || {
@@ -201,11 +206,11 @@
 /// again, and belongs to its job once its user has submitted that again.
 #[test]
 fn work_goes_on_though_the_state_service_lost_its_job() {
-    let site = Site::new(1);
-    let node = site.names[0].1;
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
-    let start = || Node::start(&site, 0, |text| text, "(cypressgap)");
-    let term = || Epoch(worker.epoch()).term();
+    let zone = TestCluster::new(1);
+    let node = zone.names[0].1;
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
+    let start = || Node::start(&zone, 0, |text| text, "(cypressgap)");
+    let term = || FencingToken(worker.token()).term();
     // Several terms, so that the numbers of the first ones are in use when it begins anew.
     for n in 0..3 {
         let process = start();
@@ -217,7 +222,7 @@
     until("the task runs", || (worker.running() == 1).then_some(()));
     let before = term();
     process.kill();
-    site.state.put_back();
+    zone.state.put_back();
     let process = start();
     until("a later term leads", || (term() > before).then_some(()));
     // Nobody knows what the task takes and whose it is, so nothing is started beside it.
@@ -229,8 +234,8 @@
         (worker.running() == 2).then_some(())
     });
     worker.runs_for(Duration::from_millis(100));
-    for uid in ["wk-000001", "wk-000002"] {
-        until("done", || (phase(node, uid)? == "done").then_some(()));
+    for job_id in ["wk-000001", "wk-000002"] {
+        until("done", || (phase(node, job_id)? == "done").then_some(()));
     }
     assert_eq!(worker.starts().len(), 2, "each was started once");
     process.kill();
@@ -245,7 +250,7 @@
     let text = |name: &str| std::env::var(name).ok();
     let machines = text("MACHINES").map_or(200, |n| n.parse().expect("a number"));
     let operators = text("OPERATORS").unwrap_or("(cypressgap)".to_owned());
-    let mut cluster = Cluster::start(machines, operators);
+    let mut cluster = ClusterState::start(machines, operators);
     cluster.submit_all();
     cluster.await_all_running();
     for spent in [false, true] {
--- a/tests/end_to_end/report_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -1,7 +1,7 @@
 //! A large fleet reports all at once to a node that has just come back.
 
 use super::standins::process::Node;
-use super::standins::site::*;
+use super::standins::test_cluster::*;
 use super::standins::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     words.and_then(|n| n.parse().ok()).expect("a number")
 }
 
-fn report(machine: usize, serial: u64) -> Any {
+fn heartbeat(machine: usize, serial: u64) -> Any {
     map([
         ("Host", t(&format!("i-{machine:06}"))),
         ("Endpoint", t("127.0.0.1:9")),
@@ -32,9 +32,9 @@
 }
 
 /// Each machine reports until it is answered, a second after each refusal. Returns how many reports it took.
-fn report_until_answered(node: std::net::SocketAddr, machine: usize) -> usize {
+fn heartbeat_until_answered(node: std::net::SocketAddr, machine: usize) -> usize {
     for tries in 1..=60 {
-        let body = report(machine, tries as u64);
+        let body = heartbeat(machine, tries as u64);
         if call("POST", node, "/agent/beat", Some(&body)).0 == 200 {
             return tries;
         }
@@ -45,46 +45,46 @@
 
 /// All machines report in two seconds at most: each is answered before long, and memory stays bounded.
 fn flood(machines: usize) -> (Duration, usize, u64) {
-    let site = Site::new(1);
-    let node = site.names[0].1;
-    let process = Node::start(&site, 0, |text| text, "(cypressgap (max-hosts 10000))");
+    let zone = TestCluster::new(1);
+    let node = zone.names[0].1;
+    let process = Node::start(&zone, 0, |text| text, "(cypressgap (max-hosts 10000))");
     until("the node leads", || {
-        site.state.value("ctl/leader").map(|_| ())
+        zone.state.value("ctl/leader").map(|_| ())
     });
     let next = Arc::new(AtomicUsize::new(0));
     let began = Instant::now();
     let senders = (0..SENDERS).map(|_| {
         let next = next.clone();
         std::thread::spawn(move || {
-            let mut reports = 0;
+            let mut heartbeats = 0;
             loop {
                 let machine = next.fetch_add(1, Ordering::SeqCst);
                 if machine >= machines {
-                    return reports;
+                    return heartbeats;
                 }
-                reports += report_until_answered(node, machine);
+                heartbeats += heartbeat_until_answered(node, machine);
             }
         })
     });
     let senders: Vec<_> = senders.collect();
-    let reports = senders.into_iter().map(|s| s.join().expect("answered"));
-    let reports = reports.sum();
-    (began.elapsed(), reports, peak_memory(process.id()))
+    let heartbeats = senders.into_iter().map(|s| s.join().expect("answered"));
+    let heartbeats = heartbeats.sum();
+    (began.elapsed(), heartbeats, peak_memory(process.id()))
 }
 
 #[test]
-fn a_fleet_that_reports_at_once_is_answered_within_bounded_memory() {
-    let (took, reports, memory) = flood(1000);
-    println!("1000 machines: {took:?}, {reports} reports, {memory} KiB");
+fn a_fleet_that_heartbeats_at_once_is_answered_within_bounded_memory() {
+    let (took, heartbeats, memory) = flood(1000);
+    println!("1000 machines: {took:?}, {heartbeats} reports, {memory} KiB");
     assert!(memory < 136 * 1024, "{memory} KiB");
 }
 
 /// `cargo test --release --test end_to_end measure_report_flood -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn measure_report_flood() {
+fn measure_heartbeat_flood() {
     for machines in [1000, 4000, 6000] {
-        let (took, reports, memory) = flood(machines);
-        println!("{machines} machines: {took:?}, {reports} reports, {memory} KiB");
+        let (took, heartbeats, memory) = flood(machines);
+        println!("{machines} machines: {took:?}, {heartbeats} reports, {memory} KiB");
     }
 }
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -5,31 +5,31 @@
 mod cascades;
 mod close_looks;
 mod cold_restart;
+mod heartbeat_flood;
 #[path = "../common/peaks.rs"]
 mod peaks;
-mod report_flood;
 mod side_by_side;
 #[path = "../standins/mod.rs"]
 mod standins;
 mod team_limits;
 
-use cypressgap::core::model::Epoch;
-use cypressgap::runtime::budget::Rank;
+use cypressgap::common::rate_limit::RequestClass;
+use cypressgap::common::stop_signal::Stop;
+use cypressgap::core::model::FencingToken;
+use cypressgap::runtime::node_view::RoleView;
 use cypressgap::runtime::service::Service;
-use cypressgap::runtime::stop::Stop;
-use cypressgap::runtime::view::RoleView;
 use cypressgap::settings::Settings;
-use standins::site::*;
+use standins::test_cluster::*;
 use standins::*;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_job_runs_and_every_node_says_so() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    let worker = Worker::start("i-1", Duration::from_millis(200), site.names.clone());
-    let [a, b] = [site.names[0].1, site.names[1].1];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    let worker = Worker::start("i-1", Duration::from_millis(200), zone.names.clone());
+    let [a, b] = [zone.names[0].1, zone.names[1].1];
     submit(a, "wk-000001", 3);
     until("done", || (phase(b, "wk-000001")? == "done").then_some(()));
     assert_eq!(phase(a, "wk-000001").as_deref(), Some("done"));
@@ -57,7 +57,7 @@
         assert_eq!(status, expected, "{method} {path}");
     }
     until("intents are cleared", || {
-        let left = site.state.keys("i/").len() + site.state.keys("q/").len();
+        let left = zone.state.keys("i/").len() + zone.state.keys("q/").len();
         (left == 0).then_some(())
     });
     for n in nodes {
@@ -67,17 +67,17 @@
 
 #[test]
 fn a_job_outlives_its_leader() {
-    let site = Site::new(2);
-    let mut nodes = [Some(site.start(0)), Some(site.start(1))];
-    let worker = Worker::start("i-1", Duration::from_secs(6), site.names.clone());
-    submit(site.names[0].1, "wk-000002", 2);
+    let zone = TestCluster::new(2);
+    let mut nodes = [Some(zone.start(0)), Some(zone.start(1))];
+    let worker = Worker::start("i-1", Duration::from_secs(6), zone.names.clone());
+    submit(zone.names[0].1, "wk-000002", 2);
     until("started", || (worker.running() == 2).then_some(()));
     let leading = |s: &Option<Service>| s.as_ref().and_then(leads).is_some();
     let leader = nodes.iter().position(leading).expect("one leads");
     if let Some(n) = nodes[leader].take() {
         n.stop();
     }
-    let other = site.names[1 - leader].1;
+    let other = zone.names[1 - leader].1;
     until("the other leads", || {
         leading(&nodes[1 - leader]).then_some(())
     });
@@ -90,25 +90,25 @@
 
 #[test]
 fn a_leader_cut_from_store_and_peers_starts_nothing_and_lets_its_workers_go() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
     until("one leads", || nodes.iter().find_map(leads));
     let old = nodes.iter().position(|n| leads(n).is_some());
     let old = old.expect("one leads");
     // The worker reports to the leader itself: by way of the other node, the old leader would hear
     // nothing more of it, and nothing of the next term.
-    let mut leader_first = site.names.clone();
+    let mut leader_first = zone.names.clone();
     leader_first.rotate_left(old);
     let worker = Worker::start("i-1", Duration::from_secs(600), leader_first);
     let listed = ("i-1".to_owned(), worker.endpoint());
-    site.listed.lock().expect("the list").push(listed);
-    submit(site.names[0].1, "wk-000005", 2);
+    zone.listed.lock().expect("the list").push(listed);
+    submit(zone.names[0].1, "wk-000005", 2);
     until("started", || (worker.running() == 2).then_some(()));
-    let reports = nodes[old].shared.workers.any(Instant::now());
-    assert!(reports, "the worker reports to the leader");
+    let heartbeats = nodes[old].shared.workers.any(Instant::now());
+    assert!(heartbeats, "the worker reports to the leader");
     let term = leads(&nodes[old]).expect("its term");
-    let (cut_off, other) = (site.names[old].1, site.names[1 - old].1);
-    site.cut(old);
+    let (cut_off, other) = (zone.names[old].1, zone.names[1 - old].1);
+    zone.cut(old);
     // Its users are told to come back, for what is new and for what is known.
     let body = submission("wk-000006", 1);
     until("refused", || {
@@ -121,12 +121,12 @@
     });
     // The new leader's token reaches the worker.
     until("the worker knows the next term", || {
-        (Epoch(worker.epoch()).term() > term).then_some(())
+        (FencingToken(worker.token()).term() > term).then_some(())
     });
     // Its next report there ends the old leadership. It may report to the other node by now, so one
     // is sent to the old leader.
     until("the old leader gives up", || {
-        worker.report_to(cut_off);
+        worker.heartbeat_to(cut_off);
         leads(&nodes[old]).is_none().then_some(())
     });
     submit(other, "wk-000006", 1);
@@ -135,8 +135,8 @@
     });
     assert_eq!(worker.starts().len(), 3, "none was started twice");
     // A follower that can neither relay nor ask sends workers on.
-    let report = map([("Host", t("i-2"))]);
-    let (status, _) = call("POST", cut_off, "/agent/beat", Some(&report));
+    let heartbeat = map([("Host", t("i-2"))]);
+    let (status, _) = call("POST", cut_off, "/agent/beat", Some(&heartbeat));
     assert!(matches!(status, 421 | 503), "{status}");
     for n in nodes {
         n.stop();
@@ -146,11 +146,11 @@
 /// Guards against nodes that do nothing but refuse reports while the next leader tries to load its
 /// picture: reports wait a little for it, and what it has read it keeps.
 #[test]
-fn reports_wait_for_a_leader_and_pages_are_asked_for_again() {
-    let site = Site::new(1);
-    site.state.out.store(true, Ordering::SeqCst);
-    let node = site.start(0);
-    let report = map([
+fn heartbeats_wait_for_a_leader_and_pages_are_asked_for_again() {
+    let zone = TestCluster::new(1);
+    zone.state.out.store(true, Ordering::SeqCst);
+    let node = zone.start(0);
+    let heartbeat = map([
         ("Host", t("i-1")),
         ("Endpoint", t("127.0.0.1:9")),
         ("HostType", t("m8")),
@@ -161,9 +161,9 @@
         ("Epoch", Any::Int(0)),
         ("Shards", Any::List(vec![])),
     ]);
-    let heartbeat = || call("POST", site.names[0].1, "/agent/beat", Some(&report)).0;
+    let send_heartbeat = || call("POST", zone.names[0].1, "/agent/beat", Some(&heartbeat)).0;
     let asked = Instant::now();
-    assert_eq!(heartbeat(), 503, "nobody leads");
+    assert_eq!(send_heartbeat(), 503, "nobody leads");
     assert!(
         asked.elapsed() >= Duration::from_secs(1),
         "it waited for that"
@@ -173,18 +173,20 @@
     let (limit, stop) = (Duration::from_secs(4), Stop::new());
     let list = |patience| {
         store
-            .list_patiently::<Any>("ctl/", Rank::User, limit, patience, &stop)
+            .list_patiently::<Any>("ctl/", RequestClass::User, limit, patience, &stop)
             .is_ok()
     };
     assert!(!list(Duration::ZERO));
-    let state = site.state.clone();
+    let state = zone.state.clone();
     let back = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(700));
         state.out.store(false, Ordering::SeqCst);
     });
     assert!(list(PATIENCE));
     back.join().expect("the switch");
-    until("the leader answers", || (heartbeat() == 200).then_some(()));
+    until("the leader answers", || {
+        (send_heartbeat() == 200).then_some(())
+    });
     node.stop();
 }
 
@@ -192,20 +194,20 @@
 /// while its peers could ask.
 #[test]
 fn a_node_without_the_state_service_has_a_peer_ask() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    submit(site.names[0].1, "wk-000007", 1);
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    submit(zone.names[0].1, "wk-000007", 1);
     let follower = until("one leads", || {
         nodes.iter().position(|n| leads(n).is_none())
     });
     until("the other one too", || leads(&nodes[1 - follower]));
-    site.to_state[follower].cut(true);
-    let refused = site.names[follower].1;
+    zone.to_state[follower].cut(true);
+    let refused = zone.names[follower].1;
     // Its health says so, since its peer can serve what it cannot.
     until("unhealthy", || {
         (call("GET", refused, "/up", None).0 == 503).then_some(())
     });
-    let phase_of = |uid: &str| call("GET", refused, &format!("/api/jobs/{uid}"), None);
+    let phase_of = |job_id: &str| call("GET", refused, &format!("/api/jobs/{job_id}"), None);
     until("a known job", || {
         (phase_of("wk-000007").1.text("Phase") == "queued").then_some(())
     });
@@ -229,8 +231,8 @@
 /// other for good, while the third one leads.
 #[test]
 fn a_node_whose_word_is_old_names_no_leader() {
-    let site = Site::new(3);
-    let nodes: Vec<Service> = (0..3).map(|n| site.start(n)).collect();
+    let zone = TestCluster::new(3);
+    let nodes: Vec<Service> = (0..3).map(|n| zone.start(n)).collect();
     let leader = |n: &Service| leads(n).is_some();
     let old = until("one leads", || nodes.iter().position(leader));
     let (follower, third) = ((old + 1) % 3, (old + 2) % 3);
@@ -239,12 +241,17 @@
         matches!(role, RoleView::Follower(Some(_))).then_some(())
     };
     until("the follower knows it", || knows(follower));
-    site.cut(old);
-    site.cut(follower);
+    zone.cut(old);
+    zone.cut(follower);
     until("the third leads", || leader(&nodes[third]).then_some(()));
-    let report = map([("Host", t("i-2"))]);
+    let heartbeat = map([("Host", t("i-2"))]);
     until("workers are sent on, to nobody in particular", || {
-        let (status, _) = call("POST", site.names[follower].1, "/agent/beat", Some(&report));
+        let (status, _) = call(
+            "POST",
+            zone.names[follower].1,
+            "/agent/beat",
+            Some(&heartbeat),
+        );
         (status == 503).then_some(())
     });
     for n in nodes {
@@ -254,16 +261,16 @@
 
 #[test]
 fn every_accepted_job_ends_and_is_known_once_troubles_are_over() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    let worker = Worker::start("i-1", Duration::from_millis(300), site.names.clone());
-    let [a, b] = [site.names[0].1, site.names[1].1];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
+    let [a, b] = [zone.names[0].1, zone.names[1].1];
     // Accepted by either node, the last ones just before everything is out.
     let jobs = ["wk-000011", "wk-000012", "wk-000013", "wk-000014"];
-    for (n, uid) in jobs.iter().enumerate() {
-        submit([a, b][n % 2], uid, 2);
+    for (n, job_id) in jobs.iter().enumerate() {
+        submit([a, b][n % 2], job_id, 2);
     }
-    site.state
+    zone.state
         .out
         .store(true, std::sync::atomic::Ordering::SeqCst);
     until("nobody answers for the state service", || {
@@ -273,25 +280,25 @@
     // The leader goes during the outage.
     let leader = nodes.iter().position(|n| leads(n).is_some());
     let leader = leader.expect("it leads on");
-    site.to_state[leader].cut(true);
-    for l in &site.to_peer {
+    zone.to_state[leader].cut(true);
+    for l in &zone.to_peer {
         l.cut(true);
     }
-    site.state
+    zone.state
         .out
         .store(false, std::sync::atomic::Ordering::SeqCst);
-    for l in &site.to_peer {
+    for l in &zone.to_peer {
         l.cut(false);
     }
-    let other = site.names[1 - leader].1;
-    for uid in jobs {
-        until("done", || (phase(other, uid)? == "done").then_some(()));
+    let other = zone.names[1 - leader].1;
+    for job_id in jobs {
+        until("done", || (phase(other, job_id)? == "done").then_some(()));
     }
     // The one that was cut off knows them too, once it is back.
-    site.to_state[leader].cut(false);
-    for uid in jobs {
+    zone.to_state[leader].cut(false);
+    for job_id in jobs {
         until("known again", || {
-            (phase(site.names[leader].1, uid)? == "done").then_some(())
+            (phase(zone.names[leader].1, job_id)? == "done").then_some(())
         });
     }
     let ran: std::collections::BTreeSet<String> =
@@ -304,19 +311,19 @@
 
 #[test]
 fn a_node_back_at_once_takes_nothing_of_its_earlier_life_for_its_own() {
-    let mut site = Site::new(1);
-    let early = site.start(0);
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
-    submit(site.names[0].1, "wk-000007", 2);
+    let mut zone = TestCluster::new(1);
+    let early = zone.start(0);
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
+    submit(zone.names[0].1, "wk-000007", 2);
     until("started", || (worker.running() == 2).then_some(()));
     let term = until("it leads", || leads(&early));
     // The early life hangs, cut off: its lease is still good, and it believes that it leads.
-    let hanging = site.to_state[0].clone();
+    let hanging = zone.to_state[0].clone();
     hanging.cut(true);
-    site.to_state[0] = Link::to(site.state.address);
-    site.names[0].1 = free_port();
-    site.peers[0] = free_port();
-    let late = site.start(0);
+    zone.to_state[0] = Link::to(zone.state.address);
+    zone.names[0].1 = free_port();
+    zone.peers[0] = free_port();
+    let late = zone.start(0);
     let next = until("the next life leads", || leads(&late));
     assert!(next > term, "a term of its own");
     // What the early life still had to write fails on the stamp, and it notices.
@@ -325,7 +332,7 @@
         leads(&early).is_none().then_some(())
     });
     assert_eq!(leads(&late), Some(next));
-    let address = site.names[0].1;
+    let address = zone.names[0].1;
     until("known to the next life", || {
         phase(address, "wk-000007").filter(|p| p == "queued" || p == "running")
     });
@@ -336,10 +343,10 @@
 
 #[test]
 fn a_withdrawn_job_stops_and_stays_withdrawn() {
-    let site = Site::new(1);
-    let node = site.start(0);
-    let address = site.names[0].1;
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
+    let zone = TestCluster::new(1);
+    let node = zone.start(0);
+    let address = zone.names[0].1;
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
     submit(address, "wk-000003", 2);
     until("started", || (worker.running() == 2).then_some(()));
     let path = "/api/jobs/wk-000003/withdraw";
@@ -349,7 +356,7 @@
     until("gone", || (worker.running() == 0).then_some(()));
     assert_eq!(phase(address, "wk-000003").as_deref(), Some("withdrawn"));
     // An outage of the state service takes nothing back: it is answered from memory or refused.
-    site.state
+    zone.state
         .out
         .store(true, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(phase(address, "wk-000003").as_deref(), Some("withdrawn"));
@@ -367,14 +374,14 @@
 /// Guards against a leader that loads for minutes because it waits long for each answer that is lost.
 #[test]
 fn a_leader_that_loads_asks_again_for_what_is_not_answered() {
-    let site = Site::new(2);
-    let first = site.start(0);
+    let zone = TestCluster::new(2);
+    let first = zone.start(0);
     for n in 0..5 {
-        submit(site.names[0].1, &format!("wk-00001{n}"), 1);
+        submit(zone.names[0].1, &format!("wk-00001{n}"), 1);
     }
     first.stop();
-    site.state.lose.store(3, Ordering::SeqCst);
-    let second = site.start(1);
+    zone.state.lose.store(3, Ordering::SeqCst);
+    let second = zone.start(1);
     until("it leads", || leads(&second));
     let since = Instant::now();
     until("it has loaded", || second.shared.view.read().loaded);
@@ -383,7 +390,7 @@
         "{:?}",
         since.elapsed()
     );
-    assert_eq!(site.state.lose.load(Ordering::SeqCst), 0, "they were lost");
+    assert_eq!(zone.state.lose.load(Ordering::SeqCst), 0, "they were lost");
     second.stop();
 }
 
@@ -391,10 +398,10 @@
 /// hears nothing older than what a user was told, and nothing happens twice.
 #[test]
 fn transactions_without_an_answer_are_told_truly() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
-    let [a, b] = [site.names[0].1, site.names[1].1];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
+    let [a, b] = [zone.names[0].1, zone.names[1].1];
     until("one leads", || nodes.iter().find_map(leads));
     submit(a, "wk-000100", 1);
     until("started", || (worker.running() == 1).then_some(()));
@@ -406,20 +413,20 @@
         ("wk-000103", "j/", Fault::AnswerLost),
         ("wk-000104", "j/", late),
     ];
-    for (uid, prefix, fault) in cases {
-        let path = format!("/api/jobs/{uid}/withdraw");
+    for (job_id, prefix, fault) in cases {
+        let path = format!("/api/jobs/{job_id}/withdraw");
         if prefix == "j/" {
-            submit(a, uid, 1);
+            submit(a, job_id, 1);
         }
-        site.state.fault(prefix, fault);
+        zone.state.fault(prefix, fault);
         if prefix == "q/l/" {
-            submit(a, uid, 1);
+            submit(a, job_id, 1);
             // Accepted is accepted, at every node, for a repetition too.
             for _ in 0..40 {
                 for node in [a, b] {
-                    assert!(phase(node, uid).is_some(), "{uid}: {fault:?}");
-                    let again = call("POST", node, "/api/jobs", Some(&submission(uid, 1)));
-                    assert_eq!(again.0, 200, "{uid}: {fault:?}");
+                    assert!(phase(node, job_id).is_some(), "{job_id}: {fault:?}");
+                    let again = call("POST", node, "/api/jobs", Some(&submission(job_id, 1)));
+                    assert_eq!(again.0, 200, "{job_id}: {fault:?}");
                 }
                 std::thread::sleep(Duration::from_millis(50));
             }
@@ -430,12 +437,12 @@
         });
         for _ in 0..60 {
             for node in [b, a] {
-                let said = phase(node, uid);
-                assert_eq!(said.as_deref(), Some("withdrawn"), "{uid}: {fault:?}");
+                let said = phase(node, job_id);
+                assert_eq!(said.as_deref(), Some("withdrawn"), "{job_id}: {fault:?}");
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        assert_eq!(site.state.faults_left(), 0, "{uid}: the fault was met");
+        assert_eq!(zone.state.faults_left(), 0, "{job_id}: the fault was met");
     }
     // None of them ran twice, and none runs on.
     until("only the first is left", || {
@@ -474,16 +481,16 @@
 
 fn withdrawn_unheard((name, alone, cut_off, ends, others): (&str, bool, bool, bool, bool)) {
     let (lease, cancel) = (Duration::from_secs(3), Duration::from_secs(14));
-    let site = Site::new(2);
+    let zone = TestCluster::new(2);
     let edit = |s: &mut Settings| {
-        (s.params.lease, s.params.cancel) = (lease, cancel);
+        (s.config.lease, s.config.cancel) = (lease, cancel);
         // Nobody takes over between the two troubles.
         s.operations.leader_lease = Duration::from_secs(30);
     };
-    let mut nodes = [0, 1].map(|n| Some(site.start_with(n, edit)));
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
-    submit(site.names[0].1, "wk-000001", 1);
-    submit(site.names[1].1, "wk-000002", 1);
+    let mut nodes = [0, 1].map(|n| Some(zone.start_with(n, edit)));
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
+    submit(zone.names[0].1, "wk-000001", 1);
+    submit(zone.names[1].1, "wk-000002", 1);
     until("started", || (worker.running() == 2).then_some(()));
     worker.leased(lease);
     let leading = |n: &Option<Service>| n.as_ref().is_some_and(|n| leads(n).is_some());
@@ -495,19 +502,19 @@
     });
     std::thread::sleep(Duration::from_secs(7));
     if alone {
-        site.to_state[old].cut(true);
+        zone.to_state[old].cut(true);
     }
     if cut_off {
-        site.to_peer[0].cut(true);
-        site.to_peer[1].cut(true);
+        zone.to_peer[0].cut(true);
+        zone.to_peer[1].cut(true);
     }
     let path = "/api/jobs/wk-000001/withdraw";
-    let confirmer = site.names[1 - old].1;
+    let confirmer = zone.names[1 - old].1;
     until("confirmed", || {
         (call("POST", confirmer, path, None).0 == 200).then_some(())
     });
     let confirmed = Instant::now();
-    site.state.out.store(true, Ordering::SeqCst);
+    zone.state.out.store(true, Ordering::SeqCst);
     if ends {
         if let Some(n) = nodes[1 - old].take() {
             n.stop();
@@ -528,8 +535,8 @@
     assert_eq!(worker.running(), left, "{name}");
     assert_eq!(worker.sessions_ended() > 0, !others, "{name}");
     // The state service is back: the other job runs, this one is cancelled and starts no more.
-    site.state.out.store(false, Ordering::SeqCst);
-    let links = site.to_state.iter().chain(&site.to_peer);
+    zone.state.out.store(false, Ordering::SeqCst);
+    let links = zone.to_state.iter().chain(&zone.to_peer);
     links.for_each(|l| l.cut(false));
     if !ends {
         until("told", || {
@@ -537,7 +544,7 @@
         });
     }
     // Its machine may have been given back, with the cancelled task on it: there is another.
-    let fresh = Worker::start("i-2", Duration::from_secs(600), site.names.clone());
+    let fresh = Worker::start("i-2", Duration::from_secs(600), zone.names.clone());
     until("the other job runs", || {
         (worker.running() + fresh.running() == 1).then_some(())
     });
@@ -552,14 +559,14 @@
 /// A chain over whole nodes: order, refusals, repetitions, and cancellations that take what is behind.
 #[test]
 fn pipelines_run_in_order_and_are_withdrawn_together() {
-    let site = Site::new(2);
-    let nodes = [site.start(0), site.start(1)];
-    let worker = Worker::start("i-1", Duration::from_millis(300), site.names.clone());
-    let [a, b] = [site.names[0].1, site.names[1].1];
+    let zone = TestCluster::new(2);
+    let nodes = [zone.start(0), zone.start(1)];
+    let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
+    let [a, b] = [zone.names[0].1, zone.names[1].1];
     until("one leads", || nodes.iter().find_map(leads));
     submit(a, "wk-000200", 1);
-    let post = |node, uid: &str, needs: &[&str]| {
-        let body = awaiting(uid, needs);
+    let post = |node, job_id: &str, dependencies: &[&str]| {
+        let body = awaiting(job_id, dependencies);
         until("answered", || {
             let (status, _) = call("POST", node, "/api/jobs", Some(&body));
             (status != 503).then_some(status)
@@ -568,8 +575,8 @@
     // Refused, and unknown afterwards.
     let odd = awaiting("wk-000201", &["wk-000200", "two"]);
     assert_eq!(call("POST", a, "/api/jobs", Some(&odd)).0, 400);
-    for needs in [&["wk-000999"][..], &["wk-000200", "wk-000201"]] {
-        assert_eq!(post(b, "wk-000201", needs), 422, "{needs:?}");
+    for dependencies in [&["wk-000999"][..], &["wk-000200", "wk-000201"]] {
+        assert_eq!(post(b, "wk-000201", dependencies), 422, "{dependencies:?}");
         assert_eq!(call("GET", a, "/api/jobs/wk-000201", None).0, 404);
     }
     // A chain of three, its links at different nodes; one is named twice.
@@ -591,9 +598,9 @@
     let blocking: Vec<String> = (300..340).map(|n| format!("wk-{n:06}")).collect();
     submit(a, &blocking[0], 1);
     for n in 1..blocking.len() {
-        let needs = [blocking[n / 2].as_str()];
+        let dependencies = [blocking[n / 2].as_str()];
         let node = if n % 2 == 0 { a } else { b };
-        assert_eq!(post(node, &blocking[n], &needs), 201);
+        assert_eq!(post(node, &blocking[n], &dependencies), 201);
     }
     let path = format!("/api/jobs/{}/withdraw", blocking[1]);
     until("withdrawn", || {
@@ -605,10 +612,10 @@
         (status == 200).then_some(())
     });
     // The confirmation answers for the whole, at every node, though nobody leads any more.
-    for uid in &blocking[1..] {
+    for job_id in &blocking[1..] {
         for node in [a, b] {
-            let said = until("told", || phase(node, uid));
-            assert_eq!(said, "withdrawn", "{uid}");
+            let said = until("told", || phase(node, job_id));
+            assert_eq!(said, "withdrawn", "{job_id}");
         }
     }
     assert_ne!(phase(a, &blocking[0]).as_deref(), Some("withdrawn"));
@@ -626,9 +633,9 @@
     assert_eq!(body.text("Phase"), "done");
     assert_eq!(phase(b, "wk-000203").as_deref(), Some("done"));
     until("lists and live jobs are cleared", || {
-        let left = site.state.keys("q/w/").len();
-        let lists = site.state.keys("d/").len();
-        (left == 0 && lists <= 1 && site.state.keys("q/l/").len() <= 1).then_some(())
+        let left = zone.state.keys("q/w/").len();
+        let lists = zone.state.keys("d/").len();
+        (left == 0 && lists <= 1 && zone.state.keys("q/l/").len() <= 1).then_some(())
     });
     for n in nodes {
         n.stop();
--- a/tests/end_to_end/side_by_side.rs
+++ b/tests/end_to_end/side_by_side.rs
@@ -1,7 +1,7 @@
 //! This version beside the one in production: what that one does to the state service is done here by
 //! hand, by its layouts, while a node of this version serves.
 
-use crate::standins::site::*;
+use crate::standins::test_cluster::*;
 use crate::standins::*;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 impl EarlierNode<'_> {
-    fn stamp(&self, key: &str) -> u64 {
+    fn revision(&self, key: &str) -> u64 {
         let path = format!("/store/{key}");
         call("GET", self.state.address, &path, None).1.int("Stamp")
     }
@@ -19,7 +19,7 @@
     fn txn(&self, conditions: &[(&str, u64)], puts: &[(&str, Any)]) -> u16 {
         let conditions = conditions
             .iter()
-            .map(|(key, stamp)| map([("Path", t(key)), ("Stamp", Any::Int(*stamp))]));
+            .map(|(key, revision)| map([("Path", t(key)), ("Stamp", Any::Int(*revision))]));
         let puts = puts
             .iter()
             .map(|(key, value)| map([("Put", t(key)), ("V", value.clone())]));
@@ -31,50 +31,50 @@
     }
 
     /// Enters a job in the list of what it needs, then accepts it: no field says that it is listed.
-    fn accepts(&self, uid: &str, need: &str) {
-        let (list, verdict) = (format!("d/{need}"), format!("j/{need}"));
-        let names = map([("by", Any::List(vec![t(uid)]))]);
+    fn accepts(&self, job_id: &str, resources: &str) {
+        let (list, outcome) = (format!("d/{resources}"), format!("j/{resources}"));
+        let names = map([("by", Any::List(vec![t(job_id)]))]);
         let listed = self.txn(
-            &[(&list, self.stamp(&list)), (&verdict, 0)],
+            &[(&list, self.revision(&list)), (&outcome, 0)],
             &[(&list, names)],
         );
         assert_eq!(listed, 200);
-        let (own, live) = (format!("j/{uid}"), format!("q/l/{uid}"));
+        let (own, live) = (format!("j/{job_id}"), format!("q/l/{job_id}"));
         let accepted = self.txn(
-            &[(&own, 0), (&live, 0), (&verdict, 0)],
-            &[(&live, record(uid, need))],
+            &[(&own, 0), (&live, 0), (&outcome, 0)],
+            &[(&live, record(job_id, resources))],
         );
         assert_eq!(accepted, 200);
     }
 
     /// Its whole cancellation is one transaction, conditional on the list that it read.
-    fn cancels(&self, uid: &str, list_stamp: u64, dependents: &[&str]) -> u16 {
-        let list = format!("d/{uid}");
-        let verdicts: Vec<(String, String)> = std::iter::once(&uid)
+    fn cancels(&self, job_id: &str, list_revision: u64, dependents: &[&str]) -> u16 {
+        let list = format!("d/{job_id}");
+        let outcomes: Vec<(String, String)> = std::iter::once(&job_id)
             .chain(dependents)
             .map(|u| (format!("j/{u}"), format!("q/w/{u}")))
             .collect();
-        let mut conditions = vec![(list.as_str(), list_stamp)];
+        let mut conditions = vec![(list.as_str(), list_revision)];
         let mut puts = Vec::new();
-        for (verdict, mark) in &verdicts {
-            conditions.push((verdict, 0));
-            puts.push((verdict.as_str(), map([("p", t("withdrawn"))])));
+        for (outcome, mark) in &outcomes {
+            conditions.push((outcome, 0));
+            puts.push((outcome.as_str(), map([("p", t("withdrawn"))])));
             puts.push((mark.as_str(), Any::Int(1)));
         }
         self.txn(&conditions, &puts)
     }
 }
 
-fn record(uid: &str, need: &str) -> Any {
-    let mut record = job_record(uid, 1);
+fn record(job_id: &str, resources: &str) -> Any {
+    let mut record = job_record(job_id, 1);
     if let Any::Map(fields) = &mut record {
-        fields.insert("needs".to_owned(), Any::List(vec![t(need)]));
+        fields.insert("needs".to_owned(), Any::List(vec![t(resources)]));
     }
     record
 }
 
-fn accepts(node: std::net::SocketAddr, uid: &str, needs: &[&str]) {
-    let body = awaiting(uid, needs);
+fn accepts(node: std::net::SocketAddr, job_id: &str, dependencies: &[&str]) {
+    let body = awaiting(job_id, dependencies);
     until("accepted", || {
         let status = call("POST", node, "/api/jobs", Some(&body)).0;
         matches!(status, 200 | 201).then_some(())
@@ -85,17 +85,19 @@
 /// not until it is asked: it keeps the lists which that one needs.
 #[test]
 fn each_version_finds_what_the_other_accepted_and_cancelled() {
-    let site = Site::new(2);
-    let node = site.start(0);
-    let address = site.names[0].1;
-    let worker = Worker::start("i-1", Duration::from_secs(600), site.names.clone());
-    let earlier = EarlierNode { state: &site.state };
+    let zone = TestCluster::new(2);
+    let node = zone.start(0);
+    let address = zone.names[0].1;
+    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
+    let earlier = EarlierNode { state: &zone.state };
     until("it leads", || leads(&node));
-    let told = |uid: &str, expected: &str| {
-        until(uid, || (phase(address, uid)? == expected).then_some(()));
+    let told = |job_id: &str, expected: &str| {
+        until(job_id, || {
+            (phase(address, job_id)? == expected).then_some(())
+        });
     };
-    let cancel = |uid: &str| {
-        let path = format!("/api/jobs/{uid}/withdraw");
+    let cancel = |job_id: &str| {
+        let path = format!("/api/jobs/{job_id}/withdraw");
         until("confirmed", || {
             (call("POST", address, &path, None).0 == 200).then_some(())
         });
@@ -115,17 +117,17 @@
     // fails, and its repetition finds the dependent.
     accepts(address, "wk-000810", &["wk-000800"]);
     accepts(address, "wk-000811", &["wk-000810"]);
-    let read_before = earlier.stamp("d/wk-000810");
+    let read_before = earlier.revision("d/wk-000810");
     accepts(address, "wk-000812", &["wk-000810"]);
     assert_eq!(
         earlier.cancels("wk-000810", read_before, &["wk-000811"]),
         409
     );
-    let read_now = earlier.stamp("d/wk-000810");
+    let read_now = earlier.revision("d/wk-000810");
     let dependents = ["wk-000811", "wk-000812"];
     assert_eq!(earlier.cancels("wk-000810", read_now, &dependents), 200);
-    for uid in ["wk-000810", "wk-000811", "wk-000812"] {
-        told(uid, "withdrawn");
+    for job_id in ["wk-000810", "wk-000811", "wk-000812"] {
+        told(job_id, "withdrawn");
     }
     // And one that is submitted after it.
     accepts(address, "wk-000813", &["wk-000810", "wk-000800"]);
@@ -136,7 +138,7 @@
     earlier.accepts("wk-000821", "wk-000820");
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(worker.starts().len(), 1, "all but the first wait");
-    let leader = earlier.stamp("ctl/leader");
+    let leader = earlier.revision("ctl/leader");
     let done = map([("p", t("done"))]);
     // Late, after the next leader's first write: the leader's stamp is another.
     let late = [("ctl/leader", leader - 1), ("j/wk-000820", 0)];
@@ -147,12 +149,12 @@
     );
     node.stop();
     // Another life of this version leads next, with the pipeline half done.
-    let mut site = site;
-    site.names[0].1 = free_port();
-    site.peers[0] = free_port();
-    let next = site.start(0);
+    let mut zone = zone;
+    zone.names[0].1 = free_port();
+    zone.peers[0] = free_port();
+    let next = zone.start(0);
     until("it leads again", || leads(&next));
-    let fresh = Worker::start("i-2", Duration::from_millis(200), site.names.clone());
+    let fresh = Worker::start("i-2", Duration::from_millis(200), zone.names.clone());
     until("the last of the chain runs", || {
         let starts = [worker.starts(), fresh.starts()].concat();
         starts.iter().any(|s| s.0 == "wk-000821/0").then_some(())
--- a/tests/end_to_end/team_limits.rs
+++ b/tests/end_to_end/team_limits.rs
@@ -1,6 +1,6 @@
 //! What a whole node makes of records that a leader left behind: a team's limit holds on the machines.
 
-use crate::standins::site::{job_record, phase, until, Site};
+use crate::standins::test_cluster::{job_record, phase, until, TestCluster};
 use crate::standins::{call, map, t, Any, Worker};
 use cypressgap::settings::Settings;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 const EARLIER_ATTEMPT: u64 = 1 << 28;
 
 fn limited(settings: &mut Settings) {
-    settings.params.teams[0].cpus = None;
-    settings.params.teams[0].cpus_max = Some(LIMIT_CPUS);
+    settings.config.teams[0].cpus = None;
+    settings.config.teams[0].cpus_max = Some(LIMIT_CPUS);
 }
 
 /// Two tasks of a job, on record as sent to a machine.
-fn intents(host: &str) -> Any {
+fn intents(machine: &str) -> Any {
     let sent = [0, 1].map(|task| {
         let attempt = Any::Int(EARLIER_ATTEMPT + task);
-        Any::List(vec![Any::Int(task), attempt, t(host)])
+        Any::List(vec![Any::Int(task), attempt, t(machine)])
     });
     map([("d", Any::Int(0)), ("a", Any::List(sent.to_vec()))])
 }
@@ -29,16 +29,17 @@
 /// before it removed the first job's record.
 #[test]
 fn records_beyond_a_teams_limit_are_not_launched_by_a_new_leader() {
-    let site = Site::new(1);
+    let zone = TestCluster::new(1);
     let long = Duration::from_secs(3600);
-    let workers = ["i-1", "i-2"].map(|name| Worker::start(name, long, site.names.clone()));
+    let workers = ["i-1", "i-2"].map(|name| Worker::start(name, long, zone.names.clone()));
     for (worker, name) in workers.iter().zip(["i-1", "i-2"]) {
         let entry = (name.to_owned(), worker.endpoint());
-        site.listed.lock().expect("the list").push(entry);
+        zone.listed.lock().expect("the list").push(entry);
     }
-    for (uid, host) in [("wk-000001", "i-1"), ("wk-000002", "i-2")] {
-        site.state.put(&format!("q/l/{uid}"), job_record(uid, 2));
-        site.state.put(&format!("i/{uid}/0"), intents(host));
+    for (job_id, machine) in [("wk-000001", "i-1"), ("wk-000002", "i-2")] {
+        zone.state
+            .put(&format!("q/l/{job_id}"), job_record(job_id, 2));
+        zone.state.put(&format!("i/{job_id}/0"), intents(machine));
     }
     let launches = [0, 1].map(|task| {
         map([
@@ -54,9 +55,9 @@
     ]);
     let endpoint = workers[1].endpoint().parse().expect("an address");
     assert_eq!(call("POST", endpoint, "/commands", Some(&command)).0, 200);
-    let node = site.start_with(0, limited);
+    let node = zone.start_with(0, limited);
     let used = || workers.iter().map(Worker::running).sum::<usize>() as f64 * TASK_CPUS;
-    let shown = |worker: &Worker| (worker.epoch() > 1).then_some(());
+    let shown = |worker: &Worker| (worker.token() > 1).then_some(());
     for worker in &workers {
         until("the leader's token", || shown(worker));
     }
@@ -70,9 +71,9 @@
     assert_eq!(workers[0].starts(), vec![]);
     // Once the second job ends, the first one runs.
     workers.iter().for_each(|w| w.runs_for(Duration::ZERO));
-    for uid in ["wk-000002", "wk-000001"] {
+    for job_id in ["wk-000002", "wk-000001"] {
         until("done", || {
-            (phase(site.names[0].1, uid)? == "done").then_some(())
+            (phase(zone.names[0].1, job_id)? == "done").then_some(())
         });
     }
     node.stop();
@@ -82,18 +83,18 @@
 /// it may hold is never counted as free.
 #[test]
 fn an_unreadable_record_is_left_alone_and_its_machine_goes_back() {
-    let site = Site::new(1);
-    let worker = Worker::start("i-2", Duration::ZERO, site.names.clone());
+    let zone = TestCluster::new(1);
+    let worker = Worker::start("i-2", Duration::ZERO, zone.names.clone());
     let entry = ("i-2".to_owned(), worker.endpoint());
-    site.listed.lock().expect("the list").push(entry);
-    site.state.put("q/l/wk-000001", t("of a later version"));
-    site.state.put("i/wk-000001/0", intents("i-1"));
-    site.state.put("q/l/wk-000002", job_record("wk-000002", 2));
-    let node = site.start_with(0, limited);
+    zone.listed.lock().expect("the list").push(entry);
+    zone.state.put("q/l/wk-000001", t("of a later version"));
+    zone.state.put("i/wk-000001/0", intents("i-1"));
+    zone.state.put("q/l/wk-000002", job_record("wk-000002", 2));
+    let node = zone.start_with(0, limited);
     until("done", || {
-        (phase(site.names[0].1, "wk-000002")? == "done").then_some(())
+        (phase(zone.names[0].1, "wk-000002")? == "done").then_some(())
     });
-    assert_eq!(site.state.keys("q/l/wk-000001"), vec!["q/l/wk-000001"]);
-    assert_eq!(site.state.keys("i/wk-000001/"), vec!["i/wk-000001/0"]);
+    assert_eq!(zone.state.keys("q/l/wk-000001"), vec!["q/l/wk-000001"]);
+    assert_eq!(zone.state.keys("i/wk-000001/"), vec!["i/wk-000001/0"]);
     node.stop();
 }
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -3,12 +3,14 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::{Action, Answer, Cluster};
-use cypressgap::core::ledger::{chunk_key, job_key, BatchOutcome, ChunkValue, Verdict, LEADER_KEY};
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{
+    chunk_key, job_key, BatchOutcome, ChunkValue, JobOutcome, LEADER_KEY,
+};
+use cypressgap::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
 
 /// One host, one single-task job placed and launched there; its attempt.
-fn launched() -> (World, Attempt) {
+fn launched() -> (World, AttemptId) {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
@@ -24,24 +26,24 @@
     w.job(spec("wk-000001", 1, 4.0));
     let batch = w.batch().expect("an intent is written");
     let keys: Vec<&str> = batch.conditions.iter().map(|c| c.0.as_str()).collect();
-    let uid = Uid::from("wk-000001");
+    let job_id = JobId::from("wk-000001");
     // On the term, the intent's own stamp, and the job's not being cancelled.
     assert!(keys.contains(&LEADER_KEY));
-    assert!(keys.contains(&chunk_key(&uid, 0).as_str()));
-    assert!(keys.contains(&job_key(&uid).as_str()));
-    let (_, directives) = w.heartbeat("i-1", 2, vec![]);
-    assert_eq!(directives, vec![]);
+    assert!(keys.contains(&chunk_key(&job_id, 0).as_str()));
+    assert!(keys.contains(&job_key(&job_id).as_str()));
+    let (_, commands) = w.heartbeat("i-1", 2, vec![]);
+    assert_eq!(commands, vec![]);
     w.c.on_batch(w.now, BatchOutcome::Unknown);
-    let (_, directives) = w.heartbeat("i-1", 3, vec![]);
-    assert_eq!(directives, vec![], "an unknown outcome allows nothing");
+    let (_, commands) = w.heartbeat("i-1", 3, vec![]);
+    assert_eq!(commands, vec![], "an unknown outcome allows nothing");
     w.batch().expect("the write is repeated");
     w.c.on_batch(w.now, BatchOutcome::Applied { revision: 200 });
-    let (_, directives) = w.heartbeat("i-1", 4, vec![]);
-    assert!(matches!(directives[..], [Directive::Launch { .. }]));
+    let (_, commands) = w.heartbeat("i-1", 4, vec![]);
+    assert!(matches!(commands[..], [TaskCommand::Launch { .. }]));
 }
 
 #[test]
-fn a_write_that_was_applied_after_all_is_met_and_repeated_on_its_stamp() {
+fn a_write_that_was_applied_after_all_is_met_and_repeated_on_its_revision() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
@@ -61,7 +63,7 @@
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.batch().unwrap();
-    let found = vec![(LEADER_KEY.to_owned(), STAMP + 9, None)];
+    let found = vec![(LEADER_KEY.to_owned(), REVISION + 9, None)];
     assert!(w.c.on_batch(w.now, BatchOutcome::Failed { found }));
 }
 
@@ -72,7 +74,7 @@
     w.job(spec("wk-000001", 2, 4.0));
     w.batch().unwrap();
     let key = job_key(&"wk-000001".into());
-    let found = vec![(key, 180, Some(Verdict::Cancelled))];
+    let found = vec![(key, 180, Some(JobOutcome::Cancelled))];
     w.c.on_batch(w.now, BatchOutcome::Failed { found });
     assert_eq!(launches(&w.settle()), vec![]);
     assert_eq!(w.active("wk-000001", 0), None);
@@ -95,31 +97,31 @@
         ("token past the launch, task absent", 1, 9, 0, false, false),
         ("a later tenure", 2, 1, -2, false, false),
     ];
-    for (name, tenure, serial, token, listed, held) in cases {
+    for (name, incarnation, serial, token_offset, listed, held) in cases {
         let (mut w, attempt) = launched();
         w.c.on_sent(w.now, &"i-1".into(), None);
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         // The kill goes out with a raised token, so that no copy of the launch comes after it.
         w.settle();
-        let epoch = w.c.hosts[&HostId::from("i-1")].epoch.0 as i64 + token;
+        let token = w.c.machines[&MachineId::from("i-1")].token.0 as i64 + token_offset;
         let tasks = if listed {
             vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
-        let r = World::report("i-1", tenure, serial, epoch as u64, tasks);
-        w.c.on_report(w.now, r, true);
+        let r = World::heartbeat_from("i-1", incarnation, serial, token as u64, tasks);
+        w.c.on_heartbeat(w.now, r, true);
         assert_eq!(w.active("wk-000001", 0).is_some(), held, "{name}");
     }
 }
 
 #[test]
-fn a_task_stays_with_a_silent_host_until_its_lease_has_certainly_run_out() {
+fn a_task_stays_with_a_silent_machine_until_its_lease_has_certainly_run_out() {
     for (fenced, gone) in [(true, true), (false, false)] {
         let (mut w, _) = launched();
         w.heartbeat("i-1", 5, vec![]);
         // Fenced: it has shown this term's token, and from then on only we renew its lease.
-        for h in w.c.hosts.values_mut() {
+        for h in w.c.machines.values_mut() {
             h.fenced = fenced;
             h.returning = true;
         }
@@ -136,90 +138,103 @@
 fn a_new_sessions_lease_is_not_counted_from_the_old_ones_last_answer() {
     let (mut w, _) = launched();
     w.heartbeat("i-1", 5, vec![]);
-    let host = HostId::from("i-1");
-    let lease = params().lease;
+    let machine = MachineId::from("i-1");
+    let lease = config().lease;
     // Its answers were lost: the worker began a new session, of which a direct answer tells.
     w.pass(lease);
-    let epoch = w.c.hosts[&host].epoch.0;
-    let fresh = World::report("i-1", 2, 1, epoch, vec![]);
-    w.c.on_sent(w.now, &host, Some(fresh));
+    let token = w.c.machines[&machine].token.0;
+    let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
+    w.c.on_sent(w.now, &machine, Some(fresh));
     assert_eq!(launches(&w.settle()), vec![], "does anything reach it?");
-    let epoch = w.c.hosts[&host].epoch.0;
-    let shows = World::report("i-1", 2, 2, epoch, vec![]);
-    w.c.on_sent(w.now, &host, Some(shows));
+    let token = w.c.machines[&machine].token.0;
+    let shows = World::heartbeat_from("i-1", 2, 2, token, vec![]);
+    w.c.on_sent(w.now, &machine, Some(shows));
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1, "the old session's task starts anew");
     let (_, task, attempt) = sent[0].clone();
     w.pass(secs(5));
     w.c.tick(w.now);
-    let (on, still) = w.active(&task.uid.0, task.index).expect("it runs there");
-    assert_eq!((on, still), (host, attempt));
+    let (on, still) = w.active(&task.job_id.0, task.index).expect("it runs there");
+    assert_eq!((on, still), (machine, attempt));
 }
 
 #[test]
-fn a_returned_host_is_gone_for_good() {
+fn a_returned_machine_is_gone_for_good() {
     let (mut w, _) = launched();
     w.c.on_returned(w.now, &["i-1".into()]);
     assert_eq!(w.active("wk-000001", 0), None);
-    assert_eq!(w.c.jobs[&Uid::from("wk-000001")].pending(9), vec![0]);
-    let late = World::report("i-1", 1, 99, 0, vec![]);
-    assert_eq!(w.c.on_report(w.now, late, true), Answer::Ignore);
-    assert!(w.c.hosts.is_empty());
+    assert_eq!(w.c.jobs[&JobId::from("wk-000001")].pending(9), vec![0]);
+    let late = World::heartbeat_from("i-1", 1, 99, 0, vec![]);
+    assert_eq!(
+        w.c.on_heartbeat(w.now, late, true),
+        HeartbeatDecision::Ignore
+    );
+    assert!(w.c.machines.is_empty());
 }
 
 #[test]
-fn a_report_of_a_higher_term_supersedes() {
+fn a_heartbeat_of_a_higher_term_supersedes() {
     let mut w = World::new();
-    let higher = Epoch::first(Term(TERM.0 + 1));
-    let r = World::report("i-1", 1, 1, higher.0, vec![]);
+    let higher = FencingToken::first(Term(TERM.0 + 1));
+    let r = World::heartbeat_from("i-1", 1, 1, higher.0, vec![]);
     assert_eq!(
-        w.c.on_report(w.now, r, true),
-        Answer::Superseded(Term(TERM.0 + 1))
+        w.c.on_heartbeat(w.now, r, true),
+        HeartbeatDecision::Superseded(Term(TERM.0 + 1))
     );
 }
 
 #[test]
-fn a_report_overtaken_by_a_direct_answer_still_renews_the_lease() {
+fn a_heartbeat_overtaken_by_a_direct_answer_still_renews_the_lease() {
     let (mut w, attempt) = launched();
-    let epoch = w.c.hosts[&HostId::from("i-1")].epoch.0;
+    let token = w.c.machines[&MachineId::from("i-1")].token.0;
     let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let direct = World::report("i-1", 1, 8, epoch, running);
+    let direct = World::heartbeat_from("i-1", 1, 8, token, running);
     w.c.on_sent(w.now, &"i-1".into(), Some(direct));
     // Sent before the command, arriving after it: its list without the task proves nothing.
-    let (_, directives) = w.heartbeat("i-1", 7, vec![]);
-    assert_eq!(directives, vec![]);
+    let (_, commands) = w.heartbeat("i-1", 7, vec![]);
+    assert_eq!(commands, vec![]);
     assert!(w.active("wk-000001", 0).is_some());
-    assert_eq!(w.c.hosts[&HostId::from("i-1")].last_answer, Some(w.now));
+    assert_eq!(
+        w.c.machines[&MachineId::from("i-1")].last_answer,
+        Some(w.now)
+    );
 }
 
 #[test]
 fn forgotten_only_once_the_end_is_durable_and_then_with_a_raised_token() {
     let (mut w, attempt) = launched();
-    let done = || vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(Exit::Done))];
-    let (before, directives) = w.heartbeat("i-1", 5, done());
-    assert_eq!(directives, vec![], "not written yet");
+    let done = || {
+        vec![shown(
+            "wk-000001",
+            0,
+            attempt,
+            TaskPhase::Ended(ExitReason::Completed),
+        )]
+    };
+    let (before, commands) = w.heartbeat("i-1", 5, done());
+    assert_eq!(commands, vec![], "not written yet");
     w.settle();
-    let (after, directives) = w.heartbeat("i-1", 6, done());
-    let forget = Directive::Forget {
+    let (after, commands) = w.heartbeat("i-1", 6, done());
+    let forget = TaskCommand::Forget {
         task: task("wk-000001", 0),
         attempt,
     };
-    assert_eq!(directives, vec![forget]);
+    assert_eq!(commands, vec![forget]);
     // A late copy of the launch would start the task again: the raised token shuts it out.
     assert!(after > before);
 }
 
 #[test]
 fn how_each_end_is_taken() {
-    let stored = Exit::Stopped { stored: true };
+    let stored = ExitReason::Stopped { stored: true };
     // End, done, waits again, host avoided for a while, job held back.
     let cases = [
-        (Exit::Done, true, false, false, false),
+        (ExitReason::Completed, true, false, false, false),
         (stored, false, true, false, false),
-        (Exit::Error, false, true, true, false),
-        (Exit::NoRoom, false, true, true, false),
-        (Exit::InUse, false, true, true, false),
-        (Exit::Unknown, false, true, false, true),
+        (ExitReason::Failed, false, true, true, false),
+        (ExitReason::InsufficientResources, false, true, true, false),
+        (ExitReason::EarlierAttemptRunning, false, true, true, false),
+        (ExitReason::UnknownTask, false, true, false, true),
     ];
     for (exit, done, waits, avoided, held_back) in cases {
         let (mut w, attempt) = launched();
@@ -228,17 +243,17 @@
             5,
             vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
         );
-        let j = &w.c.jobs[&Uid::from("wk-000001")];
+        let j = &w.c.jobs[&JobId::from("wk-000001")];
         assert_eq!(j.done_count == 1, done, "{exit:?}");
         assert_eq!(j.pending(9) == vec![0], waits, "{exit:?}");
         assert_eq!(j.backoff_until.is_some(), held_back, "{exit:?}");
-        let h = &w.c.hosts[&HostId::from("i-1")];
+        let h = &w.c.machines[&MachineId::from("i-1")];
         assert_eq!(h.avoid_until.is_some(), avoided, "{exit:?}");
     }
 }
 
 #[test]
-fn a_host_that_fails_two_jobs_is_quarantined_and_a_job_that_fails_everywhere_waits() {
+fn a_machine_that_fails_two_jobs_is_quarantined_and_a_job_that_fails_everywhere_waits() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
@@ -247,32 +262,37 @@
     assert_eq!(sent.len(), 2);
     let ends = sent
         .iter()
-        .map(|(_, t, a)| shown(&t.uid.0, 0, *a, TaskPhase::Ended(Exit::Error)))
+        .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
     w.heartbeat("i-1", 5, ends);
-    assert!(w.c.hosts[&HostId::from("i-1")].quarantined);
+    assert!(w.c.machines[&MachineId::from("i-1")].quarantined);
 
     let mut w = World::new();
     w.job(spec("wk-000001", 1, 4.0));
-    for (n, host) in ["i-1", "i-2", "i-3"].iter().enumerate() {
-        w.heartbeat(host, 1, vec![]);
+    for (n, machine) in ["i-1", "i-2", "i-3"].iter().enumerate() {
+        w.heartbeat(machine, 1, vec![]);
         let sent = launches(&w.settle());
-        assert_eq!(sent.len(), 1, "{host}");
-        assert_eq!(&sent[0].0 .0, host, "not where it failed before");
-        let end = shown("wk-000001", 0, sent[0].2, TaskPhase::Ended(Exit::Error));
-        w.heartbeat(host, 5, vec![end]);
-        let held = w.c.jobs[&Uid::from("wk-000001")].backoff_until.is_some();
+        assert_eq!(sent.len(), 1, "{machine}");
+        assert_eq!(&sent[0].0 .0, machine, "not where it failed before");
+        let end = shown(
+            "wk-000001",
+            0,
+            sent[0].2,
+            TaskPhase::Ended(ExitReason::Failed),
+        );
+        w.heartbeat(machine, 5, vec![end]);
+        let held = w.c.jobs[&JobId::from("wk-000001")].backoff_until.is_some();
         assert_eq!(held, n == 2);
     }
 }
 
 /// A new leader that loaded one intent for `i-1`.
-fn taken_over() -> (World, Attempt) {
-    let mut patient = params();
+fn taken_over() -> (World, AttemptId) {
+    let mut patient = config();
     patient.tuning.idle_ordinary = secs(1000);
-    let mut w = World::with(patient, vec![host_type("m8", 8.0)]);
+    let mut w = World::with(patient, vec![machine_type("m8", 8.0)]);
     w.job(spec("wk-000001", 1, 4.0));
-    let attempt = Attempt(7);
+    let attempt = AttemptId(7);
     let value = ChunkValue {
         done: 0,
         active: vec![(0, attempt, "i-1".into())],
@@ -287,25 +307,25 @@
     w.heartbeat("i-2", 1, vec![]);
     assert_eq!(launches(&w.settle()), vec![], "i-1 may have it");
     // The first report lacks it, and may be a late copy: nothing is ordered by it.
-    let r = World::report("i-1", 1, 40, Epoch::first(Term(2)).0, vec![]);
-    let Answer::Accept { epoch, directives } = w.c.on_report(w.now, r, true) else {
+    let r = World::heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
+    let HeartbeatDecision::Accept { token, commands } = w.c.on_heartbeat(w.now, r, true) else {
         panic!("refused");
     };
-    assert_eq!((epoch.term(), directives), (TERM, vec![]));
+    assert_eq!((token.term(), commands), (TERM, vec![]));
     // One of this term's does not: the command may be in flight, so the same attempt is sent again.
-    let r = World::report("i-1", 1, 41, epoch.0, vec![]);
-    let Answer::Accept { directives, .. } = w.c.on_report(w.now, r, true) else {
+    let r = World::heartbeat_from("i-1", 1, 41, token.0, vec![]);
+    let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
         panic!("refused");
     };
-    let launch = Directive::Launch {
+    let launch = TaskCommand::Launch {
         task: task("wk-000001", 0),
         attempt,
     };
-    assert_eq!(directives, vec![launch]);
+    assert_eq!(commands, vec![launch]);
 }
 
 #[test]
-fn a_new_leader_returns_a_host_that_never_reports_and_moves_its_task_only_then() {
+fn a_new_leader_returns_a_machine_that_never_heartbeats_and_moves_its_task_only_then() {
     let (mut w, _) = taken_over();
     let mut returned = false;
     for _ in 0..20 {
@@ -316,8 +336,8 @@
         w.revision += 1;
         for a in w.c.tick(w.now) {
             match a {
-                Action::Return { hosts } => {
-                    assert_eq!(hosts, vec![HostId::from("i-1")]);
+                Action::Return { machines } => {
+                    assert_eq!(machines, vec![MachineId::from("i-1")]);
                     returned = true;
                 }
                 Action::Store(_) => {
@@ -338,21 +358,26 @@
 #[test]
 fn a_stray_is_killed_once_its_job_is_known_to_be_over_and_an_unknown_end_forgotten() {
     let mut w = World::new();
-    let uid = Uid::from("wk-000009");
-    let running = || shown("wk-000009", 0, Attempt(3), TaskPhase::Running);
-    let ended = shown("wk-000009", 1, Attempt(3), TaskPhase::Ended(Exit::Done));
+    let job_id = JobId::from("wk-000009");
+    let running = || shown("wk-000009", 0, AttemptId(3), TaskPhase::Running);
+    let ended = shown(
+        "wk-000009",
+        1,
+        AttemptId(3),
+        TaskPhase::Ended(ExitReason::Completed),
+    );
     w.pass(secs(2));
     let (before, d) = w.heartbeat("i-1", 1, vec![running(), ended]);
-    assert!(matches!(d[..], [Directive::Forget { .. }]), "{d:?}");
-    assert!(w.c.jobs_to_ask().contains(&uid));
-    w.c.on_standings(w.now, &[(uid, Some(Verdict::Done))]);
+    assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
+    assert!(w.c.jobs_to_ask().contains(&job_id));
+    w.c.on_statuses(w.now, &[(job_id, Some(JobOutcome::Done))]);
     let (token, d) = w.heartbeat("i-1", 2, vec![running()]);
-    assert!(matches!(d[..], [Directive::Kill { .. }]), "{d:?}");
+    assert!(matches!(d[..], [TaskCommand::Kill { .. }]), "{d:?}");
     assert!(token > before, "no late command starts it again");
 }
 
 #[test]
-fn an_overdue_withdrawal_costs_its_host() {
+fn an_overdue_withdrawal_costs_its_machine() {
     let (mut w, attempt) = launched();
     w.c.on_cancel_marked(w.now, &"wk-000001".into());
     for serial in 10..30 {
@@ -361,13 +386,18 @@
         w.heartbeat("i-1", serial, running);
         w.settle();
     }
-    assert!(w.c.hosts[&HostId::from("i-1")].returning);
+    assert!(w.c.machines[&MachineId::from("i-1")].returning);
 }
 
 #[test]
-fn a_done_job_is_recorded_only_while_it_has_no_verdict() {
+fn a_done_job_is_recorded_only_while_it_has_no_outcome() {
     let (mut w, attempt) = launched();
-    let done = shown("wk-000001", 0, attempt, TaskPhase::Ended(Exit::Done));
+    let done = shown(
+        "wk-000001",
+        0,
+        attempt,
+        TaskPhase::Ended(ExitReason::Completed),
+    );
     w.heartbeat("i-1", 5, vec![done]);
     let batch = w.batch().unwrap();
     let condition = (job_key(&"wk-000001".into()), 0);
@@ -379,9 +409,9 @@
 
 #[test]
 fn large_jobs_are_written_in_chunks_within_a_transactions_limits() {
-    let mut big = params();
+    let mut big = config();
     big.teams[0].cpus_max = None;
-    let mut w = World::with(big, vec![host_type("m8", 10_000.0)]);
+    let mut w = World::with(big, vec![machine_type("m8", 10_000.0)]);
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 100_000, 1.0));
     for _ in 0..20 {
@@ -395,7 +425,7 @@
             w.c.on_batch(w.now, BatchOutcome::Applied { revision });
         }
     }
-    assert!(w.c.jobs[&Uid::from("wk-000001")].active.len() > 1000);
+    assert!(w.c.jobs[&JobId::from("wk-000001")].active.len() > 1000);
 }
 
 #[test]
@@ -403,9 +433,9 @@
     let mut seen = std::collections::HashSet::new();
     for term in 1..4 {
         let now = std::time::Instant::now();
-        let types = vec![host_type("m8", 8.0)];
+        let types = vec![machine_type("m8", 8.0)];
         let mut w = World {
-            c: Cluster::new(params(), Term(term), STAMP, types, now, 0),
+            c: ClusterState::new(config(), Term(term), REVISION, types, now, 0),
             now,
             revision: 100,
         };
@@ -420,15 +450,15 @@
 
 #[test]
 fn keys_of_finished_jobs_are_removed_a_few_at_a_time() {
-    let mut w = World::with(params(), vec![host_type("m8", 64.0)]);
-    let uid = Uid::from("wk-000001");
+    let mut w = World::with(config(), vec![machine_type("m8", 64.0)]);
+    let job_id = JobId::from("wk-000001");
     w.job(spec("wk-000001", 64 * 20, 1.0));
     for index in 0..20 {
         let done = ChunkValue {
             done: u64::MAX,
             active: vec![],
         };
-        w.c.load_chunk(w.now, &uid, index, done, 90);
+        w.c.load_chunk(w.now, &job_id, index, done, 90);
     }
     let first = w.batch().expect("the end is recorded");
     assert_eq!(first.ops.len(), 1, "the verdict at once");
@@ -448,9 +478,9 @@
 
 #[test]
 fn a_transaction_is_no_larger_than_the_rate_has_room_for_and_intents_go_first() {
-    let mut p = params();
+    let mut p = config();
     p.teams[0].cpus_max = None;
-    let mut w = World::with(p, vec![host_type("m8", 64.0)]);
+    let mut w = World::with(p, vec![machine_type("m8", 64.0)]);
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let ended = launches(&w.settle())[0].2;
@@ -462,11 +492,11 @@
             "wk-000001",
             0,
             ended,
-            TaskPhase::Ended(Exit::Unknown),
+            TaskPhase::Ended(ExitReason::UnknownTask),
         )],
     );
     w.c.jobs
-        .get_mut(&Uid::from("wk-000001"))
+        .get_mut(&JobId::from("wk-000001"))
         .unwrap()
         .backoff_until = Some(w.now + secs(60));
     for n in 2..6 {
--- a/tests/guests.rs
+++ b/tests/guests.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::start_limiter::StartLimiter;
+use cypressgap::core::placement::start_limiter::StartLimiter;
 
 /// Two teams without a guarantee or limit, `red` and `grey`, and `blue` with a guarantee.
-fn teams() -> Params {
-    let mut p = params();
+fn teams() -> SchedulerConfig {
+    let mut p = config();
     let blank = |name: &str, cpus| Team {
         name: name.into(),
         cpus,
@@ -24,12 +24,12 @@
     p
 }
 
-fn owned(uid: &str, owner: &str, shards: u32, cpus: f64, urgency: Urgency) -> JobSpec {
-    let mut s = spec(uid, shards, cpus);
-    s.owner = owner.into();
-    s.urgency = urgency;
-    s.snapshot_every = secs(0);
-    s.snapshot = secs(0);
+fn owned(job_id: &str, team: &str, task_count: u32, cpus: f64, priority: Priority) -> JobSpec {
+    let mut s = spec(job_id, task_count, cpus);
+    s.team = team.into();
+    s.priority = priority;
+    s.checkpoint_interval = secs(0);
+    s.checkpoint_duration = secs(0);
     s
 }
 
@@ -37,17 +37,17 @@
 /// waited until it was over.
 #[test]
 fn a_huge_job_of_small_tasks_takes_no_more_than_its_part_while_others_wait() {
-    for (owner, urgency) in [
-        ("red", Urgency::Standard),
-        ("blue", Urgency::Standard),
-        ("red", Urgency::High),
+    for (team, priority) in [
+        ("red", Priority::Standard),
+        ("blue", Priority::Standard),
+        ("red", Priority::High),
     ] {
         let mut f = Fleet::new(teams(), 10, 8.0);
-        f.w.job(owned("wk-000001", "grey", 6000, 1.0, Urgency::Standard));
+        f.w.job(owned("wk-000001", "grey", 6000, 1.0, Priority::Standard));
         for _ in 0..20 {
             f.second(|_| secs(7));
         }
-        f.w.job(owned("wk-000002", owner, 10, 8.0, urgency));
+        f.w.job(owned("wk-000002", team, 10, 8.0, priority));
         let (before, came) = (f.done[&"wk-000001".into()], f.w.now);
         let mut all = None;
         for _ in 0..90 {
@@ -62,7 +62,7 @@
                 all.get_or_insert(f.w.now - came);
             }
         }
-        let name = format!("{owner} {urgency:?}");
+        let name = format!("{team} {priority:?}");
         assert!(
             all.is_some_and(|d| d < secs(75)),
             "{name}: all begun after {all:?}"
@@ -79,11 +79,11 @@
     let mut p = teams();
     p.teams[0].cpus = Some(1000.0);
     let mut f = Fleet::new(p, 10, 8.0);
-    f.w.job(owned("wk-000001", "grey", 40, 1.0, Urgency::Idle));
+    f.w.job(owned("wk-000001", "grey", 40, 1.0, Priority::Idle));
     for n in 0..300 {
         if n % 3 == 0 {
-            let uid = format!("wk-1{n:05}");
-            f.w.job(owned(&uid, "red", 40, 1.0, Urgency::High));
+            let job_id = format!("wk-1{n:05}");
+            f.w.job(owned(&job_id, "red", 40, 1.0, Priority::High));
         }
         f.second(|u| {
             if u.0 == "wk-000001" {
@@ -93,7 +93,7 @@
             }
         });
     }
-    let guest = &Uid::from("wk-000001");
+    let guest = &JobId::from("wk-000001");
     let begun = f.begun.get(guest).copied().expect("it begins");
     assert!(begun < f.w.now - secs(60));
     let (launched, done) = (f.launched[guest], f.done.get(guest).copied().unwrap_or(0));
@@ -145,7 +145,7 @@
             started = 0;
             for _ in 0..seconds * 5 {
                 now += std::time::Duration::from_millis(200);
-                start_limiter.strain(now, std::time::Duration::from_millis(*late));
+                start_limiter.timer_lag(now, std::time::Duration::from_millis(*late));
                 start_limiter.round(now);
                 let n = start_limiter.left().min(wanted / 5);
                 start_limiter.started(n);
@@ -166,14 +166,14 @@
 #[test]
 fn urgent_work_starts_whatever_the_pace() {
     let mut f = Fleet::new(teams(), 10, 8.0);
-    f.w.job(owned("wk-000001", "grey", 500, 1.0, Urgency::Standard));
-    f.w.job(owned("wk-000002", "red", 30, 1.0, Urgency::High));
-    f.w.job(owned("wk-000003", "blue", 14, 1.0, Urgency::Standard));
+    f.w.job(owned("wk-000001", "grey", 500, 1.0, Priority::Standard));
+    f.w.job(owned("wk-000002", "red", 30, 1.0, Priority::High));
+    f.w.job(owned("wk-000003", "blue", 14, 1.0, Priority::Standard));
     // Late all the time: the controllers cannot follow.
     for _ in 0..3 {
         for _ in 0..10 {
             f.w.now += std::time::Duration::from_millis(100);
-            f.w.c.start_limiter.strain(f.w.now, secs(2));
+            f.w.c.start_limiter.timer_lag(f.w.now, secs(2));
         }
         f.second(|_| secs(500));
     }
--- a/tests/listening.rs
+++ b/tests/listening.rs
@@ -2,8 +2,8 @@
 //!
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
-use cypressgap::net::listen::{self, Limits, Request};
-use cypressgap::runtime::stop::Stop;
+use cypressgap::common::stop_signal::Stop;
+use cypressgap::net::http_server::{self, Limits, Request};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -21,13 +21,13 @@
 
 /// Answers each request with its body, or with what `answer` does.
 fn serve(answer: impl Fn(Request) + Send + 'static) -> Serving {
-    let listener = listen::bind(([127, 0, 0, 1], 0).into()).expect("a port");
+    let listener = http_server::bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let address = listener.local_addr().expect("its address");
     let stop = Stop::new();
     let s = stop.clone();
     std::thread::spawn(move || {
         let take = |requests: Vec<Request>| requests.into_iter().for_each(&answer);
-        listen::serve(listener, LIMITS, &s, take)
+        http_server::serve(listener, LIMITS, &s, take)
     });
     Serving { address, stop }
 }
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -7,10 +7,10 @@
 
 use common::peaks::peak;
 use common::{secs, team};
-use cypressgap::core::cluster::Cluster;
-use cypressgap::core::model::{Params, TaskPhase, Uid};
+use cypressgap::core::model::{JobId, SchedulerConfig, TaskPhase};
+use cypressgap::core::state::cluster_state::ClusterState;
 use simulation::worker::endpoint;
-use simulation::{tight_params, Simulation, Troubles};
+use simulation::{tight_config, Simulation, Troubles};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -28,10 +28,10 @@
     text.map_or(default, |t| t.parse().expect("a whole number"))
 }
 
-fn fleet(machines: usize, enabled: bool) -> Params {
-    let mut p = tight_params();
+fn fleet(machines: usize, enabled: bool) -> SchedulerConfig {
+    let mut p = tight_config();
     p.teams = vec![team("red", 1e6, 1e6)];
-    p.tuning.max_hosts = machines;
+    p.tuning.max_machines = machines;
     p.tuning.idle_ordinary = secs(1000);
     p.recovery.enabled = enabled;
     p
@@ -51,9 +51,9 @@
 }
 
 /// Attempts on record of which the leader knows what became of them.
-fn settled(cluster: &Cluster, recorded: &BTreeSet<(Uid, u32)>) -> usize {
-    let known = |(uid, index): &&(Uid, u32)| {
-        let job = cluster.jobs.get(uid);
+fn settled(cluster: &ClusterState, recorded: &BTreeSet<(JobId, u32)>) -> usize {
+    let known = |(job_id, index): &&(JobId, u32)| {
+        let job = cluster.jobs.get(job_id);
         let active = job.and_then(|j| j.active.get(index));
         active.is_none_or(|a| a.seen.is_some() || a.given.is_some())
     };
@@ -65,11 +65,11 @@
     address.rsplit_once('.').map_or("", |s| s.0).to_owned()
 }
 
-fn running(s: &Simulation) -> BTreeSet<(Uid, u32)> {
+fn running(s: &Simulation) -> BTreeSet<(JobId, u32)> {
     let running = s.running();
     let running = running.filter(|(_, _, t)| t.phase == TaskPhase::Running);
     running
-        .map(|(_, task, _)| (task.uid.clone(), task.index))
+        .map(|(_, task, _)| (task.job_id.clone(), task.index))
         .collect()
 }
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -4,24 +4,24 @@
 
 use common::keys::Keys;
 use common::*;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::ledger::{ChunkValue, Op, Value, Verdict};
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome, Op, Value};
+use cypressgap::core::state::cluster_state::Action;
 
-fn loaded(w: &mut World, uid: &str, done: u64, active: &[(u32, &str)]) {
+fn loaded(w: &mut World, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
         .iter()
-        .map(|(i, h)| (*i, Attempt(100 + u64::from(*i)), HostId::from(*h)))
+        .map(|(i, h)| (*i, AttemptId(100 + u64::from(*i)), MachineId::from(*h)))
         .collect();
     let value = ChunkValue { done, active };
-    w.c.load_chunk(w.now, &uid.into(), 0, value, 90);
+    w.c.load_chunk(w.now, &job_id.into(), 0, value, 90);
 }
 
-fn running(uid: &str, index: u32) -> TaskReport {
+fn running(job_id: &str, index: u32) -> TaskStatus {
     shown(
-        uid,
+        job_id,
         index,
-        Attempt(100 + u64::from(index)),
+        AttemptId(100 + u64::from(index)),
         TaskPhase::Running,
     )
 }
@@ -36,7 +36,10 @@
         AnswersAndEnds,
     }
     for goes in [Goes::Returned, Goes::NewSession, Goes::AnswersAndEnds] {
-        let mut w = World::with(params(), vec![host_type("m8", 8.0), host_type("m32", 32.0)]);
+        let mut w = World::with(
+            config(),
+            vec![machine_type("m8", 8.0), machine_type("m32", 32.0)],
+        );
         // Red may use 32: four tasks of eight, on machines that this leader has not heard.
         w.job(spec("wk-000001", 4, 8.0));
         let on = [(0, "i-1"), (1, "i-2"), (2, "i-3"), (3, "i-4")];
@@ -50,23 +53,23 @@
             Goes::Returned => w.c.on_returned(w.now, &["i-1".into()]),
             Goes::NewSession | Goes::AnswersAndEnds => {
                 // A copy from before, then the machine itself.
-                let old = Epoch::first(Term(TERM.0 - 1)).0;
-                let copy = World::report("i-1", 1, 3, old, vec![]);
-                w.c.on_report(w.now, copy, true);
+                let old = FencingToken::first(Term(TERM.0 - 1)).0;
+                let copy = World::heartbeat_from("i-1", 1, 3, old, vec![]);
+                w.c.on_heartbeat(w.now, copy, true);
                 assert_eq!(launches(&w.settle()), vec![], "a copy is no proof");
-                let tenure = if matches!(goes, Goes::NewSession) {
+                let incarnation = if matches!(goes, Goes::NewSession) {
                     2
                 } else {
                     1
                 };
-                let epoch = w.c.hosts[&HostId::from("i-1")].epoch.next().0;
-                let live = World::report("i-1", tenure, 9, epoch, vec![]);
-                w.c.on_report(w.now, live, true);
+                let token = w.c.machines[&MachineId::from("i-1")].token.next().0;
+                let live = World::heartbeat_from("i-1", incarnation, 9, token, vec![]);
+                w.c.on_heartbeat(w.now, live, true);
             }
         }
         let sent = launches(&w.settle());
         assert_eq!(sent.len(), 1, "room for one");
-        assert_eq!(sent[0].1.uid, "wk-000002".into());
+        assert_eq!(sent[0].1.job_id, "wk-000002".into());
     }
 }
 
@@ -88,16 +91,16 @@
             Action::Store(b) => b
                 .ops
                 .iter()
-                .any(|o| matches!(o, Op::Put(_, Value::Verdict(Verdict::Done)))),
+                .any(|o| matches!(o, Op::Put(_, Value::JobOutcome(JobOutcome::Done)))),
             _ => false,
         })
     };
-    let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(Exit::Done));
+    let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
     w.heartbeat(
         "i-1",
         2,
         vec![
-            ended(1, Attempt(101)),
+            ended(1, AttemptId(101)),
             shown("wk-000001", 2, last, TaskPhase::Running),
         ],
     );
@@ -111,7 +114,8 @@
             if let Action::Store(_) = a {
                 w.revision += 1;
                 let revision = w.revision;
-                let applied = cypressgap::core::ledger::BatchOutcome::Applied { revision };
+                let applied =
+                    cypressgap::core::persistence::ledger::BatchOutcome::Applied { revision };
                 w.c.on_batch(w.now, applied);
             }
         }
@@ -134,22 +138,27 @@
         w.heartbeat(
             "i-1",
             2,
-            vec![shown("wk-000001", 0, a, TaskPhase::Ended(Exit::Done))],
+            vec![shown(
+                "wk-000001",
+                0,
+                a,
+                TaskPhase::Ended(ExitReason::Completed),
+            )],
         );
         let batch = w.batch().expect("the verdict");
         assert!(batch.conditions.contains(&("j/wk-000001".to_owned(), 0)));
         let outcome = if withdrawn_first {
-            let found = vec![("j/wk-000001".to_owned(), 777, Some(Verdict::Cancelled))];
-            cypressgap::core::ledger::BatchOutcome::Failed { found }
+            let found = vec![("j/wk-000001".to_owned(), 777, Some(JobOutcome::Cancelled))];
+            cypressgap::core::persistence::ledger::BatchOutcome::Failed { found }
         } else {
-            cypressgap::core::ledger::BatchOutcome::Applied { revision: 777 }
+            cypressgap::core::persistence::ledger::BatchOutcome::Applied { revision: 777 }
         };
         w.c.on_batch(w.now, outcome);
         // What comes later of the other verdict changes nothing.
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         for a in w.settle() {
             let Action::Store(b) = a else { continue };
-            let again = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(_)));
+            let again = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(_)));
             assert!(!b.ops.iter().any(again), "{withdrawn_first}");
         }
         assert!(w.c.jobs.is_empty(), "{withdrawn_first}: nothing is left");
@@ -160,31 +169,30 @@
 /// costs the machine well before the time is over, also when its reports come and nothing reaches it.
 #[test]
 fn withdrawn_tasks_of_machines_that_cannot_be_reached_go_with_the_machine() {
-    for reports in [false, true] {
+    for heartbeats in [false, true] {
         let mut w = World::new();
         w.job(spec("wk-000001", 1, 8.0));
         loaded(&mut w, "wk-000001", 0, &[(0, "i-1")]);
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
-        let cancel = w.c.params.cancel.as_secs();
-        let old = Epoch::first(Term(TERM.0 - 1)).0;
+        let cancel = w.c.config.cancel.as_secs();
+        let old = FencingToken::first(Term(TERM.0 - 1)).0;
         let mut returned = None;
         for second in 1..cancel {
             w.pass(secs(1));
-            if reports && second % 3 == 0 {
+            if heartbeats && second % 3 == 0 {
                 let tasks = vec![running("wk-000001", 0)];
-                let r = World::report("i-1", 1, 10 + second, old, tasks);
-                w.c.on_report(w.now, r, true);
+                let r = World::heartbeat_from("i-1", 1, 10 + second, old, tasks);
+                w.c.on_heartbeat(w.now, r, true);
             }
             w.heartbeat("i-8", second, vec![]);
             w.heartbeat("i-9", second, vec![]);
-            let back =
-                |a: &Action| matches!(a, Action::Return { hosts } if hosts.contains(&"i-1".into()));
+            let back = |a: &Action| matches!(a, Action::Return { machines } if machines.contains(&"i-1".into()));
             if returned.is_none() && w.c.tick(w.now).iter().any(back) {
                 returned = Some(second);
             }
         }
-        let at = returned.unwrap_or_else(|| panic!("{reports}: never given back"));
-        assert!(at <= cancel / 2, "{reports}: only after {at} s");
+        let at = returned.unwrap_or_else(|| panic!("{heartbeats}: never given back"));
+        assert!(at <= cancel / 2, "{heartbeats}: only after {at} s");
         assert!(
             w.active("wk-000001", 0).is_some(),
             "not gone before the word"
@@ -198,7 +206,7 @@
 fn a_stream_of_small_jobs_leaves_nothing_behind() {
     const SECONDS: u64 = 240;
     const A_SECOND: u64 = 4;
-    let mut p = params();
+    let mut p = config();
     p.teams[0].cpus_max = None;
     let mut f = Fleet::new(p, 12, 8.0);
     let mut keys = Keys::default();
@@ -207,12 +215,12 @@
     for second in 0..SECONDS {
         for n in 0..A_SECOND {
             let number = second * A_SECOND + n;
-            let uid = format!("wk-{number:06}");
-            f.w.job(spec(&uid, 1, 1.0));
+            let job_id = format!("wk-{number:06}");
+            f.w.job(spec(&job_id, 1, 1.0));
             // Now one that has just come, now one that may be running.
             let victim = number.saturating_sub(if number % 8 == 0 { 0 } else { 12 });
             if number % 4 == 0 && victim % 4 == 0 {
-                let victim = Uid::from(format!("wk-{victim:06}").as_str());
+                let victim = JobId::from(format!("wk-{victim:06}").as_str());
                 let starts = f.launched.get(&victim).copied().unwrap_or_default();
                 f.w.c.on_cancel_marked(f.w.now, &victim);
                 cancelled.push((victim, starts));
@@ -228,13 +236,13 @@
     assert!(f.w.c.jobs.is_empty(), "{} are left", f.w.c.jobs.len());
     assert!(most_jobs < 150, "{most_jobs} at a time");
     assert!(cancelled.len() > 100, "{}", cancelled.len());
-    for (uid, starts) in &cancelled {
-        let now = f.launched.get(uid).copied().unwrap_or_default();
-        assert_eq!(now, *starts, "{uid} started after its cancellation");
+    for (job_id, starts) in &cancelled {
+        let now = f.launched.get(job_id).copied().unwrap_or_default();
+        assert_eq!(now, *starts, "{job_id} started after its cancellation");
     }
     for number in 0..SECONDS * A_SECOND {
-        let uid = Uid::from(format!("wk-{number:06}").as_str());
-        let over = cancelled.iter().any(|c| c.0 == uid) || f.done.get(&uid) == Some(&1);
-        assert!(over, "{uid} was lost");
+        let job_id = JobId::from(format!("wk-{number:06}").as_str());
+        let over = cancelled.iter().any(|c| c.0 == job_id) || f.done.get(&job_id) == Some(&1);
+        assert!(over, "{job_id} was lost");
     }
 }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -5,8 +5,8 @@
 use common::*;
 use cypressgap::core::model::*;
 
-fn roomy() -> Params {
-    let mut p = params();
+fn roomy() -> SchedulerConfig {
+    let mut p = config();
     for t in &mut p.teams {
         t.cpus_max = None;
     }
@@ -30,28 +30,31 @@
     for (name, broken, faulty, most, found) in cases {
         let mut f = Fleet::new(roomy(), 40, 8.0);
         f.faulty = (0..faulty)
-            .map(|n| HostId(format!("i-{:02}", n * 2)))
+            .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
         let all = f.on.len();
         for n in 0..12 {
-            let uid = format!("wk-{n:06}");
+            let job_id = format!("wk-{n:06}");
             if n % 2 == 1 && n / 2 < broken {
-                f.broken.push(Uid(uid.clone()));
+                f.broken.push(JobId(job_id.clone()));
             }
-            f.w.job(spec(&uid, 80, 1.0));
+            f.w.job(spec(&job_id, 80, 1.0));
         }
         for _ in 0..150 {
             f.second(|_| secs(12));
         }
         for n in 0..12 {
-            let uid = Uid(format!("wk-{n:06}"));
-            if f.broken.contains(&uid) {
-                let launched = f.launched.get(&uid).copied().unwrap_or(0);
-                assert!(launched <= 80 + most, "{name}: {uid} launched {launched}");
-                assert!(launched >= 3, "{name}: {uid} was given up");
-                assert!(f.w.c.jobs.contains_key(&uid), "{name}: known all along");
+            let job_id = JobId(format!("wk-{n:06}"));
+            if f.broken.contains(&job_id) {
+                let launched = f.launched.get(&job_id).copied().unwrap_or(0);
+                assert!(
+                    launched <= 80 + most,
+                    "{name}: {job_id} launched {launched}"
+                );
+                assert!(launched >= 3, "{name}: {job_id} was given up");
+                assert!(f.w.c.jobs.contains_key(&job_id), "{name}: known all along");
             } else {
-                assert_eq!(f.done.get(&uid), Some(&80), "{name}: {uid}");
+                assert_eq!(f.done.get(&job_id), Some(&80), "{name}: {job_id}");
             }
         }
         let gone: Vec<_> = f.faulty.iter().filter(|h| !f.on.contains_key(h)).collect();
@@ -62,8 +65,8 @@
             "{name}: no sound machine went"
         );
         // Withdrawn, a broken job ends at once.
-        for uid in f.broken.clone() {
-            f.w.c.on_cancel_marked(f.w.now, &uid);
+        for job_id in f.broken.clone() {
+            f.w.c.on_cancel_marked(f.w.now, &job_id);
         }
         f.second(|_| secs(12));
         f.second(|_| secs(12));
@@ -76,7 +79,7 @@
 fn a_sound_job_is_not_slowed_by_the_first_machines_it_meets() {
     // All of its first machines but one fail everything: what runs on the last clears it.
     let mut f = Fleet::new(roomy(), 12, 8.0);
-    f.faulty = (0..9).map(|n| HostId(format!("i-{n:02}"))).collect();
+    f.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
     f.w.job(spec("wk-000001", 96, 1.0));
     let mut cleared = None;
     for second in 0..60 {
@@ -95,21 +98,21 @@
     let mut f = Fleet::new(roomy(), 4, 8.0);
     f.broken.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
-    urgent.urgency = Urgency::Production;
+    urgent.priority = Priority::Production;
     f.w.job(urgent);
     for _ in 0..4 {
         f.second(|_| secs(500));
     }
-    assert!(f.w.c.jobs[&Uid::from("wk-000001")].suspected);
+    assert!(f.w.c.jobs[&JobId::from("wk-000001")].suspected);
     let before = f.rented;
     // The machines fill up with other work, and the urgent one's tries find no room.
     f.w.job(spec("wk-000002", 32, 1.0));
-    f.w.c.params.tuning.max_hosts = 1000;
+    f.w.c.config.tuning.max_machines = 1000;
     for _ in 0..60 {
         f.second(|_| secs(500));
     }
     assert_eq!(f.rented, before);
-    let other = &f.w.c.jobs[&Uid::from("wk-000002")];
+    let other = &f.w.c.jobs[&JobId::from("wk-000002")];
     assert!(other.active.len() >= 31, "{}", other.active.len());
     assert!(other.active.values().all(|a| a.kill.is_none()));
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,33 +4,33 @@
 
 use common::keys::Keys;
 use common::*;
-use cypressgap::core::backoff::Backoff;
-use cypressgap::core::cluster::{Action, CancelSource};
-use cypressgap::core::dependencies::{Dependencies, DependentsIndex, Standing};
-use cypressgap::core::ledger::{
-    cancel_mark_key, chunk_room, dependents_key, live_key, BatchOutcome, Op, Value, Verdict,
-};
+use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
-use cypressgap::core::watermark::Moment;
+use cypressgap::core::persistence::backoff::Backoff;
+use cypressgap::core::persistence::ledger::{
+    cancel_mark_key, chunk_room, dependents_key, live_key, BatchOutcome, JobOutcome, Op, Value,
+};
+use cypressgap::core::state::cluster_state::{Action, CancelSource};
+use cypressgap::core::state::dependencies::{Dependencies, DependencyState, DependentsIndex};
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
 
-fn u(n: u32) -> Uid {
-    Uid::from(format!("wk-{n:06}").as_str())
+fn u(n: u32) -> JobId {
+    JobId::from(format!("wk-{n:06}").as_str())
 }
 
-fn us(n: &[u32]) -> Vec<Uid> {
+fn us(n: &[u32]) -> Vec<JobId> {
     n.iter().map(|n| u(*n)).collect()
 }
 
 #[test]
 fn the_graph_of_dependencies() {
     enum E {
-        Add(u32, &'static [u32], Standing),
+        Add(u32, &'static [u32], DependencyState),
         Done(u32, &'static [u32]),
         Cancelled(u32, &'static [u32]),
     }
-    use Standing::*;
+    use DependencyState::*;
     use E::*;
     let cases: [(&str, &[E]); 8] = [
         ("no needs", &[Add(1, &[], Ready)]),
@@ -91,8 +91,12 @@
         let mut d = Dependencies::default();
         for e in events {
             match e {
-                Add(n, needs, standing) => {
-                    assert_eq!(d.add(&u(*n), &us(needs), false), *standing, "{name}: {n}");
+                Add(n, dependencies, status) => {
+                    assert_eq!(
+                        d.add(&u(*n), &us(dependencies), false),
+                        *status,
+                        "{name}: {n}"
+                    );
                 }
                 Done(n, ready) => assert_eq!(d.done(&u(*n)), us(ready), "{name}: {n} done"),
                 Cancelled(n, orphans) => {
@@ -108,14 +112,19 @@
     assert_eq!(d.unresolved(|n| *n == u(1)), us(&[2]));
 }
 
-fn needing(n: u32, needs: &[u32]) -> JobSpec {
+fn needing(n: u32, dependencies: &[u32]) -> JobSpec {
     let mut s = spec(&u(n).0, 1, 4.0);
-    s.needs = us(needs);
+    s.dependencies = us(dependencies);
     s
 }
 
-fn ended(n: u32, a: Attempt) -> Vec<TaskReport> {
-    vec![shown(&u(n).0, 0, a, TaskPhase::Ended(Exit::Done))]
+fn ended(n: u32, a: AttemptId) -> Vec<TaskStatus> {
+    vec![shown(
+        &u(n).0,
+        0,
+        a,
+        TaskPhase::Ended(ExitReason::Completed),
+    )]
 }
 
 /// Started only after the durable `done`, not on the report that shows the last task's end.
@@ -127,14 +136,14 @@
     w.job(needing(2, &[1]));
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1, "only the first");
-    assert_eq!(sent[0].1.uid, u(1));
+    assert_eq!(sent[0].1.job_id, u(1));
     let blocked = &w.c.jobs[&u(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
     w.heartbeat("i-1", 2, ended(1, sent[0].2));
     // The verdict's transaction gets no answer for a while.
-    let verdict = w.batch().expect("the verdict");
-    let done = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(Verdict::Done)));
-    assert!(verdict.ops.iter().any(done));
+    let outcome = w.batch().expect("the verdict");
+    let done = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(JobOutcome::Done)));
+    assert!(outcome.ops.iter().any(done));
     for _ in 0..12 {
         w.c.on_batch(w.now, BatchOutcome::Unknown);
         w.pass(secs(1));
@@ -147,7 +156,7 @@
     let before = w.now;
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1);
-    assert_eq!(sent[0].1.uid, u(2));
+    assert_eq!(sent[0].1.job_id, u(2));
     assert!(w.c.jobs[&u(2)].arrived >= before, "it waits from now on");
 }
 
@@ -157,8 +166,8 @@
     // How the needed job is found -> whether the other starts, and whether its verdict is written.
     let cases = [
         (None, false, false),
-        (Some(Verdict::Done), true, false),
-        (Some(Verdict::Cancelled), false, true),
+        (Some(JobOutcome::Done), true, false),
+        (Some(JobOutcome::Cancelled), false, true),
     ];
     for (found, starts, cancelled) in cases {
         for told_first in [false, true] {
@@ -182,7 +191,7 @@
                 for a in w.c.tick(w.now) {
                     if let Action::Store(b) = &a {
                         for o in &b.ops {
-                            if let Op::Put(key, Value::Verdict(v)) = o {
+                            if let Op::Put(key, Value::JobOutcome(v)) = o {
                                 written.push((key.clone(), *v));
                                 assert!(b.conditions.contains(&(key.clone(), 0)));
                             }
@@ -197,10 +206,10 @@
                 let serial = 10 + w.revision;
                 w.heartbeat("i-1", serial, vec![]);
             }
-            let begun = sent.iter().any(|l| l.1.uid == u(2));
+            let begun = sent.iter().any(|l| l.1.job_id == u(2));
             assert_eq!(begun, starts, "{found:?} {told_first}");
-            assert!(!sent.iter().any(|l| l.1.uid == u(3)), "{found:?}");
-            let both = written.len() == 2 && written.iter().all(|v| v.1 == Verdict::Cancelled);
+            assert!(!sent.iter().any(|l| l.1.job_id == u(3)), "{found:?}");
+            let both = written.len() == 2 && written.iter().all(|v| v.1 == JobOutcome::Cancelled);
             assert_eq!(both, cancelled, "{found:?} {told_first}: {written:?}");
         }
     }
@@ -209,25 +218,25 @@
 /// What is needed takes the urgency of what needs it, and a deadline from which that one's run is
 /// taken off, in whichever order they are heard of.
 #[test]
-fn urgency_and_deadlines_go_up_the_chain() {
+fn priority_and_deadlines_go_up_the_chain() {
     for last_first in [false, true] {
         let mut w = World::new();
         let mut last = needing(3, &[2]);
-        last.urgency = Urgency::High;
+        last.priority = Priority::High;
         last.due = Some(secs(300));
         let mut middle = needing(2, &[1]);
-        middle.urgency = Urgency::Idle;
+        middle.priority = Priority::Idle;
         let mut first = needing(1, &[]);
-        first.urgency = Urgency::Standard;
+        first.priority = Priority::Standard;
         let mut all = vec![first, middle, last];
         if last_first {
             all.reverse();
         }
         all.into_iter().for_each(|s| w.job(s));
         w.settle();
-        let due = |n: u32| w.c.jobs[&u(n)].due_at.expect("a deadline");
+        let due = |n: u32| w.c.jobs[&u(n)].deadline.expect("a deadline");
         for n in 1..=3 {
-            assert_eq!(w.c.jobs[&u(n)].spec.urgency, Urgency::High, "{n}");
+            assert_eq!(w.c.jobs[&u(n)].spec.priority, Priority::High, "{n}");
         }
         // Each is expected to run for 60 s.
         assert_eq!(due(3) - due(2), secs(60));
@@ -240,16 +249,16 @@
     for (bytes, room) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
         assert_eq!(chunk_room(bytes), room, "{bytes}");
     }
-    let mut p = params();
+    let mut p = config();
     p.value_bytes = 2048;
     p.teams[0].cpus_max = None;
-    let mut w = World::with(p, vec![host_type("m99", 500.0)]);
+    let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
     let r = |serial| {
-        let mut r = World::report("i-1", 1, serial, Epoch::first(TERM).0, vec![]);
-        r.host_type = "m99".into();
+        let mut r = World::heartbeat_from("i-1", 1, serial, FencingToken::first(TERM).0, vec![]);
+        r.machine_type = "m99".into();
         r
     };
-    w.c.on_report(w.now, r(1), true);
+    w.c.on_heartbeat(w.now, r(1), true);
     w.job(spec("wk-000001", 200, 1.0));
     w.settle();
     let value = w.c.jobs[&u(1)].chunk_value(0);
@@ -258,7 +267,7 @@
 
 fn queue_read(w: &mut World) {
     let day = SystemTime::UNIX_EPOCH;
-    w.c.cancellations_read(Moment { steady: w.now, day });
+    w.c.cancellations_read(ClockReading { steady: w.now, day });
 }
 
 /// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
@@ -275,8 +284,8 @@
         w.heartbeat("i-1", 1, vec![]);
         keys.accept(&mut w, needing(0, &[]));
         for n in 1..=DEPENDENTS {
-            let needs = if chain { [n - 1] } else { [0] };
-            keys.accept(&mut w, needing(n, &needs));
+            let dependencies = if chain { [n - 1] } else { [0] };
+            keys.accept(&mut w, needing(n, &dependencies));
         }
         for n in 0..40 {
             keys.accept(&mut w, spec(&u(5000 + n).0, 3, 1.0));
@@ -284,21 +293,21 @@
         keys.all.insert(cancel_mark_key(&u(0)));
         w.c.on_cancel_marked(w.now, &u(0));
         let start = w.now;
-        let mut verdicts = 0;
+        let mut outcomes = 0;
         let mut allowed = 0.0;
-        while verdicts < DEPENDENTS {
+        while outcomes < DEPENDENTS {
             w.pass(Duration::from_millis(150));
             allowed += f64::from(CHANGES_A_SECOND) * 0.15;
             let before = keys.changes;
             let root_indexed = keys.all.contains(&live_key(&u(0)));
             for op in keys.tick(&mut w, allowed as usize) {
-                if matches!(op, Op::Put(_, Value::Verdict(Verdict::Cancelled))) {
-                    verdicts += 1;
+                if matches!(op, Op::Put(_, Value::JobOutcome(JobOutcome::Cancelled))) {
+                    outcomes += 1;
                 }
             }
             allowed -= (keys.changes - before) as f64;
-            assert!(root_indexed, "chain {chain}: {verdicts} are cancelled");
-            assert!(w.now - start < secs(60), "chain {chain}: {verdicts}");
+            assert!(root_indexed, "chain {chain}: {outcomes} are cancelled");
+            assert!(w.now - start < secs(60), "chain {chain}: {outcomes}");
         }
         // Its share, the grace for the node that confirms, and what else was written meanwhile.
         let bound = secs(u64::from(DEPENDENTS / CHANGES_A_SECOND) + 5);
@@ -330,7 +339,7 @@
         (CancelSource::Watch, true),
         (CancelSource::Load, false),
         (CancelSource::Peer, false),
-        (CancelSource::Verdict, false),
+        (CancelSource::JobOutcome, false),
     ];
     for (source, at_once) in cases {
         let mut w = World::new();
@@ -364,14 +373,14 @@
             }
             written.extend(keys.tick(&mut w, 24));
         }
-        let verdict = |o: &Op| matches!(o, Op::Put(_, Value::Verdict(_)));
-        assert_eq!(written.iter().any(verdict), !told, "told {told}");
+        let outcome = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(_)));
+        assert_eq!(written.iter().any(outcome), !told, "told {told}");
     }
 }
 
 /// Thousands of chains pass: what is left of them is their verdicts, and nothing in the picture.
 #[test]
-fn chains_leave_only_their_verdicts() {
+fn chains_leave_only_their_outcomes() {
     // With lists of dependents, as earlier versions keep them, or without.
     for listed in [false, true] {
         let mut w = World::new();
@@ -382,7 +391,7 @@
             for n in first..first + 3 {
                 let mut job = needing(n, &[]);
                 if n > first {
-                    job.needs = us(&[n - 1]);
+                    job.dependencies = us(&[n - 1]);
                     job.listed = listed;
                 }
                 keys.accept(&mut w, job);
@@ -393,7 +402,7 @@
             } else {
                 // Their ends were found by the next leader.
                 (first..first + 3)
-                    .for_each(|n| w.c.on_cancelled(w.now, &u(n), CancelSource::Verdict));
+                    .for_each(|n| w.c.on_cancelled(w.now, &u(n), CancelSource::JobOutcome));
             }
             for _ in 0..4 {
                 w.pass(Duration::from_millis(600));
@@ -451,7 +460,10 @@
         (6, &[]),
         (7, &[8]),
     ];
-    let index = DependentsIndex::new(jobs.iter().map(|(n, needs)| (u(*n), us(needs))));
+    let index = DependentsIndex::new(
+        jobs.iter()
+            .map(|(n, dependencies)| (u(*n), us(dependencies))),
+    );
     let cases: [(&[u32], &[u32]); 6] = [
         (&[1], &[2, 3, 4, 5]),
         (&[3], &[5]),
@@ -461,7 +473,7 @@
         (&[3, 8], &[5, 7]),
     ];
     for (of, expected) in cases {
-        let found: Vec<Uid> = index.descendants(&us(of)).into_iter().collect();
+        let found: Vec<JobId> = index.descendants(&us(of)).into_iter().collect();
         assert_eq!(found, us(expected), "{of:?}");
     }
 }
@@ -469,11 +481,11 @@
 /// What a pipeline's end asks of what it needs, for all shapes of pipelines, and as ends come and go.
 #[test]
 fn ranks_follow_the_ends_of_pipelines() {
-    use Urgency::*;
-    type Jobs = &'static [(u32, &'static [u32], Urgency, Option<u64>)];
+    use Priority::*;
+    type Jobs = &'static [(u32, &'static [u32], Priority, Option<u64>)];
     // The jobs with what they need, their own urgency and deadline; which are cancelled then; and the
     // ranks before and after that.
-    type Ranks = &'static [(u32, Urgency, Option<u64>)];
+    type Ranks = &'static [(u32, Priority, Option<u64>)];
     struct Case {
         name: &'static str,
         jobs: Jobs,
@@ -560,18 +572,18 @@
             if reversed {
                 jobs.reverse();
             }
-            for (n, needs, urgency, due) in jobs {
-                let mut job = needing(n, needs);
-                job.urgency = urgency;
+            for (n, dependencies, priority, due) in jobs {
+                let mut job = needing(n, dependencies);
+                job.priority = priority;
                 job.due = due.map(secs);
                 w.job(job);
             }
             let ranks = |w: &World, expected: Ranks, when: &str| {
-                for (n, urgency, due) in expected {
+                for (n, priority, due) in expected {
                     let job = &w.c.jobs[&u(*n)];
                     let why = format!("{} ({when}, reversed {reversed}): {n}", case.name);
-                    assert_eq!(job.spec.urgency, *urgency, "{why}");
-                    assert_eq!(job.due_at, due.map(|d| job.arrived + secs(d)), "{why}");
+                    assert_eq!(job.spec.priority, *priority, "{why}");
+                    assert_eq!(job.deadline, due.map(|d| job.arrived + secs(d)), "{why}");
                 }
             };
             w.settle();
@@ -640,12 +652,12 @@
 fn a_refused_transaction_is_sent_in_parts() {
     // The limits that hold, unannounced: changes a transaction, and attempts a value.
     for (most_ops, most_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
-        let mut p = params();
+        let mut p = config();
         p.teams[0].cpus_max = None;
-        let mut w = World::with(p, vec![host_type("m99", 500.0)]);
-        let mut r = World::report("i-1", 1, 1, Epoch::first(TERM).0, vec![]);
-        r.host_type = "m99".into();
-        w.c.on_report(w.now, r, true);
+        let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
+        let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
+        r.machine_type = "m99".into();
+        w.c.on_heartbeat(w.now, r, true);
         w.job(spec("wk-000001", 100, 1.0));
         (2..30).for_each(|n| w.job(spec(&u(n).0, 1, 1.0)));
         w.job(needing(40, &[1]));
@@ -661,8 +673,8 @@
                         .map(|l| l.1),
                 );
                 match action {
-                    Action::Send { host, .. } => {
-                        w.c.on_sent(w.now, &host, None);
+                    Action::Send { machine, .. } => {
+                        w.c.on_sent(w.now, &machine, None);
                     }
                     Action::Store(batch) => {
                         let too_long = |o: &Op| matches!(o, Op::Put(_, Value::Chunk(c)) if c.active.len() > most_attempts);
@@ -687,7 +699,7 @@
             }
         }
         let why = format!("{most_ops} changes, {most_attempts} attempts");
-        let small = launched.iter().filter(|t| t.uid != u(1)).count();
+        let small = launched.iter().filter(|t| t.job_id != u(1)).count();
         assert_eq!(small, 27, "{why}: each job but the cancelled one");
         assert!(launched.len() > small, "{why}: the large one too");
         assert!(refused.len() < 12, "{why}: {}", refused.len());
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::secs;
-use cypressgap::core::ledger::{job_key, live_key, Verdict};
-use cypressgap::core::model::Uid;
-use cypressgap::core::status_reads::{self, Page, Records, Standing};
+use cypressgap::common::rate_limit::{shares, Demand, RequestClass, SubmissionFairness};
+use cypressgap::core::model::JobId;
+use cypressgap::core::persistence::job_status_reads::{self, JobRecordStatus, Page, Records};
+use cypressgap::core::persistence::ledger::{job_key, live_key, JobOutcome};
 use cypressgap::net::store_budget::Budgets;
-use cypressgap::runtime::budget::{shares, Crowd, Demand, Rank};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 /// A state service as questions see it. `named`: how many differing keys it names at a time.
 struct Shelf {
     live: BTreeSet<String>,
-    said: BTreeMap<String, Verdict>,
+    said: BTreeMap<String, JobOutcome>,
     named: usize,
     page: usize,
     calls: Cell<usize>,
@@ -39,7 +39,7 @@
         let differing = expected.iter().filter(|(k, s)| exists(k) != (*s > 0));
         Ok(differing.take(self.named).map(|e| e.0.clone()).collect())
     }
-    fn verdicts(&self, from: &str) -> Result<Page, &'static str> {
+    fn outcomes(&self, from: &str) -> Result<Page, &'static str> {
         self.called()?;
         let after = self.said.iter().filter(|(k, _)| k.as_str() > from);
         let page: Vec<_> = after.clone().take(self.page).collect();
@@ -49,32 +49,32 @@
             more,
         ))
     }
-    fn verdict(&self, key: &str) -> Result<Option<Verdict>, &'static str> {
+    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
         self.called()?;
         Ok(self.said.get(key).copied())
     }
 }
 
-fn uid(n: u32) -> Uid {
-    Uid(format!("wk-{n:06}"))
+fn job_id(n: u32) -> JobId {
+    JobId(format!("wk-{n:06}"))
 }
 
 /// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
 /// recorded as live by earlier versions; others were never accepted.
 fn shelf(named: usize, page: usize) -> Shelf {
-    let verdict = |n: u32| match n {
-        100..=149 => Some(Verdict::Done),
-        150..=159 => Some(Verdict::Cancelled),
-        160..=169 => Some(Verdict::Live),
+    let outcome = |n: u32| match n {
+        100..=149 => Some(JobOutcome::Done),
+        150..=159 => Some(JobOutcome::Cancelled),
+        160..=169 => Some(JobOutcome::Live),
         _ => None,
     };
     Shelf {
         live: (0..100)
             .chain(150..170)
-            .map(|n| live_key(&uid(n)))
+            .map(|n| live_key(&job_id(n)))
             .collect(),
         said: (0..200)
-            .filter_map(|n| Some((job_key(&uid(n)), verdict(n)?)))
+            .filter_map(|n| Some((job_key(&job_id(n)), outcome(n)?)))
             .collect(),
         named,
         page,
@@ -83,11 +83,11 @@
     }
 }
 
-fn truth(n: u32) -> Standing {
+fn truth(n: u32) -> JobRecordStatus {
     match n {
-        0..=99 | 160..=169 => Some(Verdict::Live),
-        100..=149 => Some(Verdict::Done),
-        150..=159 => Some(Verdict::Cancelled),
+        0..=99 | 160..=169 => Some(JobOutcome::Live),
+        100..=149 => Some(JobOutcome::Done),
+        150..=159 => Some(JobOutcome::Cancelled),
         _ => None,
     }
 }
@@ -120,13 +120,13 @@
         let asked: BTreeSet<u32> = asked.into_iter().collect();
         let mut accepted = (0..known)
             .filter(|n| truth(*n).is_some())
-            .map(uid)
+            .map(job_id)
             .collect();
-        let uids = asked.iter().map(|n| uid(*n)).collect();
-        let (found, trouble) = status_reads::standings(&s, &uids, &mut accepted);
+        let job_ids = asked.iter().map(|n| job_id(*n)).collect();
+        let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut accepted);
         assert_eq!(trouble, None, "{name}");
         for n in &asked {
-            assert_eq!(found.get(&uid(*n)), Some(&truth(*n)), "{name}: job {n}");
+            assert_eq!(found.get(&job_id(*n)), Some(&truth(*n)), "{name}: job {n}");
         }
         assert!(s.calls.get() <= calls, "{name}: {} calls", s.calls.get());
     }
@@ -161,7 +161,7 @@
             if step % 50 == 0 {
                 b.share_out(&[None, None], now);
             }
-            for rank in [Rank::Leader, Rank::User] {
+            for rank in [RequestClass::Leader, RequestClass::User] {
                 made += u32::from(b.leave(rank, 1, now));
             }
         }
@@ -182,18 +182,18 @@
         for named in [1, 999] {
             let mut s = shelf(named, 2);
             s.out_after = out_after;
-            let uids = (0..200).step_by(7).map(uid).collect();
-            let (found, trouble) = status_reads::standings(&s, &uids, &mut BTreeSet::new());
+            let job_ids = (0..200).step_by(7).map(job_id).collect();
+            let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut BTreeSet::new());
             assert!(trouble.is_some() || named == 1, "{out_after} {named}");
-            for (u, standing) in found {
+            for (u, status) in found {
                 let n: u32 = u.0[3..].parse().expect("a number");
-                assert_eq!(standing, truth(n), "job {n} after {out_after} calls");
+                assert_eq!(status, truth(n), "job {n} after {out_after} calls");
             }
         }
     }
-    assert_eq!(status_reads::most_at_once(96, 64 * 1024), 48);
-    assert_eq!(status_reads::most_at_once(100_000, 64 * 1024), 512);
-    assert_eq!(status_reads::most_at_once(0, 0), 1);
+    assert_eq!(job_status_reads::most_at_once(96, 64 * 1024), 48);
+    assert_eq!(job_status_reads::most_at_once(100_000, 64 * 1024), 512);
+    assert_eq!(job_status_reads::most_at_once(0, 0), 1);
 }
 
 #[test]
@@ -201,7 +201,9 @@
     let now = Instant::now();
     let b = Budgets::new(150.0, 60.0, 3, now);
     while b.question(now) {}
-    let rest = (0..100).filter(|_| b.leave(Rank::User, 1, now)).count();
+    let rest = (0..100)
+        .filter(|_| b.leave(RequestClass::User, 1, now))
+        .count();
     assert!(rest >= 5, "{rest}");
     // And they go on by turns.
     assert!(b.question(now + secs(1)));
@@ -275,7 +277,7 @@
         let mut taken = 0;
         for step in 0..100 {
             let now = start + secs(n) + Duration::from_millis(step * 10);
-            if step % (100 / of) == 0 && b.leave(Rank::User, 1, now) {
+            if step % (100 / of) == 0 && b.leave(RequestClass::User, 1, now) {
                 taken += 1;
             }
             if step % 50 == 0 {
@@ -298,7 +300,7 @@
 fn a_team_that_floods_leaves_the_others_a_way_in() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let crowd = Crowd::default();
+    let crowd = SubmissionFairness::default();
     let (guest, desk) = ("guest".into(), "desk".into());
     assert_eq!(crowd.floor(&desk, at(0)), 0.0);
     let floods: Vec<f64> = (0..100).map(|n| crowd.floor(&guest, at(n * 20))).collect();
@@ -307,6 +309,6 @@
     assert_eq!(crowd.floor(&desk, at(2000)), 0.0);
     assert_eq!(crowd.floor(&guest, at(60_000)), 0.0, "it is over");
     // Alone, a team may have all of it.
-    let crowd = Crowd::default();
+    let crowd = SubmissionFairness::default();
     assert!((0..100).all(|n| crowd.floor(&guest, at(n * 20)) == 0.0));
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -4,43 +4,47 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::{Action, Answer};
-use cypressgap::core::ledger::{BatchOutcome, ChunkValue, Verdict};
 use cypressgap::core::model::*;
-use cypressgap::core::takeover::{IndexedChunk, IndexedJob, StoredPicture};
+use cypressgap::core::persistence::ledger::{BatchOutcome, ChunkValue, JobOutcome};
+use cypressgap::core::reconciliation::state_loading::{
+    StoredIntents, StoredLiveJob, StoredSnapshot,
+};
+use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
 use cypressgap_recovery::attempt_state::AttemptState;
 use cypressgap_recovery::segments::NamedSegment;
 use cypressgap_recovery::settings::parse_segment;
 use std::time::Duration;
 
-const EARLIER: Attempt = Attempt(7);
+const EARLIER: AttemptId = AttemptId(7);
 
-fn uid() -> Uid {
+fn job_id() -> JobId {
     "wk-000001".into()
 }
 
-fn running(index: u32) -> TaskReport {
+fn running(index: u32) -> TaskStatus {
     shown("wk-000001", index, EARLIER, TaskPhase::Running)
 }
 
 /// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
-fn taken_over(params: Params, jobs: Vec<JobSpec>, on_record: u32) -> World {
-    let active = (0..on_record).map(|n| (n, EARLIER, HostId(format!("i-{n}"))));
-    let chunk = IndexedChunk {
-        uid: uid(),
+fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> World {
+    let active = (0..on_record).map(|n| (n, EARLIER, MachineId(format!("i-{n}"))));
+    let chunk = StoredIntents {
+        job_id: job_id(),
         index: 0,
         value: ChunkValue {
             done: 0,
             active: active.collect(),
         },
-        stamp: 90,
+        revision: 90,
     };
-    let mut w = World::with(params, vec![host_type("m8", 8.0)]);
-    let jobs = jobs.into_iter().map(|spec| IndexedJob { spec, stamp: 50 });
-    let picture = StoredPicture {
+    let mut w = World::with(config, vec![machine_type("m8", 8.0)]);
+    let jobs = jobs
+        .into_iter()
+        .map(|spec| StoredLiveJob { spec, revision: 50 });
+    let picture = StoredSnapshot {
         jobs: jobs.collect(),
         chunks: vec![chunk],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     };
     w.c.take_over(w.now, picture);
     w
@@ -50,52 +54,57 @@
     w.c.team_use.of(&"red".into()).cpus
 }
 
-fn launched_index(d: &Directive) -> Option<u32> {
+fn launched_index(d: &TaskCommand) -> Option<u32> {
     match d {
-        Directive::Launch { task, .. } => Some(task.index),
+        TaskCommand::Launch { task, .. } => Some(task.index),
         _ => None,
     }
 }
 
-fn is_kill(d: &Directive) -> bool {
-    matches!(d, Directive::Kill { .. })
+fn is_kill(d: &TaskCommand) -> bool {
+    matches!(d, TaskCommand::Kill { .. })
 }
 
 /// A task runs though no record names it. What the job or the machine is like -> adopted.
 #[test]
 fn unrecorded_work_of_a_live_job_is_adopted_where_a_launch_would_be_allowed() {
-    type Edit = fn(&mut JobSpec, &mut Report);
+    type Edit = fn(&mut JobSpec, &mut Heartbeat);
     let cases: [(&str, Edit, bool); 7] = [
         ("plain", |_, _| {}, true),
         ("a gang", |s, _| s.kind = JobKind::Gang, false),
         (
             "another type",
-            |s, _| s.host_types = Some(vec!["m9".into()]),
+            |s, _| s.machine_types = Some(vec!["m9".into()]),
             false,
         ),
-        ("another zone", |s, _| s.site = Some("b".into()), false),
+        ("another zone", |s, _| s.zone = Some("b".into()), false),
         (
             "not for spot",
-            |s, r| (s.preemptible, r.spot) = (false, true),
+            |s, r| (s.allows_spot, r.spot) = (false, true),
+            false,
+        ),
+        (
+            "beyond the limit",
+            |s, _| s.resources = resources(33.0),
             false,
         ),
-        ("beyond the limit", |s, _| s.need = need(33.0), false),
         (
             "waits for others",
-            |s, _| s.needs = vec!["wk-000099".into()],
+            |s, _| s.dependencies = vec!["wk-000099".into()],
             false,
         ),
     ];
     for (name, edit, adopted) in cases {
         let mut job = spec("wk-000001", 2, 4.0);
-        let mut r = World::report("i-9", 1, 1, Epoch::first(TERM).0, vec![running(1)]);
+        let mut r =
+            World::heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
         edit(&mut job, &mut r);
-        let cpus = job.need.cpus;
-        let mut w = taken_over(params(), vec![job], 0);
-        let Answer::Accept { directives, .. } = w.c.on_report(w.now, r, true) else {
+        let cpus = job.resources.cpus;
+        let mut w = taken_over(config(), vec![job], 0);
+        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
             panic!("{name}: refused");
         };
-        assert_eq!(directives.iter().any(is_kill), !adopted, "{name}");
+        assert_eq!(commands.iter().any(is_kill), !adopted, "{name}");
         assert_eq!(w.active("wk-000001", 1).is_some(), adopted, "{name}");
         assert_eq!(red(&w), cpus, "{name}: it counts either way");
     }
@@ -103,13 +112,13 @@
 
 #[test]
 fn an_adopted_task_is_on_record_before_long_and_ends_like_any_other() {
-    let mut w = taken_over(params(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     w.heartbeat("i-9", 1, vec![running(1)]);
     let started = launches(&w.settle());
     assert!(started.iter().all(|l| l.1.index == 0), "{started:?}");
-    assert!(w.c.jobs[&uid()].active[&1].durable);
+    assert!(w.c.jobs[&job_id()].active[&1].durable);
     // Cancelled, it is killed where it is.
-    w.c.on_cancel_marked(w.now, &uid());
+    w.c.on_cancel_marked(w.now, &job_id());
     let (_, d) = w.heartbeat("i-9", 2, vec![running(1)]);
     assert!(d.iter().any(is_kill));
     assert_eq!(red(&w), 4.0 + 4.0 * started.len() as f64);
@@ -118,21 +127,21 @@
 /// Late copies adopt nothing, nor does what this term itself gave up; a record elsewhere goes first.
 #[test]
 fn what_is_not_adopted_is_killed() {
-    let old_token = Epoch::first(TERM).0 - 1;
-    let own = shown("wk-000001", 1, Attempt::of(TERM, 9), TaskPhase::Running);
-    let first_token = Epoch::first(TERM).0;
+    let old_token = FencingToken::first(TERM).0 - 1;
+    let own = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
+    let first_token = FencingToken::first(TERM).0;
     for (name, token, task) in [
         ("a late copy", old_token, running(1)),
         ("this term's attempt", first_token, own),
         ("on record elsewhere", first_token, running(0)),
         ("no such task", first_token, running(2)),
     ] {
-        let mut w = taken_over(params(), vec![spec("wk-000001", 2, 4.0)], 1);
-        let r = World::report("i-9", 1, 1, token, vec![task]);
-        let Answer::Accept { directives, .. } = w.c.on_report(w.now, r, true) else {
+        let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 1);
+        let r = World::heartbeat_from("i-9", 1, 1, token, vec![task]);
+        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
             panic!("{name}: refused");
         };
-        assert!(directives.iter().any(is_kill), "{name}");
+        assert!(commands.iter().any(is_kill), "{name}");
         assert!(w.active("wk-000001", 1).is_none(), "{name}");
     }
 }
@@ -141,33 +150,33 @@
 /// anything, the machine takes nothing, and only two answers and a while later it is killed.
 #[test]
 fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
-    let mut w = taken_over(params(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     let lost = || shown("wk-000077", 0, EARLIER, TaskPhase::Running);
-    let lost_uid = Uid::from("wk-000077");
+    let lost_job_id = JobId::from("wk-000077");
     let (_, d) = w.heartbeat("i-9", 1, vec![lost()]);
     w.heartbeat("i-8", 1, vec![]);
     assert!(d.is_empty());
     assert_eq!(launches(&w.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         w.pass(secs(after));
-        w.c.on_standings(w.now, &[(lost_uid.clone(), None)]);
+        w.c.on_statuses(w.now, &[(lost_job_id.clone(), None)]);
         let (_, d) = w.heartbeat("i-9", serial, vec![lost()]);
         assert_eq!(d.iter().any(is_kill), killed, "{serial}");
-        assert!(w.c.takeover.holds_host(&"i-9".into()));
+        assert!(w.c.takeover.holds_machine(&"i-9".into()));
     }
     w.heartbeat("i-9", 5, vec![]);
     w.heartbeat("i-8", 2, vec![]);
-    assert!(!w.c.takeover.holds_host(&"i-9".into()));
+    assert!(!w.c.takeover.holds_machine(&"i-9".into()));
     assert_eq!(launches(&w.settle()).len(), 2, "nothing unknown is left");
 }
 
 /// The acceptance is heard of late, after a machine has shown the job's task.
 #[test]
 fn a_job_that_is_heard_of_late_keeps_its_work() {
-    let mut w = taken_over(params(), vec![], 0);
+    let mut w = taken_over(config(), vec![], 0);
     let (_, d) = w.heartbeat("i-9", 1, vec![running(0)]);
     assert!(d.is_empty());
-    w.c.on_standings(w.now, &[(uid(), Some(Verdict::Live))]);
+    w.c.on_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
     w.job(spec("wk-000001", 1, 4.0));
     let (_, d) = w.heartbeat("i-9", 2, vec![running(0)]);
     assert_eq!(d, []);
@@ -179,12 +188,12 @@
 /// until a proof: a machine that was never answered in this term may have had its lease renewed by another.
 #[test]
 fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
-    let mut w = taken_over(params(), vec![spec("wk-000001", 2, 4.0)], 2);
+    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
     w.heartbeat("i-0", 1, vec![running(0)]);
     let state = |w: &World, n: u32| {
-        let host = HostId(format!("i-{n}"));
+        let machine = MachineId(format!("i-{n}"));
         let task = task("wk-000001", n);
-        w.c.takeover.state(&host, &task, EARLIER)
+        w.c.takeover.state(&machine, &task, EARLIER)
     };
     assert_eq!(state(&w, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&w, 1), Some(AttemptState::Unheard));
@@ -203,8 +212,8 @@
     assert_eq!((state(&w, 0), red(&w)), (None, 4.0));
     assert!(w.active("wk-000001", 1).is_some());
     // Back with its earlier life's report, and then with one of its new session.
-    let late = World::report("i-1", 1, 9, Epoch::first(TERM).0 - 1, vec![]);
-    w.c.on_report(w.now, late, true);
+    let late = World::heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
+    w.c.on_heartbeat(w.now, late, true);
     assert!(w.active("wk-000001", 1).is_some(), "a late copy");
     w.c.on_returned(w.now, &["i-1".into()]);
     assert_eq!(red(&w), 0.0, "the cloud's word is a proof");
@@ -215,14 +224,14 @@
 fn a_gang_half_heard_of_waits_for_the_other_half() {
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
-    let mut w = taken_over(params(), vec![gang], 2);
-    let waiting = shown("wk-000001", 0, EARLIER, TaskPhase::Gathering);
+    let mut w = taken_over(config(), vec![gang], 2);
+    let waiting = shown("wk-000001", 0, EARLIER, TaskPhase::WaitingForGang);
     w.heartbeat("i-0", 1, vec![waiting]);
     w.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&w.settle()), vec![]);
     assert_eq!(red(&w), 8.0);
     let (_, d) = w.heartbeat("i-1", 1, vec![]);
-    let again = Directive::Launch {
+    let again = TaskCommand::Launch {
         task: task("wk-000001", 1),
         attempt: EARLIER,
     };
@@ -233,7 +242,7 @@
 #[test]
 fn launches_after_a_cold_restart_keep_to_the_pace() {
     const MACHINES: u32 = 60;
-    let mut p = params();
+    let mut p = config();
     p.teams = vec![team("red", 1000.0, 1000.0)];
     p.recovery.orders_per_second = Some(20.0);
     p.recovery.segment_orders_per_second = Some(10.0);
@@ -258,21 +267,21 @@
                     w.c.on_batch(w.now, BatchOutcome::Applied { revision });
                 }
                 Action::Send {
-                    host, directives, ..
+                    machine, commands, ..
                 } => {
-                    launched.extend(directives.iter().filter_map(launched_index));
-                    w.c.on_sent(w.now, &host, None);
+                    launched.extend(commands.iter().filter_map(launched_index));
+                    w.c.on_sent(w.now, &machine, None);
                 }
                 _ => {}
             }
         }
         for n in 0..MACHINES {
-            let token = w.c.hosts[&HostId(format!("i-{n}"))].epoch.0;
+            let token = w.c.machines[&MachineId(format!("i-{n}"))].token.0;
             let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
-            let mut r = World::report(&format!("i-{n}"), 1, step + 1, token, tasks);
+            let mut r = World::heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
             r.endpoint = format!("10.0.{}.{n}:9", n % 2);
-            if let Answer::Accept { directives, .. } = w.c.on_report(w.now, r, true) {
-                launched.extend(directives.iter().filter_map(launched_index));
+            if let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) {
+                launched.extend(commands.iter().filter_map(launched_index));
             }
         }
         *by_second.last_mut().expect("a second") += launched.len();
@@ -287,7 +296,7 @@
 /// A machine takes nothing while it holds work of unknown size, whatever the team.
 #[test]
 fn a_machine_with_work_of_unknown_size_takes_nothing() {
-    let mut p = params();
+    let mut p = config();
     p.teams = vec![Team {
         cpus_max: None,
         ..team("red", 8.0, 8.0)
@@ -302,10 +311,10 @@
 
 #[test]
 fn an_adopted_task_is_killed_though_its_record_is_not_durable_yet() {
-    let mut w = taken_over(params(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     w.heartbeat("i-9", 1, vec![running(1)]);
-    assert!(!w.c.jobs[&uid()].active[&1].durable);
-    w.c.on_cancel_marked(w.now, &uid());
+    assert!(!w.c.jobs[&job_id()].active[&1].durable);
+    w.c.on_cancel_marked(w.now, &job_id());
     assert_eq!(red(&w), 4.0, "it may be there");
     let (_, d) = w.heartbeat("i-9", 2, vec![running(1)]);
     assert!(d.iter().any(is_kill));
@@ -314,28 +323,28 @@
 /// Twenty machines that report every three seconds. From then on those for which `silent` holds are
 /// silent for so long. Returns the world, and which machines went back meanwhile.
 fn after_silence(
-    p: Params,
+    p: SchedulerConfig,
     jobs: Vec<JobSpec>,
     silent: fn(u32) -> bool,
     time: u64,
-) -> (World, Vec<HostId>, u32) {
+) -> (World, Vec<MachineId>, u32) {
     let mut w = taken_over(p, jobs, 0);
     let (mut returned, mut rented) = (Vec::new(), 0);
     for second in 0..=time {
         for n in (0..20).filter(|n| second == 0 || (second % 3 == 0 && !silent(*n))) {
-            let host = format!("i-{n}");
+            let machine = format!("i-{n}");
             let token =
-                w.c.hosts
-                    .get(&HostId::from(host.as_str()))
-                    .map_or(Epoch::first(TERM), |h| h.epoch);
-            let mut r = World::report(&host, 1, second + 1, token.0, vec![]);
+                w.c.machines
+                    .get(&MachineId::from(machine.as_str()))
+                    .map_or(FencingToken::first(TERM), |h| h.token);
+            let mut r = World::heartbeat_from(&machine, 1, second + 1, token.0, vec![]);
             r.endpoint = format!("10.0.{}.{n}:9", n / 8);
-            w.c.on_report(w.now, r, true);
+            w.c.on_heartbeat(w.now, r, true);
         }
         w.pass(secs(1));
         for action in w.c.tick(w.now) {
             match action {
-                Action::Return { hosts } => returned.extend(hosts),
+                Action::Return { machines } => returned.extend(machines),
                 Action::Rent { number, .. } => rented += number,
                 _ => {}
             }
@@ -358,7 +367,7 @@
         ("nearly all", |n| n > 1, 26, true, 0),
     ];
     for (name, silent, time, enabled, expected) in cases {
-        let mut p = params();
+        let mut p = config();
         p.tuning.idle_ordinary = secs(1000);
         p.recovery.enabled = enabled;
         let (_, returned, _) = after_silence(p, vec![], silent, time);
@@ -369,7 +378,7 @@
 #[test]
 fn replacements_for_a_silent_segment_are_rented_at_a_pace() {
     let rented = |silent: fn(u32) -> bool, pace: f64| {
-        let mut p = params();
+        let mut p = config();
         p.teams = vec![team("red", 1000.0, 4000.0)];
         p.tuning.idle_ordinary = secs(1000);
         p.recovery.replacements_per_second = pace;
@@ -396,30 +405,30 @@
 #[test]
 fn kills_of_a_cancelled_job_go_out_in_time_whatever_the_pace() {
     const MACHINES: u32 = 40;
-    let mut p = params();
+    let mut p = config();
     p.teams = vec![team("red", 1000.0, 1000.0)];
     p.recovery.orders_per_second = Some(1.0);
     p.recovery.segment_orders_per_second = Some(1.0);
     let mut w = taken_over(p, vec![spec("wk-000001", MACHINES, 4.0)], MACHINES);
     let mut killed = std::collections::BTreeSet::new();
-    let mut report_all = |w: &mut World, serial: u64| {
+    let mut heartbeat_all = |w: &mut World, serial: u64| {
         for n in 0..MACHINES {
             // One machine stays unheard, so the takeover goes on.
-            let host = format!("i-{n}");
+            let machine = format!("i-{n}");
             if n + 1 < MACHINES {
-                let (_, d) = w.heartbeat(&host, serial, vec![running(n)]);
+                let (_, d) = w.heartbeat(&machine, serial, vec![running(n)]);
                 killed.extend(d.iter().any(is_kill).then_some(n));
             }
         }
         killed.len()
     };
-    report_all(&mut w, 1);
-    w.c.on_cancel_marked(w.now, &uid());
+    heartbeat_all(&mut w, 1);
+    w.c.on_cancel_marked(w.now, &job_id());
     w.pass(secs(2));
-    assert!(report_all(&mut w, 2) < 10, "at the pace");
+    assert!(heartbeat_all(&mut w, 2) < 10, "at the pace");
     w.pass(secs(14));
     assert_eq!(
-        report_all(&mut w, 3),
+        heartbeat_all(&mut w, 3),
         MACHINES as usize - 1,
         "at 0.3 of cancel_s"
     );
@@ -427,7 +436,7 @@
 
 #[test]
 fn a_team_at_its_limit_with_all_attempts_unheard_starts_nothing() {
-    let mut p = params();
+    let mut p = config();
     p.teams = vec![team("red", 8.0, 8.0)];
     let jobs = vec![spec("wk-000001", 2, 4.0), spec("wk-000002", 2, 4.0)];
     let mut w = taken_over(p, jobs, 2);
@@ -443,20 +452,20 @@
 #[test]
 fn a_dependency_that_ended_while_nobody_listened_is_known() {
     for (end, starts) in [
-        (Some(Verdict::Done), 1),
-        (Some(Verdict::Cancelled), 0),
+        (Some(JobOutcome::Done), 1),
+        (Some(JobOutcome::Cancelled), 0),
         (None, 0),
     ] {
         let mut dependent = spec("wk-000002", 1, 4.0);
-        dependent.needs = vec!["wk-000099".into()];
+        dependent.dependencies = vec!["wk-000099".into()];
         let mut w = World::new();
-        let picture = StoredPicture {
-            jobs: vec![IndexedJob {
+        let picture = StoredSnapshot {
+            jobs: vec![StoredLiveJob {
                 spec: dependent,
-                stamp: 50,
+                revision: 50,
             }],
             ends: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
-            ..StoredPicture::default()
+            ..StoredSnapshot::default()
         };
         w.c.take_over(w.now, picture);
         w.heartbeat("i-9", 1, vec![]);
@@ -471,23 +480,23 @@
     for marked in [true, false] {
         let mut w = World::new();
         let active = vec![(0, EARLIER, "i-0".into()), (1, EARLIER, "i-1".into())];
-        let picture = StoredPicture {
-            jobs: vec![IndexedJob {
+        let picture = StoredSnapshot {
+            jobs: vec![StoredLiveJob {
                 spec: spec("wk-000001", 2, 4.0),
-                stamp: 50,
+                revision: 50,
             }],
             over: (!marked)
-                .then(|| (uid(), Verdict::Cancelled))
+                .then(|| (job_id(), JobOutcome::Cancelled))
                 .into_iter()
                 .collect(),
-            cancel_marks: marked.then(uid).into_iter().collect(),
-            chunks: vec![IndexedChunk {
-                uid: uid(),
+            cancel_marks: marked.then(job_id).into_iter().collect(),
+            chunks: vec![StoredIntents {
+                job_id: job_id(),
                 index: 0,
                 value: ChunkValue { done: 0, active },
-                stamp: 90,
+                revision: 90,
             }],
-            ..StoredPicture::default()
+            ..StoredSnapshot::default()
         };
         w.c.take_over(w.now, picture);
         let (_, d) = w.heartbeat("i-0", 1, vec![running(0)]);
@@ -502,16 +511,16 @@
 #[test]
 fn work_of_a_job_whose_record_cannot_be_read_is_held() {
     let mut w = World::new();
-    let picture = StoredPicture {
-        unreadable_jobs: vec![uid()],
-        ..StoredPicture::default()
+    let picture = StoredSnapshot {
+        unreadable_jobs: vec![job_id()],
+        ..StoredSnapshot::default()
     };
     w.c.take_over(w.now, picture);
     for serial in 1..20 {
         let (_, d) = w.heartbeat("i-9", serial, vec![running(0)]);
         assert_eq!(d, vec![], "{serial}");
-        w.c.on_standings(w.now, &[(uid(), Some(Verdict::Live))]);
+        w.c.on_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
         w.pass(secs(10));
     }
-    assert!(w.c.takeover.holds_host(&"i-9".into()));
+    assert!(w.c.takeover.holds_machine(&"i-9".into()));
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -11,11 +11,11 @@
     let s = Settings::parse("node.toml", NODE).unwrap();
     assert_eq!(s.member, "worker-0");
     assert_eq!(s.seeds.len(), 2);
-    assert_eq!(s.params.lease, Duration::from_secs(30));
-    assert_eq!(s.params.teams[0].cpus_max, Some(128.0));
+    assert_eq!(s.config.lease, Duration::from_secs(30));
+    assert_eq!(s.config.teams[0].cpus_max, Some(128.0));
     // 0 means none.
-    assert_eq!(s.params.teams[0].gpus_max, None);
-    assert_eq!(s.params.value_bytes, 16 * 1024);
+    assert_eq!(s.config.teams[0].gpus_max, None);
+    assert_eq!(s.config.value_bytes, 16 * 1024);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     for (next, bytes, ops, rates) in cases {
         let s = with(next).unwrap();
         assert_eq!(
-            (s.params.value_bytes, s.params.txn_ops),
+            (s.config.value_bytes, s.config.txn_ops),
             (bytes, ops),
             "{next}"
         );
@@ -198,7 +198,7 @@
         (unrecorded-hold-s 30)))";
     let mut other = s.clone();
     other.parse_operators("o.lisp", recovery).unwrap();
-    let recovery = &other.params.recovery;
+    let recovery = &other.config.recovery;
     assert!(!recovery.enabled && recovery.segments.len() == 1);
     assert_eq!(recovery.prefixes.v4, 20);
     assert_eq!(recovery.unrecorded_hold, Duration::from_secs(30));
