--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -6,12 +6,14 @@
 pub mod truth;
 pub mod worker;
 
-use crate::common::{params, secs, team};
-use cypressgap::core::capacity::Rented;
-use cypressgap::core::cluster::{Action, Answer, CancelSource, Cluster};
-use cypressgap::core::ledger::{Batch, BatchOutcome};
+use crate::common::{config, secs, team};
+use cypressgap::core::capacity::RentalOutcome;
+use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
-use cypressgap::core::watermark::Moment;
+use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::state::cluster_state::{
+    Action, CancelSource, ClusterState, HeartbeatDecision,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -48,7 +50,7 @@
     pub lost_writes: f64,
     pub late_writes: f64,
     pub late_commands: f64,
-    pub late_reports: f64,
+    pub late_heartbeats: f64,
     pub lost_returns: f64,
     pub cancellations: f64,
 }
@@ -69,7 +71,7 @@
             lost_writes: 0.0,
             late_writes: 0.0,
             late_commands: 0.0,
-            late_reports: 0.0,
+            late_heartbeats: 0.0,
             lost_returns: 0.0,
             cancellations: 0.0,
         }
@@ -90,7 +92,7 @@
             lost_writes: 0.08,
             late_writes: 0.05,
             late_commands: 0.1,
-            late_reports: 0.05,
+            late_heartbeats: 0.05,
             lost_returns: 0.1,
             cancellations: 0.15,
         }
@@ -107,7 +109,7 @@
             deaf: 0.02,
             mute: 0.02,
             restart: 0.0,
-            late_reports: 0.02,
+            late_heartbeats: 0.02,
             ..Troubles::many()
         }
     }
@@ -115,33 +117,33 @@
 
 /// A message or something else that comes about at its time.
 enum Event {
-    Report {
-        report: Report,
+    Heartbeat {
+        heartbeat: Heartbeat,
         asked: Instant,
         answer: bool,
     },
-    Answer {
-        host: HostId,
+    HeartbeatDecision {
+        machine: MachineId,
         asked: Instant,
-        tenure: u64,
-        answer: Answer,
+        incarnation: u64,
+        answer: HeartbeatDecision,
     },
     Refusal {
-        host: HostId,
+        machine: MachineId,
         asked: Instant,
     },
     Command {
-        host: HostId,
-        epoch: Epoch,
-        tenure: u64,
-        directives: Vec<Directive>,
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
         leader: Option<u64>,
         life: u64,
     },
     Commanded {
-        host: HostId,
+        machine: MachineId,
         leader: u64,
-        report: Option<Report>,
+        heartbeat: Option<Heartbeat>,
     },
     Write {
         batch: Batch,
@@ -152,28 +154,28 @@
         leader: u64,
         outcome: BatchOutcome,
     },
-    Rented {
+    RentalEnded {
         leader: u64,
-        claim: String,
-        hosts: Vec<HostId>,
+        idempotency_key: String,
+        machines: Vec<MachineId>,
     },
     Return {
-        hosts: Vec<HostId>,
+        machines: Vec<MachineId>,
         leader: Option<u64>,
     },
     Returned {
-        hosts: Vec<HostId>,
+        machines: Vec<MachineId>,
         leader: u64,
         confirmed: bool,
     },
-    Listed(Vec<Listed>),
+    CloudListed(Vec<CloudMachine>),
 }
 
 /// A node that leads, or believes so.
 struct Leader {
     id: u64,
-    cluster: Cluster,
-    stamp: u64,
+    cluster: ClusterState,
+    revision: u64,
     /// It acts from here on; before, it loads.
     ready: Instant,
     seen: u64,
@@ -187,11 +189,11 @@
     rng: StdRng,
     pub now: Instant,
     start: Instant,
-    params: Params,
-    types: Vec<HostType>,
+    config: SchedulerConfig,
+    types: Vec<MachineType>,
     pub troubles: Troubles,
     pub store: Store,
-    pub workers: BTreeMap<HostId, Worker>,
+    pub workers: BTreeMap<MachineId, Worker>,
     uploads: Uploads,
     leaders: Vec<Leader>,
     next_leader: Option<Instant>,
@@ -212,13 +214,13 @@
     pub changes_of_leader: u64,
 }
 
-fn machine_type() -> HostType {
-    crate::common::host_type("m8", 8.0)
+fn machine_type() -> MachineType {
+    crate::common::machine_type("m8", 8.0)
 }
 
 /// A deployment with limits that are soon reached.
-pub fn tight_params() -> Params {
-    let mut p = params();
+pub fn tight_config() -> SchedulerConfig {
+    let mut p = config();
     p.teams = vec![
         team("red", 8.0, 24.0),
         team("blue", 8.0, 20.0),
@@ -226,23 +228,28 @@
     ];
     p.lease = secs(20);
     p.gang_wait = secs(15);
-    p.tuning.max_hosts = 30;
+    p.tuning.max_machines = 30;
     p.tuning.idle_ordinary = secs(60);
     p
 }
 
 impl Simulation {
     pub fn new(seed: u64, machines: usize, troubles: Troubles) -> Simulation {
-        Simulation::with(seed, machines, troubles, tight_params())
+        Simulation::with(seed, machines, troubles, tight_config())
     }
 
-    pub fn with(seed: u64, machines: usize, troubles: Troubles, params: Params) -> Simulation {
+    pub fn with(
+        seed: u64,
+        machines: usize,
+        troubles: Troubles,
+        config: SchedulerConfig,
+    ) -> Simulation {
         let now = Instant::now();
         let mut simulation = Simulation {
             rng: StdRng::seed_from_u64(seed),
             now,
             start: now,
-            params,
+            config,
             types: vec![machine_type()],
             troubles,
             store: Store::default(),
@@ -280,21 +287,23 @@
     }
 
     /// The newest leader's picture, once it acts.
-    pub fn leading(&self) -> Option<&Cluster> {
+    pub fn leading(&self) -> Option<&ClusterState> {
         let newest = self.leaders.last().filter(|l| l.ready <= self.now)?;
         Some(&newest.cluster)
     }
 
     /// Jobs of a team, with so many tasks each.
-    pub fn submit_jobs(&mut self, jobs: u64, owner: &str, shards: u32, cpus: f64) {
+    pub fn submit_jobs(&mut self, jobs: u64, team: &str, task_count: u32, cpus: f64) {
         for _ in 0..jobs {
             self.jobs += 1;
-            let mut spec = crate::common::spec(&format!("wk-{:06}", self.jobs), shards, cpus);
-            spec.owner = owner.into();
-            spec.snapshot_every = Duration::ZERO;
+            let mut spec = crate::common::spec(&format!("wk-{:06}", self.jobs), task_count, cpus);
+            spec.team = team.into();
+            spec.checkpoint_interval = Duration::ZERO;
             spec.image_gb = 0.5;
             self.store.accept(spec.clone());
-            self.uploads.jobs.insert(spec.uid.clone(), Arc::new(spec));
+            self.uploads
+                .jobs
+                .insert(spec.job_id.clone(), Arc::new(spec));
         }
     }
 
@@ -318,13 +327,13 @@
             .gen_bool((per_second * STEP.as_secs_f64()).min(1.0))
     }
 
-    fn machine(&mut self, boot: Duration, spot: bool) -> HostId {
+    fn machine(&mut self, boot: Duration, spot: bool) -> MachineId {
         self.machines += 1;
-        let id = HostId(format!("i-{:04}", self.machines));
-        let site = SITES[self.machines as usize % SITES.len()];
+        let id = MachineId(format!("i-{:04}", self.machines));
+        let zone = SITES[self.machines as usize % SITES.len()];
         let t = &self.types[0];
         let kind = (t.name.clone(), t.room);
-        let worker = Worker::new(id.clone(), kind, site.into(), spot, self.now + boot);
+        let worker = Worker::new(id.clone(), kind, zone.into(), spot, self.now + boot);
         self.workers.insert(id.clone(), worker);
         id
     }
@@ -334,16 +343,16 @@
         self.now += STEP;
         self.deliver();
         self.advance_workers();
-        self.send_reports();
+        self.send_heartbeats();
         self.submit();
         self.cancel();
         self.make_trouble();
         self.lead();
         self.list();
-        let verdict = |uid: &Uid| self.store.verdict(uid);
-        let (teams, cancel) = (&self.params.teams, self.params.cancel);
+        let outcome = |job_id: &JobId| self.store.outcome(job_id);
+        let (teams, cancel) = (&self.config.teams, self.config.cancel);
         self.truth
-            .look(self.now, self.workers.values(), teams, cancel, verdict)
+            .look(self.now, self.workers.values(), teams, cancel, outcome)
     }
 
     // --- messages ---
@@ -360,42 +369,42 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Report {
-                report,
+            Event::Heartbeat {
+                heartbeat,
                 asked,
                 answer,
-            } => self.take_report(report, asked, answer),
-            Event::Answer {
-                host,
+            } => self.take_heartbeat(heartbeat, asked, answer),
+            Event::HeartbeatDecision {
+                machine,
                 asked,
-                tenure,
+                incarnation,
                 answer,
-            } => self.take_answer(host, asked, tenure, answer),
-            Event::Refusal { host, asked } => {
-                if let Some(w) = self.workers.get_mut(&host) {
+            } => self.take_answer(machine, asked, incarnation, answer),
+            Event::Refusal { machine, asked } => {
+                if let Some(w) = self.workers.get_mut(&machine) {
                     w.refused(self.now, asked);
                 }
             }
             Event::Command {
-                host,
-                epoch,
-                tenure,
-                directives,
+                machine,
+                token,
+                incarnation,
+                commands,
                 leader,
                 life,
             } => {
-                if self.is_reached(&host, life) {
-                    self.take_command(host, epoch, tenure, directives, leader);
+                if self.is_reached(&machine, life) {
+                    self.take_command(machine, token, incarnation, commands, leader);
                 }
             }
             Event::Commanded {
-                host,
+                machine,
                 leader,
-                report,
+                heartbeat,
             } => {
                 let now = self.now;
                 if let Some(l) = self.leader(leader) {
-                    if l.cluster.on_sent(now, &host, report).is_some() {
+                    if l.cluster.on_sent(now, &machine, heartbeat).is_some() {
                         self.depose(leader);
                     }
                 }
@@ -420,30 +429,30 @@
                     self.depose(leader);
                 }
             }
-            Event::Rented {
+            Event::RentalEnded {
                 leader,
-                claim,
-                hosts,
+                idempotency_key,
+                machines,
             } => {
                 let now = self.now;
                 if let Some(l) = self.leader(leader) {
-                    let outcome = if hosts.is_empty() {
-                        Rented::NoCapacity
+                    let outcome = if machines.is_empty() {
+                        RentalOutcome::NoCapacity
                     } else {
-                        Rented::Hosts(hosts)
+                        RentalOutcome::Machines(machines)
                     };
-                    l.cluster.on_rented(now, &claim, outcome);
+                    l.cluster.on_rented(now, &idempotency_key, outcome);
                 }
             }
-            Event::Return { hosts, leader } => {
-                for id in &hosts {
+            Event::Return { machines, leader } => {
+                for id in &machines {
                     self.workers.remove(id);
                 }
                 if let Some(leader) = leader {
                     let after = self.delay(20, 200);
                     let confirmed = true;
                     let event = Event::Returned {
-                        hosts,
+                        machines,
                         leader,
                         confirmed,
                     };
@@ -451,20 +460,20 @@
                 }
             }
             Event::Returned {
-                hosts,
+                machines,
                 leader,
                 confirmed,
             } => {
                 let now = self.now;
                 if let Some(l) = self.leader(leader) {
                     if confirmed {
-                        l.cluster.on_returned(now, &hosts);
+                        l.cluster.on_returned(now, &machines);
                     } else {
-                        l.cluster.on_return_failed(&hosts);
+                        l.cluster.on_return_failed(&machines);
                     }
                 }
             }
-            Event::Listed(listed) => {
+            Event::CloudListed(listed) => {
                 let now = self.now;
                 for l in self.leaders.iter_mut().filter(|l| l.ready <= now) {
                     l.cluster.on_list(now, &listed);
@@ -499,58 +508,64 @@
         }
     }
 
-    fn take_report(&mut self, report: Report, asked: Instant, answer: bool) {
-        let host = report.host.clone();
-        let tenure = report.tenure;
+    fn take_heartbeat(&mut self, heartbeat: Heartbeat, asked: Instant, answer: bool) {
+        let machine = heartbeat.machine.clone();
+        let incarnation = heartbeat.incarnation;
         let back = self.delay(5, 60);
         let now = self.now;
         let Some(id) = self.reached() else {
             if answer {
-                self.at(back, Event::Refusal { host, asked });
+                self.at(back, Event::Refusal { machine, asked });
             }
             return;
         };
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let given = leader.cluster.on_report(now, report, true);
-        if matches!(given, Answer::Superseded(_)) {
+        let given = leader.cluster.on_heartbeat(now, heartbeat, true);
+        if matches!(given, HeartbeatDecision::Superseded(_)) {
             self.depose(id);
         }
         if answer {
             self.at(
                 back,
-                Event::Answer {
-                    host,
+                Event::HeartbeatDecision {
+                    machine,
                     asked,
-                    tenure,
+                    incarnation,
                     answer: given,
                 },
             );
         }
     }
 
-    fn take_answer(&mut self, host: HostId, asked: Instant, tenure: u64, answer: Answer) {
+    fn take_answer(
+        &mut self,
+        machine: MachineId,
+        asked: Instant,
+        incarnation: u64,
+        answer: HeartbeatDecision,
+    ) {
         let now = self.now;
-        let Some(w) = self.workers.get_mut(&host) else {
+        let Some(w) = self.workers.get_mut(&machine) else {
             return;
         };
         if lasts(w.deaf, now) {
             return;
         }
         if let Some(until) = blocked_until(w, now) {
-            let event = Event::Answer {
-                host,
+            let event = Event::HeartbeatDecision {
+                machine,
                 asked,
-                tenure,
+                incarnation,
                 answer,
             };
             self.at(until - now, event);
             return;
         }
         match answer {
-            Answer::Accept { epoch, directives } => {
-                w.answered(now, asked, tenure, epoch, &directives, &self.uploads);
+            HeartbeatDecision::Accept { token, commands } => {
+                w.answered(now, asked, incarnation, token, &commands, &self.uploads);
             }
             _ => w.refused(now, asked),
         }
@@ -558,22 +573,22 @@
 
     /// Whether a command finds the life of the machine that it was sent to, or a later one that was
     /// answered before. No token shuts out what comes in between.
-    fn is_reached(&self, host: &HostId, life: u64) -> bool {
-        let worker = self.workers.get(host);
-        worker.is_some_and(|w| w.life == life || w.epoch > Epoch(0))
+    fn is_reached(&self, machine: &MachineId, life: u64) -> bool {
+        let worker = self.workers.get(machine);
+        worker.is_some_and(|w| w.life == life || w.token > FencingToken(0))
     }
 
     fn take_command(
         &mut self,
-        host: HostId,
-        epoch: Epoch,
-        tenure: u64,
-        directives: Vec<Directive>,
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
         leader: Option<u64>,
     ) {
         let now = self.now;
         let back = self.delay(5, 60);
-        let Some(w) = self.workers.get_mut(&host) else {
+        let Some(w) = self.workers.get_mut(&machine) else {
             return;
         };
         if lasts(w.deaf, now) || now < w.up_at {
@@ -582,34 +597,34 @@
         if let Some(until) = blocked_until(w, now) {
             // Its sender has given up by then, or soon will.
             let event = Event::Command {
-                host,
-                epoch,
-                tenure,
-                directives,
+                machine,
+                token,
+                incarnation,
+                commands,
                 leader: None,
                 life: w.life,
             };
             self.at(until - now, event);
             return;
         }
-        w.commanded(now, epoch, tenure, &directives, &self.uploads);
-        let report = Some(w.report(now));
+        w.commanded(now, token, incarnation, &commands, &self.uploads);
+        let heartbeat = Some(w.heartbeat(now));
         if let Some(leader) = leader {
             let event = Event::Commanded {
-                host,
+                machine,
                 leader,
-                report,
+                heartbeat,
             };
             self.at(back, event);
         }
     }
 
-    fn send_reports(&mut self) {
+    fn send_heartbeats(&mut self) {
         let now = self.now;
-        let ids: Vec<HostId> = self.workers.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
             let every = self.delay(2250, 3750);
-            let late = self.rng.gen_bool(self.troubles.late_reports);
+            let late = self.rng.gen_bool(self.troubles.late_heartbeats);
             let forward = self.delay(5, 60);
             let copy_after = self.delay(2000, 40_000);
             let Some(w) = self.workers.get_mut(&id) else {
@@ -620,7 +635,7 @@
             }
             let mute = lasts(w.mute, now);
             let held = w.cut.filter(|until| now < *until);
-            let Some(report) = w.due_report(now, every) else {
+            let Some(heartbeat) = w.due_heartbeat(now, every) else {
                 continue;
             };
             if mute {
@@ -628,16 +643,16 @@
             }
             let asked = now;
             if late {
-                let event = Event::Report {
-                    report: report.clone(),
+                let event = Event::Heartbeat {
+                    heartbeat: heartbeat.clone(),
                     asked,
                     answer: false,
                 };
                 self.at(copy_after, event);
             }
             let after = held.map_or(forward, |until| until - now + forward);
-            let event = Event::Report {
-                report,
+            let event = Event::Heartbeat {
+                heartbeat,
                 asked,
                 answer: true,
             };
@@ -648,8 +663,8 @@
     // --- machines ---
 
     fn advance_workers(&mut self) {
-        let (now, lease) = (self.now, self.params.lease);
-        let wait = self.params.gang_wait;
+        let (now, lease) = (self.now, self.config.lease);
+        let wait = self.config.gang_wait;
         self.workers
             .retain(|_, w| w.eviction.is_none_or(|at| now < at));
         for w in self.workers.values_mut() {
@@ -665,38 +680,40 @@
     /// Gangs start, end and break as a whole.
     fn advance_gangs(&mut self) {
         let now = self.now;
-        type Member = (HostId, TaskId);
-        let mut gangs: BTreeMap<(Uid, Attempt), Vec<Member>> = BTreeMap::new();
+        type Member = (MachineId, TaskId);
+        let mut gangs: BTreeMap<(JobId, AttemptId), Vec<Member>> = BTreeMap::new();
         for w in self.workers.values() {
             for ((task, attempt), t) in &w.tasks {
                 if t.spec.kind == JobKind::Gang && t.on_machine() && !lasts(w.hangs, now) {
                     let member = (w.id.clone(), task.clone());
-                    let key = (task.uid.clone(), *attempt);
+                    let key = (task.job_id.clone(), *attempt);
                     gangs.entry(key).or_default().push(member);
                 }
             }
         }
-        for ((uid, attempt), members) in gangs {
-            let spec = self.uploads.jobs[&uid].clone();
-            let complete = members.len() == spec.shards as usize;
-            for (host, task) in members {
+        for ((job_id, attempt), members) in gangs {
+            let spec = self.uploads.jobs[&job_id].clone();
+            let complete = members.len() == spec.task_count as usize;
+            for (machine, task) in members {
                 let run = run_time(&TaskId {
-                    uid: uid.clone(),
+                    job_id: job_id.clone(),
                     index: 0,
                 });
-                let Some(w) = self.workers.get_mut(&host) else {
+                let Some(w) = self.workers.get_mut(&machine) else {
                     continue;
                 };
                 let t = w.tasks.get_mut(&(task.clone(), attempt)).expect("a member");
                 let next = match t.phase {
-                    TaskPhase::Gathering if complete => TaskPhase::Running,
-                    TaskPhase::Running if !complete => TaskPhase::Ended(Exit::Peers),
-                    TaskPhase::Running if now >= t.until => TaskPhase::Ended(Exit::Done),
+                    TaskPhase::WaitingForGang if complete => TaskPhase::Running,
+                    TaskPhase::Running if !complete => {
+                        TaskPhase::Ended(ExitReason::GangMemberEnded)
+                    }
+                    TaskPhase::Running if now >= t.until => TaskPhase::Ended(ExitReason::Completed),
                     _ => continue,
                 };
                 match next {
                     TaskPhase::Running => t.until = now + run,
-                    TaskPhase::Ended(Exit::Done) => {
+                    TaskPhase::Ended(ExitReason::Completed) => {
                         self.uploads.done.insert(task);
                     }
                     _ => {}
@@ -708,7 +725,7 @@
     }
 
     fn some_worker(&mut self) -> Option<&mut Worker> {
-        let up: Vec<HostId> = self.workers.keys().cloned().collect();
+        let up: Vec<MachineId> = self.workers.keys().cloned().collect();
         if up.is_empty() {
             return None;
         }
@@ -754,9 +771,9 @@
         if self.comes(t.restart) {
             let now = self.now;
             if let Some(w) = self.some_worker() {
-                let kind = (w.host_type.clone(), w.room);
+                let kind = (w.machine_type.clone(), w.room);
                 let life = w.life + 1;
-                *w = Worker::new(w.id.clone(), kind, w.site.clone(), w.spot, now);
+                *w = Worker::new(w.id.clone(), kind, w.zone.clone(), w.spot, now);
                 w.life = life;
             }
         }
@@ -783,45 +800,46 @@
             return;
         }
         self.jobs += 1;
-        let uid = format!("wk-{:06}", self.jobs);
+        let job_id = format!("wk-{:06}", self.jobs);
         let gang = self.rng.gen_bool(0.2);
-        let shards = match self.rng.gen_range(0..10) {
+        let task_count = match self.rng.gen_range(0..10) {
             _ if gang => self.rng.gen_range(2..=4),
             0 => self.rng.gen_range(60..=90),
             1..=3 => self.rng.gen_range(8..=30),
             _ => self.rng.gen_range(1..=5),
         };
         let cpus = [1.0, 1.3, 2.0, 2.7, 4.0][self.rng.gen_range(0..5)];
-        let mut spec = crate::common::spec(&uid, shards, cpus);
+        let mut spec = crate::common::spec(&job_id, task_count, cpus);
         if gang {
             spec.kind = JobKind::Gang;
         }
-        let teams = &self.params.teams;
-        spec.owner = teams[self.rng.gen_range(0..teams.len())].name.clone();
-        spec.urgency = [Urgency::Idle, Urgency::Standard, Urgency::High][self.rng.gen_range(0..3)];
+        let teams = &self.config.teams;
+        spec.team = teams[self.rng.gen_range(0..teams.len())].name.clone();
+        spec.priority =
+            [Priority::Idle, Priority::Standard, Priority::High][self.rng.gen_range(0..3)];
         spec.class = ["plain", "quick"][self.rng.gen_range(0..2)].to_owned();
         spec.image = format!("img-{}", self.rng.gen_range(0..6));
         spec.image_gb = [0.0, 0.5, 2.0, 6.0][self.rng.gen_range(0..4)];
         spec.same_place = self.rng.gen_bool(0.2);
         spec.expected = secs(self.rng.gen_range(3..40));
         if self.rng.gen_bool(0.4) {
-            spec.snapshot_every = Duration::ZERO;
+            spec.checkpoint_interval = Duration::ZERO;
         }
-        let whole = if gang { f64::from(shards) } else { 1.0 };
+        let whole = if gang { f64::from(task_count) } else { 1.0 };
         if whole * cpus > 16.0 {
-            spec.need = crate::common::need(16.0 / whole);
+            spec.resources = crate::common::resources(16.0 / whole);
         }
         spec.accepted_ms = (self.now - self.start).as_millis() as u64;
         if self.jobs > 5 && self.rng.gen_bool(0.2) {
             let needed = self.rng.gen_range(self.jobs - 5..self.jobs);
-            let needed = Uid(format!("wk-{needed:06}"));
+            let needed = JobId(format!("wk-{needed:06}"));
             if self.uploads.jobs.contains_key(&needed) {
-                spec.needs = vec![needed];
+                spec.dependencies = vec![needed];
             }
         }
         if self.store.accept(spec.clone()) {
-            let uid = spec.uid.clone();
-            self.uploads.jobs.insert(uid, Arc::new(spec));
+            let job_id = spec.job_id.clone();
+            self.uploads.jobs.insert(job_id, Arc::new(spec));
         }
     }
 
@@ -830,9 +848,9 @@
             return;
         }
         let back = self.rng.gen_range(0..self.jobs.min(20));
-        let uid = Uid(format!("wk-{:06}", self.jobs - back));
-        if self.uploads.jobs.contains_key(&uid) && self.store.cancel(&uid) {
-            self.truth.cancelled.insert(uid, self.now);
+        let job_id = JobId(format!("wk-{:06}", self.jobs - back));
+        if self.uploads.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
+            self.truth.cancelled.insert(job_id, self.now);
         }
     }
 
@@ -858,14 +876,14 @@
 
     fn take_leadership(&mut self) {
         let now = self.now;
-        let stamp = self.store.lead();
+        let revision = self.store.lead();
         self.terms += 1;
         self.changes_of_leader += 1;
         let elapsed = (now - self.start).as_millis() as u64;
-        let mut cluster = Cluster::new(
-            self.params.clone(),
+        let mut cluster = ClusterState::new(
+            self.config.clone(),
             Term(self.terms),
-            stamp,
+            revision,
             self.types.clone(),
             now,
             elapsed,
@@ -877,7 +895,7 @@
         self.leaders.push(Leader {
             id,
             cluster,
-            stamp,
+            revision,
             ready,
             seen: self.store.revision(),
             read_at: now,
@@ -894,24 +912,25 @@
         let Some(l) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
-        l.cluster.clocks(Moment { steady: now, day });
+        l.cluster.clocks(ClockReading { steady: now, day });
         if l.cut_since.is_some() || now < l.read_at {
             return;
         }
         l.read_at = now + late;
         for queued in self.store.queued_after(l.seen) {
             match queued {
-                Queued::Job(spec, stamp) => l.cluster.on_job(*spec, stamp),
-                Queued::Cancelled(uid) => {
-                    l.cluster.on_cancelled(now, &uid, CancelSource::Watch);
+                Queued::Job(spec, revision) => l.cluster.on_job(*spec, revision),
+                Queued::Cancelled(job_id) => {
+                    l.cluster.on_cancelled(now, &job_id, CancelSource::Watch);
                 }
             }
         }
         l.seen = self.store.revision();
-        l.cluster.cancellations_read(Moment { steady: now, day });
-        for uid in l.cluster.unresolved() {
-            if let Some(verdict) = self.store.verdict(&uid) {
-                l.cluster.ended_before(now, &uid, verdict);
+        l.cluster
+            .cancellations_read(ClockReading { steady: now, day });
+        for job_id in l.cluster.unresolved() {
+            if let Some(outcome) = self.store.outcome(&job_id) {
+                l.cluster.ended_before(now, &job_id, outcome);
             }
         }
     }
@@ -940,25 +959,25 @@
         match action {
             Action::Store(batch) => self.write(id, batch),
             Action::Send {
-                host,
-                epoch,
-                tenure,
-                directives,
+                machine,
+                token,
+                incarnation,
+                commands,
                 ..
-            } => self.command(id, host, epoch, tenure, directives),
+            } => self.command(id, machine, token, incarnation, commands),
             Action::Probe {
-                host,
-                epoch,
-                tenure,
+                machine,
+                token,
+                incarnation,
                 ..
-            } => self.command(id, host, epoch, tenure, Vec::new()),
+            } => self.command(id, machine, token, incarnation, Vec::new()),
             Action::Rent {
-                claim,
+                idempotency_key,
                 spot,
                 number,
                 ..
-            } => self.rent(id, claim, spot, number),
-            Action::Return { hosts } => self.give_back(id, hosts),
+            } => self.rent(id, idempotency_key, spot, number),
+            Action::Return { machines } => self.give_back(id, machines),
         }
     }
 
@@ -1002,71 +1021,71 @@
     fn command(
         &mut self,
         id: u64,
-        host: HostId,
-        epoch: Epoch,
-        tenure: u64,
-        directives: Vec<Directive>,
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
     ) {
         let late = self.rng.gen_bool(self.troubles.late_commands);
         let (soon, later) = (self.delay(5, 60), self.delay(2_000, 16_000));
-        let life = self.workers.get(&host).map_or(0, |w| w.life);
+        let life = self.workers.get(&machine).map_or(0, |w| w.life);
         // Whatever comes first counts, as with a sender that gives up.
         let unanswered = Event::Commanded {
-            host: host.clone(),
+            machine: machine.clone(),
             leader: id,
-            report: None,
+            heartbeat: None,
         };
         self.at(ANSWER_LIMIT, unanswered);
         let command = Event::Command {
-            host,
-            epoch,
-            tenure,
-            directives,
+            machine,
+            token,
+            incarnation,
+            commands,
             leader: (!late).then_some(id),
             life,
         };
         self.at(if late { later } else { soon }, command);
     }
 
-    fn rent(&mut self, id: u64, claim: String, spot: bool, number: u32) {
+    fn rent(&mut self, id: u64, idempotency_key: String, spot: bool, number: u32) {
         let room = self
-            .params
+            .config
             .tuning
-            .max_hosts
+            .max_machines
             .saturating_sub(self.workers.len());
         let number = (number as usize).min(room);
-        let mut hosts = Vec::new();
+        let mut machines = Vec::new();
         for _ in 0..number {
             let boot = self.delay(500, 25_000);
-            hosts.push(self.machine(boot, spot));
+            machines.push(self.machine(boot, spot));
         }
         let after = self.delay(100, 1_500);
-        let event = Event::Rented {
+        let event = Event::RentalEnded {
             leader: id,
-            claim,
-            hosts,
+            idempotency_key,
+            machines,
         };
         self.at(after, event);
     }
 
-    fn give_back(&mut self, id: u64, hosts: Vec<HostId>) {
+    fn give_back(&mut self, id: u64, machines: Vec<MachineId>) {
         let lost = self.rng.gen_bool(self.troubles.lost_returns);
         let carried_out = self.rng.gen_bool(0.5);
         let after = self.delay(50, 800);
         if !lost {
             let leader = Some(id);
-            self.at(after, Event::Return { hosts, leader });
+            self.at(after, Event::Return { machines, leader });
             return;
         }
         let failed = Event::Returned {
-            hosts: hosts.clone(),
+            machines: machines.clone(),
             leader: id,
             confirmed: false,
         };
         self.at(secs(5), failed);
         if carried_out {
             let leader = None;
-            self.at(after, Event::Return { hosts, leader });
+            self.at(after, Event::Return { machines, leader });
         }
     }
 
@@ -1077,22 +1096,22 @@
         }
         self.next_list = self.now + LIST_EVERY;
         let now = self.now;
-        let listed = self.workers.values().map(|w| Listed {
+        let listed = self.workers.values().map(|w| CloudMachine {
             id: w.id.clone(),
             endpoint: endpoint(&w.id),
-            host_type: w.host_type.clone(),
-            site: w.site.clone(),
+            machine_type: w.machine_type.clone(),
+            zone: w.zone.clone(),
             spot: w.spot,
             phase: if now < w.up_at {
-                ListedPhase::Booting
+                CloudMachinePhase::Booting
             } else {
-                ListedPhase::Running
+                CloudMachinePhase::Running
             },
             age: secs(10),
         });
         let listed = listed.collect();
         let after = self.delay(200, 9_000);
-        self.at(after, Event::Listed(listed));
+        self.at(after, Event::CloudListed(listed));
     }
 
     /// Tasks on machines that the newest leader, once it acts, does not hold to be there: whatever it
@@ -1102,10 +1121,10 @@
         let Some(leader) = newest else {
             return Vec::new();
         };
-        let known = |host: &HostId, task: &TaskId, attempt: Attempt| {
-            let job = leader.cluster.jobs.get(&task.uid);
+        let known = |machine: &MachineId, task: &TaskId, attempt: AttemptId| {
+            let job = leader.cluster.jobs.get(&task.job_id);
             let active = job.and_then(|j| j.active.get(&task.index));
-            active.is_some_and(|a| &a.host == host && a.attempt == attempt)
+            active.is_some_and(|a| &a.machine == machine && a.attempt == attempt)
         };
         let mut missing = Vec::new();
         for w in self.workers.values() {
@@ -1124,7 +1143,7 @@
     }
 
     /// What is on machines now.
-    pub fn running(&self) -> impl Iterator<Item = (&HostId, &TaskId, &WorkerTask)> {
+    pub fn running(&self) -> impl Iterator<Item = (&MachineId, &TaskId, &WorkerTask)> {
         self.workers.values().flat_map(|w| {
             let tasks = w.tasks.iter().filter(|(_, t)| !t.ended());
             tasks.map(|((task, _), t)| (&w.id, task, t))
@@ -1143,6 +1162,6 @@
 
 /// How long a task truly runs. The same in every attempt.
 fn run_time(task: &TaskId) -> Duration {
-    let number = task.uid.0.bytes().map(u64::from).sum::<u64>() + u64::from(task.index) * 7;
+    let number = task.job_id.0.bytes().map(u64::from).sum::<u64>() + u64::from(task.index) * 7;
     ms(1_000 + (number * 977) % 25_000)
 }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,17 +1,19 @@
 //! The state service of a simulation: keys with stamps, conditional transactions, a log of changes.
 
-use cypressgap::core::ledger::{
-    self, parse_chunk_key, Batch, BatchOutcome, ChunkValue, Op, Value, Verdict,
+use cypressgap::core::model::{JobId, JobSpec};
+use cypressgap::core::persistence::ledger::{
+    self, parse_chunk_key, Batch, BatchOutcome, ChunkValue, JobOutcome, Op, Value,
+};
+use cypressgap::core::reconciliation::state_loading::{
+    StoredIntents, StoredLiveJob, StoredSnapshot,
 };
-use cypressgap::core::model::{JobSpec, Uid};
-use cypressgap::core::takeover::{IndexedChunk, IndexedJob, StoredPicture};
 use std::collections::BTreeMap;
 
 /// What a key holds.
 #[derive(Clone, Debug)]
 pub enum Stored {
     Job(Box<JobSpec>),
-    Verdict(Verdict),
+    JobOutcome(JobOutcome),
     Chunk(ChunkValue),
     CancelMark,
     Leader,
@@ -22,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub enum Queued {
     Job(Box<JobSpec>, u64),
-    Cancelled(Uid),
+    Cancelled(JobId),
 }
 
 #[derive(Default)]
@@ -37,8 +39,8 @@
         self.revision
     }
 
-    pub fn stamp(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |(_, stamp)| *stamp)
+    pub fn revision_of(&self, key: &str) -> u64 {
+        self.keys.get(key).map_or(0, |(_, revision)| *revision)
     }
 
     fn put(&mut self, key: String, value: Stored) {
@@ -46,7 +48,7 @@
             Stored::Job(spec) => Some(Queued::Job(spec.clone(), self.revision)),
             Stored::CancelMark => key
                 .strip_prefix(ledger::CANCEL_MARK_PREFIX)
-                .and_then(Uid::parse)
+                .and_then(JobId::parse)
                 .map(Queued::Cancelled),
             _ => None,
         };
@@ -64,38 +66,46 @@
 
     /// Accepts a job. False: something that it needs is cancelled, or it is known.
     pub fn accept(&mut self, spec: JobSpec) -> bool {
-        let cancelled = |uid: &Uid| self.verdict(uid) == Some(Verdict::Cancelled);
-        if spec.needs.iter().any(cancelled) || self.stamp(&ledger::live_key(&spec.uid)) > 0 {
+        let cancelled = |job_id: &JobId| self.outcome(job_id) == Some(JobOutcome::Cancelled);
+        if spec.dependencies.iter().any(cancelled)
+            || self.revision_of(&ledger::live_key(&spec.job_id)) > 0
+        {
             return false;
         }
         self.revision += 1;
-        self.put(ledger::live_key(&spec.uid), Stored::Job(Box::new(spec)));
+        self.put(ledger::live_key(&spec.job_id), Stored::Job(Box::new(spec)));
         true
     }
 
     /// Cancels a job. False: it is over.
-    pub fn cancel(&mut self, uid: &Uid) -> bool {
-        if self.verdict(uid).is_some() {
+    pub fn cancel(&mut self, job_id: &JobId) -> bool {
+        if self.outcome(job_id).is_some() {
             return false;
         }
         self.revision += 1;
-        self.put(ledger::job_key(uid), Stored::Verdict(Verdict::Cancelled));
-        self.put(ledger::cancel_mark_key(uid), Stored::CancelMark);
+        self.put(
+            ledger::job_key(job_id),
+            Stored::JobOutcome(JobOutcome::Cancelled),
+        );
+        self.put(ledger::cancel_mark_key(job_id), Stored::CancelMark);
         true
     }
 
-    pub fn verdict(&self, uid: &Uid) -> Option<Verdict> {
-        match self.keys.get(&ledger::job_key(uid)) {
-            Some((Stored::Verdict(verdict), _)) => Some(*verdict),
+    pub fn outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
+        match self.keys.get(&ledger::job_key(job_id)) {
+            Some((Stored::JobOutcome(outcome), _)) => Some(*outcome),
             _ => None,
         }
     }
 
     /// Carries out a leader's transaction.
     pub fn apply(&mut self, batch: &Batch) -> BatchOutcome {
-        let failed = batch.conditions.iter().filter(|(k, s)| self.stamp(k) != *s);
+        let failed = batch
+            .conditions
+            .iter()
+            .filter(|(k, s)| self.revision_of(k) != *s);
         let found: Vec<_> = failed
-            .map(|(key, _)| (key.clone(), self.stamp(key), self.verdict_at(key)))
+            .map(|(key, _)| (key.clone(), self.revision_of(key), self.outcome_at(key)))
             .collect();
         if !found.is_empty() {
             return BatchOutcome::Failed { found };
@@ -114,11 +124,11 @@
         }
     }
 
-    fn verdict_at(&self, key: &str) -> Option<Verdict> {
-        let uid = key
-            .strip_prefix(ledger::VERDICT_PREFIX)
-            .and_then(Uid::parse);
-        uid.and_then(|uid| self.verdict(&uid))
+    fn outcome_at(&self, key: &str) -> Option<JobOutcome> {
+        let job_id = key
+            .strip_prefix(ledger::OUTCOME_PREFIX)
+            .and_then(JobId::parse);
+        job_id.and_then(|job_id| self.outcome(&job_id))
     }
 
     /// The queue's changes after a revision.
@@ -131,39 +141,39 @@
     }
 
     /// What a new leader reads.
-    pub fn picture(&self) -> StoredPicture {
-        let mut picture = StoredPicture::default();
-        for (key, (value, stamp)) in &self.keys {
+    pub fn picture(&self) -> StoredSnapshot {
+        let mut picture = StoredSnapshot::default();
+        for (key, (value, revision)) in &self.keys {
             match value {
-                Stored::Job(spec) => picture.jobs.push(IndexedJob {
+                Stored::Job(spec) => picture.jobs.push(StoredLiveJob {
                     spec: (**spec).clone(),
-                    stamp: *stamp,
+                    revision: *revision,
                 }),
                 Stored::Chunk(value) => {
-                    let (uid, index) = parse_chunk_key(key).expect("a chunk's key");
-                    picture.chunks.push(IndexedChunk {
-                        uid,
+                    let (job_id, index) = parse_chunk_key(key).expect("a chunk's key");
+                    picture.chunks.push(StoredIntents {
+                        job_id,
                         index,
                         value: value.clone(),
-                        stamp: *stamp,
+                        revision: *revision,
                     });
                 }
                 Stored::CancelMark => {
-                    let uid = key.strip_prefix(ledger::CANCEL_MARK_PREFIX);
-                    picture.cancel_marks.extend(uid.and_then(Uid::parse));
+                    let job_id = key.strip_prefix(ledger::CANCEL_MARK_PREFIX);
+                    picture.cancel_marks.extend(job_id.and_then(JobId::parse));
                 }
-                Stored::Verdict(_) | Stored::Leader | Stored::Other => {}
+                Stored::JobOutcome(_) | Stored::Leader | Stored::Other => {}
             }
         }
         for job in &picture.jobs {
-            let uid = &job.spec.uid;
-            if let Some(verdict) = self.verdict(uid) {
-                picture.over.insert(uid.clone(), verdict);
+            let job_id = &job.spec.job_id;
+            if let Some(outcome) = self.outcome(job_id) {
+                picture.over.insert(job_id.clone(), outcome);
             }
-            for needed in &job.spec.needs {
-                if self.stamp(&ledger::live_key(needed)) == 0 {
-                    let verdict = self.verdict(needed).unwrap_or(Verdict::Live);
-                    picture.ends.push((needed.clone(), verdict));
+            for needed in &job.spec.dependencies {
+                if self.revision_of(&ledger::live_key(needed)) == 0 {
+                    let outcome = self.outcome(needed).unwrap_or(JobOutcome::Live);
+                    picture.ends.push((needed.clone(), outcome));
                 }
             }
         }
@@ -174,7 +184,7 @@
 fn stored(value: &Value) -> Stored {
     match value {
         Value::Chunk(chunk) => Stored::Chunk(chunk.clone()),
-        Value::Verdict(verdict) => Stored::Verdict(*verdict),
+        Value::JobOutcome(outcome) => Stored::JobOutcome(*outcome),
         Value::History(_) => Stored::Other,
     }
 }
--- a/tests/simulation/truth.rs
+++ b/tests/simulation/truth.rs
@@ -1,20 +1,20 @@
 //! What is truly on the machines, counted from the workers and never from a leader's own sums.
 
 use super::worker::Worker;
-use cypressgap::core::ledger::Verdict;
-use cypressgap::core::model::{HostId, Need, Site, TaskId, Team, TeamName, Uid};
+use cypressgap::core::model::{JobId, MachineId, Resources, TaskId, Team, TeamName, Zone};
+use cypressgap::core::persistence::ledger::JobOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// Sums of decimal amounts drift by rounding.
-const ROUNDING: f64 = 1e-6;
+const RESOURCE_EPSILON: f64 = 1e-6;
 
 /// Where tasks were when they were last looked at.
 #[derive(Default)]
 pub struct Truth {
-    on: BTreeMap<TaskId, BTreeSet<HostId>>,
+    on: BTreeMap<TaskId, BTreeSet<MachineId>>,
     /// When users were told that these jobs are cancelled.
-    pub cancelled: BTreeMap<Uid, Instant>,
+    pub cancelled: BTreeMap<JobId, Instant>,
 }
 
 impl Truth {
@@ -25,47 +25,47 @@
         workers: impl Iterator<Item = &'a Worker>,
         teams: &[Team],
         cancel: Duration,
-        verdict: impl Fn(&Uid) -> Option<Verdict>,
+        outcome: impl Fn(&JobId) -> Option<JobOutcome>,
     ) -> Vec<String> {
         let mut broken = Vec::new();
-        let mut used: BTreeMap<TeamName, Need> = BTreeMap::new();
-        let mut on: BTreeMap<TaskId, BTreeSet<HostId>> = BTreeMap::new();
-        let mut sites: BTreeMap<Uid, BTreeSet<Site>> = BTreeMap::new();
+        let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
+        let mut on: BTreeMap<TaskId, BTreeSet<MachineId>> = BTreeMap::new();
+        let mut zones: BTreeMap<JobId, BTreeSet<Zone>> = BTreeMap::new();
         for worker in workers {
             for ((task, _), t) in worker.tasks.iter().filter(|(_, t)| t.on_machine()) {
-                let sum = used.entry(t.spec.owner.clone()).or_default();
-                sum.add(&t.spec.need);
-                let hosts = on.entry(task.clone()).or_default();
-                hosts.insert(worker.id.clone());
+                let sum = used.entry(t.spec.team.clone()).or_default();
+                sum.add(&t.spec.resources);
+                let machines = on.entry(task.clone()).or_default();
+                machines.insert(worker.id.clone());
                 if t.spec.same_place {
-                    let sites = sites.entry(task.uid.clone()).or_default();
-                    sites.insert(worker.site.clone());
+                    let zones = zones.entry(task.job_id.clone()).or_default();
+                    zones.insert(worker.zone.clone());
                 }
-                let since = self.cancelled.get(&task.uid);
+                let since = self.cancelled.get(&task.job_id);
                 if since.is_some_and(|since| now > *since + cancel) {
                     broken.push(format!("ran_cancelled: {task} on {}", worker.id));
                 }
                 let began = !self.on.get(task).is_some_and(|h| h.contains(&worker.id));
                 if began
                     && t.spec
-                        .needs
+                        .dependencies
                         .iter()
-                        .any(|n| verdict(n) != Some(Verdict::Done))
+                        .any(|n| outcome(n) != Some(JobOutcome::Done))
                 {
                     broken.push(format!("too_early: {task}"));
                 }
             }
         }
-        for (task, hosts) in on.iter().filter(|(_, hosts)| hosts.len() > 1) {
-            broken.push(format!("ran_twice: {task} on {hosts:?}"));
+        for (task, machines) in on.iter().filter(|(_, machines)| machines.len() > 1) {
+            broken.push(format!("ran_twice: {task} on {machines:?}"));
         }
-        for (uid, sites) in sites.iter().filter(|(_, sites)| sites.len() > 1) {
-            broken.push(format!("wrong_place: {uid} in {sites:?}"));
+        for (job_id, zones) in zones.iter().filter(|(_, zones)| zones.len() > 1) {
+            broken.push(format!("wrong_place: {job_id} in {zones:?}"));
         }
         for team in teams {
             let sum = used.get(&team.name).copied().unwrap_or_default();
             let limit = team.cpus_max.unwrap_or(f64::INFINITY);
-            if sum.cpus > limit + ROUNDING {
+            if sum.cpus > limit + RESOURCE_EPSILON {
                 broken.push(format!("quota: {} uses {} of {limit}", team.name, sum.cpus));
             }
         }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,8 +1,8 @@
 //! A machine with its worker, as the protocol describes it: it holds the truth about its tasks.
 
 use cypressgap::core::model::{
-    Attempt, Directive, Epoch, Exit, HostId, JobKind, JobSpec, Need, Report, Site, TaskId,
-    TaskPhase, TaskReport, TypeName, Uid,
+    AttemptId, ExitReason, FencingToken, Heartbeat, JobId, JobKind, JobSpec, MachineId,
+    MachineTypeName, Resources, TaskCommand, TaskId, TaskPhase, TaskStatus, Zone,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 
 /// A worker gives a report up that is not answered within this.
 pub const ANSWER_LIMIT: Duration = Duration::from_secs(4);
-const LEAST_BETWEEN_REPORTS: Duration = Duration::from_millis(500);
+const MIN_BETWEEN_HEARTBEATS: Duration = Duration::from_millis(500);
 const RETRY: Duration = Duration::from_secs(1);
 
 /// A machine's address: sixteen machines share a segment of 28 bits.
-pub fn endpoint(id: &HostId) -> String {
+pub fn endpoint(id: &MachineId) -> String {
     let digits: String = id.0.chars().filter(char::is_ascii_digit).collect();
     let number: u32 = digits.parse().unwrap_or(0);
     let [_, a, b, c] = number.to_be_bytes();
@@ -24,7 +24,7 @@
 /// What the users have uploaded: descriptions of jobs, and results that are kept.
 #[derive(Default)]
 pub struct Uploads {
-    pub jobs: BTreeMap<Uid, Arc<JobSpec>>,
+    pub jobs: BTreeMap<JobId, Arc<JobSpec>>,
     pub done: BTreeSet<TaskId>,
 }
 
@@ -47,17 +47,17 @@
 }
 
 pub struct Worker {
-    pub id: HostId,
-    pub host_type: TypeName,
-    pub room: Need,
-    pub site: Site,
+    pub id: MachineId,
+    pub machine_type: MachineTypeName,
+    pub room: Resources,
+    pub zone: Zone,
     pub spot: bool,
     /// Which start of the machine this is.
     pub life: u64,
-    pub tenure: u64,
+    pub incarnation: u64,
     pub serial: u64,
-    pub epoch: Epoch,
-    pub tasks: BTreeMap<(TaskId, Attempt), WorkerTask>,
+    pub token: FencingToken,
+    pub tasks: BTreeMap<(TaskId, AttemptId), WorkerTask>,
     pub images: BTreeSet<String>,
     pub up_at: Instant,
     pub eviction: Option<Instant>,
@@ -65,8 +65,8 @@
     pub orders: Vec<Instant>,
     /// Its lease counts from here.
     pub lease_from: Instant,
-    pub next_report: Instant,
-    pub last_report: Option<Instant>,
+    pub next_heartbeat: Instant,
+    pub last_heartbeat: Option<Instant>,
     /// When the report was sent that is not answered yet.
     pub asked: Option<Instant>,
     /// Troubles, until when.
@@ -82,25 +82,31 @@
 }
 
 impl Worker {
-    pub fn new(id: HostId, t: (TypeName, Need), site: Site, spot: bool, up_at: Instant) -> Worker {
+    pub fn new(
+        id: MachineId,
+        t: (MachineTypeName, Resources),
+        zone: Zone,
+        spot: bool,
+        up_at: Instant,
+    ) -> Worker {
         Worker {
             id,
-            host_type: t.0,
+            machine_type: t.0,
             room: t.1,
-            site,
+            zone,
             spot,
             life: 1,
-            tenure: 1,
+            incarnation: 1,
             serial: 0,
-            epoch: Epoch(0),
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             up_at,
             eviction: None,
             orders: Vec::new(),
             lease_from: up_at,
-            next_report: up_at,
-            last_report: None,
+            next_heartbeat: up_at,
+            last_heartbeat: None,
             asked: None,
             hangs: None,
             cut: None,
@@ -109,22 +115,22 @@
         }
     }
 
-    pub fn report(&mut self, now: Instant) -> Report {
+    pub fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.serial += 1;
-        let shown = |((task, attempt), t): (&(TaskId, Attempt), &WorkerTask)| TaskReport {
+        let shown = |((task, attempt), t): (&(TaskId, AttemptId), &WorkerTask)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             phase: t.phase,
         };
-        Report {
-            host: self.id.clone(),
+        Heartbeat {
+            machine: self.id.clone(),
             endpoint: endpoint(&self.id),
-            host_type: self.host_type.clone(),
-            site: self.site.clone(),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
             spot: self.spot,
-            tenure: self.tenure,
+            incarnation: self.incarnation,
             serial: self.serial,
-            epoch: self.epoch,
+            token: self.token,
             eviction: self.eviction.map(|at| at.saturating_duration_since(now)),
             tasks: self.tasks.iter().map(shown).collect(),
         }
@@ -132,85 +138,93 @@
 
     /// Something changed: the next report comes as soon as it may.
     pub fn changed(&mut self, now: Instant) {
-        let earliest = self.last_report.map_or(now, |t| t + LEAST_BETWEEN_REPORTS);
-        self.next_report = self.next_report.min(earliest.max(now));
+        let earliest = self
+            .last_heartbeat
+            .map_or(now, |t| t + MIN_BETWEEN_HEARTBEATS);
+        self.next_heartbeat = self.next_heartbeat.min(earliest.max(now));
     }
 
     /// A report that is due and may be sent.
-    pub fn due_report(&mut self, now: Instant, every: Duration) -> Option<Report> {
+    pub fn due_heartbeat(&mut self, now: Instant, every: Duration) -> Option<Heartbeat> {
         if self.asked.is_some_and(|t| now >= t + ANSWER_LIMIT) {
             self.asked = None;
-            self.next_report = now + RETRY;
+            self.next_heartbeat = now + RETRY;
         }
-        if self.asked.is_some() || now < self.next_report {
+        if self.asked.is_some() || now < self.next_heartbeat {
             return None;
         }
         self.asked = Some(now);
-        self.last_report = Some(now);
-        self.next_report = now + every;
-        Some(self.report(now))
+        self.last_heartbeat = Some(now);
+        self.next_heartbeat = now + every;
+        Some(self.heartbeat(now))
     }
 
     /// A node answered that it does not act for the controllers.
     pub fn refused(&mut self, now: Instant, asked: Instant) {
         if self.asked == Some(asked) {
             self.asked = None;
-            self.next_report = now + RETRY;
+            self.next_heartbeat = now + RETRY;
         }
     }
 
-    /// The answer to the report that was sent at `asked` in session `tenure`.
+    /// The answer to the report that was sent at `asked` in session `incarnation`.
     pub fn answered(
         &mut self,
         now: Instant,
         asked: Instant,
-        tenure: u64,
-        epoch: Epoch,
-        directives: &[Directive],
+        incarnation: u64,
+        token: FencingToken,
+        commands: &[TaskCommand],
         uploads: &Uploads,
     ) {
         if self.asked != Some(asked) {
             return;
         }
         self.asked = None;
-        if now >= asked + ANSWER_LIMIT || tenure != self.tenure || epoch < self.epoch {
+        if now >= asked + ANSWER_LIMIT || incarnation != self.incarnation || token < self.token {
             return;
         }
         self.lease_from = self.lease_from.max(asked);
-        self.obey(now, epoch, directives, uploads);
+        self.obey(now, token, commands, uploads);
     }
 
     /// A direct command. Returns whether it was carried out.
     pub fn commanded(
         &mut self,
         now: Instant,
-        epoch: Epoch,
-        tenure: u64,
-        directives: &[Directive],
+        token: FencingToken,
+        incarnation: u64,
+        commands: &[TaskCommand],
         uploads: &Uploads,
     ) -> bool {
-        let accepted = epoch >= self.epoch && tenure == self.tenure;
+        let accepted = token >= self.token && incarnation == self.incarnation;
         if accepted {
-            self.obey(now, epoch, directives, uploads);
+            self.obey(now, token, commands, uploads);
         }
         accepted
     }
 
-    fn obey(&mut self, now: Instant, epoch: Epoch, directives: &[Directive], uploads: &Uploads) {
-        if epoch > self.epoch {
-            self.epoch = epoch;
+    fn obey(
+        &mut self,
+        now: Instant,
+        token: FencingToken,
+        commands: &[TaskCommand],
+        uploads: &Uploads,
+    ) {
+        if token > self.token {
+            self.token = token;
             self.changed(now);
         }
-        for directive in directives {
+        for command in commands {
             self.orders.push(now);
-            match directive {
-                Directive::Launch { task, attempt } => self.launch(now, task, *attempt, uploads),
-                Directive::Kill {
+            match command {
+                TaskCommand::Launch { task, attempt } => self.launch(now, task, *attempt, uploads),
+                TaskCommand::Kill {
                     task,
                     attempt,
-                    wind_down,
-                } => self.kill(now, task, *attempt, *wind_down),
-                Directive::Forget { task, attempt } => {
+                    grace_period,
+                } => self.kill(now, task, *attempt, *grace_period),
+                TaskCommand::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.tasks.get(&key).is_some_and(WorkerTask::ended) {
                         self.tasks.remove(&key);
@@ -220,21 +234,21 @@
         }
     }
 
-    fn launch(&mut self, now: Instant, task: &TaskId, attempt: Attempt, uploads: &Uploads) {
+    fn launch(&mut self, now: Instant, task: &TaskId, attempt: AttemptId, uploads: &Uploads) {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
-        let spec = uploads.jobs[&task.uid].clone();
-        let mut used = spec.need;
+        let spec = uploads.jobs[&task.job_id].clone();
+        let mut used = spec.resources;
         for t in self.tasks.values().filter(|t| !t.ended()) {
-            used.add(&t.spec.need);
+            used.add(&t.spec.resources);
         }
-        let other = |(k, t): (&(TaskId, Attempt), &WorkerTask)| &k.0 == task && !t.ended();
+        let other = |(k, t): (&(TaskId, AttemptId), &WorkerTask)| &k.0 == task && !t.ended();
         let phase = if self.tasks.iter().any(other) {
-            TaskPhase::Ended(Exit::InUse)
+            TaskPhase::Ended(ExitReason::EarlierAttemptRunning)
         } else if !used.fits(&self.room) {
-            TaskPhase::Ended(Exit::NoRoom)
+            TaskPhase::Ended(ExitReason::InsufficientResources)
         } else {
             TaskPhase::Fetching
         };
@@ -248,19 +262,19 @@
         self.changed(now);
     }
 
-    fn kill(&mut self, now: Instant, task: &TaskId, attempt: Attempt, wind_down: Duration) {
+    fn kill(&mut self, now: Instant, task: &TaskId, attempt: AttemptId, grace_period: Duration) {
         let Some(t) = self.tasks.get_mut(&(task.clone(), attempt)) else {
             return;
         };
-        if t.ended() || (t.phase == TaskPhase::Flushing && !wind_down.is_zero()) {
+        if t.ended() || (t.phase == TaskPhase::Checkpointing && !grace_period.is_zero()) {
             return;
         }
         let saves = t.phase == TaskPhase::Running && t.spec.saves();
-        if saves && wind_down >= t.spec.snapshot {
-            t.phase = TaskPhase::Flushing;
-            t.until = now + t.spec.snapshot;
+        if saves && grace_period >= t.spec.checkpoint_duration {
+            t.phase = TaskPhase::Checkpointing;
+            t.until = now + t.spec.checkpoint_duration;
         } else {
-            t.phase = TaskPhase::Ended(Exit::Stopped { stored: false });
+            t.phase = TaskPhase::Ended(ExitReason::Stopped { stored: false });
         }
         self.changed(now);
     }
@@ -272,7 +286,7 @@
         }
         self.tasks.clear();
         self.images.clear();
-        self.tenure += 1;
+        self.incarnation += 1;
         self.lease_from = now;
         self.asked = None;
         self.changed(now);
@@ -296,21 +310,21 @@
                 TaskPhase::Fetching => {
                     self.images.insert(t.spec.image.clone());
                     if uploads.done.contains(task) {
-                        TaskPhase::Ended(Exit::Done)
+                        TaskPhase::Ended(ExitReason::Completed)
                     } else if gang {
                         t.until = now + gang_wait;
-                        TaskPhase::Gathering
+                        TaskPhase::WaitingForGang
                     } else {
                         t.until = now + run(task);
                         TaskPhase::Running
                     }
                 }
-                TaskPhase::Gathering => TaskPhase::Ended(Exit::Incomplete),
+                TaskPhase::WaitingForGang => TaskPhase::Ended(ExitReason::GangIncomplete),
                 TaskPhase::Running if !gang => {
                     uploads.done.insert(task.clone());
-                    TaskPhase::Ended(Exit::Done)
+                    TaskPhase::Ended(ExitReason::Completed)
                 }
-                TaskPhase::Flushing => TaskPhase::Ended(Exit::Stopped { stored: true }),
+                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
                 other => other,
             };
             changed |= next != t.phase;
--- a/tests/standins/mod.rs
+++ b/tests/standins/mod.rs
@@ -2,7 +2,7 @@
 //! loopback. They serve the end-to-end tests and hold just what those need.
 
 pub mod process;
-pub mod site;
+pub mod test_cluster;
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -76,16 +76,18 @@
     panic!("no free port");
 }
 
-type Answer = (u16, Any);
+type StandInResponse = (u16, Any);
 
 /// Serves requests, each in a thread of its own, until the process ends.
-fn serve(handle: impl Fn(&Method, &str, Any) -> Answer + Send + Sync + 'static) -> SocketAddr {
+fn serve(
+    handle: impl Fn(&Method, &str, Any) -> StandInResponse + Send + Sync + 'static,
+) -> SocketAddr {
     serve_at(Ipv4Addr::LOCALHOST, handle)
 }
 
 fn serve_at(
     address: Ipv4Addr,
-    handle: impl Fn(&Method, &str, Any) -> Answer + Send + Sync + 'static,
+    handle: impl Fn(&Method, &str, Any) -> StandInResponse + Send + Sync + 'static,
 ) -> SocketAddr {
     let server = Server::http((address, 0)).expect("a stand-in listens");
     let address = server.server_addr().to_ip().expect("an IP address");
@@ -294,7 +296,12 @@
         .map(str::to_owned)
 }
 
-fn answer(state: &(Mutex<Ledger>, Condvar), method: &Method, url: &str, body: &Any) -> Answer {
+fn answer(
+    state: &(Mutex<Ledger>, Condvar),
+    method: &Method,
+    url: &str,
+    body: &Any,
+) -> StandInResponse {
     let path = url.split('?').next().unwrap_or(url);
     let mut l = state.0.lock().expect("the ledger");
     l.expire();
@@ -409,7 +416,7 @@
 }
 
 /// Machines that the cloud lists as running: name and endpoint.
-pub type Listed = Arc<Mutex<Vec<(String, String)>>>;
+pub type CloudListing = Arc<Mutex<Vec<(String, String)>>>;
 
 /// A network path to one address that can be cut: what is open then ends, what is new is refused.
 #[derive(Clone)]
@@ -464,7 +471,7 @@
 }
 
 /// The cloud: one machine type, and the machines that the test starts itself and lists.
-pub fn start_cloud(listed: Listed) -> SocketAddr {
+pub fn start_cloud(listed: CloudListing) -> SocketAddr {
     serve(move |method, url, _| match (method, url) {
         (Method::Get, "/machine_types") => {
             let kind = map([
@@ -482,8 +489,8 @@
             (200, map([("HostTypes", Any::List(vec![kind]))]))
         }
         (Method::Get, _) => {
-            let hosts = listed.lock().expect("the list");
-            let hosts = hosts.iter().map(|(name, endpoint)| {
+            let machines = listed.lock().expect("the list");
+            let machines = machines.iter().map(|(name, endpoint)| {
                 map([
                     ("Uid", t(name)),
                     ("Endpoint", t(endpoint)),
@@ -494,8 +501,11 @@
                     ("AgeS", Any::Float(60.0)),
                 ])
             });
-            let hosts = Any::List(hosts.collect());
-            (200, map([("Hosts", hosts), ("HasNext", Any::Bool(false))]))
+            let machines = Any::List(machines.collect());
+            (
+                200,
+                map([("Hosts", machines), ("HasNext", Any::Bool(false))]),
+            )
         }
         (_, "/hosts/return") => (200, Any::Nil(())),
         _ => (503, map([("error", t("no capacity"))])),
@@ -512,7 +522,7 @@
 #[derive(Default)]
 struct Machine {
     tasks: BTreeMap<String, Held>,
-    epoch: u64,
+    token: u64,
     starts: Vec<(String, u64)>,
     /// When it carried out an order.
     orders: Vec<Instant>,
@@ -566,9 +576,9 @@
             if method == &Method::Post && url == "/commands" {
                 let executed = w.take(&body);
                 let status = if executed { 200 } else { 409 };
-                return (status, w.report());
+                return (status, w.heartbeat());
             }
-            (200, w.report())
+            (200, w.heartbeat())
         });
         worker.endpoint = address.to_string();
         let w = worker.clone();
@@ -617,13 +627,13 @@
     }
 
     /// The highest token that a controller showed it.
-    pub fn epoch(&self) -> u64 {
-        self.machine.lock().expect("the machine").epoch
+    pub fn token(&self) -> u64 {
+        self.machine.lock().expect("the machine").token
     }
 
     /// Sends one report to this node, wherever the others go. The answer's status.
-    pub fn report_to(&self, node: SocketAddr) -> u16 {
-        call("POST", node, "/agent/beat", Some(&self.report())).0
+    pub fn heartbeat_to(&self, node: SocketAddr) -> u16 {
+        call("POST", node, "/agent/beat", Some(&self.heartbeat())).0
     }
 
     /// Sessions that ended because the lease ran out.
@@ -644,10 +654,10 @@
     fn take(&self, body: &Any) -> bool {
         let mut m = self.machine.lock().expect("the machine");
         self.expire(&mut m);
-        if body.int("Epoch") < m.epoch {
+        if body.int("Epoch") < m.token {
             return false;
         }
-        m.epoch = body.int("Epoch");
+        m.token = body.int("Epoch");
         for d in body.list("Directives") {
             let (shard, attempt) = (d.text("Shard"), d.int("Try"));
             m.orders.push(Instant::now());
@@ -675,7 +685,7 @@
         true
     }
 
-    fn report(&self) -> Any {
+    fn heartbeat(&self) -> Any {
         let mut m = self.machine.lock().expect("the machine");
         self.expire(&mut m);
         let run = Duration::from_millis(self.run.load(Ordering::SeqCst));
@@ -711,7 +721,7 @@
                 "Serial",
                 Any::Int(self.serial.fetch_add(1, Ordering::SeqCst)),
             ),
-            ("Epoch", Any::Int(m.epoch)),
+            ("Epoch", Any::Int(m.token)),
             ("Shards", Any::List(tasks)),
         ])
     }
@@ -719,13 +729,13 @@
     fn heartbeats(&self, nodes: &[(String, SocketAddr)]) {
         let mut at = 0;
         loop {
-            let (sent, report) = (Instant::now(), self.report());
-            let (status, body) = call("POST", nodes[at].1, "/agent/beat", Some(&report));
+            let (sent, heartbeat) = (Instant::now(), self.heartbeat());
+            let (status, body) = call("POST", nodes[at].1, "/agent/beat", Some(&heartbeat));
             match status {
                 200 => {
                     // The answer to a report of an earlier session is dropped.
                     let session = Any::Int(1 + self.sessions_ended());
-                    if report.get("Tenure") == Some(&session) && self.take(&body) {
+                    if heartbeat.get("Tenure") == Some(&session) && self.take(&body) {
                         let mut m = self.machine.lock().expect("the machine");
                         m.answered = Some(sent);
                     }
--- a/tests/standins/process.rs
+++ b/tests/standins/process.rs
@@ -1,6 +1,6 @@
 //! Whole nodes as processes of their own, which are killed without a signal that they could answer.
 
-use super::site::Site;
+use super::test_cluster::TestCluster;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
@@ -12,16 +12,21 @@
 
 impl Node {
     /// Node `n` of a site, with the platform's settings edited and these operators' settings.
-    pub fn start(site: &Site, n: usize, edit: impl Fn(String) -> String, operators: &str) -> Node {
+    pub fn start(
+        zone: &TestCluster,
+        n: usize,
+        edit: impl Fn(String) -> String,
+        operators: &str,
+    ) -> Node {
         let folder = std::env::temp_dir();
         let name = format!(
             "cypressgap-{}-{}",
             std::process::id(),
-            site.names[n].1.port()
+            zone.names[n].1.port()
         );
         let config = folder.join(format!("{name}.toml"));
         let own = folder.join(format!("{name}.lisp"));
-        std::fs::write(&config, edit(site.config(n))).expect("the settings are written");
+        std::fs::write(&config, edit(zone.config(n))).expect("the settings are written");
         std::fs::write(&own, operators).expect("the operators' settings are written");
         let program = std::env::var_os("NODE_PROGRAM");
         let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_cypressgap").into());
--- a/tests/standins/site.rs
+++ b/tests/standins/test_cluster.rs
@@ -2,10 +2,10 @@
 //!
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
-use super::{call, free_port, map, start_cloud, t, Any, Link, Listed, StateService};
+use super::{call, free_port, map, start_cloud, t, Any, CloudListing, Link, StateService};
 use cypressgap::core::model::Term;
+use cypressgap::runtime::node_view::RoleView;
 use cypressgap::runtime::service::Service;
-use cypressgap::runtime::view::RoleView;
 use cypressgap::settings::Settings;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -23,10 +23,10 @@
     }
 }
 
-pub struct Site {
+pub struct TestCluster {
     pub state: StateService,
     pub cloud: SocketAddr,
-    pub listed: Listed,
+    pub listed: CloudListing,
     pub names: Vec<(String, SocketAddr)>,
     pub peers: Vec<SocketAddr>,
     /// Each node's way to the state service, and the others' way to it.
@@ -34,13 +34,13 @@
     pub to_peer: Vec<Link>,
 }
 
-impl Site {
-    pub fn new(nodes: usize) -> Site {
+impl TestCluster {
+    pub fn new(nodes: usize) -> TestCluster {
         let name = |n: usize| (format!("worker-{n}"), free_port());
         let state = StateService::start();
-        let listed = Listed::default();
+        let listed = CloudListing::default();
         let peers: Vec<SocketAddr> = (0..nodes).map(|_| free_port()).collect();
-        Site {
+        TestCluster {
             cloud: start_cloud(listed.clone()),
             listed,
             names: (0..nodes).map(name).collect(),
@@ -94,7 +94,7 @@
         s.peer_bind = self.peers[n];
         s.state = self.to_state[n].address;
         s.cloud = self.cloud;
-        s.params.report = Duration::from_millis(300);
+        s.config.heartbeat = Duration::from_millis(300);
         let mut seed = s.seeds[0].clone();
         s.seeds.clear();
         for m in (0..self.names.len()).filter(|m| *m != n) {
@@ -107,14 +107,14 @@
     }
 }
 
-pub fn submission(uid: &str, shards: u64) -> Any {
+pub fn submission(job_id: &str, task_count: u64) -> Any {
     map([
-        ("Uid", t(uid)),
+        ("Uid", t(job_id)),
         ("JobClass", t("plain")),
         ("Owner", t("vision")),
         ("JobKind", t("batch")),
         ("Urgency", t("standard")),
-        ("Shards", Any::Int(shards)),
+        ("Shards", Any::Int(task_count)),
         ("Vcpus", Any::Float(2.0)),
         ("Gpus", Any::Float(0.0)),
         ("MemoryGb", Any::Float(4.0)),
@@ -130,15 +130,15 @@
 }
 
 /// A job as the state service keeps it.
-pub fn job_record(uid: &str, shards: u64) -> Any {
+pub fn job_record(job_id: &str, task_count: u64) -> Any {
     let amounts = [2.0, 0.0, 4.0].map(Any::Float).to_vec();
     map([
-        ("uid", t(uid)),
+        ("uid", t(job_id)),
         ("class", t("plain")),
         ("owner", t("vision")),
         ("gang", Any::Bool(false)),
         ("urgency", Any::Int(1)),
-        ("shards", Any::Int(shards)),
+        ("shards", Any::Int(task_count)),
         ("need", Any::List(amounts)),
         ("types", Any::Nil(())),
         ("site", Any::Nil(())),
@@ -154,16 +154,16 @@
     ])
 }
 
-pub fn submit(node: SocketAddr, uid: &str, shards: u64) {
-    let body = submission(uid, shards);
+pub fn submit(node: SocketAddr, job_id: &str, task_count: u64) {
+    let body = submission(job_id, task_count);
     until("accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
         matches!(status, 200 | 201).then_some(())
     });
 }
 
-pub fn phase(node: SocketAddr, uid: &str) -> Option<String> {
-    let (status, body) = call("GET", node, &format!("/api/jobs/{uid}"), None);
+pub fn phase(node: SocketAddr, job_id: &str) -> Option<String> {
+    let (status, body) = call("GET", node, &format!("/api/jobs/{job_id}"), None);
     (status == 200).then(|| body.text("Phase"))
 }
 
@@ -174,11 +174,11 @@
     }
 }
 
-pub fn awaiting(uid: &str, needs: &[&str]) -> Any {
-    let mut s = submission(uid, 1);
+pub fn awaiting(job_id: &str, dependencies: &[&str]) -> Any {
+    let mut s = submission(job_id, 1);
     if let Any::Map(m) = &mut s {
-        let needs = needs.iter().map(|n| t(n)).collect();
-        m.insert("Awaits".to_owned(), Any::List(needs));
+        let dependencies = dependencies.iter().map(|n| t(n)).collect();
+        m.insert("Awaits".to_owned(), Any::List(dependencies));
     }
     s
 }
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -2,19 +2,19 @@
 
 use crate::golden::Golden;
 use crate::values::*;
-use cypressgap::core::capacity::Rented;
-use cypressgap::core::ledger::{self, Batch, Op, Value, Verdict};
+use cypressgap::common::metrics::LatencyMeter;
+use cypressgap::common::rate_limit::RequestClass;
+use cypressgap::common::stop_signal::Stop;
+use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::model::*;
-use cypressgap::core::status_reads::Records;
+use cypressgap::core::persistence::job_status_reads::Records;
+use cypressgap::core::persistence::ledger::{self, Batch, JobOutcome, Op, Value};
 use cypressgap::net::agent;
 use cypressgap::net::cloud::Cloud;
-use cypressgap::net::http::Client;
-use cypressgap::net::store::{Asked, Change, Content, Store, StoreError, Txn};
+use cypressgap::net::http_client::Client;
+use cypressgap::net::store::{Asked, Change, Content, Store, StoreError, TransactionOutcome};
 use cypressgap::net::store_budget::Budgets;
 use cypressgap::net::wire::RentRequest;
-use cypressgap::runtime::budget::Rank;
-use cypressgap::runtime::metrics::Meter;
-use cypressgap::runtime::stop::Stop;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::{spawn, JoinHandle};
@@ -53,7 +53,7 @@
             |(n, status): (usize, &u16)| (*status, golden.sample(&format!("{name}: answer {n}")));
         let answers = statuses.iter().enumerate().map(answer).collect();
         let (address, requests) = service(answers);
-        let meter = Arc::new(Meter::new());
+        let meter = Arc::new(LatencyMeter::new());
         call(&client(Client::new(address, LIMIT, 1, meter)));
         for (n, request) in requests.join().expect("requests").iter().enumerate() {
             golden.written(&format!("{name}: request {n}"), request);
@@ -66,7 +66,7 @@
 }
 
 /// A transaction that makes all kinds of changes.
-fn transaction(store: &Store) -> Result<Txn, StoreError> {
+fn transaction(store: &Store) -> Result<TransactionOutcome, StoreError> {
     let put = |key, value, permit| Change::Put { key, value, permit };
     let changes = vec![
         put(
@@ -80,38 +80,47 @@
         },
     ];
     let conditions = [("ctl/leader".to_owned(), 50), ("j/wk-000412".to_owned(), 0)];
-    store.txn(&conditions, changes, Rank::User, LIMIT)
+    store.txn(&conditions, changes, RequestClass::User, LIMIT)
 }
 
-fn conditions_alone(store: &Store) -> Result<Txn, StoreError> {
+fn conditions_alone(store: &Store) -> Result<TransactionOutcome, StoreError> {
     let conditions = [("j/wk-000412".to_owned(), 0)];
-    store.txn(&conditions, vec![], Rank::User, LIMIT)
+    store.txn(&conditions, vec![], RequestClass::User, LIMIT)
 }
 
 fn batch() -> Batch {
-    let uid = uid();
+    let job_id = job_id();
     Batch {
         conditions: vec![("ctl/leader".into(), 50)],
         ops: vec![
-            Op::Put(ledger::chunk_key(&uid, 0), Value::Chunk(chunk())),
-            Op::Put(ledger::job_key(&uid), Value::Verdict(Verdict::Done)),
-            Op::Delete(ledger::live_key(&uid)),
+            Op::Put(ledger::chunk_key(&job_id, 0), Value::Chunk(chunk())),
+            Op::Put(
+                ledger::job_key(&job_id),
+                Value::JobOutcome(JobOutcome::Done),
+            ),
+            Op::Delete(ledger::live_key(&job_id)),
         ],
     }
 }
 
 const STORE_CALLS: &[Call<Store>] = &[
     ("get", &[200], |s| {
-        let entry = s.get::<u64>("ctl/term", Rank::Leader, LIMIT).expect("read");
-        assert_eq!(entry.map(|e| (e.value, e.stamp)), Some((4, 51)));
+        let entry = s
+            .get::<u64>("ctl/term", RequestClass::Leader, LIMIT)
+            .expect("read");
+        assert_eq!(entry.map(|e| (e.value, e.revision)), Some((4, 51)));
     }),
     ("get of what is absent", &[404], |s| {
-        let entry = s.get::<u64>("ctl/term", Rank::Leader, LIMIT).expect("read");
+        let entry = s
+            .get::<u64>("ctl/term", RequestClass::Leader, LIMIT)
+            .expect("read");
         assert!(entry.is_none());
     }),
     ("list", &[200, 200], |s| {
-        let (pairs, revision) = s.list::<u64>("q/w/", Rank::Leader, LIMIT).expect("read");
-        let pairs = pairs.into_iter().map(|p| (p.path, p.value, p.stamp));
+        let (pairs, revision) = s
+            .list::<u64>("q/w/", RequestClass::Leader, LIMIT)
+            .expect("read");
+        let pairs = pairs.into_iter().map(|p| (p.path, p.value, p.revision));
         let expected = [
             ("q/w/wk-000411".into(), 1, 52),
             ("q/w/wk-000412".into(), 1, 53),
@@ -119,17 +128,23 @@
         assert_eq!((pairs.collect::<Vec<_>>(), revision), (expected.into(), 60));
     }),
     ("transaction", &[200], |s| {
-        assert_eq!(transaction(s), Ok(Txn::Applied { revision: 61 }));
+        assert_eq!(
+            transaction(s),
+            Ok(TransactionOutcome::Applied { revision: 61 })
+        );
     }),
     ("transaction that fails", &[409], |s| {
         let keys = vec!["j/wk-000412".to_owned()];
-        assert_eq!(conditions_alone(s), Ok(Txn::Failed { keys }));
+        assert_eq!(conditions_alone(s), Ok(TransactionOutcome::Failed { keys }));
     }),
     ("transaction on an ended lease", &[400], |s| {
         assert_eq!(conditions_alone(s), Err(StoreError::NoLease));
     }),
     ("batch", &[200], |s| {
-        assert_eq!(s.apply(&batch(), LIMIT), Ok(Txn::Applied { revision: 61 }));
+        assert_eq!(
+            s.apply(&batch(), LIMIT),
+            Ok(TransactionOutcome::Applied { revision: 61 })
+        );
     }),
     ("lease", &[200], |s| {
         assert_eq!(s.lease(secs(4.0), LIMIT), Ok(9))
@@ -145,52 +160,56 @@
         let log = changes
             .log
             .into_iter()
-            .map(|c| (c.put, c.delete, c.value, c.stamp));
+            .map(|c| (c.put, c.delete, c.value, c.revision));
         let key = || Some("q/w/wk-000412".to_owned());
         let expected = vec![(key(), None, Some(1), Some(61)), (None, key(), None, None)];
         assert_eq!((log.collect::<Vec<_>>(), changes.revision), (expected, 62));
     }),
     ("verdict", &[200, 200], |s| {
-        let verdict = s.verdict(&uid(), false, LIMIT);
-        assert_eq!(verdict, Ok(Some((Verdict::Cancelled, 63))));
+        let outcome = s.outcome(&job_id(), false, LIMIT);
+        assert_eq!(outcome, Ok(Some((JobOutcome::Cancelled, 63))));
     }),
     ("verdicts", &[200], |s| {
         let stop = Stop::new();
-        let page = Asked::new(s, &stop, Rank::User, Instant::now() + LIMIT).verdicts("j/wk-0");
-        let expected = vec![("j/wk-000412".to_owned(), Verdict::Done)];
+        let page =
+            Asked::new(s, &stop, RequestClass::User, Instant::now() + LIMIT).outcomes("j/wk-0");
+        let expected = vec![("j/wk-000412".to_owned(), JobOutcome::Done)];
         assert_eq!(page, Ok((expected, true)));
     }),
 ];
 
 const CLOUD_CALLS: &[Call<Cloud>] = &[
     ("types", &[200], |c| {
-        let types = c.types().expect("read").host_types;
-        assert_eq!(types[0].to_type(), Some(machine_type(8.0, 50.0, 0.5)));
+        let types = c.types().expect("read").machine_types;
+        assert_eq!(
+            types[0].to_machine_type(),
+            Some(machine_type(8.0, 50.0, 0.5))
+        );
     }),
     ("rental", &[200], |c| {
-        let hosts = vec!["i-000231".into(), "i-000232".into()];
-        assert_eq!(c.rent(&rental()), Rented::Hosts(hosts));
+        let machines = vec!["i-000231".into(), "i-000232".into()];
+        assert_eq!(c.rent(&rental()), RentalOutcome::Machines(machines));
     }),
     ("rental refused", &[503], |c| {
-        assert_eq!(c.rent(&rental()), Rented::NoCapacity)
+        assert_eq!(c.rent(&rental()), RentalOutcome::NoCapacity)
     }),
     ("return", &[200], |c| {
         assert!(c.give_back(&["i-000231".into(), "i-000232".into()]));
     }),
     ("machines", &[200], |c| {
-        let listed = |id: &str, endpoint: &str, phase| Listed {
+        let listed = |id: &str, endpoint: &str, phase| CloudMachine {
             id: id.into(),
             endpoint: endpoint.into(),
-            host_type: "g8".into(),
-            site: "hall-a".into(),
+            machine_type: "g8".into(),
+            zone: "hall-a".into(),
             spot: true,
             phase,
             age: secs(12.5),
         };
         let machines = vec![
-            listed("i-000231", "", ListedPhase::Booting),
-            listed("i-000232", "10.1.0.232:9000", ListedPhase::Running),
-            listed("i-000233", "", ListedPhase::Failed),
+            listed("i-000231", "", CloudMachinePhase::Booting),
+            listed("i-000232", "10.1.0.232:9000", CloudMachinePhase::Running),
+            listed("i-000233", "", CloudMachinePhase::Failed),
         ];
         assert_eq!(c.list("i-000230"), Some((machines, true)));
     }),
@@ -201,10 +220,10 @@
 
 fn rental() -> RentRequest {
     RentRequest {
-        claim: "t4-1".into(),
-        host_type: "g8".into(),
-        site: "hall-a".into(),
-        preemptible: true,
+        idempotency_key: "t4-1".into(),
+        machine_type: "g8".into(),
+        zone: "hall-a".into(),
+        allows_spot: true,
         number: 2,
     }
 }
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -2,10 +2,11 @@
 
 use crate::golden::{read, Golden};
 use crate::values::*;
+use cypressgap::api::server;
 use cypressgap::core::model::*;
-use cypressgap::net::peer::{read_frame, says_fallen, write_frame, Ask, Reply};
+use cypressgap::net::agent;
+use cypressgap::net::peer::{read_frame, says_fallen, write_frame, PeerRequest, PeerResponse};
 use cypressgap::net::wire::*;
-use cypressgap::net::{agent, front};
 
 #[test]
 fn frames_between_controllers() {
@@ -15,23 +16,26 @@
         write_frame(&mut out, message).expect("written");
         out
     }
-    let ask = Ask::Hello(hello());
+    let ask = PeerRequest::Hello(hello());
     golden.both("hello of a follower", ask, frame, |mut b| {
         read_frame(&mut b).expect("read")
     });
     let replies = [
-        ("hello with all that may be said", Reply::Hello(hello())),
+        (
+            "hello with all that may be said",
+            PeerResponse::Hello(hello()),
+        ),
         (
             "user to come back at any time",
-            Reply::User(200, vec![9], None),
+            PeerResponse::User(200, vec![9], None),
         ),
-        ("cancellations not taken on", Reply::Cancelled(false)),
+        ("cancellations not taken on", PeerResponse::Cancelled(false)),
         (
             "cancellations anew",
-            Reply::Cancellations {
+            PeerResponse::Cancellations {
                 incarnation: 77,
                 continues: false,
-                uids: vec![],
+                job_ids: vec![],
                 next: 0,
                 more: true,
             },
@@ -53,9 +57,9 @@
     let accepted = job().accepted_ms;
     let submissions = [
         ("submission", job()),
-        ("submission of a service", plain_job(Urgency::High)),
-        ("submission standard", plain_job(Urgency::Standard)),
-        ("submission idle", plain_job(Urgency::Idle)),
+        ("submission of a service", plain_job(Priority::High)),
+        ("submission standard", plain_job(Priority::Standard)),
+        ("submission idle", plain_job(Priority::Idle)),
     ];
     for (name, spec) in submissions {
         let submission: Submission = read(&golden.sample(name));
@@ -63,35 +67,35 @@
     }
     let malformed = golden.sample("submission malformed");
     assert!(decode::<Submission>(&malformed).is_none());
-    assert_eq!(read::<JustUid>(&malformed).uid, Some(uid().0));
-    let read_report = agent::report(&golden.sample("report"));
-    assert_eq!(read_report, Some(report()));
-    let short: WireTypes = read(&golden.sample("types in short"));
+    assert_eq!(read::<SubmissionId>(&malformed).job_id, Some(job_id().0));
+    let read_heartbeat = agent::heartbeat(&golden.sample("report"));
+    assert_eq!(read_heartbeat, Some(heartbeat()));
+    let short: WireMachineTypes = read(&golden.sample("types in short"));
     let expected = Some(machine_type(0.0, 0.0, 0.0));
-    assert_eq!(short.host_types[0].to_type(), expected);
+    assert_eq!(short.machine_types[0].to_machine_type(), expected);
     // What is only written.
     let state = |done, running| {
         encode(&JobState {
-            uid: uid().0,
+            job_id: job_id().0,
             phase: "running",
             done,
             running,
         })
     };
-    let wire_directives = || directives().iter().map(WireDirective::from).collect();
-    let elsewhere = |controller| encode(&Elsewhere { controller });
+    let wire_commands = || commands().iter().map(WireCommand::from).collect();
+    let elsewhere = |controller| encode(&LeaderRedirect { controller });
     let written = [
         ("state", state(Some(5), Some(16))),
         ("state without counts", state(None, None)),
-        ("problem", front::problem(404, "no such job").1),
+        ("problem", server::problem(404, "no such job").1),
         (
             "heartbeat answer",
-            encode(&HeartbeatAnswer {
-                epoch: epoch().0,
-                directives: wire_directives(),
+            encode(&HeartbeatResponse {
+                token: token().0,
+                commands: wire_commands(),
             }),
         ),
-        ("commands", agent::encode(epoch(), 2, &directives())),
+        ("commands", agent::encode(token(), 2, &commands())),
         ("elsewhere", elsewhere(Some("10.1.0.1:8080".into()))),
         ("elsewhere unknown", elsewhere(None)),
     ];
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -3,10 +3,10 @@
 use crate::common::{spec, World};
 use crate::golden::{read, Golden};
 use crate::values::*;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::history::{History, Summary};
-use cypressgap::core::ledger::{self, ChunkValue, Value, Verdict};
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{self, ChunkValue, JobOutcome, Value};
+use cypressgap::core::placement::history::{History, HistorySummary};
+use cypressgap::core::state::cluster_state::Action;
 use cypressgap::net::store::Content;
 use cypressgap::net::wire::*;
 
@@ -16,8 +16,8 @@
     let jobs = [
         ("job", job()),
         ("job in lists", listed_job()),
-        ("job of standard urgency", plain_job(Urgency::Standard)),
-        ("job of idle urgency", plain_job(Urgency::Idle)),
+        ("job of standard urgency", plain_job(Priority::Standard)),
+        ("job of idle urgency", plain_job(Priority::Idle)),
     ];
     for (name, spec) in jobs {
         let write = |spec: &JobSpec| encode(&Content::Job(Box::new(spec.into())));
@@ -25,22 +25,22 @@
             read::<StoredJob>(b).into_spec().expect("a job")
         });
     }
-    let verdicts = [
-        ("verdict live", Verdict::Live),
-        ("verdict done", Verdict::Done),
-        ("verdict cancelled", Verdict::Cancelled),
+    let outcomes = [
+        ("verdict live", JobOutcome::Live),
+        ("verdict done", JobOutcome::Done),
+        ("verdict cancelled", JobOutcome::Cancelled),
     ];
-    for (name, verdict) in verdicts {
-        let write = |v: &Verdict| encode(&Content::from(&Value::Verdict(*v)));
-        golden.both(name, verdict, write, |b| {
-            read::<StoredVerdict>(b).verdict().expect("a verdict")
+    for (name, outcome) in outcomes {
+        let write = |v: &JobOutcome| encode(&Content::from(&Value::JobOutcome(*v)));
+        golden.both(name, outcome, write, |b| {
+            read::<StoredOutcome>(b).outcome().expect("a verdict")
         });
     }
     let write = |c: &ChunkValue| encode(&Content::from(&Value::Chunk(c.clone())));
     golden.both("chunk", chunk(), write, |b| {
         read::<StoredChunk>(b).into_value()
     });
-    let write = |s: &Summary| encode(&Content::from(&Value::History(s.clone())));
+    let write = |s: &HistorySummary| encode(&Content::from(&Value::History(s.clone())));
     golden.both("history", summary(), write, |b| {
         read::<StoredHistory>(b).into()
     });
@@ -69,9 +69,9 @@
     golden.both("term", 70_000, write, read);
     golden.both("cancel mark", 1, write, read);
     // As the cloud named them.
-    let types: WireTypes = read(&golden.sample("types"));
+    let types: WireMachineTypes = read(&golden.sample("types"));
     assert_eq!(
-        types.host_types[0].to_type(),
+        types.machine_types[0].to_machine_type(),
         Some(machine_type(8.0, 50.0, 0.5))
     );
     golden.written("types", &encode(&Content::Types(types)));
@@ -80,13 +80,13 @@
 
 #[test]
 fn keys_of_the_state_service() {
-    let uid = uid();
+    let job_id = job_id();
     let keys = [
-        (ledger::live_key(&uid), "q/l/wk-000412"),
-        (ledger::cancel_mark_key(&uid), "q/w/wk-000412"),
-        (ledger::job_key(&uid), "j/wk-000412"),
-        (ledger::chunk_key(&uid, 12), "i/wk-000412/12"),
-        (ledger::dependents_key(&uid), "d/wk-000412"),
+        (ledger::live_key(&job_id), "q/l/wk-000412"),
+        (ledger::cancel_mark_key(&job_id), "q/w/wk-000412"),
+        (ledger::job_key(&job_id), "j/wk-000412"),
+        (ledger::chunk_key(&job_id, 12), "i/wk-000412/12"),
+        (ledger::dependents_key(&job_id), "d/wk-000412"),
         (ledger::LEADER_KEY.into(), "ctl/leader"),
         (ledger::TERM_KEY.into(), "ctl/term"),
         (ledger::TYPES_KEY.into(), "ctl/types"),
@@ -95,7 +95,7 @@
         (ledger::QUEUE_PREFIX.into(), "q/"),
         (ledger::LIVE_PREFIX.into(), "q/l/"),
         (ledger::CANCEL_MARK_PREFIX.into(), "q/w/"),
-        (ledger::VERDICT_PREFIX.into(), "j/"),
+        (ledger::OUTCOME_PREFIX.into(), "j/"),
         (ledger::INTENT_PREFIX.into(), "i/"),
         (ledger::DEPENDENTS_PREFIX.into(), "d/"),
     ];
@@ -104,14 +104,14 @@
     }
     assert_eq!(ledger::CHUNK, 64);
     let chunk = ledger::parse_chunk_key("i/wk-000412/12");
-    assert_eq!(chunk, Some((uid, 12)));
+    assert_eq!(chunk, Some((job_id, 12)));
     assert_eq!(TaskId::parse("wk-000412/7"), Some(task(7)));
     assert_eq!(task(7).to_string(), "wk-000412/7");
     // Numbers that say which term gave them out.
     assert_eq!((attempt(9).0, attempt(9).term()), (0x4000_0009, Term(4)));
-    assert_eq!((epoch().0, epoch().term()), (0x400_0001, Term(4)));
+    assert_eq!((token().0, token().term()), (0x400_0001, Term(4)));
     // The keys of the history's entries, which are hashes.
-    let measured = Summary {
+    let measured = HistorySummary {
         runs: vec![
             (5_998_537_374_547_088_920, 240.0, 1),
             (10_532_779_575_999_557_262, 240.0, 1),
@@ -136,12 +136,14 @@
     let mut world = World::new();
     world.pass(secs(10.0));
     world.job(spec("wk-000001", 1, 4.0));
-    let claims = world
+    let idempotency_keys = world
         .settle()
         .into_iter()
         .filter_map(|action| match action {
-            Action::Rent { claim, .. } => Some(claim),
+            Action::Rent {
+                idempotency_key, ..
+            } => Some(idempotency_key),
             _ => None,
         });
-    assert_eq!(claims.collect::<Vec<_>>(), ["t3-1"]);
+    assert_eq!(idempotency_keys.collect::<Vec<_>>(), ["t3-1"]);
 }
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -10,7 +10,7 @@
 
 /// The fields that the node's file sets.
 fn node_rows(s: &Settings) -> Vec<(&'static str, String)> {
-    let p = &s.params;
+    let p = &s.config;
     let seeds = s
         .seeds
         .iter()
@@ -21,11 +21,11 @@
             t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max
         )
     });
-    let objectives = p.objectives.iter();
-    let objectives = objectives.map(|o| format!("{} {:?} {:?}", o.kind, o.class, o.within));
+    let slos = p.slos.iter();
+    let slos = slos.map(|o| format!("{} {:?} {:?}", o.kind, o.class, o.within));
     vec![
         ("member", s.member.clone()),
-        ("domain", s.site.to_string()),
+        ("domain", s.zone.to_string()),
         ("front", s.front.to_string()),
         ("peer_bind", s.peer_bind.to_string()),
         ("seeds", seeds.collect::<Vec<_>>().join(", ")),
@@ -33,8 +33,8 @@
         ("count", s.nodes.to_string()),
         ("skew_ms", format!("{:?}", s.skew)),
         ("teams", teams.collect::<Vec<_>>().join(", ")),
-        ("objectives", objectives.collect::<Vec<_>>().join(", ")),
-        ("report_s", format!("{:?}", p.report)),
+        ("objectives", slos.collect::<Vec<_>>().join(", ")),
+        ("report_s", format!("{:?}", p.heartbeat)),
         ("lease_s", format!("{:?}", p.lease)),
         ("gang_wait_s", format!("{:?}", p.gang_wait)),
         ("gang_peer_s", format!("{:?}", p.gang_peer)),
@@ -51,7 +51,7 @@
 
 /// The fields that the operators' file sets.
 fn operators_rows(s: &Settings) -> Vec<(&'static str, String)> {
-    let (o, t, r) = (&s.operations, &s.params.tuning, &s.params.recovery);
+    let (o, t, r) = (&s.operations, &s.config.tuning, &s.config.recovery);
     let segments = r.segments.iter().map(|s| format!("{} {}", s.name, s.net));
     vec![
         ("summary-every-s", format!("{:?}", t.summary_every)),
@@ -60,7 +60,7 @@
         ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
         ("max-live-jobs", t.max_live_jobs.to_string()),
         ("headroom-jobs", t.headroom_jobs.to_string()),
-        ("max-hosts", t.max_hosts.to_string()),
+        ("max-hosts", t.max_machines.to_string()),
         ("leader-lease-s", format!("{:?}", o.leader_lease)),
         ("handlers", o.handlers.to_string()),
         ("agents", o.agents.to_string()),
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -1,8 +1,8 @@
 //! One builder for each type whose values are stored or sent.
 
-use cypressgap::core::history::Summary;
-use cypressgap::core::ledger::ChunkValue;
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::placement::history::HistorySummary;
 use cypressgap::net::peer::{said, Hello};
 use std::time::Duration;
 
@@ -12,51 +12,54 @@
 }
 
 /// The id of the job.
-pub fn uid() -> Uid {
+pub fn job_id() -> JobId {
     "wk-000412".into()
 }
 
 /// A task of the job.
 pub fn task(index: u32) -> TaskId {
-    TaskId { uid: uid(), index }
+    TaskId {
+        job_id: job_id(),
+        index,
+    }
 }
 
 /// An attempt of a term.
-pub fn attempt(number: u64) -> Attempt {
-    Attempt::of(Term(4), number)
+pub fn attempt(number: u64) -> AttemptId {
+    AttemptId::of(Term(4), number)
 }
 
 /// A token of that term.
-pub fn epoch() -> Epoch {
-    Epoch::first(Term(4)).next()
+pub fn token() -> FencingToken {
+    FencingToken::first(Term(4)).next()
 }
 
 /// A job that makes use of all fields.
 pub fn job() -> JobSpec {
     JobSpec {
-        uid: uid(),
+        job_id: job_id(),
         class: "train".into(),
-        owner: "vision".into(),
+        team: "vision".into(),
         kind: JobKind::Gang,
-        urgency: Urgency::Production,
-        shards: 300,
-        need: Need {
+        priority: Priority::Production,
+        task_count: 300,
+        resources: Resources {
             cpus: 8.5,
             gpus: 1.0,
             memory: 64.0,
         },
-        host_types: Some(vec!["g8".into(), "g16".into()]),
-        site: Some("hall-a".into()),
+        machine_types: Some(vec!["g8".into(), "g16".into()]),
+        zone: Some("hall-a".into()),
         same_place: true,
         spread: false,
-        preemptible: true,
+        allows_spot: true,
         image: "img-07".into(),
         image_gb: 6.25,
         expected: secs(240.0),
-        snapshot_every: secs(30.0),
-        snapshot: secs(4.5),
+        checkpoint_interval: secs(30.0),
+        checkpoint_duration: secs(4.5),
         due: Some(secs(900.0)),
-        needs: vec!["wk-000398".into(), "wk-000405".into()],
+        dependencies: vec!["wk-000398".into(), "wk-000405".into()],
         listed: false,
         accepted_ms: 1_767_225_600_123,
     }
@@ -65,31 +68,31 @@
 /// The same job, entered in lists of dependents.
 pub fn listed_job() -> JobSpec {
     JobSpec {
-        urgency: Urgency::High,
+        priority: Priority::High,
         listed: true,
         ..job()
     }
 }
 
 /// A job without what may be left out.
-pub fn plain_job(urgency: Urgency) -> JobSpec {
+pub fn plain_job(priority: Priority) -> JobSpec {
     JobSpec {
         kind: JobKind::Batch,
-        urgency,
-        host_types: None,
-        site: None,
+        priority,
+        machine_types: None,
+        zone: None,
         same_place: false,
         spread: true,
-        preemptible: false,
+        allows_spot: false,
         due: None,
-        needs: vec![],
+        dependencies: vec![],
         ..job()
     }
 }
 
 /// Tasks of the job, the last one of the chunk done.
 pub fn chunk() -> ChunkValue {
-    let active = |index: u32, host: &str| (index, attempt(index.into()), host.into());
+    let active = |index: u32, machine: &str| (index, attempt(index.into()), machine.into());
     ChunkValue {
         done: 1 << 63 | 5,
         active: vec![active(1, "i-000231"), active(3, "i-000232")],
@@ -97,8 +100,8 @@
 }
 
 /// What was measured, with the largest key that there may be.
-pub fn summary() -> Summary {
-    Summary {
+pub fn summary() -> HistorySummary {
+    HistorySummary {
         runs: vec![(u64::MAX, 61.5, 40), (7, 2.0, 1)],
         bias: vec![(8, -0.25, 3)],
         fetch: vec![(9, 0.5, 2)],
@@ -106,10 +109,10 @@
 }
 
 /// A machine type with these amounts of what the cloud may leave out.
-pub fn machine_type(gpus: f64, cache_gb: f64, fetch_gb_per_s: f64) -> HostType {
-    HostType {
+pub fn machine_type(gpus: f64, cache_gb: f64, fetch_gb_per_s: f64) -> MachineType {
+    MachineType {
         name: "g8".into(),
-        room: Need {
+        room: Resources {
             cpus: 64.0,
             gpus,
             memory: 256.0,
@@ -119,7 +122,7 @@
         hourly: 4.5,
         low_price: 1.25,
         boot: secs(30.0),
-        sites: vec!["hall-a".into(), "hall-b".into()],
+        zones: vec!["hall-a".into(), "hall-b".into()],
     }
 }
 
@@ -133,64 +136,64 @@
         workers: 900,
         users_changes: 3.5,
         leader_changes: 0.25,
-        strain_ms: 12,
+        timer_lag_ms: 12,
         progress: vec![],
         over: said(true),
     }
 }
 
 /// A report with a task in each state that a worker may name.
-pub fn report() -> Report {
+pub fn heartbeat() -> Heartbeat {
     let exits = [
-        Exit::Done,
-        Exit::Stopped { stored: true },
-        Exit::Stopped { stored: false },
-        Exit::Peers,
-        Exit::Incomplete,
-        Exit::NoRoom,
-        Exit::InUse,
-        Exit::Unknown,
-        Exit::Error,
+        ExitReason::Completed,
+        ExitReason::Stopped { stored: true },
+        ExitReason::Stopped { stored: false },
+        ExitReason::GangMemberEnded,
+        ExitReason::GangIncomplete,
+        ExitReason::InsufficientResources,
+        ExitReason::EarlierAttemptRunning,
+        ExitReason::UnknownTask,
+        ExitReason::Failed,
     ];
     let under_way = [
         TaskPhase::Fetching,
-        TaskPhase::Gathering,
+        TaskPhase::WaitingForGang,
         TaskPhase::Running,
-        TaskPhase::Flushing,
+        TaskPhase::Checkpointing,
     ];
     let phases = under_way.into_iter().chain(exits.map(TaskPhase::Ended));
-    let tasks = phases.enumerate().map(|(n, phase)| TaskReport {
+    let tasks = phases.enumerate().map(|(n, phase)| TaskStatus {
         task: task(n as u32),
         attempt: attempt(n as u64),
         phase,
     });
-    Report {
-        host: "i-000231".into(),
+    Heartbeat {
+        machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
-        host_type: "g8".into(),
-        site: "hall-a".into(),
+        machine_type: "g8".into(),
+        zone: "hall-a".into(),
         spot: true,
-        tenure: 2,
+        incarnation: 2,
         serial: 88,
-        epoch: epoch(),
+        token: token(),
         eviction: Some(secs(12.5)),
         tasks: tasks.collect(),
     }
 }
 
 /// A command of each kind.
-pub fn directives() -> Vec<Directive> {
+pub fn commands() -> Vec<TaskCommand> {
     let (task, attempt) = (task(7), attempt(9));
     vec![
-        Directive::Launch {
+        TaskCommand::Launch {
             task: task.clone(),
             attempt,
         },
-        Directive::Kill {
+        TaskCommand::Kill {
             task: task.clone(),
             attempt,
-            wind_down: secs(4.5),
+            grace_period: secs(4.5),
         },
-        Directive::Forget { task, attempt },
+        TaskCommand::Forget { task, attempt },
     ]
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -4,59 +4,61 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::Answer;
-use cypressgap::core::ledger::{ChunkValue, Verdict};
 use cypressgap::core::model::*;
-use cypressgap::core::takeover::{IndexedChunk, IndexedJob, StoredPicture};
-use cypressgap::core::team_use::TeamUse;
+use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome};
+use cypressgap::core::reconciliation::state_loading::{
+    StoredIntents, StoredLiveJob, StoredSnapshot,
+};
+use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::quota_usage::QuotaUsage;
 
-const ATTEMPT: Attempt = Attempt(7);
+const ATTEMPT: AttemptId = AttemptId(7);
 
 /// Tasks on record as sent to a machine.
-fn sent(uid: &str, tasks: &[u32], host: &str) -> IndexedChunk {
-    let active = tasks.iter().map(|i| (*i, ATTEMPT, host.into()));
-    IndexedChunk {
-        uid: uid.into(),
+fn sent(job_id: &str, tasks: &[u32], machine: &str) -> StoredIntents {
+    let active = tasks.iter().map(|i| (*i, ATTEMPT, machine.into()));
+    StoredIntents {
+        job_id: job_id.into(),
         index: tasks[0] / 64,
         value: ChunkValue {
             done: 0,
             active: active.collect(),
         },
-        stamp: 90,
+        revision: 90,
     }
 }
 
 /// A job of so many tasks of 4 processors for the team "red", whose limit is 8.
-fn job(uid: &str, shards: u32) -> IndexedJob {
-    IndexedJob {
-        spec: spec(uid, shards, 4.0),
-        stamp: uid.bytes().map(u64::from).sum(),
+fn job(job_id: &str, task_count: u32) -> StoredLiveJob {
+    StoredLiveJob {
+        spec: spec(job_id, task_count, 4.0),
+        revision: job_id.bytes().map(u64::from).sum(),
     }
 }
 
 fn tight() -> World {
-    let mut p = params();
+    let mut p = config();
     p.teams = vec![team("red", 8.0, 8.0), team("grey", 0.0, 32.0)];
-    World::with(p, vec![host_type("m8", 8.0)])
+    World::with(p, vec![machine_type("m8", 8.0)])
 }
 
-fn world(picture: StoredPicture) -> World {
+fn world(picture: StoredSnapshot) -> World {
     let mut w = tight();
     w.c.take_over(w.now, picture);
     w
 }
 
 /// The tasks that a machine's report is answered with launches of.
-fn launched(directives: &[Directive]) -> Vec<TaskId> {
-    let launch = |d: &Directive| match d {
-        Directive::Launch { task, .. } => Some(task.clone()),
+fn launched(commands: &[TaskCommand]) -> Vec<TaskId> {
+    let launch = |d: &TaskCommand| match d {
+        TaskCommand::Launch { task, .. } => Some(task.clone()),
         _ => None,
     };
-    directives.iter().filter_map(launch).collect()
+    commands.iter().filter_map(launch).collect()
 }
 
-fn running(uid: &str, index: u32) -> TaskReport {
-    shown(uid, index, ATTEMPT, TaskPhase::Running)
+fn running(job_id: &str, index: u32) -> TaskStatus {
+    shown(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
 fn red(w: &World) -> f64 {
@@ -67,7 +69,7 @@
 fn a_record_beyond_the_limit_is_no_leave_to_launch() {
     // Both jobs are on record with a whole limit each: the first gave its room to the second, and its
     // record was still there when the leader ended. What i-1 shows -> launched, and used after that.
-    let cases: [(&str, Vec<TaskReport>, f64); 4] = [
+    let cases: [(&str, Vec<TaskStatus>, f64); 4] = [
         ("neither came", vec![], 8.0),
         ("one runs after all", vec![running("wk-000001", 0)], 12.0),
         (
@@ -79,7 +81,7 @@
             "both were stopped",
             [0, 1]
                 .map(|i| {
-                    let stopped = Exit::Stopped { stored: false };
+                    let stopped = ExitReason::Stopped { stored: false };
                     shown("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
                 })
                 .to_vec(),
@@ -87,20 +89,20 @@
         ),
     ];
     for (name, on_first, used) in cases {
-        let mut w = world(StoredPicture {
+        let mut w = world(StoredSnapshot {
             jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
             chunks: vec![
                 sent("wk-000001", &[0, 1], "i-1"),
                 sent("wk-000002", &[0, 1], "i-2"),
             ],
-            ..StoredPicture::default()
+            ..StoredSnapshot::default()
         });
         assert_eq!(red(&w), 16.0, "{name}: all that is on record counts");
-        let (_, directives) = w.heartbeat("i-1", 1, on_first);
-        assert_eq!(launched(&directives), vec![], "{name}");
+        let (_, commands) = w.heartbeat("i-1", 1, on_first);
+        assert_eq!(launched(&commands), vec![], "{name}");
         let on_second = vec![running("wk-000002", 0), running("wk-000002", 1)];
-        let (_, directives) = w.heartbeat("i-2", 1, on_second);
-        assert_eq!(launched(&directives), vec![], "{name}");
+        let (_, commands) = w.heartbeat("i-2", 1, on_second);
+        assert_eq!(launched(&commands), vec![], "{name}");
         assert_eq!(red(&w), used, "{name}: what is proved absent leaves");
         assert_eq!(launches(&w.settle()), vec![], "{name}");
     }
@@ -108,13 +110,13 @@
 
 #[test]
 fn what_was_not_launched_beyond_the_limit_starts_once_there_is_room() {
-    let mut w = world(StoredPicture {
+    let mut w = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 1), job("wk-000002", 2)],
         chunks: vec![
             sent("wk-000001", &[0], "i-1"),
             sent("wk-000002", &[0, 1], "i-2"),
         ],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     });
     w.heartbeat("i-1", 1, vec![]);
     w.heartbeat(
@@ -122,7 +124,12 @@
         1,
         vec![running("wk-000002", 0), running("wk-000002", 1)],
     );
-    let ended = shown("wk-000002", 0, ATTEMPT, TaskPhase::Ended(Exit::Done));
+    let ended = shown(
+        "wk-000002",
+        0,
+        ATTEMPT,
+        TaskPhase::Ended(ExitReason::Completed),
+    );
     w.heartbeat("i-2", 2, vec![ended, running("wk-000002", 1)]);
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1);
@@ -131,33 +138,33 @@
 }
 
 #[test]
-fn a_report_that_may_be_a_copy_frees_nothing() {
-    let mut w = world(StoredPicture {
+fn a_heartbeat_that_may_be_a_copy_frees_nothing() {
+    let mut w = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
         chunks: vec![
             sent("wk-000001", &[0, 1], "i-1"),
             sent("wk-000002", &[0, 1], "i-2"),
         ],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     });
     // It shows no token of this term: what was sent before the term may still come.
-    let before = Epoch::first(w.c.term).0 - 1;
-    let r = World::report("i-1", 1, 1, before, vec![]);
-    let answer = w.c.on_report(w.now, r, true);
-    assert!(matches!(answer, Answer::Accept { directives, .. } if directives.is_empty()));
+    let before = FencingToken::first(w.c.term).0 - 1;
+    let r = World::heartbeat_from("i-1", 1, 1, before, vec![]);
+    let answer = w.c.on_heartbeat(w.now, r, true);
+    assert!(matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty()));
     assert_eq!(red(&w), 16.0);
 }
 
 #[test]
 fn within_the_limit_a_record_is_launched_again_as_before() {
-    let mut w = world(StoredPicture {
+    let mut w = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2)],
         chunks: vec![sent("wk-000001", &[0, 1], "i-1")],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     });
-    let (_, directives) = w.heartbeat("i-1", 1, vec![]);
+    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
     let both = vec![task("wk-000001", 0), task("wk-000001", 1)];
-    assert_eq!(launched(&directives), both);
+    assert_eq!(launched(&commands), both);
 }
 
 #[test]
@@ -173,26 +180,26 @@
     ];
     for (same_place, spread, zone, allowed) in cases {
         let mut over_two_chunks = job("wk-000001", 66);
-        over_two_chunks.spec.owner = "grey".into();
-        over_two_chunks.spec.need = need(0.1);
+        over_two_chunks.spec.team = "grey".into();
+        over_two_chunks.spec.resources = resources(0.1);
         over_two_chunks.spec.same_place = same_place;
         over_two_chunks.spec.spread = spread;
         let others: Vec<u32> = (0..33).collect();
-        let mut w = world(StoredPicture {
+        let mut w = world(StoredSnapshot {
             jobs: vec![over_two_chunks],
             chunks: vec![
                 sent("wk-000001", &others, "i-2"),
                 sent("wk-000001", &[64], "i-1"),
             ],
-            ..StoredPicture::default()
+            ..StoredSnapshot::default()
         });
-        let token = w.c.hosts[&HostId::from("i-2")].epoch.0;
+        let token = w.c.machines[&MachineId::from("i-2")].token.0;
         let tasks = others.iter().map(|i| running("wk-000001", *i)).collect();
-        let mut r = World::report("i-2", 1, 1, token, tasks);
-        r.site = zone.into();
-        w.c.on_report(w.now, r, true);
-        let (_, directives) = w.heartbeat("i-1", 1, vec![]);
-        let launch = !launched(&directives).is_empty();
+        let mut r = World::heartbeat_from("i-2", 1, 1, token, tasks);
+        r.zone = zone.into();
+        w.c.on_heartbeat(w.now, r, true);
+        let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+        let launch = !launched(&commands).is_empty();
         assert_eq!(launch, allowed, "{same_place} {spread} {zone}");
         let held = w.active("wk-000001", 64).is_some();
         assert_eq!(held, allowed, "{same_place} {spread} {zone}");
@@ -203,23 +210,23 @@
 fn a_zone_that_is_not_known_yet_holds_a_launch_back() {
     let mut bound = job("wk-000001", 2);
     bound.spec.same_place = true;
-    let mut w = world(StoredPicture {
+    let mut w = world(StoredSnapshot {
         jobs: vec![bound],
-        chunks: vec![IndexedChunk {
+        chunks: vec![StoredIntents {
             value: ChunkValue {
                 done: 0,
                 active: vec![(0, ATTEMPT, "i-1".into()), (1, ATTEMPT, "i-2".into())],
             },
             ..sent("wk-000001", &[0], "i-1")
         }],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     });
-    let (_, directives) = w.heartbeat("i-1", 1, vec![]);
-    assert_eq!(launched(&directives), vec![]);
+    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+    assert_eq!(launched(&commands), vec![]);
     assert!(w.active("wk-000001", 0).is_some(), "it keeps its place");
     w.heartbeat("i-2", 1, vec![running("wk-000001", 1)]);
-    let (_, directives) = w.heartbeat("i-1", 2, vec![]);
-    assert_eq!(launched(&directives), vec![task("wk-000001", 0)]);
+    let (_, commands) = w.heartbeat("i-1", 2, vec![]);
+    assert_eq!(launched(&commands), vec![task("wk-000001", 0)]);
 }
 
 #[test]
@@ -230,12 +237,12 @@
         gang.spec.kind = JobKind::Gang;
         let mut members = sent("wk-000001", &[1], "i-1");
         members.value.done = 0b11;
-        let over = durable.then(|| (Uid::from("wk-000001"), Verdict::Done));
-        let mut w = world(StoredPicture {
+        let over = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
+        let mut w = world(StoredSnapshot {
             jobs: vec![gang, job("wk-000002", 2)],
             over: over.into_iter().collect(),
             chunks: vec![members],
-            ..StoredPicture::default()
+            ..StoredSnapshot::default()
         });
         assert_eq!(red(&w), 4.0);
         w.heartbeat("i-2", 1, vec![]);
@@ -243,11 +250,11 @@
         assert_eq!(sent.len(), 1, "room for one beside the member");
         let first = shown("wk-000002", sent[0].1.index, sent[0].2, TaskPhase::Running);
         w.heartbeat("i-2", 2, vec![first]);
-        let (_, directives) = w.heartbeat("i-1", 1, vec![]);
-        assert_eq!(launched(&directives), vec![], "it is not started again");
+        let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+        assert_eq!(launched(&commands), vec![], "it is not started again");
         assert_eq!(red(&w), 4.0, "proved gone");
         assert_eq!(launches(&w.settle()).len(), 1);
-        assert!(!w.c.jobs.contains_key(&Uid::from("wk-000001")));
+        assert!(!w.c.jobs.contains_key(&JobId::from("wk-000001")));
     }
 }
 
@@ -263,10 +270,10 @@
             late.kind = JobKind::Gang;
         }
         w.job(late);
-        let (_, directives) = w.heartbeat("i-1", 2, vec![running("wk-000001", 0)]);
-        let killed = matches!(directives[..], [Directive::Kill { .. }]);
-        assert_eq!(killed, !adopted, "{directives:?}");
-        assert_eq!(directives.is_empty(), adopted, "{directives:?}");
+        let (_, commands) = w.heartbeat("i-1", 2, vec![running("wk-000001", 0)]);
+        let killed = matches!(commands[..], [TaskCommand::Kill { .. }]);
+        assert_eq!(killed, !adopted, "{commands:?}");
+        assert_eq!(commands.is_empty(), adopted, "{commands:?}");
         assert_eq!(w.active("wk-000001", 0).is_some(), adopted);
         assert_eq!(red(&w), 4.0);
         w.job(spec("wk-000002", 2, 4.0));
@@ -280,21 +287,21 @@
 #[test]
 fn a_team_without_settings_or_above_its_limit_starts_nothing_and_hinders_nobody() {
     let mut unknown = job("wk-000001", 2);
-    unknown.spec.owner = "gone".into();
-    let mut w = world(StoredPicture {
+    unknown.spec.team = "gone".into();
+    let mut w = world(StoredSnapshot {
         jobs: vec![unknown, job("wk-000002", 4), job("wk-000003", 1)],
         chunks: vec![
             sent("wk-000001", &[0], "i-1"),
             // The limit was 16 when these were started.
             sent("wk-000002", &[0, 1, 2], "i-2"),
         ],
-        ..StoredPicture::default()
+        ..StoredSnapshot::default()
     });
     let mut other = spec("wk-000004", 1, 4.0);
-    other.owner = "grey".into();
+    other.team = "grey".into();
     w.job(other);
-    let (_, directives) = w.heartbeat("i-1", 1, vec![]);
-    assert_eq!(launched(&directives), vec![]);
+    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+    assert_eq!(launched(&commands), vec![]);
     let running = [0, 1, 2].map(|i| running("wk-000002", i)).to_vec();
     w.heartbeat("i-2", 1, running);
     let started: Vec<TaskId> = launches(&w.settle()).into_iter().map(|l| l.1).collect();
@@ -306,23 +313,23 @@
 fn what_an_unreadable_record_may_hold_counts_as_taken() {
     // Its machines are known from its intents, or they cannot be read either.
     for intents_readable in [true, false] {
-        let uid = Uid::from("wk-000001");
-        let mut w = world(StoredPicture {
+        let job_id = JobId::from("wk-000001");
+        let mut w = world(StoredSnapshot {
             jobs: vec![job("wk-000002", 1)],
             chunks: intents_readable
                 .then(|| sent("wk-000001", &[0], "i-1"))
                 .into_iter()
                 .collect(),
-            unreadable_jobs: vec![uid.clone()],
-            unreadable_intents: (!intents_readable).then_some(uid).into_iter().collect(),
-            ..StoredPicture::default()
+            unreadable_jobs: vec![job_id.clone()],
+            unreadable_intents: (!intents_readable).then_some(job_id).into_iter().collect(),
+            ..StoredSnapshot::default()
         });
         w.heartbeat("i-2", 1, vec![]);
         let actions = w.settle();
         assert_eq!(launches(&actions), vec![], "the team is not known");
         let returned = actions.iter().any(|a| {
-            let hosts = vec![HostId::from("i-1")];
-            *a == cypressgap::core::cluster::Action::Return { hosts }
+            let machines = vec![MachineId::from("i-1")];
+            *a == cypressgap::core::state::cluster_state::Action::Return { machines }
         });
         assert_eq!(returned, intents_readable);
         w.c.on_returned(w.now, &["i-1".into()]);
@@ -339,22 +346,22 @@
     w.job(spec("wk-000001", 1, 4.0));
     let launch = launches(&w.settle());
     let attempt = launch[0].2;
-    let given = w.c.hosts[&HostId::from("i-1")].epoch;
+    let given = w.c.machines[&MachineId::from("i-1")].token;
     let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
     w.heartbeat("i-1", 2, vec![run]);
     // Restarted within a report's interval, it counts from the beginning and has seen no token. A copy
     // of the launch would find the same session, and the attempt forgotten.
     w.pass(secs(1));
     let answer =
-        w.c.on_report(w.now, World::report("i-1", 1, 1, 0, vec![]), true);
-    let Answer::Accept { epoch, directives } = answer else {
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]), true);
+    let HeartbeatDecision::Accept { token, commands } = answer else {
         panic!("refused: {answer:?}");
     };
-    assert!(epoch > given, "{epoch:?} shuts out {given:?}");
-    assert_eq!(directives, vec![]);
+    assert!(token > given, "{token:?} shuts out {given:?}");
+    assert_eq!(commands, vec![]);
     // Its next report shows that token, so it is believed although it counts below the last one.
-    let r = World::report("i-1", 1, 2, epoch.0, vec![]);
-    w.c.on_report(w.now, r, true);
+    let r = World::heartbeat_from("i-1", 1, 2, token.0, vec![]);
+    w.c.on_heartbeat(w.now, r, true);
     let held = w.active("wk-000001", 0);
     assert_ne!(
         held.map(|(_, a)| a),
@@ -366,7 +373,7 @@
 #[test]
 fn the_account_is_the_sum_of_its_entries() {
     let teams: [TeamName; 3] = ["red".into(), "blue".into(), "grey".into()];
-    let mut account = TeamUse::default();
+    let mut account = QuotaUsage::default();
     let mut drawn: u64 = 1;
     let mut draw = |below: u64| {
         drawn = drawn
@@ -376,22 +383,24 @@
     };
     for _ in 0..200_000 {
         let task = task("wk-000001", draw(300) as u32);
-        let owner = &teams[draw(3) as usize];
-        let need = need(0.1 * (1 + draw(99)) as f64);
-        let host = HostId(format!("i-{}", draw(5)));
+        let team = &teams[draw(3) as usize];
+        let resources = resources(0.1 * (1 + draw(99)) as f64);
+        let machine = MachineId(format!("i-{}", draw(5)));
         match draw(5) {
-            0 | 1 => account.enter(task, owner, need),
+            0 | 1 => account.enter(task, team, resources),
             2 | 3 => account.leave(&task),
-            _ => account.set_unexpected(&host, &vec![(owner.clone(), need); draw(3) as usize]),
+            _ => {
+                account.set_unexpected(&machine, &vec![(team.clone(), resources); draw(3) as usize])
+            }
         }
     }
-    for owner in &teams {
-        let difference = account.of(owner).cpus - account.recount(owner).cpus;
-        assert!(difference.abs() < 1e-7, "{owner}: {difference}");
+    for team in &teams {
+        let difference = account.of(team).cpus - account.recount(team).cpus;
+        assert!(difference.abs() < 1e-7, "{team}: {difference}");
     }
     // What leaves twice, or was never entered, takes nothing away.
     let before = account.of(&teams[0]).cpus;
-    account.enter(task("wk-000002", 0), &teams[0], need(2.0));
+    account.enter(task("wk-000002", 0), &teams[0], resources(2.0));
     account.leave(&task("wk-000002", 0));
     account.leave(&task("wk-000002", 0));
     account.leave(&task("wk-000003", 0));
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -9,8 +9,8 @@
 mod common;
 mod simulation;
 
-use common::{need, secs, spec, team};
-use cypressgap::core::model::{Attempt, TaskId, TaskPhase};
+use common::{resources, secs, spec, team};
+use cypressgap::core::model::{AttemptId, TaskId, TaskPhase};
 use simulation::truth::Truth;
 use simulation::worker::{Worker, WorkerTask};
 use simulation::{Simulation, Troubles};
@@ -82,17 +82,17 @@
 }
 
 /// A machine in a zone that runs these tasks of a job of 4 processors a task.
-fn machine(name: &str, site: &str, needs: Option<&str>, tasks: &[u32]) -> Worker {
+fn machine(name: &str, zone: &str, dependencies: Option<&str>, tasks: &[u32]) -> Worker {
     let now = Instant::now();
-    let kind = ("m8".into(), need(8.0));
-    let mut worker = Worker::new(name.into(), kind, site.into(), false, now);
+    let kind = ("m8".into(), resources(8.0));
+    let mut worker = Worker::new(name.into(), kind, zone.into(), false, now);
     let mut job = spec("wk-000001", 4, 4.0);
     job.same_place = true;
-    job.needs = needs.into_iter().map(Into::into).collect();
+    job.dependencies = dependencies.into_iter().map(Into::into).collect();
     let job = Arc::new(job);
     for index in tasks {
         let task = TaskId {
-            uid: "wk-000001".into(),
+            job_id: "wk-000001".into(),
             index: *index,
         };
         let running = WorkerTask {
@@ -100,7 +100,7 @@
             phase: TaskPhase::Running,
             until: now + secs(60),
         };
-        worker.tasks.insert((task, Attempt(1)), running);
+        worker.tasks.insert((task, AttemptId(1)), running);
     }
     worker
 }
@@ -125,15 +125,15 @@
         (Some("wrong_place"), "b", &[1], None, None),
         (Some("too_early"), "a", &[1], Some("wk-000009"), None),
     ];
-    for (rule, site, tasks, needs, cancelled) in cases {
+    for (rule, zone, tasks, dependencies, cancelled) in cases {
         let now = Instant::now() + secs(100);
         let mut truth = Truth::default();
         if let Some(ago) = cancelled {
             truth.cancelled.insert("wk-000001".into(), now - secs(ago));
         }
         let workers = [
-            machine("i-1", "a", needs, &[0]),
-            machine("i-2", site, needs, tasks),
+            machine("i-1", "a", dependencies, &[0]),
+            machine("i-2", zone, dependencies, tasks),
         ];
         let teams = [team("red", 0.0, 8.0)];
         let broken = truth.look(now, workers.iter(), &teams, secs(50), |_| None);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -3,31 +3,31 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::{Action, Answer, Kill};
-use cypressgap::core::ledger::ChunkValue;
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision, KillRequest};
+use cypressgap::runtime::node_view::{NodeView, RoleView};
 use cypressgap::runtime::stall_detector::StallDetector;
-use cypressgap::runtime::view::{RoleView, View};
-use cypressgap::runtime::workers::Workers;
+use cypressgap::runtime::worker_distribution::Workers;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant, SystemTime};
 
-fn host() -> HostId {
+fn machine() -> MachineId {
     "i-1".into()
 }
 
 fn returned(actions: &[Action]) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Return { hosts } if hosts.contains(&host())))
+        .any(|a| matches!(a, Action::Return { machines } if machines.contains(&machine())))
 }
 
 /// Reports that arrive at their interval while no answer or command reaches the worker.
-fn deaf_for(w: &mut World, seconds: u64, tenure: u64, serial: u64, epoch: u64) -> Vec<Action> {
+fn deaf_for(w: &mut World, seconds: u64, incarnation: u64, serial: u64, token: u64) -> Vec<Action> {
     let mut out = Vec::new();
     for n in 0..seconds / 2 {
-        let r = World::report("i-1", tenure, serial + n, epoch, vec![]);
-        w.c.on_report(w.now, r, true);
+        let r = World::heartbeat_from("i-1", incarnation, serial + n, token, vec![]);
+        w.c.on_heartbeat(w.now, r, true);
         // The others are well: the fault is not on our side.
         for h in ["i-8", "i-9"] {
             w.heartbeat(h, 100 + w.revision * 50 + n, vec![]);
@@ -40,9 +40,9 @@
 
 /// A deployment with one free machine, which takes the first task, and two that are taken.
 fn one_free() -> World {
-    let mut p = params();
+    let mut p = config();
     p.tuning.idle_ordinary = secs(1000);
-    let mut w = World::with(p, vec![host_type("m8", 8.0)]);
+    let mut w = World::with(p, vec![machine_type("m8", 8.0)]);
     for (n, h) in ["i-8", "i-9"].iter().enumerate() {
         w.heartbeat(h, 1, vec![]);
         w.job(spec(&format!("wk-00090{n}"), 1, 8.0));
@@ -56,28 +56,32 @@
 #[test]
 fn a_machine_that_nothing_reaches_gets_nothing_more_and_is_given_up() {
     let mut w = one_free();
-    let epoch = w.c.hosts[&host()].epoch.0;
+    let token = w.c.machines[&machine()].token.0;
     w.job(spec("wk-000001", 1, 4.0));
     let sent = launches(&w.settle());
-    assert_eq!(sent[0].0, host());
+    assert_eq!(sent[0].0, machine());
     // Its reports go on without the task, with the token of before.
-    let first = deaf_for(&mut w, 6, 1, 10, epoch);
+    let first = deaf_for(&mut w, 6, 1, 10, token);
     w.job(spec("wk-000002", 1, 4.0));
-    let more = deaf_for(&mut w, 4, 1, 20, epoch);
+    let more = deaf_for(&mut w, 4, 1, 20, token);
     assert!(!launches(&more)
         .iter()
-        .any(|l| l.1.uid == "wk-000002".into()));
-    assert_eq!(w.active("wk-000001", 0).unwrap().0, host(), "no proof yet");
+        .any(|l| l.1.job_id == "wk-000002".into()));
+    assert_eq!(
+        w.active("wk-000001", 0).unwrap().0,
+        machine(),
+        "no proof yet"
+    );
     let mut all = first;
     all.extend(more);
-    all.extend(deaf_for(&mut w, 24, 1, 40, epoch));
+    all.extend(deaf_for(&mut w, 24, 1, 40, token));
     assert!(returned(&all), "given up well before two leases");
     assert_eq!(
         w.active("wk-000001", 0).unwrap().0,
-        host(),
+        machine(),
         "still no proof"
     );
-    w.c.on_returned(w.now, &[host()]);
+    w.c.on_returned(w.now, &[machine()]);
     assert_eq!(w.active("wk-000001", 0), None);
 }
 
@@ -88,18 +92,22 @@
         let mut w = one_free();
         w.job(spec("wk-000001", 1, 4.0));
         let (_, _, old) = launches(&w.settle())[0].clone();
-        let epoch = w.c.hosts[&host()].epoch.0;
-        let fresh = World::report("i-1", 2, 1, epoch, vec![]);
-        w.c.on_report(w.now, fresh, true);
+        let token = w.c.machines[&machine()].token.0;
+        let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
+        w.c.on_heartbeat(w.now, fresh, true);
         let moved = w.active("wk-000001", 0).is_none_or(|a| a.1 != old);
         assert!(moved, "the later session proves the task gone");
         assert_eq!(launches(&w.settle()), vec![]);
         let shown = if hears {
-            w.c.hosts[&host()].epoch.0
+            w.c.machines[&machine()].token.0
         } else {
-            epoch
+            token
         };
-        w.c.on_report(w.now, World::report("i-1", 2, 2, shown, vec![]), true);
+        w.c.on_heartbeat(
+            w.now,
+            World::heartbeat_from("i-1", 2, 2, shown, vec![]),
+            true,
+        );
         assert_eq!(launches(&w.settle()).len(), usize::from(hears));
     }
 }
@@ -112,29 +120,30 @@
         ("one from before the launch", 1, 1, false),
         ("an early one of the session", 1, 2, false),
     ];
-    for (name, tenure, serial, listed) in cases {
+    for (name, incarnation, serial, listed) in cases {
         let mut w = World::new();
         w.heartbeat("i-1", 1, vec![]);
         w.job(spec("wk-000001", 1, 4.0));
         let a = launches(&w.settle())[0].2;
         let tasks = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
         w.heartbeat("i-1", 5, tasks());
-        let (answered, epoch) = {
-            let h = &w.c.hosts[&host()];
-            (h.last_answer, h.epoch)
+        let (answered, token) = {
+            let h = &w.c.machines[&machine()];
+            (h.last_answer, h.token)
         };
         // From seconds to well over a lease later.
         for late in [2, 10, 19] {
             w.run(late);
             let old = if listed { tasks() } else { vec![] };
-            let copy = World::report("i-1", tenure, serial, epoch.0, old);
-            let answer = w.c.on_report(w.now, copy, true);
-            let none = matches!(answer, Answer::Accept { directives, .. } if directives.is_empty());
+            let copy = World::heartbeat_from("i-1", incarnation, serial, token.0, old);
+            let answer = w.c.on_heartbeat(w.now, copy, true);
+            let none =
+                matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
             assert!(none, "{name}: nothing is ordered on its word");
-            let h = &w.c.hosts[&host()];
+            let h = &w.c.machines[&machine()];
             assert_eq!(h.last_answer, answered, "{name}: renews no lease");
-            assert_eq!((h.tenure, h.serial), (1, 5), "{name}");
-            assert_eq!(w.active("wk-000001", 0), Some((host(), a)), "{name}");
+            assert_eq!((h.incarnation, h.serial), (1, 5), "{name}");
+            assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
         }
         // The lease runs out as if no copy had come.
         w.run(1);
@@ -143,16 +152,16 @@
 }
 
 #[test]
-fn a_copy_sent_before_the_term_began_opens_no_host_and_moves_no_task() {
+fn a_copy_sent_before_the_term_began_opens_no_machine_and_moves_no_task() {
     // The copy lists the loaded task or does not: neither is believed.
     for listed in [false, true] {
         let mut w = World::new();
         w.job(spec("wk-000001", 1, 4.0));
         w.job(spec("wk-000002", 1, 4.0));
-        let a = Attempt(7);
+        let a = AttemptId(7);
         let value = ChunkValue {
             done: 0,
-            active: vec![(0, a, host())],
+            active: vec![(0, a, machine())],
         };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         let tasks = if listed {
@@ -160,15 +169,19 @@
         } else {
             vec![]
         };
-        let before = Epoch::first(Term(TERM.0 - 1)).0;
-        let copy = World::report("i-1", 1, 40, before, tasks);
-        w.c.on_report(w.now, copy, true);
+        let before = FencingToken::first(Term(TERM.0 - 1)).0;
+        let copy = World::heartbeat_from("i-1", 1, 40, before, tasks);
+        w.c.on_heartbeat(w.now, copy, true);
         // A machine that was returned in an earlier term seems to report too.
-        w.c.on_report(w.now, World::report("i-3", 1, 9, before, vec![]), true);
+        w.c.on_heartbeat(
+            w.now,
+            World::heartbeat_from("i-3", 1, 9, before, vec![]),
+            true,
+        );
         assert_eq!(
             launches(&w.settle())
                 .iter()
-                .filter(|l| l.1.uid == "wk-000002".into())
+                .filter(|l| l.1.job_id == "wk-000002".into())
                 .count(),
             0
         );
@@ -176,23 +189,23 @@
             w.pass(secs(40));
             w.c.tick(w.now);
             let still = w.active("wk-000001", 0);
-            assert_eq!(still, Some((host(), a)), "no lease of ours ran out");
+            assert_eq!(still, Some((machine(), a)), "no lease of ours ran out");
             continue;
         }
         // Once it shows this term's token it is a machine like any other.
-        let h = &w.c.hosts[&host()];
-        let live = World::report(
+        let h = &w.c.machines[&machine()];
+        let live = World::heartbeat_from(
             "i-1",
             1,
             41,
-            h.epoch.0,
+            h.token.0,
             vec![shown("wk-000001", 0, a, TaskPhase::Running)],
         );
-        w.c.on_report(w.now, live, true);
+        w.c.on_heartbeat(w.now, live, true);
         let sent = launches(&w.settle());
         assert!(sent
             .iter()
-            .any(|l| l.1.uid == "wk-000002".into() && l.0 == host()));
+            .any(|l| l.1.job_id == "wk-000002".into() && l.0 == machine()));
     }
 }
 
@@ -201,11 +214,11 @@
 /// prove it gone.
 #[test]
 fn copies_from_before_the_term_prove_nothing_whatever_their_session() {
-    let a = Attempt(7);
+    let a = AttemptId(7);
     let running = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
     let ended = |exit| vec![shown("wk-000001", 0, a, TaskPhase::Ended(exit))];
     // The copies in the order of their coming: tenure, serial, tasks.
-    type Copies = Vec<(u64, u64, Vec<TaskReport>)>;
+    type Copies = Vec<(u64, u64, Vec<TaskStatus>)>;
     let cases: [(&str, Copies); 4] = [
         (
             "empty ones of two sessions",
@@ -217,33 +230,36 @@
         ),
         (
             "stopped in the first",
-            vec![(1, 40, ended(Exit::Stopped { stored: false }))],
+            vec![(1, 40, ended(ExitReason::Stopped { stored: false }))],
+        ),
+        (
+            "failed in the first",
+            vec![(1, 40, ended(ExitReason::Failed))],
         ),
-        ("failed in the first", vec![(1, 40, ended(Exit::Error))]),
     ];
     for (name, copies) in cases {
         let mut w = World::new();
         w.job(spec("wk-000001", 1, 4.0));
         let value = ChunkValue {
             done: 0,
-            active: vec![(0, a, host())],
+            active: vec![(0, a, machine())],
         };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         w.heartbeat("i-2", 1, vec![]);
-        let before = Epoch::first(Term(TERM.0 - 1)).0;
-        for (tenure, serial, tasks) in copies {
-            let copy = World::report("i-1", tenure, serial, before, tasks);
-            w.c.on_report(w.now, copy, true);
+        let before = FencingToken::first(Term(TERM.0 - 1)).0;
+        for (incarnation, serial, tasks) in copies {
+            let copy = World::heartbeat_from("i-1", incarnation, serial, before, tasks);
+            w.c.on_heartbeat(w.now, copy, true);
             w.settle();
-            assert_eq!(w.active("wk-000001", 0), Some((host(), a)), "{name}");
+            assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
         }
         // The machine itself, once it shows this term's token: it runs there, or is proved gone.
-        let epoch = w.c.hosts[&host()].epoch.0;
-        let live = World::report("i-1", 2, 50, epoch, running());
-        w.c.on_report(w.now, live, true);
-        assert_eq!(w.active("wk-000001", 0), Some((host(), a)), "{name}");
-        let live = World::report("i-1", 3, 51, epoch, vec![]);
-        w.c.on_report(w.now, live, true);
+        let token = w.c.machines[&machine()].token.0;
+        let live = World::heartbeat_from("i-1", 2, 50, token, running());
+        w.c.on_heartbeat(w.now, live, true);
+        assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
+        let live = World::heartbeat_from("i-1", 3, 51, token, vec![]);
+        w.c.on_heartbeat(w.now, live, true);
         assert!(w.active("wk-000001", 0).is_none(), "{name}: a proof");
     }
 }
@@ -252,12 +268,15 @@
 fn a_copy_brings_no_returned_machine_back() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
-    w.c.on_returned(w.now, &[host()]);
+    w.c.on_returned(w.now, &[machine()]);
     for late in [1, 30, 300] {
         w.pass(secs(late));
-        let copy = World::report("i-1", 1, 900 + late, Epoch::first(TERM).0, vec![]);
-        assert_eq!(w.c.on_report(w.now, copy, true), Answer::Ignore);
-        assert!(w.c.hosts.is_empty());
+        let copy = World::heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
+        assert_eq!(
+            w.c.on_heartbeat(w.now, copy, true),
+            HeartbeatDecision::Ignore
+        );
+        assert!(w.c.machines.is_empty());
     }
 }
 
@@ -272,31 +291,35 @@
         90,
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
     );
-    let old = w.c.hosts[&host()].epoch.0;
+    let old = w.c.machines[&machine()].token.0;
     // Its life's reports count from the beginning; at first they look like copies.
     w.pass(secs(9));
-    let Answer::Accept { epoch, .. } =
-        w.c.on_report(w.now, World::report("i-1", 1, 1, 0, vec![]), true)
+    let HeartbeatDecision::Accept { token, .. } =
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]), true)
     else {
         panic!("refused");
     };
-    assert!(epoch.0 > old, "a token that no copy can show");
+    assert!(token.0 > old, "a token that no copy can show");
     assert!(w.active("wk-000001", 0).is_some());
     w.pass(secs(1));
-    w.c.on_report(w.now, World::report("i-1", 1, 2, epoch.0, vec![]), true);
-    assert_eq!(w.c.hosts[&host()].serial, 2, "heard again");
+    w.c.on_heartbeat(
+        w.now,
+        World::heartbeat_from("i-1", 1, 2, token.0, vec![]),
+        true,
+    );
+    assert_eq!(w.c.machines[&machine()].serial, 2, "heard again");
     let now_on = w.active("wk-000001", 0);
     assert!(now_on.is_none_or(|n| n.1 != a), "its old task is gone");
     // A copy of the predecessor's counts higher and yet says nothing.
-    let copy = World::report(
+    let copy = World::heartbeat_from(
         "i-1",
         1,
         95,
         old,
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
     );
-    w.c.on_report(w.now, copy, true);
-    assert_eq!(w.c.hosts[&host()].serial, 2);
+    w.c.on_heartbeat(w.now, copy, true);
+    assert_eq!(w.c.machines[&machine()].serial, 2);
 }
 
 #[test]
@@ -304,7 +327,7 @@
     type Edit = fn(&mut JobSpec);
     // What the endless small jobs are, what the large one is.
     let cases: [(&str, Edit, Edit); 4] = [
-        ("more urgent", |s| s.urgency = Urgency::High, |_| {}),
+        ("more urgent", |s| s.priority = Priority::High, |_| {}),
         (
             "punctual, while the large one is late",
             |s| s.due = Some(secs(100_000)),
@@ -312,20 +335,20 @@
         ),
         (
             "within their team's guarantee",
-            |s| s.owner = "blue".into(),
-            |s| s.owner = "grey".into(),
+            |s| s.team = "blue".into(),
+            |s| s.team = "grey".into(),
         ),
         (
             "more urgent, the large one's tasks fill a machine",
-            |s| s.urgency = Urgency::High,
+            |s| s.priority = Priority::High,
             |s| {
-                s.shards = 16;
-                s.need = need(8.0);
+                s.task_count = 16;
+                s.resources = resources(8.0);
             },
         ),
     ];
     for (name, small, large) in cases {
-        let mut p = params();
+        let mut p = config();
         for t in &mut p.teams {
             t.cpus_max = None;
         }
@@ -334,7 +357,7 @@
         s.expected = secs(20);
         s.class = "large".into();
         large(&mut s);
-        let tasks = s.shards;
+        let tasks = s.task_count;
         let start = f.w.now;
         for second in 0..600u32 {
             // Always twice of what the machines can take.
@@ -358,15 +381,15 @@
                 }
             });
         }
-        let uid = Uid::from("wk-900000");
-        let begun = f.begun.get(&uid).map(|t| t.duration_since(start));
+        let job_id = JobId::from("wk-900000");
+        let begun = f.begun.get(&job_id).map(|t| t.duration_since(start));
         assert!(
             begun.is_some_and(|t| t < secs(240 + 10)),
             "{name}: begun after {begun:?}"
         );
-        let done = f.done.get(&uid).copied().unwrap_or(0);
+        let done = f.done.get(&job_id).copied().unwrap_or(0);
         assert!(done * 2 >= tasks, "{name}: {done} of {tasks} done");
-        let smalls: u32 = f.done.iter().filter(|d| d.0 != &uid).map(|d| d.1).sum();
+        let smalls: u32 = f.done.iter().filter(|d| d.0 != &job_id).map(|d| d.1).sum();
         assert!(smalls > 400, "{name}: the others go on too: {smalls}");
     }
 }
@@ -424,12 +447,12 @@
 }
 
 /// Hosts that a leader's actions return.
-fn given_back(actions: &[Action]) -> Vec<HostId> {
-    let hosts = |a: &Action| match a {
-        Action::Return { hosts } => hosts.clone(),
+fn given_back(actions: &[Action]) -> Vec<MachineId> {
+    let machines = |a: &Action| match a {
+        Action::Return { machines } => machines.clone(),
         _ => Vec::new(),
     };
-    actions.iter().flat_map(hosts).collect()
+    actions.iter().flat_map(machines).collect()
 }
 
 /// Guards against a leader that lost the network, took its machines for silent, and had the returns
@@ -449,7 +472,7 @@
         if cancelled {
             w.c.on_cancel_marked(w.now, &"wk-000001".into());
         }
-        let gone: Vec<HostId> = (0..13).flat_map(|_| given_back(&w.settle())).collect();
+        let gone: Vec<MachineId> = (0..13).flat_map(|_| given_back(&w.settle())).collect();
         let expected = if cancelled { vec![on] } else { vec![] };
         assert_eq!(gone, expected, "cancelled {cancelled}");
         // Once it is the leader for certain, what is still silent goes.
@@ -475,7 +498,7 @@
             w.job(spec("wk-000001", 1, 4.0));
             let value = ChunkValue {
                 done: 0,
-                active: vec![(0, Attempt(7), host())],
+                active: vec![(0, AttemptId(7), machine())],
             };
             w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         }
@@ -511,8 +534,8 @@
 #[test]
 fn nothing_is_rented_while_most_machines_are_unheard() {
     for (quiet, rents) in [(2, true), (6, false)] {
-        let types = vec![host_type("m8", 8.0), host_type("large", 8.0)];
-        let mut w = World::with(params(), types);
+        let types = vec![machine_type("m8", 8.0), machine_type("large", 8.0)];
+        let mut w = World::with(config(), types);
         let names: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for n in &names {
             w.heartbeat(n, 1, vec![]);
@@ -523,7 +546,7 @@
         }
         // None of the eight would do.
         let mut job = spec("wk-000001", 2, 8.0);
-        job.host_types = Some(vec!["large".into()]);
+        job.machine_types = Some(vec!["large".into()]);
         w.job(job);
         let rented = w.settle();
         let rented = rented.iter().any(|a| matches!(a, Action::Rent { .. }));
@@ -580,17 +603,17 @@
     // Seconds passed by each clock.
     let cases = [(1, 1, true), (4, 4, false), (1, 40, false), (40, 1, false)];
     for (steady, by_day, leads) in cases {
-        let view = View::new(start);
+        let view = NodeView::new(start);
         view.write().role = RoleView::Leader(TERM);
-        assert!(!view.surely_leads(TERM, start, day), "never renewed");
+        assert!(!view.holds_leader_lease(TERM, start, day), "never renewed");
         view.lease_lasts((start, day), secs(3));
         let (now, today) = (start + secs(steady), day + secs(by_day));
         assert_eq!(
-            view.surely_leads(TERM, now, today),
+            view.holds_leader_lease(TERM, now, today),
             leads,
             "{steady} {by_day}"
         );
-        assert!(!view.surely_leads(Term(9), now, today));
+        assert!(!view.holds_leader_lease(Term(9), now, today));
     }
 }
 
@@ -607,8 +630,8 @@
         w.heartbeat("i-1", 2, tasks.clone());
         // An order to stop with some grace has not gone out yet.
         let job = w.c.jobs.get_mut(&"wk-000001".into()).unwrap();
-        job.active.get_mut(&0).unwrap().kill = Some(Kill {
-            wind_down: secs(6),
+        job.active.get_mut(&0).unwrap().kill = Some(KillRequest {
+            grace_period: secs(6),
             since: w.now,
         });
         w.pass(secs(45));
@@ -624,13 +647,13 @@
         let still = w.active("wk-000001", 0).is_some();
         assert_eq!(still, woke, "its lease is over only for who could answer");
         if woke {
-            let kill = w.c.jobs[&Uid::from("wk-000001")].active[&0].kill.clone();
-            assert_eq!(kill.unwrap().wind_down, secs(6));
+            let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0].kill.clone();
+            assert_eq!(kill.unwrap().grace_period, secs(6));
             // Its next report is heard as if nothing had been.
-            let (_, directives) = w.heartbeat("i-1", 3, tasks);
-            let graceful = |d: &Directive| matches!(d, Directive::Kill { wind_down, .. } if *wind_down > secs(0));
-            assert!(directives.iter().any(graceful), "{directives:?}");
-            assert!(w.c.hosts[&host()].must_show.is_none());
+            let (_, commands) = w.heartbeat("i-1", 3, tasks);
+            let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
+            assert!(commands.iter().any(graceful), "{commands:?}");
+            assert!(w.c.machines[&machine()].must_show.is_none());
             // In the end the lease counts again.
             w.pass(secs(1));
             for _ in 0..20 {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,11 +4,11 @@
 //! `deploy/service.toml` names and of the one before it, not with this version's types.
 
 use cypressgap::net::peer::{
-    frames_of, read_frame, said, says_fallen, Ask, Hello, JobStanding, Reply,
+    frames_of, read_frame, said, says_fallen, Hello, PeerJobStatus, PeerRequest, PeerResponse,
 };
 use cypressgap::net::wire::{
     decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
-    StoredVerdict,
+    StoredOutcome,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
         assert_eq!(again, record);
     }
     both::<StoredJob>(job_record());
-    both::<StoredVerdict>(map(&[("p", t("withdrawn"))]));
+    both::<StoredOutcome>(map(&[("p", t("withdrawn"))]));
     both::<StoredLeader>(map(&[
         ("member", t("worker-1")),
         ("boot", Any::Int(77)),
@@ -89,7 +89,7 @@
     ]));
     let stored: StoredJob = decode(&encode(&job_record())).expect("it is read");
     let spec = stored.into_spec().expect("a job");
-    assert_eq!((spec.shards, spec.needs.len()), (16, 0));
+    assert_eq!((spec.task_count, spec.dependencies.len()), (16, 0));
     // A job that awaits others has one field more, which the oldest version passes over. The version
     // in production writes it, and enters the job in a list of each dependency.
     both::<StoredDependents>(map(&[(
@@ -97,7 +97,7 @@
         Any::List(vec![t("wk-000412"), t("wk-000415")]),
     )]));
     let mut awaits = spec.clone();
-    awaits.needs = vec!["wk-000398".into()];
+    awaits.dependencies = vec!["wk-000398".into()];
     awaits.listed = true;
     let Any::Map(mut listed) = job_record() else {
         panic!("not a map");
@@ -186,7 +186,7 @@
         workers: 3,
         users_changes: 3.5,
         leader_changes: 0.25,
-        strain_ms: 12,
+        timer_lag_ms: 12,
         progress: vec![("wk-000001".into(), 1, 2)],
         over,
     }
@@ -197,75 +197,81 @@
     let asks = [
         (
             hello_bytes(0, &["wk-000002"]),
-            Ask::Hello(hello(vec!["wk-000002".into()])),
+            PeerRequest::Hello(hello(vec!["wk-000002".into()])),
         ),
         (
             Bytes::variant(1).u32(2).bytes(&[1, 2]).bytes(&[]),
-            Ask::Heartbeats(vec![vec![1, 2], vec![]]),
+            PeerRequest::Heartbeats(vec![vec![1, 2], vec![]]),
         ),
         (
             Bytes::variant(2).text("10.1.0.232:9000").bytes(&[7]),
-            Ask::Command {
+            PeerRequest::Command {
                 endpoint: "10.1.0.232:9000".into(),
                 body: vec![7],
             },
         ),
         (
             Bytes::variant(3).u32(1).text("wk-000003"),
-            Ask::Questions(vec!["wk-000003".into()]),
+            PeerRequest::Questions(vec!["wk-000003".into()]),
         ),
         (
             Bytes::variant(4)
                 .text("POST")
                 .text("/api/jobs")
                 .bytes(&[9, 9]),
-            Ask::User {
+            PeerRequest::User {
                 method: "POST".into(),
                 path: "/api/jobs".into(),
                 body: vec![9, 9],
             },
         ),
-        (Bytes::variant(5).u8(0), Ask::Cancellations { from: None }),
+        (
+            Bytes::variant(5).u8(0),
+            PeerRequest::Cancellations { from: None },
+        ),
         (
             Bytes::variant(5).u8(1).u64(77).u64(12),
-            Ask::Cancellations {
+            PeerRequest::Cancellations {
                 from: Some((77, 12)),
             },
         ),
         (
             Bytes::variant(6).u32(1).text("wk-000003"),
-            Ask::Cancelled(vec!["wk-000003".into()]),
+            PeerRequest::Cancelled(vec!["wk-000003".into()]),
         ),
     ];
     for (old, new) in asks {
         let frame = old.frame();
-        assert_eq!(read_frame::<Ask>(&mut frame.as_slice()).unwrap(), new);
+        assert_eq!(
+            read_frame::<PeerRequest>(&mut frame.as_slice()).unwrap(),
+            new
+        );
         assert_eq!(borsh::to_vec(&new).unwrap(), old.0, "{new:?}");
     }
     let replies = [
-        (hello_bytes(0, &[]), Reply::Hello(hello(vec![]))),
+        (hello_bytes(0, &[]), PeerResponse::Hello(hello(vec![]))),
         (
             Bytes::variant(1).u32(1).u16(200).bytes(&[1]),
-            Reply::Heartbeats(vec![(200, vec![1])]),
+            PeerResponse::Heartbeats(vec![(200, vec![1])]),
         ),
-        (Bytes::variant(2).u8(0), Reply::Command(None)),
+        (Bytes::variant(2).u8(0), PeerResponse::Command(None)),
         (
             Bytes::variant(2).u8(1).bytes(&[3]),
-            Reply::Command(Some(vec![3])),
+            PeerResponse::Command(Some(vec![3])),
         ),
         (
             Bytes::variant(3).u32(5).u8(0).u8(1).u8(2).u8(3).u8(4),
-            Reply::JobStandings(vec![
-                JobStanding::Silence,
-                JobStanding::NeverAccepted,
-                JobStanding::Live,
-                JobStanding::Done,
-                JobStanding::Cancelled,
+            PeerResponse::JobStandings(vec![
+                PeerJobStatus::Silence,
+                PeerJobStatus::NeverAccepted,
+                PeerJobStatus::Live,
+                PeerJobStatus::Done,
+                PeerJobStatus::Cancelled,
             ]),
         ),
         (
             Bytes::variant(4).u16(503).bytes(&[]).u8(1).u64(3),
-            Reply::User(503, vec![], Some(3)),
+            PeerResponse::User(503, vec![], Some(3)),
         ),
         (
             Bytes::variant(5)
@@ -275,19 +281,22 @@
                 .text("wk-000003")
                 .u64(13)
                 .u8(0),
-            Reply::Cancellations {
+            PeerResponse::Cancellations {
                 incarnation: 77,
                 continues: true,
-                uids: vec!["wk-000003".into()],
+                job_ids: vec!["wk-000003".into()],
                 next: 13,
                 more: false,
             },
         ),
-        (Bytes::variant(6).u8(1), Reply::Cancelled(true)),
+        (Bytes::variant(6).u8(1), PeerResponse::Cancelled(true)),
     ];
     for (old, new) in replies {
         let frame = old.frame();
-        assert_eq!(read_frame::<Reply>(&mut frame.as_slice()).unwrap(), new);
+        assert_eq!(
+            read_frame::<PeerResponse>(&mut frame.as_slice()).unwrap(),
+            new
+        );
         assert_eq!(borsh::to_vec(&new).unwrap(), old.0, "{new:?}");
     }
 }
@@ -314,7 +323,7 @@
         assert_eq!((frames_of(&said), says_fallen(&said)), (3, fallen));
         // The production version reads the answer that says so as it stands.
         let texts: Vec<&str> = said.iter().map(String::as_str).collect();
-        let new = borsh::to_vec(&Reply::Hello(hello(said.clone()))).unwrap();
+        let new = borsh::to_vec(&PeerResponse::Hello(hello(said.clone()))).unwrap();
         assert_eq!(new, hello_bytes(0, &texts).0);
     }
 }
--- a/tests/watermark.rs
+++ b/tests/watermark.rs
@@ -3,11 +3,13 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::{Action, Answer};
-use cypressgap::core::ledger::Verdict;
+use cypressgap::core::leadership::cancellation_watermark::{
+    self, patience, CancellationReport, ClockReading, Watermark, MIN_PATIENCE,
+};
 use cypressgap::core::model::*;
-use cypressgap::core::watermark::{self, patience, Moment, Statement, Watermark, LEAST_PATIENCE};
-use cypressgap::runtime::view::View;
+use cypressgap::core::persistence::ledger::JobOutcome;
+use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap::runtime::node_view::NodeView;
 use std::time::{Duration, Instant, SystemTime};
 
 #[test]
@@ -26,7 +28,7 @@
         let (lease, cancel) = (secs_f(lease), secs_f(cancel));
         let (p, k) = patience(lease, cancel);
         assert_eq!((p.as_secs(), k), (whole, keeps), "{lease:?} {cancel:?}");
-        assert!(p >= LEAST_PATIENCE);
+        assert!(p >= MIN_PATIENCE);
         if keeps {
             // A lease renewed at the last moment ends in time, on clocks that drift.
             assert!(p + lease.mul_f64(1.001) < cancel.mul_f64(0.999));
@@ -134,7 +136,7 @@
             2,
         ),
     ];
-    let start = Moment::now();
+    let start = ClockReading::now();
     let at = |s: u64| start.at(start.steady + secs(s));
     for (name, peers, happens, expected) in cases {
         let mut w = Watermark::new(at(0), peers.iter().map(|p| p.to_string()));
@@ -143,7 +145,7 @@
                 Read(asked) => w.read(at(asked)),
                 Told(peer, asked, came, continues) => {
                     let (asked, came) = (at(asked), at(came));
-                    let word = Statement {
+                    let word = CancellationReport {
                         asked,
                         came,
                         continues,
@@ -163,9 +165,9 @@
 /// Guards against a process that stood still, whose steady clock stood with it.
 #[test]
 fn the_clock_that_says_more_counts() {
-    let start = Moment::now();
+    let start = ClockReading::now();
     let w = Watermark::new(start, ["b".to_owned()]);
-    let later = |steady: u64, day: u64| Moment {
+    let later = |steady: u64, day: u64| ClockReading {
         steady: start.steady + secs(steady),
         day: start.day + secs(day),
     };
@@ -173,7 +175,7 @@
     assert!(!w.renews(later(2, 10), secs(10)));
     assert!(!w.renews(later(10, 2), secs(10)));
     // A time of day set back says nothing.
-    let back = Moment {
+    let back = ClockReading {
         steady: start.steady + secs(9),
         day: start.day - secs(50),
     };
@@ -181,12 +183,12 @@
 }
 
 /// A running task on a machine of a leader with one peer.
-fn in_doubt() -> (World, Attempt) {
+fn in_doubt() -> (World, AttemptId) {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let attempt = launches(&w.settle())[0].2;
-    let read = Moment {
+    let read = ClockReading {
         steady: w.now,
         day: SystemTime::now(),
     };
@@ -198,32 +200,38 @@
 /// The gap: without the state service and its peers' word a leader answers only while a lease
 /// renewed then ends in time. What reports show is taken, and kills go out by themselves.
 #[test]
-fn past_the_watermark_reports_are_taken_and_not_answered() {
+fn past_the_watermark_heartbeats_are_taken_and_not_answered() {
     let (mut w, attempt) = in_doubt();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let (bound, _) = patience(w.c.params.lease, w.c.params.cancel);
+    let (bound, _) = patience(w.c.config.lease, w.c.config.cancel);
     w.heartbeat("i-1", 2, tasks());
     // The process runs all the while.
     w.run(bound.as_secs() - 1);
     w.heartbeat("i-1", 3, tasks());
-    let answered = w.c.hosts[&HostId::from("i-1")].last_answer;
+    let answered = w.c.machines[&MachineId::from("i-1")].last_answer;
     w.run(2);
-    let epoch = w.c.hosts[&HostId::from("i-1")].epoch.0;
-    let report = World::report("i-1", 1, 4, epoch, tasks());
-    assert_eq!(w.c.on_report(w.now, report, true), Answer::Withheld);
-    let h = &w.c.hosts[&HostId::from("i-1")];
+    let token = w.c.machines[&MachineId::from("i-1")].token.0;
+    let heartbeat = World::heartbeat_from("i-1", 1, 4, token, tasks());
+    assert_eq!(
+        w.c.on_heartbeat(w.now, heartbeat, true),
+        HeartbeatDecision::Withheld
+    );
+    let h = &w.c.machines[&MachineId::from("i-1")];
     assert_eq!(h.last_answer, answered, "no lease is renewed in the books");
-    assert_eq!((h.serial, h.last_report), (4, w.now), "yet it was heard");
+    assert_eq!((h.serial, h.last_heartbeat), (4, w.now), "yet it was heard");
     // A late copy's answer would renew a lease too.
-    let copy = World::report("i-1", 1, 2, epoch, tasks());
-    assert_eq!(w.c.on_report(w.now, copy, true), Answer::Withheld);
+    let copy = World::heartbeat_from("i-1", 1, 2, token, tasks());
+    assert_eq!(
+        w.c.on_heartbeat(w.now, copy, true),
+        HeartbeatDecision::Withheld
+    );
     // A peer's word about the job: the kill goes straight to the machine.
     w.c.on_cancel_marked(w.now, &"wk-000001".into());
     let kills = |actions: &[Action]| {
         actions.iter().any(|a| match a {
-            Action::Send { directives, .. } => directives
+            Action::Send { commands, .. } => commands
                 .iter()
-                .any(|d| matches!(d, Directive::Kill { .. })),
+                .any(|d| matches!(d, TaskCommand::Kill { .. })),
             _ => false,
         })
     };
@@ -232,7 +240,7 @@
     w.run(31);
     assert_eq!(w.active("wk-000001", 0), None);
     // The state service is back: reports are answered again.
-    let read = Moment {
+    let read = ClockReading {
         steady: w.now,
         day: SystemTime::now(),
     };
@@ -259,22 +267,26 @@
 
 #[test]
 fn a_nodes_withdrawals_are_read_by_position() {
-    let v = View::new(Instant::now());
-    let uid = |n: u32| Uid::from(format!("wk-{n:06}").as_str());
+    let v = NodeView::new(Instant::now());
+    let job_id = |n: u32| JobId::from(format!("wk-{n:06}").as_str());
     let learn = |from: u32, to: u32| {
         for n in from..to {
-            v.remember_final(&uid(n), Verdict::Cancelled);
+            v.remember_final(&job_id(n), JobOutcome::Cancelled);
         }
     };
     learn(0, 3);
     // The first look covers nothing; it tells where to begin.
     let first = v.cancellations(None);
-    assert_eq!((first.continues, first.uids.len()), (false, 0));
+    assert_eq!((first.continues, first.job_ids.len()), (false, 0));
     assert!(!first.more);
     learn(0, 5);
-    v.remember_final(&uid(900), Verdict::Done);
+    v.remember_final(&job_id(900), JobOutcome::Done);
     let page = v.cancellations(Some((first.incarnation, first.next)));
-    assert_eq!(page.uids, vec![uid(3), uid(4)], "each once, and only those");
+    assert_eq!(
+        page.job_ids,
+        vec![job_id(3), job_id(4)],
+        "each once, and only those"
+    );
     assert!(page.continues && !page.more);
     // Another life's position, and one that is not kept any more or not reached yet.
     assert!(!v.cancellations(Some((first.incarnation ^ 1, 0))).continues);
@@ -290,13 +302,13 @@
     loop {
         let p = v.cancellations(Some((first.incarnation, at)));
         assert!(p.continues);
-        got.extend(p.uids);
+        got.extend(p.job_ids);
         at = p.next;
         if !p.more {
             break;
         }
     }
-    let expected: Vec<Uid> = (19_000..31_000).map(uid).collect();
+    let expected: Vec<JobId> = (19_000..31_000).map(job_id).collect();
     assert_eq!(got, expected);
 }
 
@@ -319,9 +331,9 @@
     let tenths = |d: Duration| (d.as_secs_f64() * 10.0).round() as u64;
     for (lease, cancel, age, over) in cases {
         let (lease, cancel) = (secs(lease), secs(cancel));
-        let (patience, kept) = watermark::patience(lease, cancel);
+        let (patience, kept) = cancellation_watermark::patience(lease, cancel);
         assert_eq!(tenths(patience), age, "{lease:?} {cancel:?}");
-        let overshoot = watermark::overshoot(lease, cancel);
+        let overshoot = cancellation_watermark::overshoot(lease, cancel);
         assert_eq!(tenths(overshoot), over, "{lease:?} {cancel:?}");
         assert_eq!(
             kept,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -2,8 +2,8 @@
 
 use cypressgap::core::admission::fits_a_value;
 use cypressgap::core::model::*;
-use cypressgap::net::peer::{read_frame, write_frame, Ask, Hello};
-use cypressgap::net::wire::{decode, encode, StoredJob, Submission, WireReport};
+use cypressgap::net::peer::{read_frame, write_frame, Hello, PeerRequest};
+use cypressgap::net::wire::{decode, encode, StoredJob, Submission, WireHeartbeat};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
 #[test]
 fn submissions() {
     let spec = read(&submission()).unwrap();
-    assert_eq!((spec.shards, spec.kind), (16, JobKind::Gang));
+    assert_eq!((spec.task_count, spec.kind), (16, JobKind::Gang));
     // What the state service gives back is the same job.
     let stored: StoredJob = decode(&encode(&StoredJob::from(&spec))).unwrap();
     assert_eq!(stored.into_spec(), Some(spec));
@@ -125,15 +125,15 @@
     };
     // Each counts once, however often it is named.
     let spec = named(&["wk-000405", "wk-000398", "wk-000405"]);
-    let expected: Vec<Uid> = vec!["wk-000398".into(), "wk-000405".into()];
-    assert_eq!(spec.needs, expected);
+    let expected: Vec<JobId> = vec!["wk-000398".into(), "wk-000405".into()];
+    assert_eq!(spec.dependencies, expected);
     let stored = StoredJob::from(&spec);
     let back: StoredJob = decode(&encode(&stored)).unwrap();
     assert_eq!(back.into_spec(), Some(spec));
     // Only what is not over stays in the record, and all of it counts for the record's size.
     let mut kept = stored.clone();
-    kept.keep_needs(&["wk-000405".into()], false);
-    assert_eq!(kept.needs(), ["wk-000405"]);
+    kept.keep_dependencies(&["wk-000405".into()], false);
+    assert_eq!(kept.dependencies(), ["wk-000405"]);
     assert!(kept.size_bound() < stored.size_bound());
     let many: Vec<&'static str> = vec!["wk-00000000000000000001"; 1];
     let one = StoredJob::from(&named(&many)).size_bound();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn reports() {
+fn heartbeats() {
     let task = |name, phase, why: Option<&'static str>| {
         let mut m = BTreeMap::from([
             ("Shard", V::T(name)),
@@ -171,7 +171,7 @@
         }
         V::M(m)
     };
-    let report = |tasks: Vec<V>| {
+    let heartbeat = |tasks: Vec<V>| {
         let m = BTreeMap::from([
             ("Host", V::T("i-000231")),
             ("Endpoint", V::T("10.1.0.232:9000")),
@@ -184,23 +184,31 @@
             ("EvictionS", V::N(None)),
             ("Shards", V::L(tasks)),
         ]);
-        decode::<WireReport>(&encode(&m)).and_then(|r| r.into_report())
+        decode::<WireHeartbeat>(&encode(&m)).and_then(|r| r.into_heartbeat())
     };
     let cases = [
         ("fetching", None, Some(TaskPhase::Fetching)),
-        ("gathering", None, Some(TaskPhase::Gathering)),
-        ("flushing", None, Some(TaskPhase::Flushing)),
-        ("ended", Some("done"), Some(TaskPhase::Ended(Exit::Done))),
-        ("ended", Some("novel"), Some(TaskPhase::Ended(Exit::Error))),
+        ("gathering", None, Some(TaskPhase::WaitingForGang)),
+        ("flushing", None, Some(TaskPhase::Checkpointing)),
+        (
+            "ended",
+            Some("done"),
+            Some(TaskPhase::Ended(ExitReason::Completed)),
+        ),
+        (
+            "ended",
+            Some("novel"),
+            Some(TaskPhase::Ended(ExitReason::Failed)),
+        ),
         ("ended", None, None),
         ("sleeping", None, None),
     ];
     for (phase, why, expected) in cases {
-        let read = report(vec![task("wk-000412/3", phase, why)]);
+        let read = heartbeat(vec![task("wk-000412/3", phase, why)]);
         assert_eq!(read.map(|r| r.tasks[0].phase), expected, "{phase}");
     }
     // Leaving an unreadable task out would look like proof that it is gone.
-    let odd = report(vec![
+    let odd = heartbeat(vec![
         task("wk-000412/3", "running", None),
         task("x", "running", None),
     ]);
@@ -209,28 +217,31 @@
 
 #[test]
 fn peer_frames() {
-    let hello = Ask::Hello(Hello {
+    let hello = PeerRequest::Hello(Hello {
         member: "worker-1".into(),
         leads: Some(4),
         highest: 4,
         store_ok: true,
         users_changes: 3.5,
         leader_changes: 0.0,
-        strain_ms: 12,
+        timer_lag_ms: 12,
         workers: 3,
         progress: vec![("wk-000001".into(), 1, 2)],
         over: vec![],
     });
     let mut wire = Vec::new();
     write_frame(&mut wire, &hello).unwrap();
-    assert_eq!(read_frame::<Ask>(&mut wire.as_slice()).unwrap(), hello);
+    assert_eq!(
+        read_frame::<PeerRequest>(&mut wire.as_slice()).unwrap(),
+        hello
+    );
     let bad: [&[u8]; 3] = [
         &wire[..wire.len() - 1],
         &[255, 255, 255, 255, 0],
         &[1, 0, 0, 0, 9],
     ];
     for frame in bad {
-        assert!(read_frame::<Ask>(&mut &frame[..]).is_err());
+        assert!(read_frame::<PeerRequest>(&mut &frame[..]).is_err());
     }
 }
 
@@ -252,7 +263,7 @@
     ];
     for (name, types, fits) in cases {
         let mut s = read(&submission()).expect("a submission");
-        s.host_types = Some(types.iter().map(|t| t.as_str().into()).collect());
+        s.machine_types = Some(types.iter().map(|t| t.as_str().into()).collect());
         let size = StoredJob::from(&s).size_bound();
         // The bound holds: this form is shorter than the one that sizes are measured in.
         assert!(size > encode(&StoredJob::from(&s)).len(), "{name}");
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -4,23 +4,23 @@
 mod common;
 
 use common::*;
-use cypressgap::core::cluster::Action;
-use cypressgap::core::ledger::{BatchOutcome, ChunkValue};
 use cypressgap::core::model::*;
-use cypressgap::core::zones::{permits, ZoneUse};
+use cypressgap::core::persistence::ledger::{BatchOutcome, ChunkValue};
+use cypressgap::core::placement::zone_constraints::{permits, ZoneUse};
+use cypressgap::core::state::cluster_state::Action;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 fn two_zones(cpus: f64) -> World {
-    let mut p = params();
+    let mut p = config();
     p.teams[0].cpus_max = None;
-    let mut kind = host_type("m32", cpus);
-    kind.sites = vec!["a".into(), "b".into()];
+    let mut kind = machine_type("m32", cpus);
+    kind.zones = vec!["a".into(), "b".into()];
     World::with(p, vec![kind])
 }
 
-fn site_of(host: &str) -> &'static str {
-    let n: u32 = host[2..].parse().expect("a number");
+fn zone_of(machine: &str) -> &'static str {
+    let n: u32 = machine[2..].parse().expect("a number");
     if n % 2 == 0 {
         "a"
     } else {
@@ -29,17 +29,23 @@
 }
 
 /// A report at the host's token, as a heartbeat: its directives.
-fn report_of(w: &mut World, host: &str, tenure: u64, serial: u64, tasks: Vec<TaskReport>) {
-    let known = w.c.hosts.get(&HostId::from(host));
-    let epoch = known.map_or(Epoch::first(w.c.term).0, |h| h.epoch.0);
-    let mut r = World::report(host, tenure, serial, epoch, tasks);
-    r.host_type = "m32".into();
-    r.site = site_of(host).into();
-    w.c.on_report(w.now, r, true);
+fn heartbeat_of(
+    w: &mut World,
+    machine: &str,
+    incarnation: u64,
+    serial: u64,
+    tasks: Vec<TaskStatus>,
+) {
+    let known = w.c.machines.get(&MachineId::from(machine));
+    let token = known.map_or(FencingToken::first(w.c.term).0, |h| h.token.0);
+    let mut r = World::heartbeat_from(machine, incarnation, serial, token, tasks);
+    r.machine_type = "m32".into();
+    r.zone = zone_of(machine).into();
+    w.c.on_heartbeat(w.now, r, true);
 }
 
-fn tied(uid: &str, shards: u32, same_place: bool) -> JobSpec {
-    let mut s = spec(uid, shards, 8.0);
+fn tied(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
+    let mut s = spec(job_id, task_count, 8.0);
     (s.same_place, s.spread) = (same_place, !same_place);
     s
 }
@@ -71,17 +77,17 @@
             &[],
         ),
     ];
-    for (same_place, spread, shards, starts, allowed) in cases {
-        let mut s = spec("wk-000001", shards, 1.0);
+    for (same_place, spread, task_count, starts, allowed) in cases {
+        let mut s = spec("wk-000001", task_count, 1.0);
         (s.same_place, s.spread) = (same_place, spread);
         let mut zones = ZoneUse::default();
-        for (site, changes) in starts {
+        for (zone, changes) in starts {
             let why = format!("{same_place} {spread} {starts:?}");
-            assert_eq!(zones.start_in(&s, &Site::from(*site)), *changes, "{why}");
+            assert_eq!(zones.start_in(&s, &Zone::from(*zone)), *changes, "{why}");
         }
-        for site in ["a", "b"] {
-            let may = permits(&s, &zones, &"m32".into(), &site.into(), true);
-            assert_eq!(may, allowed.contains(&site), "{starts:?} {site}");
+        for zone in ["a", "b"] {
+            let may = permits(&s, &zones, &"m32".into(), &zone.into(), true);
+            assert_eq!(may, allowed.contains(&zone), "{starts:?} {zone}");
         }
     }
 }
@@ -110,18 +116,19 @@
         Loss::Returned,
     ] {
         let mut w = two_zones(16.0);
-        let hosts: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
-        for h in &hosts {
-            report_of(&mut w, h, 1, 1, vec![]);
+        let machines: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
+        for h in &machines {
+            heartbeat_of(&mut w, h, 1, 1, vec![]);
         }
         w.job(tied("wk-000001", 8, true));
         // What is on each machine, the truth of the matter.
-        let mut on: BTreeMap<String, BTreeMap<u32, (Attempt, Instant)>> = BTreeMap::new();
+        let mut on: BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>> = BTreeMap::new();
         let mut done: BTreeSet<u32> = BTreeSet::new();
-        let mut tenure: BTreeMap<String, u64> = hosts.iter().map(|h| (h.clone(), 1)).collect();
+        let mut incarnation: BTreeMap<String, u64> =
+            machines.iter().map(|h| (h.clone(), 1)).collect();
         let mut serial = 10;
         let mut lost: BTreeSet<String> = BTreeSet::new();
-        let (run, lease) = (secs(20), w.c.params.lease);
+        let (run, lease) = (secs(20), w.c.config.lease);
         let start = w.now;
         while !w.c.jobs.is_empty() && w.now - start < secs(400) {
             w.pass(secs(1));
@@ -134,7 +141,8 @@
                 assert!(!lost.is_empty(), "{loss:?}");
                 match loss {
                     Loss::Returned => {
-                        let gone: Vec<HostId> = lost.iter().map(|h| HostId(h.clone())).collect();
+                        let gone: Vec<MachineId> =
+                            lost.iter().map(|h| MachineId(h.clone())).collect();
                         lost.iter()
                             .for_each(|h| on.entry(h.clone()).or_default().clear());
                         w.c.on_returned(w.now, &gone);
@@ -151,11 +159,11 @@
                 if !matches!(loss, Loss::Returned) {
                     for h in std::mem::take(&mut lost) {
                         on.entry(h.clone()).or_default().clear();
-                        *tenure.entry(h).or_default() += 1;
+                        *incarnation.entry(h).or_default() += 1;
                     }
                 }
             }
-            for h in &hosts {
+            for h in &machines {
                 let away = lost.contains(h);
                 if away && !matches!(loss, Loss::NoHeartbeats) {
                     continue;
@@ -165,13 +173,13 @@
                     let over = w.now - *began >= run;
                     let phase = if over {
                         done.insert(*index);
-                        TaskPhase::Ended(Exit::Done)
+                        TaskPhase::Ended(ExitReason::Completed)
                     } else {
                         TaskPhase::Running
                     };
                     listed.push(shown("wk-000001", *index, *attempt, phase));
                 }
-                report_of(&mut w, h, tenure[h], serial, listed);
+                heartbeat_of(&mut w, h, incarnation[h], serial, listed);
             }
             let actions = w.c.tick(w.now);
             for a in actions {
@@ -182,21 +190,21 @@
                         w.c.on_batch(w.now, BatchOutcome::Applied { revision });
                     }
                     Action::Send {
-                        host, directives, ..
+                        machine, commands, ..
                     } => {
-                        w.c.on_sent(w.now, &host, None);
-                        if lost.contains(&host.0) {
+                        w.c.on_sent(w.now, &machine, None);
+                        if lost.contains(&machine.0) {
                             continue;
                         }
-                        for d in directives {
-                            carry_out(&w, &mut on, &host.0, d, loss);
+                        for d in commands {
+                            carry_out(&w, &mut on, &machine.0, d, loss);
                         }
                     }
-                    Action::Return { hosts } => {
-                        for h in &hosts {
+                    Action::Return { machines } => {
+                        for h in &machines {
                             on.entry(h.0.clone()).or_default().clear();
                         }
-                        w.c.on_returned(w.now, &hosts);
+                        w.c.on_returned(w.now, &machines);
                     }
                     _ => {}
                 }
@@ -209,27 +217,29 @@
 
 fn carry_out(
     w: &World,
-    on: &mut BTreeMap<String, BTreeMap<u32, (Attempt, Instant)>>,
-    host: &str,
-    d: Directive,
+    on: &mut BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>>,
+    machine: &str,
+    d: TaskCommand,
     loss: Loss,
 ) {
     match d {
-        Directive::Launch { task, attempt } => {
-            let others = on.iter().filter(|(h, _)| h.as_str() != host);
+        TaskCommand::Launch { task, attempt } => {
+            let others = on.iter().filter(|(h, _)| h.as_str() != machine);
             for (h, tasks) in others {
                 assert!(
                     !tasks.contains_key(&task.index),
                     "{loss:?}: {task} twice, on {h}"
                 );
-                let elsewhere = !tasks.is_empty() && site_of(h) != site_of(host);
+                let elsewhere = !tasks.is_empty() && zone_of(h) != zone_of(machine);
                 assert!(!elsewhere, "{loss:?}: {task} in another zone than on {h}");
             }
-            let tasks = on.entry(host.to_owned()).or_default();
+            let tasks = on.entry(machine.to_owned()).or_default();
             tasks.entry(task.index).or_insert((attempt, w.now));
         }
-        Directive::Kill { task, .. } | Directive::Forget { task, .. } => {
-            on.entry(host.to_owned()).or_default().remove(&task.index);
+        TaskCommand::Kill { task, .. } | TaskCommand::Forget { task, .. } => {
+            on.entry(machine.to_owned())
+                .or_default()
+                .remove(&task.index);
         }
     }
 }
@@ -238,7 +248,7 @@
 fn rounds(job: JobSpec) -> (Duration, usize) {
     let mut w = two_zones(32.0);
     for n in 0..900 {
-        report_of(&mut w, &format!("i-{n}"), 1, 1, vec![]);
+        heartbeat_of(&mut w, &format!("i-{n}"), 1, 1, vec![]);
     }
     w.c.tick(w.now);
     w.job(job);
@@ -249,10 +259,10 @@
         w.c.tick(w.now);
         took += began.elapsed();
     }
-    let job = &w.c.jobs[&Uid::from("wk-000001")];
-    let sites: BTreeSet<&str> = job.active.values().map(|a| site_of(&a.host.0)).collect();
+    let job = &w.c.jobs[&JobId::from("wk-000001")];
+    let zones: BTreeSet<&str> = job.active.values().map(|a| zone_of(&a.machine.0)).collect();
     if job.spec.same_place {
-        assert_eq!(sites.len(), 1, "one zone");
+        assert_eq!(zones.len(), 1, "one zone");
     }
     (took, job.active.len())
 }
@@ -284,13 +294,13 @@
         let mut w = two_zones(32.0);
         w.job(tied("wk-000001", 3, same_place));
         let active = vec![
-            (0, Attempt(100), HostId::from("i-9")),
-            (1, Attempt(101), HostId::from("i-9")),
+            (0, AttemptId(100), MachineId::from("i-9")),
+            (1, AttemptId(101), MachineId::from("i-9")),
         ];
         let value = ChunkValue { done: 0, active };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         for h in ["i-2", "i-3"] {
-            report_of(&mut w, h, 1, 1, vec![]);
+            heartbeat_of(&mut w, h, 1, 1, vec![]);
         }
         let started = |actions: &[Action]| {
             let launched = launches(actions).into_iter().map(|l| (l.0, l.1.index));
@@ -298,19 +308,19 @@
         };
         assert_eq!(started(&w.settle()), vec![], "same place {same_place}");
         let listed = [0, 1].map(|i| {
-            let attempt = Attempt(100 + u64::from(i));
+            let attempt = AttemptId(100 + u64::from(i));
             shown("wk-000001", i, attempt, TaskPhase::Running)
         });
-        report_of(&mut w, "i-9", 1, 1, listed.to_vec());
+        heartbeat_of(&mut w, "i-9", 1, 1, listed.to_vec());
         for h in ["i-2", "i-3"] {
-            report_of(&mut w, h, 1, 2, vec![]);
+            heartbeat_of(&mut w, h, 1, 2, vec![]);
         }
         // Two of three run in zone b: the third belongs there, or must go to the other one.
         let zone = if same_place { "b" } else { "a" };
-        let sites: Vec<&str> = started(&w.settle())
+        let zones: Vec<&str> = started(&w.settle())
             .iter()
-            .map(|l| site_of(&l.0 .0))
+            .map(|l| zone_of(&l.0 .0))
             .collect();
-        assert_eq!(sites, [zone], "same place {same_place}");
+        assert_eq!(zones, [zone], "same place {same_place}");
     }
 }
