--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -26,11 +26,12 @@
             let on_the_way: u32 = self.capacity.replacing.values().sum();
             // Of each type: ordinary machines, and those of them that are in use and could move.
             let mut kinds: BTreeMap<&MachineTypeName, (u32, u32)> = BTreeMap::new();
-            for h in self.machines.values() {
+            for h in self.fleet.machines.values() {
                 if h.spot || h.draining || h.returning || !h.reported {
                     continue;
                 }
                 let expensive = self
+                    .fleet
                     .machine_type(&h.machine_type)
                     .is_some_and(|t| t.hourly > t.low_price * EXPENSIVE_FACTOR);
                 let can_move = h.placed.keys().all(|t| {
@@ -51,7 +52,7 @@
                 .filter(|(h, _)| h.spot)
                 .map(|(_, free)| free.cpus)
                 .sum();
-            let ordinary = self.machines.values().filter(|h| !h.spot);
+            let ordinary = self.fleet.machines.values().filter(|h| !h.spot);
             let wanted: f64 = ordinary.map(|h| h.used.cpus).sum();
             let mut allowed = REPLACING
                 .max(all / REPLACING_PART)
@@ -63,7 +64,7 @@
             if let Some((name, (ordinary, busy))) = candidate.filter(|_| allowed > 0) {
                 let name = name.clone();
                 let under_way = self.capacity.replacing.get(&name).copied().unwrap_or(0);
-                let zones = self.machine_type(&name).map(|t| t.zones.clone());
+                let zones = self.fleet.machine_type(&name).map(|t| t.zones.clone());
                 let offer = zones.unwrap_or_default().into_iter().find_map(|s| {
                     let offer = (name.clone(), s, true);
                     (!self.is_refused(now, &offer)).then_some(offer)
@@ -86,7 +87,7 @@
         }
         for (name, n) in std::mem::take(&mut self.capacity.replaced) {
             let mut left = n;
-            for h in self.machines.values_mut() {
+            for h in self.fleet.machines.values_mut() {
                 if left > 0
                     && h.machine_type == name
                     && !h.spot
@@ -112,13 +113,14 @@
             .collect();
         let headroom = self.headroom(now);
         let mut expensive: Vec<(f64, &Machine)> = self
+            .fleet
             .machines
             .values()
             .filter(|h| h.reported && !h.spot && !h.draining && !h.returning)
             // Idle ones have their own time to go: a service that has just started has no tasks.
             .filter(|h| !h.placed.is_empty())
             .filter_map(|h| {
-                let t = self.machine_type(&h.machine_type)?;
+                let t = self.fleet.machine_type(&h.machine_type)?;
                 (t.hourly > t.low_price * EXPENSIVE_FACTOR).then_some((t.hourly, h))
             })
             .collect();
@@ -159,7 +161,7 @@
             }
         }
         for id in drained {
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 log::info!("host is drained, spot machines have room host={id}");
                 h.draining = true;
             }
@@ -174,13 +176,13 @@
             .free_room(now)
             .into_iter()
             .filter_map(|(h, free)| {
-                let t = self.machine_type(&h.machine_type)?;
+                let t = self.fleet.machine_type(&h.machine_type)?;
                 Some((h, free, h.used.share_of(&t.room)))
             })
             .collect();
         // The fullest take; of equally full ones the cheaper.
         let price = |h: &Machine| {
-            let t = self.machine_type(&h.machine_type);
+            let t = self.fleet.machine_type(&h.machine_type);
             t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
         };
         room.sort_by(|a, b| {
@@ -189,7 +191,7 @@
                 .then(a.0.id.cmp(&b.0.id))
         });
         let headroom = self.headroom(now);
-        let moving = self.machines.values().filter(|h| h.draining).count();
+        let moving = self.fleet.machines.values().filter(|h| h.draining).count();
         let mut most = (room.len() / MOVING_PART).max(1).saturating_sub(moving);
         let mut moves: Vec<(MachineId, Vec<(TaskId, Duration)>)> = Vec::new();
         let mut last = room.len();
@@ -238,7 +240,7 @@
                 "host is drained, its tasks move together host={id} tasks={}",
                 tasks.len()
             );
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 h.draining = true;
             }
             for (t, grace) in tasks {
@@ -276,11 +278,12 @@
     pub(in crate::core) fn keep_draining(&mut self, round: &Round) {
         let mut draining: Vec<(&Machine, Resources)> = Vec::new();
         for h in self
+            .fleet
             .machines
             .values()
             .filter(|h| h.draining && !h.returning)
         {
-            if let Some(t) = self.machine_type(&h.machine_type) {
+            if let Some(t) = self.fleet.machine_type(&h.machine_type) {
                 let mut free = t.room;
                 free.sub(&h.used);
                 draining.push((h, free));
@@ -297,7 +300,7 @@
             let Some(job) = self.jobs.get(&w.job_id) else {
                 continue;
             };
-            let zone_of = |h: &MachineId| self.machines.get(h).map(|h| h.zone.clone());
+            let zone_of = |h: &MachineId| self.fleet.machines.get(h).map(|h| h.zone.clone());
             let zones = ZoneUse::of(job, &zone_of);
             let mut left = w.count;
             draining.retain(|(h, free)| {
@@ -313,10 +316,10 @@
             });
         }
         for id in kept {
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 log::info!("host is kept after all host={id}");
                 h.draining = false;
-                self.round_due = true;
+                self.schedule.request_round();
             }
         }
     }
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -20,6 +20,7 @@
                 continue;
             };
             let suits = self
+                .fleet
                 .types
                 .iter()
                 .filter(|t| resources.count_in(&t.room) > 0);
@@ -78,11 +79,11 @@
     /// headroom, where other machines serve.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let apart = |t: &&MachineType| {
-            resources.count_in(&t.room) > 0 && !contested(&self.crowded_out, resources, t)
+            resources.count_in(&t.room) > 0 && !contested(&self.unplaced_resources, resources, t)
         };
-        let types: Vec<&MachineType> = self.types.iter().filter(apart).collect();
+        let types: Vec<&MachineType> = self.fleet.types.iter().filter(apart).collect();
         if types.is_empty() {
-            return self.types.iter().collect();
+            return self.fleet.types.iter().collect();
         }
         types
     }
@@ -96,9 +97,9 @@
         types: &[&MachineType],
     ) -> usize {
         let counts = |name: &MachineTypeName| types.iter().any(|t| &t.name == name);
-        let all = types.len() == self.types.len();
+        let all = types.len() == self.fleet.types.len();
         let spare = round.spare.iter().filter(|(id, _)| {
-            let machine = self.machines.get(id);
+            let machine = self.fleet.machines.get(id);
             all || machine.is_some_and(|h| counts(&h.machine_type))
         });
         let planned = plan
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -53,6 +53,8 @@
 /// Rentals under way, and what was learned of machine types and classes.
 #[derive(Debug, Default)]
 pub struct Capacity {
+    /// When machines were last returned.
+    pub(in crate::core) last_return: Option<Instant>,
     pub(in crate::core) idempotency_keys: u64,
     pub(in crate::core) rentals: BTreeMap<String, Rental>,
     pub(in crate::core) refused: HashMap<Offer, (Instant, u32)>,
@@ -173,8 +175,9 @@
     /// reported, or they have had time to.
     pub(in crate::core) fn settled(&self, now: Instant) -> bool {
         let quiet = |h: &Machine| h.booting.is_none() && !h.reported && !h.returning;
-        let all = self.capacity.listed && !self.machines.values().any(quiet);
-        all || now.saturating_duration_since(self.started) >= self.config.heartbeat.mul_f64(1.3)
+        let all = self.capacity.listed && !self.fleet.machines.values().any(quiet);
+        all || now.saturating_duration_since(self.liveness.started)
+            >= self.config.heartbeat.mul_f64(1.3)
     }
 
     pub(in crate::core) fn is_refused(&self, now: Instant, offer: &Offer) -> bool {
@@ -211,7 +214,7 @@
                 continue;
             }
             r.sent = true;
-            self.actions.push(Action::Rent {
+            self.outbox.push(Action::Rent {
                 idempotency_key: idempotency_key.clone(),
                 machine_type: r.offer.0.clone(),
                 zone: r.offer.1.clone(),
@@ -247,10 +250,10 @@
                 }
                 let term = self.term;
                 for id in ids {
-                    if self.is_tombstone(&id) {
+                    if self.fleet.is_tombstone(&id) {
                         continue;
                     }
-                    self.machines.entry(id.clone()).or_insert_with(|| {
+                    self.fleet.machines.entry(id.clone()).or_insert_with(|| {
                         let (t, s, spot) = r.offer.clone();
                         let mut h = Machine::new(id, t, s, spot, term, now);
                         h.booting = Some(now);
@@ -260,7 +263,7 @@
                 }
             }
         }
-        self.round_due = true;
+        self.schedule.request_round();
     }
 
     pub(in crate::core) fn refuse(&mut self, now: Instant, offer: Offer) {
@@ -277,10 +280,10 @@
         self.capacity.listed = true;
         let term = self.term;
         for l in listed {
-            if self.is_tombstone(&l.id) {
+            if self.fleet.is_tombstone(&l.id) {
                 continue;
             }
-            let h = self.machines.entry(l.id.clone()).or_insert_with(|| {
+            let h = self.fleet.machines.entry(l.id.clone()).or_insert_with(|| {
                 log::info!("adopting listed host={} phase={:?}", l.id, l.phase);
                 let mut h = Machine::new(
                     l.id.clone(),
@@ -303,7 +306,9 @@
             let probe = !h.reported && !h.probed && !l.endpoint.is_empty();
             if probe && l.phase == CloudMachinePhase::Running {
                 h.probed = true;
-                self.probes.push_back((l.id.clone(), l.endpoint.clone()));
+                self.outbox
+                    .probes
+                    .push_back((l.id.clone(), l.endpoint.clone()));
             }
             if l.phase == CloudMachinePhase::Failed && !h.returning {
                 log::info!("host failed host={}", l.id);
@@ -317,16 +322,21 @@
     pub(in crate::core) fn probe(&mut self) {
         let mut most = PROBES;
         while most > 0 {
-            let Some((id, endpoint)) = self.probes.pop_front() else {
+            let Some((id, endpoint)) = self.outbox.probes.pop_front() else {
                 return;
             };
-            let Some(h) = self.machines.get(&id).filter(|h| !h.fenced && !h.returning) else {
+            let Some(h) = self
+                .fleet
+                .machines
+                .get(&id)
+                .filter(|h| !h.fenced && !h.returning)
+            else {
                 continue;
             };
             most -= 1;
             // Nearly all are in their first session; one in another answers with its report too.
             let incarnation = if h.reported { h.incarnation } else { 1 };
-            self.actions.push(Action::Probe {
+            self.outbox.push(Action::Probe {
                 machine: id,
                 endpoint,
                 token: h.token,
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -82,8 +82,16 @@
         let limit = self.config.heartbeat.mul_f64(2.5);
         let quiet =
             |h: &&Machine| !h.reported || now.saturating_duration_since(h.last_heartbeat) > limit;
-        let all = self.machines.values().filter(up).count();
-        (all, self.machines.values().filter(up).filter(quiet).count())
+        let all = self.fleet.machines.values().filter(up).count();
+        (
+            all,
+            self.fleet
+                .machines
+                .values()
+                .filter(up)
+                .filter(quiet)
+                .count(),
+        )
     }
 
     /// Returns machines that are of no more use, as fast as the cloud takes them.
@@ -91,7 +99,7 @@
         let survey = self.survey_silence(now);
         self.takeover.survey(survey);
         for (id, why) in self.leaving_machines(now) {
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 log::info!(
                     "returning host={id} why={} tasks={}",
                     why.text(),
@@ -136,10 +144,10 @@
         let lost =
             |h: &&Machine| self.is_silent(now, h, after) || self.is_unreachable(now, h, after);
         let mut survey = SilenceSurvey::default();
-        if self.machines.values().filter(up).filter(lost).count() < MANY {
+        if self.fleet.machines.values().filter(up).filter(lost).count() < MANY {
             return survey;
         }
-        for h in self.machines.values().filter(up) {
+        for h in self.fleet.machines.values().filter(up) {
             let segment = self.takeover.segment_of(&h.endpoint);
             survey.add(&segment, &h.zone, lost(&h));
         }
@@ -147,7 +155,7 @@
     }
 
     pub(in crate::core) fn is_silent(&self, now: Instant, h: &Machine, after: Duration) -> bool {
-        let since = h.last_heartbeat.max(self.awake_since);
+        let since = h.last_heartbeat.max(self.liveness.awake_since);
         now.saturating_duration_since(since) > after
     }
 
@@ -158,14 +166,14 @@
             None if h.fenced || h.own => None,
             None => Some(h.known_since),
         };
-        let since = since.map(|t| t.max(self.awake_since));
+        let since = since.map(|t| t.max(self.liveness.awake_since));
         h.reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
     }
 
     /// When most of a segment, a site or all machines fall silent at once, the fault is more likely on our
     /// side or in the network; but not for longer than their leases last.
     fn fault_may_be_ours(&self, now: Instant, h: &Machine) -> bool {
-        let since = h.last_heartbeat.max(self.awake_since);
+        let since = h.last_heartbeat.max(self.liveness.awake_since);
         let silent = now.saturating_duration_since(since);
         silent <= self.config.lease + self.config.heartbeat
             && self.takeover.silence_scope(&h.endpoint, &h.zone) != SilenceScope::Machine
@@ -174,20 +182,20 @@
     /// Machines that are not on their way back, by what they cost.
     fn most_expensive_first(&self) -> Vec<&Machine> {
         let price = |h: &Machine| {
-            let t = self.machine_type(&h.machine_type);
+            let t = self.fleet.machine_type(&h.machine_type);
             t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
         };
-        let machines = self.machines.values().filter(|h| !h.returning);
+        let machines = self.fleet.machines.values().filter(|h| !h.returning);
         let mut machines: Vec<(f64, &Machine)> = machines.map(|h| (price(h), h)).collect();
         machines.sort_by(|a, b| b.0.total_cmp(&a.0));
         machines.into_iter().map(|(_, h)| h).collect()
     }
 
     fn never_came_up(&self, now: Instant, h: &Machine) -> Option<WhyReturned> {
-        let t = self.machine_type(&h.machine_type);
+        let t = self.fleet.machine_type(&h.machine_type);
         let boot = t.map_or(UNKNOWN_BOOT, |t| t.boot);
         // Its first report may be waiting for us.
-        let awake = now.saturating_duration_since(self.awake_since);
+        let awake = now.saturating_duration_since(self.liveness.awake_since);
         let late = boot.mul_f64(LATE_BOOTS) + LATE_BOOT_MARGIN;
         let booting = h.booting.map(|since| now.saturating_duration_since(since));
         let never = awake > self.config.heartbeat * 2 && booting.is_some_and(|b| b > late);
@@ -209,7 +217,7 @@
         if !(silent || deaf) || self.fault_may_be_ours(now, h) {
             return None;
         }
-        let known = now.saturating_duration_since(h.known_since.max(self.awake_since));
+        let known = now.saturating_duration_since(h.known_since.max(self.liveness.awake_since));
         let expected = h.reported || known > self.config.lease;
         if silent && expected {
             return Some(WhyReturned::Silent);
@@ -259,35 +267,37 @@
     fn send_returns(&mut self, now: Instant) {
         let again = |t: Instant| now.saturating_duration_since(t) > RETURN_AGAIN;
         let mut due: Vec<&Machine> = self
+            .fleet
             .machines
             .values()
             .filter(|h| h.returning && h.return_sent.is_none_or(again))
-            .filter(|h| self.confirmed || h.overdue)
+            .filter(|h| self.leadership.confirmed || h.overdue)
             .collect();
         // Those first whose tasks wait for the proof.
         due.sort_by_key(|h| (!h.overdue, h.placed.is_empty()));
         let pressing = due.first().is_some_and(|h| !h.placed.is_empty());
         let waited = |t: Instant| now.saturating_duration_since(t) >= RETURN_PAUSE;
-        let soon = pressing || due.len() >= MAX_RETURNED || self.last_return.is_none_or(waited);
+        let soon =
+            pressing || due.len() >= MAX_RETURNED || self.capacity.last_return.is_none_or(waited);
         due.truncate(MAX_RETURNED);
         let due: Vec<MachineId> = due.iter().map(|h| h.id.clone()).collect();
         if !soon || due.is_empty() {
             return;
         }
-        self.last_return = Some(now);
+        self.capacity.last_return = Some(now);
         for id in &due {
-            if let Some(h) = self.machines.get_mut(id) {
+            if let Some(h) = self.fleet.machines.get_mut(id) {
                 h.return_sent = Some(now);
             }
         }
-        self.actions.push(Action::Return { machines: due });
+        self.outbox.push(Action::Return { machines: due });
     }
 
     /// Room free now on machines that take tasks.
     pub(in crate::core) fn free_room(&self, now: Instant) -> Vec<(&Machine, Resources)> {
         let mut out = Vec::new();
-        for h in self.machines.values() {
-            let Some(t) = self.machine_type(&h.machine_type) else {
+        for h in self.fleet.machines.values() {
+            let Some(t) = self.fleet.machine_type(&h.machine_type) else {
                 continue;
             };
             let fresh =
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -145,7 +145,7 @@
 impl ClusterState {
     /// Rents machines for work that waits too long, and for headroom that is missing.
     pub(in crate::core) fn rent(&mut self, now: Instant, round: &Round) {
-        if self.types.is_empty() || !self.settled(now) {
+        if self.fleet.types.is_empty() || !self.settled(now) {
             return;
         }
         // When most machines cannot be heard, the work that seems to lack room may have it: what is
@@ -173,7 +173,7 @@
     fn plan_under_way(&self, round: &Round) -> RentalPlan {
         let mut machines: Vec<PlannedMachine> = Vec::new();
         for rental in self.capacity.rentals.values() {
-            let Some(t) = self.machine_type(&rental.offer.0) else {
+            let Some(t) = self.fleet.machine_type(&rental.offer.0) else {
                 continue;
             };
             machines.extend((0..rental.number).map(|_| PlannedMachine {
@@ -200,7 +200,7 @@
     /// Machines by zone, for spreading rentals.
     fn zone_counts(&self) -> HashMap<Zone, usize> {
         let mut zone_counts: HashMap<Zone, usize> = HashMap::new();
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             match zone_counts.get_mut(&machine.zone) {
                 Some(n) => *n += 1,
                 None => {
@@ -250,13 +250,14 @@
         let spec = &job.spec;
         let suits = |t: &&MachineType| spec.allows_type(&t.name) && spec.resources.fits(&t.room);
         let cheapest = self
+            .fleet
             .types
             .iter()
             .filter(suits)
             .map(|t| price_per_cpu(t, spec.allows_spot))
             .fold(f64::INFINITY, f64::min);
         let mut candidates = Vec::new();
-        for t in &self.types {
+        for t in &self.fleet.types {
             let slots = spec.resources.count_in(&t.room);
             if slots == 0 {
                 continue;
@@ -313,7 +314,7 @@
         for (offer, mut missing) in counts {
             // Large demand takes several calls of the most that one may ask for.
             while missing > 0 {
-                let machines = self.machines.len() + self.capacity.pending() as usize;
+                let machines = self.fleet.machines.len() + self.capacity.pending() as usize;
                 let room = most.saturating_sub(machines) as u32;
                 let number = missing.min(MAX_RENTED).min(room);
                 if number == 0 || self.capacity.rentals.len() >= MAX_RENTALS {
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod cancellation_watermark;
 pub mod election;
+pub mod leadership_status;
--- a/src/core/persistence/ledger.rs
+++ b/src/core/persistence/ledger.rs
@@ -340,13 +340,13 @@
 impl ClusterState {
     /// The next transaction, when none is in flight and something is unwritten.
     pub fn next_batch(&mut self, now: Instant) -> Option<Batch> {
-        if self.in_flight.is_some() || self.store_pause.is_some_and(|p| now < p) {
+        if self.writes.in_flight.is_some() || self.writes.retry_at.is_some_and(|p| now < p) {
             return None;
         }
-        if self.allowance < MIN_BATCH_OPS {
+        if self.writes.allowance < MIN_BATCH_OPS {
             return None;
         }
-        let max_ops = self.config.txn_ops.max(1).min(self.allowance);
+        let max_ops = self.config.txn_ops.max(1).min(self.writes.allowance);
         let mut batch = BatchBuilder::new(self.leader_revision, max_ops);
         self.batch_jobs(&mut batch, now);
         self.batch_cleanups(&mut batch, now);
@@ -355,7 +355,7 @@
             return None;
         }
         batch.flight.ops = batch.ops.len();
-        self.in_flight = Some(batch.flight);
+        self.writes.in_flight = Some(batch.flight);
         Some(Batch {
             conditions: batch.conditions,
             ops: batch.ops,
@@ -366,7 +366,7 @@
         let cascading = self.cascading();
         for job_id in self.dirty_in_order() {
             let Some(job) = self.jobs.get(&job_id) else {
-                self.dirty_jobs.remove(&job_id);
+                self.writes.dirty_jobs.remove(&job_id);
                 continue;
             };
             let before = batch.ops.len();
@@ -378,7 +378,7 @@
             let closing = job.cancelled && job.active.is_empty();
             let waits = closing || job.is_orphan() || job.final_due() || job.is_dirty();
             if batch.ops.len() == before && !waits {
-                self.dirty_jobs.remove(&job_id);
+                self.writes.dirty_jobs.remove(&job_id);
             }
         }
     }
@@ -387,6 +387,7 @@
     /// every event.
     fn dirty_in_order(&self) -> Vec<JobId> {
         let mut dirty: Vec<(WritePriority, Reverse<Priority>, u64, JobId)> = self
+            .writes
             .dirty_jobs
             .iter()
             .map(|job_id| match self.jobs.get(job_id) {
@@ -407,14 +408,18 @@
 
     /// Whether the verdict of some dependent of a cancelled job is still to be written.
     fn cascading(&self) -> bool {
-        let jobs = self.dirty_jobs.iter().filter_map(|u| self.jobs.get(u));
+        let jobs = self
+            .writes
+            .dirty_jobs
+            .iter()
+            .filter_map(|u| self.jobs.get(u));
         jobs.into_iter().any(Job::is_orphan)
     }
 
     /// Whether all jobs are known that were accepted before this one was cancelled: the watch of the
     /// queue was asked again since.
     fn knows_all_before_cancellation(&self, job: &Job) -> bool {
-        match (job.close_after, self.last_queue_read) {
+        match (job.close_after, self.leadership.last_queue_read) {
             (None, _) => true,
             (Some(after), Some(read)) => read > after,
             (Some(_), None) => false,
@@ -425,15 +430,15 @@
     /// removal must not use up the write rate that submissions and intents need. It goes on while
     /// most of the rate is unused.
     fn batch_cleanups(&mut self, batch: &mut BatchBuilder, now: Instant) {
-        let mut cleanups = match (now >= self.next_cleanup, batch.ops.is_empty()) {
+        let mut cleanups = match (now >= self.writes.next_cleanup, batch.ops.is_empty()) {
             (false, _) => 0,
             (true, false) => CLEANUPS,
             (true, true) => CLEANUPS.max(batch.max_ops / CLEANUP_LEAVES),
         };
         while cleanups > 0 && batch.has_room(1) {
             cleanups -= 1;
-            self.next_cleanup = now + CLEANUP_EVERY;
-            let Some(key) = self.obsolete_keys.pop() else {
+            self.writes.next_cleanup = now + CLEANUP_EVERY;
+            let Some(key) = self.writes.obsolete_keys.pop() else {
                 break;
             };
             batch.delete(key.clone());
@@ -442,10 +447,10 @@
     }
 
     fn batch_history(&mut self, batch: &mut BatchBuilder, now: Instant) {
-        if !batch.has_room(1) || now < self.next_summary {
+        if !batch.has_room(1) || now < self.writes.next_summary {
             return;
         }
-        self.next_summary = now + self.config.tuning.summary_every;
+        self.writes.next_summary = now + self.config.tuning.summary_every;
         self.history.trim(HISTORY_KEPT);
         let room = self.config.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
         let entries = (room / SUMMARY_ENTRY_BYTES).min(SUMMARY_ENTRIES);
@@ -458,28 +463,28 @@
 
     /// The outcome of the batch in flight. True: the leadership is lost.
     pub fn on_batch(&mut self, now: Instant, outcome: BatchOutcome) -> bool {
-        let Some(flight) = self.in_flight.take() else {
+        let Some(flight) = self.writes.in_flight.take() else {
             return false;
         };
         match outcome {
             BatchOutcome::Applied { revision } => {
-                self.store_pause = None;
+                self.writes.retry_at = None;
                 self.applied(now, flight, revision);
                 false
             }
             BatchOutcome::Unknown => {
-                self.store_pause = Some(now + RETRY_PAUSE);
-                self.obsolete_keys.extend(flight.deletes);
+                self.writes.retry_at = Some(now + RETRY_PAUSE);
+                self.writes.obsolete_keys.extend(flight.deletes);
                 false
             }
             BatchOutcome::Refused => {
-                self.store_pause = Some(now + RETRY_PAUSE);
+                self.writes.retry_at = Some(now + RETRY_PAUSE);
                 self.shrink_batches(now, flight.ops);
-                self.obsolete_keys.extend(flight.deletes);
+                self.writes.obsolete_keys.extend(flight.deletes);
                 false
             }
             BatchOutcome::Failed { found } => {
-                self.obsolete_keys.extend(flight.deletes);
+                self.writes.obsolete_keys.extend(flight.deletes);
                 let mut lost = false;
                 for (key, revision, outcome) in found {
                     if key == LEADER_KEY {
@@ -536,7 +541,7 @@
     /// Attempts beyond a chunk's room that are only planned wait again: no command went out for them.
     fn shrink_chunks(&mut self, now: Instant, room: u32) {
         let mut excess = Vec::new();
-        for (job_id, job) in &mut self.jobs {
+        for job in self.jobs.values_mut() {
             job.chunk_room = room;
             if job.spec.kind == JobKind::Gang {
                 continue;
@@ -544,7 +549,11 @@
             for chunk in job.chunks.keys() {
                 let held = job.attempts_in(*chunk).saturating_sub(room as usize);
                 let planned = job.intents(*chunk).map(|(index, _)| index);
-                excess.extend(planned.take(held).map(|index| (job_id.clone(), index)));
+                excess.extend(
+                    planned
+                        .take(held)
+                        .map(|index| (job.spec.job_id.clone(), index)),
+                );
             }
         }
         for (job_id, index) in excess {
@@ -601,26 +610,24 @@
 
     /// A job found over whose place in the index of live jobs was left behind.
     pub fn forget_index(&mut self, job_id: &JobId) {
-        self.obsolete_keys.push(live_key(job_id));
+        self.writes.obsolete_keys.push(live_key(job_id));
     }
 
     pub(in crate::core) fn drop_job(&mut self, now: Instant, job_id: &JobId) {
-        if self.dependencies.unlist(job_id) {
-            self.obsolete_keys.push(dependents_key(job_id));
+        if self.jobs.dependencies.unlist(job_id) {
+            self.writes.obsolete_keys.push(dependents_key(job_id));
         }
         if let Some(job) = self.jobs.remove(job_id) {
-            self.order_stale = true;
-            self.dirty_jobs.remove(job_id);
+            self.writes.dirty_jobs.remove(job_id);
             if !job.cancelled {
-                self.obsolete_keys.push(live_key(job_id));
+                self.writes.obsolete_keys.push(live_key(job_id));
             }
-            self.obsolete_keys.extend(
+            self.writes.obsolete_keys.extend(
                 job.chunks
                     .iter()
                     .filter(|(_, c)| c.revision > 0 || c.version > 0)
                     .map(|(i, _)| chunk_key(job_id, *i)),
             );
-            self.gone_jobs.push(job_id.clone());
             self.forget_failures_of(now, &job);
         }
     }
--- a/src/core/persistence/mod.rs
+++ b/src/core/persistence/mod.rs
@@ -3,3 +3,4 @@
 pub mod backoff;
 pub mod job_status_reads;
 pub mod ledger;
+pub mod pending_writes;
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -81,7 +81,7 @@
     ) -> (Duration, Duration) {
         let est = self
             .history
-            .est(&job.spec, &self.types[slot.type_index].name)
+            .est(&job.spec, &self.fleet.types[slot.type_index].name)
             .mul_f64(slot.speed);
         let fetch = slot.penalty(round.now, round.rates[slot.type_index], job);
         (est, fetch)
@@ -118,7 +118,7 @@
             .iter()
             .filter_map(|(_, i)| {
                 let slot = &round.slots[*i];
-                let room = &self.types[slot.type_index].room;
+                let room = &self.fleet.types[slot.type_index].room;
                 let (at, _) = slot.avail(round.now, &spec.resources, room)?;
                 Some((at, *i))
             })
@@ -130,7 +130,7 @@
                 break;
             }
             let slot = &mut round.slots[i];
-            let room = &self.types[slot.type_index].room;
+            let room = &self.fleet.types[slot.type_index].room;
             missing = missing.saturating_sub(spec.resources.count_in(room));
             slot.free = Resources::default();
         }
--- a/src/core/placement/mod.rs
+++ b/src/core/placement/mod.rs
@@ -257,7 +257,7 @@
         if g.beyond && s.claimed {
             return None;
         }
-        let t = &self.types[s.type_index];
+        let t = &self.fleet.types[s.type_index];
         let resources = &g.job.spec.resources;
         let (at, free_now) = s.avail(now, resources, &t.room)?;
         let est = g.ests[s.type_index].saturating_sub(g.kept).mul_f64(s.speed);
@@ -292,7 +292,7 @@
     pub(in crate::core) fn admits(&self, job: &Job, s: &Slot<'_>, zones: &ZoneUse) -> bool {
         // A suspected job has failed on many, and most of them are well.
         let failed = !job.suspected && job.error_machines.contains(&s.machine.id);
-        let name = &self.types[s.type_index].name;
+        let name = &self.fleet.types[s.type_index].name;
         !failed && permits(&job.spec, zones, name, &s.machine.zone, s.machine.spot)
     }
 
@@ -312,8 +312,8 @@
 
     /// One round over the queue. Starts what can start; returns what waits.
     pub(in crate::core) fn place(&mut self, now: Instant) -> Round {
-        self.sort_order();
-        self.note_usage(now);
+        self.jobs.sort();
+        self.recent_usage.update(now, self.quota_usage.by_team());
         for j in self.jobs.values_mut() {
             let waited = now.saturating_duration_since(j.last_placed) > STARVED;
             if waited && j.turn == 0 && !j.over() && !j.suspected && j.waiting_count() > 0 {
@@ -347,11 +347,13 @@
             log::debug!("preempting task={task} within_limit={own}");
             self.kill(now, &task.job_id, task.index, Duration::ZERO);
         }
-        self.crowded_out.clear();
+        self.unplaced_resources.clear();
         for w in plan.waiting.iter().filter(|w| !w.coming) {
             if let Some(j) = self.jobs.get(&w.job_id) {
-                if self.crowded_out.len() < 32 && !self.crowded_out.contains(&j.spec.resources) {
-                    self.crowded_out.push(j.spec.resources);
+                if self.unplaced_resources.len() < 32
+                    && !self.unplaced_resources.contains(&j.spec.resources)
+                {
+                    self.unplaced_resources.push(j.spec.resources);
                 }
             }
         }
@@ -379,6 +381,7 @@
 
     fn begin_round(&self, now: Instant) -> PlacementRound<'_> {
         let rates: Vec<f64> = self
+            .fleet
             .types
             .iter()
             .map(|t| t.fetch_gb_per_s * self.history.fetch_ratio(&t.name))
@@ -389,7 +392,7 @@
             rates,
             within: self.within_guarantee(),
             beyond: self.beyond_fair_part(),
-            used: self.team_use.by_team(),
+            used: self.quota_usage.by_team(),
             looked: 0,
             longest: Duration::ZERO,
             limited: Vec::new(),
@@ -494,11 +497,16 @@
 
     /// What a round computes once for all tasks of a job, by machine type.
     fn by_type(&self, spec: &JobSpec) -> ByType {
-        let ests = self.types.iter().map(|t| self.history.est(spec, &t.name));
+        let ests = self
+            .fleet
+            .types
+            .iter()
+            .map(|t| self.history.est(spec, &t.name));
         let crowding = self
+            .fleet
             .types
             .iter()
-            .map(|t| contested(&self.crowded_out, &spec.resources, t));
+            .map(|t| contested(&self.unplaced_resources, &spec.resources, t));
         ByType {
             ests: ests.collect(),
             crowding: crowding.collect(),
@@ -555,7 +563,7 @@
             let held = |j: &Job| j.suspected || rate_limited && self.is_ordinary(&j.spec, &within);
             self.jobs.get(&w.job_id).is_some_and(|j| !held(j))
         });
-        limited.retain(|u| self.jobs.get(*u).is_some_and(|j| !j.suspected));
+        limited.retain(|u| self.jobs.get(u).is_some_and(|j| !j.suspected));
         plan.kills = self.preempt(now, &plan.waiting, &slots, &within, &rates);
         self.preempt_own(now, &limited, &within, &mut plan.kills);
         plan.spare = slots
@@ -572,7 +580,7 @@
 
     pub(in crate::core) fn zone_of(&self) -> impl Fn(&MachineId) -> Option<Zone> + '_ {
         |h| {
-            let machine = self.machines.get(h)?;
+            let machine = self.fleet.machines.get(h)?;
             (!machine.zone.0.is_empty()).then(|| machine.zone.clone())
         }
     }
--- a/src/core/placement/preemption.rs
+++ b/src/core/placement/preemption.rs
@@ -97,7 +97,7 @@
     ) -> Vec<Vec<Candidate<'a>>> {
         let mut all = Vec::with_capacity(slots.len());
         for s in slots {
-            let room = &self.types[s.type_index].room;
+            let room = &self.fleet.types[s.type_index].room;
             let mut list: Vec<Candidate<'a>> = Vec::new();
             for task in s.machine.placed.keys().filter(|_| s.up_at.is_none()) {
                 let Some(v) = self.jobs.get(&task.job_id) else {
@@ -140,7 +140,7 @@
     ) -> Vec<(TaskId, bool)> {
         let mut chosen: Vec<(TaskId, bool)> = Vec::new();
         let mut pool: Vec<Resources> = slots.iter().map(|s| s.free).collect();
-        let mut usage = self.team_use.by_team();
+        let mut usage = self.quota_usage.by_team();
         let mut candidates: Option<Vec<Vec<Candidate<'_>>>> = None;
         let mut taken: Vec<HashSet<usize>> = vec![HashSet::new(); slots.len()];
         let mut rest = waiting;
@@ -181,7 +181,7 @@
                 let s = &slots[i];
                 // In the same unit as what the victims lose: seconds of a machine's share. Room that
                 // is free but lacks the image then goes before tasks that only just came.
-                let t = &self.types[s.type_index];
+                let t = &self.fleet.types[s.type_index];
                 let share = spec.resources.share_of(&t.room);
                 let penalty = s.penalty(now, rates[s.type_index], job);
                 // Only where the claimant would then go: if the machine that it waits for stays the
@@ -257,13 +257,13 @@
         let mut teams: HashMap<&TeamName, OwnWork<'_>> = HashMap::new();
         let limited: Vec<&Job> = limited
             .iter()
-            .filter_map(|u| self.jobs.get(*u))
+            .filter_map(|u| self.jobs.get(u))
             .filter(|j| j.spec.priority > Priority::Standard && j.spec.kind == JobKind::Batch)
             .collect();
         for job in &limited {
             let team = &job.spec.team;
             if !teams.contains_key(team) {
-                let used = self.team_use.of(team);
+                let used = self.quota_usage.of(team);
                 teams.insert(team, (used, Vec::new()));
             }
         }
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -37,32 +37,40 @@
 impl ClusterState {
     /// Brings the ranks up to date with all jobs that came, or were cancelled, since the last time.
     pub(in crate::core) fn update_ranks(&mut self) {
-        let changed = self.dependencies.take_changed();
+        let changed = self.jobs.dependencies.take_changed();
         if changed.is_empty() {
             return;
         }
         let above = self.with_all_needed(changed);
+        let mut priority_changed = false;
         for job_id in self.dependents_first(&above) {
-            self.ranks_computed += 1;
+            self.jobs.priorities_computed += 1;
             let Some(job) = self.jobs.get(&job_id) else {
                 continue;
             };
-            let dependents = self.dependencies.dependents(&job_id);
+            let dependents = self.jobs.dependencies.dependents(&job_id);
             let ranks = dependents.filter_map(|d| self.jobs.get(d));
             let rank = ranks
                 .map(|d| self.rank_before(d))
                 .fold(job.own_rank, Rank::or);
             if let Some(job) = self.jobs.get_mut(&job_id) {
-                self.order_stale |= job.spec.priority != rank.priority;
+                priority_changed |= job.spec.priority != rank.priority;
                 job.spec.priority = rank.priority;
                 job.deadline = rank.due;
             }
         }
+        if priority_changed {
+            self.jobs.priority_changed();
+        }
     }
 
     /// What a job asks of those that it needs: its urgency, and its deadline less its own run.
     fn rank_before(&self, job: &Job) -> Rank {
-        let allowed = self.types.iter().filter(|t| job.spec.allows_type(&t.name));
+        let allowed = self
+            .fleet
+            .types
+            .iter()
+            .filter(|t| job.spec.allows_type(&t.name));
         let est = allowed.map(|t| self.history.est(&job.spec, &t.name)).min();
         let est = est.unwrap_or(job.spec.expected);
         Rank {
@@ -76,7 +84,7 @@
         let mut next: Vec<JobId> = of.iter().cloned().collect();
         let mut all = of;
         while let Some(job_id) = next.pop() {
-            for resources in self.dependencies.dependencies(&job_id) {
+            for resources in self.jobs.dependencies.dependencies(&job_id) {
                 if all.insert(resources.clone()) {
                     next.push(resources.clone());
                 }
@@ -88,7 +96,7 @@
     /// These jobs, each after all of its dependents among them.
     fn dependents_first(&self, jobs: &BTreeSet<JobId>) -> Vec<JobId> {
         let among = |job_id: &JobId| {
-            let dependents = self.dependencies.dependents(job_id);
+            let dependents = self.jobs.dependencies.dependents(job_id);
             dependents.filter(|d| jobs.contains(*d)).count()
         };
         let mut waits_for: HashMap<&JobId, usize> = jobs.iter().map(|u| (u, among(u))).collect();
@@ -96,7 +104,7 @@
         let mut order = Vec::with_capacity(jobs.len());
         while let Some(job_id) = ready.pop() {
             order.push(job_id.clone());
-            for resources in self.dependencies.dependencies(job_id) {
+            for resources in self.jobs.dependencies.dependencies(job_id) {
                 let Some(left) = waits_for.get_mut(resources) else {
                     continue;
                 };
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -13,9 +13,6 @@
 /// stop borrowed work: were that placed before it, one would be stopped for the other in every round.
 const AGED: Duration = Duration::from_secs(150);
 
-/// Over how long a team's use is averaged.
-const USAGE_OF_LATE: Duration = Duration::from_secs(20);
-
 /// A job's place in the queue: urgency, borrowed, beyond its team's fair part, not aged, late, size.
 type Place = (Reverse<Priority>, bool, bool, bool, bool, i64);
 
@@ -39,7 +36,8 @@
             !j.over() && j.waiting_count() > 0 && due && !trying
         };
         let jobs: Vec<&Job> = self
-            .order
+            .jobs
+            .scheduling_order()
             .iter()
             .filter_map(|u| self.jobs.get(u))
             .filter(waits)
@@ -80,7 +78,11 @@
 
     /// A job's whole work, in doublings.
     pub(in crate::core) fn size_step(&self, spec: &JobSpec) -> i64 {
-        let ests = self.types.iter().map(|t| self.history.est(spec, &t.name));
+        let ests = self
+            .fleet
+            .types
+            .iter()
+            .map(|t| self.history.est(spec, &t.name));
         let est = ests.min().unwrap_or(spec.expected).as_secs_f64();
         let work = est * f64::from(spec.task_count) * spec.resources.cpus.max(spec.resources.gpus);
         work.max(1.0).log2() as i64
@@ -89,7 +91,11 @@
     /// Whether a job will miss its time even if it starts now. One that is overdue by far is no
     /// longer put off.
     pub(in crate::core) fn is_late(&self, now: Instant, job: &Job) -> bool {
-        let best = self.types.iter().filter(|t| job.spec.allows_type(&t.name));
+        let best = self
+            .fleet
+            .types
+            .iter()
+            .filter(|t| job.spec.allows_type(&t.name));
         let Some(est) = best.map(|t| self.history.est(&job.spec, &t.name)).min() else {
             return false;
         };
@@ -100,23 +106,6 @@
         age + est > due && age < due + LATE_PATIENCE
     }
 
-    /// What each team uses, on average over a while: tasks that all end at once leave their team none
-    /// for a moment.
-    pub(in crate::core) fn note_usage(&mut self, now: Instant) {
-        let Some(before) = self.usage_noted.replace(now) else {
-            self.recent_usage = self.team_use.by_team();
-            return;
-        };
-        let passed = now.saturating_duration_since(before).as_secs_f64();
-        let fresh = 1.0 - (-passed / USAGE_OF_LATE.as_secs_f64()).exp();
-        for (team, used) in self.team_use.by_team() {
-            let mean = self.recent_usage.entry(team).or_default();
-            let mut change = used;
-            change.sub(mean);
-            mean.add(&change.times(fresh));
-        }
-    }
-
     /// Teams without a guarantee that use more than an even part of what is in use, while others have
     /// work: one huge job or a flood of small ones would otherwise take all room for as long as it lasts.
     pub(in crate::core) fn beyond_fair_part(&self) -> HashSet<&TeamName> {
@@ -127,7 +116,7 @@
             .filter(|j| !j.over() && !j.suspected && !j.blocked)
         {
             let team = &j.spec.team;
-            let of_team = || self.recent_usage.get(team).copied().unwrap_or_default();
+            let of_team = || self.recent_usage.of(team);
             used.entry(team).or_insert_with(of_team);
         }
         let mut all = Resources::default();
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -117,12 +117,17 @@
 
     /// All machines that are up or coming up, with what runs there and when it should end.
     pub(in crate::core) fn slots(&self, now: Instant, rates: &[f64]) -> Vec<Slot<'_>> {
-        let mut slots = Vec::with_capacity(self.machines.len());
-        for h in self.machines.values() {
-            let Some(ti) = self.types.iter().position(|t| t.name == h.machine_type) else {
+        let mut slots = Vec::with_capacity(self.fleet.machines.len());
+        for h in self.fleet.machines.values() {
+            let Some(ti) = self
+                .fleet
+                .types
+                .iter()
+                .position(|t| t.name == h.machine_type)
+            else {
                 continue;
             };
-            let t = &self.types[ti];
+            let t = &self.fleet.types[ti];
             let up_at = match h.booting {
                 Some(since) if !h.returning => {
                     Some((since + self.capacity.boot_time(t)).max(now + Duration::from_secs(1)))
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -71,9 +71,9 @@
         );
         assert!(matches!(answer, HeartbeatDecision::Accept { .. }));
     }
-    let ids: Vec<MachineId> = c.machines.keys().cloned().collect();
+    let ids: Vec<MachineId> = c.fleet.machines.keys().cloned().collect();
     for id in ids {
-        let Some(h) = c.machines.get_mut(&id) else {
+        let Some(h) = c.fleet.machines.get_mut(&id) else {
             continue;
         };
         for image in ["img-1", "img-2", "img-3"] {
@@ -126,12 +126,17 @@
         for s in &specs {
             c.on_job(s.clone(), 100);
         }
-        let rates: Vec<f64> = c.types.iter().map(|t| t.fetch_gb_per_s).collect();
+        let rates: Vec<f64> = c.fleet.types.iter().map(|t| t.fetch_gb_per_s).collect();
         let (mut quick, mut plain) = (c.slots(now, &rates), c.slots(now, &rates));
         for s in &specs {
             let job = &c.jobs[&s.job_id];
-            let ests: Vec<Duration> = c.types.iter().map(|t| c.history.est(s, &t.name)).collect();
-            let crowding = vec![false; c.types.len()];
+            let ests: Vec<Duration> = c
+                .fleet
+                .types
+                .iter()
+                .map(|t| c.history.est(s, &t.name))
+                .collect();
+            let crowding = vec![false; c.fleet.types.len()];
             let g = Group {
                 job,
                 ests: &ests,
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -61,7 +61,7 @@
         listed: Option<&HashSet<(TaskId, AttemptId)>>,
         out: &mut Vec<TaskCommand>,
     ) {
-        let Some(h) = self.machines.get(machine) else {
+        let Some(h) = self.fleet.machines.get(machine) else {
             return;
         };
         let session = Session {
@@ -107,7 +107,10 @@
         session: Session,
     ) -> Option<TaskCommand> {
         // Without the state service the job may have been cancelled unheard.
-        if session.leaving || !self.confirmed || self.launch_check(task) != LaunchCheck::Allowed {
+        if session.leaving
+            || !self.leadership.confirmed
+            || self.launch_check(task) != LaunchCheck::Allowed
+        {
             return None;
         }
         let job = self.jobs.get(&task.job_id)?;
@@ -146,7 +149,7 @@
         machine: &MachineId,
         heartbeat: Option<Heartbeat>,
     ) -> Option<Term> {
-        if let Some(h) = self.machines.get_mut(machine) {
+        if let Some(h) = self.fleet.machines.get_mut(machine) {
             h.sending = false;
         }
         match heartbeat {
@@ -158,7 +161,7 @@
                         .iter()
                         .any(|d| !matches!(d, TaskCommand::Forget { .. }))
                     {
-                        self.urgent.insert(machine.clone());
+                        self.outbox.urgent_machines.insert(machine.clone());
                     }
                     None
                 }
@@ -170,7 +173,7 @@
 
     /// A launch still in flight would come after its kill: the raised token shuts it out.
     fn fence_unseen_kills(&mut self, machine: &MachineId) {
-        let Some(h) = self.machines.get_mut(machine) else {
+        let Some(h) = self.fleet.machines.get_mut(machine) else {
             return;
         };
         let unseen = h.placed.keys().any(|t| {
@@ -187,12 +190,12 @@
 
     /// Direct commands to the hosts that have something to be told at once.
     pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
-        for machine in std::mem::take(&mut self.urgent) {
-            let Some(h) = self.machines.get(&machine) else {
+        for machine in std::mem::take(&mut self.outbox.urgent_machines) {
+            let Some(h) = self.fleet.machines.get(&machine) else {
                 continue;
             };
             if h.sending {
-                self.urgent.insert(machine);
+                self.outbox.urgent_machines.insert(machine);
                 continue;
             }
             // A silent host would only hold a sender up: the next report carries the commands.
@@ -207,11 +210,11 @@
             if commands.is_empty() {
                 continue;
             }
-            let Some(h) = self.machines.get_mut(&machine) else {
+            let Some(h) = self.fleet.machines.get_mut(&machine) else {
                 continue;
             };
             h.sending = true;
-            self.actions.push(Action::Send {
+            self.outbox.push(Action::Send {
                 machine: machine.clone(),
                 endpoint: h.endpoint.clone(),
                 token: h.token,
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -44,13 +44,13 @@
         heartbeat: bool,
     ) -> HeartbeatDecision {
         let machine = r.machine.clone();
-        let renews = self.renews(now);
+        let renews = self.may_renew_leases(now);
         match self.take_heartbeat(now, r, heartbeat, renews) {
             HeartbeatDecision::Accept { commands, .. } if heartbeat && !renews => {
                 // What cannot go with the answer goes by itself; direct commands renew no lease.
                 let kill = |d: &TaskCommand| matches!(d, TaskCommand::Kill { .. });
                 if commands.iter().any(kill) {
-                    self.urgent.insert(machine);
+                    self.outbox.urgent_machines.insert(machine);
                 }
                 HeartbeatDecision::Withheld
             }
@@ -70,10 +70,10 @@
             return HeartbeatDecision::Superseded(r.token.term());
         }
         if heartbeat {
-            self.last_heartbeat = Some(now);
+            self.liveness.last_heartbeat = Some(now);
         }
         let heartbeat = heartbeat && renews;
-        if self.tombstones.contains(&r.machine) {
+        if self.fleet.is_tombstone(&r.machine) {
             return HeartbeatDecision::Ignore;
         }
         if let Some(token) = self.outdated(now, &r, heartbeat) {
@@ -101,22 +101,25 @@
     /// The host that a report names; one that was not known appears.
     fn reporting_machine(&mut self, now: Instant, r: &Heartbeat) -> &mut Machine {
         let term = self.term;
-        self.machines.entry(r.machine.clone()).or_insert_with(|| {
-            log::info!(
-                "host appears host={} type={} site={}",
-                r.machine,
-                r.machine_type,
-                r.zone
-            );
-            Machine::new(
-                r.machine.clone(),
-                r.machine_type.clone(),
-                r.zone.clone(),
-                r.spot,
-                term,
-                now,
-            )
-        })
+        self.fleet
+            .machines
+            .entry(r.machine.clone())
+            .or_insert_with(|| {
+                log::info!(
+                    "host appears host={} type={} site={}",
+                    r.machine,
+                    r.machine_type,
+                    r.zone
+                );
+                Machine::new(
+                    r.machine.clone(),
+                    r.machine_type.clone(),
+                    r.zone.clone(),
+                    r.spot,
+                    term,
+                    now,
+                )
+            })
     }
 
     /// The token to answer with if nothing is to be learned from a report: a newer message of the host
@@ -202,7 +205,9 @@
         if let Some(remaining) = r.eviction {
             h.eviction = Some(now + remaining);
         }
-        self.round_due |= new_session || noticed;
+        if new_session || noticed {
+            self.schedule.request_round();
+        }
         if let Some(since) = booting {
             self.came_up(now.saturating_duration_since(since), r);
         }
@@ -230,7 +235,7 @@
     /// end of the session: what it shows may long be otherwise, since a leader launches the same attempt
     /// again where a session ended.
     fn is_current(&self, r: &Heartbeat) -> bool {
-        let own = self.machines.get(&r.machine).is_some_and(|h| h.own);
+        let own = self.fleet.machines.get(&r.machine).is_some_and(|h| h.own);
         r.token.term() == self.term || own
     }
 
@@ -307,14 +312,14 @@
         }
         let mut forgets = tasks.forgets;
         forgets.retain(|forget| self.admit(now, machine, forget, OrderClass::Background));
-        let Some(h) = self.machines.get_mut(machine) else {
+        let Some(h) = self.fleet.machines.get_mut(machine) else {
             return HeartbeatDecision::Ignore;
         };
         h.foreign = Resources::default();
         for (_, resources) in &tasks.foreign {
             h.foreign.add(resources);
         }
-        self.team_use.set_unexpected(machine, &tasks.foreign);
+        self.quota_usage.set_unexpected(machine, &tasks.foreign);
         if heartbeat {
             h.last_answer = Some(now);
         }
@@ -327,7 +332,7 @@
         self.commands(now, machine, Some(&tasks.listed), &mut commands);
         commands.truncate(MAX_COMMANDS);
         HeartbeatDecision::Accept {
-            token: self.machines[machine].token,
+            token: self.fleet.machines[machine].token,
             commands,
         }
     }
@@ -341,7 +346,7 @@
         listed: &HashSet<(TaskId, AttemptId)>,
     ) {
         let patience = self.config.heartbeat.max(ACKNOWLEDGE_MIN);
-        let Some(h) = self.machines.get(&r.machine) else {
+        let Some(h) = self.fleet.machines.get(&r.machine) else {
             return;
         };
         let long = |t: Instant| now.saturating_duration_since(t) > patience;
@@ -359,7 +364,7 @@
             })
         });
         if ignored {
-            if let Some(h) = self.machines.get_mut(&r.machine) {
+            if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
                 h.require_token(now);
             }
         }
@@ -372,7 +377,7 @@
         r: &Heartbeat,
         listed: &HashSet<(TaskId, AttemptId)>,
     ) {
-        let Some(h) = self.machines.get(&r.machine) else {
+        let Some(h) = self.fleet.machines.get(&r.machine) else {
             return;
         };
         let mut gone = Vec::new();
@@ -411,7 +416,7 @@
             }
         }
         if fence {
-            if let Some(h) = self.machines.get_mut(&r.machine) {
+            if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
                 h.token = h.token.next();
             }
         }
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -22,7 +22,7 @@
         if self.takeover.is_over() {
             return true;
         }
-        let Some(h) = self.machines.get(machine) else {
+        let Some(h) = self.fleet.machines.get(machine) else {
             return false;
         };
         let order = order_of(command);
@@ -36,7 +36,7 @@
         };
         let cancelled_for = job.cancelled_at.map(|t| now.saturating_duration_since(t));
         let active = job.active.get(&task.index);
-        let machine = active.and_then(|a| self.machines.get(&a.machine));
+        let machine = active.and_then(|a| self.fleet.machines.get(&a.machine));
         let leaves = machine.is_some_and(|h| h.eviction.is_some());
         let has_time_limit = leaves || job.spec.kind == JobKind::Gang;
         Takeover::kill_class(cancelled_for, self.config.cancel, has_time_limit)
@@ -65,7 +65,9 @@
     /// Machines whose commands had to wait and may go out by now.
     pub(in crate::core) fn retry_paced_orders(&mut self, now: Instant) {
         if !self.takeover.is_over() {
-            self.urgent.extend(self.takeover.waiting_machines(now));
+            self.outbox
+                .urgent_machines
+                .extend(self.takeover.waiting_machines(now));
         }
     }
 }
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -122,13 +122,13 @@
 
     /// A list of dependents found in the state service. It goes with its job.
     pub fn load_list(&mut self, job_id: &JobId) {
-        if self.jobs.contains_key(job_id) {
-            self.dependencies.listed(job_id);
+        if self.jobs.contains(job_id) {
+            self.jobs.dependencies.listed(job_id);
             return;
         }
         let key = ledger::dependents_key(job_id);
-        if !self.obsolete_keys.contains(&key) {
-            self.obsolete_keys.push(key);
+        if !self.writes.obsolete_keys.contains(&key) {
+            self.writes.obsolete_keys.push(key);
         }
     }
 
@@ -146,7 +146,9 @@
             return;
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
-            self.obsolete_keys.push(ledger::chunk_key(job_id, index));
+            self.writes
+                .obsolete_keys
+                .push(ledger::chunk_key(job_id, index));
             return;
         };
         let chunk = job.chunks.entry(index).or_default();
@@ -167,7 +169,7 @@
             loaded.push((job.task(task), attempt, machine));
         }
         if job.done_count == job.spec.task_count {
-            self.dirty_jobs.insert(job_id.clone());
+            self.writes.dirty_jobs.insert(job_id.clone());
         }
         if job.done_count > 0 || !job.active.is_empty() {
             job.last_placed = now;
@@ -175,7 +177,7 @@
         let (resources, team) = (job.spec.resources, job.spec.team.clone());
         for (task, attempt, machine) in loaded {
             self.takeover.record(machine.clone(), task.clone(), attempt);
-            self.team_use.enter(task.clone(), &team, resources);
+            self.quota_usage.enter(task.clone(), &team, resources);
             let h = self.loaded_machine(now, machine);
             h.placed.insert(task, resources);
             h.used.add(&resources);
@@ -190,7 +192,7 @@
         let after = self.silent_after();
         let recorded = self.takeover.recorded_machines();
         let silent = |id: &&MachineId| {
-            let machine = self.machines.get(*id);
+            let machine = self.fleet.machines.get(*id);
             machine.is_some_and(|h| self.is_silent(now, h, after))
         };
         let silent: Vec<MachineId> = recorded.filter(silent).cloned().collect();
@@ -215,7 +217,7 @@
     /// A host that a record names. Its type and zone come with its report or the cloud's list.
     fn loaded_machine(&mut self, now: Instant, id: MachineId) -> &mut Machine {
         let term = self.term;
-        self.machines.entry(id.clone()).or_insert_with(|| {
+        self.fleet.machines.entry(id.clone()).or_insert_with(|| {
             let (kind, zone) = (MachineTypeName(String::new()), Zone(String::new()));
             Machine::new(id, kind, zone, false, term, now)
         })
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -37,7 +37,7 @@
         current: bool,
     ) -> UnrecordedTask {
         let job_id = &shown.task.job_id;
-        if !self.jobs.contains_key(job_id) {
+        if !self.jobs.contains(job_id) {
             return match self.takeover.disposition(now, job_id) {
                 Disposition::Hold => UnrecordedTask::Held,
                 Disposition::Kill => UnrecordedTask::KilledUnderRaisedToken,
@@ -54,7 +54,7 @@
     fn may_adopt(&self, r: &Heartbeat, shown: &TaskStatus) -> bool {
         let (Some(job), Some(machine)) = (
             self.jobs.get(&shown.task.job_id),
-            self.machines.get(&r.machine),
+            self.fleet.machines.get(&r.machine),
         ) else {
             return false;
         };
@@ -80,7 +80,7 @@
             return false;
         };
         // What the report before showed of it is counted as its own from here on.
-        self.team_use.set_unexpected(&r.machine, &[]);
+        self.quota_usage.set_unexpected(&r.machine, &[]);
         self.assign(now, job_id, index, &r.machine, shown.attempt, est);
         if !self.may_go_on(&shown.task) {
             self.gone(now, job_id, index, false);
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -8,8 +8,8 @@
 
 impl ClusterState {
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
-        self.attempts += 1;
-        AttemptId::of(self.term, self.attempts)
+        self.attempt_count += 1;
+        AttemptId::of(self.term, self.attempt_count)
     }
 
     /// Records the decision to run a task on a host. The launch goes out once this is durable.
@@ -22,8 +22,10 @@
         attempt: AttemptId,
         est: Duration,
     ) {
-        let (Some(job), Some(h)) = (self.jobs.get_mut(job_id), self.machines.get_mut(machine))
-        else {
+        let (Some(job), Some(h)) = (
+            self.jobs.get_mut(job_id),
+            self.fleet.machines.get_mut(machine),
+        ) else {
             return;
         };
         job.requeued.remove(&index);
@@ -46,9 +48,9 @@
                 .entry(job.image)
                 .or_insert((now, job.spec.image_gb));
         }
-        self.team_use
+        self.quota_usage
             .enter(job.task(index), &job.spec.team, resources);
-        self.dirty_jobs.insert(job_id.clone());
+        self.writes.dirty_jobs.insert(job_id.clone());
     }
 
     pub(in crate::core) fn intent_durable(
@@ -71,7 +73,7 @@
         a.placed = now;
         job.unlaunched = job.unlaunched.saturating_sub(1);
         if !cancelled {
-            self.urgent.insert(a.machine.clone());
+            self.outbox.urgent_machines.insert(a.machine.clone());
         }
     }
 
@@ -105,7 +107,7 @@
                 })
             }
         }
-        self.urgent.insert(a.machine.clone());
+        self.outbox.urgent_machines.insert(a.machine.clone());
     }
 
     /// The attempt is off its host for certain. Unless it was done, the task waits again.
@@ -139,15 +141,15 @@
             job.requeued.insert(index);
         }
         let task = job.task(index);
-        self.team_use.leave(&task);
+        self.quota_usage.leave(&task);
         self.takeover.on_gone(now, &a.machine, &task);
         let gang = job.spec.kind == JobKind::Gang;
         if job.finished && job.active.is_empty() {
             self.drop_job(now, job_id);
         } else {
-            self.dirty_jobs.insert(job_id.clone());
+            self.writes.dirty_jobs.insert(job_id.clone());
         }
-        if let Some(h) = self.machines.get_mut(&a.machine) {
+        if let Some(h) = self.fleet.machines.get_mut(&a.machine) {
             if h.placed.remove(&task).is_some() {
                 h.used.sub(&resources);
             }
@@ -157,7 +159,7 @@
                 h.idle_since = Some(now);
             }
         }
-        self.round_due = true;
+        self.schedule.request_round();
         if gang {
             self.gang_lost(now, job_id, done);
         }
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -5,37 +5,32 @@
 //! later tenure, the cloud's word that the host was returned, or a lease that certainly ran out.
 
 use crate::core::capacity::Capacity;
-use crate::core::leadership::cancellation_watermark::{
-    self, CancellationReport, ClockReading, Watermark,
-};
+use crate::core::leadership::cancellation_watermark::{self, ClockReading};
+use crate::core::leadership::leadership_status::LeadershipStatus;
 use crate::core::model::{
-    FencingToken, JobId, JobSpec, MachineId, MachineType, MachineTypeName, Priority, Resources,
-    SchedulerConfig, TaskCommand, TeamName, Term, Zone,
+    FencingToken, JobId, JobSpec, MachineId, MachineType, MachineTypeName, Resources,
+    SchedulerConfig, TaskCommand, Term, Zone,
 };
-use crate::core::persistence::ledger::{self, InFlight, JobOutcome};
+use crate::core::persistence::ledger::{self, JobOutcome};
+use crate::core::persistence::pending_writes::PendingWrites;
 use crate::core::placement::history::History;
 use crate::core::placement::start_limiter::StartLimiter;
 use crate::core::reconciliation::state_loading::UnreadableRecords;
-use crate::core::state::dependencies::{Dependencies, DependencyState};
+use crate::core::state::dependencies::DependencyState;
 pub use crate::core::state::entities::{ActiveAttempt, Chunk, Job, KillRequest, Machine};
+use crate::core::state::fleet::Fleet;
+use crate::core::state::job_table::JobTable;
+use crate::core::state::liveness::Liveness;
+use crate::core::state::outbox::Outbox;
 use crate::core::state::quota_usage::QuotaUsage;
+use crate::core::state::recent_usage::RecentUsage;
+use crate::core::state::round_schedule::RoundSchedule;
 use cypressgap_recovery::settings::Deployment;
 use cypressgap_recovery::Takeover;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Rounds take one part in so many of the time, and come within these bounds.
-const ROUND_SHARE: u32 = 5;
-const ROUND_MIN: Duration = Duration::from_millis(100);
-const ROUND_MAX: Duration = Duration::from_millis(1500);
 /// What passes, beyond a worker's interval, before its report has found its way round dead nodes.
-const DEAF_MARGIN: Duration = Duration::from_secs(5);
-/// Ticks are never this far apart in a process that runs.
-const STANDSTILL: Duration = Duration::from_secs(4);
-/// Renting and returning, and what else walks all hosts or tasks, need no more than this.
-const CAPACITY_EVERY: Duration = Duration::from_millis(450);
-const SWEEP_EVERY: Duration = Duration::from_millis(450);
-
+const HEARTBEAT_DETOUR_MARGIN: Duration = Duration::from_secs(5);
 /// What the core asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
@@ -116,86 +111,48 @@
     JobOutcome,
 }
 
-/// The picture of one term: all that a leader knows and decides by.
+/// All that a leader knows and decides by, for the length of one term.
 pub struct ClusterState {
-    /// What the settings say.
+    /// The deployment and the operators' settings.
     pub config: SchedulerConfig,
     /// The term.
     pub term: Term,
-    /// The stamp of the leader key, on which all of the term's writes depend.
+    /// The revision of the leader key, on which all writes of the term are conditional.
     pub leader_revision: u64,
-    /// Live jobs, and those that are over with records left.
-    pub jobs: HashMap<JobId, Job>,
-    /// Machines.
-    pub machines: BTreeMap<MachineId, Machine>,
-    /// Machine types on offer.
-    pub types: Vec<MachineType>,
-    /// What each team takes.
-    pub team_use: QuotaUsage,
+    /// Jobs and their dependencies.
+    pub jobs: JobTable,
+    /// Machines and machine types.
+    pub fleet: Fleet,
+    /// What each team uses.
+    pub quota_usage: QuotaUsage,
+    pub(in crate::core) recent_usage: RecentUsage,
+    /// Records of the store that cannot be read, and what may run because of them.
     pub(in crate::core) unreadable_records: UnreadableRecords,
-    /// What is left of the taking over, and the pace of its orders.
+    /// What is left of the takeover, and the pace of its orders.
     pub takeover: Takeover,
-    pub(in crate::core) recent_usage: HashMap<TeamName, Resources>,
-    pub(in crate::core) usage_noted: Option<Instant>,
     /// Limits starts while nodes cannot keep up.
     pub start_limiter: StartLimiter,
     /// Run times and fetch times.
     pub history: History,
-    /// Rentals and what they teach.
+    /// Rentals under way, and the cloud's list.
     pub capacity: Capacity,
-    /// Jobs in the order of urgency and arrival.
-    pub order: Vec<JobId>,
-    pub(in crate::core) order_stale: bool,
-    pub(in crate::core) dirty_jobs: BTreeSet<JobId>,
-    pub(in crate::core) obsolete_keys: Vec<String>,
-    pub(in crate::core) in_flight: Option<InFlight>,
-    pub(in crate::core) store_pause: Option<Instant>,
-    /// Changes that the state service's rate has room for now.
-    pub(in crate::core) allowance: usize,
-    pub(in crate::core) next_summary: Instant,
-    pub(in crate::core) next_cleanup: Instant,
-    pub(in crate::core) gone_jobs: Vec<JobId>,
-    pub(in crate::core) actions: Vec<Action>,
-    pub(in crate::core) urgent: BTreeSet<MachineId>,
-    pub(in crate::core) attempts: u64,
-    pub(in crate::core) tombstones: HashSet<MachineId>,
-    pub(in crate::core) tombstone_order: VecDeque<MachineId>,
-    /// When the term began.
-    pub started: Instant,
-    /// Time of day at `started`, in milliseconds since 1970.
-    pub started_ms: u64,
-    pub(in crate::core) round_due: bool,
-    /// What the tasks need that found no room in the last round.
-    pub(in crate::core) crowded_out: Vec<Resources>,
-    pub(in crate::core) last_round: Option<Instant>,
-    pub(in crate::core) round_pace: Duration,
-    pub(in crate::core) last_capacity: Option<Instant>,
-    pub(in crate::core) last_sweep: Option<Instant>,
-    /// Listed hosts to be asked for their reports, with their endpoints.
-    pub(in crate::core) probes: VecDeque<(MachineId, String)>,
-    /// Starts of this term with their waits, for the log's summary.
-    pub waits: Vec<Duration>,
-    /// When a worker's report last came, by whichever node.
-    pub(in crate::core) last_heartbeat: Option<Instant>,
-    pub(in crate::core) last_tick: Option<Instant>,
-    /// Since when this process has not stood still: silence before that says nothing.
-    pub(in crate::core) awake_since: Instant,
-    /// The leadership is certain.
-    pub(in crate::core) confirmed: bool,
-    pub(in crate::core) last_return: Option<Instant>,
-    pub(in crate::core) dependencies: Dependencies,
-    /// Ranks computed in this term, for the log's summary.
-    pub ranks_computed: u64,
-    /// When the queue was last asked for what an answer showed since.
-    pub(in crate::core) last_queue_read: Option<Instant>,
-    /// Up to when all confirmed cancellations are known.
-    watermark: Watermark,
-    /// Both clocks as they were last read together.
-    clocks: ClockReading,
+    pub(in crate::core) writes: PendingWrites,
+    pub(in crate::core) schedule: RoundSchedule,
+    pub(in crate::core) outbox: Outbox,
+    /// The certainty of the leadership and of the cancellations known.
+    pub leadership: LeadershipStatus,
+    /// Since when silence can be judged.
+    pub liveness: Liveness,
+    /// How many attempts this term has decided on.
+    pub(in crate::core) attempt_count: u64,
+    /// What the tasks ask for that found no room in the last round.
+    pub(in crate::core) unplaced_resources: Vec<Resources>,
+    /// How long the tasks that started in this term had waited, for the summary in the log.
+    pub start_waits: Vec<Duration>,
 }
 
 impl ClusterState {
-    /// An empty picture of a term.
+    /// The state of a term that knows nothing yet.
     pub fn new(
         config: SchedulerConfig,
         term: Term,
@@ -204,136 +161,88 @@
         now: Instant,
         started_ms: u64,
     ) -> Self {
-        let next_summary = now + config.tuning.summary_every;
-        let day = SystemTime::UNIX_EPOCH + Duration::from_millis(started_ms);
-        let clocks = ClockReading { steady: now, day };
+        let time_of_day = SystemTime::UNIX_EPOCH + Duration::from_millis(started_ms);
+        let clocks = ClockReading {
+            steady: now,
+            day: time_of_day,
+        };
         let deployment = Deployment {
             cancel: config.cancel,
             machines: config.tuning.max_machines,
         };
-        let takeover = Takeover::new(&config.recovery, deployment, now);
         ClusterState {
-            config,
             term,
             leader_revision,
-            jobs: HashMap::new(),
-            machines: BTreeMap::new(),
-            types,
-            team_use: QuotaUsage::default(),
+            jobs: JobTable::default(),
+            fleet: Fleet::new(types),
+            quota_usage: QuotaUsage::default(),
+            recent_usage: RecentUsage::default(),
             unreadable_records: UnreadableRecords::default(),
-            takeover,
-            recent_usage: HashMap::new(),
-            usage_noted: None,
+            takeover: Takeover::new(&config.recovery, deployment, now),
             start_limiter: StartLimiter::default(),
             history: History::default(),
             capacity: Capacity::default(),
-            order: Vec::new(),
-            order_stale: false,
-            dirty_jobs: BTreeSet::new(),
-            obsolete_keys: Vec::new(),
-            in_flight: None,
-            store_pause: None,
-            allowance: usize::MAX,
-            next_summary,
-            next_cleanup: now,
-            gone_jobs: Vec::new(),
-            actions: Vec::new(),
-            urgent: BTreeSet::new(),
-            attempts: 0,
-            tombstones: HashSet::new(),
-            tombstone_order: VecDeque::new(),
-            started: now,
-            started_ms,
-            round_due: true,
-            crowded_out: Vec::new(),
-            last_round: None,
-            round_pace: ROUND_MIN,
-            last_capacity: None,
-            last_sweep: None,
-            probes: VecDeque::new(),
-            waits: Vec::new(),
-            last_heartbeat: None,
-            last_tick: None,
-            awake_since: now,
-            confirmed: true,
-            last_return: None,
-            dependencies: Dependencies::default(),
-            ranks_computed: 0,
-            last_queue_read: None,
-            watermark: Watermark::new(clocks, []),
-            clocks,
+            writes: PendingWrites::new(now, config.tuning.summary_every),
+            schedule: RoundSchedule::default(),
+            outbox: Outbox::default(),
+            leadership: LeadershipStatus::new(clocks),
+            liveness: Liveness::new(now, started_ms),
+            attempt_count: 0,
+            unplaced_resources: Vec::new(),
+            start_waits: Vec::new(),
+            config,
         }
     }
 
-    /// The other nodes, which confirm cancellations too, and when the picture's first read was asked for.
-    pub fn confirmed_by(&mut self, peers: impl IntoIterator<Item = String>, read: ClockReading) {
-        self.watermark = Watermark::new(read, peers);
-    }
-
-    /// What both clocks say now.
-    pub fn clocks(&mut self, now: ClockReading) {
-        self.clocks = now;
+    /// Whether heartbeats may be answered: a lease renewed now ends in time for any cancellation.
+    pub fn may_renew_leases(&self, now: Instant) -> bool {
+        let (max_age, _) = cancellation_watermark::patience(self.config.lease, self.config.cancel);
+        self.leadership.knows_cancellations(now, max_age)
     }
 
-    /// All cancellations that the state service showed when it was asked have been taken on.
-    pub fn cancellations_read(&mut self, asked: ClockReading) {
-        self.last_queue_read = Some(asked.steady);
-        self.watermark.read(asked);
-    }
-
-    /// All cancellations that a node told have been taken on.
-    pub fn cancellations_stated(&mut self, peer: &str, statement: CancellationReport) {
-        self.watermark.stated(peer, statement);
-    }
-
-    /// Whether reports may be answered: a lease renewed now ends in time for any cancellation.
-    pub fn renews(&self, now: Instant) -> bool {
-        let (patience, _) = cancellation_watermark::patience(self.config.lease, self.config.cancel);
-        self.watermark.renews(self.clocks.at(now), patience)
-    }
-
-    /// Whether this node leads for certain. While it does not, what looks silent or idle from here may
-    /// be at work for another leader.
+    /// Sets whether this node leads for certain. While it does not, what looks silent or idle from here
+    /// may be at work for another leader.
     pub fn confirm(&mut self, confirmed: bool) {
-        if confirmed && !self.confirmed {
+        if confirmed && !self.leadership.confirmed {
             // Launches that were held back.
             let waiting = |a: &&ActiveAttempt| a.durable && a.given.is_none() && a.kill.is_none();
             let active = self.jobs.values().flat_map(|j| j.active.values());
-            self.urgent
-                .extend(active.filter(waiting).map(|a| a.machine.clone()));
+            let machines = active.filter(waiting).map(|a| a.machine.clone());
+            self.outbox.urgent_machines.extend(machines);
         }
-        self.confirmed = confirmed;
+        self.leadership.confirmed = confirmed;
     }
 
     /// No worker's report comes through any more, though there are workers: another node may hear
     /// them. A term that never heard one first gives up the hosts that are silent.
     pub fn is_without_heartbeats(&self, now: Instant) -> bool {
-        let (since, patience) = match self.last_heartbeat {
-            Some(t) => (t, self.config.heartbeat.mul_f64(1.25) + DEAF_MARGIN),
-            None => (self.started, self.config.lease + self.config.heartbeat),
+        let (since, patience) = match self.liveness.last_heartbeat {
+            Some(t) => (
+                t,
+                self.config.heartbeat.mul_f64(1.25) + HEARTBEAT_DETOUR_MARGIN,
+            ),
+            None => (
+                self.liveness.started,
+                self.config.lease + self.config.heartbeat,
+            ),
         };
-        let since = since.max(self.awake_since);
+        let since = since.max(self.liveness.awake_since);
         let expected = |h: &Machine| h.booting.is_none() && !h.returning;
-        now.saturating_duration_since(since) > patience && self.machines.values().any(expected)
+        now.saturating_duration_since(since) > patience
+            && self.fleet.machines.values().any(expected)
     }
 
     // --- loading and jobs ---
 
     /// A live job, from the index at takeover or from the watch. Known ones are left as they are.
     pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
-        if self.jobs.contains_key(&spec.job_id) || spec.task_count == 0 {
+        if self.jobs.contains(&spec.job_id) || spec.task_count == 0 {
             return;
         }
         let job_id = spec.job_id.clone();
-        // Times of day of different nodes agree well enough for this.
-        let age = self.started_ms.saturating_sub(spec.accepted_ms);
-        let arrived = if age > 0 {
-            let then = self.started.checked_sub(Duration::from_millis(age));
-            then.unwrap_or(self.started)
-        } else {
-            self.started + Duration::from_millis(spec.accepted_ms - self.started_ms)
-        };
+        let arrived = self.liveness.instant_of(spec.accepted_ms);
         let status = self
+            .jobs
             .dependencies
             .add(&job_id, &spec.dependencies, spec.listed);
         if status == DependencyState::Ready {
@@ -344,33 +253,34 @@
         job.chunk_room = ledger::chunk_room(self.config.value_bytes);
         job.deadline = job.spec.due.map(|d| arrived + d);
         job.own_rank.due = job.deadline;
-        self.jobs.insert(job_id.clone(), job);
+        self.jobs.insert(job);
         match status {
             DependencyState::Ready | DependencyState::Blocked => {}
             DependencyState::Orphaned => self.orphan_new(&job_id),
         }
-        self.order_stale = true;
-        self.round_due = true;
+        self.schedule.request_round();
     }
 
     /// A job's `done` is durable: those that needed only it may start. Their waits count from now.
     pub(in crate::core) fn ready(&mut self, now: Instant, job_id: &JobId) {
-        for d in self.dependencies.done(job_id) {
+        for d in self.jobs.dependencies.done(job_id) {
             if let Some(job) = self.jobs.get_mut(&d) {
                 log::debug!("all that it needs is done job={d}");
                 job.blocked = false;
                 job.arrived = now;
                 job.last_placed = now;
                 self.capacity.record_arrival(&job.spec, now);
-                self.round_due = true;
+                self.schedule.request_round();
             }
         }
     }
 
     /// How a job ended that is not in the picture.
     pub fn ended_before(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
-        if outcome != JobOutcome::Live && self.dependencies.unlist(job_id) {
-            self.obsolete_keys.push(ledger::dependents_key(job_id));
+        if outcome != JobOutcome::Live && self.jobs.dependencies.unlist(job_id) {
+            self.writes
+                .obsolete_keys
+                .push(ledger::dependents_key(job_id));
         }
         match outcome {
             JobOutcome::Done => self.ready(now, job_id),
@@ -381,11 +291,11 @@
 
     /// Jobs that others need and of which nothing is known here.
     pub fn unresolved(&self) -> Vec<JobId> {
-        self.dependencies.unresolved(|u| self.jobs.contains_key(u))
+        self.jobs.dependencies.unresolved(|u| self.jobs.contains(u))
     }
 
     fn orphan_dependents(&mut self, heard: Option<Instant>, job_id: &JobId) {
-        for dependent in self.dependencies.cancelled(job_id) {
+        for dependent in self.jobs.dependencies.cancelled(job_id) {
             self.orphan(heard, &dependent);
         }
     }
@@ -402,7 +312,7 @@
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.orphaned = true;
             job.orphaned_at = job.orphaned_at.or(heard);
-            self.dirty_jobs.insert(job_id.clone());
+            self.writes.dirty_jobs.insert(job_id.clone());
         }
     }
 
@@ -429,7 +339,7 @@
         job.cancelled = true;
         job.cancelled_at = Some(now);
         job.requeued.clear();
-        self.dirty_jobs.insert(job_id.clone());
+        self.writes.dirty_jobs.insert(job_id.clone());
         let tasks: Vec<u32> = job.active.keys().copied().collect();
         log::info!(
             "cancelling job={job_id} active={} term={}",
@@ -439,41 +349,18 @@
         for i in tasks {
             self.kill(now, job_id, i, Duration::ZERO);
         }
-        self.round_due = true;
-    }
-
-    /// Jobs that left the picture since the last call.
-    pub fn take_gone_jobs(&mut self) -> Vec<JobId> {
-        std::mem::take(&mut self.gone_jobs)
-    }
-
-    pub(in crate::core) fn sort_order(&mut self) {
-        if !std::mem::take(&mut self.order_stale) {
-            return;
-        }
-        let mut order: Vec<(Priority, u64, JobId)> = self
-            .jobs
-            .values()
-            .map(|j| (j.spec.priority, j.revision, j.spec.job_id.clone()))
-            .collect();
-        order.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)));
-        self.order = order.into_iter().map(|o| o.2).collect();
-    }
-
-    /// A machine type by its name.
-    pub fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
-        self.types.iter().find(|t| &t.name == name)
+        self.schedule.request_round();
     }
 
     /// How many changes the next transaction may have: a larger one would wait for the rate with all
     /// that is in it.
     pub fn allow(&mut self, changes: usize) {
-        self.allowance = changes;
+        self.writes.allowance = changes;
     }
 
     /// How long the last tick took: rounds leave most of the processor to reports and users.
     pub fn tick_took(&mut self, took: Duration) {
-        self.round_pace = (took * ROUND_SHARE).clamp(ROUND_MIN, ROUND_MAX);
+        self.schedule.tick_took(took);
     }
 
     /// This process stood still and has just woken; its clocks may have gone on by less or more than
@@ -481,13 +368,10 @@
     /// not hear, leases whose answers it may misjudge, the heeding of commands that did not go out.
     /// What users wait for, cancellations above all, is not put off.
     pub fn woke(&mut self, now: Instant) {
-        if self.awake_since == now {
+        if !self.liveness.resume(now) {
             return;
         }
-        self.awake_since = now;
-        self.last_tick = Some(now);
-        self.last_heartbeat = self.last_heartbeat.map(|_| now);
-        for h in self.machines.values_mut().filter(|h| !h.lease_spent) {
+        for h in self.fleet.machines.values_mut().filter(|h| !h.lease_spent) {
             h.last_answer = h.last_answer.map(|_| now);
         }
         for a in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
@@ -501,59 +385,40 @@
 
     /// Everything that time alone brings about, a placement round, and what is to be sent.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
-        let stood_still = |t: Instant| now.saturating_duration_since(t) > STANDSTILL;
-        if self.last_tick.is_some_and(stood_still) {
+        if self.liveness.tick(now) {
             self.woke(now);
         }
-        self.last_tick = Some(now);
-        if self
-            .last_sweep
-            .is_none_or(|t| now.saturating_duration_since(t) >= SWEEP_EVERY)
-        {
-            self.last_sweep = Some(now);
-            self.expire_leases(now);
-            self.overdue_cancellations(now);
-            self.evictions(now);
-            self.press_kills(now);
-            self.clear_suspicions(now);
-            self.advance_takeover(now);
+        if self.schedule.start_sweep(now) {
+            self.sweep(now);
         }
-        let every = if self.round_due {
-            self.round_pace
-        } else {
-            Duration::from_millis(1000).max(self.round_pace)
-        };
-        if self
-            .last_round
-            .is_none_or(|t| now.saturating_duration_since(t) >= every)
-        {
-            self.last_round = Some(now);
-            self.round_due = false;
+        if self.schedule.start_round(now) {
             self.update_ranks();
             let round = self.place(now);
-            if self
-                .last_capacity
-                .is_none_or(|t| now.saturating_duration_since(t) >= CAPACITY_EVERY)
-            {
-                self.last_capacity = Some(now);
+            if self.schedule.start_scaling(now) {
                 self.manage_capacity(now, &round);
             }
         }
         self.probe();
         self.retry_paced_orders(now);
-        self.send_urgent(now);
-        if let Some(b) = self.next_batch(now) {
-            self.actions.push(Action::Store(b));
-        }
-        std::mem::take(&mut self.actions)
+        self.flush(now)
+    }
+
+    /// What silence and time do to leases, cancellations, spot notices and suspicions.
+    fn sweep(&mut self, now: Instant) {
+        self.expire_leases(now);
+        self.overdue_cancellations(now);
+        self.evictions(now);
+        self.press_kills(now);
+        self.clear_suspicions(now);
+        self.advance_takeover(now);
     }
 
     /// Sends what a durable intent allows at once, without waiting for the next tick.
     pub fn flush(&mut self, now: Instant) -> Vec<Action> {
         self.send_urgent(now);
         if let Some(b) = self.next_batch(now) {
-            self.actions.push(Action::Store(b));
+            self.outbox.push(Action::Store(b));
         }
-        std::mem::take(&mut self.actions)
+        self.outbox.take_actions()
     }
 }
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -75,7 +75,7 @@
             self.update_quarantines_of(now, job_id);
             return;
         }
-        if let Some(h) = self.machines.get_mut(machine) {
+        if let Some(h) = self.fleet.machines.get_mut(machine) {
             h.failed_jobs.insert(job_id.clone());
             h.avoid_until = Some(now + AVOIDED);
         }
@@ -84,7 +84,7 @@
 
     /// A task of this job ended well there.
     pub(in crate::core) fn succeeded(&mut self, now: Instant, job_id: &JobId, machine: &MachineId) {
-        if let Some(h) = self.machines.get_mut(machine) {
+        if let Some(h) = self.fleet.machines.get_mut(machine) {
             h.failed_jobs.clear();
         }
         self.update_quarantine(now, machine);
@@ -102,7 +102,7 @@
             job.suspected = false;
             job.tries = 0;
             job.backoff_until = None;
-            self.round_due = true;
+            self.schedule.request_round();
             self.update_quarantines_of(now, job_id);
         }
         if let Some(job) = self.jobs.get_mut(job_id) {
@@ -137,7 +137,7 @@
 
     /// Whether jobs that are not suspected, this one aside, have failed there.
     fn faulty_by_others(&self, job_id: &JobId, machine: &MachineId) -> bool {
-        let Some(h) = self.machines.get(machine) else {
+        let Some(h) = self.fleet.machines.get(machine) else {
             return false;
         };
         h.quarantined
@@ -156,7 +156,7 @@
 
     /// The hosts on which tasks of this job failed.
     fn machines_failed_by(&self, job_id: &JobId) -> Vec<MachineId> {
-        let machines = self.machines.values();
+        let machines = self.fleet.machines.values();
         let failed = machines.filter(|h| h.failed_jobs.contains(job_id));
         failed.map(|h| h.id.clone()).collect()
     }
@@ -165,7 +165,7 @@
     fn update_quarantines_of(&mut self, now: Instant, job_id: &JobId) {
         let suspected = self.is_suspected(job_id);
         for id in self.machines_failed_by(job_id) {
-            if let Some(h) = self.machines.get_mut(&id).filter(|_| suspected) {
+            if let Some(h) = self.fleet.machines.get_mut(&id).filter(|_| suspected) {
                 h.avoid_until = None;
             }
             self.update_quarantine(now, &id);
@@ -174,7 +174,7 @@
 
     /// Whether a machine belongs in quarantine.
     fn update_quarantine(&mut self, now: Instant, machine: &MachineId) {
-        let Some(h) = self.machines.get(machine) else {
+        let Some(h) = self.fleet.machines.get(machine) else {
             return;
         };
         let blamed = h
@@ -186,7 +186,7 @@
         if blamed == h.quarantined {
             return;
         }
-        let Some(h) = self.machines.get_mut(machine) else {
+        let Some(h) = self.fleet.machines.get_mut(machine) else {
             return;
         };
         h.quarantined = blamed;
@@ -195,7 +195,7 @@
             log::info!("host is quarantined host={machine}");
         } else {
             log::info!("host is in quarantine no more host={machine}");
-            self.round_due = true;
+            self.schedule.request_round();
         }
     }
 
@@ -206,7 +206,7 @@
         }
         let job_id = &job.spec.job_id;
         for id in self.machines_failed_by(job_id) {
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 h.failed_jobs.remove(job_id);
             }
             self.update_quarantine(now, &id);
--- /dev/null
+++ b/src/core/state/fleet.rs
@@ -0,0 +1,55 @@
+//! The machines of the cluster, and those that left it.
+
+use crate::core::model::{MachineId, MachineType, MachineTypeName};
+use crate::core::state::entities::Machine;
+use std::collections::{BTreeMap, HashSet, VecDeque};
+
+/// At least so many returned machines are remembered.
+const MIN_TOMBSTONES: usize = 5000;
+
+/// The machines that the leader knows, the types on offer, and the names of returned machines.
+#[derive(Default)]
+pub struct Fleet {
+    /// Machines that are not known to be gone.
+    pub machines: BTreeMap<MachineId, Machine>,
+    /// Machine types on offer.
+    pub types: Vec<MachineType>,
+    tombstones: HashSet<MachineId>,
+    /// The names in `tombstones`, oldest first.
+    tombstone_order: VecDeque<MachineId>,
+}
+
+impl Fleet {
+    /// A fleet without machines, and the types that can be rented for it.
+    pub fn new(types: Vec<MachineType>) -> Fleet {
+        Fleet {
+            types,
+            ..Fleet::default()
+        }
+    }
+
+    /// A machine type by its name.
+    pub fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
+        self.types.iter().find(|t| &t.name == name)
+    }
+
+    /// Whether this machine was returned: what comes from it later is ignored.
+    pub fn is_tombstone(&self, id: &MachineId) -> bool {
+        self.tombstones.contains(id)
+    }
+
+    /// Takes a machine out for good. Its name is remembered until `max_machines` others have gone.
+    pub(in crate::core) fn remove(&mut self, id: &MachineId, max_machines: usize) {
+        self.machines.remove(id);
+        if !self.tombstones.insert(id.clone()) {
+            return;
+        }
+        self.tombstone_order.push_back(id.clone());
+        if self.tombstone_order.len() <= MIN_TOMBSTONES.max(max_machines) {
+            return;
+        }
+        if let Some(oldest) = self.tombstone_order.pop_front() {
+            self.tombstones.remove(&oldest);
+        }
+    }
+}
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -35,22 +35,24 @@
         let before = a.seen.replace(phase);
         if phase == TaskPhase::Fetching {
             a.waited = Some(now);
-            if let Some(h) = self.machines.get_mut(&r.machine) {
+            if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
                 h.fetching.entry(image).or_insert((now, gb));
             }
             return;
         }
         let starts = phase == TaskPhase::Running && a.running_since.is_none();
         if starts && a.note_start(now, r, before) {
-            self.waits.push(now.saturating_duration_since(a.placed));
+            self.start_waits
+                .push(now.saturating_duration_since(a.placed));
         }
         if matches!(before, None | Some(TaskPhase::Fetching)) {
             self.measure_fetch(now, r, image, before.is_some());
         }
         let cache = self
+            .fleet
             .machine_type(&r.machine_type)
             .map_or(0.0, |t| t.cache_gb);
-        if let Some(h) = self.machines.get_mut(&r.machine) {
+        if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
             h.cached(image, gb, cache);
         }
     }
@@ -58,11 +60,11 @@
     /// An image was fetched. How long that took is known if it was seen to begin, and only where it had the
     /// machine's rate for itself.
     fn measure_fetch(&mut self, now: Instant, r: &Heartbeat, image: ImageKey, seen_to_begin: bool) {
-        let machine = self.machines.get(&r.machine);
+        let machine = self.fleet.machines.get(&r.machine);
         let alone = machine.filter(|h| h.fetching.len() == 1);
         let fetched = alone.and_then(|h| h.fetching.get(&image).copied());
         if let Some((since, gb)) = fetched.filter(|_| seen_to_begin) {
-            let nominal = self.machine_type(&r.machine_type);
+            let nominal = self.fleet.machine_type(&r.machine_type);
             let nominal = nominal.map_or(0.0, |t| t.fetch_gb_per_s);
             let took = now.saturating_duration_since(since);
             self.history.fetched(&r.machine_type, nominal, gb, took);
@@ -82,7 +84,7 @@
             return;
         };
         log::debug!("task ended task={task} host={} exit={exit:?}", r.machine);
-        if !self.jobs.contains_key(job_id) {
+        if !self.jobs.contains(job_id) {
             return;
         }
         match exit {
@@ -90,7 +92,7 @@
             ExitReason::Stopped { stored } => self.stopped(now, task, &a, stored),
             ExitReason::Failed => self.failed_by_itself(now, &r.machine, task, &a),
             ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
-                if let Some(h) = self.machines.get_mut(&r.machine) {
+                if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
                     h.avoid_until = Some(now + REFUSED_START_PAUSE);
                 }
             }
@@ -107,7 +109,7 @@
         job.unknowns = 0;
         let ran = a.measured_run(now);
         let undisturbed = ran.filter(|_| a.kill.is_none() && job.done_count > 1);
-        if let (Some(took), Some(h)) = (undisturbed, self.machines.get_mut(&r.machine)) {
+        if let (Some(took), Some(h)) = (undisturbed, self.fleet.machines.get_mut(&r.machine)) {
             let expected = a.est.as_secs_f64().max(MIN_RUN_S);
             let ratio = (took.as_secs_f64().max(MIN_RUN_S) / expected).ln();
             h.slowness
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -6,8 +6,6 @@
 use std::time::{Duration, Instant};
 
 /// Names of returned hosts that are remembered, so that late reports do not revive them: so many, or all
-/// machines that there may be, whichever is more.
-const MIN_TOMBSTONES: usize = 5000;
 /// Clocks drift by 0.05%; a lease counts as run out only after this much more of it, and a second.
 const DRIFT: f64 = 1.002;
 
@@ -20,7 +18,7 @@
     }
 
     pub(in crate::core) fn remove_machine(&mut self, now: Instant, id: &MachineId, why: &str) {
-        let Some(h) = self.machines.get(id) else {
+        let Some(h) = self.fleet.machines.get(id) else {
             return;
         };
         log::info!("host leaves host={id} why={why} tasks={}", h.placed.len());
@@ -29,42 +27,29 @@
         for t in tasks {
             self.gone(now, &t.job_id, t.index, false);
         }
-        self.machines.remove(id);
-        self.team_use.set_unexpected(id, &[]);
+        let max_machines = self.config.tuning.max_machines;
+        self.fleet.remove(id, max_machines);
+        self.quota_usage.set_unexpected(id, &[]);
         self.unreadable_records.machine_gone(id);
-        self.urgent.remove(id);
-        if self.tombstones.insert(id.clone()) {
-            self.tombstone_order.push_back(id.clone());
-            let kept = MIN_TOMBSTONES.max(self.config.tuning.max_machines);
-            if self.tombstone_order.len() > kept {
-                if let Some(old) = self.tombstone_order.pop_front() {
-                    self.tombstones.remove(&old);
-                }
-            }
-        }
-        self.round_due = true;
+        self.outbox.urgent_machines.remove(id);
+        self.schedule.request_round();
     }
 
     /// The return did not go through; it is asked for again.
     pub fn on_return_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
-            if let Some(h) = self.machines.get_mut(id) {
+            if let Some(h) = self.fleet.machines.get_mut(id) {
                 h.return_sent = None;
             }
         }
     }
 
-    /// Whether this host was returned: what comes from it later is ignored.
-    pub fn is_tombstone(&self, id: &MachineId) -> bool {
-        self.tombstones.contains(id)
-    }
-
     /// Leases that ran out for certain. Only for hosts that this term has fenced: before that,
     /// another controller's answers may have renewed them.
     pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
         let spent = self.config.lease.mul_f64(DRIFT) + Duration::from_secs(1);
         let mut gone = Vec::new();
-        for h in self.machines.values_mut() {
+        for h in self.fleet.machines.values_mut() {
             if !h.fenced || h.lease_spent {
                 continue;
             }
@@ -74,7 +59,7 @@
             if now.saturating_duration_since(answer) > spent {
                 h.lease_spent = true;
                 h.foreign = Resources::default();
-                self.team_use.set_unexpected(&h.id, &[]);
+                self.quota_usage.set_unexpected(&h.id, &[]);
                 self.takeover.on_lease_expired(now, &h.id);
                 gone.extend(h.placed.keys().cloned());
             }
@@ -105,7 +90,7 @@
             }
         }
         for id in machines {
-            if let Some(h) = self.machines.get_mut(&id) {
+            if let Some(h) = self.fleet.machines.get_mut(&id) {
                 h.returning = true;
                 h.overdue = true;
             }
@@ -115,7 +100,7 @@
     /// Spot notices: tasks that can save do so in time, those that cannot finish move at once.
     pub(in crate::core) fn evictions(&mut self, now: Instant) {
         let mut kills = Vec::new();
-        for h in self.machines.values() {
+        for h in self.fleet.machines.values() {
             let Some(at) = h.eviction else {
                 continue;
             };
@@ -185,6 +170,6 @@
                 }
             }
         }
-        self.urgent.extend(due);
+        self.outbox.urgent_machines.extend(due);
     }
 }
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -93,7 +93,7 @@
 
     fn look_at_clocks(&mut self, now: Instant) {
         if let Some(c) = self.cluster.as_mut() {
-            c.clocks(ClockReading::now());
+            c.leadership.set_clocks(ClockReading::now());
         }
         let woke = self.shared.woke();
         if woke == self.last_woke {
@@ -261,13 +261,13 @@
             }
         }
         Event::Standings(t, statuses) if t == term => c.on_statuses(now, &statuses),
-        Event::Read(t, asked) if t == term => c.cancellations_read(asked),
+        Event::Read(t, asked) if t == term => c.leadership.cancellations_read(asked),
         Event::CancelledElsewhere(t, job_ids, covers) if t == term => {
             for job_id in &job_ids {
                 c.on_cancelled(now, job_id, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
-                c.cancellations_stated(&peer, word);
+                c.leadership.cancellations_reported(&peer, word);
             }
         }
         Event::Written(t, outcome) if t == term => {
@@ -293,7 +293,7 @@
             }
         }
         Event::CloudListed(t, listed) if t == term => c.on_list(now, &listed),
-        Event::Types(types) => c.types = types,
+        Event::Types(types) => c.fleet.types = types,
         _ => {}
     }
 }
@@ -374,7 +374,7 @@
             }
         }
     }
-    for job_id in c.take_gone_jobs() {
+    for job_id in c.jobs.take_removed() {
         shared.view.write().progress.remove(&job_id);
     }
 }
@@ -382,13 +382,14 @@
 /// Puts the counts that changed where the front and the announcer find them.
 fn publish(shared: &Shared, c: &ClusterState, published: &mut HashMap<JobId, (u32, u32)>) {
     let mut changed = Vec::new();
-    for (job_id, j) in &c.jobs {
+    for j in c.jobs.values() {
+        let job_id = &j.spec.job_id;
         let counts = (j.done_count, j.running_count());
         if published.get(job_id) != Some(&counts) {
             changed.push((job_id.clone(), counts));
         }
     }
-    published.retain(|job_id, _| c.jobs.contains_key(job_id));
+    published.retain(|job_id, _| c.jobs.contains(job_id));
     if changed.is_empty() && shared.view.read().live_jobs == c.jobs.len() {
         return;
     }
@@ -402,7 +403,7 @@
 
 fn metrics(shared: &Shared, c: &mut ClusterState) {
     let m = &shared.meters;
-    for w in c.waits.drain(..) {
+    for w in c.start_waits.drain(..) {
         m.starts.record(w);
     }
     let queued: u32 = c.jobs.values().map(|j| j.waiting_count()).sum();
@@ -413,7 +414,7 @@
         c.jobs.len(),
         shared.timer_lag.now().as_millis(),
         c.start_limiter.bound().map_or(-1.0, f64::round),
-        c.machines.len(),
+        c.fleet.machines.len(),
         m.starts.facts("starts"),
         m.rounds.facts("rounds"),
         m.store.facts("store_calls"),
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -256,7 +256,7 @@
     let now = Instant::now();
     let mut cluster = empty_cluster(shared, term, leader_revision, now);
     let peers = shared.peers.iter().map(|p| p.member.clone());
-    cluster.confirmed_by(peers, began);
+    cluster.leadership.set_peers(peers, began);
     cluster.take_over(now, picture(records, over, ends));
     log::info!("loaded term={} jobs={jobs} intent_keys={chunks}", term.0);
     Ok((cluster, revision))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -168,6 +168,7 @@
     ) -> (FencingToken, Vec<TaskCommand>) {
         let token = self
             .c
+            .fleet
             .machines
             .get(&MachineId::from(machine))
             .map_or(FencingToken::first(self.c.term).0, |h| h.token.0);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -173,10 +173,10 @@
         w.heartbeat("i-1", 3, running());
         w.heartbeat("i-2", 1, vec![]);
         for _ in 0..4 {
-            let h = w.c.machines.get_mut(&MachineId::from("i-1")).unwrap();
+            let h = w.c.fleet.machines.get_mut(&MachineId::from("i-1")).unwrap();
             h.slowness.add(slowness);
         }
-        let h = w.c.machines.get_mut(&MachineId::from("i-2")).unwrap();
+        let h = w.c.fleet.machines.get_mut(&MachineId::from("i-2")).unwrap();
         h.images.push_back((ImageKey::of("img-1"), 2.0));
         w.job(spec("wk-000002", 1, 4.0));
         let sent = launches(&w.settle());
@@ -232,7 +232,11 @@
     let mut w = World::new();
     for (n, machine) in ["i-1", "i-2"].iter().enumerate() {
         w.heartbeat(machine, 1, vec![]);
-        let h = w.c.machines.get_mut(&MachineId::from(*machine)).unwrap();
+        let h =
+            w.c.fleet
+                .machines
+                .get_mut(&MachineId::from(*machine))
+                .unwrap();
         h.images.push_back((ImageKey::of("img-1"), 2.0));
         for _ in 0..4 {
             h.slowness.add(if n == 0 { 1.5 } else { 0.0 });
@@ -643,8 +647,8 @@
     }
     // All three fall silent together: the fault is on our side.
     w.pass(secs(25));
-    let returned = |w: &World| w.c.machines.values().filter(|h| h.returning).count();
-    for h in w.c.machines.values_mut() {
+    let returned = |w: &World| w.c.fleet.machines.values().filter(|h| h.returning).count();
+    for h in w.c.fleet.machines.values_mut() {
         h.idle_since = None;
     }
     w.settle();
@@ -653,12 +657,12 @@
     for h in ["i-2", "i-3"] {
         w.heartbeat(h, 2, vec![]);
     }
-    for h in w.c.machines.values_mut() {
+    for h in w.c.fleet.machines.values_mut() {
         h.idle_since = None;
     }
     w.pass(Duration::from_millis(1100));
     w.settle();
-    assert!(w.c.machines[&MachineId::from("i-1")].returning);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")].returning);
     assert_eq!(returned(&w), 1);
 }
 
@@ -680,8 +684,10 @@
         listed("i-3", CloudMachinePhase::Failed),
     ];
     w.c.on_list(w.now, &list);
-    assert!(w.c.machines[&MachineId::from("i-1")].booting.is_some());
-    assert!(w.c.machines[&MachineId::from("i-3")].returning);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")]
+        .booting
+        .is_some());
+    assert!(w.c.fleet.machines[&MachineId::from("i-3")].returning);
     let actions = w.settle();
     let probes =
         |a: &&Action| matches!(a, Action::Probe { machine, .. } if machine == &"i-2".into());
@@ -689,7 +695,7 @@
     w.c.on_returned(w.now, &["i-3".into()]);
     // The list lags: what was returned does not come back.
     w.c.on_list(w.now, &list);
-    assert!(!w.c.machines.contains_key(&"i-3".into()));
+    assert!(!w.c.fleet.machines.contains_key(&"i-3".into()));
 }
 
 #[test]
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -103,7 +103,7 @@
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         // The kill goes out with a raised token, so that no copy of the launch comes after it.
         w.settle();
-        let token = w.c.machines[&MachineId::from("i-1")].token.0 as i64 + token_offset;
+        let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0 as i64 + token_offset;
         let tasks = if listed {
             vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
@@ -121,7 +121,7 @@
         let (mut w, _) = launched();
         w.heartbeat("i-1", 5, vec![]);
         // Fenced: it has shown this term's token, and from then on only we renew its lease.
-        for h in w.c.machines.values_mut() {
+        for h in w.c.fleet.machines.values_mut() {
             h.fenced = fenced;
             h.returning = true;
         }
@@ -142,11 +142,11 @@
     let lease = config().lease;
     // Its answers were lost: the worker began a new session, of which a direct answer tells.
     w.pass(lease);
-    let token = w.c.machines[&machine].token.0;
+    let token = w.c.fleet.machines[&machine].token.0;
     let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
     w.c.on_sent(w.now, &machine, Some(fresh));
     assert_eq!(launches(&w.settle()), vec![], "does anything reach it?");
-    let token = w.c.machines[&machine].token.0;
+    let token = w.c.fleet.machines[&machine].token.0;
     let shows = World::heartbeat_from("i-1", 2, 2, token, vec![]);
     w.c.on_sent(w.now, &machine, Some(shows));
     let sent = launches(&w.settle());
@@ -169,7 +169,7 @@
         w.c.on_heartbeat(w.now, late, true),
         HeartbeatDecision::Ignore
     );
-    assert!(w.c.machines.is_empty());
+    assert!(w.c.fleet.machines.is_empty());
 }
 
 #[test]
@@ -186,7 +186,7 @@
 #[test]
 fn a_heartbeat_overtaken_by_a_direct_answer_still_renews_the_lease() {
     let (mut w, attempt) = launched();
-    let token = w.c.machines[&MachineId::from("i-1")].token.0;
+    let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
     let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let direct = World::heartbeat_from("i-1", 1, 8, token, running);
     w.c.on_sent(w.now, &"i-1".into(), Some(direct));
@@ -195,7 +195,7 @@
     assert_eq!(commands, vec![]);
     assert!(w.active("wk-000001", 0).is_some());
     assert_eq!(
-        w.c.machines[&MachineId::from("i-1")].last_answer,
+        w.c.fleet.machines[&MachineId::from("i-1")].last_answer,
         Some(w.now)
     );
 }
@@ -247,7 +247,7 @@
         assert_eq!(j.done_count == 1, done, "{exit:?}");
         assert_eq!(j.pending(9) == vec![0], waits, "{exit:?}");
         assert_eq!(j.backoff_until.is_some(), held_back, "{exit:?}");
-        let h = &w.c.machines[&MachineId::from("i-1")];
+        let h = &w.c.fleet.machines[&MachineId::from("i-1")];
         assert_eq!(h.avoid_until.is_some(), avoided, "{exit:?}");
     }
 }
@@ -265,7 +265,7 @@
         .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
     w.heartbeat("i-1", 5, ends);
-    assert!(w.c.machines[&MachineId::from("i-1")].quarantined);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")].quarantined);
 
     let mut w = World::new();
     w.job(spec("wk-000001", 1, 4.0));
@@ -386,7 +386,7 @@
         w.heartbeat("i-1", serial, running);
         w.settle();
     }
-    assert!(w.c.machines[&MachineId::from("i-1")].returning);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")].returning);
 }
 
 #[test]
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -62,7 +62,7 @@
                 } else {
                     1
                 };
-                let token = w.c.machines[&MachineId::from("i-1")].token.next().0;
+                let token = w.c.fleet.machines[&MachineId::from("i-1")].token.next().0;
                 let live = World::heartbeat_from("i-1", incarnation, 9, token, vec![]);
                 w.c.on_heartbeat(w.now, live, true);
             }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -52,7 +52,7 @@
                     "{name}: {job_id} launched {launched}"
                 );
                 assert!(launched >= 3, "{name}: {job_id} was given up");
-                assert!(f.w.c.jobs.contains_key(&job_id), "{name}: known all along");
+                assert!(f.w.c.jobs.contains(&job_id), "{name}: known all along");
             } else {
                 assert_eq!(f.done.get(&job_id), Some(&80), "{name}: {job_id}");
             }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -267,7 +267,8 @@
 
 fn queue_read(w: &mut World) {
     let day = SystemTime::UNIX_EPOCH;
-    w.c.cancellations_read(ClockReading { steady: w.now, day });
+    w.c.leadership
+        .cancellations_read(ClockReading { steady: w.now, day });
 }
 
 /// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
@@ -326,7 +327,7 @@
                 .any(|k| k.as_str() <= live_key(&u(DEPENDENTS)).as_str() && k.starts_with("q/")),
             "chain {chain}: {left:?}"
         );
-        assert!(!w.c.jobs.contains_key(&u(0)) && !w.c.jobs.contains_key(&u(DEPENDENTS)));
+        assert!(!w.c.jobs.contains(&u(0)) && !w.c.jobs.contains(&u(DEPENDENTS)));
     }
 }
 
@@ -612,7 +613,7 @@
     }
     w.settle();
     assert_eq!(
-        w.c.ranks_computed,
+        w.c.jobs.priorities_computed,
         u64::from(CHAIN),
         "a chain, from its end"
     );
@@ -620,14 +621,14 @@
     w.job(needing(0, &[]));
     (1..=FAN).for_each(|n| w.job(needing(n, &[0])));
     w.settle();
-    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 1, "a fan");
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 1, "a fan");
     // One more, and one less: the one that they all need, and the one itself.
     w.job(needing(FAN + 1, &[0]));
     w.settle();
-    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 3);
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 3);
     w.c.on_cancel_marked(w.now, &u(FAN + 1));
     w.settle();
-    assert_eq!(w.c.ranks_computed, u64::from(FAN) + 4);
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 4);
 }
 
 #[test]
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -51,7 +51,7 @@
 }
 
 fn red(w: &World) -> f64 {
-    w.c.team_use.of(&"red".into()).cpus
+    w.c.quota_usage.of(&"red".into()).cpus
 }
 
 fn launched_index(d: &TaskCommand) -> Option<u32> {
@@ -276,7 +276,7 @@
             }
         }
         for n in 0..MACHINES {
-            let token = w.c.machines[&MachineId(format!("i-{n}"))].token.0;
+            let token = w.c.fleet.machines[&MachineId(format!("i-{n}"))].token.0;
             let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
             let mut r = World::heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
             r.endpoint = format!("10.0.{}.{n}:9", n % 2);
@@ -334,7 +334,8 @@
         for n in (0..20).filter(|n| second == 0 || (second % 3 == 0 && !silent(*n))) {
             let machine = format!("i-{n}");
             let token =
-                w.c.machines
+                w.c.fleet
+                    .machines
                     .get(&MachineId::from(machine.as_str()))
                     .map_or(FencingToken::first(TERM), |h| h.token);
             let mut r = World::heartbeat_from(&machine, 1, second + 1, token.0, vec![]);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -912,7 +912,9 @@
         let Some(l) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
-        l.cluster.clocks(ClockReading { steady: now, day });
+        l.cluster
+            .leadership
+            .set_clocks(ClockReading { steady: now, day });
         if l.cut_since.is_some() || now < l.read_at {
             return;
         }
@@ -927,6 +929,7 @@
         }
         l.seen = self.store.revision();
         l.cluster
+            .leadership
             .cancellations_read(ClockReading { steady: now, day });
         for job_id in l.cluster.unresolved() {
             if let Some(outcome) = self.store.outcome(&job_id) {
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -62,7 +62,7 @@
 }
 
 fn red(w: &World) -> f64 {
-    w.c.team_use.of(&"red".into()).cpus
+    w.c.quota_usage.of(&"red".into()).cpus
 }
 
 #[test]
@@ -193,7 +193,7 @@
             ],
             ..StoredSnapshot::default()
         });
-        let token = w.c.machines[&MachineId::from("i-2")].token.0;
+        let token = w.c.fleet.machines[&MachineId::from("i-2")].token.0;
         let tasks = others.iter().map(|i| running("wk-000001", *i)).collect();
         let mut r = World::heartbeat_from("i-2", 1, 1, token, tasks);
         r.zone = zone.into();
@@ -254,7 +254,7 @@
         assert_eq!(launched(&commands), vec![], "it is not started again");
         assert_eq!(red(&w), 4.0, "proved gone");
         assert_eq!(launches(&w.settle()).len(), 1);
-        assert!(!w.c.jobs.contains_key(&JobId::from("wk-000001")));
+        assert!(!w.c.jobs.contains(&JobId::from("wk-000001")));
     }
 }
 
@@ -346,7 +346,7 @@
     w.job(spec("wk-000001", 1, 4.0));
     let launch = launches(&w.settle());
     let attempt = launch[0].2;
-    let given = w.c.machines[&MachineId::from("i-1")].token;
+    let given = w.c.fleet.machines[&MachineId::from("i-1")].token;
     let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
     w.heartbeat("i-1", 2, vec![run]);
     // Restarted within a report's interval, it counts from the beginning and has seen no token. A copy
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_machine_that_nothing_reaches_gets_nothing_more_and_is_given_up() {
     let mut w = one_free();
-    let token = w.c.machines[&machine()].token.0;
+    let token = w.c.fleet.machines[&machine()].token.0;
     w.job(spec("wk-000001", 1, 4.0));
     let sent = launches(&w.settle());
     assert_eq!(sent[0].0, machine());
@@ -92,14 +92,14 @@
         let mut w = one_free();
         w.job(spec("wk-000001", 1, 4.0));
         let (_, _, old) = launches(&w.settle())[0].clone();
-        let token = w.c.machines[&machine()].token.0;
+        let token = w.c.fleet.machines[&machine()].token.0;
         let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
         w.c.on_heartbeat(w.now, fresh, true);
         let moved = w.active("wk-000001", 0).is_none_or(|a| a.1 != old);
         assert!(moved, "the later session proves the task gone");
         assert_eq!(launches(&w.settle()), vec![]);
         let shown = if hears {
-            w.c.machines[&machine()].token.0
+            w.c.fleet.machines[&machine()].token.0
         } else {
             token
         };
@@ -128,7 +128,7 @@
         let tasks = || vec![shown("wk-000001", 0, a, TaskPhase::Running)];
         w.heartbeat("i-1", 5, tasks());
         let (answered, token) = {
-            let h = &w.c.machines[&machine()];
+            let h = &w.c.fleet.machines[&machine()];
             (h.last_answer, h.token)
         };
         // From seconds to well over a lease later.
@@ -140,7 +140,7 @@
             let none =
                 matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
             assert!(none, "{name}: nothing is ordered on its word");
-            let h = &w.c.machines[&machine()];
+            let h = &w.c.fleet.machines[&machine()];
             assert_eq!(h.last_answer, answered, "{name}: renews no lease");
             assert_eq!((h.incarnation, h.serial), (1, 5), "{name}");
             assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
@@ -193,7 +193,7 @@
             continue;
         }
         // Once it shows this term's token it is a machine like any other.
-        let h = &w.c.machines[&machine()];
+        let h = &w.c.fleet.machines[&machine()];
         let live = World::heartbeat_from(
             "i-1",
             1,
@@ -254,7 +254,7 @@
             assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
         }
         // The machine itself, once it shows this term's token: it runs there, or is proved gone.
-        let token = w.c.machines[&machine()].token.0;
+        let token = w.c.fleet.machines[&machine()].token.0;
         let live = World::heartbeat_from("i-1", 2, 50, token, running());
         w.c.on_heartbeat(w.now, live, true);
         assert_eq!(w.active("wk-000001", 0), Some((machine(), a)), "{name}");
@@ -276,7 +276,7 @@
             w.c.on_heartbeat(w.now, copy, true),
             HeartbeatDecision::Ignore
         );
-        assert!(w.c.machines.is_empty());
+        assert!(w.c.fleet.machines.is_empty());
     }
 }
 
@@ -291,7 +291,7 @@
         90,
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
     );
-    let old = w.c.machines[&machine()].token.0;
+    let old = w.c.fleet.machines[&machine()].token.0;
     // Its life's reports count from the beginning; at first they look like copies.
     w.pass(secs(9));
     let HeartbeatDecision::Accept { token, .. } =
@@ -307,7 +307,7 @@
         World::heartbeat_from("i-1", 1, 2, token.0, vec![]),
         true,
     );
-    assert_eq!(w.c.machines[&machine()].serial, 2, "heard again");
+    assert_eq!(w.c.fleet.machines[&machine()].serial, 2, "heard again");
     let now_on = w.active("wk-000001", 0);
     assert!(now_on.is_none_or(|n| n.1 != a), "its old task is gone");
     // A copy of the predecessor's counts higher and yet says nothing.
@@ -319,7 +319,7 @@
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
     );
     w.c.on_heartbeat(w.now, copy, true);
-    assert_eq!(w.c.machines[&machine()].serial, 2);
+    assert_eq!(w.c.fleet.machines[&machine()].serial, 2);
 }
 
 #[test]
@@ -653,7 +653,7 @@
             let (_, commands) = w.heartbeat("i-1", 3, tasks);
             let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
             assert!(commands.iter().any(graceful), "{commands:?}");
-            assert!(w.c.machines[&machine()].must_show.is_none());
+            assert!(w.c.fleet.machines[&machine()].must_show.is_none());
             // In the end the lease counts again.
             w.pass(secs(1));
             for _ in 0..20 {
--- a/tests/watermark.rs
+++ b/tests/watermark.rs
@@ -192,8 +192,8 @@
         steady: w.now,
         day: SystemTime::now(),
     };
-    w.c.clocks(read);
-    w.c.confirmed_by(["b".to_owned()], read);
+    w.c.leadership.set_clocks(read);
+    w.c.leadership.set_peers(["b".to_owned()], read);
     (w, attempt)
 }
 
@@ -208,15 +208,15 @@
     // The process runs all the while.
     w.run(bound.as_secs() - 1);
     w.heartbeat("i-1", 3, tasks());
-    let answered = w.c.machines[&MachineId::from("i-1")].last_answer;
+    let answered = w.c.fleet.machines[&MachineId::from("i-1")].last_answer;
     w.run(2);
-    let token = w.c.machines[&MachineId::from("i-1")].token.0;
+    let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
     let heartbeat = World::heartbeat_from("i-1", 1, 4, token, tasks());
     assert_eq!(
         w.c.on_heartbeat(w.now, heartbeat, true),
         HeartbeatDecision::Withheld
     );
-    let h = &w.c.machines[&MachineId::from("i-1")];
+    let h = &w.c.fleet.machines[&MachineId::from("i-1")];
     assert_eq!(h.last_answer, answered, "no lease is renewed in the books");
     assert_eq!((h.serial, h.last_heartbeat), (4, w.now), "yet it was heard");
     // A late copy's answer would renew a lease too.
@@ -244,8 +244,8 @@
         steady: w.now,
         day: SystemTime::now(),
     };
-    w.c.clocks(read);
-    w.c.cancellations_read(read);
+    w.c.leadership.set_clocks(read);
+    w.c.leadership.cancellations_read(read);
     w.heartbeat("i-1", 9, vec![]);
 }
 
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -36,7 +36,7 @@
     serial: u64,
     tasks: Vec<TaskStatus>,
 ) {
-    let known = w.c.machines.get(&MachineId::from(machine));
+    let known = w.c.fleet.machines.get(&MachineId::from(machine));
     let token = known.map_or(FencingToken::first(w.c.term).0, |h| h.token.0);
     let mut r = World::heartbeat_from(machine, incarnation, serial, token, tasks);
     r.machine_type = "m32".into();
