--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -53,14 +53,14 @@
     listener: TcpListener,
     spawn: &mut Spawn<'_>,
 ) -> std::io::Result<()> {
-    let waiting = shared.settings.sockets().front as f64 * HEARTBEATS_WAITING;
+    let waiting = shared.settings.socket_budget().http as f64 * HEARTBEATS_WAITING;
     let (heartbeats, heartbeat_queue) = bounded::<Request>(waiting as usize);
     let (users, user_queue) = bounded::<Request>(USERS_WAITING);
     for _ in 0..HEARTBEAT_THREADS {
         let (s, q) = (shared.clone(), heartbeat_queue.clone());
         spawn("heartbeats", Box::new(move || heartbeat_pool(&s, &q)))?;
     }
-    for _ in 0..shared.settings.operations.handlers {
+    for _ in 0..shared.settings.operations.api_threads {
         let (s, q) = (shared.clone(), user_queue.clone());
         spawn("users", Box::new(move || user_pool(&s, &q)))?;
     }
@@ -70,7 +70,7 @@
         spawn("questions", Box::new(move || status_queries::pool(&s, &q)))?;
     }
     let limits = Limits {
-        connections: shared.settings.sockets().front,
+        connections: shared.settings.socket_budget().http,
         body: wire::BODY_LIMIT,
         idle: (shared.settings.config.heartbeat * IDLE_HEARTBEATS).max(IDLE_MIN),
     };
@@ -305,7 +305,7 @@
 
 /// The rate is used up: when to come back depends on how many others are told the same.
 fn crowded(shared: &Shared) -> ApiResponse {
-    let retry = shared.store.budgets().relief().as_secs_f64().ceil() as u64;
+    let retry = shared.store.budget().retry_after().as_secs_f64().ceil() as u64;
     (problem(503, "the rate is used up"), Some(retry))
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -56,9 +56,10 @@
             "state service: values of {} bytes, {} changes a transaction",
             p.value_bytes, p.txn_ops
         );
-        if let Some((rps, changes)) = settings.state_next {
+        if let Some(next) = settings.next_store_rates {
             println!(
-                "state service, once it refuses more: {rps} requests, {changes} changes a second"
+                "state service, once it refuses more: {} requests, {} changes a second",
+                next.requests, next.changes
             );
         }
         return ExitCode::SUCCESS;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,5 +7,4 @@
 pub mod peer;
 pub mod request_parser;
 pub mod store;
-pub mod store_budget;
 pub mod wire;
--- /dev/null
+++ b/src/net/store/budget.rs
@@ -0,0 +1,297 @@
+//! The rates of requests and changes that a node keeps to at the key-value store.
+//!
+//! Users' requests and the leader's work have buckets of their own, so that neither takes what the other
+//! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
+
+use crate::common::rate_limit::{shares, Bucket, Demand, RequestClass, LEADER_CHANGES};
+use crate::settings::StoreRates;
+use std::sync::{Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// The leader's part of all requests. The rest is the users', node by node.
+const LEADER_REQUESTS: f64 = 0.4;
+/// Bursts of one second's worth are allowed; a little less allows for the clocks.
+const BURST_S: f64 = 0.9;
+/// So many refusals within [`REFUSAL_WINDOW`] show that the announced rates are in force.
+const REFUSALS_TO_REDUCE: u32 = 3;
+const REFUSAL_WINDOW: Duration = Duration::from_secs(10);
+/// Refusals that follow each other sooner have one cause, such as calls that an interruption held back
+/// and let go together.
+const MIN_REFUSAL_INTERVAL: Duration = Duration::from_millis(500);
+/// The part of the store's changes a second that is distributed among the nodes.
+const DISTRIBUTED_CHANGES: f64 = 0.97;
+/// The part of a node's requests that status queries leave to submissions and cancellations.
+const STATUS_QUERY_RESERVE: f64 = 0.4;
+/// Clients that are refused for want of the rate are asked to come back within this time: users give up
+/// after a minute.
+const MIN_RETRY_AFTER_S: f64 = 1.0;
+const MAX_RETRY_AFTER_S: f64 = 4.0;
+/// Rebalancing more often would measure demand over too short a time.
+const MIN_REBALANCE_S: f64 = 0.2;
+
+/// The rates that this node keeps to.
+pub struct StoreBudget {
+    users: Buckets,
+    leader: Buckets,
+    /// The rates that the deployment allows now.
+    rates: StoreRates,
+    /// Lower rates that may come into force without notice.
+    reduced_rates: Option<StoreRates>,
+    controller_count: f64,
+    refusals: Mutex<Refusals>,
+    usage: Mutex<Usage>,
+}
+
+/// One class of requests: each call takes a request, and as many changes as it makes.
+struct Buckets {
+    requests: Bucket,
+    changes: Bucket,
+}
+
+impl Buckets {
+    fn new(rates: StoreRates, now: Instant) -> Buckets {
+        Buckets {
+            requests: Bucket::new(rates.requests, BURST_S, now),
+            changes: Bucket::new(rates.changes, BURST_S, now),
+        }
+    }
+
+    fn reduce(&self, rates: StoreRates, now: Instant) {
+        self.requests.set_rate(rates.requests, now);
+        self.changes.set_rate(rates.changes, now);
+        self.changes.resize(rates.changes, BURST_S);
+    }
+}
+
+/// Refusals for the rate by the store itself, and whether they showed the reduced rates to be in force.
+#[derive(Default)]
+struct Refusals {
+    count: u32,
+    window_start: Option<Instant>,
+    last_counted: Option<Instant>,
+    rates_reduced: bool,
+}
+
+impl Refusals {
+    /// Counts a refusal. True: there were enough of them to show that the reduced rates are in force.
+    fn record(&mut self, now: Instant) -> bool {
+        let since = |t: Instant| now.saturating_duration_since(t);
+        if self
+            .last_counted
+            .is_some_and(|t| since(t) < MIN_REFUSAL_INTERVAL)
+        {
+            return false;
+        }
+        self.last_counted = Some(now);
+        if !self.window_start.is_some_and(|t| since(t) < REFUSAL_WINDOW) {
+            (self.count, self.window_start) = (0, Some(now));
+        }
+        self.count += 1;
+        self.count >= REFUSALS_TO_REDUCE && !self.rates_reduced
+    }
+}
+
+/// Changes asked for since the last rebalancing, and the demand a second before that.
+struct Usage {
+    users: usize,
+    leader: usize,
+    since: Instant,
+    demand: Demand,
+}
+
+impl Usage {
+    fn new(now: Instant) -> Usage {
+        Usage {
+            users: 0,
+            leader: 0,
+            since: now,
+            demand: Demand::default(),
+        }
+    }
+
+    fn record(&mut self, class: RequestClass, changes: usize) {
+        match class {
+            RequestClass::User => self.users += changes,
+            RequestClass::Leader => self.leader += changes,
+        }
+    }
+
+    /// The mean of the demand before and the usage of the last `elapsed` seconds; after a pause only the
+    /// latter counts. Starts to count anew.
+    fn update_demand(&mut self, elapsed: f64, max_changes: f64, now: Instant) -> Demand {
+        let weight = (elapsed / 2.0).clamp(0.5, 1.0);
+        let mean = |old: f64, count: usize| old + (count as f64 / elapsed - old) * weight;
+        self.demand = Demand {
+            users: mean(self.demand.users, self.users).min(max_changes),
+            leader: mean(self.demand.leader, self.leader).min(max_changes),
+        };
+        (self.users, self.leader, self.since) = (0, 0, now);
+        self.demand
+    }
+}
+
+impl StoreBudget {
+    /// This node's part of the store's rates. Only one controller leads, so each holds the leader's part
+    /// ready.
+    pub fn new(rates: StoreRates, controller_count: usize, now: Instant) -> StoreBudget {
+        let controller_count = controller_count.max(1) as f64;
+        StoreBudget {
+            users: Buckets::new(user_rates(rates, controller_count), now),
+            leader: Buckets::new(leader_rates(rates), now),
+            rates,
+            reduced_rates: None,
+            controller_count,
+            refusals: Mutex::default(),
+            usage: Mutex::new(Usage::new(now)),
+        }
+    }
+
+    /// With lower rates that may come into force without notice.
+    #[must_use]
+    pub fn with_reduced_rates(mut self, reduced_rates: Option<StoreRates>) -> StoreBudget {
+        self.reduced_rates = reduced_rates;
+        self
+    }
+
+    fn rates_in_force(&self) -> StoreRates {
+        match self.reduced_rates {
+            Some(reduced) if self.rates_reduced() => reduced,
+            _ => self.rates,
+        }
+    }
+
+    fn refusals(&self) -> MutexGuard<'_, Refusals> {
+        self.refusals.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    /// Whether the reduced rates are in force.
+    #[must_use]
+    pub fn rates_reduced(&self) -> bool {
+        self.refusals().rates_reduced
+    }
+
+    /// Records that the store refused a call for its rate. That happens now and then by chance; several
+    /// times in a short while, with reduced rates announced, it shows that these are in force.
+    pub fn record_refusal(&self, now: Instant) {
+        if self.reduced_rates.is_none() {
+            return;
+        }
+        let reduce = self.refusals().record(now);
+        if reduce {
+            self.reduce_rates(now);
+        }
+    }
+
+    /// Keeps to the reduced rates from now on, as refusals or a peer showed them to be in force.
+    pub fn reduce_rates(&self, now: Instant) {
+        let Some(reduced) = self.reduced_rates else {
+            return;
+        };
+        if std::mem::replace(&mut self.refusals().rates_reduced, true) {
+            return;
+        }
+        log::info!(
+            "key-value store rates reduced requests_per_s={} changes_per_s={}",
+            reduced.requests,
+            reduced.changes
+        );
+        self.users
+            .reduce(user_rates(reduced, self.controller_count), now);
+        self.leader.reduce(leader_rates(reduced), now);
+    }
+
+    fn usage(&self) -> MutexGuard<'_, Usage> {
+        self.usage.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    /// Changes a second that this node asks for, to be sent to its peers.
+    #[must_use]
+    pub fn demand(&self) -> Demand {
+        self.usage().demand
+    }
+
+    /// Distributes the store's changes by the demand of all nodes. `None` stands for a peer whose demand
+    /// is not known.
+    pub fn rebalance(&self, peers: &[Option<Demand>], now: Instant) {
+        let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGES;
+        let mut usage = self.usage();
+        let elapsed = now.saturating_duration_since(usage.since).as_secs_f64();
+        if elapsed < MIN_REBALANCE_S {
+            return;
+        }
+        let demand = usage.update_demand(elapsed, changes, now);
+        drop(usage);
+        let (users, leader) = shares(changes, demand, peers);
+        self.users.changes.set_rate(users, now);
+        self.leader.changes.set_rate(leader, now);
+    }
+
+    /// Takes one request for status queries. They leave a part of the bucket to submissions and
+    /// cancellations, so that no flood of queries holds these up.
+    #[must_use]
+    pub fn try_take_status_query(&self, now: Instant) -> bool {
+        self.users
+            .requests
+            .take_above(1.0, STATUS_QUERY_RESERVE, now)
+    }
+
+    /// When a user whose change was refused for the rate should come back: by then the recent demand
+    /// could be served.
+    #[must_use]
+    pub fn retry_after(&self) -> Duration {
+        let (demand, rate) = (self.usage().demand.users, self.users.changes.rate());
+        let seconds = demand / rate.max(0.1);
+        Duration::from_secs_f64(seconds.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S))
+    }
+
+    /// Changes that the leader could make now.
+    #[must_use]
+    pub fn leader_changes_left(&self, now: Instant) -> usize {
+        self.leader.changes.left_at(now) as usize
+    }
+
+    /// Takes a request with this many changes. False: the rate is used up for the moment.
+    #[must_use]
+    pub fn try_take(&self, class: RequestClass, changes: usize, now: Instant) -> bool {
+        self.try_take_above(class, changes, 0.0, now)
+    }
+
+    /// Takes a request with this many changes where `reserve`, a part of the bucket of changes, is left
+    /// to others.
+    #[must_use]
+    pub fn try_take_above(
+        &self,
+        class: RequestClass,
+        changes: usize,
+        reserve: f64,
+        now: Instant,
+    ) -> bool {
+        if changes > 0 {
+            self.usage().record(class, changes);
+        }
+        let buckets = match class {
+            RequestClass::User => &self.users,
+            RequestClass::Leader => &self.leader,
+        };
+        // What is refused for its changes must not use up requests.
+        let changes_granted =
+            changes == 0 || buckets.changes.take_above(changes as f64, reserve, now);
+        changes_granted && buckets.requests.take_at(1.0, now)
+    }
+}
+
+/// The rates of one node's users.
+fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
+    StoreRates {
+        requests: rates.requests * (1.0 - LEADER_REQUESTS) / controller_count,
+        changes: rates.changes * (1.0 - LEADER_CHANGES) / controller_count,
+    }
+}
+
+/// The leader's rates.
+fn leader_rates(rates: StoreRates) -> StoreRates {
+    StoreRates {
+        requests: rates.requests * LEADER_REQUESTS,
+        changes: rates.changes * LEADER_CHANGES,
+    }
+}
--- a/src/net/store.rs
+++ b/src/net/store/mod.rs
@@ -8,7 +8,6 @@
     job_key, live_key, Batch, JobOutcome, Op, Value, OUTCOME_PREFIX,
 };
 use crate::net::http_client::{CallError, Client, HttpResponse};
-use crate::net::store_budget::Budgets;
 use crate::net::wire::{self, StoredChunk, StoredHistory, StoredOutcome};
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::{Deserialize, Serialize};
@@ -16,6 +15,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+mod budget;
+
+pub use budget::StoreBudget;
+
 /// Why a call of the state service has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
@@ -230,7 +233,7 @@
 #[derive(Clone)]
 pub struct Store {
     client: Client,
-    budgets: Arc<Budgets>,
+    budget: Arc<StoreBudget>,
 }
 
 /// A question that finds the rate used up waits this long before it looks again.
@@ -254,7 +257,7 @@
     fn sent(&self, r: Result<HttpResponse, CallError>) -> Result<HttpResponse, StoreError> {
         match r {
             Ok(a) if a.status == 429 => {
-                self.budgets.refused(Instant::now());
+                self.budget.record_refusal(Instant::now());
                 Err(StoreError::Spent)
             }
             Ok(a) if a.status == 503 => Err(StoreError::Unavailable),
@@ -265,20 +268,20 @@
     }
 
     /// A store that is called through this client.
-    pub fn new(client: Client, budgets: Budgets) -> Store {
+    pub fn new(client: Client, budget: StoreBudget) -> Store {
         Store {
             client,
-            budgets: Arc::new(budgets),
+            budget: Arc::new(budget),
         }
     }
 
     /// Changes that the leader could make now.
-    pub fn changes_left(&self) -> usize {
-        self.budgets.changes_left(Instant::now())
+    pub fn leader_changes_left(&self) -> usize {
+        self.budget.leader_changes_left(Instant::now())
     }
 
     fn leave(&self, rank: RequestClass, writes: usize) -> Result<(), StoreError> {
-        if self.budgets.leave(rank, writes, Instant::now()) {
+        if self.budget.try_take(rank, writes, Instant::now()) {
             Ok(())
         } else {
             Err(StoreError::Spent)
@@ -286,8 +289,8 @@
     }
 
     /// The rates that are this node's part.
-    pub fn budgets(&self) -> &Budgets {
-        &self.budgets
+    pub fn budget(&self) -> &StoreBudget {
+        &self.budget
     }
 
     /// Reads a key. None: it is absent.
@@ -408,7 +411,10 @@
         limit: Duration,
     ) -> Result<TransactionOutcome, StoreError> {
         let (now, n) = (Instant::now(), changes.len());
-        if !self.budgets.leave_above(RequestClass::User, n, floor, now) {
+        if !self
+            .budget
+            .try_take_above(RequestClass::User, n, floor, now)
+        {
             return Err(StoreError::Spent);
         }
         self.exchange(conditions, changes, limit)
@@ -592,10 +598,10 @@
             let now = Instant::now();
             let left = match self.rank {
                 RequestClass::User if self.change => {
-                    self.store.budgets.leave(RequestClass::User, 0, now)
+                    self.store.budget.try_take(RequestClass::User, 0, now)
                 }
-                RequestClass::User => self.store.budgets.question(now),
-                RequestClass::Leader => self.store.budgets.leave(RequestClass::Leader, 0, now),
+                RequestClass::User => self.store.budget.try_take_status_query(now),
+                RequestClass::Leader => self.store.budget.try_take(RequestClass::Leader, 0, now),
             };
             if !left && (now >= self.until || self.stop.wait(QUESTION_PAUSE)) {
                 return false;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -63,7 +63,7 @@
             last_tick: now,
             next_publish: now,
             next_share: now,
-            next_metrics: now + shared.settings.operations.metrics_every,
+            next_metrics: now + shared.settings.operations.metrics_interval,
             last_woke: None,
         }
     }
@@ -138,7 +138,7 @@
             }
             return;
         };
-        c.allow(shared.store.changes_left());
+        c.allow(shared.store.leader_changes_left());
         let certain = shared.holds_leader_lease(c.term);
         c.confirm(certain);
         let actions = if ticking {
@@ -169,7 +169,7 @@
             publish_unresolved(shared, c);
         }
         if now >= self.next_metrics {
-            self.next_metrics = now + shared.settings.operations.metrics_every;
+            self.next_metrics = now + shared.settings.operations.metrics_interval;
             metrics(shared, c);
         }
     }
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -101,7 +101,7 @@
     };
     let highest = i.highest.0;
     drop(i);
-    let demand = shared.store.budgets().demand();
+    let demand = shared.store.budget().demand();
     Hello {
         member: shared.settings.member.clone(),
         leads,
@@ -144,7 +144,7 @@
                 hello_received(shared, &h);
                 peer.set_frames(peer::frames_of(&h.over));
                 if peer::says_fallen(&h.over) {
-                    shared.store.budgets().fall(Instant::now());
+                    shared.store.budget().reduce_rates(Instant::now());
                 }
                 for (job_id, d, r) in progress {
                     told.insert(JobId(job_id), (d, r));
@@ -267,7 +267,7 @@
                 PeerResponse::Hello(hello(
                     shared,
                     Vec::new(),
-                    peer::said(shared.store.budgets().fallen()),
+                    peer::said(shared.store.budget().rates_reduced()),
                 ))
             }
             PeerRequest::Heartbeats(bodies) => {
@@ -307,7 +307,7 @@
 
 /// Accepts connections of other controllers until the service stops.
 pub fn listen_peers(shared: &std::sync::Arc<Shared>, listener: &TcpListener) {
-    let most = shared.settings.sockets().peers;
+    let most = shared.settings.socket_budget().peers;
     let open = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     while !shared.stop.stopped() {
         match listener.accept() {
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -14,7 +14,7 @@
 use crate::net::http_server;
 use crate::net::peer::Peer;
 use crate::net::store::Store;
-use crate::net::store_budget::Budgets;
+use crate::net::store::StoreBudget;
 use crate::runtime::cloud_workers;
 use crate::runtime::control_watch;
 use crate::runtime::core_loop;
@@ -87,7 +87,7 @@
 impl Service {
     /// Starts all threads. An error: a port cannot be had.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
-        let front_listener = http_server::bind(settings.front)?;
+        let front_listener = http_server::bind(settings.http_bind)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
         let (shared, outlets, queues) = connect(settings);
         let mut threads = Threads::default();
@@ -101,8 +101,8 @@
         log::info!(
             "serving member={} front={} peers={}",
             shared.settings.member,
-            shared.settings.front,
-            shared.settings.seeds.len()
+            shared.settings.http_bind,
+            shared.settings.peers.len()
         );
         let threads = threads.handles;
         Ok(Service { shared, threads })
@@ -148,11 +148,11 @@
     };
     let now = Instant::now();
     let meters = LatencyMeters::default();
-    let seeds = settings.seeds.iter();
+    let seeds = settings.peers.iter();
     let shared = Shared {
         store: state_service(&settings, &meters, now),
         cloud: Cloud::new(Client::new(
-            settings.cloud,
+            settings.cloud_address,
             CLOUD_CONNECT,
             CLOUD_CONNECTIONS,
             meters.cloud.clone(),
@@ -166,11 +166,11 @@
             .collect(),
         stop: Stop::new(),
         wake,
-        agent: agent::client(settings.sockets().workers),
+        agent: agent::client(settings.socket_budget().workers),
         workers: Workers::new(settings.config.heartbeat),
         crowd: SubmissionFairness::default(),
         live_index: LiveIndex::default(),
-        stall_detector: StallDetector::new(settings.skew, now, SystemTime::now()),
+        stall_detector: StallDetector::new(settings.max_clock_skew, now, SystemTime::now()),
         timer_lag: TimerLag::default(),
         settings,
     };
@@ -178,13 +178,17 @@
 }
 
 fn state_service(settings: &Settings, meters: &LatencyMeters, now: Instant) -> Store {
-    let (rps, write_rps) = (settings.state_rps, settings.state_write_rps);
-    let budgets = Budgets::new(rps, write_rps, settings.nodes, now);
-    let budgets = budgets.with_next(settings.state_next);
+    let budgets = StoreBudget::new(settings.store_rates, settings.controller_count, now);
+    let budgets = budgets.with_reduced_rates(settings.next_store_rates);
     // One for each thread that asks for a user, and for the leader's own duties.
-    let users = settings.operations.handlers + status_queries::QUESTION_THREADS;
+    let users = settings.operations.api_threads + status_queries::QUESTION_THREADS;
     let kept = users + OWN_STATE_CONNECTIONS;
-    let client = Client::new(settings.state, STATE_CONNECT, kept, meters.store.clone());
+    let client = Client::new(
+        settings.store_address,
+        STATE_CONNECT,
+        kept,
+        meters.store.clone(),
+    );
     Store::new(client, budgets)
 }
 
@@ -199,7 +203,7 @@
     threads.spawn("core", move || core_loop::core_loop(&s, &events, &outlets))?;
     let (s, batches) = (shared.clone(), queues.batches.clone());
     threads.spawn("writer", move || store_writer::write_store(&s, &batches))?;
-    for _ in 0..shared.settings.operations.agents {
+    for _ in 0..shared.settings.operations.command_threads {
         let (s, commands) = (shared.clone(), queues.commands.clone());
         threads.spawn("agent", move || {
             peer_duties::send_commands(&s, &s.agent, &commands)
@@ -215,7 +219,7 @@
     shared: &Arc<Shared>,
     queues: &Queues,
 ) -> std::io::Result<()> {
-    let rate = shared.settings.cloud_rps * CLOUD_RATE_PART;
+    let rate = shared.settings.cloud_rate * CLOUD_RATE_PART;
     let bucket = Arc::new(Bucket::new(rate, CLOUD_BURST, Instant::now()));
     let (s, b, orders) = (shared.clone(), bucket.clone(), queues.cloud_orders.clone());
     threads.spawn("cloud", move || {
--- a/src/runtime/shared.rs
+++ b/src/runtime/shared.rs
@@ -125,7 +125,7 @@
     pub fn share_out(&self, now: Instant) {
         let demand = |p: &Arc<Peer>| self.view.demand_of(&p.member, now);
         let peers: Vec<_> = self.peers.iter().map(demand).collect();
-        self.store.budgets().share_out(&peers, now);
+        self.store.budget().rebalance(&peers, now);
     }
 
     /// Jobs that a user is about to be told are cancelled. Whether this node leads and takes them on.
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -3,15 +3,12 @@
 //! `(cypressgap (NAME NUMBER) ... (recovery (NAME VALUE) ... (segment "NAME" "NETWORK") ...))`. Everything
 //! unknown or out of range is refused with its name and line.
 
-use super::{
-    read, Operations, Settings, SettingsError, MIN_FRONT, OWN_SOCKETS, PEER_SOCKETS, WORKERS_PART,
-};
+use super::{OperatorSettings, Settings, SettingsError, SocketBudget};
 use crate::core::model::Tuning;
 use cypressgap_recovery::segments::NamedSegment;
 use cypressgap_recovery::settings::{parse_segment, Deployment, RecoverySettings, SettingName};
 use lexpr::datum::Ref;
 use std::collections::HashMap;
-use std::path::Path;
 use std::time::Duration;
 
 /// What is wrong, and in which line.
@@ -29,50 +26,48 @@
     }
 }
 
-/// A number that must lie within bounds.
-struct Number<'a> {
-    name: &'a str,
+/// A named number, to be checked against the bounds of its setting.
+struct NamedNumber {
+    name: String,
     value: f64,
 }
 
-impl Number<'_> {
-    fn within(&self, low: f64, high: f64) -> Result<f64, String> {
-        if self.value >= low && self.value <= high {
+impl NamedNumber {
+    fn within(&self, min: f64, max: f64) -> Result<f64, String> {
+        if self.value >= min && self.value <= max {
             return Ok(self.value);
         }
         Err(format!(
-            "{}: {} is not from {low} to {high}",
+            "{}: {} is not from {min} to {max}",
             self.name, self.value
         ))
     }
 
-    fn seconds(&self, low: f64, high: f64) -> Result<Duration, String> {
-        self.within(low, high).map(Duration::from_secs_f64)
+    fn seconds(&self, min: f64, max: f64) -> Result<Duration, String> {
+        self.within(min, max).map(Duration::from_secs_f64)
     }
 
-    fn whole(&self, low: f64, high: f64) -> Result<usize, String> {
-        self.within(low, high).map(|x| x as usize)
+    /// A whole number; a fraction is cut off.
+    fn integer(&self, min: f64, max: f64) -> Result<usize, String> {
+        self.within(min, max).map(|x| x as usize)
     }
 }
 
-impl Settings {
-    /// Reads the operators' file over the built-in values.
-    pub fn load_operators(&mut self, path: &Path) -> Result<(), SettingsError> {
-        let text = read(path)?;
-        self.parse_operators(&path.display().to_string(), &text)
-    }
+/// Lines of the settings that are checked together once all are read.
+type SettingLines = HashMap<SettingName, usize>;
 
-    /// Reads the operators' own settings over the defaults.
+impl Settings {
+    /// Reads the operators' settings over the values in force; `path` is named in errors.
     pub fn parse_operators(&mut self, path: &str, text: &str) -> Result<(), SettingsError> {
-        self.take_operators(text)
-            .map_err(|problem| SettingsError::Lisp {
+        self.apply_operators(text)
+            .map_err(|problem| SettingsError::Operators {
                 path: path.to_owned(),
                 line: problem.line,
                 problem: problem.text,
             })
     }
 
-    fn take_operators(&mut self, text: &str) -> Result<(), Problem> {
+    fn apply_operators(&mut self, text: &str) -> Result<(), Problem> {
         let root = lexpr::datum::from_str(text).map_err(|e| {
             let line = e.location().map_or(1, |l| l.line());
             Problem::new(line, format!("not an S-expression: {e}"))
@@ -82,38 +77,35 @@
         if items.next().and_then(|head| symbol(&head)).as_deref() != Some("cypressgap") {
             return Err(expected());
         }
-        let mut recovery_lines = HashMap::new();
+        let mut lines = SettingLines::new();
         for item in items {
-            if head_of(&item).as_deref() == Some("recovery") {
-                take_recovery(&mut self.config.recovery, &item, &mut recovery_lines)?;
-            } else {
-                let number = named_number(&item)?;
-                let taken = set(
-                    &mut self.config.tuning,
-                    &mut self.operations,
-                    number.0,
-                    number.1,
-                );
-                taken.map_err(|text| Problem::new(line_of(&item), text))?;
-            }
+            self.apply_item(&item, &mut lines)?;
         }
         self.check_sockets()?;
-        self.check_recovery(&recovery_lines)
+        self.check_recovery(&lines)
+    }
+
+    fn apply_item(&mut self, item: &Ref<'_>, lines: &mut SettingLines) -> Result<(), Problem> {
+        if head_of(item).as_deref() == Some("recovery") {
+            return apply_recovery(&mut self.config.recovery, item, lines);
+        }
+        let number = named_number(item)?;
+        apply_number(&mut self.config.tuning, &mut self.operations, &number)
+            .map_err(|text| Problem::new(line_of(item), text))
     }
 
     fn check_sockets(&self) -> Result<(), Problem> {
-        let threads = self.operations.agents + self.operations.handlers;
-        let own = PEER_SOCKETS + OWN_SOCKETS + threads + MIN_FRONT;
-        let all = self.quota.sockets;
-        if all / WORKERS_PART + own <= all {
+        let max_sockets = self.max_sockets;
+        if SocketBudget::suffices(max_sockets, &self.operations) {
             return Ok(());
         }
-        let text = format!("agents and handlers: {threads} are too many for {all} sockets");
+        let threads = self.operations.command_threads + self.operations.api_threads;
+        let text = format!("agents and handlers: {threads} are too many for {max_sockets} sockets");
         Err(Problem::new(1, text))
     }
 
-    /// What the settings of a takeover come to together, and with the deployment's.
-    fn check_recovery(&self, lines: &HashMap<SettingName, usize>) -> Result<(), Problem> {
+    /// The settings of recovery against each other and against the deployment's.
+    fn check_recovery(&self, lines: &SettingLines) -> Result<(), Problem> {
         let deployment = Deployment {
             cancel: self.config.cancel,
             machines: self.config.tuning.max_machines,
@@ -145,7 +137,7 @@
 }
 
 /// `(NAME NUMBER)`.
-fn named_number(item: &Ref<'_>) -> Result<(String, f64), Problem> {
+fn named_number(item: &Ref<'_>) -> Result<NamedNumber, Problem> {
     let line = line_of(item);
     let pair: Vec<lexpr::Value> = item
         .list_iter()
@@ -157,38 +149,43 @@
     let Some(name) = name.as_symbol() else {
         return Err(Problem::new(line, "the name must be a symbol"));
     };
-    let Some(number) = value.as_f64() else {
+    let Some(value) = value.as_f64() else {
         let text = format!("{name}: the value must be a number");
         return Err(Problem::new(line, text));
     };
-    Ok((name.to_owned(), number))
+    Ok(NamedNumber {
+        name: name.to_owned(),
+        value,
+    })
 }
 
-fn set(t: &mut Tuning, o: &mut Operations, name: String, value: f64) -> Result<(), String> {
-    let name = name.as_str();
-    let number = Number { name, value };
-    match name {
-        "summary-every-s" => t.summary_every = number.seconds(1.0, 3600.0)?,
-        "silent-share" => t.silent_share = number.within(0.2, 2.0)?,
-        "idle-spot-s" => t.idle_spot = number.seconds(0.0, 86_400.0)?,
-        "idle-ordinary-s" => t.idle_ordinary = number.seconds(0.0, 86_400.0)?,
-        "max-live-jobs" => t.max_live_jobs = number.whole(1.0, 1e6)?,
-        "headroom-jobs" => t.headroom_jobs = number.within(0.0, 100.0)?,
-        "max-hosts" => t.max_machines = number.whole(1.0, 1e5)?,
-        "leader-lease-s" => o.leader_lease = number.seconds(1.0, 600.0)?,
-        "handlers" => o.handlers = number.whole(2.0, 256.0)?,
-        "agents" => o.agents = number.whole(1.0, 64.0)?,
-        "metrics-every-s" => o.metrics_every = number.seconds(1.0, 86_400.0)?,
-        _ => return Err(format!("unknown setting '{name}'")),
+fn apply_number(
+    tuning: &mut Tuning,
+    operations: &mut OperatorSettings,
+    number: &NamedNumber,
+) -> Result<(), String> {
+    match number.name.as_str() {
+        "summary-every-s" => tuning.summary_every = number.seconds(1.0, 3600.0)?,
+        "silent-share" => tuning.silent_share = number.within(0.2, 2.0)?,
+        "idle-spot-s" => tuning.idle_spot = number.seconds(0.0, 86_400.0)?,
+        "idle-ordinary-s" => tuning.idle_ordinary = number.seconds(0.0, 86_400.0)?,
+        "max-live-jobs" => tuning.max_live_jobs = number.integer(1.0, 1e6)?,
+        "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
+        "max-hosts" => tuning.max_machines = number.integer(1.0, 1e5)?,
+        "leader-lease-s" => operations.leader_lease = number.seconds(1.0, 600.0)?,
+        "handlers" => operations.api_threads = number.integer(2.0, 256.0)?,
+        "agents" => operations.command_threads = number.integer(1.0, 64.0)?,
+        "metrics-every-s" => operations.metrics_interval = number.seconds(1.0, 86_400.0)?,
+        name => return Err(format!("unknown setting '{name}'")),
     }
     Ok(())
 }
 
-/// `(recovery ...)`. `lines` is told where the settings stand that are checked together later.
-fn take_recovery(
+/// `(recovery ...)`. The lines of settings that are checked together later go into `lines`.
+fn apply_recovery(
     recovery: &mut RecoverySettings,
     form: &Ref<'_>,
-    lines: &mut HashMap<SettingName, usize>,
+    lines: &mut SettingLines,
 ) -> Result<(), Problem> {
     for item in form.list_iter().into_iter().flatten().skip(1) {
         let line = line_of(&item);
@@ -200,33 +197,41 @@
             }
             Some("enabled") => recovery.enabled = named_switch(&item)?,
             _ => {
-                let (name, value) = named_number(&item)?;
-                match name.as_str() {
-                    "orders-per-s" => lines.insert(SettingName::OrdersPerSecond, line),
-                    "segment-orders-per-s" => {
-                        lines.insert(SettingName::SegmentOrdersPerSecond, line)
-                    }
-                    _ => None,
-                };
-                set_recovery(recovery, &name, value).map_err(|text| Problem::new(line, text))?;
+                let number = named_number(&item)?;
+                if let Some(name) = checked_together(&number.name) {
+                    lines.insert(name, line);
+                }
+                apply_recovery_number(recovery, &number)
+                    .map_err(|text| Problem::new(line, text))?;
             }
         }
     }
     Ok(())
 }
 
-fn set_recovery(recovery: &mut RecoverySettings, name: &str, value: f64) -> Result<(), String> {
-    let number = Number { name, value };
+/// The numbers of `(recovery ...)` that are valid or not only together with other settings.
+fn checked_together(name: &str) -> Option<SettingName> {
     match name {
+        "orders-per-s" => Some(SettingName::OrdersPerSecond),
+        "segment-orders-per-s" => Some(SettingName::SegmentOrdersPerSecond),
+        _ => None,
+    }
+}
+
+fn apply_recovery_number(
+    recovery: &mut RecoverySettings,
+    number: &NamedNumber,
+) -> Result<(), String> {
+    match number.name.as_str() {
         "orders-per-s" => recovery.orders_per_second = Some(number.within(1.0, 1e6)?),
         "segment-orders-per-s" => {
             recovery.segment_orders_per_second = Some(number.within(1.0, 1e6)?)
         }
-        "segment-prefix" => recovery.prefixes.v4 = number.whole(8.0, 32.0)? as u8,
-        "segment-prefix-v6" => recovery.prefixes.v6 = number.whole(16.0, 128.0)? as u8,
+        "segment-prefix" => recovery.prefixes.v4 = number.integer(8.0, 32.0)? as u8,
+        "segment-prefix-v6" => recovery.prefixes.v6 = number.integer(16.0, 128.0)? as u8,
         "replacements-per-s" => recovery.replacements_per_second = number.within(0.1, 1e4)?,
         "unrecorded-hold-s" => recovery.unrecorded_hold = number.seconds(2.0, 86_400.0)?,
-        _ => return Err(format!("recovery: unknown setting '{name}'")),
+        name => return Err(format!("recovery: unknown setting '{name}'")),
     }
     Ok(())
 }
--- /dev/null
+++ b/src/settings/platform.rs
@@ -0,0 +1,247 @@
+//! The platform's settings file, checked and turned into [`Settings`].
+//!
+//! The first field that cannot be used is refused by its name.
+
+use super::checks::Checks;
+use super::platform_file::{
+    Deployment, NextStoreLimits, PeerEntry, PlatformFile, SloEntry, StoreLimits, TeamEntry,
+    WorkerTimes,
+};
+use super::{OperatorSettings, PeerAddress, Settings, SettingsError, StoreRates};
+use crate::core::model::{SchedulerConfig, Slo, Team, TeamName, Tuning, Zone};
+use cypressgap_recovery::settings::RecoverySettings;
+use std::time::Duration;
+
+const MIN_SOCKETS: usize = 256;
+/// A process with its threads and no work takes some 8 MB.
+const MIN_RAM_MB: f64 = 32.0;
+/// A leader renews its lease and watches two prefixes within its part; every node reads for its users.
+const MIN_STORE_RPS: f64 = 10.0;
+/// A job's outcome takes two changes of the leader's part, an acceptance two of a node's.
+const MIN_STORE_WRITE_RPS: f64 = 6.0;
+/// A job, or 64 tasks' intents, fit into one value.
+const MIN_VALUE_KB: f64 = 6.0;
+/// The store's values may become this small: a chunk of intents fits.
+const MIN_NEXT_VALUE_KB: f64 = 2.0;
+const MIN_TXN_OPS: usize = 4;
+const MIN_CLOUD_RPS: f64 = 0.1;
+const MAX_CONTROLLERS: usize = 1000;
+const MAX_RATE: f64 = 1e9;
+const MAX_VALUE_KB: f64 = 1e6;
+const MAX_SLO_SECONDS: f64 = 1e6;
+/// With clocks further apart, jobs' ages would be wrong by more than any service-level objective allows.
+const MAX_SKEW_MS: f64 = 60_000.0;
+/// Heartbeats come up to a quarter late, and one may have to be repeated.
+const MIN_HEARTBEATS_PER_LEASE: f64 = 2.5;
+
+impl Settings {
+    /// Reads the text of the platform's settings file; `path` is named in errors.
+    pub fn parse(path: &str, text: &str) -> Result<Settings, SettingsError> {
+        let file: PlatformFile = toml::from_str(text).map_err(|e| SettingsError::Toml {
+            path: path.to_owned(),
+            source: Box::new(e),
+        })?;
+        let checks = Checks { path };
+        if file.member.is_empty() {
+            return Err(checks.error("member", "is empty"));
+        }
+        checks.deployment(&file.deployment)?;
+        let next = checks.next_store_limits(&file.deployment.store)?;
+        let teams = checks.teams(&file.deployment.teams)?;
+        let peers = checks.peers(&file.peers)?;
+        checks.lease(&file.deployment.workers)?;
+        let deployment = &file.deployment;
+        Ok(Settings {
+            member: file.member,
+            zone: Zone(file.zone),
+            http_bind: checks.address("front", &file.http_bind)?,
+            peer_bind: checks.address("peer_bind", &file.peer_bind)?,
+            peers,
+            cloud_address: checks.address("endpoints.cloud", &file.endpoints.cloud)?,
+            store_address: checks.address("endpoints.state", &file.endpoints.store)?,
+            controller_count: deployment.controller_count,
+            max_clock_skew: Duration::from_secs_f64(deployment.skew_ms / 1000.0),
+            store_rates: checks.store_rates(&deployment.store)?,
+            next_store_rates: next.rates,
+            cloud_rate: checks.positive("deployment.cloud.rps", deployment.cloud.rps, MAX_RATE)?,
+            max_sockets: deployment.quota.max_sockets,
+            operations: OperatorSettings::default(),
+            config: checks.scheduler_config(deployment, teams, &next.sizes)?,
+        })
+    }
+}
+
+/// The sizes that transactions must keep to.
+struct StoreSizes {
+    value_kb: f64,
+    txn_ops: usize,
+}
+
+/// What the present limits of the store and those announced for later come to together.
+struct CombinedStoreLimits {
+    /// The smaller ones, from the start.
+    sizes: StoreSizes,
+    /// The lower ones, to fall to when refusals show that the announced ones are in force.
+    rates: Option<StoreRates>,
+}
+
+impl Checks<'_> {
+    fn deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
+        if !(0.0..=MAX_SKEW_MS).contains(&deployment.skew_ms) {
+            return Err(self.error("deployment.skew_ms", "must be from 0 to 60000"));
+        }
+        if !(1..=MAX_CONTROLLERS).contains(&deployment.controller_count) {
+            return Err(self.error("deployment.count", "must be from 1 to 1000"));
+        }
+        let (store, quota) = (&deployment.store, &deployment.quota);
+        if store.txn_ops < MIN_TXN_OPS {
+            return Err(self.error("deployment.state.txn_ops", "must be at least 4"));
+        }
+        let sockets = quota.max_sockets as f64;
+        let ram_mb = quota.ram_mb.unwrap_or(MIN_RAM_MB);
+        let minimums = [
+            ("quota.max_sockets", sockets, MIN_SOCKETS as f64),
+            ("quota.ram_mb", ram_mb, MIN_RAM_MB),
+            ("state.rps", store.rps, MIN_STORE_RPS),
+            ("state.write_rps", store.write_rps, MIN_STORE_WRITE_RPS),
+            ("state.value_kb", store.value_kb, MIN_VALUE_KB),
+            ("cloud.rps", deployment.cloud.rps, MIN_CLOUD_RPS),
+        ];
+        minimums
+            .iter()
+            .try_for_each(|(field, value, min)| self.at_least(&qualified(field), *value, *min))
+    }
+
+    /// Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
+    /// announced ones are in force.
+    fn next_store_limits(&self, store: &StoreLimits) -> Result<CombinedStoreLimits, SettingsError> {
+        let Some(next) = &store.next else {
+            let (value_kb, txn_ops) = (store.value_kb, store.txn_ops);
+            return Ok(CombinedStoreLimits {
+                sizes: StoreSizes { value_kb, txn_ops },
+                rates: None,
+            });
+        };
+        let rates = self.next_rates(store, next)?;
+        let value_kb = next.value_kb.unwrap_or(store.value_kb);
+        let field = "deployment.state.next.value_kb";
+        self.at_least(field, value_kb, MIN_NEXT_VALUE_KB)?;
+        self.positive(field, value_kb, MAX_VALUE_KB)?;
+        let txn_ops = next.txn_ops.unwrap_or(store.txn_ops);
+        let field = "deployment.state.next.txn_ops";
+        self.at_least(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
+        Ok(CombinedStoreLimits {
+            sizes: StoreSizes {
+                value_kb: value_kb.min(store.value_kb),
+                txn_ops: txn_ops.min(store.txn_ops),
+            },
+            rates: Some(rates),
+        })
+    }
+
+    fn next_rates(
+        &self,
+        store: &StoreLimits,
+        next: &NextStoreLimits,
+    ) -> Result<StoreRates, SettingsError> {
+        let requests = next.rps.unwrap_or(store.rps);
+        let changes = next.write_rps.unwrap_or(store.write_rps);
+        let (requests_field, changes_field) = (
+            "deployment.state.next.rps",
+            "deployment.state.next.write_rps",
+        );
+        self.at_least(requests_field, requests, MIN_STORE_RPS)?;
+        self.at_least(changes_field, changes, MIN_STORE_WRITE_RPS)?;
+        self.positive(requests_field, requests, MAX_RATE)?;
+        self.positive(changes_field, changes, MAX_RATE)?;
+        Ok(StoreRates {
+            requests: requests.min(store.rps),
+            changes: changes.min(store.write_rps),
+        })
+    }
+
+    fn store_rates(&self, store: &StoreLimits) -> Result<StoreRates, SettingsError> {
+        Ok(StoreRates {
+            requests: self.positive("deployment.state.rps", store.rps, MAX_RATE)?,
+            changes: self.positive("deployment.state.write_rps", store.write_rps, MAX_RATE)?,
+        })
+    }
+
+    fn teams(&self, entries: &[TeamEntry]) -> Result<Vec<Team>, SettingsError> {
+        entries.iter().map(|entry| self.team(entry)).collect()
+    }
+
+    fn team(&self, entry: &TeamEntry) -> Result<Team, SettingsError> {
+        let amount = |field: &str, value: f64| {
+            let field = format!("deployment.teams.{field} of {}", entry.name);
+            self.optional_amount(&field, value)
+        };
+        Ok(Team {
+            name: TeamName(entry.name.clone()),
+            cpus: amount("cpus", entry.cpus)?,
+            cpus_max: amount("cpus_max", entry.cpus_max)?,
+            gpus: amount("gpus", entry.gpus)?,
+            gpus_max: amount("gpus_max", entry.gpus_max)?,
+        })
+    }
+
+    fn peers(&self, entries: &[PeerEntry]) -> Result<Vec<PeerAddress>, SettingsError> {
+        let peer = |entry: &PeerEntry| {
+            let field = format!("seeds address of {}", entry.member);
+            Ok(PeerAddress {
+                member: entry.member.clone(),
+                address: self.address(&field, &entry.address)?,
+            })
+        };
+        entries.iter().map(peer).collect()
+    }
+
+    fn lease(&self, workers: &WorkerTimes) -> Result<(), SettingsError> {
+        if workers.lease_s < workers.heartbeat_s * MIN_HEARTBEATS_PER_LEASE {
+            let problem = format!("{} is below 2.5 times report_s", workers.lease_s);
+            return Err(self.error("deployment.workers.lease_s", problem));
+        }
+        Ok(())
+    }
+
+    fn scheduler_config(
+        &self,
+        deployment: &Deployment,
+        teams: Vec<Team>,
+        sizes: &StoreSizes,
+    ) -> Result<SchedulerConfig, SettingsError> {
+        let workers = &deployment.workers;
+        let seconds = |field: &str, value: f64| self.seconds(&qualified(field), value);
+        let value_kb = |value: f64| self.positive("deployment.state.value_kb", value, MAX_VALUE_KB);
+        Ok(SchedulerConfig {
+            teams,
+            slos: deployment.slos.iter().map(Slo::from).collect(),
+            heartbeat: seconds("workers.report_s", workers.heartbeat_s)?,
+            lease: seconds("workers.lease_s", workers.lease_s)?,
+            gang_wait: seconds("workers.gang_wait_s", workers.gang_wait_s)?,
+            gang_peer: seconds("workers.gang_peer_s", workers.gang_peer_s)?,
+            cancel: seconds("workers.cancel_s", workers.cancel_s)?,
+            txn_ops: sizes.txn_ops,
+            value_bytes: (value_kb(sizes.value_kb)? * 1024.0) as usize,
+            list_lag: seconds("cloud.list_lag_s", deployment.cloud.list_lag_s)?,
+            tuning: Tuning::default(),
+            recovery: RecoverySettings::default(),
+        })
+    }
+}
+
+fn qualified(field: &str) -> String {
+    format!("deployment.{field}")
+}
+
+impl From<&SloEntry> for Slo {
+    fn from(entry: &SloEntry) -> Self {
+        let usable =
+            |seconds: &f64| seconds.is_finite() && (0.0..MAX_SLO_SECONDS).contains(seconds);
+        Slo {
+            kind: entry.kind.clone(),
+            class: entry.class.clone(),
+            within: entry.within_s.filter(usable).map(Duration::from_secs_f64),
+        }
+    }
+}
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -12,8 +12,9 @@
 use cypressgap::core::placement::contested;
 use cypressgap::core::placement::history::History;
 use cypressgap::core::state::cluster_state::Action;
-use cypressgap::net::store_budget::Budgets;
+use cypressgap::net::store::StoreBudget;
 use cypressgap::runtime::node_view::{NodeView, PeerStatus};
+use cypressgap::settings::StoreRates;
 use std::time::{Duration, Instant};
 
 type Edit = fn(&mut JobSpec);
@@ -796,26 +797,31 @@
 #[test]
 fn budgets_of_users_and_of_the_leader_are_apart() {
     let now = Instant::now();
-    let taken = |b: &Budgets, rank, writes| (0..100).filter(|_| b.leave(rank, writes, now)).count();
-    let b = Budgets::new(100.0, 40.0, 2, now);
+    let rates = StoreRates {
+        requests: 100.0,
+        changes: 40.0,
+    };
+    let taken =
+        |b: &StoreBudget, rank, writes| (0..100).filter(|_| b.try_take(rank, writes, now)).count();
+    let b = StoreBudget::new(rates, 2, now);
     let users = taken(&b, RequestClass::User, 2);
     assert_eq!(users, 3, "of 8 changes a second, a second's burst");
     // What users have used up leaves the leader its part, and the reverse.
     let leader = taken(&b, RequestClass::Leader, 2);
     assert!(leader > 2 * users, "{leader}");
-    let b = Budgets::new(100.0, 40.0, 2, now);
+    let b = StoreBudget::new(rates, 2, now);
     taken(&b, RequestClass::Leader, 2);
     assert_eq!(taken(&b, RequestClass::User, 2), users);
     // All nodes together stay within the rates, one of them leading.
     let (mut requests, mut changes) = (0, 0);
     for leads in [true, false] {
-        let b = Budgets::new(100.0, 40.0, 2, now);
+        let b = StoreBudget::new(rates, 2, now);
         changes += taken(&b, RequestClass::User, 1);
-        let b = Budgets::new(100.0, 40.0, 2, now);
+        let b = StoreBudget::new(rates, 2, now);
         requests += taken(&b, RequestClass::User, 0);
         if leads {
             changes += taken(&b, RequestClass::Leader, 1);
-            let b = Budgets::new(100.0, 40.0, 2, now);
+            let b = StoreBudget::new(rates, 2, now);
             requests += taken(&b, RequestClass::Leader, 0);
         }
     }
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -7,7 +7,8 @@
 use cypressgap::core::model::JobId;
 use cypressgap::core::persistence::job_status_reads::{self, JobRecordStatus, Page, Records};
 use cypressgap::core::persistence::ledger::{job_key, live_key, JobOutcome};
-use cypressgap::net::store_budget::Budgets;
+use cypressgap::net::store::StoreBudget;
+use cypressgap::settings::StoreRates;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -147,22 +148,32 @@
     ];
     for (apart, refusals, announced, holds) in cases {
         let start = Instant::now();
-        let b = Budgets::new(200.0, 60.0, 3, start);
-        let b = b.with_next(announced.then_some((200.0, 42.0)));
+        let b = StoreBudget::new(
+            StoreRates {
+                requests: 200.0,
+                changes: 60.0,
+            },
+            3,
+            start,
+        );
+        let b = b.with_reduced_rates(announced.then_some(StoreRates {
+            requests: 200.0,
+            changes: 42.0,
+        }));
         for n in 0..refusals {
-            b.refused(start + Duration::from_millis(apart * n));
+            b.record_refusal(start + Duration::from_millis(apart * n));
         }
-        assert_eq!(b.fallen(), holds, "{apart} {refusals} {announced}");
+        assert_eq!(b.rates_reduced(), holds, "{apart} {refusals} {announced}");
         // A minute of calls, as fast as they are let through.
         let begin = start + Duration::from_secs(100);
         let mut made = 0;
         for step in 0..6_000 {
             let now = begin + Duration::from_millis(step * 10);
             if step % 50 == 0 {
-                b.share_out(&[None, None], now);
+                b.rebalance(&[None, None], now);
             }
             for rank in [RequestClass::Leader, RequestClass::User] {
-                made += u32::from(b.leave(rank, 1, now));
+                made += u32::from(b.try_take(rank, 1, now));
             }
         }
         let most = if holds { 42 * 61 } else { 60 * 61 };
@@ -170,9 +181,20 @@
         assert!(made > most / 2, "{made} changes: most of them are used");
     }
     // A peer's word suffices.
-    let b = Budgets::new(200.0, 60.0, 3, Instant::now()).with_next(Some((200.0, 42.0)));
-    b.fall(Instant::now());
-    assert!(b.fallen());
+    let b = StoreBudget::new(
+        StoreRates {
+            requests: 200.0,
+            changes: 60.0,
+        },
+        3,
+        Instant::now(),
+    )
+    .with_reduced_rates(Some(StoreRates {
+        requests: 200.0,
+        changes: 42.0,
+    }));
+    b.reduce_rates(Instant::now());
+    assert!(b.rates_reduced());
 }
 
 /// Guards against an answer where the state service gave none: what could not be asked is left out.
@@ -199,14 +221,21 @@
 #[test]
 fn a_storm_of_questions_leaves_submissions_their_requests() {
     let now = Instant::now();
-    let b = Budgets::new(150.0, 60.0, 3, now);
-    while b.question(now) {}
+    let b = StoreBudget::new(
+        StoreRates {
+            requests: 150.0,
+            changes: 60.0,
+        },
+        3,
+        now,
+    );
+    while b.try_take_status_query(now) {}
     let rest = (0..100)
-        .filter(|_| b.leave(RequestClass::User, 1, now))
+        .filter(|_| b.try_take(RequestClass::User, 1, now))
         .count();
     assert!(rest >= 5, "{rest}");
     // And they go on by turns.
-    assert!(b.question(now + secs(1)));
+    assert!(b.try_take_status_query(now + secs(1)));
 }
 
 #[test]
@@ -272,16 +301,23 @@
     }
     // Within some looks a node under a flood has what nobody else uses, and later gives it back.
     let start = Instant::now();
-    let b = Budgets::new(400.0, 60.0, 3, start);
+    let b = StoreBudget::new(
+        StoreRates {
+            requests: 400.0,
+            changes: 60.0,
+        },
+        3,
+        start,
+    );
     let second = |n: u64, of: u64| {
         let mut taken = 0;
         for step in 0..100 {
             let now = start + secs(n) + Duration::from_millis(step * 10);
-            if step % (100 / of) == 0 && b.leave(RequestClass::User, 1, now) {
+            if step % (100 / of) == 0 && b.try_take(RequestClass::User, 1, now) {
                 taken += 1;
             }
             if step % 50 == 0 {
-                b.share_out(&[quiet, quiet], now);
+                b.rebalance(&[quiet, quiet], now);
             }
         }
         taken
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings files, good and bad.
 
-use cypressgap::settings::Settings;
+use cypressgap::settings::{Settings, StoreRates};
 use std::time::Duration;
 
 const NODE: &str = include_str!("../examples/node.toml");
@@ -10,7 +10,7 @@
 fn the_example_is_read() {
     let s = Settings::parse("node.toml", NODE).unwrap();
     assert_eq!(s.member, "worker-0");
-    assert_eq!(s.seeds.len(), 2);
+    assert_eq!(s.peers.len(), 2);
     assert_eq!(s.config.lease, Duration::from_secs(30));
     assert_eq!(s.config.teams[0].cpus_max, Some(128.0));
     // 0 means none.
@@ -64,6 +64,10 @@
     }
 }
 
+fn store_rates(requests: f64, changes: f64) -> StoreRates {
+    StoreRates { requests, changes }
+}
+
 /// Limits that the state service will have from some moment on: sizes keep to the smaller of both from
 /// the start, rates to the present ones.
 #[test]
@@ -76,22 +80,27 @@
         Settings::parse("node.toml", &text)
     };
     let now = Settings::parse("node.toml", NODE).unwrap();
-    assert_eq!(now.state_next, None);
+    assert_eq!(now.next_store_rates, None);
     // What is announced -> bytes of a value, changes of a transaction, rates to come.
     let cases = [
         (
             "value_kb = 2.0\ntxn_ops = 16\nwrite_rps = 42.0",
             2048,
             16,
-            (200.0, 42.0),
+            store_rates(200.0, 42.0),
         ),
         (
             "value_kb = 64.0\ntxn_ops = 96",
             16 * 1024,
             32,
-            (200.0, 60.0),
+            store_rates(200.0, 60.0),
+        ),
+        (
+            "rps = 90.0\nwrite_rps = 500.0",
+            16 * 1024,
+            32,
+            store_rates(90.0, 60.0),
         ),
-        ("rps = 90.0\nwrite_rps = 500.0", 16 * 1024, 32, (90.0, 60.0)),
     ];
     for (next, bytes, ops, rates) in cases {
         let s = with(next).unwrap();
@@ -100,8 +109,8 @@
             (bytes, ops),
             "{next}"
         );
-        assert_eq!(s.state_next, Some(rates), "{next}");
-        assert_eq!((s.state_rps, s.state_write_rps), (200.0, 60.0), "{next}");
+        assert_eq!(s.next_store_rates, Some(rates), "{next}");
+        assert_eq!(s.store_rates, store_rates(200.0, 60.0), "{next}");
     }
     for (next, name) in [
         ("value_kb = 1.0", "next.value_kb"),
@@ -121,23 +130,25 @@
     for sockets in [256, 1000, 3133, 3939, 60_000] {
         let text = NODE.replace("max_sockets = 3000", &format!("max_sockets = {sockets}"));
         let s = Settings::parse("node.toml", &text).unwrap();
-        let parts = s.sockets();
+        let parts = s.socket_budget();
         let o = &s.operations;
-        let all = parts.front + parts.workers + parts.peers + o.agents + o.handlers;
+        let all = parts.http + parts.workers + parts.peers + o.command_threads + o.api_threads;
         assert!(all < sockets, "{sockets}: {parts:?}");
         // Two followers send to all workers that one node could carry.
-        assert!(parts.workers * 3 > parts.front, "{parts:?}");
-        assert!(
-            sockets < 3000 || parts.front * 10 > sockets * 6,
-            "{parts:?}"
-        );
+        assert!(parts.workers * 3 > parts.http, "{parts:?}");
+        assert!(sockets < 3000 || parts.http * 10 > sockets * 6, "{parts:?}");
     }
 }
 
 #[test]
 fn unknown_platform_fields_are_ignored() {
     let text = NODE.replace("count = 3", "count = 3\nnovelty = [1, 2]");
-    assert_eq!(Settings::parse("node.toml", &text).unwrap().nodes, 3);
+    assert_eq!(
+        Settings::parse("node.toml", &text)
+            .unwrap()
+            .controller_count,
+        3
+    );
 }
 
 #[test]
@@ -202,7 +213,7 @@
     assert!(!recovery.enabled && recovery.segments.len() == 1);
     assert_eq!(recovery.prefixes.v4, 20);
     assert_eq!(recovery.unrecorded_hold, Duration::from_secs(30));
-    s.quota.sockets = 300;
+    s.max_sockets = 300;
     for (text, line, problem) in cases {
         let mut s = s.clone();
         let error = s.parse_operators("o.lisp", text).unwrap_err().to_string();
--- a/tests/standins/test_cluster.rs
+++ b/tests/standins/test_cluster.rs
@@ -90,17 +90,17 @@
         let text = include_str!("../../examples/node.toml");
         let mut s = Settings::parse("node.toml", text).expect("the example");
         s.member = self.names[n].0.clone();
-        s.front = self.names[n].1;
+        s.http_bind = self.names[n].1;
         s.peer_bind = self.peers[n];
-        s.state = self.to_state[n].address;
-        s.cloud = self.cloud;
+        s.store_address = self.to_state[n].address;
+        s.cloud_address = self.cloud;
         s.config.heartbeat = Duration::from_millis(300);
-        let mut seed = s.seeds[0].clone();
-        s.seeds.clear();
+        let mut seed = s.peers[0].clone();
+        s.peers.clear();
         for m in (0..self.names.len()).filter(|m| *m != n) {
             seed.member = self.names[m].0.clone();
             seed.address = self.to_peer[m].address;
-            s.seeds.push(seed.clone());
+            s.peers.push(seed.clone());
         }
         edit(&mut s);
         Service::start(s).expect("a node starts")
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -12,9 +12,11 @@
 use cypressgap::net::agent;
 use cypressgap::net::cloud::Cloud;
 use cypressgap::net::http_client::Client;
-use cypressgap::net::store::{Asked, Change, Content, Store, StoreError, TransactionOutcome};
-use cypressgap::net::store_budget::Budgets;
+use cypressgap::net::store::{
+    Asked, Change, Content, Store, StoreBudget, StoreError, TransactionOutcome,
+};
 use cypressgap::net::wire::RentRequest;
+use cypressgap::settings::StoreRates;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::{spawn, JoinHandle};
@@ -62,7 +64,17 @@
 }
 
 fn store(client: Client) -> Store {
-    Store::new(client, Budgets::new(1e6, 1e6, 1, Instant::now()))
+    Store::new(
+        client,
+        StoreBudget::new(
+            StoreRates {
+                requests: 1e6,
+                changes: 1e6,
+            },
+            1,
+            Instant::now(),
+        ),
+    )
 }
 
 /// A transaction that makes all kinds of changes.
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -12,7 +12,7 @@
 fn node_rows(s: &Settings) -> Vec<(&'static str, String)> {
     let p = &s.config;
     let seeds = s
-        .seeds
+        .peers
         .iter()
         .map(|seed| format!("{} {}", seed.member, seed.address));
     let teams = p.teams.iter().map(|t| {
@@ -23,15 +23,19 @@
     });
     let slos = p.slos.iter();
     let slos = slos.map(|o| format!("{} {:?} {:?}", o.kind, o.class, o.within));
+    let next_rates = s.next_store_rates.map(|r| (r.requests, r.changes));
     vec![
         ("member", s.member.clone()),
         ("domain", s.zone.to_string()),
-        ("front", s.front.to_string()),
+        ("front", s.http_bind.to_string()),
         ("peer_bind", s.peer_bind.to_string()),
         ("seeds", seeds.collect::<Vec<_>>().join(", ")),
-        ("endpoints", format!("cloud {} state {}", s.cloud, s.state)),
-        ("count", s.nodes.to_string()),
-        ("skew_ms", format!("{:?}", s.skew)),
+        (
+            "endpoints",
+            format!("cloud {} state {}", s.cloud_address, s.store_address),
+        ),
+        ("count", s.controller_count.to_string()),
+        ("skew_ms", format!("{:?}", s.max_clock_skew)),
         ("teams", teams.collect::<Vec<_>>().join(", ")),
         ("objectives", slos.collect::<Vec<_>>().join(", ")),
         ("report_s", format!("{:?}", p.heartbeat)),
@@ -39,13 +43,16 @@
         ("gang_wait_s", format!("{:?}", p.gang_wait)),
         ("gang_peer_s", format!("{:?}", p.gang_peer)),
         ("cancel_s", format!("{:?}", p.cancel)),
-        ("state", format!("{} {}", s.state_rps, s.state_write_rps)),
-        ("state.next", format!("{:?}", s.state_next)),
+        (
+            "state",
+            format!("{} {}", s.store_rates.requests, s.store_rates.changes),
+        ),
+        ("state.next", format!("{next_rates:?}")),
         ("value_kb", p.value_bytes.to_string()),
         ("txn_ops", p.txn_ops.to_string()),
-        ("cloud.rps", s.cloud_rps.to_string()),
+        ("cloud.rps", s.cloud_rate.to_string()),
         ("list_lag_s", format!("{:?}", p.list_lag)),
-        ("max_sockets", s.quota.sockets.to_string()),
+        ("max_sockets", s.max_sockets.to_string()),
     ]
 }
 
@@ -62,9 +69,9 @@
         ("headroom-jobs", t.headroom_jobs.to_string()),
         ("max-hosts", t.max_machines.to_string()),
         ("leader-lease-s", format!("{:?}", o.leader_lease)),
-        ("handlers", o.handlers.to_string()),
-        ("agents", o.agents.to_string()),
-        ("metrics-every-s", format!("{:?}", o.metrics_every)),
+        ("handlers", o.api_threads.to_string()),
+        ("agents", o.command_threads.to_string()),
+        ("metrics-every-s", format!("{:?}", o.metrics_interval)),
         ("enabled", r.enabled.to_string()),
         ("orders-per-s", format!("{:?}", r.orders_per_second)),
         (
