--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -15,7 +15,9 @@
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, Records};
 use crate::core::persistence::ledger::{cancel_mark_key, job_key, live_key, JobOutcome};
-use crate::net::store::{Asked, Change, Content, StoreError, TransactionOutcome};
+use crate::net::store::{
+    BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
+};
 use crate::runtime::service::Shared;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -54,15 +56,17 @@
         return Ok((problem(404, "no such job"), None));
     };
     for _ in 0..CANCEL_TRIES {
-        // The stamp is 0 while the job is live: its verdict's key is absent.
-        let revision = match outcome(shared, &job_id)? {
-            Some((JobOutcome::Live, revision)) => revision,
-            Some((JobOutcome::Cancelled, _)) => return confirm(shared, &job_id),
-            Some((JobOutcome::Done, _)) => {
+        let Some(found) = outcome(shared, &job_id)? else {
+            return Ok((problem(404, "no such job"), None));
+        };
+        // The revision is 0 while the job is live: its outcome's key is absent.
+        let revision = match found.value {
+            JobOutcome::Live => found.revision,
+            JobOutcome::Cancelled => return confirm(shared, &job_id),
+            JobOutcome::Done => {
                 let body = state(shared, &job_id, JobOutcome::Done, false);
                 return Ok(((200, body), None));
             }
-            None => return Ok((problem(404, "no such job"), None)),
         };
         let result = write_outcome(shared, &job_id, revision);
         store_said(shared, &result);
@@ -91,19 +95,19 @@
         put_cancelled(&outcome_key),
         Change::Put {
             key: &mark_key,
-            value: Content::Number(1),
-            permit: None,
+            value: StoredValue::Number(1),
+            lease: None,
         },
     ];
     let store = &shared.store;
-    store.txn(&conditions, changes, RequestClass::User, STORE_CALL)
+    store.transaction(&conditions, changes, RequestClass::User, STORE_CALL)
 }
 
 fn put_cancelled(key: &str) -> Change<'_> {
     Change::Put {
         key,
-        value: Content::JobOutcome(JobOutcome::Cancelled.into()),
-        permit: None,
+        value: StoredValue::JobOutcome(JobOutcome::Cancelled.into()),
+        lease: None,
     }
 }
 
@@ -191,8 +195,13 @@
     Ok(indexed)
 }
 
-fn lookup(shared: &Shared) -> Asked<'_> {
-    Asked::for_change(&shared.store, &shared.stop, Instant::now() + LOOKUP_LIMIT)
+fn lookup(shared: &Shared) -> BudgetedReader<'_> {
+    BudgetedReader::new(
+        &shared.store,
+        &shared.stop,
+        ReadPurpose::UserChange,
+        Instant::now() + LOOKUP_LIMIT,
+    )
 }
 
 /// Follows the dependents of jobs whose cancellation is durable.
@@ -240,7 +249,7 @@
     let conditions: Vec<(String, u64)> = keys.iter().map(|k| (k.clone(), 0)).collect();
     let changes = keys.iter().map(|key| put_cancelled(key)).collect();
     let store = &shared.store;
-    match store.txn(&conditions, changes, RequestClass::User, STORE_CALL) {
+    match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL) {
         Ok(TransactionOutcome::Applied { .. }) => {
             for job_id in open {
                 log::info!("cancelled with a dependency job={job_id}");
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -9,7 +9,7 @@
 use crate::core::model::JobId;
 use crate::core::persistence::ledger::{dependents_key, job_key};
 use crate::net::peer::FRAMES_LIVE_INDEX;
-use crate::net::store::{Change, Content, StoreError, TransactionOutcome};
+use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::StoredDependents;
 use crate::runtime::service::Shared;
 
@@ -75,11 +75,11 @@
     }
     let changes = lists.iter().map(|(key, list)| Change::Put {
         key,
-        value: Content::Dependents(list.clone()),
-        permit: None,
+        value: StoredValue::Dependents(list.clone()),
+        lease: None,
     });
     let store = &shared.store;
-    match store.txn(
+    match store.transaction(
         &conditions,
         changes.collect(),
         RequestClass::User,
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -8,7 +8,7 @@
 use crate::core::model::JobId;
 use crate::core::persistence::ledger::LIVE_PREFIX;
 use crate::core::state::dependencies::DependentsIndex;
-use crate::net::store::StoreError;
+use crate::net::store::{ListOptions, StoreError};
 use crate::runtime::service::Shared;
 use serde::Deserialize;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -62,16 +62,17 @@
 }
 
 fn read(shared: &Shared) -> Result<DependentsIndex, StoreError> {
-    let (pairs, _) = shared.store.list_patiently::<LiveJob>(
-        LIVE_PREFIX,
-        RequestClass::User,
-        PAGE_LIMIT,
-        READ_LIMIT,
-        &shared.stop,
-    )?;
-    let jobs = pairs.into_iter().filter_map(|pair| {
-        let job_id = pair.path.strip_prefix(LIVE_PREFIX).and_then(JobId::parse)?;
-        let dependencies = pair
+    let options = ListOptions {
+        class: RequestClass::User,
+        page_timeout: PAGE_LIMIT,
+        retry_for: READ_LIMIT,
+    };
+    let listing = shared
+        .store
+        .list_with_retries::<LiveJob>(LIVE_PREFIX, options, &shared.stop)?;
+    let jobs = listing.entries.into_iter().filter_map(|entry| {
+        let job_id = entry.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse)?;
+        let dependencies = entry
             .value
             .dependencies
             .iter()
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -12,7 +12,7 @@
 use crate::core::persistence::ledger::JobOutcome;
 use crate::net::http_server::{self, Limits, Request};
 use crate::net::peer::{PeerRequest, PeerResponse};
-use crate::net::store::StoreError;
+use crate::net::store::{Acceptance, Entry, StoreError};
 use crate::net::wire::{self, JobState};
 use crate::runtime::service::Shared;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
@@ -215,7 +215,7 @@
         Ok(answer) => answer,
         Err(e) => {
             log::debug!("not taken path={} why=\"{e}\"", r.path);
-            if e == StoreError::Spent {
+            if e == StoreError::RateLimited {
                 crowded(shared)
             } else {
                 by_peer(shared, r).unwrap_or_else(|| unavailable(shared))
@@ -243,7 +243,7 @@
 pub fn for_peer(shared: &Shared, method: &str, path: &str, body: &[u8]) -> ApiResponse {
     match local(shared, method, path, body) {
         Ok(answer) => answer,
-        Err(StoreError::Spent) => crowded(shared),
+        Err(StoreError::RateLimited) => crowded(shared),
         Err(_) => unavailable(shared),
     }
 }
@@ -314,7 +314,7 @@
 pub(crate) fn store_said<T>(shared: &Shared, r: &Result<T, StoreError>) {
     match r {
         // Out of the rate or over a limit is no sign of the state service's health.
-        Err(StoreError::Spent | StoreError::NoLease | StoreError::Refused) => {}
+        Err(StoreError::RateLimited | StoreError::LeaseNotFound | StoreError::Rejected) => {}
         r => shared.view.store_answered(r.is_ok(), Instant::now()),
     }
 }
@@ -340,21 +340,29 @@
 pub(crate) fn outcome(
     shared: &Shared,
     job_id: &JobId,
-) -> Result<Option<(JobOutcome, u64)>, StoreError> {
+) -> Result<Option<Entry<JobOutcome>>, StoreError> {
     if let Some(v) = shared.view.final_answer(job_id) {
-        return Ok(Some((v, 0)));
+        return Ok(Some(Entry {
+            value: v,
+            revision: 0,
+        }));
     }
     if !shared.view.store_ok(Instant::now()) {
         return Err(StoreError::Unavailable);
     }
     let accepted = shared.view.is_accepted(job_id);
-    let found = shared.store.outcome(job_id, accepted, USER_CALL);
+    let acceptance = if accepted {
+        Acceptance::Known
+    } else {
+        Acceptance::Unknown
+    };
+    let found = shared.store.job_outcome(job_id, acceptance, USER_CALL);
     store_said(shared, &found);
-    match &found {
-        Ok(Some((JobOutcome::Live, _))) if !accepted => {
+    match found.as_ref().map(|f| f.as_ref().map(|entry| entry.value)) {
+        Ok(Some(JobOutcome::Live)) if !accepted => {
             shared.view.remember_accepted(std::iter::once(job_id));
         }
-        Ok(Some((JobOutcome::Done, _))) => shared.view.remember_final(job_id, JobOutcome::Done),
+        Ok(Some(JobOutcome::Done)) => shared.view.remember_final(job_id, JobOutcome::Done),
         _ => {}
     }
     found
@@ -366,7 +374,7 @@
     job_id: &JobId,
     otherwise: ApiResponse,
 ) -> Result<ApiResponse, StoreError> {
-    let Some((outcome, _)) = outcome(shared, job_id)? else {
+    let Some(Entry { value: outcome, .. }) = outcome(shared, job_id)? else {
         return Ok(otherwise);
     };
     let cancelled = BTreeSet::from([job_id.clone()]);
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -8,13 +8,12 @@
 use crate::api::server::{
     problem, respond, state, store_said, unavailable, ApiResponse, USER_STALE,
 };
-use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::ledger::JobOutcome;
 use crate::net::http_server::Request;
 use crate::net::peer::{PeerJobStatus, PeerRequest, PeerResponse};
-use crate::net::store::{Asked, StoreError};
+use crate::net::store::{BudgetedReader, ReadPurpose, StoreError};
 use crate::net::wire;
 use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
@@ -46,10 +45,11 @@
     let most = most_at_once(shared);
     while let Ok(first) = queue.recv() {
         let until = first.came + PATIENCE;
-        let asked = Asked::new(&shared.store, &shared.stop, RequestClass::User, until);
+        let asked =
+            BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::StatusQuery, until);
         // Those that come while the rate is short go together, once it is not.
         if shared.view.store_ok(Instant::now()) {
-            asked.admit();
+            asked.wait_for_budget();
         }
         let mut batch = vec![first];
         while batch.len() < most {
@@ -62,7 +62,7 @@
     }
 }
 
-fn answer(shared: &Shared, asked: &Asked<'_>, batch: Vec<Request>) {
+fn answer(shared: &Shared, asked: &BudgetedReader<'_>, batch: Vec<Request>) {
     let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
     for r in batch {
         match job_of(&r.path) {
@@ -74,7 +74,7 @@
     let job_ids: BTreeSet<JobId> = by_job.keys().cloned().collect();
     let (mut found, trouble) = local(shared, asked, &job_ids);
     let missing: Vec<&JobId> = job_ids.iter().filter(|u| !found.contains_key(*u)).collect();
-    if !missing.is_empty() && trouble.is_some_and(|e| e != StoreError::Spent) {
+    if !missing.is_empty() && trouble.is_some_and(|e| e != StoreError::RateLimited) {
         found.extend(by_peer(shared, &missing));
     }
     for (job_id, requests) in by_job {
@@ -101,7 +101,7 @@
 /// How these jobs stand, as this node can find out itself, and what kept it from the rest.
 fn local(
     shared: &Shared,
-    asked: &Asked<'_>,
+    asked: &BudgetedReader<'_>,
     job_ids: &BTreeSet<JobId>,
 ) -> (HashMap<JobId, JobRecordStatus>, Option<StoreError>) {
     let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
@@ -188,7 +188,7 @@
 pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<PeerJobStatus> {
     let job_ids: Vec<Option<JobId>> = names.iter().map(|n| JobId::parse(n)).collect();
     let until = Instant::now() + PEER_PATIENCE;
-    let asked = Asked::new(&shared.store, &shared.stop, RequestClass::User, until);
+    let asked = BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::StatusQuery, until);
     let all: Vec<JobId> = job_ids.iter().flatten().cloned().collect();
     let mut found = HashMap::new();
     for part in all.chunks(most_at_once(shared)) {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -12,7 +12,9 @@
 use crate::core::model::{JobId, JobSpec};
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::ledger::{job_key, live_key, JobOutcome};
-use crate::net::store::{Asked, Change, Content, StoreError, TransactionOutcome};
+use crate::net::store::{
+    BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
+};
 use crate::net::wire::{self, StoredJob, Submission, SubmissionId};
 use crate::runtime::service::Shared;
 use std::collections::{BTreeSet, HashMap};
@@ -98,14 +100,14 @@
     let own = [job_key(job_id), live.clone()];
     let changes = vec![Change::Put {
         key: &live,
-        value: Content::Job(Box::new(record)),
-        permit: None,
+        value: StoredValue::Job(Box::new(record)),
+        lease: None,
     }];
     // A team that floods us leaves the others a way in.
     let floor = shared.crowd.floor(&spec.team, Instant::now());
     let result = shared
         .store
-        .txn_above(floor, &conditions, changes, ACCEPT_LIMIT);
+        .transaction_with_reserve(floor, &conditions, changes, ACCEPT_LIMIT);
     store_said(shared, &result);
     match result {
         Ok(TransactionOutcome::Applied { .. }) => Ok(Some(accepted(shared, &spec))),
@@ -270,7 +272,12 @@
             None => left.push(job_id),
         }
     }
-    let asked = Asked::for_change(&shared.store, &shared.stop, Instant::now() + LOOKUP_LIMIT);
+    let asked = BudgetedReader::new(
+        &shared.store,
+        &shared.stop,
+        ReadPurpose::UserChange,
+        Instant::now() + LOOKUP_LIMIT,
+    );
     for part in left.chunks(status_queries::most_at_once(shared)) {
         let part: BTreeSet<JobId> = part.iter().map(|u| (*u).clone()).collect();
         let mut accepted = shared.view.accepted_of(part.iter());
@@ -292,11 +299,11 @@
     let key = job_key(job_id);
     let change = Change::Put {
         key: &key,
-        value: Content::JobOutcome(JobOutcome::Cancelled.into()),
-        permit: None,
+        value: StoredValue::JobOutcome(JobOutcome::Cancelled.into()),
+        lease: None,
     };
     let store = &shared.store;
-    let result = store.txn(
+    let result = store.transaction(
         &own_conditions(job_id),
         vec![change],
         RequestClass::User,
--- /dev/null
+++ b/src/net/store/budgeted_reader.rs
@@ -0,0 +1,131 @@
+//! Reads that wait for their part of the rate, until a deadline.
+
+use super::listing::PAGE_SIZE;
+use super::{Entry, KvStore, StoreError, TransactionOutcome};
+use crate::common::rate_limit::RequestClass;
+use crate::common::stop_signal::Stop;
+use crate::core::persistence::job_status_reads::{Page, Records};
+use crate::core::persistence::ledger::{JobOutcome, OUTCOME_PREFIX};
+use crate::net::wire::{ListEntry, ListResponse, StoredOutcome};
+use serde::de::DeserializeOwned;
+use std::cell::Cell;
+use std::time::{Duration, Instant};
+
+/// A read that finds the rate used up waits this long before it tries again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(15);
+
+/// What a read is for, and with it the part of the rate that it takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadPurpose {
+    /// A duty of the leader.
+    LeaderDuty,
+    /// A user's status query. It leaves a part of the rate to submissions and cancellations.
+    StatusQuery,
+    /// A user's submission or cancellation.
+    UserChange,
+}
+
+/// Reads of the key-value store for one purpose.
+pub struct BudgetedReader<'a> {
+    store: &'a KvStore,
+    stop: &'a Stop,
+    purpose: ReadPurpose,
+    deadline: Instant,
+    /// The next call's part of the rate has been taken already.
+    prepaid: Cell<bool>,
+}
+
+impl<'a> BudgetedReader<'a> {
+    /// Reads of `store` until `deadline`, or until `stop`.
+    pub fn new(
+        store: &'a KvStore,
+        stop: &'a Stop,
+        purpose: ReadPurpose,
+        deadline: Instant,
+    ) -> BudgetedReader<'a> {
+        BudgetedReader {
+            store,
+            stop,
+            purpose,
+            deadline,
+            prepaid: Cell::new(false),
+        }
+    }
+
+    /// Reads a key. None: it is absent.
+    pub fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Option<Entry<T>>, StoreError> {
+        self.take_budget()?;
+        self.store.get_unbudgeted(key, self.timeout())
+    }
+
+    /// Waits for the rate ahead of the first call: requests that come meanwhile can be read with it.
+    /// False: the deadline has passed.
+    pub fn wait_for_budget(&self) -> bool {
+        while !self.prepaid.get() {
+            let now = Instant::now();
+            let taken = self.try_take_budget(now);
+            if !taken && (now >= self.deadline || self.stop.wait(RETRY_INTERVAL)) {
+                return false;
+            }
+            self.prepaid.set(taken);
+        }
+        true
+    }
+
+    fn try_take_budget(&self, now: Instant) -> bool {
+        let budget = &self.store.budget;
+        match self.purpose {
+            ReadPurpose::LeaderDuty => budget.try_take(RequestClass::Leader, 0, now),
+            ReadPurpose::StatusQuery => budget.try_take_status_query(now),
+            ReadPurpose::UserChange => budget.try_take(RequestClass::User, 0, now),
+        }
+    }
+
+    fn take_budget(&self) -> Result<(), StoreError> {
+        if self.wait_for_budget() {
+            self.prepaid.set(false);
+            Ok(())
+        } else {
+            Err(StoreError::RateLimited)
+        }
+    }
+
+    fn timeout(&self) -> Duration {
+        self.deadline
+            .saturating_duration_since(Instant::now())
+            .max(RETRY_INTERVAL)
+    }
+}
+
+impl Records for BudgetedReader<'_> {
+    type Error = StoreError;
+
+    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, StoreError> {
+        self.take_budget()?;
+        let outcome = self
+            .store
+            .transaction_unbudgeted(expected, Vec::new(), self.timeout())?;
+        match outcome {
+            TransactionOutcome::Applied { .. } => Ok(Vec::new()),
+            TransactionOutcome::Failed { keys } => Ok(keys),
+        }
+    }
+
+    fn outcomes(&self, from: &str) -> Result<Page, StoreError> {
+        self.take_budget()?;
+        let path = format!("/store?Under={OUTCOME_PREFIX}&From={from}&Most={PAGE_SIZE}");
+        let response = self.store.call_without_body("GET", &path, self.timeout())?;
+        if response.status != 200 {
+            return Err(StoreError::Unavailable);
+        }
+        let page: ListResponse<StoredOutcome> = response.decode().ok_or(StoreError::Unavailable)?;
+        let outcome = |entry: ListEntry<StoredOutcome>| Some((entry.key, entry.value.outcome()?));
+        let outcomes = page.entries.into_iter().filter_map(outcome).collect();
+        Ok((outcomes, page.has_next))
+    }
+
+    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, StoreError> {
+        let entry = self.get::<StoredOutcome>(key)?;
+        Ok(entry.and_then(|e| e.value.outcome()))
+    }
+}
--- /dev/null
+++ b/src/net/store/leases.rs
@@ -0,0 +1,44 @@
+//! Leases, which only the leader and candidates hold. A key that is written with a lease is removed with
+//! the lease's end.
+
+use super::{KvStore, StoreError};
+use crate::common::rate_limit::RequestClass;
+use crate::net::wire::{LeaseRequest, LeaseResponse};
+use std::time::Duration;
+
+impl KvStore {
+    /// Grants a lease that expires after `duration` unless it is renewed.
+    pub fn grant_lease(&self, duration: Duration, timeout: Duration) -> Result<u64, StoreError> {
+        self.take_budget(RequestClass::Leader, 0)?;
+        let request = LeaseRequest {
+            duration_ms: duration.as_millis() as u64,
+        };
+        let response = self.call("POST", "/leases", Some(&request), timeout)?;
+        match response.status {
+            200 | 201 => {
+                let granted: LeaseResponse = response.decode().ok_or(StoreError::Unknown)?;
+                Ok(granted.lease)
+            }
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Renews a lease for its whole duration.
+    pub fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
+        self.take_budget(RequestClass::Leader, 0)?;
+        let path = format!("/leases/{lease}/extend");
+        let response = self.call_without_body("POST", &path, timeout)?;
+        match response.status {
+            200 => Ok(()),
+            404 => Err(StoreError::LeaseNotFound),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+
+    /// Ends a lease, and removes the keys that were written with it.
+    pub fn revoke_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
+        self.take_budget(RequestClass::Leader, 0)?;
+        self.call_without_body("DELETE", &format!("/leases/{lease}"), timeout)
+            .map(drop)
+    }
+}
--- /dev/null
+++ b/src/net/store/watch.rs
@@ -0,0 +1,32 @@
+//! Watches: the changes under a prefix after a revision, by long polling.
+
+use super::{KvStore, StoreError};
+use crate::common::rate_limit::RequestClass;
+use crate::net::wire::WatchResponse;
+use serde::de::DeserializeOwned;
+use std::time::Duration;
+
+/// An answer may come so much later than the store was asked to wait.
+const ANSWER_DELAY: Duration = Duration::from_secs(3);
+
+impl KvStore {
+    /// Waits for changes after this revision, for `max_wait` at most.
+    pub fn watch<T: DeserializeOwned>(
+        &self,
+        prefix: &str,
+        after_revision: u64,
+        max_wait: Duration,
+    ) -> Result<WatchResponse<T>, StoreError> {
+        self.take_budget(RequestClass::Leader, 0)?;
+        let path = format!(
+            "/follow?Under={prefix}&From={after_revision}&BlockMs={}",
+            max_wait.as_millis()
+        );
+        let response = self.call_without_body("GET", &path, max_wait + ANSWER_DELAY)?;
+        match response.status {
+            200 => response.decode().ok_or(StoreError::Unavailable),
+            410 => Err(StoreError::RevisionTooOld),
+            _ => Err(StoreError::Unavailable),
+        }
+    }
+}
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -1,6 +1,7 @@
 //! The messages of the protocol and the records of the state service, and how they become the core's types.
 
 mod cloud;
+mod store;
 mod stored;
 mod user;
 mod worker;
@@ -8,6 +9,11 @@
 pub use cloud::{
     MachineList, MachineNames, RentRequest, WireCloudMachine, WireMachineType, WireMachineTypes,
 };
+pub use store::{Change, ListEntry, StoredValue, WatchEvent, WatchResponse};
+pub(in crate::net) use store::{
+    GetResponse, LeaseRequest, LeaseResponse, ListResponse, Precondition, StoreProblem,
+    TransactionRequest, TransactionResponse,
+};
 pub use stored::{
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
 };
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -4,7 +4,7 @@
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::{MachineType, Term};
 use crate::core::persistence::ledger;
-use crate::net::store::{Change, Content};
+use crate::net::store::{Change, StoredValue};
 use crate::net::wire;
 use crate::runtime::events::{CloudOrder, Event};
 use crate::runtime::node_view::RoleView;
@@ -124,10 +124,13 @@
     let conditions = [(ledger::LEADER_KEY.to_owned(), leader.revision)];
     let change = Change::Put {
         key: ledger::TYPES_KEY,
-        value: Content::Types(types),
-        permit: None,
+        value: StoredValue::Types(types),
+        lease: None,
     };
-    if let Err(e) = shared.store.txn(&conditions, vec![change], rank, limit) {
+    if let Err(e) = shared
+        .store
+        .transaction(&conditions, vec![change], rank, limit)
+    {
         log::info!("machine types not kept why=\"{e}\"");
     }
 }
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -55,7 +55,7 @@
             log::debug!("watch of the control keys ended why=\"{e}\"");
             shared
                 .view
-                .store_answered(e == StoreError::TooOld, Instant::now());
+                .store_answered(e == StoreError::RevisionTooOld, Instant::now());
         }
         let pause = rand::thread_rng().gen_range(PAUSE_MS);
         shared.stop.wait(Duration::from_millis(pause));
@@ -66,16 +66,16 @@
     shared: &Shared,
     elector_events: &Sender<ElectorEvent>,
 ) -> Result<(), StoreError> {
-    let (pairs, mut revision) =
-        shared
-            .store
-            .list::<Control>(CONTROL_PREFIX, RequestClass::Leader, CALL)?;
+    let listing = shared
+        .store
+        .list::<Control>(CONTROL_PREFIX, RequestClass::Leader, CALL)?;
     shared.view.store_answered(true, Instant::now());
+    let mut revision = listing.revision;
     let mut leader = None;
-    for p in pairs {
+    for p in listing.entries {
         match p.value {
-            Control::Leader(l) if p.path == LEADER_KEY => leader = Some(record(l, p.revision)),
-            Control::Types(t) if p.path == TYPES_KEY => take_types(shared, &t),
+            Control::Leader(l) if p.key == LEADER_KEY => leader = Some(record(l, p.revision)),
+            Control::Types(t) if p.key == TYPES_KEY => take_types(shared, &t),
             _ => {}
         }
     }
@@ -83,10 +83,10 @@
     while !shared.stop.stopped() {
         let changes = shared
             .store
-            .follow::<Control>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
+            .watch::<Control>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
         shared.view.store_answered(true, Instant::now());
         revision = changes.revision.max(revision);
-        for c in changes.log {
+        for c in changes.events {
             if c.delete.as_deref() == Some(LEADER_KEY) {
                 let _ = elector_events.send(ElectorEvent::Leader(None));
             }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -5,7 +5,7 @@
 use crate::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use crate::core::model::Term;
 use crate::core::persistence::ledger::{LEADER_KEY, TERM_KEY};
-use crate::net::store::{Change, Content, StoreError, TransactionOutcome};
+use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::StoredLeader;
 use crate::runtime::control_watch::record;
 use crate::runtime::loading::serve_term;
@@ -57,7 +57,7 @@
 struct Won {
     term: Term,
     leader_revision: u64,
-    permit: u64,
+    lease: u64,
 }
 
 /// The elector's thread.
@@ -69,7 +69,7 @@
     /// How long the lease of the present term lasts without a renewal.
     lease_duration: Duration,
     /// The lease of the present term.
-    permit: Option<u64>,
+    lease: Option<u64>,
     /// Ends the threads of the present term.
     term_stop: Stop,
     /// The leader key was looked at: before, its absence means nothing.
@@ -87,7 +87,7 @@
             shared,
             boot,
             lease_duration,
-            permit: None,
+            lease: None,
             term_stop: Stop::new(),
             looked: false,
             vacant: None,
@@ -126,13 +126,13 @@
     /// Gives the term up in which no worker is heard.
     fn resign(&mut self, now: Instant, term: Term) -> Step {
         let step = self.machine.resign(now, term, RESIGNED);
-        if let (Step::StepDown, Some(permit)) = (&step, self.permit) {
+        if let (Step::StepDown, Some(lease)) = (&step, self.lease) {
             log::warn!(
                 "no worker is heard, the leadership is given up term={}",
                 term.0
             );
             // If this fails, the lease ends by itself.
-            let _ = self.shared.store.drop_lease(permit, CALL);
+            let _ = self.shared.store.revoke_lease(lease, CALL);
         }
         step
     }
@@ -158,13 +158,13 @@
     fn renew(&mut self, asked: (Instant, SystemTime)) {
         let limit = self.lease_duration / RENEWALS_PER_LEASE;
         let view = &self.shared.view;
-        match self.permit.map(|p| self.shared.store.extend(p, limit)) {
+        match self.lease.map(|p| self.shared.store.renew_lease(p, limit)) {
             Some(Ok(())) => {
                 view.store_answered(true, Instant::now());
                 view.lease_lasts(asked, self.lease_duration);
                 self.machine.renewed(asked.0);
             }
-            Some(Err(StoreError::NoLease)) | None => {
+            Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("the leader lease has ended");
                 self.machine.lease_ended();
                 self.step_down();
@@ -180,7 +180,7 @@
     /// Ends the present term's threads. Its lease is not renewed any more.
     fn step_down(&mut self) {
         self.term_stop.stop();
-        self.permit = None;
+        self.lease = None;
         self.shared.step_down();
         publish(&self.shared, &self.machine);
     }
@@ -204,7 +204,7 @@
         self.shared.view.lease_lasts(asked, self.lease_duration);
         self.machine
             .won(Instant::now(), won.term, won.leader_revision);
-        self.permit = Some(won.permit);
+        self.lease = Some(won.lease);
         self.term_stop = Stop::new();
         log::info!("leading term={}", won.term.0);
         publish(&self.shared, &self.machine);
@@ -235,8 +235,8 @@
     /// The service ends: the next leader need not wait for the lease.
     fn end(&self) {
         self.term_stop.stop();
-        if let Some(permit) = self.permit {
-            let _ = self.shared.store.drop_lease(permit, CALL);
+        if let Some(lease) = self.lease {
+            let _ = self.shared.store.revoke_lease(lease, CALL);
         }
     }
 }
@@ -276,7 +276,7 @@
     let timer_lag = shared.worst_timer_lag().as_secs_f64() / STRAINED.as_secs_f64();
     let longer = 1.0 + timer_lag.min(MAX_LONGER);
     *lease_duration = shared.settings.operations.leader_lease.mul_f64(longer);
-    let lease = shared.store.lease(*lease_duration, CALL)?;
+    let lease = shared.store.grant_lease(*lease_duration, CALL)?;
     // Above all terms that workers and peers have shown, too: a state service that was put back to an
     // earlier state would give out numbers that are in use.
     let shown = shared.view.read().highest;
@@ -284,7 +284,7 @@
     let won = |leader_revision| Won {
         term: Term(term),
         leader_revision,
-        permit: lease,
+        lease,
     };
     let conditions = [
         (LEADER_KEY.to_owned(), revision),
@@ -293,26 +293,26 @@
     let changes = vec![
         Change::Put {
             key: LEADER_KEY,
-            value: Content::Leader(StoredLeader {
+            value: StoredValue::Leader(StoredLeader {
                 member: shared.settings.member.clone(),
                 boot,
                 term,
             }),
-            permit: Some(lease),
+            lease: Some(lease),
         },
         Change::Put {
             key: TERM_KEY,
-            value: Content::Number(term),
-            permit: None,
+            value: StoredValue::Number(term),
+            lease: None,
         },
     ];
     match shared
         .store
-        .txn(&conditions, changes, RequestClass::Leader, CALL)
+        .transaction(&conditions, changes, RequestClass::Leader, CALL)
     {
         Ok(TransactionOutcome::Applied { revision }) => Ok(Some(won(revision))),
         Ok(TransactionOutcome::Failed { .. }) => {
-            let _ = shared.store.drop_lease(lease, CALL);
+            let _ = shared.store.revoke_lease(lease, CALL);
             Ok(None)
         }
         Err(StoreError::Unknown) => {
--- a/src/runtime/job_lookups.rs
+++ b/src/runtime/job_lookups.rs
@@ -4,11 +4,10 @@
 //! asked is asked again; it is never told to the core as an answer.
 
 use crate::api::status_queries;
-use crate::common::rate_limit::RequestClass;
 use crate::core::model::{JobId, Term};
 use crate::core::persistence::backoff::Backoff;
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
-use crate::net::store::Asked;
+use crate::net::store::{BudgetedReader, ReadPurpose};
 use crate::runtime::events::Event;
 use crate::runtime::node_view::RoleView;
 use crate::runtime::service::Shared;
@@ -42,7 +41,8 @@
     for part in jobs.chunks(status_queries::most_at_once(shared)) {
         let asked: BTreeSet<JobId> = part.iter().cloned().collect();
         let until = Instant::now() + CALL;
-        let records = Asked::new(&shared.store, &shared.stop, RequestClass::Leader, until);
+        let records =
+            BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::LeaderDuty, until);
         let (found, trouble) = job_status_reads::statuses(&records, &asked, &mut BTreeSet::new());
         if let Some(why) = trouble {
             log::info!("unknown jobs could not be asked about why=\"{why}\"");
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -10,7 +10,7 @@
 use crate::core::placement::history::HistorySummary;
 use crate::core::reconciliation::state_loading::{StoredIntents, StoredLiveJob, StoredSnapshot};
 use crate::core::state::cluster_state::ClusterState;
-use crate::net::store::{Asked, Pair, StoreError};
+use crate::net::store::{BudgetedReader, ListEntry, ListOptions, Listing, ReadPurpose, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
 use crate::runtime::events::Event;
 use crate::runtime::queue_feed::feed;
@@ -63,7 +63,7 @@
 /// each answer a leader loaded for 100 s while a third of the answers were lost.
 fn over_already(
     shared: &Shared,
-    live: &[Pair<StoredJob>],
+    live: &[ListEntry<StoredJob>],
     stop: &Stop,
 ) -> Result<HashMap<JobId, JobOutcome>, StoreError> {
     let job_ids = jobs_under(ledger::LIVE_PREFIX, live);
@@ -78,13 +78,13 @@
 /// How those ended that live jobs need and that are not live themselves.
 fn ends_of_needed(
     shared: &Shared,
-    live: &[Pair<StoredJob>],
+    live: &[ListEntry<StoredJob>],
     stop: &Stop,
 ) -> Result<Vec<(JobId, JobOutcome)>, StoreError> {
     let prefix = ledger::LIVE_PREFIX;
     let known: HashSet<&str> = live
         .iter()
-        .filter_map(|p| p.path.strip_prefix(prefix))
+        .filter_map(|p| p.key.strip_prefix(prefix))
         .collect();
     let needed = live.iter().flat_map(|p| p.value.dependencies());
     let needed: BTreeSet<JobId> = needed
@@ -112,7 +112,7 @@
         let mut accepted = left.clone();
         loop {
             let patience = (Instant::now() + CALL).min(until);
-            let asked = Asked::new(&shared.store, stop, RequestClass::Leader, patience);
+            let asked = BudgetedReader::new(&shared.store, stop, ReadPurpose::LeaderDuty, patience);
             let (found, trouble) = job_status_reads::statuses(&asked, &left, &mut accepted);
             left.retain(|u| !found.contains_key(u));
             all.extend(found);
@@ -132,14 +132,13 @@
     shared: &Shared,
     prefix: &str,
     stop: &Stop,
-) -> Result<(Vec<Pair<T>>, u64), StoreError> {
-    shared.store.list_patiently(
-        prefix,
-        RequestClass::Leader,
-        PAGE_LIMIT,
-        PAGE_PATIENCE,
-        stop,
-    )
+) -> Result<Listing<T>, StoreError> {
+    let options = ListOptions {
+        class: RequestClass::Leader,
+        page_timeout: PAGE_LIMIT,
+        retry_for: PAGE_PATIENCE,
+    };
+    shared.store.list_with_retries(prefix, options, stop)
 }
 
 /// A record that may be of a form that this version does not know.
@@ -151,8 +150,8 @@
 }
 
 /// The records under a prefix.
-struct Listing<T> {
-    records: Vec<Pair<T>>,
+struct ReadableRecords<T> {
+    records: Vec<ListEntry<T>>,
     /// Keys whose records cannot be read.
     unreadable: Vec<String>,
     revision: u64,
@@ -163,50 +162,49 @@
     shared: &Shared,
     prefix: &str,
     stop: &Stop,
-) -> Result<Listing<T>, StoreError> {
+) -> Result<ReadableRecords<T>, StoreError> {
     match read_all(shared, prefix, stop) {
-        Ok((records, revision)) => {
-            let unreadable = Vec::new();
-            return Ok(Listing {
-                records,
-                unreadable,
-                revision,
+        Ok(listing) => {
+            return Ok(ReadableRecords {
+                records: listing.entries,
+                unreadable: Vec::new(),
+                revision: listing.revision,
             });
         }
         Err(StoreError::Unreadable) => {}
         Err(e) => return Err(e),
     }
-    let (pairs, revision) = read_all::<MaybeReadable<T>>(shared, prefix, stop)?;
+    let listing = read_all::<MaybeReadable<T>>(shared, prefix, stop)?;
     let (mut records, mut unreadable) = (Vec::new(), Vec::new());
-    for Pair {
-        path,
+    for ListEntry {
+        key,
         value,
         revision,
-    } in pairs
+    } in listing.entries
     {
         match value {
-            MaybeReadable::Readable(value) => records.push(Pair {
-                path,
+            MaybeReadable::Readable(value) => records.push(ListEntry {
+                key,
                 value,
                 revision,
             }),
-            MaybeReadable::Unreadable(_) => unreadable.push(path),
+            MaybeReadable::Unreadable(_) => unreadable.push(key),
         }
     }
-    Ok(Listing {
+    Ok(ReadableRecords {
         records,
         unreadable,
-        revision,
+        revision: listing.revision,
     })
 }
 
 /// What was read of the state service, as it is stored.
 struct StoredRecords {
-    lists: Vec<Pair<IgnoredAny>>,
-    live: Vec<Pair<StoredJob>>,
+    lists: Vec<ListEntry<IgnoredAny>>,
+    live: Vec<ListEntry<StoredJob>>,
     unreadable_live: Vec<String>,
-    cancel_marks: Vec<Pair<IgnoredAny>>,
-    intents: Vec<Pair<StoredChunk>>,
+    cancel_marks: Vec<ListEntry<IgnoredAny>>,
+    intents: Vec<ListEntry<StoredChunk>>,
     unreadable_intents: Vec<String>,
     history: Option<StoredHistory>,
     /// From here on the watch of the queue misses nothing of it.
@@ -214,9 +212,9 @@
 }
 
 fn read_records(shared: &Shared, stop: &Stop) -> Result<StoredRecords, StoreError> {
-    let (lists, _) = read_all(shared, ledger::DEPENDENTS_PREFIX, stop)?;
+    let lists = read_all(shared, ledger::DEPENDENTS_PREFIX, stop)?.entries;
     let live = read_readable(shared, ledger::LIVE_PREFIX, stop)?;
-    let (cancel_marks, _) = read_all(shared, ledger::CANCEL_MARK_PREFIX, stop)?;
+    let cancel_marks = read_all(shared, ledger::CANCEL_MARK_PREFIX, stop)?.entries;
     let intents = read_readable(shared, ledger::INTENT_PREFIX, stop)?;
     let history = shared.store.get::<StoredHistory>(
         ledger::HISTORY_KEY,
@@ -236,8 +234,8 @@
 }
 
 /// The jobs that keys under a prefix name.
-fn jobs_under<T>(prefix: &str, pairs: &[Pair<T>]) -> Vec<JobId> {
-    let names = pairs.iter().filter_map(|p| p.path.strip_prefix(prefix));
+fn jobs_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
+    let names = pairs.iter().filter_map(|p| p.key.strip_prefix(prefix));
     names.filter_map(JobId::parse).collect()
 }
 
@@ -279,19 +277,19 @@
 ) -> StoredSnapshot {
     let mut unreadable_live = records.unreadable_live;
     let mut jobs = Vec::new();
-    for Pair {
-        path,
+    for ListEntry {
+        key,
         value,
         revision,
     } in records.live
     {
         match value.into_spec() {
             Some(spec) => jobs.push(StoredLiveJob { spec, revision }),
-            None => unreadable_live.push(path),
+            None => unreadable_live.push(key),
         }
     }
     let chunks = records.intents.into_iter().filter_map(|pair| {
-        let (job_id, index) = ledger::parse_chunk_key(&pair.path)?;
+        let (job_id, index) = ledger::parse_chunk_key(&pair.key)?;
         Some(StoredIntents {
             job_id,
             index,
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -45,28 +45,28 @@
         let asked = ClockReading::now();
         match shared
             .store
-            .follow::<Queued>(ledger::QUEUE_PREFIX, revision, block)
+            .watch::<Queued>(ledger::QUEUE_PREFIX, revision, block)
         {
             Ok(changes) => {
                 revision = revision.max(changes.revision);
-                for c in changes.log {
+                for c in changes.events {
                     if let Some(key) = c.put {
                         take_queued(shared, term, &key, c.value, c.revision.unwrap_or(0));
                     }
                 }
                 let _ = shared.events.send(Event::Read(term, asked));
             }
-            Err(StoreError::TooOld) => {
+            Err(StoreError::RevisionTooOld) => {
                 let limit = Duration::from_secs(4);
                 match shared
                     .store
                     .list::<Queued>(ledger::QUEUE_PREFIX, RequestClass::Leader, limit)
                 {
-                    Ok((pairs, r)) => {
-                        for p in pairs {
-                            take_queued(shared, term, &p.path, Some(p.value), p.revision);
+                    Ok(listing) => {
+                        for p in listing.entries {
+                            take_queued(shared, term, &p.key, Some(p.value), p.revision);
                         }
-                        revision = r;
+                        revision = listing.revision;
                         let _ = shared.events.send(Event::Read(term, asked));
                     }
                     Err(_) => {
@@ -105,12 +105,13 @@
     let listed = shared
         .store
         .list::<IgnoredAny>(prefix, RequestClass::Leader, LIST_SWEEP_LIMIT);
-    let Ok((lists, _)) = listed else {
+    let Ok(lists) = listed else {
         return;
     };
     let job_ids: Vec<JobId> = lists
+        .entries
         .iter()
-        .filter_map(|pair| pair.path.strip_prefix(prefix).and_then(JobId::parse))
+        .filter_map(|list| list.key.strip_prefix(prefix).and_then(JobId::parse))
         .collect();
     if !job_ids.is_empty() {
         let _ = shared.events.send(Event::Lists(term, job_ids));
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -13,8 +13,7 @@
 use crate::net::http_client::Client;
 use crate::net::http_server;
 use crate::net::peer::Peer;
-use crate::net::store::Store;
-use crate::net::store::StoreBudget;
+use crate::net::store::{KvStore, StoreBudget};
 use crate::runtime::cloud_workers;
 use crate::runtime::control_watch;
 use crate::runtime::core_loop;
@@ -177,7 +176,7 @@
     (Arc::new(shared), outlets, queues)
 }
 
-fn state_service(settings: &Settings, meters: &LatencyMeters, now: Instant) -> Store {
+fn state_service(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budgets = StoreBudget::new(settings.store_rates, settings.controller_count, now);
     let budgets = budgets.with_reduced_rates(settings.next_store_rates);
     // One for each thread that asks for a user, and for the leader's own duties.
@@ -189,7 +188,7 @@
         kept,
         meters.store.clone(),
     );
-    Store::new(client, budgets)
+    KvStore::new(client, budgets)
 }
 
 /// The core, the writer of its transactions and the senders of its commands.
--- a/src/runtime/shared.rs
+++ b/src/runtime/shared.rs
@@ -7,7 +7,7 @@
 use crate::core::model::{JobId, Term};
 use crate::net::cloud::Cloud;
 use crate::net::peer::{self, Peer, PeerRequest};
-use crate::net::store::Store;
+use crate::net::store::KvStore;
 use crate::runtime::elector::ElectorEvent;
 use crate::runtime::events::Event;
 use crate::runtime::node_view::{NodeView, RoleView};
@@ -43,7 +43,7 @@
     /// What this node knows.
     pub view: NodeView,
     /// The state service.
-    pub store: Store,
+    pub store: KvStore,
     /// The cloud.
     pub cloud: Cloud,
     /// To the core's loop.
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -15,10 +15,10 @@
 pub fn write_store(shared: &Shared, batches: &Receiver<(Term, Batch)>) {
     while let Ok((term, batch)) = batches.recv() {
         let limit = Duration::from_millis(2000);
-        let outcome = match shared.store.apply(&batch, limit) {
+        let outcome = match shared.store.commit(&batch, limit) {
             Ok(TransactionOutcome::Applied { revision }) => BatchOutcome::Applied { revision },
             Ok(TransactionOutcome::Failed { keys }) => read_failed(shared, keys),
-            Err(StoreError::Refused) => BatchOutcome::Refused,
+            Err(StoreError::Rejected) => BatchOutcome::Refused,
             Err(e) => {
                 log::debug!("write not confirmed why=\"{e}\" ops={}", batch.ops.len());
                 BatchOutcome::Unknown
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -16,6 +16,7 @@
 use cypressgap::common::rate_limit::RequestClass;
 use cypressgap::common::stop_signal::Stop;
 use cypressgap::core::model::FencingToken;
+use cypressgap::net::store::ListOptions;
 use cypressgap::runtime::node_view::RoleView;
 use cypressgap::runtime::service::Service;
 use cypressgap::settings::Settings;
@@ -171,9 +172,14 @@
     // A page that cannot be read is asked for until the service is back.
     let store = &node.shared.store;
     let (limit, stop) = (Duration::from_secs(4), Stop::new());
+    let options = |retry_for| ListOptions {
+        class: RequestClass::User,
+        page_timeout: limit,
+        retry_for,
+    };
     let list = |patience| {
         store
-            .list_patiently::<Any>("ctl/", RequestClass::User, limit, patience, &stop)
+            .list_with_retries::<Any>("ctl/", options(patience), &stop)
             .is_ok()
     };
     assert!(!list(Duration::ZERO));
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -13,7 +13,8 @@
 use cypressgap::net::cloud::Cloud;
 use cypressgap::net::http_client::Client;
 use cypressgap::net::store::{
-    Asked, Change, Content, Store, StoreBudget, StoreError, TransactionOutcome,
+    Acceptance, BudgetedReader, Change, Entry, KvStore, ReadPurpose, StoreBudget, StoreError,
+    StoredValue, TransactionOutcome,
 };
 use cypressgap::net::wire::RentRequest;
 use cypressgap::settings::StoreRates;
@@ -63,8 +64,8 @@
     }
 }
 
-fn store(client: Client) -> Store {
-    Store::new(
+fn store(client: Client) -> KvStore {
+    KvStore::new(
         client,
         StoreBudget::new(
             StoreRates {
@@ -78,26 +79,26 @@
 }
 
 /// A transaction that makes all kinds of changes.
-fn transaction(store: &Store) -> Result<TransactionOutcome, StoreError> {
-    let put = |key, value, permit| Change::Put { key, value, permit };
+fn transaction(store: &KvStore) -> Result<TransactionOutcome, StoreError> {
+    let put = |key, value, lease| Change::Put { key, value, lease };
     let changes = vec![
         put(
             "q/l/wk-000412",
-            Content::Job(Box::new((&job()).into())),
+            StoredValue::Job(Box::new((&job()).into())),
             None,
         ),
-        put("ctl/term", Content::Number(4), Some(9)),
+        put("ctl/term", StoredValue::Number(4), Some(9)),
         Change::Delete {
             key: "q/w/wk-000412",
         },
     ];
     let conditions = [("ctl/leader".to_owned(), 50), ("j/wk-000412".to_owned(), 0)];
-    store.txn(&conditions, changes, RequestClass::User, LIMIT)
+    store.transaction(&conditions, changes, RequestClass::User, LIMIT)
 }
 
-fn conditions_alone(store: &Store) -> Result<TransactionOutcome, StoreError> {
+fn conditions_alone(store: &KvStore) -> Result<TransactionOutcome, StoreError> {
     let conditions = [("j/wk-000412".to_owned(), 0)];
-    store.txn(&conditions, vec![], RequestClass::User, LIMIT)
+    store.transaction(&conditions, vec![], RequestClass::User, LIMIT)
 }
 
 fn batch() -> Batch {
@@ -115,7 +116,7 @@
     }
 }
 
-const STORE_CALLS: &[Call<Store>] = &[
+const STORE_CALLS: &[Call<KvStore>] = &[
     ("get", &[200], |s| {
         let entry = s
             .get::<u64>("ctl/term", RequestClass::Leader, LIMIT)
@@ -129,15 +130,19 @@
         assert!(entry.is_none());
     }),
     ("list", &[200, 200], |s| {
-        let (pairs, revision) = s
+        let listing = s
             .list::<u64>("q/w/", RequestClass::Leader, LIMIT)
             .expect("read");
-        let pairs = pairs.into_iter().map(|p| (p.path, p.value, p.revision));
+        let entries = listing.entries.into_iter();
+        let entries = entries.map(|e| (e.key, e.value, e.revision));
         let expected = [
             ("q/w/wk-000411".into(), 1, 52),
             ("q/w/wk-000412".into(), 1, 53),
         ];
-        assert_eq!((pairs.collect::<Vec<_>>(), revision), (expected.into(), 60));
+        assert_eq!(
+            (entries.collect::<Vec<_>>(), listing.revision),
+            (expected.into(), 60)
+        );
     }),
     ("transaction", &[200], |s| {
         assert_eq!(
@@ -150,27 +155,27 @@
         assert_eq!(conditions_alone(s), Ok(TransactionOutcome::Failed { keys }));
     }),
     ("transaction on an ended lease", &[400], |s| {
-        assert_eq!(conditions_alone(s), Err(StoreError::NoLease));
+        assert_eq!(conditions_alone(s), Err(StoreError::LeaseNotFound));
     }),
     ("batch", &[200], |s| {
         assert_eq!(
-            s.apply(&batch(), LIMIT),
+            s.commit(&batch(), LIMIT),
             Ok(TransactionOutcome::Applied { revision: 61 })
         );
     }),
     ("lease", &[200], |s| {
-        assert_eq!(s.lease(secs(4.0), LIMIT), Ok(9))
+        assert_eq!(s.grant_lease(secs(4.0), LIMIT), Ok(9))
     }),
     ("extension", &[200], |s| {
-        assert_eq!(s.extend(9, LIMIT), Ok(()))
+        assert_eq!(s.renew_lease(9, LIMIT), Ok(()))
     }),
     ("end of a lease", &[200], |s| {
-        assert_eq!(s.drop_lease(9, LIMIT), Ok(()))
+        assert_eq!(s.revoke_lease(9, LIMIT), Ok(()))
     }),
     ("watch", &[200], |s| {
-        let changes = s.follow::<u64>("q/", 60, secs(5.0)).expect("read");
+        let changes = s.watch::<u64>("q/", 60, secs(5.0)).expect("read");
         let log = changes
-            .log
+            .events
             .into_iter()
             .map(|c| (c.put, c.delete, c.value, c.revision));
         let key = || Some("q/w/wk-000412".to_owned());
@@ -178,13 +183,17 @@
         assert_eq!((log.collect::<Vec<_>>(), changes.revision), (expected, 62));
     }),
     ("verdict", &[200, 200], |s| {
-        let outcome = s.outcome(&job_id(), false, LIMIT);
-        assert_eq!(outcome, Ok(Some((JobOutcome::Cancelled, 63))));
+        let outcome = s.job_outcome(&job_id(), Acceptance::Unknown, LIMIT);
+        let cancelled = Entry {
+            value: JobOutcome::Cancelled,
+            revision: 63,
+        };
+        assert_eq!(outcome, Ok(Some(cancelled)));
     }),
     ("verdicts", &[200], |s| {
         let stop = Stop::new();
-        let page =
-            Asked::new(s, &stop, RequestClass::User, Instant::now() + LIMIT).outcomes("j/wk-0");
+        let page = BudgetedReader::new(s, &stop, ReadPurpose::StatusQuery, Instant::now() + LIMIT)
+            .outcomes("j/wk-0");
         let expected = vec![("j/wk-000412".to_owned(), JobOutcome::Done)];
         assert_eq!(page, Ok((expected, true)));
     }),
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -7,7 +7,7 @@
 use cypressgap::core::persistence::ledger::{self, ChunkValue, JobOutcome, Value};
 use cypressgap::core::placement::history::{History, HistorySummary};
 use cypressgap::core::state::cluster_state::Action;
-use cypressgap::net::store::Content;
+use cypressgap::net::store::StoredValue;
 use cypressgap::net::wire::*;
 
 #[test]
@@ -20,7 +20,7 @@
         ("job of idle urgency", plain_job(Priority::Idle)),
     ];
     for (name, spec) in jobs {
-        let write = |spec: &JobSpec| encode(&Content::Job(Box::new(spec.into())));
+        let write = |spec: &JobSpec| encode(&StoredValue::Job(Box::new(spec.into())));
         golden.both(name, spec, write, |b| {
             read::<StoredJob>(b).into_spec().expect("a job")
         });
@@ -31,30 +31,30 @@
         ("verdict cancelled", JobOutcome::Cancelled),
     ];
     for (name, outcome) in outcomes {
-        let write = |v: &JobOutcome| encode(&Content::from(&Value::JobOutcome(*v)));
+        let write = |v: &JobOutcome| encode(&StoredValue::from(&Value::JobOutcome(*v)));
         golden.both(name, outcome, write, |b| {
             read::<StoredOutcome>(b).outcome().expect("a verdict")
         });
     }
-    let write = |c: &ChunkValue| encode(&Content::from(&Value::Chunk(c.clone())));
+    let write = |c: &ChunkValue| encode(&StoredValue::from(&Value::Chunk(c.clone())));
     golden.both("chunk", chunk(), write, |b| {
         read::<StoredChunk>(b).into_value()
     });
-    let write = |s: &HistorySummary| encode(&Content::from(&Value::History(s.clone())));
+    let write = |s: &HistorySummary| encode(&StoredValue::from(&Value::History(s.clone())));
     golden.both("history", summary(), write, |b| {
         read::<StoredHistory>(b).into()
     });
     let dependents = vec!["wk-000415".to_owned(), "wk-000416".to_owned()];
     let write = |by: &Vec<String>| {
         let by = by.clone();
-        encode(&Content::Dependents(StoredDependents { by }))
+        encode(&StoredValue::Dependents(StoredDependents { by }))
     };
     golden.both("dependents", dependents, write, |b| {
         read::<StoredDependents>(b).by
     });
     let leader = ("worker-1".to_owned(), 77, 4);
     let write = |(member, boot, term): &(String, u64, u64)| {
-        encode(&Content::Leader(StoredLeader {
+        encode(&StoredValue::Leader(StoredLeader {
             member: member.clone(),
             boot: *boot,
             term: *term,
@@ -65,7 +65,7 @@
         (leader.member, leader.boot, leader.term)
     });
     // A term's number and the mark of a cancelled job.
-    let write = |n: &u64| encode(&Content::Number(*n));
+    let write = |n: &u64| encode(&StoredValue::Number(*n));
     golden.both("term", 70_000, write, read);
     golden.both("cancel mark", 1, write, read);
     // As the cloud named them.
@@ -74,7 +74,7 @@
         types.machine_types[0].to_machine_type(),
         Some(machine_type(8.0, 50.0, 0.5))
     );
-    golden.written("types", &encode(&Content::Types(types)));
+    golden.written("types", &encode(&StoredValue::Types(types)));
     golden.finish();
 }
 
