--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -293,6 +293,12 @@
 
     /// One second: all report, finished tasks end, what is launched starts.
     pub fn second(&mut self, runs: impl Fn(&JobId) -> Duration) {
+        self.timed_second(runs);
+    }
+
+    /// The same. Returns how long each tick took.
+    pub fn timed_second(&mut self, runs: impl Fn(&JobId) -> Duration) -> Vec<Duration> {
+        let mut ticks = Vec::new();
         self.serial += 1;
         let now = self.w.now;
         for (h, tasks) in &mut self.on {
@@ -334,7 +340,10 @@
         let until = now + secs(1);
         while self.w.now < until {
             self.w.now += Duration::from_millis(100);
-            for a in self.w.c.tick(self.w.now) {
+            let began = Instant::now();
+            let actions = self.w.c.tick(self.w.now);
+            ticks.push(began.elapsed());
+            for a in actions {
                 match a {
                     Action::Store(_) => {
                         self.w.revision += 1;
@@ -357,5 +366,6 @@
                 }
             }
         }
+        ticks
     }
 }
