--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -59,10 +59,10 @@
             .store
             .get::<StoredDependents>(&key, RequestClass::User, STORE_CALL)?;
         let (mut list, revision) = entry.map_or_else(Default::default, |e| (e.value, e.revision));
-        if list.by.contains(&job_id.0) {
+        if list.job_ids.contains(&job_id.0) {
             continue;
         }
-        list.by.push(job_id.0.clone());
+        list.job_ids.push(job_id.0.clone());
         if list.size_bound() > room {
             continue;
         }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -13,7 +13,7 @@
 use crate::net::http_server::{self, Limits, Request};
 use crate::net::peer::{PeerRequest, PeerResponse};
 use crate::net::store::{Acceptance, Entry, StoreError};
-use crate::net::wire::{self, JobState};
+use crate::net::wire::{self, JobStatusResponse};
 use crate::runtime::service::Shared;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
 
 /// An answer that says what is wrong.
 pub fn problem(status: u16, error: &str) -> (u16, Vec<u8>) {
-    let body = wire::Problem {
+    let body = wire::ErrorResponse {
         error: error.to_owned(),
     };
     (status, wire::encode(&body))
@@ -327,7 +327,7 @@
         .get(job_id)
         .copied()
         .unwrap_or_default();
-    wire::encode(&JobState {
+    wire::encode(&JobStatusResponse {
         job_id: job_id.0.clone(),
         phase: outcome_name(v, running),
         done: counts.then_some(done),
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -15,7 +15,7 @@
 use crate::net::store::{
     BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
 };
-use crate::net::wire::{self, StoredJob, Submission, SubmissionId};
+use crate::net::wire::{self, InvalidField, StoredJob, Submission, SubmissionId};
 use crate::runtime::service::Shared;
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -39,16 +39,13 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let parsed = wire::decode::<Submission>(body)
-        .ok_or("body")
+        .ok_or(InvalidField("body"))
         .and_then(|s| s.to_spec(now.as_millis() as u64));
-    parsed.map_err(|field| {
+    parsed.map_err(|invalid| {
         let job_id = wire::decode::<SubmissionId>(body)
             .and_then(|j| j.job_id)
             .and_then(|u| JobId::parse(&u));
-        (
-            job_id,
-            problem(400, &format!("missing or invalid: {field}")),
-        )
+        (job_id, problem(400, &invalid.to_string()))
     })
 }
 
--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -39,5 +39,6 @@
 
 /// Reads a worker's report. None: it is malformed.
 pub fn heartbeat(body: &[u8]) -> Option<Heartbeat> {
-    wire::decode::<WireHeartbeat>(body)?.into_heartbeat()
+    let heartbeat: WireHeartbeat = wire::decode(body)?;
+    heartbeat.try_into().ok()
 }
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -86,7 +86,7 @@
         let listed = l
             .machines
             .into_iter()
-            .filter_map(|h| h.into_cloud_machine());
+            .filter_map(|machine| machine.try_into().ok());
         Some((listed.collect(), more))
     }
 }
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -119,13 +119,16 @@
             return Err(StoreError::Unavailable);
         }
         let page: ListResponse<StoredOutcome> = response.decode().ok_or(StoreError::Unavailable)?;
-        let outcome = |entry: ListEntry<StoredOutcome>| Some((entry.key, entry.value.outcome()?));
+        let outcome = |entry: ListEntry<StoredOutcome>| {
+            let outcome = JobOutcome::try_from(&entry.value).ok()?;
+            Some((entry.key, outcome))
+        };
         let outcomes = page.entries.into_iter().filter_map(outcome).collect();
         Ok((outcomes, page.has_next))
     }
 
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, StoreError> {
         let entry = self.get::<StoredOutcome>(key)?;
-        Ok(entry.and_then(|e| e.value.outcome()))
+        Ok(entry.and_then(|e| JobOutcome::try_from(&e.value).ok()))
     }
 }
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -163,7 +163,7 @@
             };
             return Ok(accepted.then_some(live));
         };
-        let value = entry.value.outcome().ok_or(StoreError::Unavailable)?;
+        let value = JobOutcome::try_from(&entry.value).map_err(|_| StoreError::Unavailable)?;
         Ok(Some(Entry {
             value,
             revision: entry.revision,
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -1,17 +1,18 @@
-//! The cloud's machine types, rentals and list.
+//! Machine types, rentals and machines in the form of the cloud's interface.
 
-use super::duration;
+use super::{duration, InvalidField};
 use crate::core::model::{
     CloudMachine, CloudMachinePhase, MachineId, MachineType, MachineTypeName, Resources, Zone,
 };
 use serde::{Deserialize, Serialize};
 
-/// A machine type in the cloud's form.
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireMachineType {
     name: String,
-    vcpus: f64,
+    #[serde(rename = "Vcpus")]
+    cpus: f64,
     #[serde(default)]
     gpus: f64,
     memory_gb: f64,
@@ -26,110 +27,113 @@
     zones: Vec<String>,
 }
 
-impl WireMachineType {
-    /// The type in the core's form. None: it makes no sense.
-    pub fn to_machine_type(&self) -> Option<MachineType> {
-        Some(MachineType {
-            name: MachineTypeName(self.name.clone()),
+impl TryFrom<&WireMachineType> for MachineType {
+    type Error = InvalidField;
+
+    fn try_from(wire: &WireMachineType) -> Result<MachineType, InvalidField> {
+        Ok(MachineType {
+            name: MachineTypeName(wire.name.clone()),
             room: Resources {
-                cpus: self.vcpus,
-                gpus: self.gpus,
-                memory: self.memory_gb,
+                cpus: wire.cpus,
+                gpus: wire.gpus,
+                memory: wire.memory_gb,
             },
-            cache_gb: self.cache_gb,
-            fetch_gb_per_s: self.fetch_gb_per_s,
-            hourly: self.hourly,
-            low_price: self.low_price,
-            boot: duration(self.boot_s)?,
-            zones: self.zones.iter().map(|s| Zone(s.clone())).collect(),
+            cache_gb: wire.cache_gb,
+            fetch_gb_per_s: wire.fetch_gb_per_s,
+            hourly: wire.hourly,
+            low_price: wire.low_price,
+            boot: duration(wire.boot_s, "BootS")?,
+            zones: wire.zones.iter().cloned().map(Zone).collect(),
         })
     }
 }
 
-/// `GET /types` of the cloud.
+/// The answer to `GET /machine_types`; also the record in which the types outlive the cloud's outages.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireMachineTypes {
-    /// The types.
+    /// The types on offer.
     #[serde(rename = "HostTypes")]
     pub machine_types: Vec<WireMachineType>,
 }
 
-/// A rental.
+/// `POST /hosts`: a request to rent machines of one type in one zone.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RentRequest {
-    /// Names it, however often it is asked for.
+    /// Makes repetitions harmless: the cloud rents only once for one key.
     #[serde(rename = "Claim")]
     pub idempotency_key: String,
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "HostType")]
     pub machine_type: String,
-    /// The zone.
+    /// Zone in which the machines are wanted.
     #[serde(rename = "Site")]
     pub zone: String,
-    /// Whether the cloud may take the machines back.
+    /// Whether the machines are spot machines, which the cloud may take back.
     #[serde(rename = "Preemptible")]
-    pub allows_spot: bool,
-    /// How many.
-    pub number: u32,
+    pub spot: bool,
+    /// How many machines are wanted.
+    #[serde(rename = "Number")]
+    pub count: u32,
 }
 
-/// Machines by their names.
+/// Machines by their ids: those that were rented, or those to return.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineNames {
-    /// Their names.
+    /// The machines' ids.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
 
-/// A page of the cloud's list.
+/// The answer to `GET /hosts`: a page of the rented machines.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineList {
-    /// The machines.
+    /// The machines of this page.
     #[serde(rename = "Hosts")]
     pub machines: Vec<WireCloudMachine>,
-    /// There are more pages.
+    /// Whether more pages follow.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// A machine in the cloud's list.
+/// A rented machine in the cloud's list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireCloudMachine {
-    /// Its name.
     #[serde(rename = "Uid")]
-    pub job_id: String,
+    id: String,
     endpoint: Option<String>,
     #[serde(rename = "HostType")]
     machine_type: String,
     #[serde(rename = "Site")]
     zone: String,
     #[serde(rename = "Preemptible")]
-    allows_spot: bool,
+    spot: bool,
     phase: String,
     age_s: f64,
 }
 
-impl WireCloudMachine {
-    /// The machine in the core's form. None: it makes no sense.
-    pub fn into_cloud_machine(self) -> Option<CloudMachine> {
-        Some(CloudMachine {
-            id: MachineId(self.job_id),
-            endpoint: self.endpoint.unwrap_or_default(),
-            machine_type: MachineTypeName(self.machine_type),
-            zone: Zone(self.zone),
-            spot: self.allows_spot,
-            phase: match self.phase.as_str() {
-                "booting" => CloudMachinePhase::Booting,
-                "running" => CloudMachinePhase::Running,
-                "failed" => CloudMachinePhase::Failed,
-                _ => return None,
-            },
-            age: duration(self.age_s.max(0.0))?,
+impl TryFrom<WireCloudMachine> for CloudMachine {
+    type Error = InvalidField;
+
+    fn try_from(wire: WireCloudMachine) -> Result<CloudMachine, InvalidField> {
+        let phase = match wire.phase.as_str() {
+            "booting" => CloudMachinePhase::Booting,
+            "running" => CloudMachinePhase::Running,
+            "failed" => CloudMachinePhase::Failed,
+            _ => return Err(InvalidField("Phase")),
+        };
+        Ok(CloudMachine {
+            id: MachineId(wire.id),
+            endpoint: wire.endpoint.unwrap_or_default(),
+            machine_type: MachineTypeName(wire.machine_type),
+            zone: Zone(wire.zone),
+            spot: wire.spot,
+            phase,
+            age: duration(wire.age_s.max(0.0), "AgeS")?,
         })
     }
 }
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -1,6 +1,10 @@
-//! The messages of the protocol and the records of the state service, and how they become the core's types.
+//! Messages as they are sent and records as they are stored, with their conversions to the domain's types.
+//!
+//! Names and forms here are those of the interfaces and of earlier versions: a field is renamed with
+//! `serde(rename)`, and its place in a record stays.
 
 mod cloud;
+mod error;
 mod store;
 mod stored;
 mod user;
@@ -9,6 +13,7 @@
 pub use cloud::{
     MachineList, MachineNames, RentRequest, WireCloudMachine, WireMachineType, WireMachineTypes,
 };
+pub use error::InvalidField;
 pub use store::{Change, ListEntry, StoredValue, WatchEvent, WatchResponse};
 pub(in crate::net) use store::{
     GetResponse, LeaseRequest, LeaseResponse, ListResponse, Precondition, StoreProblem,
@@ -17,32 +22,36 @@
 pub use stored::{
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
 };
-pub use user::{JobState, Problem, Submission, SubmissionId};
+pub use user::{ErrorResponse, JobStatusResponse, Submission, SubmissionId};
 pub use worker::{CommandRequest, HeartbeatResponse, LeaderRedirect, WireCommand, WireHeartbeat};
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::time::Duration;
 
-/// The limit for bodies. It is stated for the text form, which is never shorter.
+/// The longest body that is accepted. The limit is stated for the text form, which is never shorter.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Longest duration that a submission may name; keeps arithmetic on times far from overflow.
-const MAX_S: f64 = 1e7;
+/// The longest duration and the largest amount that a submission may name; keeps arithmetic on times far
+/// from overflow.
+const MAX_AMOUNT: f64 = 1e7;
+/// Deeper nesting of a message is refused.
+const MAX_DEPTH: usize = 32;
 
-/// A value as MessagePack.
-pub fn encode<T: Serialize>(v: &T) -> Vec<u8> {
+/// Encodes a value as MessagePack.
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Encoding into memory fails only for types that cannot be represented; ours all can.
-    rmp_serde::to_vec_named(v).unwrap_or_default()
+    rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// A value of MessagePack. None: it is something else.
+/// Decodes a value from MessagePack. None: the bytes are something else.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let mut d = rmp_serde::Deserializer::from_read_ref(bytes);
-    d.set_max_depth(32);
-    T::deserialize(&mut d).ok()
+    let mut deserializer = rmp_serde::Deserializer::from_read_ref(bytes);
+    deserializer.set_max_depth(MAX_DEPTH);
+    T::deserialize(&mut deserializer).ok()
 }
 
-fn duration(s: f64) -> Option<Duration> {
-    Duration::try_from_secs_f64(s).ok()
+/// A duration of so many seconds, if it can be represented.
+fn duration(seconds: f64, field: &'static str) -> Result<Duration, InvalidField> {
+    Duration::try_from_secs_f64(seconds).map_err(|_| InvalidField(field))
 }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -1,6 +1,9 @@
-//! Records of the state service. Earlier versions read them and wrote them: they grow by optional fields.
+//! Records of the key-value store.
+//!
+//! Invariant: each version reads what the version before wrote, and the other way round. Records grow by
+//! optional fields only, and names, order and types of the present fields stay.
 
-use super::duration;
+use super::{duration, InvalidField};
 use crate::core::model::{
     AttemptId, JobId, JobKind, JobSpec, MachineId, MachineTypeName, Priority, Resources, TeamName,
     Zone,
@@ -9,7 +12,7 @@
 use crate::core::placement::history::HistorySummary;
 use serde::{Deserialize, Serialize};
 
-/// A job as the state service keeps it.
+/// `q/l/<job id>`: an accepted job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredJob {
     #[serde(rename = "uid")]
@@ -22,237 +25,267 @@
     priority: u8,
     #[serde(rename = "shards")]
     task_count: u32,
+    /// Processors, graphics processors and memory of a task.
     #[serde(rename = "need")]
     resources: (f64, f64, f64),
-    types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    machine_types: Option<Vec<String>>,
     #[serde(rename = "site")]
     zone: Option<String>,
     same_place: bool,
     spread: bool,
-    spot: bool,
+    #[serde(rename = "spot")]
+    allows_spot: bool,
+    /// Name and size of the image.
     image: (String, f64),
-    expected: f64,
-    every: f64,
-    save: f64,
-    due: Option<f64>,
-    at: u64,
-    /// Jobs that it needs and that were not over when it was accepted. Earlier versions know no such
-    /// field, and jobs without it are written as they were.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "needs")]
+    #[serde(rename = "expected")]
+    expected_s: f64,
+    #[serde(rename = "every")]
+    checkpoint_interval_s: f64,
+    #[serde(rename = "save")]
+    checkpoint_duration_s: f64,
+    #[serde(rename = "due")]
+    due_s: Option<f64>,
+    #[serde(rename = "at")]
+    accepted_ms: u64,
+    /// Dependencies that were not over when the job was accepted. Earlier versions know no such field,
+    /// and jobs without dependencies are written as they were.
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     dependencies: Vec<String>,
-    /// It is in no list of dependents. The version before this one enters each job and knows no such
+    /// The job is in no list of dependents. The version before this one enters each job and knows no such
     /// field.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     unlisted: bool,
 }
 
-impl From<&JobSpec> for StoredJob {
-    fn from(s: &JobSpec) -> Self {
-        StoredJob {
-            job_id: s.job_id.0.clone(),
-            class: s.class.clone(),
-            team: s.team.0.clone(),
-            gang: s.kind == JobKind::Gang,
-            priority: s.priority as u8,
-            task_count: s.task_count,
-            resources: (s.resources.cpus, s.resources.gpus, s.resources.memory),
-            types: s
-                .machine_types
-                .as_ref()
-                .map(|l| l.iter().map(|t| t.0.clone()).collect()),
-            zone: s.zone.as_ref().map(|z| z.0.clone()),
-            same_place: s.same_place,
-            spread: s.spread,
-            spot: s.allows_spot,
-            image: (s.image.clone(), s.image_gb),
-            expected: s.expected.as_secs_f64(),
-            every: s.checkpoint_interval.as_secs_f64(),
-            save: s.checkpoint_duration.as_secs_f64(),
-            due: s.due.map(|d| d.as_secs_f64()),
-            at: s.accepted_ms,
-            dependencies: s.dependencies.iter().map(|n| n.0.clone()).collect(),
-            unlisted: !s.dependencies.is_empty() && !s.listed,
-        }
-    }
-}
-
-/// At most what a text takes in the form in which sizes are measured, quotes and comma included.
-fn text_bound(s: &str) -> usize {
-    let one = |c: char| match c {
-        '"' | '\\' => 2,
-        ' '..='~' => 1,
-        // Escaped, in two halves where it must be.
-        c => 6 * c.len_utf16(),
-    };
-    s.chars().map(one).sum::<usize>() + 3
-}
-
 impl StoredJob {
-    /// At most what it takes as a value of the state service: names and numbers of its fields, and the
-    /// texts.
+    /// An upper bound of the record's size as a value of the store: names and numbers of its fields, and
+    /// the texts.
     pub fn size_bound(&self) -> usize {
-        const FIELDS: usize = 600;
-        let types: usize = self.types.iter().flatten().map(|t| text_bound(t)).sum();
-        let texts = [&self.job_id, &self.class, &self.team, &self.image.0];
-        let texts: usize = texts
+        const NAMES_AND_NUMBERS: usize = 600;
+        let required = [&self.job_id, &self.class, &self.team, &self.image.0];
+        let texts = required
             .into_iter()
             .chain(&self.zone)
-            .map(|t| text_bound(t))
-            .sum();
-        let dependencies: usize = self.dependencies.iter().map(|n| text_bound(n)).sum();
-        FIELDS + types + texts + dependencies
+            .chain(self.machine_types.iter().flatten())
+            .chain(&self.dependencies);
+        NAMES_AND_NUMBERS + texts.map(|text| text_size_bound(text)).sum::<usize>()
     }
-}
 
-impl StoredJob {
-    /// Leaves only these of the jobs that it needs: the others are done. `listed`: it is in the lists
-    /// of their dependents.
+    /// Leaves only these dependencies: the others are done. `listed`: the job is in the lists of their
+    /// dependents.
     pub fn keep_dependencies(&mut self, open: &[JobId], listed: bool) {
-        self.dependencies = open.iter().map(|u| u.0.clone()).collect();
+        self.dependencies = open.iter().map(|job_id| job_id.0.clone()).collect();
         self.unlisted = !open.is_empty() && !listed;
     }
 
-    /// The jobs that it needs, as stored.
+    /// Ids of the jobs that this one depends on.
     pub fn dependencies(&self) -> &[String] {
         &self.dependencies
     }
+}
 
-    /// The job. None: the record makes no sense.
-    pub fn into_spec(self) -> Option<JobSpec> {
-        Some(JobSpec {
-            job_id: JobId::parse(&self.job_id)?,
-            class: self.class,
-            team: TeamName(self.team),
-            kind: if self.gang {
-                JobKind::Gang
-            } else {
-                JobKind::Batch
-            },
-            priority: match self.priority {
-                0 => Priority::Idle,
-                1 => Priority::Standard,
-                2 => Priority::High,
-                _ => Priority::Production,
-            },
-            task_count: self.task_count,
-            resources: Resources {
-                cpus: self.resources.0,
-                gpus: self.resources.1,
-                memory: self.resources.2,
-            },
-            machine_types: self
-                .types
-                .map(|l| l.into_iter().map(MachineTypeName).collect()),
-            zone: self.zone.map(Zone),
-            same_place: self.same_place,
-            spread: self.spread,
-            allows_spot: self.spot,
-            image: self.image.0,
-            image_gb: self.image.1,
-            expected: duration(self.expected)?,
-            checkpoint_interval: duration(self.every)?,
-            checkpoint_duration: duration(self.save)?,
-            due: self.due.and_then(duration),
-            dependencies: self
-                .dependencies
-                .iter()
-                .filter_map(|n| JobId::parse(n))
-                .collect(),
-            listed: !self.dependencies.is_empty() && !self.unlisted,
-            accepted_ms: self.at,
+impl From<&JobSpec> for StoredJob {
+    fn from(spec: &JobSpec) -> Self {
+        let machine_types = spec.machine_types.as_ref();
+        let resources = &spec.resources;
+        StoredJob {
+            job_id: spec.job_id.0.clone(),
+            class: spec.class.clone(),
+            team: spec.team.0.clone(),
+            gang: spec.kind == JobKind::Gang,
+            priority: spec.priority as u8,
+            task_count: spec.task_count,
+            resources: (resources.cpus, resources.gpus, resources.memory),
+            machine_types: machine_types.map(|names| names.iter().map(|t| t.0.clone()).collect()),
+            zone: spec.zone.as_ref().map(|zone| zone.0.clone()),
+            same_place: spec.same_place,
+            spread: spec.spread,
+            allows_spot: spec.allows_spot,
+            image: (spec.image.clone(), spec.image_gb),
+            expected_s: spec.expected.as_secs_f64(),
+            checkpoint_interval_s: spec.checkpoint_interval.as_secs_f64(),
+            checkpoint_duration_s: spec.checkpoint_duration.as_secs_f64(),
+            due_s: spec.due.map(|due| due.as_secs_f64()),
+            accepted_ms: spec.accepted_ms,
+            dependencies: spec.dependencies.iter().map(|d| d.0.clone()).collect(),
+            unlisted: !spec.dependencies.is_empty() && !spec.listed,
+        }
+    }
+}
+
+impl TryFrom<StoredJob> for JobSpec {
+    type Error = InvalidField;
+
+    fn try_from(stored: StoredJob) -> Result<JobSpec, InvalidField> {
+        let machine_types = stored.machine_types;
+        let (cpus, gpus, memory) = stored.resources;
+        let (image, image_gb) = stored.image;
+        let dependencies = stored.dependencies.iter();
+        Ok(JobSpec {
+            job_id: JobId::parse(&stored.job_id).ok_or(InvalidField("uid"))?,
+            class: stored.class,
+            team: TeamName(stored.team),
+            kind: stored_kind(stored.gang),
+            priority: stored_priority(stored.priority),
+            task_count: stored.task_count,
+            resources: Resources { cpus, gpus, memory },
+            machine_types: machine_types
+                .map(|names| names.into_iter().map(MachineTypeName).collect()),
+            zone: stored.zone.map(Zone),
+            same_place: stored.same_place,
+            spread: stored.spread,
+            allows_spot: stored.allows_spot,
+            image,
+            image_gb,
+            expected: duration(stored.expected_s, "expected")?,
+            checkpoint_interval: duration(stored.checkpoint_interval_s, "every")?,
+            checkpoint_duration: duration(stored.checkpoint_duration_s, "save")?,
+            due: stored.due_s.and_then(|due| duration(due, "due").ok()),
+            dependencies: dependencies.filter_map(|id| JobId::parse(id)).collect(),
+            listed: !stored.dependencies.is_empty() && !stored.unlisted,
+            accepted_ms: stored.accepted_ms,
         })
     }
 }
 
-/// `j/<uid>`.
+fn stored_kind(gang: bool) -> JobKind {
+    if gang {
+        JobKind::Gang
+    } else {
+        JobKind::Batch
+    }
+}
+
+fn stored_priority(priority: u8) -> Priority {
+    match priority {
+        0 => Priority::Idle,
+        1 => Priority::Standard,
+        2 => Priority::High,
+        _ => Priority::Production,
+    }
+}
+
+/// An upper bound of a text's size in the form in which the store measures values, quotes and comma
+/// included.
+fn text_size_bound(text: &str) -> usize {
+    const QUOTES_AND_COMMA: usize = 3;
+    let character = |c: char| match c {
+        '"' | '\\' => 2,
+        ' '..='~' => 1,
+        // Escaped, in two halves where it must be.
+        c => 6 * c.len_utf16(),
+    };
+    text.chars().map(character).sum::<usize>() + QUOTES_AND_COMMA
+}
+
+/// `j/<job id>`: how a job ended.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredOutcome {
-    p: String,
+    #[serde(rename = "p")]
+    phase: String,
 }
 
+const PHASE_LIVE: &str = "live";
+const PHASE_DONE: &str = "done";
+const PHASE_CANCELLED: &str = "withdrawn";
+
 impl From<JobOutcome> for StoredOutcome {
-    fn from(v: JobOutcome) -> Self {
-        let p = match v {
-            JobOutcome::Live => "live",
-            JobOutcome::Done => "done",
-            JobOutcome::Cancelled => "withdrawn",
+    fn from(outcome: JobOutcome) -> Self {
+        let phase = match outcome {
+            JobOutcome::Live => PHASE_LIVE,
+            JobOutcome::Done => PHASE_DONE,
+            JobOutcome::Cancelled => PHASE_CANCELLED,
         };
-        StoredOutcome { p: p.to_owned() }
+        StoredOutcome {
+            phase: phase.to_owned(),
+        }
     }
 }
 
-impl StoredOutcome {
-    /// The verdict. None: it is none that this version knows.
-    pub fn outcome(&self) -> Option<JobOutcome> {
-        match self.p.as_str() {
-            "live" => Some(JobOutcome::Live),
-            "done" => Some(JobOutcome::Done),
-            "withdrawn" => Some(JobOutcome::Cancelled),
-            _ => None,
+impl TryFrom<&StoredOutcome> for JobOutcome {
+    type Error = InvalidField;
+
+    fn try_from(stored: &StoredOutcome) -> Result<JobOutcome, InvalidField> {
+        match stored.phase.as_str() {
+            PHASE_LIVE => Ok(JobOutcome::Live),
+            PHASE_DONE => Ok(JobOutcome::Done),
+            PHASE_CANCELLED => Ok(JobOutcome::Cancelled),
+            _ => Err(InvalidField("p")),
         }
     }
 }
 
-/// `i/<uid>/<chunk>`.
+/// `i/<job id>/<chunk>`: the intents of a chunk of tasks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredChunk {
-    d: u64,
-    a: Vec<(u32, u64, String)>,
+    /// A bit for each task that is done.
+    #[serde(rename = "d")]
+    done: u64,
+    #[serde(rename = "a")]
+    active: Vec<StoredAttempt>,
 }
 
+/// The task's index in the job, the attempt's number and the machine's id.
+#[derive(Debug, Serialize, Deserialize)]
+struct StoredAttempt(u32, u64, String);
+
 impl From<&ChunkValue> for StoredChunk {
-    fn from(c: &ChunkValue) -> Self {
+    fn from(chunk: &ChunkValue) -> Self {
+        let active = chunk.active.iter();
         StoredChunk {
-            d: c.done,
-            a: c.active
-                .iter()
-                .map(|(i, t, h)| (*i, t.0, h.0.clone()))
+            done: chunk.done,
+            active: active
+                .map(|(task, attempt, machine)| StoredAttempt(*task, attempt.0, machine.0.clone()))
                 .collect(),
         }
     }
 }
 
-impl StoredChunk {
-    /// The chunk in the core's form.
-    pub fn into_value(self) -> ChunkValue {
+impl From<StoredChunk> for ChunkValue {
+    fn from(stored: StoredChunk) -> Self {
+        let active = stored.active.into_iter();
         ChunkValue {
-            done: self.d,
-            active: self
-                .a
-                .into_iter()
-                .map(|(i, t, h)| (i, AttemptId(t), MachineId(h)))
+            done: stored.done,
+            active: active
+                .map(|StoredAttempt(task, attempt, machine)| {
+                    (task, AttemptId(attempt), MachineId(machine))
+                })
                 .collect(),
         }
     }
 }
 
-/// `d/<uid>`: jobs that need this one.
+/// `d/<job id>`: jobs that depend on this one. Kept only for the version before this one.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StoredDependents {
-    /// Their ids.
-    pub by: Vec<String>,
+    /// Ids of the dependents.
+    #[serde(rename = "by")]
+    pub job_ids: Vec<String>,
 }
 
 impl StoredDependents {
-    /// At most what it takes as a value of the state service.
+    /// An upper bound of the record's size as a value of the store.
     pub fn size_bound(&self) -> usize {
-        16 + self.by.iter().map(|u| text_bound(u)).sum::<usize>()
+        const NAME_AND_BRACKETS: usize = 16;
+        let texts = self.job_ids.iter().map(|job_id| text_size_bound(job_id));
+        NAME_AND_BRACKETS + texts.sum::<usize>()
     }
 }
 
-/// `ctl/leader`.
+/// `ctl/leader`: the leader's record, which is removed when its lease ends.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredLeader {
-    /// The member that leads.
+    /// Member name of the leader.
     pub member: String,
-    /// Tells two lives of the member apart.
+    /// Random number of the process, which tells it from an earlier one of the same member.
     pub boot: u64,
-    /// Its term.
+    /// Number of the leader's term.
     pub term: u64,
 }
 
-/// `ctl/history`.
+/// `h/summary`: measured run times and fetch rates. Each entry is the hash of what was measured, the
+/// value and the number of samples.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredHistory {
     runs: Vec<(u64, f64, u32)>,
@@ -261,21 +294,21 @@
 }
 
 impl From<&HistorySummary> for StoredHistory {
-    fn from(s: &HistorySummary) -> Self {
+    fn from(summary: &HistorySummary) -> Self {
         StoredHistory {
-            runs: s.runs.clone(),
-            bias: s.bias.clone(),
-            fetch: s.fetch.clone(),
+            runs: summary.runs.clone(),
+            bias: summary.bias.clone(),
+            fetch: summary.fetch.clone(),
         }
     }
 }
 
 impl From<StoredHistory> for HistorySummary {
-    fn from(s: StoredHistory) -> Self {
+    fn from(stored: StoredHistory) -> Self {
         HistorySummary {
-            runs: s.runs,
-            bias: s.bias,
-            fetch: s.fetch,
+            runs: stored.runs,
+            bias: stored.bias,
+            fetch: stored.fetch,
         }
     }
 }
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -1,6 +1,6 @@
 //! Users' submissions, and what users are answered.
 
-use super::MAX_S;
+use super::{InvalidField, MAX_AMOUNT};
 use crate::core::model::{
     JobId, JobKind, JobSpec, MachineTypeName, Priority, Resources, TeamName, Zone,
 };
@@ -8,62 +8,72 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// `POST /api/jobs`, with whatever the user left out.
+const MAX_TASKS: u64 = 100_000;
+const MAX_TEXT_BYTES: usize = 200;
+const MAX_MACHINE_TYPES: usize = 100;
+
+/// `POST /api/jobs`. Fields that the user may or should not leave out are checked by [`Submission::to_spec`].
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Submission {
     /// The job's id.
     #[serde(rename = "Uid")]
     pub job_id: Option<String>,
-    /// Its class.
+    /// The job's class.
     pub job_class: Option<String>,
-    /// Its team.
+    /// The team that owns the job.
     #[serde(rename = "Owner")]
     pub team: Option<String>,
-    /// `batch` or `gang`.
+    /// `batch`, `service` or `group`.
     pub job_kind: Option<String>,
-    /// How urgent it is.
+    /// `production`, `high`, `standard` or `idle`.
     #[serde(rename = "Urgency")]
     pub priority: Option<String>,
-    /// How many tasks.
+    /// Number of tasks.
     #[serde(rename = "Shards")]
     pub task_count: Option<u64>,
-    /// Processors of a task.
-    pub vcpus: Option<f64>,
-    /// Graphics processors of a task.
+    /// Processors of each task.
+    #[serde(rename = "Vcpus")]
+    pub cpus: Option<f64>,
+    /// Graphics processors of each task.
     pub gpus: Option<f64>,
-    /// Memory of a task.
+    /// Memory of each task.
     pub memory_gb: Option<f64>,
-    /// The image's name.
-    pub image_ref: Option<String>,
-    /// The image's size.
-    pub pull_gb: Option<f64>,
-    /// The machine types that it may run on.
+    /// Name of the image.
+    #[serde(rename = "ImageRef")]
+    pub image: Option<String>,
+    /// Size of the image.
+    #[serde(rename = "PullGb")]
+    pub image_gb: Option<f64>,
+    /// Machine types that the job may run on. None: all.
     #[serde(rename = "HostTypes")]
     pub machine_types: Option<Vec<String>>,
-    /// The zone that it must run in.
+    /// Zone that the job must run in, if any.
     #[serde(rename = "Site")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks run in one zone.
     pub same_place: Option<bool>,
-    /// Tasks over several zones.
+    /// Whether the tasks are spread over zones.
     pub spread: Option<bool>,
-    /// It may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "Preemptible")]
     pub allows_spot: Option<bool>,
-    /// How long a task is expected to run.
+    /// How long the user expects a task to run.
     pub expected_s: Option<f64>,
-    /// How often a task saves its progress.
-    pub snapshot_every_s: Option<f64>,
-    /// How long saving takes at its end.
-    pub snapshot_s: Option<f64>,
-    /// When it should be done, from its submission.
+    /// How often a running task writes a checkpoint.
+    #[serde(rename = "SnapshotEveryS")]
+    pub checkpoint_interval_s: Option<f64>,
+    /// How long a task takes to write a checkpoint when it is stopped.
+    #[serde(rename = "SnapshotS")]
+    pub checkpoint_duration_s: Option<f64>,
+    /// When the job should be done, from its submission.
     pub due_s: Option<f64>,
-    /// Jobs that have to be done first.
-    pub awaits: Option<Vec<String>>,
+    /// Jobs that have to be done before this one starts.
+    #[serde(rename = "Awaits")]
+    pub dependencies: Option<Vec<String>>,
 }
 
-/// Only the id, for a submission that is otherwise malformed.
+/// Only the id, of a submission that is otherwise malformed.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SubmissionId {
@@ -72,65 +82,17 @@
     pub job_id: Option<String>,
 }
 
-const MAX_TASKS: u64 = 100_000;
-
 impl Submission {
-    /// The job, or the name of the first field that is missing or invalid.
-    pub fn to_spec(&self, accepted_ms: u64) -> Result<JobSpec, &'static str> {
-        fn text(v: &Option<String>, name: &'static str) -> Result<String, &'static str> {
-            match v {
-                Some(s) if !s.is_empty() && s.len() <= 200 => Ok(s.clone()),
-                _ => Err(name),
-            }
-        }
-        fn amount(v: Option<f64>, name: &'static str) -> Result<f64, &'static str> {
-            match v {
-                Some(x) if x.is_finite() && (0.0..=MAX_S).contains(&x) => Ok(x),
-                _ => Err(name),
-            }
-        }
-        let job_id = self.job_id.as_deref().and_then(JobId::parse).ok_or("Uid")?;
-        let kind = match self.job_kind.as_deref() {
-            // `service` is not in the protocol's list, yet the users' own trial submits it: tasks that
-            // run until they are cancelled. They are placed like independent ones (docs/questions.md).
-            Some("batch" | "service") => JobKind::Batch,
-            Some("group") => JobKind::Gang,
-            _ => return Err("JobKind"),
-        };
-        let priority = match self.priority.as_deref() {
-            Some("production") => Priority::Production,
-            Some("high") => Priority::High,
-            Some("standard") => Priority::Standard,
-            Some("idle") => Priority::Idle,
-            _ => return Err("Urgency"),
-        };
-        let task_count = match self.task_count {
-            Some(n) if (1..=MAX_TASKS).contains(&n) => n as u32,
-            _ => return Err("Shards"),
-        };
-        let machine_types = match &self.machine_types {
-            None => None,
-            Some(l) if l.len() <= 100 && l.iter().all(|t| !t.is_empty() && t.len() <= 200) => {
-                Some(l.iter().map(|t| MachineTypeName(t.clone())).collect())
-            }
-            _ => return Err("HostTypes"),
-        };
-        let zone = match &self.zone {
-            None => None,
-            some => Some(Zone(text(some, "Site")?)),
-        };
-        let due = match self.due_s {
-            None => None,
-            some => Some(Duration::from_secs_f64(amount(some, "DueS")?)),
-        };
-        // Named twice counts once.
-        let dependencies: Option<BTreeSet<JobId>> = self
-            .awaits
-            .iter()
-            .flatten()
-            .map(|u| JobId::parse(u))
-            .collect();
-        let seconds = |v, name| amount(v, name).map(Duration::from_secs_f64);
+    /// The job with its time of acceptance, or the first field that is missing or invalid.
+    pub fn to_spec(&self, accepted_ms: u64) -> Result<JobSpec, InvalidField> {
+        let job_id = self.job_id.as_deref().and_then(JobId::parse);
+        let job_id = job_id.ok_or(InvalidField("Uid"))?;
+        let kind = self.kind()?;
+        let priority = self.priority()?;
+        let task_count = self.task_count()?;
+        let machine_types = self.machine_types()?;
+        let zone = self.zone()?;
+        let due = self.due()?;
         Ok(JobSpec {
             job_id,
             class: text(&self.job_class, "JobClass")?,
@@ -138,36 +100,121 @@
             kind,
             priority,
             task_count,
-            resources: Resources {
-                cpus: amount(self.vcpus, "Vcpus")?,
-                gpus: amount(self.gpus, "Gpus")?,
-                memory: amount(self.memory_gb, "MemoryGb")?,
-            },
+            resources: self.resources()?,
             machine_types,
             zone,
-            same_place: self.same_place.ok_or("SamePlace")?,
-            spread: self.spread.ok_or("Spread")?,
-            allows_spot: self.allows_spot.ok_or("Preemptible")?,
-            image: text(&self.image_ref, "ImageRef")?,
-            image_gb: amount(self.pull_gb, "PullGb")?,
+            same_place: self.same_place.ok_or(InvalidField("SamePlace"))?,
+            spread: self.spread.ok_or(InvalidField("Spread"))?,
+            allows_spot: self.allows_spot.ok_or(InvalidField("Preemptible"))?,
+            image: text(&self.image, "ImageRef")?,
+            image_gb: amount(self.image_gb, "PullGb")?,
             expected: seconds(self.expected_s, "ExpectedS")?,
-            checkpoint_interval: seconds(self.snapshot_every_s, "SnapshotEveryS")?,
-            checkpoint_duration: seconds(self.snapshot_s, "SnapshotS")?,
+            checkpoint_interval: seconds(self.checkpoint_interval_s, "SnapshotEveryS")?,
+            checkpoint_duration: seconds(self.checkpoint_duration_s, "SnapshotS")?,
             due,
-            dependencies: dependencies.ok_or("Awaits")?.into_iter().collect(),
+            dependencies: self.dependencies()?,
             listed: false,
             accepted_ms,
         })
     }
+
+    fn kind(&self) -> Result<JobKind, InvalidField> {
+        match self.job_kind.as_deref() {
+            // `service` is not in the protocol's list, yet the users' own trial submits it: tasks that
+            // run until they are cancelled. They are placed like independent ones (docs/questions.md).
+            Some("batch" | "service") => Ok(JobKind::Batch),
+            Some("group") => Ok(JobKind::Gang),
+            _ => Err(InvalidField("JobKind")),
+        }
+    }
+
+    fn priority(&self) -> Result<Priority, InvalidField> {
+        match self.priority.as_deref() {
+            Some("production") => Ok(Priority::Production),
+            Some("high") => Ok(Priority::High),
+            Some("standard") => Ok(Priority::Standard),
+            Some("idle") => Ok(Priority::Idle),
+            _ => Err(InvalidField("Urgency")),
+        }
+    }
+
+    fn task_count(&self) -> Result<u32, InvalidField> {
+        match self.task_count {
+            Some(count) if (1..=MAX_TASKS).contains(&count) => Ok(count as u32),
+            _ => Err(InvalidField("Shards")),
+        }
+    }
+
+    fn resources(&self) -> Result<Resources, InvalidField> {
+        Ok(Resources {
+            cpus: amount(self.cpus, "Vcpus")?,
+            gpus: amount(self.gpus, "Gpus")?,
+            memory: amount(self.memory_gb, "MemoryGb")?,
+        })
+    }
+
+    fn machine_types(&self) -> Result<Option<Vec<MachineTypeName>>, InvalidField> {
+        let Some(names) = &self.machine_types else {
+            return Ok(None);
+        };
+        if names.len() > MAX_MACHINE_TYPES || !names.iter().all(|name| is_valid_text(name)) {
+            return Err(InvalidField("HostTypes"));
+        }
+        Ok(Some(names.iter().cloned().map(MachineTypeName).collect()))
+    }
+
+    fn zone(&self) -> Result<Option<Zone>, InvalidField> {
+        match &self.zone {
+            None => Ok(None),
+            some => Ok(Some(Zone(text(some, "Site")?))),
+        }
+    }
+
+    fn due(&self) -> Result<Option<Duration>, InvalidField> {
+        match self.due_s {
+            None => Ok(None),
+            some => Ok(Some(seconds(some, "DueS")?)),
+        }
+    }
+
+    /// In the order of their ids; one that is named twice counts once.
+    fn dependencies(&self) -> Result<Vec<JobId>, InvalidField> {
+        let names = self.dependencies.iter().flatten();
+        let job_ids: Option<BTreeSet<JobId>> = names.map(|name| JobId::parse(name)).collect();
+        let job_ids = job_ids.ok_or(InvalidField("Awaits"))?;
+        Ok(job_ids.into_iter().collect())
+    }
+}
+
+fn is_valid_text(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_TEXT_BYTES
+}
+
+fn text(value: &Option<String>, field: &'static str) -> Result<String, InvalidField> {
+    match value {
+        Some(text) if is_valid_text(text) => Ok(text.clone()),
+        _ => Err(InvalidField(field)),
+    }
+}
+
+fn amount(value: Option<f64>, field: &'static str) -> Result<f64, InvalidField> {
+    match value {
+        Some(amount) if (0.0..=MAX_AMOUNT).contains(&amount) => Ok(amount),
+        _ => Err(InvalidField(field)),
+    }
+}
+
+fn seconds(value: Option<f64>, field: &'static str) -> Result<Duration, InvalidField> {
+    amount(value, field).map(Duration::from_secs_f64)
 }
 
-/// How a job stands, as its user is told.
+/// The state of a job, as its user is told.
 #[derive(Serialize)]
-pub struct JobState {
+pub struct JobStatusResponse {
     /// The job's id.
     #[serde(rename = "Uid")]
     pub job_id: String,
-    /// Queued, running, done or withdrawn.
+    /// `queued`, `running`, `done` or `withdrawn`.
     #[serde(rename = "Phase")]
     pub phase: &'static str,
     /// Tasks that are done.
@@ -180,7 +227,7 @@
 
 /// The body of a refusal.
 #[derive(Serialize)]
-pub struct Problem {
+pub struct ErrorResponse {
     /// What is wrong.
     pub error: String,
 }
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -1,13 +1,13 @@
-//! Workers' reports, and what workers are told.
+//! Heartbeats of worker nodes, and the commands that they are sent, in the form of the agents' interface.
 
-use super::duration;
+use super::{duration, InvalidField};
 use crate::core::model::{
     AttemptId, ExitReason, FencingToken, Heartbeat, MachineId, MachineTypeName, TaskCommand,
     TaskId, TaskPhase, TaskStatus, Zone,
 };
 use serde::{Deserialize, Serialize};
 
-/// `POST /agent/beat`, and the body of a direct answer.
+/// `POST /agent/beat`, and the answer to a [`CommandRequest`].
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireHeartbeat {
@@ -19,7 +19,7 @@
     #[serde(rename = "Site")]
     zone: String,
     #[serde(rename = "Preemptible")]
-    allows_spot: bool,
+    spot: bool,
     #[serde(rename = "Tenure")]
     incarnation: u64,
     serial: u64,
@@ -27,133 +27,155 @@
     token: u64,
     eviction_s: Option<f64>,
     #[serde(rename = "Shards")]
-    task_count: Vec<WireTask>,
+    tasks: Vec<WireTaskStatus>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct WireTask {
-    shard: String,
+struct WireTaskStatus {
+    #[serde(rename = "Shard")]
+    task: String,
     #[serde(rename = "Try")]
     attempt: u64,
     phase: String,
     exit_reason: Option<String>,
-    stored: Option<bool>,
+    #[serde(rename = "Stored")]
+    checkpointed: Option<bool>,
 }
 
-impl WireHeartbeat {
-    /// None when a field makes no sense. A task that cannot be read voids the whole report: leaving
-    /// it out would look like proof that it is gone.
-    pub fn into_heartbeat(self) -> Option<Heartbeat> {
-        let mut tasks = Vec::with_capacity(self.task_count.len());
-        for t in self.task_count {
-            let phase = match (t.phase.as_str(), t.exit_reason.as_deref()) {
-                ("fetching", _) => TaskPhase::Fetching,
-                ("gathering", _) => TaskPhase::WaitingForGang,
-                ("running", _) => TaskPhase::Running,
-                ("flushing", _) => TaskPhase::Checkpointing,
-                ("ended", why) => TaskPhase::Ended(match why? {
-                    "done" => ExitReason::Completed,
-                    "stopped" => ExitReason::Stopped {
-                        stored: t.stored.unwrap_or(false),
-                    },
-                    "peers" => ExitReason::GangMemberEnded,
-                    "incomplete" => ExitReason::GangIncomplete,
-                    "no_room" => ExitReason::InsufficientResources,
-                    "in_use" => ExitReason::EarlierAttemptRunning,
-                    "unknown" => ExitReason::UnknownTask,
-                    _ => ExitReason::Failed,
-                }),
-                _ => return None,
-            };
-            tasks.push(TaskStatus {
-                task: TaskId::parse(&t.shard)?,
-                attempt: AttemptId(t.attempt),
-                phase,
-            });
+impl TryFrom<WireHeartbeat> for Heartbeat {
+    type Error = InvalidField;
+
+    /// A task that cannot be read makes the whole heartbeat invalid: leaving it out would look like proof
+    /// that it is gone.
+    fn try_from(wire: WireHeartbeat) -> Result<Heartbeat, InvalidField> {
+        let tasks: Result<Vec<TaskStatus>, InvalidField> =
+            wire.tasks.into_iter().map(TaskStatus::try_from).collect();
+        let eviction = wire
+            .eviction_s
+            .map(|seconds| duration(seconds.max(0.0), "EvictionS"))
+            .transpose()?;
+        Ok(Heartbeat {
+            machine: MachineId(wire.machine),
+            endpoint: wire.endpoint,
+            machine_type: MachineTypeName(wire.machine_type),
+            zone: Zone(wire.zone),
+            spot: wire.spot,
+            incarnation: wire.incarnation,
+            serial: wire.serial,
+            token: FencingToken(wire.token),
+            eviction,
+            tasks: tasks?,
+        })
+    }
+}
+
+impl TryFrom<WireTaskStatus> for TaskStatus {
+    type Error = InvalidField;
+
+    fn try_from(wire: WireTaskStatus) -> Result<TaskStatus, InvalidField> {
+        Ok(TaskStatus {
+            task: TaskId::parse(&wire.task).ok_or(InvalidField("Shard"))?,
+            attempt: AttemptId(wire.attempt),
+            phase: wire.task_phase()?,
+        })
+    }
+}
+
+impl WireTaskStatus {
+    fn task_phase(&self) -> Result<TaskPhase, InvalidField> {
+        match self.phase.as_str() {
+            "fetching" => Ok(TaskPhase::Fetching),
+            "gathering" => Ok(TaskPhase::WaitingForGang),
+            "running" => Ok(TaskPhase::Running),
+            "flushing" => Ok(TaskPhase::Checkpointing),
+            "ended" => self.exit_reason().map(TaskPhase::Ended),
+            _ => Err(InvalidField("Phase")),
         }
-        Some(Heartbeat {
-            machine: MachineId(self.machine),
-            endpoint: self.endpoint,
-            machine_type: MachineTypeName(self.machine_type),
-            zone: Zone(self.zone),
-            spot: self.allows_spot,
-            incarnation: self.incarnation,
-            serial: self.serial,
-            token: FencingToken(self.token),
-            eviction: match self.eviction_s {
-                None => None,
-                Some(s) => Some(duration(s.max(0.0))?),
+    }
+
+    fn exit_reason(&self) -> Result<ExitReason, InvalidField> {
+        let reason = self.exit_reason.as_deref();
+        Ok(match reason.ok_or(InvalidField("ExitReason"))? {
+            "done" => ExitReason::Completed,
+            "stopped" => ExitReason::Stopped {
+                stored: self.checkpointed.unwrap_or(false),
             },
-            tasks,
+            "peers" => ExitReason::GangMemberEnded,
+            "incomplete" => ExitReason::GangIncomplete,
+            "no_room" => ExitReason::InsufficientResources,
+            "in_use" => ExitReason::EarlierAttemptRunning,
+            "unknown" => ExitReason::UnknownTask,
+            _ => ExitReason::Failed,
         })
     }
 }
 
-/// A command in the wire's form.
+/// A command for one task of a worker.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireCommand {
     verb: &'static str,
-    shard: String,
+    #[serde(rename = "Shard")]
+    task: String,
     #[serde(rename = "Try")]
     attempt: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    wind_down_s: Option<f64>,
+    #[serde(rename = "WindDownS", skip_serializing_if = "Option::is_none")]
+    grace_period_s: Option<f64>,
 }
 
 impl From<&TaskCommand> for WireCommand {
-    fn from(d: &TaskCommand) -> Self {
-        let (verb, task, attempt, grace_period) = match d {
+    fn from(command: &TaskCommand) -> Self {
+        let (verb, task, attempt, grace_period) = match command {
             TaskCommand::Launch { task, attempt } => ("launch", task, attempt, None),
             TaskCommand::Kill {
                 task,
                 attempt,
                 grace_period,
-            } => ("kill", task, attempt, Some(grace_period.as_secs_f64())),
+            } => ("kill", task, attempt, Some(grace_period)),
             TaskCommand::Forget { task, attempt } => ("forget", task, attempt, None),
         };
         WireCommand {
             verb,
-            shard: task.to_string(),
+            task: task.to_string(),
             attempt: attempt.0,
-            wind_down_s: grace_period,
+            grace_period_s: grace_period.map(|d| d.as_secs_f64()),
         }
     }
 }
 
-/// The answer to a report.
+/// The leader's answer to a heartbeat.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatResponse {
-    /// The token.
+    /// The leader's fencing token.
     #[serde(rename = "Epoch")]
     pub token: u64,
-    /// The commands.
+    /// Commands for the worker's tasks.
     #[serde(rename = "Directives")]
     pub commands: Vec<WireCommand>,
 }
 
-/// `POST /commands` of a worker.
+/// `POST /commands` of a worker: commands that do not wait for its next heartbeat.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CommandRequest {
-    /// The token.
+    /// The leader's fencing token.
     #[serde(rename = "Epoch")]
     pub token: u64,
-    /// The session that they are for.
+    /// The agent's incarnation that the commands are for.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// The commands.
+    /// Commands for the worker's tasks.
     #[serde(rename = "Directives")]
     pub commands: Vec<WireCommand>,
 }
 
-/// The answer to a report that another controller should get.
+/// The answer to a heartbeat that another controller should get.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaderRedirect {
-    /// That controller, if it is known.
+    /// That controller's member name, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -36,7 +36,7 @@
                         "no capacity type={} site={} spot={}",
                         r.machine_type,
                         r.zone,
-                        r.allows_spot
+                        r.spot
                     );
                 }
                 Event::RentalEnded(term, r.idempotency_key, outcome)
@@ -78,7 +78,7 @@
                 let types: Vec<MachineType> = t
                     .machine_types
                     .iter()
-                    .filter_map(|t| t.to_machine_type())
+                    .filter_map(|t| t.try_into().ok())
                     .collect();
                 if !types.is_empty() {
                     keep_types(shared, term, t);
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -41,7 +41,7 @@
     let types: Vec<_> = t
         .machine_types
         .iter()
-        .filter_map(|t| t.to_machine_type())
+        .filter_map(|t| t.try_into().ok())
         .collect();
     if !types.is_empty() {
         shared.view.write().types = types;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -359,8 +359,8 @@
                     idempotency_key: idempotency_key.clone(),
                     machine_type: machine_type.0,
                     zone: zone.0,
-                    allows_spot: spot,
-                    number,
+                    spot,
+                    count: number,
                 };
                 if out.cloud.try_send(CloudOrder::Rent(term, request)).is_err() {
                     c.on_rented(now, &idempotency_key, RentalOutcome::Unknown);
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -53,7 +53,7 @@
         let mut heartbeats = Vec::with_capacity(bodies.len());
         let mut places = Vec::with_capacity(bodies.len());
         for (n, body) in bodies.iter().enumerate() {
-            match wire::decode::<WireHeartbeat>(body).and_then(|r| r.into_heartbeat()) {
+            match wire::decode::<WireHeartbeat>(body).and_then(|r| r.try_into().ok()) {
                 Some(r) => {
                     answers.push(problem(503, "not leading"));
                     places.push(n);
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -4,7 +4,7 @@
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::Stop;
 use crate::core::leadership::cancellation_watermark::ClockReading;
-use crate::core::model::{JobId, Term};
+use crate::core::model::{JobId, JobSpec, Term};
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::ledger::{self, JobOutcome};
 use crate::core::placement::history::HistorySummary;
@@ -283,9 +283,9 @@
         revision,
     } in records.live
     {
-        match value.into_spec() {
-            Some(spec) => jobs.push(StoredLiveJob { spec, revision }),
-            None => unreadable_live.push(key),
+        match JobSpec::try_from(value) {
+            Ok(spec) => jobs.push(StoredLiveJob { spec, revision }),
+            Err(_) => unreadable_live.push(key),
         }
     }
     let chunks = records.intents.into_iter().filter_map(|pair| {
@@ -293,7 +293,7 @@
         Some(StoredIntents {
             job_id,
             index,
-            value: pair.value.into_value(),
+            value: pair.value.into(),
             revision: pair.revision,
         })
     });
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -123,9 +123,9 @@
         JobId::parse(job_id).map(|u| Event::Cancelled(term, u))
     } else {
         match value {
-            Some(Queued::Job(job)) => match job.into_spec() {
-                Some(spec) => indexed_job(shared, term, spec, revision),
-                None => unreadable(key),
+            Some(Queued::Job(job)) => match JobSpec::try_from(*job) {
+                Ok(spec) => indexed_job(shared, term, spec, revision),
+                Err(_) => unreadable(key),
             },
             Some(Queued::Other(_)) if key.starts_with(ledger::LIVE_PREFIX) => unreadable(key),
             _ => None,
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -54,7 +54,7 @@
             shared
                 .store
                 .get::<StoredOutcome>(&key, RequestClass::Leader, limit)
-                .map(|e| e.map(|e| (e.revision, e.value.outcome())))
+                .map(|e| e.map(|e| (e.revision, JobOutcome::try_from(&e.value).ok())))
         } else {
             shared
                 .store
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -203,8 +203,8 @@
     ("types", &[200], |c| {
         let types = c.types().expect("read").machine_types;
         assert_eq!(
-            types[0].to_machine_type(),
-            Some(machine_type(8.0, 50.0, 0.5))
+            MachineType::try_from(&types[0]),
+            Ok(machine_type(8.0, 50.0, 0.5))
         );
     }),
     ("rental", &[200], |c| {
@@ -244,8 +244,8 @@
         idempotency_key: "t4-1".into(),
         machine_type: "g8".into(),
         zone: "hall-a".into(),
-        allows_spot: true,
-        number: 2,
+        spot: true,
+        count: 2,
     }
 }
 
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -72,10 +72,13 @@
     assert_eq!(read_heartbeat, Some(heartbeat()));
     let short: WireMachineTypes = read(&golden.sample("types in short"));
     let expected = Some(machine_type(0.0, 0.0, 0.0));
-    assert_eq!(short.machine_types[0].to_machine_type(), expected);
+    assert_eq!(
+        MachineType::try_from(&short.machine_types[0]).ok(),
+        expected
+    );
     // What is only written.
     let state = |done, running| {
-        encode(&JobState {
+        encode(&JobStatusResponse {
             job_id: job_id().0,
             phase: "running",
             done,
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -22,7 +22,7 @@
     for (name, spec) in jobs {
         let write = |spec: &JobSpec| encode(&StoredValue::Job(Box::new(spec.into())));
         golden.both(name, spec, write, |b| {
-            read::<StoredJob>(b).into_spec().expect("a job")
+            JobSpec::try_from(read::<StoredJob>(b)).expect("a job")
         });
     }
     let outcomes = [
@@ -33,24 +33,22 @@
     for (name, outcome) in outcomes {
         let write = |v: &JobOutcome| encode(&StoredValue::from(&Value::JobOutcome(*v)));
         golden.both(name, outcome, write, |b| {
-            read::<StoredOutcome>(b).outcome().expect("a verdict")
+            JobOutcome::try_from(&read::<StoredOutcome>(b)).expect("a verdict")
         });
     }
     let write = |c: &ChunkValue| encode(&StoredValue::from(&Value::Chunk(c.clone())));
-    golden.both("chunk", chunk(), write, |b| {
-        read::<StoredChunk>(b).into_value()
-    });
+    golden.both("chunk", chunk(), write, |b| read::<StoredChunk>(b).into());
     let write = |s: &HistorySummary| encode(&StoredValue::from(&Value::History(s.clone())));
     golden.both("history", summary(), write, |b| {
         read::<StoredHistory>(b).into()
     });
     let dependents = vec!["wk-000415".to_owned(), "wk-000416".to_owned()];
-    let write = |by: &Vec<String>| {
-        let by = by.clone();
-        encode(&StoredValue::Dependents(StoredDependents { by }))
+    let write = |job_ids: &Vec<String>| {
+        let job_ids = job_ids.clone();
+        encode(&StoredValue::Dependents(StoredDependents { job_ids }))
     };
     golden.both("dependents", dependents, write, |b| {
-        read::<StoredDependents>(b).by
+        read::<StoredDependents>(b).job_ids
     });
     let leader = ("worker-1".to_owned(), 77, 4);
     let write = |(member, boot, term): &(String, u64, u64)| {
@@ -71,8 +69,8 @@
     // As the cloud named them.
     let types: WireMachineTypes = read(&golden.sample("types"));
     assert_eq!(
-        types.machine_types[0].to_machine_type(),
-        Some(machine_type(8.0, 50.0, 0.5))
+        MachineType::try_from(&types.machine_types[0]),
+        Ok(machine_type(8.0, 50.0, 0.5))
     );
     golden.written("types", &encode(&StoredValue::Types(types)));
     golden.finish();
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,6 +3,7 @@
 //! The samples are written by hand from the layouts of the version that `production` in
 //! `deploy/service.toml` names and of the one before it, not with this version's types.
 
+use cypressgap::core::model::JobSpec;
 use cypressgap::net::peer::{
     frames_of, read_frame, said, says_fallen, Hello, PeerJobStatus, PeerRequest, PeerResponse,
 };
@@ -88,7 +89,7 @@
         ("fetch", Any::List(vec![])),
     ]));
     let stored: StoredJob = decode(&encode(&job_record())).expect("it is read");
-    let spec = stored.into_spec().expect("a job");
+    let spec = JobSpec::try_from(stored).expect("a job");
     assert_eq!((spec.task_count, spec.dependencies.len()), (16, 0));
     // A job that awaits others has one field more, which the oldest version passes over. The version
     // in production writes it, and enters the job in a list of each dependency.
@@ -105,7 +106,7 @@
     listed.insert("needs".into(), Any::List(vec![t("wk-000398")]));
     both::<StoredJob>(Any::Map(listed.clone()));
     let read: StoredJob = decode(&encode(&Any::Map(listed.clone()))).expect("it is read");
-    assert_eq!(read.into_spec().as_ref(), Some(&awaits));
+    assert_eq!(JobSpec::try_from(read).as_ref(), Ok(&awaits));
     let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
     assert_eq!(written, Any::Map(listed.clone()));
     // This version says where it enters none; the versions before pass over that.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 use cypressgap::core::admission::fits_a_value;
 use cypressgap::core::model::*;
 use cypressgap::net::peer::{read_frame, write_frame, Hello, PeerRequest};
-use cypressgap::net::wire::{decode, encode, StoredJob, Submission, WireHeartbeat};
+use cypressgap::net::wire::{decode, encode, InvalidField, StoredJob, Submission, WireHeartbeat};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -44,9 +44,9 @@
     ])
 }
 
-fn read(m: &BTreeMap<&'static str, V>) -> Result<JobSpec, &'static str> {
+fn read(m: &BTreeMap<&'static str, V>) -> Result<JobSpec, InvalidField> {
     decode::<Submission>(&encode(m))
-        .ok_or("body")
+        .ok_or(InvalidField("body"))
         .and_then(|s| s.to_spec(7))
 }
 
@@ -56,7 +56,7 @@
     assert_eq!((spec.task_count, spec.kind), (16, JobKind::Gang));
     // What the state service gives back is the same job.
     let stored: StoredJob = decode(&encode(&StoredJob::from(&spec))).unwrap();
-    assert_eq!(stored.into_spec(), Some(spec));
+    assert_eq!(JobSpec::try_from(stored), Ok(spec));
 
     let fine = [
         ("Vcpus", V::I(8)),
@@ -129,7 +129,7 @@
     assert_eq!(spec.dependencies, expected);
     let stored = StoredJob::from(&spec);
     let back: StoredJob = decode(&encode(&stored)).unwrap();
-    assert_eq!(back.into_spec(), Some(spec));
+    assert_eq!(JobSpec::try_from(back), Ok(spec));
     // Only what is not over stays in the record, and all of it counts for the record's size.
     let mut kept = stored.clone();
     kept.keep_dependencies(&["wk-000405".into()], false);
@@ -153,7 +153,7 @@
         &deep,
     ];
     for body in cases {
-        let m = decode::<Submission>(body).ok_or("body");
+        let m = decode::<Submission>(body).ok_or(InvalidField("body"));
         assert!(m.and_then(|s| s.to_spec(0)).is_err(), "{body:?}");
     }
 }
@@ -184,7 +184,7 @@
             ("EvictionS", V::N(None)),
             ("Shards", V::L(tasks)),
         ]);
-        decode::<WireHeartbeat>(&encode(&m)).and_then(|r| r.into_heartbeat())
+        decode::<WireHeartbeat>(&encode(&m)).and_then(|r| Heartbeat::try_from(r).ok())
     };
     let cases = [
         ("fetching", None, Some(TaskPhase::Fetching)),
