--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -3,7 +3,7 @@
 use crate::core::capacity::*;
 use crate::core::model::{JobKind, MachineId, MachineTypeName, Resources, TaskId};
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
-use crate::core::placement::Round;
+use crate::core::placement::RoundOutcome;
 use crate::core::state::cluster_state::{ClusterState, Machine};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
 
 impl ClusterState {
     /// Ordinary machines in use are replaced by spot ones of their type where these can be had.
-    pub(in crate::core) fn replace_expensive(&mut self, now: Instant, round: &Round) {
+    pub(in crate::core) fn replace_expensive(&mut self, now: Instant, round: &RoundOutcome) {
         if self.capacity.replace_after.is_none_or(|t| t <= now) && round.waiting.is_empty() {
             let on_the_way: u32 = self.capacity.replacing.values().sum();
             // Of each type: ordinary machines, and those of them that are in use and could move.
@@ -275,7 +275,7 @@
     }
 
     /// A machine that is being drained is paid for in any case: while work waits, it takes some.
-    pub(in crate::core) fn keep_draining(&mut self, round: &Round) {
+    pub(in crate::core) fn keep_draining(&mut self, round: &RoundOutcome) {
         let mut draining: Vec<(&Machine, Resources)> = Vec::new();
         for h in self
             .fleet
@@ -294,7 +294,7 @@
             if draining.is_empty() {
                 break;
             }
-            if w.coming || w.wait.is_some_and(|t| t <= KEEP_WAIT) {
+            if w.on_booting_machine || w.expected_wait.is_some_and(|t| t <= KEEP_WAIT) {
                 continue;
             }
             let Some(job) = self.jobs.get(&w.job_id) else {
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -2,7 +2,7 @@
 
 use crate::core::capacity::scale_out::{Candidate, RentalPlan};
 use crate::core::model::{MachineType, MachineTypeName, Resources, Slo};
-use crate::core::placement::{contested, Round};
+use crate::core::placement::{is_wanted_by_larger_tasks, RoundOutcome};
 use crate::core::state::cluster_state::ClusterState;
 use std::time::{Duration, Instant};
 
@@ -55,7 +55,7 @@
     pub(in crate::core) fn plan_headroom(
         &self,
         now: Instant,
-        round: &Round,
+        round: &RoundOutcome,
         plan: &mut RentalPlan,
     ) {
         for (tasks, resources) in self.headroom(now) {
@@ -79,7 +79,8 @@
     /// headroom, where other machines serve.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let apart = |t: &&MachineType| {
-            resources.count_in(&t.room) > 0 && !contested(&self.unplaced_resources, resources, t)
+            resources.count_in(&t.room) > 0
+                && !is_wanted_by_larger_tasks(&self.unplaced_resources, resources, t)
         };
         let types: Vec<&MachineType> = self.fleet.types.iter().filter(apart).collect();
         if types.is_empty() {
@@ -91,22 +92,22 @@
     /// Tasks that find room on machines that are up, coming up or planned.
     fn headroom_at_hand(
         &self,
-        round: &Round,
+        round: &RoundOutcome,
         plan: &RentalPlan,
         resources: &Resources,
         types: &[&MachineType],
     ) -> usize {
         let counts = |name: &MachineTypeName| types.iter().any(|t| &t.name == name);
         let all = types.len() == self.fleet.types.len();
-        let spare = round.spare.iter().filter(|(id, _)| {
-            let machine = self.fleet.machines.get(id);
+        let spare = round.spare.iter().filter(|spare| {
+            let machine = self.fleet.machines.get(&spare.machine);
             all || machine.is_some_and(|h| counts(&h.machine_type))
         });
         let planned = plan
             .machines
             .iter()
             .filter(|m| all || counts(m.machine_type()));
-        let up: usize = spare.map(|(_, free)| resources.count_in(free)).sum();
+        let up: usize = spare.map(|spare| resources.count_in(&spare.free)).sum();
         let coming: usize = planned.map(|m| resources.count_in(&m.free)).sum();
         up + coming
     }
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -12,8 +12,8 @@
     Zone,
 };
 use crate::core::placement::history::Average;
-use crate::core::placement::Round;
-use crate::core::state::cluster_state::{Action, ClusterState, Job, Machine};
+use crate::core::placement::RoundOutcome;
+use crate::core::state::cluster_state::{Action, ClusterState, Machine};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -134,7 +134,7 @@
 }
 
 impl ClusterState {
-    pub(in crate::core) fn manage_capacity(&mut self, now: Instant, round: &Round) {
+    pub(in crate::core) fn manage_capacity(&mut self, now: Instant, round: &RoundOutcome) {
         self.keep_draining(round);
         self.return_machines(now);
         self.rent(now, round);
@@ -145,32 +145,6 @@
         self.repeat_rentals(now);
     }
 
-    /// When, from its arrival, a job's users were promised its end.
-    pub(in crate::core) fn promised_finish(&self, job: &Job) -> Option<Duration> {
-        self.config
-            .slos
-            .iter()
-            .filter(|o| o.kind == "finished" && o.class.as_ref() == Some(&job.spec.class))
-            .filter_map(|o| o.within)
-            .chain(
-                job.deadline
-                    .map(|d| d.saturating_duration_since(job.arrived)),
-            )
-            .min()
-    }
-
-    /// How long a job can still wait without missing what its users were promised.
-    pub(in crate::core) fn slack(
-        &self,
-        now: Instant,
-        job: &Job,
-        est: Duration,
-    ) -> Option<Duration> {
-        let elapsed = now.saturating_duration_since(job.arrived);
-        let finish = self.promised_finish(job)?;
-        Some(finish.saturating_sub(elapsed).saturating_sub(est))
-    }
-
     /// Whether this term knows what machines there are: the cloud listed them and all of them have
     /// reported, or they have had time to.
     pub(in crate::core) fn settled(&self, now: Instant) -> bool {
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -3,7 +3,7 @@
 use crate::core::capacity::{Offer, EXPENSIVE_FACTOR, MAX_RENTALS, MAX_RENTED};
 use crate::core::model::{JobId, JobSpec, MachineType, MachineTypeName, Priority, Resources, Zone};
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
-use crate::core::placement::{Round, Waiting};
+use crate::core::placement::{price_per_cpu, RoundOutcome, WaitingTasks};
 use crate::core::state::cluster_state::{ClusterState, Job};
 use cypressgap_recovery::silence::MANY;
 use std::collections::{BTreeMap, HashMap};
@@ -138,13 +138,9 @@
     least.unwrap_or_default()
 }
 
-fn price_per_cpu(t: &MachineType, spot: bool) -> f64 {
-    t.price(spot) / t.room.cpus.max(1.0)
-}
-
 impl ClusterState {
     /// Rents machines for work that waits too long, and for headroom that is missing.
-    pub(in crate::core) fn rent(&mut self, now: Instant, round: &Round) {
+    pub(in crate::core) fn rent(&mut self, now: Instant, round: &RoundOutcome) {
         if self.fleet.types.is_empty() || !self.settled(now) {
             return;
         }
@@ -160,7 +156,7 @@
             *unprovided.entry(&waiting.job_id).or_default() += waiting.count;
         }
         // A task booked on a machine that is coming up has its machine.
-        for waiting in round.waiting.iter().filter(|w| !w.coming) {
+        for waiting in round.waiting.iter().filter(|w| !w.on_booting_machine) {
             if let Some(of_job) = unprovided.get_mut(&waiting.job_id) {
                 self.plan_for(now, waiting, of_job, &mut plan);
             }
@@ -170,7 +166,7 @@
     }
 
     /// A plan that holds the rentals under way: they will take the first of the waiting.
-    fn plan_under_way(&self, round: &Round) -> RentalPlan {
+    fn plan_under_way(&self, round: &RoundOutcome) -> RentalPlan {
         let mut machines: Vec<PlannedMachine> = Vec::new();
         for rental in self.capacity.rentals.values() {
             let Some(t) = self.fleet.machine_type(&rental.offer.0) else {
@@ -213,7 +209,13 @@
 
     /// Provides for tasks of one job that wait. `of_job`: those of the whole job that nothing is
     /// provided for yet.
-    fn plan_for(&self, now: Instant, waiting: &Waiting, of_job: &mut usize, plan: &mut RentalPlan) {
+    fn plan_for(
+        &self,
+        now: Instant,
+        waiting: &WaitingTasks,
+        of_job: &mut usize,
+        plan: &mut RentalPlan,
+    ) {
         let Some(job) = self.jobs.get(&waiting.job_id) else {
             return;
         };
@@ -244,7 +246,7 @@
         &self,
         now: Instant,
         job: &Job,
-        waiting: &Waiting,
+        waiting: &WaitingTasks,
         zones: &ZoneUse,
     ) -> Vec<Candidate> {
         let spec = &job.spec;
@@ -288,17 +290,17 @@
         &self,
         now: Instant,
         job: &Job,
-        waiting: &Waiting,
+        waiting: &WaitingTasks,
         t: &MachineType,
         expensive: bool,
     ) -> bool {
-        let Some(wait) = waiting.wait else {
+        let Some(wait) = waiting.expected_wait else {
             return true;
         };
         let boot = self.capacity.boot_time(t);
         let image_gb = job.spec.image_gb;
         let fetch = self.history.fetch_time(&t.name, t.fetch_gb_per_s, image_gb);
-        let slack = self.slack(now, job, waiting.est);
+        let slack = self.slack(now, job, waiting.expected_run);
         let saves = slack.is_some_and(|s| wait > s && boot + fetch <= s);
         match (expensive, saves) {
             (false, true) => wait > boot,
--- /dev/null
+++ b/src/core/placement/apply.rs
@@ -0,0 +1,110 @@
+//! Carries a placement round out: the only place where placement and preemption change the state.
+
+use crate::core::model::{AttemptId, JobId};
+use crate::core::placement::plan::{RoundOutcome, RoundPlan, StartKind, TaskStart, WaitingTasks};
+use crate::core::placement::preemption::Preemption;
+use crate::core::state::cluster_state::ClusterState;
+use std::time::{Duration, Instant};
+
+/// A job none of whose tasks was placed for this long is starved. Every job is to begin within four
+/// minutes, so a part of its tasks goes before all others, whatever their priority or size.
+const STARVATION_TIME: Duration = Duration::from_secs(100);
+/// That part: one in so many of its tasks.
+const STARVED_TASKS_DIVISOR: u32 = 8;
+/// Sizes of tasks without room that are remembered for the next round.
+const MAX_UNPLACED_SIZES: usize = 32;
+
+/// The gang whose members are being started.
+struct GangAttempt {
+    job_id: JobId,
+    attempt: AttemptId,
+}
+
+impl ClusterState {
+    /// One round over the queue. Starts what can start; returns what waits.
+    pub(in crate::core) fn run_placement_round(&mut self, now: Instant) -> RoundOutcome {
+        self.jobs.sort();
+        self.recent_usage.update(now, self.quota_usage.by_team());
+        self.mark_starved_jobs(now);
+        self.start_limiter.refill(now);
+        let plan = self.plan_round(now);
+        self.apply_round(now, plan)
+    }
+
+    fn mark_starved_jobs(&mut self, now: Instant) {
+        for job in self.jobs.values_mut() {
+            let starved = now.saturating_duration_since(job.last_placed) > STARVATION_TIME;
+            if starved && job.turn == 0 && !job.over() && !job.suspected && job.waiting_count() > 0
+            {
+                job.turn = job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR);
+                job.starved = true;
+            }
+        }
+    }
+
+    fn apply_round(&mut self, now: Instant, plan: RoundPlan) -> RoundOutcome {
+        self.start_limiter.consume(plan.starts.len());
+        self.start_tasks(now, plan.starts);
+        self.stop_preempted(now, plan.preemptions);
+        self.remember_unplaced_sizes(&plan.waiting);
+        RoundOutcome {
+            waiting: plan.waiting,
+            spare: plan.spare,
+        }
+    }
+
+    fn start_tasks(&mut self, now: Instant, starts: Vec<TaskStart>) {
+        let mut gang: Option<GangAttempt> = None;
+        for start in starts {
+            let is_member = start.kind == StartKind::GangMember;
+            let attempt = match &gang {
+                Some(gang) if is_member && gang.job_id == start.job_id => gang.attempt,
+                _ => self.next_attempt(),
+            };
+            gang = is_member.then(|| GangAttempt {
+                job_id: start.job_id.clone(),
+                attempt,
+            });
+            log::debug!(
+                "placing task={}/{} machine={} expected_run_s={:.1} fetch_s={:.1} term={}",
+                start.job_id,
+                start.index,
+                start.machine,
+                start.expected_run.as_secs_f64(),
+                start.image_fetch.as_secs_f64(),
+                self.term.0
+            );
+            self.assign(
+                now,
+                &start.job_id,
+                start.index,
+                &start.machine,
+                attempt,
+                start.expected_run,
+            );
+        }
+    }
+
+    fn stop_preempted(&mut self, now: Instant, preemptions: Vec<Preemption>) {
+        for Preemption { task, reason } in preemptions {
+            log::debug!("preempting task={task} reason={reason}");
+            self.kill(now, &task.job_id, task.index, Duration::ZERO);
+        }
+    }
+
+    /// Smaller tasks leave machines to these in the next round.
+    fn remember_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
+        self.unplaced_resources.clear();
+        for tasks in waiting.iter().filter(|w| !w.on_booting_machine) {
+            let Some(job) = self.jobs.get(&tasks.job_id) else {
+                continue;
+            };
+            let size = job.spec.resources;
+            if self.unplaced_resources.len() < MAX_UNPLACED_SIZES
+                && !self.unplaced_resources.contains(&size)
+            {
+                self.unplaced_resources.push(size);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/core/placement/array.rs
@@ -0,0 +1,211 @@
+//! Places the tasks of job arrays, one after the other.
+
+use crate::core::model::Resources;
+use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
+use crate::core::placement::queue::QueueEntry;
+use crate::core::placement::round::{is_ordinary, PlacementRound};
+use crate::core::placement::scoring::{ScoredSlot, TaskGroup};
+use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::state::cluster_state::{ClusterState, Job};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::time::Duration;
+
+/// Saved progress of restarted tasks counts in steps of this, so that they share a scoring too.
+const PROGRESS_STEP_S: f64 = 5.0;
+/// A starved job keeps machines that it waits for free of others, for one in so many of its tasks.
+const EXCLUSIVE_TASKS_DIVISOR: u32 = 32;
+
+/// An array while its tasks are placed.
+struct ArrayPlacement<'a> {
+    group: TaskGroup<'a>,
+    /// How many more machines that its tasks wait for are kept free of others.
+    exclusive_machines: u32,
+    zones: ZoneUse,
+    /// The last start has changed where the other tasks may go: the slots are ranked anew.
+    zones_changed: bool,
+    ranked: Option<BinaryHeap<Reverse<ScoredSlot>>>,
+}
+
+/// The progress that a restarted task resumes from, in steps.
+fn progress_steps(job: &Job, index: u32) -> u64 {
+    let saved = job.progress.get(&index).copied().unwrap_or_default();
+    (saved.as_secs_f64() / PROGRESS_STEP_S) as u64
+}
+
+impl ArrayPlacement<'_> {
+    /// Starts a task on a slot with free room.
+    fn start(&mut self, index: u32, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
+        let job = self.group.job;
+        let slot = &mut round.slots[chosen.slot];
+        slot.free.sub(&job.spec.resources);
+        slot.reserve(round.now, chosen.occupancy(), &job.spec.resources);
+        slot.add_fetch(job);
+        let zone = &slot.machine.zone;
+        self.zones_changed = self.zones.add_task(&job.spec, zone);
+        round.plan.starts.push(TaskStart {
+            job_id: job.spec.job_id.clone(),
+            index,
+            machine: slot.machine.id.clone(),
+            expected_run: chosen.run_time,
+            image_fetch: chosen.fetch_delay,
+            kind: StartKind::Independent,
+        });
+    }
+
+    /// Reserves room for a task on a slot that is busy.
+    fn reserve(&mut self, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
+        let job = self.group.job;
+        let slot = &mut round.slots[chosen.slot];
+        slot.reserve(chosen.available_at, chosen.occupancy(), &job.spec.resources);
+        slot.has_reservation |= !self.group.over_fair_share && slot.ready_at.is_none();
+        if chosen.fetch_delay > Duration::ZERO {
+            // The first task brings the image for those behind it.
+            slot.reserved_images.push(job.image);
+        }
+        if self.exclusive_machines > 0 && slot.ready_at.is_none() {
+            // Others would fill each gap before it is large enough.
+            self.exclusive_machines -= 1;
+            slot.free = Resources::default();
+        }
+        let wait = chosen.available_at.saturating_duration_since(round.now);
+        round.longest_wait = round.longest_wait.max(wait);
+        round.plan.add_waiting(WaitingTasks {
+            job_id: job.spec.job_id.clone(),
+            count: 1,
+            expected_wait: Some(wait),
+            expected_run: chosen.run_time,
+            on_booting_machine: slot.ready_at == Some(chosen.available_at),
+        });
+    }
+
+    /// No machine can take the task.
+    fn wait_for_machine(&self, round: &mut PlacementRound<'_>) {
+        let spec = &self.group.job.spec;
+        let run_times = self.group.estimates.iter().map(|e| e.run_time);
+        round.plan.add_waiting(WaitingTasks {
+            job_id: spec.job_id.clone(),
+            count: 1,
+            expected_wait: None,
+            expected_run: run_times.min().unwrap_or(spec.expected),
+            on_booting_machine: false,
+        });
+    }
+}
+
+impl ClusterState {
+    /// Places the tasks of an array, as many as its team's limit and the start limiter allow.
+    pub(super) fn plan_array<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
+        let spec = &entry.job.spec;
+        let pending = pending_tasks(entry, round);
+        if pending.is_empty() {
+            return;
+        }
+        let Some(team) = self.team_that_may_start(&spec.team) else {
+            return;
+        };
+        let mut array = self.begin_array(entry, round);
+        let ordinary = is_ordinary(spec, &round.jobs_within_guarantee);
+        let mut usage = round.usage_of(&spec.team);
+        for index in pending {
+            if ordinary && round.plan.starts.len() >= self.start_limiter.available() {
+                round.plan.rate_limited = true;
+                break;
+            }
+            if !team.allows(&usage, &spec.resources) {
+                round.limited_jobs.push(&spec.job_id);
+                break;
+            }
+            usage.add(&spec.resources);
+            self.plan_task(index, &mut array, round);
+        }
+        round.team_usage.insert(spec.team.clone(), usage);
+    }
+
+    fn begin_array<'a>(
+        &self,
+        entry: QueueEntry<'a>,
+        round: &PlacementRound<'_>,
+    ) -> ArrayPlacement<'a> {
+        let job = entry.job;
+        let exclusive = job.spec.task_count.div_ceil(EXCLUSIVE_TASKS_DIVISOR);
+        ArrayPlacement {
+            group: TaskGroup {
+                job,
+                estimates: self.type_estimates(&job.spec, &round.fetch_rates),
+                saved_progress: Duration::ZERO,
+                over_fair_share: round.teams_over_fair_share.contains(&job.spec.team),
+            },
+            exclusive_machines: entry.starved_tasks.map_or(0, |_| exclusive),
+            zones: ZoneUse::of(job, &self.zone_of()),
+            zones_changed: false,
+            ranked: None,
+        }
+    }
+
+    /// Starts one task where it scores lowest, or reserves room for it there if that machine is busy.
+    fn plan_task(
+        &self,
+        index: u32,
+        array: &mut ArrayPlacement<'_>,
+        round: &mut PlacementRound<'_>,
+    ) {
+        let steps = progress_steps(array.group.job, index);
+        let saved_progress = Duration::from_secs_f64(steps as f64 * PROGRESS_STEP_S);
+        let is_alike = saved_progress == array.group.saved_progress;
+        if array.ranked.is_none() || array.zones_changed || !is_alike {
+            array.group.saved_progress = saved_progress;
+            array.zones_changed = false;
+            let ranked = self.ranked_slots(round.now, &array.group, &round.slots, &array.zones);
+            array.ranked = Some(ranked);
+        }
+        let best = array.ranked.as_mut().and_then(BinaryHeap::pop);
+        let Some(Reverse(chosen)) = best else {
+            array.wait_for_machine(round);
+            return;
+        };
+        if chosen.free_now {
+            array.start(index, &chosen, round);
+        } else {
+            array.reserve(&chosen, round);
+        }
+        let rescored = self.score(round.now, &array.group, &round.slots, chosen.slot);
+        if let Some(ranked) = &mut array.ranked {
+            ranked.extend(rescored.map(Reverse));
+        }
+    }
+}
+
+/// The tasks of an array that a round looks at, those with most progress first.
+fn pending_tasks<'a>(entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) -> Vec<u32> {
+    let job = entry.job;
+    let before = round.examined_of(job);
+    let waiting = (job.waiting_count() as usize).saturating_sub(before);
+    let mut count = waiting.min(round.remaining_tasks());
+    if let Some(starved_tasks) = entry.starved_tasks {
+        count = count.min(starved_tasks as usize);
+    }
+    if job.suspected {
+        count = count.min(1);
+    }
+    if count == 0 {
+        // Beyond what a round looks at: it waits behind all that was looked at.
+        if waiting > 0 && entry.starved_tasks.is_none() {
+            round.plan.add_waiting(WaitingTasks {
+                job_id: job.spec.job_id.clone(),
+                count: waiting,
+                expected_wait: Some(round.longest_wait),
+                expected_run: job.spec.expected,
+                on_booting_machine: false,
+            });
+        }
+        return Vec::new();
+    }
+    let mut pending = job.pending(before + count);
+    pending.drain(..before.min(pending.len()));
+    round.record_examined(job, pending.len());
+    if !job.progress.is_empty() {
+        pending.sort_by_key(|index| (Reverse(progress_steps(job, *index)), *index));
+    }
+    pending
+}
--- /dev/null
+++ b/src/core/placement/fair_share.rs
@@ -0,0 +1,75 @@
+//! Quotas in the order of the queue: which jobs their team's guarantee covers, and which teams use more
+//! than a fair share.
+
+use crate::core::model::{JobId, Resources, Team, TeamName};
+use crate::core::state::cluster_state::{ClusterState, Job};
+use std::collections::{HashMap, HashSet};
+
+fn may_run(job: &Job) -> bool {
+    !job.over() && !job.suspected && !job.blocked
+}
+
+fn has_guarantee(team: &Team) -> bool {
+    team.cpus.or(team.gpus).is_some()
+}
+
+impl ClusterState {
+    /// A team's quota, if the settings name the team.
+    pub(super) fn team_config(&self, name: &TeamName) -> Option<&Team> {
+        self.config.teams.iter().find(|team| &team.name == name)
+    }
+
+    /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
+    pub(super) fn jobs_within_guarantee(&self) -> HashSet<&JobId> {
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| may_run(job)).collect();
+        jobs.sort_by_key(|job| job.revision);
+        let mut demand_by_team: HashMap<&TeamName, Resources> = HashMap::new();
+        let mut within = HashSet::new();
+        for job in jobs {
+            let spec = &job.spec;
+            let demand = demand_by_team.entry(&spec.team).or_default();
+            demand.add(&spec.resources.times(f64::from(spec.task_count)));
+            let team = self.team_config(&spec.team);
+            if team.is_some_and(|team| team.guarantees(demand)) {
+                within.insert(&spec.job_id);
+            }
+        }
+        within
+    }
+
+    /// Teams without a guarantee that use more than an even share of what is in use, while others have
+    /// work: one huge job or a flood of small ones would otherwise take all room for as long as it lasts.
+    pub(super) fn teams_over_fair_share(&self) -> HashSet<&TeamName> {
+        let mut used_by_team: HashMap<&TeamName, Resources> = HashMap::new();
+        for job in self.jobs.values().filter(|job| may_run(job)) {
+            let team = &job.spec.team;
+            used_by_team
+                .entry(team)
+                .or_insert_with(|| self.recent_usage.of(team));
+        }
+        let mut total = Resources::default();
+        for used in used_by_team.values() {
+            total.add(used);
+        }
+        let share = 1.0 / used_by_team.len().max(1) as f64;
+        let is_over =
+            |used: &Resources| used.cpus > total.cpus * share || used.gpus > total.gpus * share;
+        used_by_team
+            .into_iter()
+            .filter(|(name, _)| !self.team_config(name).is_some_and(has_guarantee))
+            .filter(|(_, used)| is_over(used))
+            .map(|(name, _)| name)
+            .collect()
+    }
+
+    /// Whether a team uses more than it is guaranteed.
+    pub(super) fn is_beyond_guarantee(
+        &self,
+        team: &TeamName,
+        usage: &HashMap<TeamName, Resources>,
+    ) -> bool {
+        let used = usage.get(team).copied().unwrap_or_default();
+        let team = self.team_config(team);
+        team.is_some_and(|team| !team.guarantees(&used))
+    }
+}
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -1,15 +1,27 @@
 //! Placing gangs: all members start together, where every one of them has room now.
 
 use crate::core::model::{JobSpec, Resources, Zone};
+use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
+use crate::core::placement::queue::QueueEntry;
+use crate::core::placement::round::{PlacementRound, MAX_TASKS_PER_ROUND};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
-use crate::core::placement::{push_waiting, PlacementRound, Start, Waiting, ROUND_TASKS};
 use crate::core::state::cluster_state::{ClusterState, Job};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What one member costs on a slot, and the slot.
-type MemberCost = (Duration, usize);
+/// What one member costs on a slot. The lowest goes first, of equals the first slot.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MemberCost {
+    cost: Duration,
+    slot: usize,
+}
+
+/// How long a member takes on a slot.
+struct MemberEstimate {
+    run_time: Duration,
+    fetch_delay: Duration,
+}
 
 /// A slot for each member, and what the slowest of them costs.
 struct Members {
@@ -18,41 +30,46 @@
 }
 
 impl ClusterState {
-    /// Starts a gang where all of its members have room now, else lets it wait. `starved`: it has waited
-    /// so long that machines are kept free for it.
-    pub(in crate::core) fn plan_gang(
-        &self,
-        job: &Job,
-        starved: bool,
-        round: &mut PlacementRound<'_>,
-    ) {
+    /// Looks at a gang once in a round: starts it where all of its members have room now, else lets it
+    /// wait.
+    pub(super) fn plan_gang<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
+        let job = entry.job;
+        let was_examined = round.examined_of(job) > 0;
+        if round.remaining_tasks() == 0 || was_examined || !job.active.is_empty() {
+            return;
+        }
+        round.record_examined(job, job.spec.task_count as usize);
+        self.place_gang(entry, round);
+    }
+
+    fn place_gang(&self, entry: QueueEntry<'_>, round: &mut PlacementRound<'_>) {
+        let job = entry.job;
         let spec = &job.spec;
         let Some(team) = self.team_that_may_start(&spec.team) else {
             return;
         };
-        let mut sum = round.used.get(&spec.team).copied().unwrap_or_default();
-        let whole = spec.resources.times(f64::from(spec.task_count));
-        if !team.allows(&sum, &whole) {
+        let mut usage = round.usage_of(&spec.team);
+        let whole_gang = spec.resources.times(f64::from(spec.task_count));
+        if !team.allows(&usage, &whole_gang) {
             return;
         }
         let costs = self.member_costs(job, round);
         if let Some(members) = choose_members(spec, &round.slots, &costs) {
             self.start_gang(job, &members.slots, round);
-            sum.add(&whole);
-            round.used.insert(spec.team.clone(), sum);
+            usage.add(&whole_gang);
+            round.team_usage.insert(spec.team.clone(), usage);
             return;
         }
-        if starved {
-            self.reserve_for_gang(spec, &costs, round);
+        if entry.starved_tasks.is_some() {
+            self.keep_machines_for_gang(spec, &costs, round);
         }
-        let waiting = Waiting {
+        round.plan.add_waiting(WaitingTasks {
             job_id: spec.job_id.clone(),
-            count: (spec.task_count as usize).min(ROUND_TASKS),
-            wait: None,
-            est: spec.expected,
-            coming: false,
-        };
-        push_waiting(&mut round.plan.waiting, waiting);
+            count: (spec.task_count as usize).min(MAX_TASKS_PER_ROUND),
+            expected_wait: None,
+            expected_run: spec.expected,
+            on_booting_machine: false,
+        });
     }
 
     /// What a member costs on each slot, least first: the same for all of them.
@@ -62,76 +79,78 @@
             .slots
             .iter()
             .enumerate()
-            .filter(|(_, slot)| slot.up_at.is_none() && self.admits(job, slot, &zones))
-            .map(|(i, slot)| {
-                let (est, fetch) = self.member_cost(job, slot, round);
-                (est + fetch, i)
+            .filter(|(_, slot)| slot.ready_at.is_none() && self.may_use_slot(job, slot, &zones))
+            .map(|(index, slot)| {
+                let estimate = self.member_estimate(job, slot, round);
+                MemberCost {
+                    cost: estimate.run_time + estimate.fetch_delay,
+                    slot: index,
+                }
             })
             .collect();
         costs.sort();
         costs
     }
 
-    /// A member's run time on a slot, and the fetch before it.
-    fn member_cost(
+    fn member_estimate(
         &self,
         job: &Job,
         slot: &Slot<'_>,
         round: &PlacementRound<'_>,
-    ) -> (Duration, Duration) {
-        let est = self
-            .history
-            .est(&job.spec, &self.fleet.types[slot.type_index].name)
-            .mul_f64(slot.speed);
-        let fetch = slot.penalty(round.now, round.rates[slot.type_index], job);
-        (est, fetch)
+    ) -> MemberEstimate {
+        let type_name = &self.fleet.types[slot.type_index].name;
+        let run_time = self.history.run_time(&job.spec, type_name);
+        let fetch_rate = round.fetch_rates[slot.type_index];
+        MemberEstimate {
+            run_time: run_time.mul_f64(slot.slowdown),
+            fetch_delay: slot.fetch_delay(round.now, fetch_rate, job),
+        }
     }
 
     fn start_gang(&self, job: &Job, members: &[usize], round: &mut PlacementRound<'_>) {
         let spec = &job.spec;
-        for (index, i) in members.iter().enumerate() {
-            let (est, fetch) = self.member_cost(job, &round.slots[*i], round);
-            let slot = &mut round.slots[*i];
+        for (index, slot_index) in members.iter().enumerate() {
+            let estimate = self.member_estimate(job, &round.slots[*slot_index], round);
+            let slot = &mut round.slots[*slot_index];
             slot.free.sub(&spec.resources);
-            slot.book(round.now, est, &spec.resources);
-            slot.started(job);
-            round.plan.starts.push(Start {
+            slot.reserve(round.now, estimate.run_time, &spec.resources);
+            slot.add_fetch(job);
+            round.plan.starts.push(TaskStart {
                 job_id: spec.job_id.clone(),
                 index: index as u32,
                 machine: slot.machine.id.clone(),
-                est,
-                fetch,
-                gang: true,
+                expected_run: estimate.run_time,
+                image_fetch: estimate.fetch_delay,
+                kind: StartKind::GangMember,
             });
         }
     }
 
     /// Room for all members at once never comes by itself while others fill each gap: the machines
     /// that can hold the gang soonest take nobody else.
-    fn reserve_for_gang(
+    fn keep_machines_for_gang(
         &self,
         spec: &JobSpec,
         costs: &[MemberCost],
         round: &mut PlacementRound<'_>,
     ) {
-        let mut soon: Vec<(Instant, usize)> = costs
+        let room_of = |slot: &Slot<'_>| &self.fleet.types[slot.type_index].room;
+        let mut soonest: Vec<(Instant, usize)> = costs
             .iter()
-            .filter_map(|(_, i)| {
-                let slot = &round.slots[*i];
-                let room = &self.fleet.types[slot.type_index].room;
-                let (at, _) = slot.avail(round.now, &spec.resources, room)?;
-                Some((at, *i))
+            .filter_map(|member| {
+                let slot = &round.slots[member.slot];
+                let available = slot.availability(round.now, &spec.resources, room_of(slot))?;
+                Some((available.at, member.slot))
             })
             .collect();
-        soon.sort();
+        soonest.sort();
         let mut missing = spec.task_count as usize;
-        for (_, i) in soon {
+        for (_, slot_index) in soonest {
             if missing == 0 {
                 break;
             }
-            let slot = &mut round.slots[i];
-            let room = &self.fleet.types[slot.type_index].room;
-            missing = missing.saturating_sub(spec.resources.count_in(room));
+            let slot = &mut round.slots[slot_index];
+            missing = missing.saturating_sub(spec.resources.count_in(room_of(slot)));
             slot.free = Resources::default();
         }
     }
@@ -158,7 +177,8 @@
     })
 }
 
-/// A slot for each member, cheapest first, if there is room for all of them.
+/// A slot for each member, cheapest first, if there is room for all of them. `only`: the one zone to
+/// look at.
 fn members_in(
     spec: &JobSpec,
     slots: &[Slot<'_>],
@@ -166,27 +186,30 @@
     only: Option<&Zone>,
 ) -> Option<Members> {
     let wanted = spec.task_count as usize;
-    let half = spec.task_count.div_ceil(2) as usize;
+    let max_per_zone = spec.task_count.div_ceil(2) as usize;
     let mut members = Members {
         slowest: Duration::ZERO,
         slots: Vec::new(),
     };
-    let mut per_zone: HashMap<&Zone, usize> = HashMap::new();
-    for (cost, i) in costs {
-        let slot = &slots[*i];
-        if only.is_some_and(|zone| zone != &slot.machine.zone) {
+    let mut count_by_zone: HashMap<&Zone, usize> = HashMap::new();
+    for member in costs {
+        let slot = &slots[member.slot];
+        let zone = &slot.machine.zone;
+        if only.is_some_and(|only| only != zone) {
             continue;
         }
         let missing = wanted - members.slots.len();
-        let mut n = spec.resources.count_in(&slot.free).min(missing);
+        let mut count = spec.resources.count_in(&slot.free).min(missing);
         if spec.spread {
-            let there = per_zone.entry(&slot.machine.zone).or_default();
-            n = n.min(half.saturating_sub(*there));
-            *there += n;
+            let in_zone = count_by_zone.entry(zone).or_default();
+            count = count.min(max_per_zone.saturating_sub(*in_zone));
+            *in_zone += count;
         }
-        if n > 0 {
-            members.slowest = members.slowest.max(*cost);
-            members.slots.extend(std::iter::repeat_n(*i, n));
+        if count > 0 {
+            members.slowest = members.slowest.max(member.cost);
+            members
+                .slots
+                .extend(std::iter::repeat_n(member.slot, count));
         }
         if members.slots.len() == wanted {
             return Some(members);
--- /dev/null
+++ b/src/core/placement/preemption/for_room.rs
@@ -0,0 +1,304 @@
+//! Preemption that frees room on machines: victims have a lower priority than the claimant, or borrow
+//! beyond their team's guarantee while the claimant's team lacks its own.
+
+use crate::core::model::{JobKind, JobSpec, Priority, Resources, TaskId, TeamName};
+use crate::core::placement::preemption::{
+    Preemption, PreemptionInput, PreemptionReason, MAX_PREEMPTIONS_PER_ROUND, MIN_PREEMPTION_WAIT,
+};
+use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
+use crate::core::placement::slots::Slot;
+use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::placement::WaitingTasks;
+use crate::core::state::cluster_state::{ClusterState, Job};
+use std::cmp::{Ordering, Reverse};
+use std::collections::{BinaryHeap, HashMap, HashSet};
+use std::time::Duration;
+
+/// The part of a promised start that a task may be expected to wait before others are stopped.
+const START_SLO_SHARE: f64 = 0.25;
+
+/// A job whose tasks wait for too long, so that others may be stopped for them.
+struct Claimant<'a> {
+    job: &'a Job,
+    /// How many of its tasks wait for too long.
+    tasks: usize,
+    /// In how long the first of them is expected to be done if nothing is stopped for it.
+    earliest_end: Option<Duration>,
+    within_guarantee: bool,
+}
+
+/// A running task that might be stopped.
+struct Victim<'a> {
+    task: &'a TaskId,
+    job: &'a Job,
+    within_guarantee: bool,
+    /// In seconds of the machine, by the share of it that the task takes.
+    cost: f64,
+}
+
+/// Victims on one slot whose end makes room for one task.
+struct VictimSet {
+    cost: f64,
+    slot: usize,
+    /// By their index among the slot's victims.
+    victims: Vec<usize>,
+}
+
+impl Ord for VictimSet {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.cost
+            .total_cmp(&other.cost)
+            .then(self.slot.cmp(&other.slot))
+    }
+}
+
+impl PartialOrd for VictimSet {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Eq for VictimSet {}
+impl PartialEq for VictimSet {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
+    }
+}
+
+/// What has been decided so far, and what follows from it.
+struct Selection<'a> {
+    /// Running tasks by slot, the cheapest to stop first.
+    victims: Vec<Vec<Victim<'a>>>,
+    /// Victims that are stopped, by slot.
+    taken: Vec<HashSet<usize>>,
+    /// Free room by slot once the victims are gone and their claimants are there.
+    free: Vec<Resources>,
+    /// What each team uses without the victims.
+    team_usage: HashMap<TeamName, Resources>,
+    preemptions: Vec<Preemption>,
+}
+
+impl Selection<'_> {
+    fn is_full(&self) -> bool {
+        self.preemptions.len() >= MAX_PREEMPTIONS_PER_ROUND
+    }
+
+    /// Stops these victims, and gives their room to a task of the claimant.
+    fn take(&mut self, chosen: VictimSet, claimant: &Claimant<'_>) {
+        let slot = chosen.slot;
+        for index in chosen.victims {
+            let victim = &self.victims[slot][index];
+            let resources = &victim.job.spec.resources;
+            self.free[slot].add(resources);
+            if let Some(usage) = self.team_usage.get_mut(&victim.job.spec.team) {
+                usage.sub(resources);
+            }
+            self.taken[slot].insert(index);
+            self.preemptions.push(Preemption {
+                task: victim.task.clone(),
+                reason: PreemptionReason::Room,
+            });
+        }
+        self.free[slot].sub(&claimant.job.spec.resources);
+    }
+}
+
+impl ClusterState {
+    /// Which tasks to stop so that waiting ones find room.
+    pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
+        let mut claimants = input
+            .waiting
+            .chunk_by(|a, b| a.job_id == b.job_id)
+            .filter_map(|waiting| self.claimant(waiting, input))
+            .peekable();
+        if claimants.peek().is_none() {
+            return Vec::new();
+        }
+        let mut selection = Selection {
+            victims: self.victims_by_slot(input),
+            taken: vec![HashSet::new(); input.slots.len()],
+            free: input.slots.iter().map(|slot| slot.free).collect(),
+            team_usage: self.quota_usage.by_team(),
+            preemptions: Vec::new(),
+        };
+        while !selection.is_full() {
+            let Some(claimant) = claimants.next() else {
+                break;
+            };
+            self.preempt_for(&claimant, input, &mut selection);
+        }
+        selection.preemptions
+    }
+
+    /// The claim of a job's waiting tasks, if others may be stopped for them.
+    fn claimant<'a>(
+        &'a self,
+        waiting: &[WaitingTasks],
+        input: &PreemptionInput<'_>,
+    ) -> Option<Claimant<'a>> {
+        let job = self.jobs.get(&waiting.first()?.job_id)?;
+        let spec = &job.spec;
+        let within_guarantee = input.jobs_within_guarantee.contains(&spec.job_id);
+        let may_preempt = within_guarantee || spec.priority > Priority::Standard;
+        if spec.kind == JobKind::Gang || !may_preempt {
+            return None;
+        }
+        let max_wait = self.max_wait_before_preemption(spec);
+        let overdue: Vec<&WaitingTasks> = waiting
+            .iter()
+            .filter(|w| w.expected_wait.is_none_or(|wait| wait > max_wait))
+            .collect();
+        let tasks = overdue.iter().map(|w| w.count).sum();
+        let earliest_end = overdue
+            .iter()
+            .filter_map(|w| Some(w.expected_wait? + w.expected_run))
+            .min();
+        (tasks > 0).then_some(Claimant {
+            job,
+            tasks,
+            earliest_end,
+            within_guarantee,
+        })
+    }
+
+    /// How long a task may be expected to wait before others are stopped for it: a part of what its
+    /// class's users were promised, less where nothing is promised.
+    fn max_wait_before_preemption(&self, spec: &JobSpec) -> Duration {
+        let promised = self.start_slos(spec).filter_map(|slo| slo.within).min();
+        promised.map_or(MIN_PREEMPTION_WAIT, |within| {
+            within.mul_f64(START_SLO_SHARE).max(MIN_PREEMPTION_WAIT)
+        })
+    }
+
+    /// Running tasks that may be stopped, by slot, the cheapest first.
+    fn victims_by_slot<'a>(&'a self, input: &PreemptionInput<'a>) -> Vec<Vec<Victim<'a>>> {
+        let mut victims_by_slot = Vec::with_capacity(input.slots.len());
+        for slot in input.slots {
+            let mut victims: Vec<Victim<'a>> = Vec::new();
+            if slot.ready_at.is_none() {
+                let tasks = slot.machine.placed.keys();
+                victims.extend(tasks.filter_map(|task| self.victim(task, slot, input)));
+            }
+            victims.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.task.cmp(b.task)));
+            victims_by_slot.push(victims);
+        }
+        victims_by_slot
+    }
+
+    fn victim<'a>(
+        &'a self,
+        task: &'a TaskId,
+        slot: &Slot<'a>,
+        input: &PreemptionInput<'a>,
+    ) -> Option<Victim<'a>> {
+        let job = self.jobs.get(&task.job_id)?;
+        let attempt = job.active.get(&task.index)?;
+        if attempt.kill.is_some() || job.spec.kind == JobKind::Gang {
+            return None;
+        }
+        let guaranteed = input.jobs_within_guarantee;
+        let cost = self.cost_of_preempting(input.now, job, task.index, attempt, guaranteed)?;
+        let room = &self.fleet.types[slot.type_index].room;
+        Some(Victim {
+            task,
+            job,
+            within_guarantee: guaranteed.contains(&task.job_id),
+            cost: cost * job.spec.resources.share_of(room),
+        })
+    }
+
+    /// Stops the cheapest victims for as many of the claimant's tasks as wait for too long.
+    fn preempt_for(
+        &self,
+        claimant: &Claimant<'_>,
+        input: &PreemptionInput<'_>,
+        selection: &mut Selection<'_>,
+    ) {
+        let job = claimant.job;
+        let zones = ZoneUse::of(job, &self.zone_of());
+        let mut cheapest: BinaryHeap<Reverse<VictimSet>> = (0..input.slots.len())
+            .filter(|i| {
+                let slot = &input.slots[*i];
+                slot.ready_at.is_none() && self.may_use_slot(job, slot, &zones)
+            })
+            .filter_map(|i| self.victims_on(i, claimant, input, selection))
+            .map(Reverse)
+            .collect();
+        for _ in 0..claimant.tasks {
+            if selection.is_full() {
+                break;
+            }
+            let Some(Reverse(chosen)) = cheapest.pop() else {
+                break;
+            };
+            let slot = chosen.slot;
+            selection.take(chosen, claimant);
+            let next = self.victims_on(slot, claimant, input, selection);
+            cheapest.extend(next.map(Reverse));
+        }
+    }
+
+    /// Who would have to be stopped on a slot for one task of the claimant. None: there is no way to
+    /// make room there, or the task would not be done any sooner.
+    fn victims_on(
+        &self,
+        slot_index: usize,
+        claimant: &Claimant<'_>,
+        input: &PreemptionInput<'_>,
+        selection: &Selection<'_>,
+    ) -> Option<VictimSet> {
+        let spec = &claimant.job.spec;
+        let slot = &input.slots[slot_index];
+        let machine_type = &self.fleet.types[slot.type_index];
+        let fetch_rate = input.fetch_rates[slot.type_index];
+        let fetch = slot.fetch_delay(input.now, fetch_rate, claimant.job);
+        let run_time = self.history.run_time(spec, &machine_type.name);
+        // Only where the claimant would then go: if the machine that it waits for stays the better one,
+        // others fill the room, and are stopped again in the next round.
+        let end =
+            fetch + run_time.mul_f64(slot.slowdown) + Duration::from_secs_f64(SCORE_RESOLUTION_S);
+        if claimant
+            .earliest_end
+            .is_some_and(|earliest| end > earliest + TURNAROUND)
+        {
+            return None;
+        }
+        // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
+        // lacks the image then goes before tasks that only just came.
+        let mut cost = fetch.as_secs_f64() * spec.resources.share_of(&machine_type.room);
+        let mut free = selection.free[slot_index];
+        let mut victims = Vec::new();
+        for (index, victim) in selection.victims[slot_index].iter().enumerate() {
+            if spec.resources.fits(&free) {
+                break;
+            }
+            let is_taken = selection.taken[slot_index].contains(&index);
+            if is_taken || !self.may_preempt(claimant, victim, &selection.team_usage) {
+                continue;
+            }
+            free.add(&victim.job.spec.resources);
+            cost += victim.cost;
+            victims.push(index);
+        }
+        spec.resources.fits(&free).then_some(VictimSet {
+            cost,
+            slot: slot_index,
+            victims,
+        })
+    }
+
+    /// Whether the victim has a lower priority, or borrows what the claimant's team is guaranteed.
+    fn may_preempt(
+        &self,
+        claimant: &Claimant<'_>,
+        victim: &Victim<'_>,
+        team_usage: &HashMap<TeamName, Resources>,
+    ) -> bool {
+        let (claimant_spec, victim_spec) = (&claimant.job.spec, &victim.job.spec);
+        victim_spec.priority < claimant_spec.priority
+            || claimant.within_guarantee
+                && !victim.within_guarantee
+                && victim_spec.team != claimant_spec.team
+                && self.is_beyond_guarantee(&victim_spec.team, team_usage)
+    }
+}
--- /dev/null
+++ b/src/core/placement/preemption/within_team.rs
@@ -0,0 +1,130 @@
+//! Preemption within a team: its own tasks of a lower priority are stopped where only the team's limit
+//! holds back one of its more important jobs.
+
+use crate::core::model::{JobKind, Priority, Resources, TaskId, TeamName};
+use crate::core::placement::preemption::{
+    Preemption, PreemptionInput, PreemptionReason, MAX_PREEMPTIONS_PER_ROUND,
+};
+use crate::core::state::cluster_state::{ClusterState, Job};
+use std::collections::{HashMap, HashSet};
+
+/// A running task that might be stopped for another job of its team.
+struct Victim<'a> {
+    task: TaskId,
+    job: &'a Job,
+    cost: f64,
+}
+
+/// What a team has running.
+#[derive(Default)]
+struct TeamWork<'a> {
+    /// What the team uses without what is being stopped.
+    used: Resources,
+    /// What may be stopped, the cheapest last.
+    victims: Vec<Victim<'a>>,
+}
+
+impl<'a> TeamWork<'a> {
+    /// Takes out the cheapest victim of a lower priority.
+    fn take_cheapest_below(&mut self, priority: Priority) -> Option<Victim<'a>> {
+        let index = self
+            .victims
+            .iter()
+            .rposition(|victim| victim.job.spec.priority < priority)?;
+        let victim = self.victims.remove(index);
+        self.used.sub(&victim.job.spec.resources);
+        Some(victim)
+    }
+}
+
+impl ClusterState {
+    /// Adds the tasks to stop so that limited jobs of a higher priority fit under their teams' limits.
+    pub(super) fn plan_preemptions_within_teams(
+        &self,
+        input: &PreemptionInput<'_>,
+        preemptions: &mut Vec<Preemption>,
+    ) {
+        let claimants: Vec<&Job> = input
+            .limited_jobs
+            .iter()
+            .filter_map(|id| self.jobs.get(id))
+            .filter(|job| job.spec.priority > Priority::Standard && job.spec.kind == JobKind::Batch)
+            .collect();
+        if claimants.is_empty() {
+            return;
+        }
+        let mut work_by_team = self.work_of_teams(&claimants, input, preemptions);
+        for job in claimants {
+            let spec = &job.spec;
+            let Some(team) = self.team_config(&spec.team) else {
+                continue;
+            };
+            let Some(work) = work_by_team.get_mut(&spec.team) else {
+                continue;
+            };
+            let wanted = spec.resources.times(f64::from(job.waiting_count()));
+            while !team.allows(&work.used, &wanted) && preemptions.len() < MAX_PREEMPTIONS_PER_ROUND
+            {
+                let Some(victim) = work.take_cheapest_below(spec.priority) else {
+                    break;
+                };
+                preemptions.push(Preemption {
+                    task: victim.task,
+                    reason: PreemptionReason::TeamLimit,
+                });
+            }
+            work.used.add(&wanted);
+        }
+    }
+
+    /// What the claimants' teams have running, beside what is being stopped already.
+    fn work_of_teams<'a>(
+        &'a self,
+        claimants: &[&'a Job],
+        input: &PreemptionInput<'_>,
+        preemptions: &[Preemption],
+    ) -> HashMap<&'a TeamName, TeamWork<'a>> {
+        let mut work_by_team: HashMap<&TeamName, TeamWork<'_>> = HashMap::new();
+        for claimant in claimants {
+            let team = &claimant.spec.team;
+            work_by_team.entry(team).or_insert_with(|| TeamWork {
+                used: self.quota_usage.of(team),
+                victims: Vec::new(),
+            });
+        }
+        let preempted: HashSet<&TaskId> = preemptions.iter().map(|p| &p.task).collect();
+        for job in self.jobs.values() {
+            if let Some(work) = work_by_team.get_mut(&job.spec.team) {
+                self.add_running_tasks(job, input, &preempted, work);
+            }
+        }
+        for work in work_by_team.values_mut() {
+            work.victims
+                .sort_by(|a, b| b.cost.total_cmp(&a.cost).then(b.task.cmp(&a.task)));
+        }
+        work_by_team
+    }
+
+    fn add_running_tasks<'a>(
+        &self,
+        job: &'a Job,
+        input: &PreemptionInput<'_>,
+        preempted: &HashSet<&TaskId>,
+        work: &mut TeamWork<'a>,
+    ) {
+        for (index, attempt) in &job.active {
+            let task = job.task(*index);
+            if attempt.kill.is_some() || preempted.contains(&task) {
+                work.used.sub(&job.spec.resources);
+                continue;
+            }
+            if job.spec.kind == JobKind::Gang {
+                continue;
+            }
+            let guaranteed = input.jobs_within_guarantee;
+            let cost = self.cost_of_preempting(input.now, job, *index, attempt, guaranteed);
+            work.victims
+                .extend(cost.map(|cost| Victim { task, job, cost }));
+        }
+    }
+}
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -1,9 +1,9 @@
-//! Urgency and deadlines along chains of jobs: the upward rank of HEFT.
+//! Priorities and deadlines along pipelines of jobs: the upward rank of HEFT.
 //!
-//! What is needed takes the highest urgency of its dependents, and a deadline so early that they can
-//! still be on time. Ranks are brought up to date once a round for all changes since the last one:
-//! each job above a change is looked at once, after its dependents, so that the cost is bounded by the
-//! part of the graph that the changes reach.
+//! A dependency takes the highest priority of its dependents, and a deadline so early that they can still
+//! be on time. Ranks are brought up to date once a round for all changes since the last one: each job
+//! upstream of a change is looked at once, after its dependents, so that the cost is bounded by the part
+//! of the graph that the changes reach.
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::cluster_state::ClusterState;
@@ -13,23 +13,24 @@
 
 /// What orders a job in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rank {
-    /// The more urgent goes first.
+pub struct SchedulingRank {
+    /// The higher goes first.
     pub priority: Priority,
-    /// Among the equally urgent, the earlier deadline goes first.
-    pub due: Option<Instant>,
+    /// Among jobs of one priority, the earlier goes first.
+    pub deadline: Option<Instant>,
 }
 
-impl Rank {
-    /// The more pressing of both, each by itself.
-    pub fn or(self, other: Rank) -> Rank {
-        let due = match (self.due, other.due) {
+impl SchedulingRank {
+    /// The higher priority and the earlier deadline of both.
+    #[must_use]
+    pub fn max(self, other: SchedulingRank) -> SchedulingRank {
+        let deadline = match (self.deadline, other.deadline) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        Rank {
+        SchedulingRank {
             priority: self.priority.max(other.priority),
-            due,
+            deadline,
         }
     }
 }
@@ -41,22 +42,17 @@
         if changed.is_empty() {
             return;
         }
-        let above = self.with_all_needed(changed);
+        let affected = self.with_dependencies(changed);
         let mut priority_changed = false;
-        for job_id in self.dependents_first(&above) {
+        for job_id in self.dependents_first(&affected) {
             self.jobs.priorities_computed += 1;
-            let Some(job) = self.jobs.get(&job_id) else {
+            let Some(rank) = self.inherited_rank(&job_id) else {
                 continue;
             };
-            let dependents = self.jobs.dependencies.dependents(&job_id);
-            let ranks = dependents.filter_map(|d| self.jobs.get(d));
-            let rank = ranks
-                .map(|d| self.rank_before(d))
-                .fold(job.own_rank, Rank::or);
             if let Some(job) = self.jobs.get_mut(&job_id) {
                 priority_changed |= job.spec.priority != rank.priority;
                 job.spec.priority = rank.priority;
-                job.deadline = rank.due;
+                job.deadline = rank.deadline;
             }
         }
         if priority_changed {
@@ -64,29 +60,40 @@
         }
     }
 
-    /// What a job asks of those that it needs: its urgency, and its deadline less its own run.
-    fn rank_before(&self, job: &Job) -> Rank {
+    /// A job's own rank, raised by what its dependents ask of it.
+    fn inherited_rank(&self, job_id: &JobId) -> Option<SchedulingRank> {
+        let job = self.jobs.get(job_id)?;
+        let dependents = self.jobs.dependencies.dependents(job_id);
+        let rank = dependents
+            .filter_map(|dependent| self.jobs.get(dependent))
+            .map(|dependent| self.rank_for_dependencies(dependent))
+            .fold(job.own_rank, SchedulingRank::max);
+        Some(rank)
+    }
+
+    /// What a job asks of its dependencies: its priority, and its deadline less its own run.
+    fn rank_for_dependencies(&self, job: &Job) -> SchedulingRank {
         let allowed = self
             .fleet
             .types
             .iter()
             .filter(|t| job.spec.allows_type(&t.name));
-        let est = allowed.map(|t| self.history.est(&job.spec, &t.name)).min();
-        let est = est.unwrap_or(job.spec.expected);
-        Rank {
+        let run_times = allowed.map(|t| self.history.run_time(&job.spec, &t.name));
+        let run_time = run_times.min().unwrap_or(job.spec.expected);
+        SchedulingRank {
             priority: job.spec.priority,
-            due: job.deadline.and_then(|due| due.checked_sub(est)),
+            deadline: job.deadline.and_then(|at| at.checked_sub(run_time)),
         }
     }
 
-    /// These jobs and all that they need, directly or through others.
-    fn with_all_needed(&self, of: BTreeSet<JobId>) -> BTreeSet<JobId> {
-        let mut next: Vec<JobId> = of.iter().cloned().collect();
-        let mut all = of;
-        while let Some(job_id) = next.pop() {
-            for resources in self.jobs.dependencies.dependencies(&job_id) {
-                if all.insert(resources.clone()) {
-                    next.push(resources.clone());
+    /// These jobs and all that they depend on, directly or through others.
+    fn with_dependencies(&self, jobs: BTreeSet<JobId>) -> BTreeSet<JobId> {
+        let mut pending: Vec<JobId> = jobs.iter().cloned().collect();
+        let mut all = jobs;
+        while let Some(job_id) = pending.pop() {
+            for dependency in self.jobs.dependencies.dependencies(&job_id) {
+                if all.insert(dependency.clone()) {
+                    pending.push(dependency.clone());
                 }
             }
         }
@@ -95,22 +102,26 @@
 
     /// These jobs, each after all of its dependents among them.
     fn dependents_first(&self, jobs: &BTreeSet<JobId>) -> Vec<JobId> {
-        let among = |job_id: &JobId| {
+        let dependents_among = |job_id: &JobId| {
             let dependents = self.jobs.dependencies.dependents(job_id);
             dependents.filter(|d| jobs.contains(*d)).count()
         };
-        let mut waits_for: HashMap<&JobId, usize> = jobs.iter().map(|u| (u, among(u))).collect();
-        let mut ready: Vec<&JobId> = jobs.iter().filter(|u| waits_for[u] == 0).collect();
+        let mut unordered_dependents: HashMap<&JobId, usize> =
+            jobs.iter().map(|id| (id, dependents_among(id))).collect();
+        let mut ready: Vec<&JobId> = jobs
+            .iter()
+            .filter(|id| unordered_dependents[id] == 0)
+            .collect();
         let mut order = Vec::with_capacity(jobs.len());
         while let Some(job_id) = ready.pop() {
             order.push(job_id.clone());
-            for resources in self.jobs.dependencies.dependencies(job_id) {
-                let Some(left) = waits_for.get_mut(resources) else {
+            for dependency in self.jobs.dependencies.dependencies(job_id) {
+                let Some(left) = unordered_dependents.get_mut(dependency) else {
                     continue;
                 };
                 *left -= 1;
                 if *left == 0 {
-                    ready.push(resources);
+                    ready.push(dependency);
                 }
             }
         }
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -1,155 +1,136 @@
-//! The order in which waiting jobs are looked at.
+//! The order in which a placement round looks at waiting jobs.
 
-use crate::core::model::{JobId, JobSpec, Priority, Resources, Team, TeamName};
+use crate::core::model::{JobId, JobSpec, Priority, TeamName};
 use crate::core::state::cluster_state::{ClusterState, Job};
 use std::cmp::Reverse;
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 /// A job that is overdue by this much is no longer put off for those that can be on time.
-const LATE_PATIENCE: Duration = Duration::from_secs(600);
-/// What has waited for longer than this goes before the rest of its urgency, by arrival: the
-/// exceptions that favour small and punctual work end there. Guaranteed work stays first, since it may
-/// stop borrowed work: were that placed before it, one would be stopped for the other in every round.
-const AGED: Duration = Duration::from_secs(150);
+const MAX_LATENESS_PUT_OFF: Duration = Duration::from_secs(600);
+/// What has waited for longer than this goes before the rest of its priority, by arrival: the exceptions
+/// that favour small and punctual work end there. Guaranteed work stays first, since it may stop borrowed
+/// work: were that placed before it, one would be stopped for the other in every round.
+const AGING_TIME: Duration = Duration::from_secs(150);
 
-/// A job's place in the queue: urgency, borrowed, beyond its team's fair part, not aged, late, size.
-type Place = (Reverse<Priority>, bool, bool, bool, bool, i64);
+/// A job's place in the queue, least first. The order of the fields is the order of comparison.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    priority: Reverse<Priority>,
+    /// Its team's guarantee does not cover it.
+    borrows: bool,
+    team_over_fair_share: bool,
+    has_not_aged: bool,
+    is_late: bool,
+    size: i64,
+}
+
+/// A job in the queue.
+#[derive(Clone, Copy)]
+pub(super) struct QueueEntry<'a> {
+    pub(super) job: &'a Job,
+    /// The job is starved: so many of its tasks go before all others. None: its usual place.
+    pub(super) starved_tasks: Option<u32>,
+}
 
 impl ClusterState {
-    /// The queue: by urgency, then arrival, with exceptions. A job that has long had nothing placed
-    /// goes before all others with a part of its tasks. Within an urgency, what a team's guarantee
-    /// covers goes before what is borrowed, and a team that has less than its fair part before one that
-    /// has more. What can still be on time goes before what cannot: in
-    /// arrival order alone a short overload makes every job after it late. And while jobs with
-    /// deadlines are late, the small ones go first, so that most are on time.
-    pub(in crate::core) fn queue_order(
+    /// The queue: by priority, then arrival, with exceptions. A starved job goes before all others with a
+    /// part of its tasks. Within a priority, what a team's guarantee covers goes before what is borrowed,
+    /// and a team that uses less than its fair share before one that uses more. What can still be on time
+    /// goes before what cannot: in arrival order alone a short overload makes every job after it late.
+    /// And while jobs with deadlines are late, the small ones go first, so that most are on time.
+    pub(super) fn queue(
         &self,
         now: Instant,
-        within: &HashSet<&JobId>,
-        beyond: &HashSet<&TeamName>,
-    ) -> Vec<(&JobId, Option<u32>)> {
-        let waits = |j: &&Job| {
-            // Of a suspected job, one task at a time tries.
-            let trying = j.suspected && !j.active.is_empty();
-            let due = j.backoff_until.is_none_or(|b| now >= b);
-            !j.over() && j.waiting_count() > 0 && due && !trying
-        };
+        jobs_within_guarantee: &HashSet<&JobId>,
+        teams_over_fair_share: &HashSet<&TeamName>,
+    ) -> Vec<QueueEntry<'_>> {
         let jobs: Vec<&Job> = self
             .jobs
             .scheduling_order()
             .iter()
-            .filter_map(|u| self.jobs.get(u))
-            .filter(waits)
-            .collect();
-        let late: Vec<bool> = jobs.iter().map(|j| self.is_late(now, j)).collect();
-        let overloaded: HashSet<Priority> = jobs
-            .iter()
-            .zip(&late)
-            .filter(|(j, late)| **late && j.spec.due.is_some() && !j.suspected)
-            .map(|(j, _)| j.spec.priority)
+            .filter_map(|id| self.jobs.get(id))
+            .filter(|job| may_start(now, job))
             .collect();
-        let mut order: Vec<(Place, &Job)> = jobs
-            .iter()
-            .zip(late)
-            .map(|(j, late)| {
-                let size = if overloaded.contains(&j.spec.priority) {
-                    self.size_step(&j.spec)
-                } else {
-                    0
-                };
-                let borrowed = !within.contains(&j.spec.job_id);
-                let priority = Reverse(j.spec.priority);
-                let beyond = beyond.contains(&j.spec.team);
-                if now.saturating_duration_since(j.arrived) > AGED {
-                    return ((priority, borrowed, beyond, false, false, 0), *j);
-                }
-                ((priority, borrowed, beyond, true, late, size), *j)
-            })
-            .collect();
-        order.sort_by_key(|o| o.0);
-        let mut starved: Vec<&Job> = jobs.iter().filter(|j| j.turn > 0).copied().collect();
-        starved.sort_by_key(|j| j.arrived);
-        let first = starved.into_iter().map(|j| (&j.spec.job_id, Some(j.turn)));
-        first
-            .chain(order.into_iter().map(|(_, j)| (&j.spec.job_id, None)))
-            .collect()
+        let late: Vec<bool> = jobs.iter().map(|job| self.is_late(now, job)).collect();
+        let overloaded = overloaded_priorities(&jobs, &late);
+        let mut order: Vec<(QueueKey, &Job)> = Vec::with_capacity(jobs.len());
+        for (job, is_late) in jobs.iter().zip(late) {
+            let spec = &job.spec;
+            let has_aged = now.saturating_duration_since(job.arrived) > AGING_TIME;
+            let by_size = !has_aged && overloaded.contains(&spec.priority);
+            let key = QueueKey {
+                priority: Reverse(spec.priority),
+                borrows: !jobs_within_guarantee.contains(&spec.job_id),
+                team_over_fair_share: teams_over_fair_share.contains(&spec.team),
+                has_not_aged: !has_aged,
+                is_late: !has_aged && is_late,
+                size: if by_size { self.size_step(spec) } else { 0 },
+            };
+            order.push((key, job));
+        }
+        order.sort_by_key(|(key, _)| *key);
+        let usual = order.into_iter().map(|(_, job)| QueueEntry {
+            job,
+            starved_tasks: None,
+        });
+        starved_first(&jobs).chain(usual).collect()
     }
 
     /// A job's whole work, in doublings.
-    pub(in crate::core) fn size_step(&self, spec: &JobSpec) -> i64 {
-        let ests = self
-            .fleet
-            .types
-            .iter()
-            .map(|t| self.history.est(spec, &t.name));
-        let est = ests.min().unwrap_or(spec.expected).as_secs_f64();
-        let work = est * f64::from(spec.task_count) * spec.resources.cpus.max(spec.resources.gpus);
+    fn size_step(&self, spec: &JobSpec) -> i64 {
+        let types = self.fleet.types.iter();
+        let run_times = types.map(|t| self.history.run_time(spec, &t.name));
+        let run_time = run_times.min().unwrap_or(spec.expected).as_secs_f64();
+        let width = spec.resources.cpus.max(spec.resources.gpus);
+        let work = run_time * f64::from(spec.task_count) * width;
         work.max(1.0).log2() as i64
     }
 
-    /// Whether a job will miss its time even if it starts now. One that is overdue by far is no
-    /// longer put off.
-    pub(in crate::core) fn is_late(&self, now: Instant, job: &Job) -> bool {
-        let best = self
+    /// Whether a job will miss its time even if it starts now. One that is overdue by far is no longer
+    /// put off.
+    fn is_late(&self, now: Instant, job: &Job) -> bool {
+        let allowed = self
             .fleet
             .types
             .iter()
             .filter(|t| job.spec.allows_type(&t.name));
-        let Some(est) = best.map(|t| self.history.est(&job.spec, &t.name)).min() else {
+        let run_times = allowed.map(|t| self.history.run_time(&job.spec, &t.name));
+        let Some(run_time) = run_times.min() else {
             return false;
         };
-        let Some(due) = self.promised_finish(job) else {
+        let Some(promised) = self.promised_finish(job) else {
             return false;
         };
         let age = now.saturating_duration_since(job.arrived);
-        age + est > due && age < due + LATE_PATIENCE
+        age + run_time > promised && age < promised + MAX_LATENESS_PUT_OFF
     }
+}
 
-    /// Teams without a guarantee that use more than an even part of what is in use, while others have
-    /// work: one huge job or a flood of small ones would otherwise take all room for as long as it lasts.
-    pub(in crate::core) fn beyond_fair_part(&self) -> HashSet<&TeamName> {
-        let mut used: HashMap<&TeamName, Resources> = HashMap::new();
-        for j in self
-            .jobs
-            .values()
-            .filter(|j| !j.over() && !j.suspected && !j.blocked)
-        {
-            let team = &j.spec.team;
-            let of_team = || self.recent_usage.of(team);
-            used.entry(team).or_insert_with(of_team);
-        }
-        let mut all = Resources::default();
-        for n in used.values() {
-            all.add(n);
-        }
-        let part = 1.0 / used.len().max(1) as f64;
-        let guaranteed = |t: &Team| t.cpus.or(t.gpus).is_some();
-        let team = |name: &TeamName| self.config.teams.iter().find(|t| &t.name == name);
-        let more = |n: &Resources| n.cpus > all.cpus * part || n.gpus > all.gpus * part;
-        let free = used
-            .into_iter()
-            .filter(|(name, _)| !team(name).is_some_and(guaranteed));
-        free.filter(|(_, n)| more(n))
-            .map(|(name, _)| name)
-            .collect()
-    }
+/// Whether a round may start tasks of this job.
+fn may_start(now: Instant, job: &Job) -> bool {
+    // Of a suspected job, one task at a time tries.
+    let is_trying = job.suspected && !job.active.is_empty();
+    let backoff_is_over = job.backoff_until.is_none_or(|until| now >= until);
+    !job.over() && job.waiting_count() > 0 && backoff_is_over && !is_trying
+}
 
-    /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
-    pub(in crate::core) fn within_guarantee(&self) -> HashSet<&JobId> {
-        let counts = |j: &&Job| !j.over() && !j.suspected && !j.blocked;
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(counts).collect();
-        jobs.sort_by_key(|j| j.revision);
-        let mut sums: HashMap<&TeamName, Resources> = HashMap::new();
-        let mut within = HashSet::new();
-        for j in jobs {
-            let sum = sums.entry(&j.spec.team).or_default();
-            sum.add(&j.spec.resources.times(f64::from(j.spec.task_count)));
-            let team = self.config.teams.iter().find(|t| t.name == j.spec.team);
-            if team.is_some_and(|t| t.guarantees(sum)) {
-                within.insert(&j.spec.job_id);
-            }
-        }
-        within
-    }
+/// Priorities in which jobs with deadlines are late.
+fn overloaded_priorities(jobs: &[&Job], late: &[bool]) -> HashSet<Priority> {
+    jobs.iter()
+        .zip(late)
+        .filter(|(job, late)| **late && job.spec.due.is_some() && !job.suspected)
+        .map(|(job, _)| job.spec.priority)
+        .collect()
+}
+
+/// Starved jobs by arrival, with the tasks that go before all others.
+fn starved_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
+    let starved = jobs.iter().copied().filter(|job| job.turn > 0);
+    let mut starved: Vec<&Job> = starved.collect();
+    starved.sort_by_key(|job| job.arrived);
+    starved.into_iter().map(|job| QueueEntry {
+        job,
+        starved_tasks: Some(job.turn),
+    })
 }
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -1,185 +1,230 @@
-//! Machines as a placement round sees them: room, expected ends, images.
+//! Machines as a placement round sees them: free room, when more is expected, images.
 
-use crate::core::model::{ImageKey, Resources};
-use crate::core::placement::history::fetch_at;
-use crate::core::state::cluster_state::{ClusterState, Job, Machine};
+use crate::core::model::{ImageKey, MachineType, Resources};
+use crate::core::placement::history::fetch_time_at;
+use crate::core::placement::prices::{price_per_cpu, price_step};
+use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job, Machine};
 use std::time::{Duration, Instant};
 
-/// A machine as the round sees it, with this round's starts and bookings on top.
-pub(in crate::core) struct Slot<'a> {
-    pub(in crate::core) machine: &'a Machine,
-    pub(in crate::core) type_index: usize,
-    /// Room free now; for a machine that is still booting, its whole room later.
-    pub(in crate::core) free: Resources,
-    /// Room once bookings are taken off; may be negative.
-    pub(in crate::core) later: Resources,
-    pub(in crate::core) releases: Vec<(Instant, Resources)>,
-    pub(in crate::core) up_at: Option<Instant>,
-    pub(in crate::core) speed: f64,
-    pub(in crate::core) price: f64,
-    /// Images under way here, this round's included, and their size together.
-    pub(in crate::core) fetch_gb: f64,
-    pub(in crate::core) started_images: Vec<ImageKey>,
-    pub(in crate::core) booked_images: Vec<ImageKey>,
-    /// A task waits here for room to come free; teams beyond their fair part do not fill it up.
-    pub(in crate::core) claimed: bool,
+/// A machine that missed its heartbeats for so many intervals gets no tasks.
+const MAX_HEARTBEAT_AGE: f64 = 2.5;
+/// A machine that is booting is never expected up sooner than this.
+const MIN_BOOT_REMAINING: Duration = Duration::from_secs(1);
+/// Past its estimate, a task is taken to need as much again as this part of its run so far.
+const OVERRUN_SHARE: f64 = 0.1;
+
+/// Room that is expected to come free.
+#[derive(Clone, Copy, Debug)]
+struct ExpectedRelease {
+    at: Instant,
+    resources: Resources,
 }
 
-/// Prices a half apart or nearer count as equal: spot prices move by a third.
-fn price_step(price: f64) -> f64 {
-    if price > 0.0 {
-        (price.ln() / 1.5f64.ln()).round()
-    } else {
-        f64::NEG_INFINITY
-    }
+/// When a slot has room for a task.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Availability {
+    pub(super) at: Instant,
+    pub(super) free_now: bool,
+}
+
+/// A machine with the starts and reservations of the round on top.
+pub(in crate::core) struct Slot<'a> {
+    pub(super) machine: &'a Machine,
+    /// The index of its type in the fleet.
+    pub(super) type_index: usize,
+    /// Room free now; for a machine that is still booting, its whole room later.
+    pub(super) free: Resources,
+    /// Room once reservations are taken off; may be negative.
+    pub(super) free_unreserved: Resources,
+    /// In order of time.
+    releases: Vec<ExpectedRelease>,
+    /// When the machine will have booted. None: it is up.
+    pub(super) ready_at: Option<Instant>,
+    /// How much longer tasks run here than on other machines of the type.
+    pub(super) slowdown: f64,
+    /// The price by the CPU, in steps within which prices count as equal.
+    pub(super) price_step: f64,
+    /// The size of all images that are being fetched here, this round's included.
+    pending_fetch_gb: f64,
+    /// Images whose fetch starts with a task of this round.
+    started_images: Vec<ImageKey>,
+    /// Images that tasks with reservations will bring.
+    pub(super) reserved_images: Vec<ImageKey>,
+    /// A task waits here for room to come free; teams over their fair share do not fill it up.
+    pub(super) has_reservation: bool,
 }
 
 impl Slot<'_> {
-    /// Avail: now if room fits, else when booked tasks free enough.
-    pub(in crate::core) fn avail(
+    /// When the slot has room: now if the task fits, else once reserved tasks free enough.
+    pub(super) fn availability(
         &self,
         now: Instant,
         resources: &Resources,
         room: &Resources,
-    ) -> Option<(Instant, bool)> {
+    ) -> Option<Availability> {
         if !resources.fits(room) {
             return None;
         }
-        if self.up_at.is_none() && resources.fits(&self.free) {
-            return Some((now, true));
+        if self.ready_at.is_none() && resources.fits(&self.free) {
+            let (at, free_now) = (now, true);
+            return Some(Availability { at, free_now });
         }
-        let mut at = self.up_at.unwrap_or(now);
-        let mut free = self.later;
+        let free_now = false;
+        let mut at = self.ready_at.unwrap_or(now);
+        let mut free = self.free_unreserved;
         if resources.fits(&free) {
-            return Some((at, false));
+            return Some(Availability { at, free_now });
         }
-        for (t, n) in &self.releases {
-            free.add(n);
-            at = at.max(*t);
+        for release in &self.releases {
+            free.add(&release.resources);
+            at = at.max(release.at);
             if resources.fits(&free) {
-                return Some((at, false));
+                return Some(Availability { at, free_now });
             }
         }
         None
     }
 
-    pub(in crate::core) fn book(&mut self, at: Instant, est: Duration, resources: &Resources) {
-        self.later.sub(resources);
-        let end = at + est;
-        let i = self.releases.partition_point(|(t, _)| *t <= end);
-        self.releases.insert(i, (end, *resources));
+    /// A task takes room from `start` on for so long.
+    pub(super) fn reserve(&mut self, start: Instant, occupancy: Duration, resources: &Resources) {
+        self.free_unreserved.sub(resources);
+        let release = ExpectedRelease {
+            at: start + occupancy,
+            resources: *resources,
+        };
+        let index = self.releases.partition_point(|r| r.at <= release.at);
+        self.releases.insert(index, release);
     }
 
-    /// The penalty: zero where the image is cached, else its fetch behind those queued.
-    pub(in crate::core) fn penalty(&self, now: Instant, rate: f64, job: &Job) -> Duration {
+    /// How long a task waits for its image: not at all where it is cached, else for its fetch behind
+    /// those that are pending.
+    pub(super) fn fetch_delay(&self, now: Instant, fetch_rate: f64, job: &Job) -> Duration {
+        let image = job.image;
         if job.spec.image_gb <= 0.0
-            || self.machine.has_image(job.image)
-            || self.booked_images.contains(&job.image)
+            || self.machine.has_image(image)
+            || self.reserved_images.contains(&image)
         {
             return Duration::ZERO;
         }
-        if let Some((since, _)) = self.machine.fetching.get(&job.image) {
-            let whole = fetch_at(rate, self.fetch_gb);
-            return whole.saturating_sub(now.saturating_duration_since(*since));
+        let pending_fetch = || fetch_time_at(fetch_rate, self.pending_fetch_gb);
+        if let Some((since, _)) = self.machine.fetching.get(&image) {
+            return pending_fetch().saturating_sub(now.saturating_duration_since(*since));
         }
-        if self.started_images.contains(&job.image) {
-            return fetch_at(rate, self.fetch_gb);
+        if self.started_images.contains(&image) {
+            return pending_fetch();
         }
-        fetch_at(rate, self.fetch_gb + job.spec.image_gb)
+        fetch_time_at(fetch_rate, self.pending_fetch_gb + job.spec.image_gb)
     }
 
-    pub(in crate::core) fn started(&mut self, job: &Job) {
+    /// A task of this job starts here, and with it the fetch of its image if that is missing.
+    pub(super) fn add_fetch(&mut self, job: &Job) {
         if !self.machine.has_image(job.image)
             && !self.machine.fetching.contains_key(&job.image)
             && !self.started_images.contains(&job.image)
         {
             self.started_images.push(job.image);
-            self.fetch_gb += job.spec.image_gb;
+            self.pending_fetch_gb += job.spec.image_gb;
         }
     }
 }
 
 impl ClusterState {
+    /// All machines that are up or booting, with what runs there and when it should end.
+    pub(super) fn slots(&self, now: Instant, fetch_rates: &[f64]) -> Vec<Slot<'_>> {
+        let machines = self.fleet.machines.values();
+        let mut slots = Vec::with_capacity(machines.len());
+        slots.extend(machines.filter_map(|machine| self.slot(now, machine, fetch_rates)));
+        slots
+    }
+
+    /// None: the machine gets no tasks now.
+    fn slot<'a>(
+        &'a self,
+        now: Instant,
+        machine: &'a Machine,
+        fetch_rates: &[f64],
+    ) -> Option<Slot<'a>> {
+        let types = &self.fleet.types;
+        let type_index = types.iter().position(|t| t.name == machine.machine_type)?;
+        let machine_type = &types[type_index];
+        let ready_at = match machine.booting {
+            Some(since) if !machine.returning => Some(self.expected_up(now, since, machine_type)),
+            _ if self.accepts_tasks(now, machine) => None,
+            _ => return None,
+        };
+        let mut free = machine_type.room;
+        free.sub(&machine.used);
+        free.sub(&machine.foreign);
+        let pending_fetch_gb = machine.fetching.values().map(|(_, gb)| gb).sum();
+        let pending_fetch = fetch_time_at(fetch_rates[type_index], pending_fetch_gb);
+        Some(Slot {
+            machine,
+            type_index,
+            free,
+            free_unreserved: free,
+            releases: self.expected_releases(now, machine, pending_fetch),
+            ready_at,
+            slowdown: machine.speed(),
+            price_step: price_step(price_per_cpu(machine_type, machine.spot)),
+            pending_fetch_gb,
+            started_images: Vec::new(),
+            reserved_images: Vec::new(),
+            has_reservation: false,
+        })
+    }
+
     /// Whether a machine may be given tasks now.
-    pub(in crate::core) fn usable(&self, now: Instant, h: &Machine) -> bool {
-        let fresh =
-            now.saturating_duration_since(h.last_heartbeat) <= self.config.heartbeat.mul_f64(2.5);
-        h.reported
-            && fresh
-            && h.is_reachable()
-            && !self.takeover.holds_machine(&h.id)
-            && !h.returning
-            && !h.quarantined
-            && !h.draining
-            && h.eviction.is_none()
-            && h.avoid_until.is_none_or(|t| t <= now)
+    fn accepts_tasks(&self, now: Instant, machine: &Machine) -> bool {
+        let max_age = self.config.heartbeat.mul_f64(MAX_HEARTBEAT_AGE);
+        machine.reported
+            && now.saturating_duration_since(machine.last_heartbeat) <= max_age
+            && machine.is_reachable()
+            && !self.takeover.holds_machine(&machine.id)
+            && !machine.returning
+            && !machine.quarantined
+            && !machine.draining
+            && machine.eviction.is_none()
+            && machine.avoid_until.is_none_or(|until| until <= now)
     }
 
-    /// All machines that are up or coming up, with what runs there and when it should end.
-    pub(in crate::core) fn slots(&self, now: Instant, rates: &[f64]) -> Vec<Slot<'_>> {
-        let mut slots = Vec::with_capacity(self.fleet.machines.len());
-        for h in self.fleet.machines.values() {
-            let Some(ti) = self
-                .fleet
-                .types
-                .iter()
-                .position(|t| t.name == h.machine_type)
-            else {
-                continue;
-            };
-            let t = &self.fleet.types[ti];
-            let up_at = match h.booting {
-                Some(since) if !h.returning => {
-                    Some((since + self.capacity.boot_time(t)).max(now + Duration::from_secs(1)))
-                }
-                _ if self.usable(now, h) => None,
-                _ => continue,
-            };
-            let mut free = t.room;
-            free.sub(&h.used);
-            free.sub(&h.foreign);
-            let fetch_gb: f64 = h.fetching.values().map(|f| f.1).sum();
-            let mut releases = Vec::with_capacity(h.placed.len() + 2);
-            for task in h.placed.keys() {
-                let Some(job) = self.jobs.get(&task.job_id) else {
-                    continue;
-                };
-                let Some(a) = job.active.get(&task.index) else {
-                    continue;
-                };
-                let rest = match (a.running_since, &a.kill) {
-                    (_, Some(k)) => (k.since + k.grace_period).saturating_duration_since(now),
-                    (Some(s), None) => {
-                        let ran = now.saturating_duration_since(s);
-                        // Past its estimate, a task is taken to need as much again as a tenth.
-                        a.est.saturating_sub(ran).max(ran.mul_f64(0.1))
-                    }
-                    (None, None) => {
-                        let fetch = h.fetching.get(&job.image).map(|(since, _)| {
-                            fetch_at(rates[ti], fetch_gb)
-                                .saturating_sub(now.saturating_duration_since(*since))
-                        });
-                        a.est + fetch.unwrap_or_default()
-                    }
-                };
-                releases.push((now + rest, job.spec.resources));
-            }
-            releases.sort_by_key(|r| r.0);
-            slots.push(Slot {
-                machine: h,
-                type_index: ti,
-                free,
-                later: free,
-                releases,
-                up_at,
-                speed: h.speed(),
-                price: price_step(t.price(h.spot) / t.room.cpus.max(1.0)),
-                fetch_gb,
-                started_images: Vec::new(),
-                booked_images: Vec::new(),
-                claimed: false,
+    fn expected_up(&self, now: Instant, since: Instant, machine_type: &MachineType) -> Instant {
+        let up = since + self.capacity.boot_time(machine_type);
+        up.max(now + MIN_BOOT_REMAINING)
+    }
+
+    /// When the tasks on a machine should end, in order of time.
+    fn expected_releases(
+        &self,
+        now: Instant,
+        machine: &Machine,
+        pending_fetch: Duration,
+    ) -> Vec<ExpectedRelease> {
+        let mut releases = Vec::with_capacity(machine.placed.len() + 2);
+        releases.extend(machine.placed.keys().filter_map(|task| {
+            let job = self.jobs.get(&task.job_id)?;
+            let attempt = job.active.get(&task.index)?;
+            let fetch = machine.fetching.get(&job.image).map(|(since, _)| {
+                pending_fetch.saturating_sub(now.saturating_duration_since(*since))
             });
+            Some(ExpectedRelease {
+                at: now + expected_remaining(now, attempt, fetch.unwrap_or_default()),
+                resources: job.spec.resources,
+            })
+        }));
+        releases.sort_by_key(|release| release.at);
+        releases
+    }
+}
+
+/// How long an attempt still takes its room. `fetch`: until its image is there.
+fn expected_remaining(now: Instant, attempt: &ActiveAttempt, fetch: Duration) -> Duration {
+    match (attempt.running_since, &attempt.kill) {
+        (_, Some(kill)) => (kill.since + kill.grace_period).saturating_duration_since(now),
+        (Some(since), None) => {
+            let ran = now.saturating_duration_since(since);
+            let overrun = ran.mul_f64(OVERRUN_SHARE);
+            attempt.est.saturating_sub(ran).max(overrun)
         }
-        slots
+        (None, None) => attempt.est + fetch,
     }
 }
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -1,99 +1,102 @@
-//! How many tasks may start a second: as many as the controllers' processors can follow.
+//! Limits how many tasks start a second to what the controllers' processors can follow.
 //!
-//! Each start costs reports, commands and changes on every node. With a huge job of short tasks on some
-//! thousand machines, the nodes fall behind: reports are answered late, leases run out, users are not
-//! answered. The signal is how late the nodes' own timers fire; while they are late, ordinary work starts
-//! at a falling rate, and at a rising one afterwards, until it is bounded no more.
+//! Each start costs heartbeats, commands and writes on every node. With a huge job of short tasks on some
+//! thousand machines, the nodes fall behind: heartbeats are answered late, leases expire, users get no
+//! answer. The signal is how late the nodes' own timers fire. While they are late, the rate of starts of
+//! ordinary work falls; afterwards it rises until it is no longer limited.
 
 use std::time::{Duration, Instant};
 
-/// Timers that fire later than this, on average, show that a node cannot keep up: a worker's report
+/// Timers that fire later than this, on average, show that a node cannot keep up: a worker's heartbeat
 /// would take several such delays there and back, and waits 4 s.
-const LATE: Duration = Duration::from_millis(350);
-/// Below this it keeps up well.
-const TIMELY: Duration = Duration::from_millis(150);
-/// By which part the rate falls and rises in a second.
-const FALL: f64 = 0.25;
-const RISE: f64 = 0.15;
-/// However late the timers are: the cause may lie elsewhere.
-const LEAST: f64 = 20.0;
-/// Unused starts are kept for this long.
-const KEPT: f64 = 1.0;
-/// Over how long the starts a second are averaged.
-const OF_LATE: f64 = 3.0;
+const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
+/// Below this a node keeps up well.
+const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
+/// By which part the limit falls and rises in a second.
+const RATE_DECREASE_PER_S: f64 = 0.25;
+const RATE_INCREASE_PER_S: f64 = 0.15;
+/// The limit never falls below this: the cause of late timers may lie elsewhere.
+const MIN_STARTS_PER_S: f64 = 20.0;
+/// Starts that were not used are kept for this long.
+const MAX_BURST_S: f64 = 1.0;
+/// The time constant of the average of recent starts.
+const AVERAGING_TIME_S: f64 = 3.0;
 
-/// Limits the starts a second while nodes cannot keep up.
+/// A token bucket for the starts of ordinary work, whose rate follows the lag of the nodes' timers.
 #[derive(Debug)]
 pub struct StartLimiter {
-    /// Starts a second; infinite: as many as there are.
-    rate: f64,
-    /// Starts left now.
+    /// The limit; infinite: there is none.
+    starts_per_s: f64,
+    /// Starts that are left. Negative: high-priority work took more than there were.
     tokens: f64,
-    /// What was started a second of late.
-    of_late: f64,
-    since_round: usize,
-    last_round: Option<Instant>,
-    last_word: Option<Instant>,
+    /// The average of starts a second.
+    recent_starts_per_s: f64,
+    starts_since_refill: usize,
+    last_refill: Option<Instant>,
+    last_timer_lag: Option<Instant>,
 }
 
 impl Default for StartLimiter {
     fn default() -> Self {
         StartLimiter {
-            rate: f64::INFINITY,
+            starts_per_s: f64::INFINITY,
             tokens: f64::INFINITY,
-            of_late: 0.0,
-            since_round: 0,
-            last_round: None,
-            last_word: None,
+            recent_starts_per_s: 0.0,
+            starts_since_refill: 0,
+            last_refill: None,
+            last_timer_lag: None,
         }
     }
 }
 
 impl StartLimiter {
-    /// How late timers fire on the node that is worst off.
-    pub fn timer_lag(&mut self, now: Instant, late: Duration) {
-        let passed = match self.last_word.replace(now) {
+    /// Adjusts the limit to how late timers fire on the slowest node.
+    pub fn observe_timer_lag(&mut self, now: Instant, lag: Duration) {
+        let passed = match self.last_timer_lag.replace(now) {
             Some(t) => now.saturating_duration_since(t).as_secs_f64().min(1.0),
             None => return,
         };
-        if late > LATE {
-            let from = self.rate.min(self.of_late.max(LEAST));
-            self.rate = (from * (1.0 - FALL * passed)).max(LEAST);
-        } else if late < TIMELY && self.rate.is_finite() {
-            self.rate *= 1.0 + RISE * passed;
-            // Far more than is wanted bounds nothing.
-            if self.rate > self.of_late.max(LEAST) * 4.0 {
-                self.rate = f64::INFINITY;
+        if lag > OVERLOADED_TIMER_LAG {
+            let from = self
+                .starts_per_s
+                .min(self.recent_starts_per_s.max(MIN_STARTS_PER_S));
+            self.starts_per_s = (from * (1.0 - RATE_DECREASE_PER_S * passed)).max(MIN_STARTS_PER_S);
+        } else if lag < HEALTHY_TIMER_LAG && self.starts_per_s.is_finite() {
+            self.starts_per_s *= 1.0 + RATE_INCREASE_PER_S * passed;
+            // Far more than is wanted limits nothing.
+            if self.starts_per_s > self.recent_starts_per_s.max(MIN_STARTS_PER_S) * 4.0 {
+                self.starts_per_s = f64::INFINITY;
             }
         }
     }
 
-    /// A placement round begins.
-    pub fn round(&mut self, now: Instant) {
-        let passed = match self.last_round.replace(now) {
+    /// Adds the tokens for the time since the last placement round.
+    pub fn refill(&mut self, now: Instant) {
+        let passed = match self.last_refill.replace(now) {
             Some(t) => now.saturating_duration_since(t).as_secs_f64(),
             None => 0.0,
         };
         if passed > 0.0 {
-            let fresh = 1.0 - (-passed / OF_LATE).exp();
-            self.of_late += (self.since_round as f64 / passed - self.of_late) * fresh;
-            self.since_round = 0;
+            let fresh = 1.0 - (-passed / AVERAGING_TIME_S).exp();
+            self.recent_starts_per_s +=
+                (self.starts_since_refill as f64 / passed - self.recent_starts_per_s) * fresh;
+            self.starts_since_refill = 0;
         }
-        self.tokens = if self.rate.is_finite() {
-            // Urgent work may have taken more than there were.
+        self.tokens = if self.starts_per_s.is_finite() {
+            // High-priority work may have taken more than there were.
             let left = if self.tokens.is_finite() {
                 self.tokens
             } else {
                 0.0
             };
-            (left + self.rate * passed).min(self.rate * KEPT)
+            (left + self.starts_per_s * passed).min(self.starts_per_s * MAX_BURST_S)
         } else {
             f64::INFINITY
         };
     }
 
-    /// Starts that ordinary work may come to in this round, with those of the urgent work before it.
-    pub fn left(&self) -> usize {
+    /// How many tasks may start in this round before ordinary work has to wait.
+    pub fn available(&self) -> usize {
         if self.tokens.is_finite() {
             self.tokens.max(0.0) as usize
         } else {
@@ -101,16 +104,16 @@
         }
     }
 
-    /// So many tasks were started in this round.
-    pub fn started(&mut self, starts: usize) {
-        self.since_round += starts;
+    /// Takes the tokens of the tasks that a round started, of whatever priority.
+    pub fn consume(&mut self, starts: usize) {
+        self.starts_since_refill += starts;
         if self.tokens.is_finite() {
-            self.tokens = (self.tokens - starts as f64).max(-self.rate * KEPT);
+            self.tokens = (self.tokens - starts as f64).max(-self.starts_per_s * MAX_BURST_S);
         }
     }
 
-    /// Starts a second that ordinary work is bounded to, if it is.
-    pub fn bound(&self) -> Option<f64> {
-        self.rate.is_finite().then_some(self.rate)
+    /// The limit in starts a second, if there is one.
+    pub fn limit(&self) -> Option<f64> {
+        self.starts_per_s.is_finite().then_some(self.starts_per_s)
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,11 +1,18 @@
-//! The rounds' choices against the report's rule read plainly, and what preemption loses.
+//! The choices of a round against the scoring rule read plainly, and the cost of preemption.
 
-use super::*;
-use crate::core::model::{FencingToken, Heartbeat, ImageKey, SchedulerConfig, Team, Term, Tuning};
-use crate::core::placement::preemption::victim_loss;
-use crate::core::state::cluster_state::{ActiveAttempt, HeartbeatDecision};
+use crate::core::model::{
+    AttemptId, FencingToken, Heartbeat, ImageKey, JobId, JobKind, JobSpec, MachineId, MachineType,
+    Priority, Resources, SchedulerConfig, Team, Term, Tuning,
+};
+use crate::core::placement::preemption::{preemption_cost, StartProtection};
+use crate::core::placement::scoring::{ScoredSlot, TaskGroup, TypeEstimate};
+use crate::core::placement::slots::Slot;
+use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, HeartbeatDecision};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use std::cmp::Reverse;
+use std::time::{Duration, Instant};
 
 fn resources(cpus: f64) -> Resources {
     Resources {
@@ -15,7 +22,7 @@
     }
 }
 
-/// A cluster of hosts of two types, with some images and some tasks on them.
+/// A cluster of machines of two types, with some images and some tasks on them.
 fn cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
     let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
@@ -114,7 +121,7 @@
     }
 }
 
-/// The report's rule read plainly: each task is scored on every machine, the least sum wins.
+/// The scoring rule read plainly: each task is scored on every machine, the least sum wins.
 #[test]
 fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
     let (mut started, mut booked, mut tied) = (0, 0, 0);
@@ -130,40 +137,41 @@
         let (mut quick, mut plain) = (c.slots(now, &rates), c.slots(now, &rates));
         for s in &specs {
             let job = &c.jobs[&s.job_id];
-            let ests: Vec<Duration> = c
+            let estimates: Vec<TypeEstimate> = c
                 .fleet
                 .types
                 .iter()
-                .map(|t| c.history.est(s, &t.name))
+                .map(|t| TypeEstimate {
+                    run_time: c.history.run_time(s, &t.name),
+                    fetch_rate: t.fetch_gb_per_s,
+                    wanted_by_larger_tasks: false,
+                })
                 .collect();
-            let crowding = vec![false; c.fleet.types.len()];
-            let g = Group {
+            let g = TaskGroup {
                 job,
-                ests: &ests,
-                kept: Duration::ZERO,
-                crowding: &crowding,
-                rates: &rates,
-                beyond: false,
+                estimates,
+                saved_progress: Duration::ZERO,
+                over_fair_share: false,
             };
-            let take = |slots: &mut [Slot<'_>], c: &Choice| {
-                let slot = &mut slots[c.slot];
-                if c.free_now {
+            let take = |slots: &mut [Slot<'_>], chosen: &ScoredSlot| {
+                let slot = &mut slots[chosen.slot];
+                if chosen.free_now {
                     slot.free.sub(&s.resources);
-                    slot.started(job);
+                    slot.add_fetch(job);
                 }
-                slot.book(c.at, c.est + c.penalty, &s.resources);
+                slot.reserve(chosen.available_at, chosen.occupancy(), &s.resources);
             };
             let mut zones = ZoneUse::of(job, &c.zone_of());
-            let mut heap = c.ranked(now, &g, &quick, &zones);
+            let mut heap = c.ranked_slots(now, &g, &quick, &zones);
             for _ in 0..s.task_count {
                 let best = (0..plain.len())
-                    .filter(|i| c.admits(job, &plain[*i], &zones))
+                    .filter(|i| c.may_use_slot(job, &plain[*i], &zones))
                     .filter_map(|i| c.score(now, &g, &plain, i))
                     .min();
                 let first = heap.pop().map(|r| r.0);
                 assert_eq!(
-                    first.map(|f| (f.slot, f.at, f.free_now)),
-                    best.map(|b| (b.slot, b.at, b.free_now)),
+                    first.map(|f| (f.slot, f.available_at, f.free_now)),
+                    best.map(|b| (b.slot, b.available_at, b.free_now)),
                     "seed {seed} job {}",
                     s.job_id
                 );
@@ -174,8 +182,8 @@
                 take(&mut plain, &best);
                 heap.extend(c.score(now, &g, &quick, first.slot).map(Reverse));
                 let zone = &quick[first.slot].machine.zone;
-                if first.free_now && zones.start_in(s, zone) {
-                    heap = c.ranked(now, &g, &quick, &zones);
+                if first.free_now && zones.add_task(s, zone) {
+                    heap = c.ranked_slots(now, &g, &quick, &zones);
                 }
                 if first.free_now {
                     started += 1;
@@ -191,19 +199,34 @@
 }
 
 #[test]
-fn what_stopping_a_task_loses() {
+fn the_cost_of_preempting_a_task() {
     let now = Instant::now();
     let secs = Duration::from_secs;
-    // Seconds since it was placed and since it ran, whether it saves, whether its start counts.
+    use StartProtection::{Protected, Unprotected};
+    // Seconds since it was placed and since it ran, whether it saves, whether its start is protected.
     let cases = [
-        ("only just placed", 1, None, true, false, Some(1.0)),
-        ("fetching for long", 20, None, true, false, Some(20.0)),
-        ("saved 3 s ago", 50, Some(43), true, false, Some(3.0)),
-        ("does not save", 50, Some(43), false, false, Some(43.0)),
-        ("its start was promised", 20, Some(10), true, true, None),
-        ("about to end", 99, Some(89), true, false, None),
+        ("only just placed", 1, None, true, Unprotected, Some(1.0)),
+        ("fetching for long", 20, None, true, Unprotected, Some(20.0)),
+        ("saved 3 s ago", 50, Some(43), true, Unprotected, Some(3.0)),
+        (
+            "does not save",
+            50,
+            Some(43),
+            false,
+            Unprotected,
+            Some(43.0),
+        ),
+        (
+            "its start was promised",
+            20,
+            Some(10),
+            true,
+            Protected,
+            None,
+        ),
+        ("about to end", 99, Some(89), true, Unprotected, None),
     ];
-    for (name, placed, ran, saves, counted, work) in cases {
+    for (name, placed, ran, saves, protection, work) in cases {
         let mut rng = StdRng::seed_from_u64(1);
         let mut c = cluster(&mut rng, now);
         let mut s = job(&mut rng, 1);
@@ -224,8 +247,9 @@
             kill: None,
             given: None,
         };
-        let loss = victim_loss(now, &c.jobs[&s.job_id], &a, Duration::ZERO, counted);
+        let job = &c.jobs[&s.job_id];
+        let cost = preemption_cost(now, job, &a, Duration::ZERO, protection);
         // Never for nothing: it would be stopped each time that it is placed.
-        assert_eq!(loss, work.map(|w| w + 5.0), "{name}");
+        assert_eq!(cost, work.map(|w| w + 5.0), "{name}");
     }
 }
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -252,7 +252,7 @@
         job.blocked = status != DependencyState::Ready;
         job.chunk_room = ledger::chunk_room(self.config.value_bytes);
         job.deadline = job.spec.due.map(|d| arrived + d);
-        job.own_rank.due = job.deadline;
+        job.own_rank.deadline = job.deadline;
         self.jobs.insert(job);
         match status {
             DependencyState::Ready | DependencyState::Blocked => {}
@@ -393,7 +393,7 @@
         }
         if self.schedule.start_round(now) {
             self.update_ranks();
-            let round = self.place(now);
+            let round = self.run_placement_round(now);
             if self.schedule.start_scaling(now) {
                 self.manage_capacity(now, &round);
             }
--- a/src/core/state/entities.rs
+++ b/src/core/state/entities.rs
@@ -5,7 +5,7 @@
     Resources, TaskId, TaskPhase, Term, Zone,
 };
 use crate::core::persistence::ledger::{ChunkValue, CHUNK};
-use crate::core::placement::priority_inheritance::Rank;
+use crate::core::placement::priority_inheritance::SchedulingRank;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -161,7 +161,7 @@
     /// For a job that needed others: when the last of them was known to be done.
     pub arrived: Instant,
     /// Its urgency and deadline for its own sake.
-    pub own_rank: Rank,
+    pub own_rank: SchedulingRank,
     /// When it should be complete, for its own sake or for those that need it.
     pub deadline: Option<Instant>,
     /// When one of its tasks was last placed; its arrival before that.
@@ -178,9 +178,9 @@
     pub(in crate::core) fn new(spec: JobSpec, revision: u64, arrived: Instant) -> Self {
         Job {
             image: ImageKey::of(&spec.image),
-            own_rank: Rank {
+            own_rank: SchedulingRank {
                 priority: spec.priority,
-                due: None,
+                deadline: None,
             },
             spec,
             revision,
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -67,7 +67,8 @@
             let nominal = self.fleet.machine_type(&r.machine_type);
             let nominal = nominal.map_or(0.0, |t| t.fetch_gb_per_s);
             let took = now.saturating_duration_since(since);
-            self.history.fetched(&r.machine_type, nominal, gb, took);
+            self.history
+                .record_fetch(&r.machine_type, nominal, gb, took);
         }
     }
 
@@ -116,7 +117,7 @@
                 .add(ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end()));
         }
         if let Some(took) = ran.filter(|_| !job.progress.contains_key(&task.index)) {
-            self.history.ran(&job.spec, &r.machine_type, took);
+            self.history.record_run(&job.spec, &r.machine_type, took);
         }
         self.succeeded(now, job_id, &r.machine);
     }
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -142,7 +142,8 @@
         let certain = shared.holds_leader_lease(c.term);
         c.confirm(certain);
         let actions = if ticking {
-            c.start_limiter.timer_lag(now, shared.worst_timer_lag());
+            c.start_limiter
+                .observe_timer_lag(now, shared.worst_timer_lag());
             let actions = c.tick(now);
             let took = now.elapsed();
             self.next_tick = Instant::now() + TICK;
@@ -413,7 +414,7 @@
         c.term.0,
         c.jobs.len(),
         shared.timer_lag.now().as_millis(),
-        c.start_limiter.bound().map_or(-1.0, f64::round),
+        c.start_limiter.limit().map_or(-1.0, f64::round),
         c.fleet.machines.len(),
         m.starts.facts("starts"),
         m.rounds.facts("rounds"),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,8 +9,8 @@
 use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use cypressgap::core::model::*;
-use cypressgap::core::placement::contested;
 use cypressgap::core::placement::history::History;
+use cypressgap::core::placement::is_wanted_by_larger_tasks;
 use cypressgap::core::state::cluster_state::Action;
 use cypressgap::net::store::StoreBudget;
 use cypressgap::runtime::node_view::{NodeView, PeerStatus};
@@ -458,7 +458,11 @@
         ),
     ];
     for (name, waiting, cpus, t, expected) in cases {
-        assert_eq!(contested(&waiting, &resources(cpus), t), expected, "{name}");
+        assert_eq!(
+            is_wanted_by_larger_tasks(&waiting, &resources(cpus), t),
+            expected,
+            "{name}"
+        );
     }
     // With room on both kinds, the small task leaves the large machine alone while one waits.
     let mut unlimited = config();
@@ -767,30 +771,30 @@
     let mut h = History::default();
     let t = MachineTypeName::from("m8");
     let s = spec("wk-000001", 1, 4.0);
-    assert_eq!(h.est(&s, &t), secs(60), "the owner's word");
-    h.ran(&s, &t, secs(30));
-    assert_eq!(h.est(&s, &t), secs(30), "siblings measured");
+    assert_eq!(h.run_time(&s, &t), secs(60), "the owner's word");
+    h.record_run(&s, &t, secs(30));
+    assert_eq!(h.run_time(&s, &t), secs(30), "siblings measured");
     let mut other = s.clone();
     other.expected = secs(100);
-    let est = h.est(&other, &t).as_secs_f64();
+    let est = h.run_time(&other, &t).as_secs_f64();
     assert!((est - 50.0).abs() < 0.1, "owners were off by half: {est}");
     // A new leader starts from the summary.
     let summary = h.summary(100).expect("something is new");
     assert_eq!(h.summary(100), None);
     let mut next = History::default();
     next.load(&summary);
-    assert_eq!(next.est(&s, &t), secs(30));
+    assert_eq!(next.run_time(&s, &t), secs(30));
     // However many kinds were seen, the summary stays within its limit.
     for n in 0..500 {
         let mut kind = s.clone();
         kind.class = format!("class-{n}");
-        h.ran(&kind, &MachineTypeName(format!("type-{n}")), secs(30));
-        h.fetched(&MachineTypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
+        h.record_run(&kind, &MachineTypeName(format!("type-{n}")), secs(30));
+        h.record_fetch(&MachineTypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
     }
     let kept = h.summary(60).expect("something is new");
     assert_eq!(kept.runs.len() + kept.bias.len() + kept.fetch.len(), 60);
     let mut h = next;
-    h.fetched(&t, 1.0, 4.0, secs(8));
+    h.record_fetch(&t, 1.0, 4.0, secs(8));
     assert_eq!(h.fetch_time(&t, 1.0, 2.0), secs(4));
 }
 
--- a/tests/guests.rs
+++ b/tests/guests.rs
@@ -145,14 +145,14 @@
             started = 0;
             for _ in 0..seconds * 5 {
                 now += std::time::Duration::from_millis(200);
-                start_limiter.timer_lag(now, std::time::Duration::from_millis(*late));
-                start_limiter.round(now);
-                let n = start_limiter.left().min(wanted / 5);
-                start_limiter.started(n);
+                start_limiter.observe_timer_lag(now, std::time::Duration::from_millis(*late));
+                start_limiter.refill(now);
+                let n = start_limiter.available().min(wanted / 5);
+                start_limiter.consume(n);
                 started += n;
             }
         }
-        match (start_limiter.bound(), bound) {
+        match (start_limiter.limit(), bound) {
             (None, None) => assert!(started >= wanted, "{name}"),
             (Some(b), Some((least, most))) => {
                 assert!((least..=most).contains(&b), "{name}: {b}");
@@ -173,7 +173,7 @@
     for _ in 0..3 {
         for _ in 0..10 {
             f.w.now += std::time::Duration::from_millis(100);
-            f.w.c.start_limiter.timer_lag(f.w.now, secs(2));
+            f.w.c.start_limiter.observe_timer_lag(f.w.now, secs(2));
         }
         f.second(|_| secs(500));
     }
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -118,8 +118,8 @@
         fetch: vec![(15_304_317_958_570_790_783, 0.5, 1)],
     };
     let mut history = History::default();
-    history.ran(&job(), &"g8".into(), secs(240.0));
-    history.fetched(&"g8".into(), 1.0, 6.25, secs(12.5));
+    history.record_run(&job(), &"g8".into(), secs(240.0));
+    history.record_fetch(&"g8".into(), 1.0, 6.25, secs(12.5));
     assert_eq!(history.summary(10), Some(measured.clone()));
     let mut loaded = History::default();
     loaded.load(&measured);
@@ -127,8 +127,8 @@
         expected: secs(60.0),
         ..job()
     };
-    assert_eq!(loaded.est(&job(), &"g8".into()), secs(240.0));
-    assert_eq!(loaded.est(&other, &"g8".into()), secs(60.0));
+    assert_eq!(loaded.run_time(&job(), &"g8".into()), secs(240.0));
+    assert_eq!(loaded.run_time(&other, &"g8".into()), secs(60.0));
     assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
     // A rental's claim, which the cloud keeps.
     let mut world = World::new();
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -83,7 +83,7 @@
         let mut zones = ZoneUse::default();
         for (zone, changes) in starts {
             let why = format!("{same_place} {spread} {starts:?}");
-            assert_eq!(zones.start_in(&s, &Zone::from(*zone)), *changes, "{why}");
+            assert_eq!(zones.add_task(&s, &Zone::from(*zone)), *changes, "{why}");
         }
         for zone in ["a", "b"] {
             let may = permits(&s, &zones, &"m32".into(), &zone.into(), true);
