--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -99,7 +99,7 @@
         let queue = match request.path.as_str() {
             "/up" => {
                 let get = matches!(request.method.as_str(), "GET" | "HEAD");
-                let (status, body) = match (get, shared.healthy(request.came)) {
+                let (status, body) = match (get, shared.healthy(request.received_at)) {
                     (true, true) => (200, Vec::new()),
                     (true, false) => problem(503, "the state service is lost"),
                     (false, _) => problem(405, "wrong method"),
@@ -110,7 +110,7 @@
             _ => match route(&request.method, &request.path) {
                 // It waited while this process stood still: its worker has gone on to another node.
                 Ok(Route::Heartbeat) if waking => {
-                    request.give_up();
+                    request.reject_stale();
                     continue;
                 }
                 Ok(Route::Heartbeat) => heartbeats,
@@ -179,27 +179,27 @@
         }
         let now = Instant::now();
         batch.retain_mut(|r| {
-            let stale = now.saturating_duration_since(r.came) > HEARTBEAT_STALE;
+            let stale = now.saturating_duration_since(r.received_at) > HEARTBEAT_STALE;
             if stale {
-                r.give_up();
+                r.reject_stale();
             }
             !stale
         });
         let heartbeats = batch
             .iter_mut()
-            .map(|r| (r.from, std::mem::take(&mut r.body)))
+            .map(|r| (r.client_ip, std::mem::take(&mut r.body)))
             .collect();
-        let came = batch.iter().map(|r| r.came).min().unwrap_or(now);
+        let came = batch.iter().map(|r| r.received_at).min().unwrap_or(now);
         let answers = shared.heartbeats(heartbeats, came, now);
         for (r, (status, body)) in batch.into_iter().zip(answers) {
-            r.respond_briefly(status, &body, None);
+            r.respond_shedding_load(status, &body, None);
         }
     }
 }
 
 fn user_pool(shared: &Shared, queue: &Receiver<Request>) {
     while let Ok(request) = queue.recv() {
-        let late = request.came.elapsed() > USER_STALE;
+        let late = request.received_at.elapsed() > USER_STALE;
         let answer = if late {
             hopeless(&request).unwrap_or_else(|| unavailable(shared))
         } else {
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -44,7 +44,7 @@
 pub fn pool(shared: &Shared, queue: &Receiver<Request>) {
     let most = most_at_once(shared);
     while let Ok(first) = queue.recv() {
-        let until = first.came + PATIENCE;
+        let until = first.received_at + PATIENCE;
         let asked =
             BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::StatusQuery, until);
         // Those that come while the rate is short go together, once it is not.
@@ -66,7 +66,7 @@
     let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
     for r in batch {
         match job_of(&r.path) {
-            _ if r.came.elapsed() > USER_STALE => respond(r, unavailable(shared)),
+            _ if r.received_at.elapsed() > USER_STALE => respond(r, unavailable(shared)),
             Some(job_id) => by_job.entry(job_id).or_default().push(r),
             None => respond(r, (problem(404, "no such job"), None)),
         }
@@ -81,7 +81,7 @@
         let said = found.get(&job_id).copied();
         for r in requests {
             // A process that stood still meanwhile must not pass an old answer off as a new one.
-            let late = r.came.elapsed() > USER_STALE;
+            let late = r.received_at.elapsed() > USER_STALE;
             let answer = match said {
                 Some(status) if !late => reply(shared, &job_id, status),
                 _ => unavailable(shared),
--- a/tests/listening.rs
+++ b/tests/listening.rs
@@ -40,7 +40,7 @@
 
 fn echo(r: Request) {
     let body = r.body.clone();
-    r.respond_briefly(200, &body, None);
+    r.respond_shedding_load(200, &body, None);
 }
 
 fn connect(s: &Serving) -> TcpStream {
--- a/tests/request_parser.rs
+++ b/tests/request_parser.rs
@@ -21,21 +21,20 @@
     for (text, path, body, keep) in whole {
         for cut in 0..text.len() {
             let part = parse(&text.as_bytes()[..cut], 8);
-            assert!(matches!(part, Parsed::More { .. }), "{text:?} cut at {cut}");
+            assert!(
+                matches!(part, Ok(Parsed::Incomplete { .. })),
+                "{text:?} cut at {cut}"
+            );
         }
         let next = format!("{text}GET / HTTP/1.1\r\n");
-        let Parsed::Whole {
-            path: p,
-            body: b,
-            keep: k,
-            length,
-            ..
-        } = parse(next.as_bytes(), 8)
-        else {
+        let Ok(Parsed::Complete(request)) = parse(next.as_bytes(), 8) else {
             panic!("{text:?} is whole");
         };
-        assert_eq!((p.as_str(), &b[..], k), (*path, body.as_bytes(), *keep));
-        assert_eq!(length, text.len(), "{text:?}");
+        assert_eq!(
+            (request.path.as_str(), &request.body[..], request.keep_alive),
+            (*path, body.as_bytes(), *keep)
+        );
+        assert_eq!(request.length, text.len(), "{text:?}");
     }
     let bad = [
         "nonsense\r\n\r\n",
@@ -50,8 +49,8 @@
     ];
     for text in bad {
         let found = parse(text.as_bytes(), 8);
-        assert!(matches!(found, Parsed::Bad(_)), "{text:?}: {found:?}");
+        assert!(found.is_err(), "{text:?}: {found:?}");
     }
     let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
-    assert!(matches!(parse(long.as_bytes(), 8), Parsed::Bad(_)));
+    assert!(parse(long.as_bytes(), 8).is_err());
 }
