--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! Builders for the core's tests: a small deployment, jobs, reports.
 #![allow(dead_code)]
 
+pub mod dependency_jobs;
 pub mod keys;
 pub mod peaks;
 
@@ -258,6 +259,30 @@
     out
 }
 
+/// A machine with one single-task job placed and launched there; its attempt.
+pub fn launched_task() -> (World, AttemptId) {
+    let mut w = World::new();
+    w.heartbeat("i-1", 1, vec![]);
+    w.job(spec("wk-000001", 1, 4.0));
+    let sent = launches(&w.settle());
+    assert_eq!(sent.len(), 1);
+    (w, sent[0].2)
+}
+
+/// The machine that most cases are about.
+pub fn first_machine() -> MachineId {
+    "i-1".into()
+}
+
+/// The machines that a leader's actions return to the cloud.
+pub fn returned_machines(actions: &[Action]) -> Vec<MachineId> {
+    let machines = |a: &Action| match a {
+        Action::Return { machines } => machines.clone(),
+        _ => Vec::new(),
+    };
+    actions.iter().flat_map(machines).collect()
+}
+
 /// Machines that run what they are sent for the job's expected time, on a simulated clock.
 pub struct Fleet {
     pub w: World,
--- a/tests/end_to_end/cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -128,7 +128,7 @@
 /// Guards against keys that nobody removes: a leader whose watch is late hears of an acceptance only
 /// when its own node has told users that the job is cancelled.
 #[test]
-fn a_job_cancelled_before_its_acceptance_is_heard_of_leaves_the_index() {
+fn a_job_cancelled_before_its_acceptance_is_known_leaves_the_index() {
     let zone = TestCluster::new(1);
     let node = zone.start(0);
     let address = zone.names[0].1;
@@ -245,7 +245,7 @@
 /// No number of dependents is a reason to refuse another one: neither the lists that an earlier
 /// version needs nor anything else is full for ever.
 #[test]
-fn any_number_of_jobs_may_await_one() {
+fn any_number_of_jobs_may_depend_on_one() {
     const DEPENDENTS: u32 = 60;
     // Two nodes that know each other's version, and one that has never heard its peer.
     for heard in [true, false] {
@@ -300,7 +300,7 @@
 /// the middle of a cascade, inside an outage, or while another leader loads. Nothing is lost, and what
 /// was refused goes on in parts.
 #[test]
-fn limits_fall_in_the_middle_of_a_cascade() {
+fn store_limits_fall_in_the_middle_of_a_cascade() {
     #[derive(Clone, Copy, Debug)]
     enum Meets {
         Nothing,
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn all_controllers_killed_and_back() {
+fn all_controllers_are_killed_and_restarted() {
     let mut cluster = ClusterState::start(MACHINES, paced(MACHINES));
     cluster.submit_all();
     cluster.await_all_running();
@@ -205,7 +205,7 @@
 /// The state service is put back to an earlier state while a task runs. It is neither killed nor started
 /// again, and belongs to its job once its user has submitted that again.
 #[test]
-fn work_goes_on_though_the_state_service_lost_its_job() {
+fn tasks_continue_though_the_store_lost_their_job() {
     let zone = TestCluster::new(1);
     let node = zone.names[0].1;
     let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
--- a/tests/end_to_end/heartbeat_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_fleet_that_heartbeats_at_once_is_answered_within_bounded_memory() {
+fn a_fleet_that_sends_heartbeats_at_once_is_answered_within_bounded_memory() {
     let (took, heartbeats, memory) = flood(1000);
     println!("1000 machines: {took:?}, {heartbeats} reports, {memory} KiB");
     assert!(memory < 136 * 1024, "{memory} KiB");
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -2,16 +2,16 @@
 //!
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
-mod cascades;
-mod close_looks;
+mod cancellation_cascades;
 mod cold_restart;
 mod heartbeat_flood;
 #[path = "../common/peaks.rs"]
 mod peaks;
-mod side_by_side;
+mod read_your_writes;
 #[path = "../standins/mod.rs"]
 mod standins;
 mod team_limits;
+mod version_compatibility;
 
 use cypressgap::common::rate_limit::RequestClass;
 use cypressgap::common::stop_signal::Stop;
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_job_runs_and_every_node_says_so() {
+fn a_job_runs_and_every_node_reports_it() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     let worker = Worker::start("i-1", Duration::from_millis(200), zone.names.clone());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_job_outlives_its_leader() {
+fn a_job_survives_a_failover() {
     let zone = TestCluster::new(2);
     let mut nodes = [Some(zone.start(0)), Some(zone.start(1))];
     let worker = Worker::start("i-1", Duration::from_secs(6), zone.names.clone());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_leader_cut_from_store_and_peers_starts_nothing_and_lets_its_workers_go() {
+fn a_leader_partitioned_from_store_and_peers_starts_nothing_and_releases_its_workers() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     until("one leads", || nodes.iter().find_map(leads));
@@ -147,7 +147,7 @@
 /// Guards against nodes that do nothing but refuse reports while the next leader tries to load its
 /// picture: reports wait a little for it, and what it has read it keeps.
 #[test]
-fn heartbeats_wait_for_a_leader_and_pages_are_asked_for_again() {
+fn heartbeats_wait_for_a_leader_and_failed_page_reads_are_retried() {
     let zone = TestCluster::new(1);
     zone.state.out.store(true, Ordering::SeqCst);
     let node = zone.start(0);
@@ -199,7 +199,7 @@
 /// Guards against users who are kept from true answers by the one node that the state service refuses,
 /// while its peers could ask.
 #[test]
-fn a_node_without_the_state_service_has_a_peer_ask() {
+fn a_node_without_the_store_reads_and_writes_through_a_peer() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     submit(zone.names[0].1, "wk-000007", 1);
@@ -236,7 +236,7 @@
 /// Guards against two nodes, both without the state service and their peers, that send workers to each
 /// other for good, while the third one leads.
 #[test]
-fn a_node_whose_word_is_old_names_no_leader() {
+fn a_node_with_stale_knowledge_names_no_leader() {
     let zone = TestCluster::new(3);
     let nodes: Vec<Service> = (0..3).map(|n| zone.start(n)).collect();
     let leader = |n: &Service| leads(n).is_some();
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn every_accepted_job_ends_and_is_known_once_troubles_are_over() {
+fn every_accepted_job_ends_and_is_known_once_failures_are_over() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_node_back_at_once_takes_nothing_of_its_earlier_life_for_its_own() {
+fn a_restarted_node_does_not_take_its_earlier_leadership_for_its_own() {
     let mut zone = TestCluster::new(1);
     let early = zone.start(0);
     let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_withdrawn_job_stops_and_stays_withdrawn() {
+fn a_cancelled_job_stops_and_stays_cancelled() {
     let zone = TestCluster::new(1);
     let node = zone.start(0);
     let address = zone.names[0].1;
@@ -379,7 +379,7 @@
 
 /// Guards against a leader that loads for minutes because it waits long for each answer that is lost.
 #[test]
-fn a_leader_that_loads_asks_again_for_what_is_not_answered() {
+fn a_loading_leader_retries_unanswered_reads() {
     let zone = TestCluster::new(2);
     let first = zone.start(0);
     for n in 0..5 {
@@ -403,7 +403,7 @@
 /// Transactions whose answers are lost, or which are carried out only after newer ones: whoever asks
 /// hears nothing older than what a user was told, and nothing happens twice.
 #[test]
-fn transactions_without_an_answer_are_told_truly() {
+fn unanswered_transactions_are_reported_correctly() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
@@ -469,7 +469,7 @@
 /// reporting to the old leader. The tasks are gone within `cancel_s` all the same, and a plain outage
 /// costs nothing.
 #[test]
-fn cancelled_tasks_go_in_time_though_their_leader_hears_nothing_of_the_state_service() {
+fn cancelled_tasks_end_in_time_though_the_leader_cannot_reach_the_store() {
     // Whether the leader alone is refused first, whether it loses its peers as well, and whether the
     // confirming node ends right after it has confirmed -> whether other tasks outlive the outage.
     let cases = [
@@ -564,7 +564,7 @@
 
 /// A chain over whole nodes: order, refusals, repetitions, and cancellations that take what is behind.
 #[test]
-fn pipelines_run_in_order_and_are_withdrawn_together() {
+fn dependency_chains_run_in_order_and_are_cancelled_together() {
     let zone = TestCluster::new(2);
     let nodes = [zone.start(0), zone.start(1)];
     let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
--- a/tests/end_to_end/close_looks.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn no_node_answers_something_older_however_closely_users_look() {
+fn status_reads_are_monotonic_across_nodes() {
     // Whether the state service refuses one node, whose peer asks in its place.
     for refused in [false, true] {
         let zone = TestCluster::new(2);
--- a/tests/listening.rs
+++ b/tests/http_server.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_clients_get() {
+fn responses_to_well_formed_and_malformed_requests() {
     let s = serve(echo);
     // Sent in these parts; the answer's status, and whether the connection ends with it.
     let long = format!(
--- a/tests/watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -1,10 +1,9 @@
-//! Cancellations that the leader may not have heard of: how long it may keep leases alive.
+//! Cancellations that the leader may not know of: how long it may renew leases without having read them.
 
-mod common;
-
-use common::*;
+use crate::common::*;
+use cypressgap::core::leadership::cancellation_watermark;
 use cypressgap::core::leadership::cancellation_watermark::{
-    self, patience, CancellationReport, ClockReading, Watermark, MIN_PATIENCE,
+    patience, CancellationReport, ClockReading, Watermark, MIN_PATIENCE,
 };
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::ledger::JobOutcome;
@@ -13,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 #[test]
-fn how_old_the_watermark_may_be() {
+fn watermark_age_limit() {
     // lease_s, cancel_s -> the patience in whole seconds, and whether leases alone keep the rule.
     let cases = [
         (34.0, 54.0, 17, true),
@@ -49,7 +48,7 @@
 }
 
 #[test]
-fn up_to_when_all_withdrawals_are_known() {
+fn the_watermark_is_the_time_up_to_which_all_cancellations_are_known() {
     use Happens::*;
     let cases: [(&str, &[&str], &[Happens], u64); 11] = [
         ("nothing is heard", &["b", "c"], &[], 0),
@@ -164,7 +163,7 @@
 
 /// Guards against a process that stood still, whose steady clock stood with it.
 #[test]
-fn the_clock_that_says_more_counts() {
+fn the_clock_that_advanced_further_counts() {
     let start = ClockReading::now();
     let w = Watermark::new(start, ["b".to_owned()]);
     let later = |steady: u64, day: u64| ClockReading {
@@ -200,7 +199,7 @@
 /// The gap: without the state service and its peers' word a leader answers only while a lease
 /// renewed then ends in time. What reports show is taken, and kills go out by themselves.
 #[test]
-fn past_the_watermark_heartbeats_are_taken_and_not_answered() {
+fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
     let (mut w, attempt) = in_doubt();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let (bound, _) = patience(w.c.config.lease, w.c.config.cancel);
@@ -252,7 +251,7 @@
 /// A leader without the state service launches nothing, not even what was durable before: the job
 /// may have been cancelled since. It is launched as soon as the leadership is certain again.
 #[test]
-fn launches_wait_for_a_certain_leadership() {
+fn launches_wait_for_a_confirmed_leadership() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.c.confirm(false);
@@ -266,7 +265,7 @@
 }
 
 #[test]
-fn a_nodes_withdrawals_are_read_by_position() {
+fn a_nodes_cancellations_are_read_by_position() {
     let v = NodeView::new(Instant::now());
     let job_id = |n: u32| JobId::from(format!("wk-{n:06}").as_str());
     let learn = |from: u32, to: u32| {
@@ -315,7 +314,7 @@
 /// What leases alone guarantee, for pairs of settings: how old the watermark may be for a report to be
 /// answered, and by how much a cancelled task may then outlast the bound.
 #[test]
-fn what_each_pair_of_settings_guarantees() {
+fn cancellation_bounds_of_each_pair_of_settings() {
     // `lease_s` and `cancel_s` -> the watermark's age and the overshoot, in tenths of a second.
     let cases = [
         (22, 47, 229, 0),
--- a/tests/meetings.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -1,9 +1,7 @@
-//! Meetings of troubles, in the core alone: what a leader does that comes into them.
+//! Failures that coincide with cancellations, task ends and a change of leader.
 
-mod common;
-
-use common::keys::Keys;
-use common::*;
+use crate::common::keys::Keys;
+use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome, Op, Value};
 use cypressgap::core::state::cluster_state::Action;
@@ -29,7 +27,7 @@
 /// A team at its limit, its jobs cancelled on machines that are cut off or hang, and a new leader: what
 /// may still be there counts for the limit until it is proved gone, however it goes.
 #[test]
-fn withdrawn_tasks_on_unheard_machines_hold_their_teams_limit_until_proved_gone() {
+fn cancelled_tasks_on_silent_machines_count_for_the_teams_limit_until_proved_gone() {
     enum Goes {
         Returned,
         NewSession,
@@ -76,7 +74,7 @@
 /// Tasks of one job that end far apart, with a change of leader between: done is said once all are,
 /// and none is run again.
 #[test]
-fn a_jobs_ends_are_kept_over_leaders() {
+fn task_ends_survive_a_failover() {
     let mut w = World::new();
     w.job(spec("wk-000001", 3, 2.0));
     // One ended under the leader before, one runs, one was never sent.
@@ -128,7 +126,7 @@
 /// The end of a job's last task meets its cancellation: whichever verdict is written first stands, and the
 /// other one is not written over it.
 #[test]
-fn the_last_end_and_a_withdrawal_exclude_each_other() {
+fn completion_and_cancellation_exclude_each_other() {
     // Whether the cancellation's verdict was there when done was to be written.
     for withdrawn_first in [false, true] {
         let mut w = World::new();
@@ -168,7 +166,7 @@
 /// A leader that has just taken over, with machines that cannot be reached: what was cancelled there
 /// costs the machine well before the time is over, also when its reports come and nothing reaches it.
 #[test]
-fn withdrawn_tasks_of_machines_that_cannot_be_reached_go_with_the_machine() {
+fn unreachable_machines_with_cancelled_tasks_are_returned_in_time() {
     for heartbeats in [false, true] {
         let mut w = World::new();
         w.job(spec("wk-000001", 1, 8.0));
--- a/tests/mistakes.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -1,8 +1,7 @@
-//! Jobs submitted with a mistake, machines that fail everything, and telling the two apart.
+//! Jobs that fail everywhere (crash loops), machines that fail every job (quarantine), and telling the two
+//! apart.
 
-mod common;
-
-use common::*;
+use crate::common::*;
 use cypressgap::core::model::*;
 
 fn roomy() -> SchedulerConfig {
@@ -76,7 +75,7 @@
 }
 
 #[test]
-fn a_sound_job_is_not_slowed_by_the_first_machines_it_meets() {
+fn a_sound_job_is_not_slowed_by_faulty_machines() {
     // All of its first machines but one fail everything: what runs on the last clears it.
     let mut f = Fleet::new(roomy(), 12, 8.0);
     f.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
@@ -94,7 +93,7 @@
 }
 
 #[test]
-fn nothing_is_rented_or_stopped_for_a_job_in_doubt() {
+fn nothing_is_rented_or_preempted_for_a_job_in_a_crash_loop() {
     let mut f = Fleet::new(roomy(), 4, 8.0);
     f.broken.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
@@ -116,3 +115,37 @@
     assert!(other.active.len() >= 31, "{}", other.active.len());
     assert!(other.active.values().all(|a| a.kill.is_none()));
 }
+
+#[test]
+fn a_machine_that_fails_two_jobs_is_quarantined_and_a_job_that_fails_everywhere_waits() {
+    let mut w = World::new();
+    w.heartbeat("i-1", 1, vec![]);
+    w.job(spec("wk-000001", 1, 4.0));
+    w.job(spec("wk-000002", 1, 4.0));
+    let sent = launches(&w.settle());
+    assert_eq!(sent.len(), 2);
+    let ends = sent
+        .iter()
+        .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
+        .collect();
+    w.heartbeat("i-1", 5, ends);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")].quarantined);
+
+    let mut w = World::new();
+    w.job(spec("wk-000001", 1, 4.0));
+    for (n, machine) in ["i-1", "i-2", "i-3"].iter().enumerate() {
+        w.heartbeat(machine, 1, vec![]);
+        let sent = launches(&w.settle());
+        assert_eq!(sent.len(), 1, "{machine}");
+        assert_eq!(&sent[0].0 .0, machine, "not where it failed before");
+        let end = shown(
+            "wk-000001",
+            0,
+            sent[0].2,
+            TaskPhase::Ended(ExitReason::Failed),
+        );
+        w.heartbeat(machine, 5, vec![end]);
+        let held = w.c.jobs[&JobId::from("wk-000001")].backoff_until.is_some();
+        assert_eq!(held, n == 2);
+    }
+}
--- /dev/null
+++ b/tests/scheduler/dependencies.rs
@@ -0,0 +1,246 @@
+//! Dependencies between jobs: which job is blocked, which may start, and how blocked ones are resolved.
+
+use crate::common::dependency_jobs::{job_depending_on, job_id, job_ids};
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::backoff::Backoff;
+use cypressgap::core::persistence::ledger::{BatchOutcome, JobOutcome, Op, Value};
+use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::dependencies::{Dependencies, DependencyState, DependentsIndex};
+use std::time::Duration;
+
+#[test]
+fn dependency_graph_cases() {
+    enum E {
+        Add(u32, &'static [u32], DependencyState),
+        Done(u32, &'static [u32]),
+        Cancelled(u32, &'static [u32]),
+    }
+    use DependencyState::*;
+    use E::*;
+    let cases: [(&str, &[E]); 8] = [
+        ("no needs", &[Add(1, &[], Ready)]),
+        (
+            "a chain",
+            &[
+                Add(1, &[], Ready),
+                Add(2, &[1], Blocked),
+                Add(3, &[2], Blocked),
+                Done(1, &[2]),
+                Done(2, &[3]),
+            ],
+        ),
+        (
+            "two needs, the second ends it",
+            &[Add(3, &[1, 2], Blocked), Done(2, &[]), Done(1, &[3])],
+        ),
+        (
+            "what ended before it was heard of",
+            &[
+                Done(1, &[]),
+                Add(2, &[1], Ready),
+                Cancelled(5, &[]),
+                Add(6, &[5, 1], Orphaned),
+            ],
+        ),
+        (
+            "a withdrawal takes all behind it, once each",
+            &[
+                Add(2, &[1], Blocked),
+                Add(3, &[1], Blocked),
+                Add(4, &[2, 3], Blocked),
+                Add(9, &[8], Blocked),
+                Cancelled(1, &[2, 3, 4]),
+                Cancelled(1, &[]),
+                Done(8, &[9]),
+            ],
+        ),
+        (
+            "a link of the chain is withdrawn, what it needs is not",
+            &[
+                Add(2, &[1], Blocked),
+                Add(3, &[2], Blocked),
+                Cancelled(2, &[3]),
+                Done(1, &[]),
+            ],
+        ),
+        (
+            "one need withdrawn, the other done later",
+            &[Add(3, &[1, 2], Blocked), Cancelled(1, &[3]), Done(2, &[])],
+        ),
+        (
+            "dependents are heard of before what they need",
+            &[Add(3, &[2], Blocked), Add(2, &[1], Blocked), Done(1, &[2])],
+        ),
+    ];
+    for (name, events) in cases {
+        let mut d = Dependencies::default();
+        for e in events {
+            match e {
+                Add(n, dependencies, status) => {
+                    assert_eq!(
+                        d.add(&job_id(*n), &job_ids(dependencies), false),
+                        *status,
+                        "{name}: {n}"
+                    );
+                }
+                Done(n, ready) => {
+                    assert_eq!(d.done(&job_id(*n)), job_ids(ready), "{name}: {n} done")
+                }
+                Cancelled(n, orphans) => {
+                    let mut all = d.cancelled(&job_id(*n));
+                    all.sort();
+                    assert_eq!(all, job_ids(orphans), "{name}: {n} withdrawn");
+                }
+            }
+        }
+    }
+    let mut d = Dependencies::default();
+    d.add(&job_id(3), &job_ids(&[1, 2]), false);
+    assert_eq!(d.unresolved(|n| *n == job_id(1)), job_ids(&[2]));
+}
+
+fn ended(n: u32, a: AttemptId) -> Vec<TaskStatus> {
+    vec![shown(
+        &job_id(n).0,
+        0,
+        a,
+        TaskPhase::Ended(ExitReason::Completed),
+    )]
+}
+
+/// Started only after the durable `done`, not on the report that shows the last task's end.
+#[test]
+fn a_blocked_job_starts_only_after_the_durable_end_of_its_dependencies() {
+    let mut w = World::new();
+    w.heartbeat("i-1", 1, vec![]);
+    w.job(job_depending_on(1, &[]));
+    w.job(job_depending_on(2, &[1]));
+    let sent = launches(&w.settle());
+    assert_eq!(sent.len(), 1, "only the first");
+    assert_eq!(sent[0].1.job_id, job_id(1));
+    let blocked = &w.c.jobs[&job_id(2)];
+    assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
+    w.heartbeat("i-1", 2, ended(1, sent[0].2));
+    // The verdict's transaction gets no answer for a while.
+    let outcome = w.batch().expect("the verdict");
+    let done = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(JobOutcome::Done)));
+    assert!(outcome.ops.iter().any(done));
+    for _ in 0..12 {
+        w.c.on_batch(w.now, BatchOutcome::Unknown);
+        w.pass(secs(1));
+        let actions = w.c.tick(w.now);
+        assert_eq!(launches(&actions), vec![], "not durable yet");
+        w.heartbeat("i-1", 100 + w.revision, vec![]);
+        w.revision += 1;
+    }
+    w.c.on_batch(w.now, BatchOutcome::Unknown);
+    let before = w.now;
+    let sent = launches(&w.settle());
+    assert_eq!(sent.len(), 1);
+    assert_eq!(sent[0].1.job_id, job_id(2));
+    assert!(
+        w.c.jobs[&job_id(2)].arrived >= before,
+        "it waits from now on"
+    );
+}
+
+/// A new leader knows of what is needed only what it finds: live, done, cancelled, or nothing yet.
+#[test]
+fn a_new_leader_blocks_what_it_does_not_know_to_be_done() {
+    // How the needed job is found -> whether the other starts, and whether its verdict is written.
+    let cases = [
+        (None, false, false),
+        (Some(JobOutcome::Done), true, false),
+        (Some(JobOutcome::Cancelled), false, true),
+    ];
+    for (found, starts, cancelled) in cases {
+        for told_first in [false, true] {
+            let mut w = World::new();
+            w.heartbeat("i-1", 1, vec![]);
+            if let (Some(v), true) = (found, told_first) {
+                w.c.ended_before(w.now, &job_id(1), v);
+            }
+            w.job(job_depending_on(2, &[1]));
+            w.job(job_depending_on(3, &[2]));
+            if !told_first {
+                assert_eq!(w.c.unresolved(), job_ids(&[1]));
+            }
+            if let (Some(v), false) = (found, told_first) {
+                w.c.ended_before(w.now, &job_id(1), v);
+            }
+            let mut written = Vec::new();
+            let mut sent = Vec::new();
+            for _ in 0..20 {
+                w.pass(secs(1));
+                for a in w.c.tick(w.now) {
+                    if let Action::Store(b) = &a {
+                        for o in &b.ops {
+                            if let Op::Put(key, Value::JobOutcome(v)) = o {
+                                written.push((key.clone(), *v));
+                                assert!(b.conditions.contains(&(key.clone(), 0)));
+                            }
+                        }
+                        w.revision += 1;
+                        let revision = w.revision;
+                        w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                    } else {
+                        sent.extend(launches(&[a]));
+                    }
+                }
+                let serial = 10 + w.revision;
+                w.heartbeat("i-1", serial, vec![]);
+            }
+            let begun = sent.iter().any(|l| l.1.job_id == job_id(2));
+            assert_eq!(begun, starts, "{found:?} {told_first}");
+            assert!(!sent.iter().any(|l| l.1.job_id == job_id(3)), "{found:?}");
+            let both = written.len() == 2 && written.iter().all(|v| v.1 == JobOutcome::Cancelled);
+            assert_eq!(both, cancelled, "{found:?} {told_first}: {written:?}");
+        }
+    }
+}
+
+#[test]
+fn descendants_in_an_index_of_live_jobs() {
+    let jobs: [(u32, &[u32]); 6] = [
+        (2, &[1]),
+        (3, &[2]),
+        (4, &[2, 9]),
+        (5, &[3, 4]),
+        (6, &[]),
+        (7, &[8]),
+    ];
+    let index = DependentsIndex::new(
+        jobs.iter()
+            .map(|(n, dependencies)| (job_id(*n), job_ids(dependencies))),
+    );
+    let cases: [(&[u32], &[u32]); 6] = [
+        (&[1], &[2, 3, 4, 5]),
+        (&[3], &[5]),
+        (&[9], &[4, 5]),
+        (&[5], &[]),
+        (&[6, 77], &[]),
+        (&[3, 8], &[5, 7]),
+    ];
+    for (of, expected) in cases {
+        let found: Vec<JobId> = index.descendants(&job_ids(of)).into_iter().collect();
+        assert_eq!(found, job_ids(expected), "{of:?}");
+    }
+}
+
+#[test]
+fn unresolved_dependencies_are_queried_with_backoff() {
+    let mut backoff = Backoff::default();
+    let start = World::new().now;
+    let mut asked = 0;
+    for tenth in 0..6000 {
+        let due = backoff.due(&job_ids(&[1]), start + Duration::from_millis(100 * tenth));
+        asked += due.len();
+    }
+    // Ten minutes: seven doublings, then once a minute.
+    assert!((10..=20).contains(&asked), "{asked}");
+    // What was resolved meanwhile begins anew, and another job is asked about at once.
+    let later = start + secs(601);
+    assert_eq!(backoff.due(&job_ids(&[2]), later), job_ids(&[2]));
+    assert_eq!(backoff.due(&job_ids(&[1, 2]), later), job_ids(&[1]));
+}
--- /dev/null
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -0,0 +1,75 @@
+//! A task that a new leader loads stays where it may be until a proof.
+
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{BatchOutcome, ChunkValue};
+use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+
+/// A new leader that loaded one intent for `i-1`.
+fn taken_over() -> (World, AttemptId) {
+    let mut patient = config();
+    patient.tuning.idle_ordinary = secs(1000);
+    let mut w = World::with(patient, vec![machine_type("m8", 8.0)]);
+    w.job(spec("wk-000001", 1, 4.0));
+    let attempt = AttemptId(7);
+    let value = ChunkValue {
+        done: 0,
+        active: vec![(0, attempt, "i-1".into())],
+    };
+    w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
+    (w, attempt)
+}
+
+#[test]
+fn a_new_leader_leaves_a_loaded_task_where_it_may_be() {
+    let (mut w, attempt) = taken_over();
+    w.heartbeat("i-2", 1, vec![]);
+    assert_eq!(launches(&w.settle()), vec![], "i-1 may have it");
+    // The first report lacks it, and may be a late copy: nothing is ordered by it.
+    let r = World::heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
+    let HeartbeatDecision::Accept { token, commands } = w.c.on_heartbeat(w.now, r, true) else {
+        panic!("refused");
+    };
+    assert_eq!((token.term(), commands), (TERM, vec![]));
+    // One of this term's does not: the command may be in flight, so the same attempt is sent again.
+    let r = World::heartbeat_from("i-1", 1, 41, token.0, vec![]);
+    let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
+        panic!("refused");
+    };
+    let launch = TaskCommand::Launch {
+        task: task("wk-000001", 0),
+        attempt,
+    };
+    assert_eq!(commands, vec![launch]);
+}
+
+#[test]
+fn a_new_leader_returns_a_machine_without_heartbeats_and_moves_its_task_only_then() {
+    let (mut w, _) = taken_over();
+    let mut returned = false;
+    for _ in 0..20 {
+        w.pass(secs(2));
+        for n in 0..3 {
+            w.heartbeat("i-2", 100 + w.revision * 10 + n, vec![]);
+        }
+        w.revision += 1;
+        for a in w.c.tick(w.now) {
+            match a {
+                Action::Return { machines } => {
+                    assert_eq!(machines, vec![MachineId::from("i-1")]);
+                    returned = true;
+                }
+                Action::Store(_) => {
+                    let revision = w.revision;
+                    w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                }
+                _ => {}
+            }
+        }
+    }
+    assert!(returned);
+    assert_eq!(w.active("wk-000001", 0).unwrap().0, "i-1".into());
+    w.c.on_returned(w.now, &["i-1".into()]);
+    let sent = launches(&w.settle());
+    assert_eq!(sent[0].0, "i-2".into());
+}
--- /dev/null
+++ b/tests/scheduler/failover/mod.rs
@@ -0,0 +1,65 @@
+//! Failover: what a new leader makes of the records that it loads and of what machines report.
+
+mod loaded_tasks;
+mod order_pacing;
+mod silent_segments;
+mod stored_intents;
+mod unconfirmed_attempts;
+mod unrecorded_tasks;
+
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::reconciliation::state_loading::{
+    StoredIntents, StoredLiveJob, StoredSnapshot,
+};
+
+const EARLIER: AttemptId = AttemptId(7);
+
+fn job_id() -> JobId {
+    "wk-000001".into()
+}
+
+fn running(index: u32) -> TaskStatus {
+    shown("wk-000001", index, EARLIER, TaskPhase::Running)
+}
+
+/// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
+fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> World {
+    let active = (0..on_record).map(|n| (n, EARLIER, MachineId(format!("i-{n}"))));
+    let chunk = StoredIntents {
+        job_id: job_id(),
+        index: 0,
+        value: ChunkValue {
+            done: 0,
+            active: active.collect(),
+        },
+        revision: 90,
+    };
+    let mut w = World::with(config, vec![machine_type("m8", 8.0)]);
+    let jobs = jobs
+        .into_iter()
+        .map(|spec| StoredLiveJob { spec, revision: 50 });
+    let picture = StoredSnapshot {
+        jobs: jobs.collect(),
+        chunks: vec![chunk],
+        ..StoredSnapshot::default()
+    };
+    w.c.take_over(w.now, picture);
+    w
+}
+
+fn red(w: &World) -> f64 {
+    w.c.quota_usage.of(&"red".into()).cpus
+}
+
+fn launched_index(d: &TaskCommand) -> Option<u32> {
+    match d {
+        TaskCommand::Launch { task, .. } => Some(task.index),
+        _ => None,
+    }
+}
+
+fn is_kill(d: &TaskCommand) -> bool {
+    matches!(d, TaskCommand::Kill { .. })
+}
--- /dev/null
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -0,0 +1,98 @@
+//! Rate limits on orders to machines after a cold restart.
+
+use super::{is_kill, job_id, launched_index, running, taken_over};
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::BatchOutcome;
+use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap_recovery::segments::NamedSegment;
+use cypressgap_recovery::settings::parse_segment;
+use std::time::Duration;
+
+/// Machines in two segments, all of whose work is proved absent at once: orders by the second.
+#[test]
+fn launches_after_a_cold_restart_keep_to_the_rate_limit() {
+    const MACHINES: u32 = 60;
+    let mut p = config();
+    p.teams = vec![team("red", 1000.0, 1000.0)];
+    p.recovery.orders_per_second = Some(20.0);
+    p.recovery.segment_orders_per_second = Some(10.0);
+    let rack = parse_segment("10.0.1.0/24").expect("a network");
+    p.recovery.segments.push(NamedSegment {
+        name: "rack".to_owned(),
+        net: rack,
+    });
+    let mut w = taken_over(p, vec![spec("wk-000001", MACHINES, 4.0)], MACHINES);
+    let mut by_second: Vec<usize> = Vec::new();
+    let mut sent = std::collections::BTreeSet::new();
+    for step in 0..100u64 {
+        w.pass(Duration::from_millis(100));
+        if step % 10 == 0 {
+            by_second.push(0);
+        }
+        let mut launched: Vec<u32> = Vec::new();
+        for action in w.c.tick(w.now) {
+            match action {
+                Action::Store(_) => {
+                    let revision = 1000 + step;
+                    w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                }
+                Action::Send {
+                    machine, commands, ..
+                } => {
+                    launched.extend(commands.iter().filter_map(launched_index));
+                    w.c.on_sent(w.now, &machine, None);
+                }
+                _ => {}
+            }
+        }
+        for n in 0..MACHINES {
+            let token = w.c.fleet.machines[&MachineId(format!("i-{n}"))].token.0;
+            let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
+            let mut r = World::heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
+            r.endpoint = format!("10.0.{}.{n}:9", n % 2);
+            if let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) {
+                launched.extend(commands.iter().filter_map(launched_index));
+            }
+        }
+        *by_second.last_mut().expect("a second") += launched.len();
+        sent.extend(launched);
+    }
+    assert!(by_second.iter().all(|n| *n <= 20), "{by_second:?}");
+    assert_eq!(sent.len(), MACHINES as usize, "{by_second:?}");
+    let total: usize = by_second.iter().sum();
+    assert_eq!(total, MACHINES as usize, "each is launched once");
+}
+
+/// A pace far too slow for the fleet: all kills of a cancelled job are out well before `cancel_s`.
+#[test]
+fn kills_of_a_cancelled_job_go_out_in_time_whatever_the_rate_limit() {
+    const MACHINES: u32 = 40;
+    let mut p = config();
+    p.teams = vec![team("red", 1000.0, 1000.0)];
+    p.recovery.orders_per_second = Some(1.0);
+    p.recovery.segment_orders_per_second = Some(1.0);
+    let mut w = taken_over(p, vec![spec("wk-000001", MACHINES, 4.0)], MACHINES);
+    let mut killed = std::collections::BTreeSet::new();
+    let mut heartbeat_all = |w: &mut World, serial: u64| {
+        for n in 0..MACHINES {
+            // One machine stays unheard, so the takeover goes on.
+            let machine = format!("i-{n}");
+            if n + 1 < MACHINES {
+                let (_, d) = w.heartbeat(&machine, serial, vec![running(n)]);
+                killed.extend(d.iter().any(is_kill).then_some(n));
+            }
+        }
+        killed.len()
+    };
+    heartbeat_all(&mut w, 1);
+    w.c.on_cancel_marked(w.now, &job_id());
+    w.pass(secs(2));
+    assert!(heartbeat_all(&mut w, 2) < 10, "at the pace");
+    w.pass(secs(14));
+    assert_eq!(
+        heartbeat_all(&mut w, 3),
+        MACHINES as usize - 1,
+        "at 0.3 of cancel_s"
+    );
+}
--- a/tests/takeover.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -1,9 +1,7 @@
-//! What a new leader makes of the records that it finds: a record may outlive its attempt, and the room
-//! in the team's limit, or the zone, may be another's by then.
+//! Stored intents that a new leader finds: an intent may outlive its attempt, and the room in the team's
+//! limit, or the zone, may be taken by then.
 
-mod common;
-
-use common::*;
+use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome};
 use cypressgap::core::reconciliation::state_loading::{
@@ -66,7 +64,7 @@
 }
 
 #[test]
-fn a_record_beyond_the_limit_is_no_leave_to_launch() {
+fn a_stored_intent_beyond_the_limit_is_not_launched() {
     // Both jobs are on record with a whole limit each: the first gave its room to the second, and its
     // record was still there when the leader ended. What i-1 shows -> launched, and used after that.
     let cases: [(&str, Vec<TaskStatus>, f64); 4] = [
@@ -138,7 +136,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_may_be_a_copy_frees_nothing() {
+fn a_heartbeat_that_may_be_a_duplicate_frees_nothing() {
     let mut w = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
         chunks: vec![
@@ -156,7 +154,7 @@
 }
 
 #[test]
-fn within_the_limit_a_record_is_launched_again_as_before() {
+fn a_stored_intent_within_the_limit_is_launched_again() {
     let mut w = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2)],
         chunks: vec![sent("wk-000001", &[0, 1], "i-1")],
@@ -168,7 +166,7 @@
 }
 
 #[test]
-fn a_record_in_another_zone_is_no_leave_to_launch() {
+fn a_stored_intent_in_another_zone_is_not_launched() {
     // Tasks of one job that has to stay in one zone, or be spread, in chunks of their own: the first
     // record outlived its attempt, and the job went on in the other zone.
     // One zone, spread, zone of the second machine -> the first is launched.
@@ -207,7 +205,7 @@
 }
 
 #[test]
-fn a_zone_that_is_not_known_yet_holds_a_launch_back() {
+fn an_unknown_zone_holds_a_launch_back() {
     let mut bound = job("wk-000001", 2);
     bound.spec.same_place = true;
     let mut w = world(StoredSnapshot {
@@ -259,7 +257,7 @@
 }
 
 #[test]
-fn a_task_that_no_record_names_counts_while_it_is_shown() {
+fn an_unrecorded_task_counts_while_it_is_reported() {
     // Of an array it is adopted, of a gang it is killed.
     for adopted in [true, false] {
         let mut w = tight();
@@ -310,7 +308,7 @@
 }
 
 #[test]
-fn what_an_unreadable_record_may_hold_counts_as_taken() {
+fn an_unreadable_record_counts_for_all_that_it_may_hold() {
     // Its machines are known from its intents, or they cannot be read either.
     for intents_readable in [true, false] {
         let job_id = JobId::from("wk-000001");
@@ -340,7 +338,7 @@
 }
 
 #[test]
-fn a_machine_back_at_once_takes_no_command_of_its_earlier_life() {
+fn a_restarted_machine_takes_no_command_from_before_its_restart() {
     let mut w = tight();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
@@ -371,7 +369,7 @@
 }
 
 #[test]
-fn the_account_is_the_sum_of_its_entries() {
+fn quota_usage_is_the_sum_of_its_entries() {
     let teams: [TeamName; 3] = ["red".into(), "blue".into(), "grey".into()];
     let mut account = QuotaUsage::default();
     let mut drawn: u64 = 1;
--- /dev/null
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -0,0 +1,137 @@
+//! Attempts on record that no heartbeat has confirmed: they hold their place and their team's room.
+
+use super::{is_kill, job_id, launched_index, red, running, taken_over, EARLIER};
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome};
+use cypressgap::core::reconciliation::state_loading::{
+    StoredIntents, StoredLiveJob, StoredSnapshot,
+};
+use cypressgap_recovery::attempt_state::AttemptState;
+
+/// Attempts on record hold their places while their machine is silent, within its lease and past it, and
+/// until a proof: a machine that was never answered in this term may have had its lease renewed by another.
+#[test]
+fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
+    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
+    w.heartbeat("i-0", 1, vec![running(0)]);
+    let state = |w: &World, n: u32| {
+        let machine = MachineId(format!("i-{n}"));
+        let task = task("wk-000001", n);
+        w.c.takeover.state(&machine, &task, EARLIER)
+    };
+    assert_eq!(state(&w, 0), Some(AttemptState::Confirmed));
+    assert_eq!(state(&w, 1), Some(AttemptState::Unheard));
+    for _ in 0..8 {
+        w.pass(secs(3));
+        w.c.tick(w.now);
+    }
+    assert_eq!(state(&w, 0), Some(AttemptState::Silent));
+    assert_eq!(state(&w, 1), Some(AttemptState::Silent));
+    assert_eq!(red(&w), 8.0, "silence proves nothing");
+    // The lease of the one that was answered runs out after 30 s and the drift; the other is not fenced.
+    for _ in 0..4 {
+        w.pass(secs(3));
+        w.c.tick(w.now);
+    }
+    assert_eq!((state(&w, 0), red(&w)), (None, 4.0));
+    assert!(w.active("wk-000001", 1).is_some());
+    // Back with its earlier life's report, and then with one of its new session.
+    let late = World::heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
+    w.c.on_heartbeat(w.now, late, true);
+    assert!(w.active("wk-000001", 1).is_some(), "a late copy");
+    w.c.on_returned(w.now, &["i-1".into()]);
+    assert_eq!(red(&w), 0.0, "the cloud's word is a proof");
+}
+
+/// Of a gang that was heard of by half, the rest is neither launched again nor given away.
+#[test]
+fn a_gang_confirmed_by_half_waits_for_the_other_half() {
+    let mut gang = spec("wk-000001", 2, 4.0);
+    gang.kind = JobKind::Gang;
+    let mut w = taken_over(config(), vec![gang], 2);
+    let waiting = shown("wk-000001", 0, EARLIER, TaskPhase::WaitingForGang);
+    w.heartbeat("i-0", 1, vec![waiting]);
+    w.heartbeat("i-9", 1, vec![]);
+    assert_eq!(launches(&w.settle()), vec![]);
+    assert_eq!(red(&w), 8.0);
+    let (_, d) = w.heartbeat("i-1", 1, vec![]);
+    let again = TaskCommand::Launch {
+        task: task("wk-000001", 1),
+        attempt: EARLIER,
+    };
+    assert_eq!(d, [again], "the same attempt completes the gang");
+}
+
+#[test]
+fn a_team_at_its_limit_with_all_attempts_unconfirmed_starts_nothing() {
+    let mut p = config();
+    p.teams = vec![team("red", 8.0, 8.0)];
+    let jobs = vec![spec("wk-000001", 2, 4.0), spec("wk-000002", 2, 4.0)];
+    let mut w = taken_over(p, jobs, 2);
+    w.heartbeat("i-9", 1, vec![]);
+    assert_eq!(launches(&w.settle()), vec![]);
+    // One proves to be gone: its own launch comes first, as the same attempt.
+    let (_, d) = w.heartbeat("i-0", 1, vec![]);
+    assert_eq!(d.iter().filter_map(launched_index).collect::<Vec<_>>(), [0]);
+    assert_eq!(red(&w), 8.0);
+}
+
+/// What ended while nobody listened -> whether the job that waited for it starts.
+#[test]
+fn a_dependency_that_ended_without_a_leader_is_known() {
+    for (end, starts) in [
+        (Some(JobOutcome::Done), 1),
+        (Some(JobOutcome::Cancelled), 0),
+        (None, 0),
+    ] {
+        let mut dependent = spec("wk-000002", 1, 4.0);
+        dependent.dependencies = vec!["wk-000099".into()];
+        let mut w = World::new();
+        let picture = StoredSnapshot {
+            jobs: vec![StoredLiveJob {
+                spec: dependent,
+                revision: 50,
+            }],
+            ends: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
+            ..StoredSnapshot::default()
+        };
+        w.c.take_over(w.now, picture);
+        w.heartbeat("i-9", 1, vec![]);
+        assert_eq!(launches(&w.settle()).len(), starts, "{end:?}");
+    }
+}
+
+/// Confirmed in the last second before the fault, by its verdict or by its mark: what runs is killed with the
+/// first report, what does not is never launched again.
+#[test]
+fn a_cancellation_confirmed_just_before_the_failover_holds() {
+    for marked in [true, false] {
+        let mut w = World::new();
+        let active = vec![(0, EARLIER, "i-0".into()), (1, EARLIER, "i-1".into())];
+        let picture = StoredSnapshot {
+            jobs: vec![StoredLiveJob {
+                spec: spec("wk-000001", 2, 4.0),
+                revision: 50,
+            }],
+            over: (!marked)
+                .then(|| (job_id(), JobOutcome::Cancelled))
+                .into_iter()
+                .collect(),
+            cancel_marks: marked.then(job_id).into_iter().collect(),
+            chunks: vec![StoredIntents {
+                job_id: job_id(),
+                index: 0,
+                value: ChunkValue { done: 0, active },
+                revision: 90,
+            }],
+            ..StoredSnapshot::default()
+        };
+        w.c.take_over(w.now, picture);
+        let (_, d) = w.heartbeat("i-0", 1, vec![running(0)]);
+        assert!(d.iter().any(is_kill), "{d:?}");
+        let (_, d) = w.heartbeat("i-1", 1, vec![]);
+        assert_eq!(d, vec![]);
+        assert_eq!(launches(&w.settle()), vec![]);
+    }
+}
--- /dev/null
+++ b/tests/scheduler/priority_inheritance.rs
@@ -0,0 +1,186 @@
+//! A job inherits the priority and deadline of the jobs that depend on it.
+
+use crate::common::dependency_jobs::{job_depending_on, job_id};
+use crate::common::*;
+use cypressgap::core::model::*;
+
+/// What is needed takes the urgency of what needs it, and a deadline from which that one's run is
+/// taken off, in whichever order they are heard of.
+#[test]
+fn priority_and_deadlines_go_up_the_chain() {
+    for last_first in [false, true] {
+        let mut w = World::new();
+        let mut last = job_depending_on(3, &[2]);
+        last.priority = Priority::High;
+        last.due = Some(secs(300));
+        let mut middle = job_depending_on(2, &[1]);
+        middle.priority = Priority::Idle;
+        let mut first = job_depending_on(1, &[]);
+        first.priority = Priority::Standard;
+        let mut all = vec![first, middle, last];
+        if last_first {
+            all.reverse();
+        }
+        all.into_iter().for_each(|s| w.job(s));
+        w.settle();
+        let due = |n: u32| w.c.jobs[&job_id(n)].deadline.expect("a deadline");
+        for n in 1..=3 {
+            assert_eq!(w.c.jobs[&job_id(n)].spec.priority, Priority::High, "{n}");
+        }
+        // Each is expected to run for 60 s.
+        assert_eq!(due(3) - due(2), secs(60));
+        assert_eq!(due(2) - due(1), secs(60));
+    }
+}
+
+/// What a pipeline's end asks of what it needs, for all shapes of pipelines, and as ends come and go.
+#[test]
+fn inherited_priorities_and_deadlines_follow_the_ends_of_dependency_chains() {
+    use Priority::*;
+    type Jobs = &'static [(u32, &'static [u32], Priority, Option<u64>)];
+    // The jobs with what they need, their own urgency and deadline; which are cancelled then; and the
+    // ranks before and after that.
+    type Ranks = &'static [(u32, Priority, Option<u64>)];
+    struct Case {
+        name: &'static str,
+        jobs: Jobs,
+        cancelled: &'static [u32],
+        before: Ranks,
+        after: Ranks,
+    }
+    let cases = [
+        Case {
+            name: "a diamond: the nearer deadline counts for what both need",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], Idle, Some(400)),
+                (3, &[1], Standard, None),
+                (4, &[2, 3], High, Some(300)),
+            ],
+            cancelled: &[4],
+            before: &[
+                (1, High, Some(180)),
+                (2, High, Some(240)),
+                (3, High, Some(240)),
+            ],
+            after: &[
+                (1, Standard, Some(340)),
+                (2, Idle, Some(400)),
+                (3, Standard, None),
+            ],
+        },
+        Case {
+            name: "a fan-in: each of what it needs, whatever its own rank",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[], Production, Some(100)),
+                (3, &[1, 2], High, Some(300)),
+            ],
+            cancelled: &[3],
+            before: &[(1, High, Some(240)), (2, Production, Some(100))],
+            after: &[(1, Idle, None), (2, Production, Some(100))],
+        },
+        Case {
+            name: "one of two ends goes, the other stays",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], High, Some(200)),
+                (3, &[1], Standard, Some(500)),
+            ],
+            cancelled: &[2],
+            before: &[(1, High, Some(140))],
+            after: &[(1, Standard, Some(440))],
+        },
+        Case {
+            name: "a cancelled middle takes its end along, which other branches lose too",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[], Idle, None),
+                (3, &[1], Idle, None),
+                (4, &[2, 3], High, Some(300)),
+            ],
+            cancelled: &[3],
+            before: &[
+                (1, High, Some(180)),
+                (2, High, Some(240)),
+                (3, High, Some(240)),
+            ],
+            after: &[(1, Idle, None), (2, Idle, None)],
+        },
+        Case {
+            name: "an urgent end behind idle work",
+            jobs: &[
+                (1, &[], Idle, None),
+                (2, &[1], Idle, None),
+                (3, &[2], Production, None),
+            ],
+            cancelled: &[3],
+            before: &[(1, Production, None), (2, Production, None)],
+            after: &[(1, Idle, None), (2, Idle, None)],
+        },
+    ];
+    for case in cases {
+        // In the order of submission, and as a new leader may read them.
+        for reversed in [false, true] {
+            let mut w = World::new();
+            let mut jobs = case.jobs.to_vec();
+            if reversed {
+                jobs.reverse();
+            }
+            for (n, dependencies, priority, due) in jobs {
+                let mut job = job_depending_on(n, dependencies);
+                job.priority = priority;
+                job.due = due.map(secs);
+                w.job(job);
+            }
+            let ranks = |w: &World, expected: Ranks, when: &str| {
+                for (n, priority, due) in expected {
+                    let job = &w.c.jobs[&job_id(*n)];
+                    let why = format!("{} ({when}, reversed {reversed}): {n}", case.name);
+                    assert_eq!(job.spec.priority, *priority, "{why}");
+                    assert_eq!(job.deadline, due.map(|d| job.arrived + secs(d)), "{why}");
+                }
+            };
+            w.settle();
+            ranks(&w, case.before, "before");
+            for n in case.cancelled {
+                w.c.on_cancel_marked(w.now, &job_id(*n));
+            }
+            w.settle();
+            ranks(&w, case.after, "after");
+        }
+    }
+}
+
+/// Each job above a change is looked at once a round, however long the chain and however many the
+/// dependents.
+#[test]
+fn the_cost_of_priority_inheritance_is_bounded() {
+    const CHAIN: u32 = 1000;
+    const FAN: u32 = 10_000;
+    let mut w = World::new();
+    for n in (0..CHAIN).rev() {
+        let mut job = job_depending_on(n, &if n > 0 { vec![n - 1] } else { vec![] });
+        // Each end asks for more than the one before it: the worst that can come.
+        job.due = Some(secs(u64::from(100_000 - n)));
+        w.job(job);
+    }
+    w.settle();
+    assert_eq!(
+        w.c.jobs.priorities_computed,
+        u64::from(CHAIN),
+        "a chain, from its end"
+    );
+    let mut w = World::new();
+    w.job(job_depending_on(0, &[]));
+    (1..=FAN).for_each(|n| w.job(job_depending_on(n, &[0])));
+    w.settle();
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 1, "a fan");
+    // One more, and one less: the one that they all need, and the one itself.
+    w.job(job_depending_on(FAN + 1, &[0]));
+    w.settle();
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 3);
+    w.c.on_cancel_marked(w.now, &job_id(FAN + 1));
+    w.settle();
+    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 4);
+}
--- /dev/null
+++ b/tests/scheduler/process_pauses.rs
@@ -0,0 +1,120 @@
+//! Pauses of the leader's process: they are detected, and the time of a pause counts against no machine.
+
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::state::cluster_state::KillRequest;
+use cypressgap::runtime::stall_detector::StallDetector;
+use std::time::{Duration, Instant, SystemTime};
+
+/// Guards against a process that stood still and takes its own silence for the machines'.
+#[test]
+fn a_paused_process_does_not_take_machines_for_silent() {
+    for still in [false, true] {
+        let mut w = World::new();
+        w.heartbeat("i-1", 1, vec![]);
+        w.job(spec("wk-000001", 1, 8.0));
+        let a = launches(&w.settle())[0].2;
+        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
+        w.heartbeat("i-1", 2, tasks);
+        let mut gone = Vec::new();
+        for _ in 0..12 {
+            w.pass(secs(2));
+            if !still {
+                gone.extend(returned_machines(&w.settle()));
+            }
+        }
+        gone.extend(returned_machines(&w.settle()));
+        assert_eq!(gone.is_empty(), still, "stood still: {still}");
+        assert!(!still || !w.c.is_without_heartbeats(w.now));
+    }
+}
+
+/// Guards against a process that takes what waited while it stood still for news of now.
+#[test]
+fn process_pauses_are_detected() {
+    // Seconds that passed by the steady clock and by the time of day since the last look.
+    let cases: [(&str, f64, f64, bool); 7] = [
+        ("a usual look", 0.5, 0.5, false),
+        ("a busy processor", 3.0, 3.0, false),
+        ("both clocks went on", 20.0, 20.0, true),
+        ("the steady clock stood still too", 0.1, 20.0, true),
+        ("only the steady clock went on", 20.0, 0.1, true),
+        ("the time of day wandered", 0.5, 0.8, false),
+        ("the time of day was set back", 0.5, -60.0, true),
+    ];
+    for (name, steady, day, stood) in cases {
+        let start = (Instant::now(), SystemTime::now());
+        let stall_detector = StallDetector::new(Duration::from_millis(100), start.0, start.1);
+        let now = start.0 + Duration::from_secs_f64(steady);
+        let moved = Duration::from_secs_f64(day.abs());
+        let today = if day < 0.0 {
+            start.1 - moved
+        } else {
+            start.1 + moved
+        };
+        assert_eq!(stall_detector.waking(now, today), stood, "{name}");
+        assert_eq!(
+            stall_detector.look(now, today),
+            stood.then_some(now),
+            "{name}"
+        );
+        let later = now + secs(1);
+        assert!(
+            !stall_detector.waking(later, today + secs(1)),
+            "{name}, a second later"
+        );
+        // A thread that read its clock before another one looked changes nothing.
+        assert_eq!(
+            stall_detector.look(start.0, start.1).is_some(),
+            stood,
+            "{name}"
+        );
+    }
+}
+
+/// Guards against leases judged by a clock that went on while nothing could be answered: a task was
+/// moved while it ran. And against kills whose grace was over before they were sent.
+#[test]
+fn a_paused_process_expires_no_lease_that_it_could_not_renew() {
+    for woke in [false, true] {
+        let mut w = World::new();
+        w.heartbeat("i-1", 1, vec![]);
+        w.job(spec("wk-000001", 1, 8.0));
+        let a = launches(&w.settle())[0].2;
+        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
+        w.heartbeat("i-1", 2, tasks.clone());
+        // An order to stop with some grace has not gone out yet.
+        let job = w.c.jobs.get_mut(&"wk-000001".into()).unwrap();
+        job.active.get_mut(&0).unwrap().kill = Some(KillRequest {
+            grace_period: secs(6),
+            since: w.now,
+        });
+        w.pass(secs(45));
+        if woke {
+            w.c.woke(w.now);
+        } else {
+            // As if it had run and ticked all the time.
+            for _ in 0..20 {
+                w.settle();
+            }
+        }
+        w.settle();
+        let still = w.active("wk-000001", 0).is_some();
+        assert_eq!(still, woke, "its lease is over only for who could answer");
+        if woke {
+            let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0].kill.clone();
+            assert_eq!(kill.unwrap().grace_period, secs(6));
+            // Its next report is heard as if nothing had been.
+            let (_, commands) = w.heartbeat("i-1", 3, tasks);
+            let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
+            assert!(commands.iter().any(graceful), "{commands:?}");
+            assert!(w.c.fleet.machines[&first_machine()].must_show.is_none());
+            // In the end the lease counts again.
+            w.pass(secs(1));
+            for _ in 0..20 {
+                w.settle();
+            }
+            assert!(w.active("wk-000001", 0).is_none());
+        }
+    }
+}
--- a/tests/questions.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -1,142 +1,55 @@
-//! Questions about many jobs at once, and how the state service's rates are shared out.
+//! Rate limits of the key-value store, and how nodes, teams and kinds of requests share them.
 
-mod common;
-
-use common::secs;
-use cypressgap::common::rate_limit::{shares, Demand, RequestClass, SubmissionFairness};
-use cypressgap::core::model::JobId;
-use cypressgap::core::persistence::job_status_reads::{self, JobRecordStatus, Page, Records};
-use cypressgap::core::persistence::ledger::{job_key, live_key, JobOutcome};
+use crate::common::*;
+use cypressgap::common::rate_limit::{shares, Bucket, Demand, RequestClass, SubmissionFairness};
 use cypressgap::net::store::StoreBudget;
 use cypressgap::settings::StoreRates;
-use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A state service as questions see it. `named`: how many differing keys it names at a time.
-struct Shelf {
-    live: BTreeSet<String>,
-    said: BTreeMap<String, JobOutcome>,
-    named: usize,
-    page: usize,
-    calls: Cell<usize>,
-    out_after: usize,
-}
-
-impl Shelf {
-    fn called(&self) -> Result<(), &'static str> {
-        self.calls.set(self.calls.get() + 1);
-        (self.calls.get() <= self.out_after)
-            .then_some(())
-            .ok_or("out")
-    }
-}
-
-impl Records for Shelf {
-    type Error = &'static str;
-    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, &'static str> {
-        self.called()?;
-        let exists = |k: &String| self.live.contains(k) || self.said.contains_key(k);
-        let differing = expected.iter().filter(|(k, s)| exists(k) != (*s > 0));
-        Ok(differing.take(self.named).map(|e| e.0.clone()).collect())
-    }
-    fn outcomes(&self, from: &str) -> Result<Page, &'static str> {
-        self.called()?;
-        let after = self.said.iter().filter(|(k, _)| k.as_str() > from);
-        let page: Vec<_> = after.clone().take(self.page).collect();
-        let more = after.count() > page.len();
-        Ok((
-            page.into_iter().map(|(k, v)| (k.clone(), *v)).collect(),
-            more,
-        ))
-    }
-    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
-        self.called()?;
-        Ok(self.said.get(key).copied())
-    }
-}
-
-fn job_id(n: u32) -> JobId {
-    JobId(format!("wk-{n:06}"))
-}
-
-/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
-/// recorded as live by earlier versions; others were never accepted.
-fn shelf(named: usize, page: usize) -> Shelf {
-    let outcome = |n: u32| match n {
-        100..=149 => Some(JobOutcome::Done),
-        150..=159 => Some(JobOutcome::Cancelled),
-        160..=169 => Some(JobOutcome::Live),
-        _ => None,
-    };
-    Shelf {
-        live: (0..100)
-            .chain(150..170)
-            .map(|n| live_key(&job_id(n)))
-            .collect(),
-        said: (0..200)
-            .filter_map(|n| Some((job_key(&job_id(n)), outcome(n)?)))
-            .collect(),
-        named,
-        page,
-        calls: Cell::new(0),
-        out_after: usize::MAX,
-    }
-}
-
-fn truth(n: u32) -> JobRecordStatus {
-    match n {
-        0..=99 | 160..=169 => Some(JobOutcome::Live),
-        100..=149 => Some(JobOutcome::Done),
-        150..=159 => Some(JobOutcome::Cancelled),
-        _ => None,
-    }
-}
-
 #[test]
-fn many_questions_cost_few_calls_and_are_answered_truly() {
-    // Name, jobs asked about, how many of them are known as accepted, keys named at a time, verdicts
-    // on a page, calls at most.
-    type Case = (&'static str, Vec<u32>, u32, usize, usize, usize);
-    let cases: [Case; 9] = [
-        ("all live and known", (0..100).collect(), 100, 999, 99, 1),
-        ("a new node", (0..100).collect(), 0, 999, 99, 2),
-        ("one was done", (50..101).collect(), 101, 999, 99, 3),
-        ("many were done", (50..150).collect(), 150, 999, 99, 3),
-        ("more than a page", (50..150).collect(), 150, 999, 20, 5),
-        ("far apart", vec![100, 149, 155], 0, 999, 5, 4),
-        ("nobody submitted them", (300..400).collect(), 0, 999, 99, 1),
-        (
-            "of all kinds",
-            (0..200).step_by(3).collect(),
-            60,
-            999,
-            99,
-            4,
-        ),
-        ("one key named at a time", vec![1, 101, 155], 200, 1, 99, 5),
-    ];
-    for (name, asked, known, named, page, calls) in cases {
-        let s = shelf(named, page);
-        let asked: BTreeSet<u32> = asked.into_iter().collect();
-        let mut accepted = (0..known)
-            .filter(|n| truth(*n).is_some())
-            .map(job_id)
-            .collect();
-        let job_ids = asked.iter().map(|n| job_id(*n)).collect();
-        let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut accepted);
-        assert_eq!(trouble, None, "{name}");
-        for n in &asked {
-            assert_eq!(found.get(&job_id(*n)), Some(&truth(*n)), "{name}: job {n}");
+fn budgets_of_users_and_of_the_leader_are_separate() {
+    let now = Instant::now();
+    let rates = StoreRates {
+        requests: 100.0,
+        changes: 40.0,
+    };
+    let taken =
+        |b: &StoreBudget, rank, writes| (0..100).filter(|_| b.try_take(rank, writes, now)).count();
+    let b = StoreBudget::new(rates, 2, now);
+    let users = taken(&b, RequestClass::User, 2);
+    assert_eq!(users, 3, "of 8 changes a second, a second's burst");
+    // What users have used up leaves the leader its part, and the reverse.
+    let leader = taken(&b, RequestClass::Leader, 2);
+    assert!(leader > 2 * users, "{leader}");
+    let b = StoreBudget::new(rates, 2, now);
+    taken(&b, RequestClass::Leader, 2);
+    assert_eq!(taken(&b, RequestClass::User, 2), users);
+    // All nodes together stay within the rates, one of them leading.
+    let (mut requests, mut changes) = (0, 0);
+    for leads in [true, false] {
+        let b = StoreBudget::new(rates, 2, now);
+        changes += taken(&b, RequestClass::User, 1);
+        let b = StoreBudget::new(rates, 2, now);
+        requests += taken(&b, RequestClass::User, 0);
+        if leads {
+            changes += taken(&b, RequestClass::Leader, 1);
+            let b = StoreBudget::new(rates, 2, now);
+            requests += taken(&b, RequestClass::Leader, 0);
         }
-        assert!(s.calls.get() <= calls, "{name}: {} calls", s.calls.get());
     }
+    assert!((80..=100).contains(&requests), "{requests}");
+    assert!((30..=40).contains(&changes), "{changes}");
+    // More than a bucket holds goes through when it is full, and is paid back.
+    let b = Bucket::new(10.0, 1.0, now);
+    assert!(b.take_at(25.0, now));
+    assert!(!b.take_at(1.0, now + secs(1)));
+    assert!(b.take_at(1.0, now + secs(2)));
 }
 
 /// Rates that were announced hold once the service refuses several calls in a short while, and stay. A
 /// refusal now and then, or without an announcement, says nothing.
 #[test]
-fn announced_rates_hold_once_refusals_show_it() {
+fn announced_rates_apply_once_refusals_show_it() {
     // Milliseconds between refusals, how many, whether lower rates were announced -> whether they hold.
     let cases = [
         (1000, 2, true, false),
@@ -197,29 +110,8 @@
     assert!(b.rates_reduced());
 }
 
-/// Guards against an answer where the state service gave none: what could not be asked is left out.
-#[test]
-fn what_could_not_be_asked_is_not_answered() {
-    for out_after in 0..4 {
-        for named in [1, 999] {
-            let mut s = shelf(named, 2);
-            s.out_after = out_after;
-            let job_ids = (0..200).step_by(7).map(job_id).collect();
-            let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut BTreeSet::new());
-            assert!(trouble.is_some() || named == 1, "{out_after} {named}");
-            for (u, status) in found {
-                let n: u32 = u.0[3..].parse().expect("a number");
-                assert_eq!(status, truth(n), "job {n} after {out_after} calls");
-            }
-        }
-    }
-    assert_eq!(job_status_reads::most_at_once(96, 64 * 1024), 48);
-    assert_eq!(job_status_reads::most_at_once(100_000, 64 * 1024), 512);
-    assert_eq!(job_status_reads::most_at_once(0, 0), 1);
-}
-
 #[test]
-fn a_storm_of_questions_leaves_submissions_their_requests() {
+fn a_flood_of_status_queries_leaves_submissions_their_requests() {
     let now = Instant::now();
     let b = StoreBudget::new(
         StoreRates {
@@ -239,7 +131,7 @@
 }
 
 #[test]
-fn changes_that_some_do_not_use_are_lent_to_others() {
+fn unused_write_budget_is_lent_to_other_nodes() {
     let d = |users, leader| Some(Demand { users, leader });
     let quiet = d(0.0, 0.0);
     // Name, own demand, the peers', at least and at most for its users, the same as leader.
@@ -333,7 +225,7 @@
 }
 
 #[test]
-fn a_team_that_floods_leaves_the_others_a_way_in() {
+fn a_flooding_team_does_not_starve_the_submissions_of_others() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let crowd = SubmissionFairness::default();
--- /dev/null
+++ b/tests/scheduler/status_queries.rs
@@ -0,0 +1,149 @@
+//! Status queries about many jobs at once: few reads of the key-value store, and no wrong answer.
+
+use cypressgap::core::model::JobId;
+use cypressgap::core::persistence::job_status_reads;
+use cypressgap::core::persistence::job_status_reads::{JobRecordStatus, Page, Records};
+use cypressgap::core::persistence::ledger::{job_key, live_key, JobOutcome};
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A state service as questions see it. `named`: how many differing keys it names at a time.
+struct Shelf {
+    live: BTreeSet<String>,
+    said: BTreeMap<String, JobOutcome>,
+    named: usize,
+    page: usize,
+    calls: Cell<usize>,
+    out_after: usize,
+}
+
+impl Shelf {
+    fn called(&self) -> Result<(), &'static str> {
+        self.calls.set(self.calls.get() + 1);
+        (self.calls.get() <= self.out_after)
+            .then_some(())
+            .ok_or("out")
+    }
+}
+
+impl Records for Shelf {
+    type Error = &'static str;
+    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, &'static str> {
+        self.called()?;
+        let exists = |k: &String| self.live.contains(k) || self.said.contains_key(k);
+        let differing = expected.iter().filter(|(k, s)| exists(k) != (*s > 0));
+        Ok(differing.take(self.named).map(|e| e.0.clone()).collect())
+    }
+    fn outcomes(&self, from: &str) -> Result<Page, &'static str> {
+        self.called()?;
+        let after = self.said.iter().filter(|(k, _)| k.as_str() > from);
+        let page: Vec<_> = after.clone().take(self.page).collect();
+        let more = after.count() > page.len();
+        Ok((
+            page.into_iter().map(|(k, v)| (k.clone(), *v)).collect(),
+            more,
+        ))
+    }
+    fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
+        self.called()?;
+        Ok(self.said.get(key).copied())
+    }
+}
+
+fn job_id(n: u32) -> JobId {
+    JobId(format!("wk-{n:06}"))
+}
+
+/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
+/// recorded as live by earlier versions; others were never accepted.
+fn shelf(named: usize, page: usize) -> Shelf {
+    let outcome = |n: u32| match n {
+        100..=149 => Some(JobOutcome::Done),
+        150..=159 => Some(JobOutcome::Cancelled),
+        160..=169 => Some(JobOutcome::Live),
+        _ => None,
+    };
+    Shelf {
+        live: (0..100)
+            .chain(150..170)
+            .map(|n| live_key(&job_id(n)))
+            .collect(),
+        said: (0..200)
+            .filter_map(|n| Some((job_key(&job_id(n)), outcome(n)?)))
+            .collect(),
+        named,
+        page,
+        calls: Cell::new(0),
+        out_after: usize::MAX,
+    }
+}
+
+fn truth(n: u32) -> JobRecordStatus {
+    match n {
+        0..=99 | 160..=169 => Some(JobOutcome::Live),
+        100..=149 => Some(JobOutcome::Done),
+        150..=159 => Some(JobOutcome::Cancelled),
+        _ => None,
+    }
+}
+
+#[test]
+fn many_status_queries_cost_few_calls_and_are_answered_correctly() {
+    // Name, jobs asked about, how many of them are known as accepted, keys named at a time, verdicts
+    // on a page, calls at most.
+    type Case = (&'static str, Vec<u32>, u32, usize, usize, usize);
+    let cases: [Case; 9] = [
+        ("all live and known", (0..100).collect(), 100, 999, 99, 1),
+        ("a new node", (0..100).collect(), 0, 999, 99, 2),
+        ("one was done", (50..101).collect(), 101, 999, 99, 3),
+        ("many were done", (50..150).collect(), 150, 999, 99, 3),
+        ("more than a page", (50..150).collect(), 150, 999, 20, 5),
+        ("far apart", vec![100, 149, 155], 0, 999, 5, 4),
+        ("nobody submitted them", (300..400).collect(), 0, 999, 99, 1),
+        (
+            "of all kinds",
+            (0..200).step_by(3).collect(),
+            60,
+            999,
+            99,
+            4,
+        ),
+        ("one key named at a time", vec![1, 101, 155], 200, 1, 99, 5),
+    ];
+    for (name, asked, known, named, page, calls) in cases {
+        let s = shelf(named, page);
+        let asked: BTreeSet<u32> = asked.into_iter().collect();
+        let mut accepted = (0..known)
+            .filter(|n| truth(*n).is_some())
+            .map(job_id)
+            .collect();
+        let job_ids = asked.iter().map(|n| job_id(*n)).collect();
+        let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut accepted);
+        assert_eq!(trouble, None, "{name}");
+        for n in &asked {
+            assert_eq!(found.get(&job_id(*n)), Some(&truth(*n)), "{name}: job {n}");
+        }
+        assert!(s.calls.get() <= calls, "{name}: {} calls", s.calls.get());
+    }
+}
+
+/// Guards against an answer where the state service gave none: what could not be asked is left out.
+#[test]
+fn statuses_that_could_not_be_read_are_left_out() {
+    for out_after in 0..4 {
+        for named in [1, 999] {
+            let mut s = shelf(named, 2);
+            s.out_after = out_after;
+            let job_ids = (0..200).step_by(7).map(job_id).collect();
+            let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut BTreeSet::new());
+            assert!(trouble.is_some() || named == 1, "{out_after} {named}");
+            for (u, status) in found {
+                let n: u32 = u.0[3..].parse().expect("a number");
+                assert_eq!(status, truth(n), "job {n} after {out_after} calls");
+            }
+        }
+    }
+    assert_eq!(job_status_reads::most_at_once(96, 64 * 1024), 48);
+    assert_eq!(job_status_reads::most_at_once(100_000, 64 * 1024), 512);
+    assert_eq!(job_status_reads::most_at_once(0, 0), 1);
+}
--- /dev/null
+++ b/tests/scheduler/store_transactions.rs
@@ -0,0 +1,183 @@
+//! The leader's transactions: their size, their order, and what becomes of a refused one.
+
+use crate::common::dependency_jobs::{job_depending_on, job_id};
+use crate::common::*;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{
+    chunk_key, chunk_room, BatchOutcome, ChunkValue, Op, Value,
+};
+use cypressgap::core::state::cluster_state::Action;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+#[test]
+fn large_jobs_are_written_in_chunks_within_a_transactions_limits() {
+    let mut big = config();
+    big.teams[0].cpus_max = None;
+    let mut w = World::with(big, vec![machine_type("m8", 10_000.0)]);
+    w.heartbeat("i-1", 1, vec![]);
+    w.job(spec("wk-000001", 100_000, 1.0));
+    for _ in 0..20 {
+        w.pass(secs(1));
+        let serial = w.revision;
+        w.heartbeat("i-1", serial, vec![]);
+        if let Some(b) = w.batch() {
+            assert!(b.ops.len() <= 24 && b.conditions.len() <= 4 * 24);
+            w.revision += 1;
+            let revision = w.revision;
+            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+        }
+    }
+    assert!(w.c.jobs[&JobId::from("wk-000001")].active.len() > 1000);
+}
+
+#[test]
+fn keys_of_finished_jobs_are_removed_a_few_at_a_time() {
+    let mut w = World::with(config(), vec![machine_type("m8", 64.0)]);
+    let job_id = JobId::from("wk-000001");
+    w.job(spec("wk-000001", 64 * 20, 1.0));
+    for index in 0..20 {
+        let done = ChunkValue {
+            done: u64::MAX,
+            active: vec![],
+        };
+        w.c.load_chunk(w.now, &job_id, index, done, 90);
+    }
+    let first = w.batch().expect("the end is recorded");
+    assert_eq!(first.ops.len(), 1, "the verdict at once");
+    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 200 });
+    let mut removed = 0;
+    let start = w.now;
+    // With the place in the index.
+    while removed < 21 {
+        w.c.allow(8);
+        let batch = w.batch().expect("the rest follows");
+        assert!(batch.ops.len() <= 4);
+        removed += batch.ops.len();
+        w.c.on_batch(w.now, BatchOutcome::Applied { revision: 201 });
+    }
+    assert!(w.now - start >= std::time::Duration::from_secs(3));
+}
+
+#[test]
+fn a_transaction_is_no_larger_than_the_rate_has_room_for_and_intents_go_first() {
+    let mut p = config();
+    p.teams[0].cpus_max = None;
+    let mut w = World::with(p, vec![machine_type("m8", 64.0)]);
+    w.heartbeat("i-1", 1, vec![]);
+    w.job(spec("wk-000001", 1, 4.0));
+    let ended = launches(&w.settle())[0].2;
+    // An ending of the older job is unwritten; four others have intents.
+    w.heartbeat(
+        "i-1",
+        2,
+        vec![shown(
+            "wk-000001",
+            0,
+            ended,
+            TaskPhase::Ended(ExitReason::UnknownTask),
+        )],
+    );
+    w.c.jobs
+        .get_mut(&JobId::from("wk-000001"))
+        .unwrap()
+        .backoff_until = Some(w.now + secs(60));
+    for n in 2..6 {
+        let mut s = spec(&format!("wk-00000{n}"), 1, 4.0);
+        s.class = "other".into();
+        w.job(s);
+    }
+    w.pass(secs(5));
+    w.heartbeat("i-1", 3, vec![]);
+    w.c.allow(0);
+    assert_eq!(w.batch(), None);
+    w.c.allow(3);
+    let first = w.batch().expect("what there is room for");
+    assert_eq!(first.ops.len(), 3);
+    let old = chunk_key(&"wk-000001".into(), 0);
+    assert!(!first.conditions.iter().any(|c| c.0 == old), "endings wait");
+    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 400 });
+    w.c.allow(24);
+    let rest = w.batch().expect("the rest");
+    assert!(rest.conditions.iter().any(|c| c.0 == old));
+}
+
+#[test]
+fn a_chunk_of_intents_fits_into_small_values() {
+    for (bytes, room) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
+        assert_eq!(chunk_room(bytes), room, "{bytes}");
+    }
+    let mut p = config();
+    p.value_bytes = 2048;
+    p.teams[0].cpus_max = None;
+    let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
+    let r = |serial| {
+        let mut r = World::heartbeat_from("i-1", 1, serial, FencingToken::first(TERM).0, vec![]);
+        r.machine_type = "m99".into();
+        r
+    };
+    w.c.on_heartbeat(w.now, r(1), true);
+    w.job(spec("wk-000001", 200, 1.0));
+    w.settle();
+    let value = w.c.jobs[&job_id(1)].chunk_value(0);
+    assert_eq!(value.active.len(), 62);
+}
+
+/// What the state service refuses for its size is not sent again as it was, and nothing of it is lost.
+#[test]
+fn a_refused_transaction_is_sent_in_parts() {
+    // The limits that hold, unannounced: changes a transaction, and attempts a value.
+    for (most_ops, most_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
+        let mut p = config();
+        p.teams[0].cpus_max = None;
+        let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
+        let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
+        r.machine_type = "m99".into();
+        w.c.on_heartbeat(w.now, r, true);
+        w.job(spec("wk-000001", 100, 1.0));
+        (2..30).for_each(|n| w.job(spec(&job_id(n).0, 1, 1.0)));
+        w.job(job_depending_on(40, &[1]));
+        w.c.on_cancel_marked(w.now, &job_id(29));
+        let mut refused = Vec::new();
+        let mut launched = BTreeSet::new();
+        for _ in 0..400 {
+            w.pass(Duration::from_millis(150));
+            for action in w.c.tick(w.now) {
+                launched.extend(
+                    launches(std::slice::from_ref(&action))
+                        .into_iter()
+                        .map(|l| l.1),
+                );
+                match action {
+                    Action::Send { machine, .. } => {
+                        w.c.on_sent(w.now, &machine, None);
+                    }
+                    Action::Store(batch) => {
+                        let too_long = |o: &Op| matches!(o, Op::Put(_, Value::Chunk(c)) if c.active.len() > most_attempts);
+                        let outcome =
+                            if batch.ops.len() > most_ops || batch.ops.iter().any(too_long) {
+                                assert!(
+                                    !refused.contains(&batch.ops),
+                                    "sent again as it was: {most_ops} {most_attempts}"
+                                );
+                                refused.push(batch.ops);
+                                BatchOutcome::Refused
+                            } else {
+                                w.revision += 1;
+                                BatchOutcome::Applied {
+                                    revision: w.revision,
+                                }
+                            };
+                        w.c.on_batch(w.now, outcome);
+                    }
+                    _ => {}
+                }
+            }
+        }
+        let why = format!("{most_ops} changes, {most_attempts} attempts");
+        let small = launched.iter().filter(|t| t.job_id != job_id(1)).count();
+        assert_eq!(small, 27, "{why}: each job but the cancelled one");
+        assert!(launched.len() > small, "{why}: the large one too");
+        assert!(refused.len() < 12, "{why}: {}", refused.len());
+    }
+}
--- a/tests/guests.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -1,8 +1,7 @@
-//! Teams without a guarantee beside others: what they get, and what they must not take.
+//! Teams without a guarantee beside others: what they get, and what they must not take; and the limit on
+//! ordinary starts while the controllers lag.
 
-mod common;
-
-use common::*;
+use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::placement::start_limiter::StartLimiter;
 
@@ -36,7 +35,7 @@
 /// Guards against one huge job of small tasks that fills every gap: tasks that need a whole machine
 /// waited until it was over.
 #[test]
-fn a_huge_job_of_small_tasks_takes_no_more_than_its_part_while_others_wait() {
+fn a_huge_job_of_small_tasks_takes_no_more_than_its_share_while_others_wait() {
     for (team, priority) in [
         ("red", Priority::Standard),
         ("blue", Priority::Standard),
@@ -75,7 +74,7 @@
 /// Guards against idle work that is never begun, or stopped again and again, beside endless work of
 /// higher urgency.
 #[test]
-fn idle_work_of_a_guest_begins_and_is_not_stopped_for_nothing() {
+fn idle_priority_work_without_a_guarantee_begins_and_is_not_preempted_needlessly() {
     let mut p = teams();
     p.teams[0].cpus = Some(1000.0);
     let mut f = Fleet::new(p, 10, 8.0);
@@ -106,7 +105,7 @@
 /// Guards against nodes that drown: a huge job of short tasks on thousands of machines had reports and
 /// users unanswered and leases run out.
 #[test]
-fn ordinary_work_starts_at_the_pace_of_the_processors() {
+fn ordinary_starts_are_limited_by_timer_lag() {
     // Milliseconds that timers are late, for seconds; starts that are wanted a second; then the bound.
     type Case = (
         &'static str,
@@ -164,7 +163,7 @@
 }
 
 #[test]
-fn urgent_work_starts_whatever_the_pace() {
+fn high_priority_and_guaranteed_work_is_not_held_by_the_start_limit() {
     let mut f = Fleet::new(teams(), 10, 8.0);
     f.w.job(owned("wk-000001", "grey", 500, 1.0, Priority::Standard));
     f.w.job(owned("wk-000002", "red", 30, 1.0, Priority::High));
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn limits_hold_under_all_troubles() {
+fn limits_hold_under_all_faults() {
     search("all troubles", Troubles::many, &WITHOUT_THE_CHECK);
 }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_count_sees_each_rule_broken() {
+fn the_invariant_checks_detect_each_violation() {
     // The rule, and what breaks it: the second machine's zone and tasks, what the job needs, and how
     // long ago it was cancelled.
     type Case<'a> = (
--- a/tests/versions.rs
+++ b/tests/version_compatibility.rs
@@ -306,7 +306,7 @@
 /// nothing in the list where it is said; the version in production says 2, and perhaps that the next
 /// rates hold.
 #[test]
-fn frames_that_a_peer_knows() {
+fn frames_that_an_earlier_peer_understands() {
     let cases: [(&[&str], u32); 6] = [
         (&[], 1),
         (&["wk-000001", "wk-000002"], 1),
--- a/tests/wire.rs
+++ b/tests/wire_formats.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn submissions() {
+fn submissions_are_validated() {
     let spec = read(&submission()).unwrap();
     assert_eq!((spec.task_count, spec.kind), (16, JobKind::Gang));
     // What the state service gives back is the same job.
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_a_job_awaits() {
+fn dependencies_of_a_submission() {
     let named = |names: &[&'static str]| {
         let mut m = submission();
         m.insert("Awaits", V::L(names.iter().map(|n| V::T(n)).collect()));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn bodies_that_are_no_submission() {
+fn malformed_submission_bodies() {
     let deep = [vec![0x91u8; 5000], vec![0xc0]].concat();
     let cases: [&[u8]; 6] = [
         b"",
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn heartbeats() {
+fn heartbeats_are_validated() {
     let task = |name, phase, why: Option<&'static str>| {
         let mut m = BTreeMap::from([
             ("Shard", V::T(name)),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn peer_frames() {
+fn peer_frames_are_validated() {
     let hello = PeerRequest::Hello(Hello {
         member: "worker-1".into(),
         leads: Some(4),
@@ -247,7 +247,7 @@
 
 /// Guards against a job that is taken for an outage of the state service because its value is refused.
 #[test]
-fn a_description_too_long_for_a_value_is_told_so() {
+fn a_job_spec_too_long_for_a_stored_value_is_refused() {
     let long = |n: usize, c: char| {
         (0..n)
             .map(|_| c.to_string().repeat(200))
--- a/tests/zones.rs
+++ b/tests/zone_constraints.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn zones_that_a_job_may_use() {
+fn zones_permitted_for_a_job() {
     // Whether it is bound to one zone, spread, and has how many tasks; the zones in which it starts one
     // after the other, with whether that changes where the next may start; then where it may.
     type Starts = &'static [(&'static str, bool)];
@@ -270,7 +270,7 @@
 /// Guards against ranking all machines anew for each task of such a job, and against walking all of its
 /// tasks for each machine: a leader spent minutes of processor time on it.
 #[test]
-fn a_round_with_a_tied_job_costs_little_more_than_one_without() {
+fn a_round_with_a_zone_bound_job_costs_little_more_than_one_without() {
     const TASKS: u32 = 700;
     let (plain, placed) = rounds(spec("wk-000001", TASKS, 8.0));
     assert_eq!(placed, TASKS as usize);
