--- /dev/null
+++ b/src/core/capacity/apply.rs
@@ -0,0 +1,143 @@
+//! Carries plans for the capacity out: the only place where they change the state.
+
+use crate::core::capacity::consolidation::ConsolidationPlan;
+use crate::core::capacity::drain::{DrainCancellations, DrainPlan, DrainReason};
+use crate::core::capacity::offer::MachineOffer;
+use crate::core::capacity::rentals::MAX_MACHINES_PER_RENTAL;
+use crate::core::capacity::scale_in::{MachineReturn, ReturnRequest};
+use crate::core::capacity::scale_out::ScaleOutPlan;
+use crate::core::capacity::spot_replacement::ReplacementDecision;
+use crate::core::model::MachineId;
+use crate::core::state::cluster_state::{Action, ClusterState};
+use std::time::Instant;
+
+impl ClusterState {
+    /// Machines take tasks again.
+    pub(super) fn cancel_drains(&mut self, plan: DrainCancellations) {
+        for id in plan.machines {
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                log::info!("drain cancelled machine={id}");
+                machine.draining = false;
+                self.schedule.request_round();
+            }
+        }
+    }
+
+    /// Machines get no more tasks.
+    pub(super) fn drain_machines(&mut self, plan: DrainPlan) {
+        for id in plan.machines {
+            self.drain_machine(&id, plan.reason);
+        }
+    }
+
+    /// Machines with replacements get no more tasks.
+    pub(super) fn drain_replaced(&mut self, plan: DrainPlan) {
+        self.capacity.replacements.replaced();
+        self.drain_machines(plan);
+    }
+
+    fn drain_machine(&mut self, id: &MachineId, reason: DrainReason) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
+            log::info!(
+                "draining machine={id} reason={reason} tasks={}",
+                machine.placed.len()
+            );
+            machine.draining = true;
+        }
+    }
+
+    /// Machines are drained, and their tasks stopped once they have saved.
+    pub(super) fn apply_consolidation(&mut self, now: Instant, plan: ConsolidationPlan) {
+        for consolidation in plan.machines {
+            self.drain_machine(&consolidation.machine, DrainReason::Consolidation);
+            for stop in consolidation.tasks {
+                let task = stop.task;
+                self.kill(now, &task.job_id, task.index, stop.grace_period);
+            }
+        }
+    }
+
+    /// Orders replacements for expensive machines.
+    pub(super) fn apply_replacement(&mut self, now: Instant, decision: ReplacementDecision) {
+        let replacements = &mut self.capacity.replacements;
+        match decision {
+            ReplacementDecision::Nothing => {}
+            ReplacementDecision::NoOffer => replacements.pause_without_offer(now),
+            ReplacementDecision::Rent { offer, number } => {
+                replacements.start(&offer.machine_type, number);
+                self.capacity.rentals.order(self.term, offer, number);
+            }
+        }
+    }
+
+    /// Orders rentals, as many as the settings, the pace of a takeover and the rentals under way allow.
+    pub(super) fn order_rentals(&mut self, now: Instant, plan: ScaleOutPlan) {
+        for (offer, number) in plan.machines {
+            if !self.order_rentals_of(now, &offer, number) {
+                return;
+            }
+        }
+    }
+
+    /// Large demand takes several rentals of the most that one may ask for. False: the takeover allows
+    /// no more rentals now.
+    fn order_rentals_of(&mut self, now: Instant, offer: &MachineOffer, wanted: u32) -> bool {
+        let max_machines = self.config.tuning.max_machines;
+        let mut missing = wanted;
+        while missing > 0 {
+            let rentals = &self.capacity.rentals;
+            let machines = self.fleet.machines.len() + rentals.pending_machines() as usize;
+            let room = max_machines.saturating_sub(machines) as u32;
+            let number = missing.min(MAX_MACHINES_PER_RENTAL).min(room);
+            if number == 0 || rentals.is_full() {
+                break;
+            }
+            let number = self.takeover.rentals_allowed(now, number);
+            if number == 0 {
+                return false;
+            }
+            let rentals = &mut self.capacity.rentals;
+            rentals.order(self.term, offer.clone(), number);
+            missing -= number;
+        }
+        true
+    }
+
+    /// Returns machines that are of no more use, as fast as the cloud takes them.
+    pub(super) fn scale_in(&mut self, now: Instant) {
+        let survey = self.survey_silence(now);
+        self.takeover.survey(survey);
+        self.mark_returning(self.plan_scale_in(now));
+        if let Some(request) = self.plan_return_request(now) {
+            self.request_return(now, request);
+        }
+    }
+
+    fn mark_returning(&mut self, returns: Vec<MachineReturn>) {
+        for MachineReturn {
+            machine: id,
+            reason,
+        } in returns
+        {
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                log::info!(
+                    "returning machine={id} reason={reason} tasks={}",
+                    machine.placed.len()
+                );
+                machine.returning = true;
+            }
+        }
+    }
+
+    fn request_return(&mut self, now: Instant, request: ReturnRequest) {
+        self.capacity.last_return = Some(now);
+        for id in &request.machines {
+            if let Some(machine) = self.fleet.machines.get_mut(id) {
+                machine.return_sent = Some(now);
+            }
+        }
+        self.outbox.push(Action::Return {
+            machines: request.machines,
+        });
+    }
+}
--- /dev/null
+++ b/src/core/capacity/cloud_list.rs
@@ -0,0 +1,97 @@
+//! The cloud's list of machines: machines that this term did not rent are adopted, failed ones returned.
+
+use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
+use crate::core::state::cluster_state::{Action, ClusterState, Machine};
+use std::time::Instant;
+
+/// Machines asked for their heartbeats in one tick.
+const MAX_PROBES_PER_TICK: usize = 24;
+/// The incarnation in which nearly all machines are that have not reported. One in another answers with
+/// its heartbeat too.
+const FIRST_INCARNATION: u64 = 1;
+
+impl ClusterState {
+    /// Takes in the cloud's list.
+    pub fn on_list(&mut self, now: Instant, listed: &[CloudMachine]) {
+        self.capacity.list_was_read = true;
+        for entry in listed {
+            if !self.fleet.is_tombstone(&entry.id) {
+                self.on_listed_machine(now, entry);
+            }
+        }
+    }
+
+    fn on_listed_machine(&mut self, now: Instant, listed: &CloudMachine) {
+        let term = self.term;
+        let machine = self
+            .fleet
+            .machines
+            .entry(listed.id.clone())
+            .or_insert_with(|| {
+                log::info!(
+                    "adopting listed machine={} phase={:?}",
+                    listed.id,
+                    listed.phase
+                );
+                adopted(now, listed, term)
+            });
+        if machine.machine_type.0.is_empty() {
+            machine.machine_type = listed.machine_type.clone();
+            machine.zone = listed.zone.clone();
+            machine.spot = listed.spot;
+        }
+        let can_probe = !machine.reported && !machine.probed && !listed.endpoint.is_empty();
+        if can_probe && listed.phase == CloudMachinePhase::Running {
+            machine.probed = true;
+            let probe = (listed.id.clone(), listed.endpoint.clone());
+            self.outbox.probes.push_back(probe);
+        }
+        if listed.phase == CloudMachinePhase::Failed && !machine.returning {
+            log::info!("machine failed machine={}", listed.id);
+            machine.returning = true;
+        }
+    }
+
+    /// Asks listed machines that have not reported for their heartbeats, a few at a time: more than the
+    /// senders take would be lost.
+    pub(in crate::core) fn send_probes(&mut self) {
+        let mut left = MAX_PROBES_PER_TICK;
+        while left > 0 {
+            let Some((id, endpoint)) = self.outbox.probes.pop_front() else {
+                return;
+            };
+            let machine = self.fleet.machines.get(&id);
+            let Some(machine) = machine.filter(|m| !m.fenced && !m.returning) else {
+                continue;
+            };
+            left -= 1;
+            let incarnation = if machine.reported {
+                machine.incarnation
+            } else {
+                FIRST_INCARNATION
+            };
+            self.outbox.push(Action::Probe {
+                machine: id,
+                endpoint,
+                token: machine.token,
+                incarnation,
+            });
+        }
+    }
+}
+
+/// A machine that another term has rented.
+fn adopted(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
+    let mut machine = Machine::new(
+        listed.id.clone(),
+        listed.machine_type.clone(),
+        listed.zone.clone(),
+        listed.spot,
+        term,
+        now,
+    );
+    if listed.phase == CloudMachinePhase::Booting {
+        machine.booting = now.checked_sub(listed.age).or(Some(now));
+    }
+    machine
+}
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -1,326 +1,164 @@
-//! Machines that are drained: expensive ones that cheaper ones can replace, and thinly used ones.
+//! Consolidation: tasks of machines that are hardly used move to fuller ones.
+//!
+//! The long tasks that are left when a burst is over would keep a machine each. Only what saves
+//! checkpoints is stopped, and only where the rest of its run is worth the trouble.
 
-use crate::core::capacity::*;
-use crate::core::model::{JobKind, MachineId, MachineTypeName, Resources, TaskId};
-use crate::core::placement::zone_constraints::{permits, ZoneUse};
-use crate::core::placement::RoundOutcome;
-use crate::core::state::cluster_state::{ClusterState, Machine};
-use std::collections::BTreeMap;
+use crate::core::capacity::headroom::{are_all_covered, HeadroomDemand};
+use crate::core::model::{JobKind, MachineId, Resources, TaskId};
+use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job, Machine};
+use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Work that waits for longer than this keeps a machine from being drained.
-const KEEP_WAIT: Duration = Duration::from_secs(5);
-const REPLACING_PART: u32 = 6;
-/// A machine is thinly used below this share. One in so many is drained at a time.
-const THIN: f64 = 0.55;
-const MOVING_PART: usize = 12;
-/// Tasks move that have run for this long, so that their start counts, and have this much left
-/// beyond saving and starting again.
-const MOVE_RAN: Duration = Duration::from_secs(31);
-const MOVE_REST: Duration = Duration::from_secs(20);
+/// A machine that is used above this share is left alone.
+const MAX_USED_SHARE: f64 = 0.55;
+/// One machine in so many is consolidated at a time.
+const CONSOLIDATION_DIVISOR: usize = 12;
+/// Tasks move that have run for this long, so that their start counts, and have this much left beyond
+/// saving and starting again.
+const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(31);
+const MIN_RUN_AFTER_MOVE: Duration = Duration::from_secs(20);
+/// What a task gets beyond the time that its checkpoint should take.
+const CHECKPOINT_MARGIN: Duration = Duration::from_secs(2);
 
-impl ClusterState {
-    /// Ordinary machines in use are replaced by spot ones of their type where these can be had.
-    pub(in crate::core) fn replace_expensive(&mut self, now: Instant, round: &RoundOutcome) {
-        if self.capacity.replace_after.is_none_or(|t| t <= now) && round.waiting.is_empty() {
-            let on_the_way: u32 = self.capacity.replacing.values().sum();
-            // Of each type: ordinary machines, and those of them that are in use and could move.
-            let mut kinds: BTreeMap<&MachineTypeName, (u32, u32)> = BTreeMap::new();
-            for h in self.fleet.machines.values() {
-                if h.spot || h.draining || h.returning || !h.reported {
-                    continue;
-                }
-                let expensive = self
-                    .fleet
-                    .machine_type(&h.machine_type)
-                    .is_some_and(|t| t.hourly > t.low_price * EXPENSIVE_FACTOR);
-                let can_move = h.placed.keys().all(|t| {
-                    let job = self.jobs.get(&t.job_id);
-                    job.is_none_or(|j| j.spec.allows_spot)
-                });
-                let kind = kinds.entry(&h.machine_type).or_default();
-                kind.0 += 1;
-                if expensive && can_move && !h.placed.is_empty() {
-                    kind.1 += 1;
-                }
-            }
-            let all: u32 = kinds.values().map(|k| k.0).sum();
-            // What is free on spot machines takes the tasks over without any stand-in.
-            let room: f64 = self
-                .free_room(now)
-                .iter()
-                .filter(|(h, _)| h.spot)
-                .map(|(_, free)| free.cpus)
-                .sum();
-            let ordinary = self.fleet.machines.values().filter(|h| !h.spot);
-            let wanted: f64 = ordinary.map(|h| h.used.cpus).sum();
-            let mut allowed = REPLACING
-                .max(all / REPLACING_PART)
-                .saturating_sub(on_the_way);
-            if room >= wanted {
-                allowed = 0;
-            }
-            let candidate = kinds.into_iter().find(|(_, k)| k.1 > 0);
-            if let Some((name, (ordinary, busy))) = candidate.filter(|_| allowed > 0) {
-                let name = name.clone();
-                let under_way = self.capacity.replacing.get(&name).copied().unwrap_or(0);
-                let zones = self.fleet.machine_type(&name).map(|t| t.zones.clone());
-                let offer = zones.unwrap_or_default().into_iter().find_map(|s| {
-                    let offer = (name.clone(), s, true);
-                    (!self.is_refused(now, &offer)).then_some(offer)
-                });
-                let n = allowed
-                    .min(ordinary.saturating_sub(under_way))
-                    .min(busy)
-                    .min(MAX_RENTED);
-                match offer {
-                    Some(o) if n > 0 => {
-                        *self.capacity.replacing.entry(name).or_default() += n;
-                        self.order_rental(o, n);
-                    }
-                    _ => self.capacity.replace_after = Some(now + Duration::from_secs(10)),
-                }
-            }
-        }
-        if round.waiting.is_empty() {
-            self.drain_superfluous(now);
-        }
-        for (name, n) in std::mem::take(&mut self.capacity.replaced) {
-            let mut left = n;
-            for h in self.fleet.machines.values_mut() {
-                if left > 0
-                    && h.machine_type == name
-                    && !h.spot
-                    && !h.draining
-                    && h.booting.is_none()
-                {
-                    log::info!("host is drained for a cheaper one host={}", h.id);
-                    h.draining = true;
-                    left -= 1;
-                }
-            }
-        }
-    }
+/// A task that is to be stopped once it has saved its progress.
+pub(super) struct GracefulStop {
+    pub(super) task: TaskId,
+    pub(super) grace_period: Duration,
+}
 
-    /// Drains the most expensive ordinary machines whose tasks would find room on spot machines by now,
-    /// with the headroom left as it is.
-    pub(in crate::core) fn drain_superfluous(&mut self, now: Instant) {
-        let mut room: Vec<Resources> = self
-            .free_room(now)
-            .into_iter()
-            .filter(|(h, _)| h.spot)
-            .map(|(_, n)| n)
-            .collect();
+/// A machine that is to be drained, and the tasks that move away.
+pub(super) struct MachineConsolidation {
+    pub(super) machine: MachineId,
+    pub(super) tasks: Vec<GracefulStop>,
+}
+
+/// Machines whose tasks move together.
+#[must_use]
+pub(super) struct ConsolidationPlan {
+    pub(super) machines: Vec<MachineConsolidation>,
+}
+
+/// How full a machine is.
+struct MachineLoad<'a> {
+    machine: &'a Machine,
+    free: Resources,
+    used_share: f64,
+}
+
+impl ClusterState {
+    /// Which machines to empty. For a time in which nothing waits.
+    pub(super) fn plan_consolidation(&self, now: Instant) -> ConsolidationPlan {
+        let mut loads = self.loads_fullest_first(now);
         let headroom = self.headroom(now);
-        let mut expensive: Vec<(f64, &Machine)> = self
-            .fleet
-            .machines
-            .values()
-            .filter(|h| h.reported && !h.spot && !h.draining && !h.returning)
-            // Idle ones have their own time to go: a service that has just started has no tasks.
-            .filter(|h| !h.placed.is_empty())
-            .filter_map(|h| {
-                let t = self.fleet.machine_type(&h.machine_type)?;
-                (t.hourly > t.low_price * EXPENSIVE_FACTOR).then_some((t.hourly, h))
-            })
-            .collect();
-        expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let most = (expensive.len() / REPLACING_PART as usize).max(1);
-        let mut drained: Vec<MachineId> = Vec::new();
-        for (_, h) in expensive {
-            if drained.len() >= most || room.is_empty() {
+        let draining = self.fleet.machines.values().filter(|m| m.draining).count();
+        let max_consolidated = (loads.len() / CONSOLIDATION_DIVISOR)
+            .max(1)
+            .saturating_sub(draining);
+        let mut machines = Vec::new();
+        for index in (1..loads.len()).rev() {
+            if machines.len() >= max_consolidated {
                 break;
             }
-            let before = room.clone();
-            let moves = h.placed.iter().all(|(task, resources)| {
-                let spot = self
-                    .jobs
-                    .get(&task.job_id)
-                    .is_none_or(|j| j.spec.allows_spot);
-                match room.iter_mut().find(|n| spot && resources.fits(n)) {
-                    Some(n) => {
-                        n.sub(resources);
-                        true
-                    }
-                    None => false,
-                }
-            });
-            let enough = moves
-                && headroom.iter().all(|(tasks, resources)| {
-                    let slots: usize = room.iter().map(|n| resources.count_in(n)).sum();
-                    slots >= *tasks as usize
-                });
-            if enough {
-                drained.push(h.id.clone());
-            } else {
-                room = before;
-                if moves {
-                    // The headroom is used up: no other would leave it either.
-                    break;
-                }
-            }
-        }
-        for id in drained {
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                log::info!("host is drained, spot machines have room host={id}");
-                h.draining = true;
-            }
-        }
-    }
-
-    /// Moves the tasks of thinly used machines together, once nothing waits: the long tasks that are
-    /// left when a burst is over would keep a machine each. Only what saves on being stopped moves,
-    /// and only where the rest of its run is worth the trouble.
-    pub(in crate::core) fn consolidate(&mut self, now: Instant) {
-        let mut room: Vec<(&Machine, Resources, f64)> = self
-            .free_room(now)
-            .into_iter()
-            .filter_map(|(h, free)| {
-                let t = self.fleet.machine_type(&h.machine_type)?;
-                Some((h, free, h.used.share_of(&t.room)))
-            })
-            .collect();
-        // The fullest take; of equally full ones the cheaper.
-        let price = |h: &Machine| {
-            let t = self.fleet.machine_type(&h.machine_type);
-            t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
-        };
-        room.sort_by(|a, b| {
-            b.2.total_cmp(&a.2)
-                .then(price(a.0).total_cmp(&price(b.0)))
-                .then(a.0.id.cmp(&b.0.id))
-        });
-        let headroom = self.headroom(now);
-        let moving = self.fleet.machines.values().filter(|h| h.draining).count();
-        let mut most = (room.len() / MOVING_PART).max(1).saturating_sub(moving);
-        let mut moves: Vec<(MachineId, Vec<(TaskId, Duration)>)> = Vec::new();
-        let mut last = room.len();
-        while most > 0 && last > 1 {
-            last -= 1;
-            let (h, _, used) = &room[last];
-            if *used > THIN || h.placed.is_empty() {
+            let (fuller, rest) = loads.split_at_mut(index);
+            let (machine, used_share) = (rest[0].machine, rest[0].used_share);
+            if used_share > MAX_USED_SHARE || machine.placed.is_empty() {
                 continue;
             }
-            let Some(tasks) = self.movable(now, h) else {
+            let Some(tasks) = self.stops_to_move(now, machine) else {
                 continue;
             };
-            let mut free: Vec<(usize, Resources)> = Vec::new();
-            let fits = h.placed.values().all(|resources| {
-                let here = (0..last).find(|i| {
-                    let taken = free.iter().rev().find(|f| f.0 == *i);
-                    resources.fits(taken.map_or(&room[*i].1, |f| &f.1)) && room[*i].2 > 0.0
-                });
-                here.is_some_and(|i| {
-                    let taken = free.iter().rev().find(|f| f.0 == i);
-                    let mut left = taken.map_or(room[i].1, |f| f.1);
-                    left.sub(resources);
-                    free.push((i, left));
-                    true
-                })
-            });
-            if !fits {
+            let Some(free_after) = pack_onto(fuller, machine) else {
                 continue;
-            }
-            let enough = headroom.iter().all(|(tasks, resources)| {
-                let slots: usize = room[..last].iter().map(|r| resources.count_in(&r.1)).sum();
-                slots >= *tasks as usize + h.placed.len()
-            });
-            if !enough {
+            };
+            if !has_room_beside(&headroom, fuller, machine.placed.len()) {
                 break;
             }
-            moves.push((h.id.clone(), tasks));
-            for (i, left) in free {
-                room[i].1 = left;
-            }
-            room.truncate(last);
-            most -= 1;
-        }
-        for (id, tasks) in moves {
-            log::info!(
-                "host is drained, its tasks move together host={id} tasks={}",
-                tasks.len()
-            );
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                h.draining = true;
-            }
-            for (t, grace) in tasks {
-                self.kill(now, &t.job_id, t.index, grace);
+            for (target, free) in free_after {
+                fuller[target].free = free;
             }
+            machines.push(MachineConsolidation {
+                machine: machine.id.clone(),
+                tasks,
+            });
+            loads.truncate(index);
         }
+        ConsolidationPlan { machines }
     }
 
-    /// The tasks of a host with the grace that each needs, when all of them can move.
-    pub(in crate::core) fn movable(
-        &self,
-        now: Instant,
-        h: &Machine,
-    ) -> Option<Vec<(TaskId, Duration)>> {
-        let mut tasks = Vec::with_capacity(h.placed.len());
-        for task in h.placed.keys() {
+    /// Machines that take tasks, in the order in which tasks move to them: the fullest first, of equally
+    /// full ones the cheaper.
+    fn loads_fullest_first(&self, now: Instant) -> Vec<MachineLoad<'_>> {
+        let free_room = self.free_room(now).into_iter();
+        let mut loads: Vec<MachineLoad<'_>> = free_room
+            .filter_map(|room| {
+                let machine = room.machine;
+                let machine_type = self.fleet.machine_type(&machine.machine_type)?;
+                Some(MachineLoad {
+                    machine,
+                    free: room.free,
+                    used_share: machine.used.share_of(&machine_type.room),
+                })
+            })
+            .collect();
+        let price = |load: &MachineLoad<'_>| self.price_per_cpu_of(load.machine);
+        loads.sort_by(|a, b| {
+            b.used_share
+                .total_cmp(&a.used_share)
+                .then(price(a).total_cmp(&price(b)))
+                .then(a.machine.id.cmp(&b.machine.id))
+        });
+        loads
+    }
+
+    /// How to stop the tasks of a machine, when all of them can move.
+    fn stops_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
+        let mut stops = Vec::with_capacity(machine.placed.len());
+        for task in machine.placed.keys() {
             let job = self.jobs.get(&task.job_id)?;
-            let a = job.active.get(&task.index)?;
-            let ran = now.saturating_duration_since(a.running_since?);
-            let rest = a.est.saturating_sub(ran);
-            let plain = job.spec.kind == JobKind::Batch && !job.spec.same_place && !job.spec.spread;
-            let worth = job.spec.checkpoint_duration * 2 + MOVE_REST;
-            if !plain || !job.spec.saves() || a.kill.is_some() || ran < MOVE_RAN || rest < worth {
+            let attempt = job.active.get(&task.index)?;
+            if !can_move(now, job, attempt) {
                 return None;
             }
-            tasks.push((
-                task.clone(),
-                job.spec.checkpoint_duration + Duration::from_secs(2),
-            ));
+            stops.push(GracefulStop {
+                task: task.clone(),
+                grace_period: job.spec.checkpoint_duration + CHECKPOINT_MARGIN,
+            });
         }
-        Some(tasks)
+        Some(stops)
     }
+}
 
-    /// A machine that is being drained is paid for in any case: while work waits, it takes some.
-    pub(in crate::core) fn keep_draining(&mut self, round: &RoundOutcome) {
-        let mut draining: Vec<(&Machine, Resources)> = Vec::new();
-        for h in self
-            .fleet
-            .machines
-            .values()
-            .filter(|h| h.draining && !h.returning)
-        {
-            if let Some(t) = self.fleet.machine_type(&h.machine_type) {
-                let mut free = t.room;
-                free.sub(&h.used);
-                draining.push((h, free));
-            }
-        }
-        let mut kept: Vec<MachineId> = Vec::new();
-        for w in &round.waiting {
-            if draining.is_empty() {
-                break;
-            }
-            if w.on_booting_machine || w.expected_wait.is_some_and(|t| t <= KEEP_WAIT) {
-                continue;
-            }
-            let Some(job) = self.jobs.get(&w.job_id) else {
-                continue;
-            };
-            let zone_of = |h: &MachineId| self.fleet.machines.get(h).map(|h| h.zone.clone());
-            let zones = ZoneUse::of(job, &zone_of);
-            let mut left = w.count;
-            draining.retain(|(h, free)| {
-                let n = job.spec.resources.count_in(free);
-                let takes = left > 0
-                    && n > 0
-                    && permits(&job.spec, &zones, &h.machine_type, &h.zone, h.spot);
-                if takes {
-                    left = left.saturating_sub(n);
-                    kept.push(h.id.clone());
-                }
-                !takes
-            });
-        }
-        for id in kept {
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                log::info!("host is kept after all host={id}");
-                h.draining = false;
-                self.schedule.request_round();
-            }
-        }
+fn can_move(now: Instant, job: &Job, attempt: &ActiveAttempt) -> bool {
+    let Some(running_since) = attempt.running_since else {
+        return false;
+    };
+    let spec = &job.spec;
+    let is_bound = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
+    let ran = now.saturating_duration_since(running_since);
+    let remaining = attempt.est.saturating_sub(ran);
+    let worth_moving = spec.checkpoint_duration * 2 + MIN_RUN_AFTER_MOVE;
+    !is_bound
+        && spec.saves()
+        && attempt.kill.is_none()
+        && ran >= MIN_RUN_BEFORE_MOVE
+        && remaining >= worth_moving
+}
+
+/// What is free on machines, by index, once they have taken all tasks of another. None: they cannot.
+fn pack_onto(loads: &[MachineLoad<'_>], machine: &Machine) -> Option<HashMap<usize, Resources>> {
+    let mut free_after: HashMap<usize, Resources> = HashMap::new();
+    for resources in machine.placed.values() {
+        let target = (0..loads.len()).find(|i| {
+            let free = free_after.get(i).unwrap_or(&loads[*i].free);
+            loads[*i].used_share > 0.0 && resources.fits(free)
+        })?;
+        let free = free_after.entry(target).or_insert(loads[target].free);
+        free.sub(resources);
     }
+    Some(free_after)
+}
+
+/// Whether these machines have room for the headroom of each class and so many tasks more.
+fn has_room_beside(headroom: &[HeadroomDemand], loads: &[MachineLoad<'_>], moving: usize) -> bool {
+    are_all_covered(headroom, loads.iter().map(|load| &load.free), moving)
 }
--- /dev/null
+++ b/src/core/capacity/drain.rs
@@ -0,0 +1,106 @@
+//! Drained machines: why a machine gets no more tasks, and when it does again.
+
+use crate::core::capacity::free_room::FreeRoom;
+use crate::core::model::MachineId;
+use crate::core::placement::zone_constraints::{permits, ZoneUse};
+use crate::core::placement::{RoundOutcome, WaitingTasks};
+use crate::core::state::cluster_state::ClusterState;
+use std::fmt;
+use std::time::Duration;
+
+/// Work that waits for longer than this keeps a machine from being drained.
+const MAX_WAIT_BESIDE_DRAIN: Duration = Duration::from_secs(5);
+
+/// Why a machine is drained.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DrainReason {
+    /// A spot machine rented in its place is up.
+    Replaced,
+    /// Spot machines have room for its tasks.
+    RoomOnSpot,
+    /// Its few tasks move to other machines.
+    Consolidation,
+}
+
+impl fmt::Display for DrainReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            DrainReason::Replaced => "replaced",
+            DrainReason::RoomOnSpot => "room_on_spot",
+            DrainReason::Consolidation => "consolidation",
+        })
+    }
+}
+
+/// Machines that are to be drained.
+#[must_use]
+pub(super) struct DrainPlan {
+    pub(super) reason: DrainReason,
+    pub(super) machines: Vec<MachineId>,
+}
+
+/// Machines that are to take tasks again.
+#[must_use]
+pub(super) struct DrainCancellations {
+    pub(super) machines: Vec<MachineId>,
+}
+
+impl ClusterState {
+    /// A machine that is being drained is paid for in any case: while work waits, it takes some.
+    pub(super) fn plan_drain_cancellations(&self, round: &RoundOutcome) -> DrainCancellations {
+        let mut draining: Vec<FreeRoom<'_>> = self
+            .fleet
+            .machines
+            .values()
+            .filter(|machine| machine.draining && !machine.returning)
+            .filter_map(|machine| self.free_room_of(machine))
+            .collect();
+        let mut machines = Vec::new();
+        for waiting in &round.waiting {
+            if draining.is_empty() {
+                break;
+            }
+            let waits_long = waiting
+                .expected_wait
+                .is_none_or(|wait| wait > MAX_WAIT_BESIDE_DRAIN);
+            if waits_long && !waiting.on_booting_machine {
+                self.keep_machines_for(waiting, &mut draining, &mut machines);
+            }
+        }
+        DrainCancellations { machines }
+    }
+
+    /// Moves machines that have room for the waiting tasks from `draining` to `kept`.
+    fn keep_machines_for(
+        &self,
+        waiting: &WaitingTasks,
+        draining: &mut Vec<FreeRoom<'_>>,
+        kept: &mut Vec<MachineId>,
+    ) {
+        let Some(job) = self.jobs.get(&waiting.job_id) else {
+            return;
+        };
+        let spec = &job.spec;
+        let zone_of = |id: &MachineId| self.fleet.machines.get(id).map(|m| m.zone.clone());
+        let zones = ZoneUse::of(job, &zone_of);
+        let mut left = waiting.count;
+        draining.retain(|room| {
+            let machine = room.machine;
+            let fits = spec.resources.count_in(&room.free);
+            let is_kept = left > 0
+                && fits > 0
+                && permits(
+                    spec,
+                    &zones,
+                    &machine.machine_type,
+                    &machine.zone,
+                    machine.spot,
+                );
+            if is_kept {
+                left = left.saturating_sub(fits);
+                kept.push(machine.id.clone());
+            }
+            !is_kept
+        });
+    }
+}
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -1,6 +1,7 @@
 //! Headroom: room that is kept free for classes whose tasks were promised an early start.
 
-use crate::core::capacity::scale_out::{Candidate, RentalPlan};
+use crate::core::capacity::offer::MachineOffer;
+use crate::core::capacity::packing::{PackingPlan, RentalCandidate};
 use crate::core::model::{MachineType, MachineTypeName, Resources, Slo};
 use crate::core::placement::{is_wanted_by_larger_tasks, RoundOutcome};
 use crate::core::state::cluster_state::ClusterState;
@@ -10,67 +11,101 @@
 /// one that no new machine can keep.
 const BOOTS_FOR_A_START: u32 = 2;
 
+/// Tasks of a class that must find room at once.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HeadroomDemand {
+    pub(super) tasks: u32,
+    /// What one of them takes.
+    pub(super) resources: Resources,
+}
+
+/// Whether there is room for the headroom of each class, and for so many more tasks of its size.
+pub(super) fn are_all_covered<'a>(
+    demands: &[HeadroomDemand],
+    free: impl Iterator<Item = &'a Resources> + Clone,
+    more_tasks: usize,
+) -> bool {
+    demands.iter().all(|demand| {
+        let fits: usize = free
+            .clone()
+            .map(|free| demand.resources.count_in(free))
+            .sum();
+        fits >= demand.tasks as usize + more_tasks
+    })
+}
+
+/// The earliest start that a class was promised.
+struct PromisedStart<'a> {
+    class: &'a str,
+    within: Duration,
+}
+
 impl ClusterState {
-    /// Tasks of each class with a start aim that must find room at once: a class's typical job. A class
-    /// that is promised its start only after a machine can have come up needs none.
-    pub(in crate::core) fn headroom(&self, now: Instant) -> Vec<(u32, Resources)> {
-        let mut out = Vec::new();
-        for (class, within) in self.promised_starts() {
-            let Some((size, resources)) = self.capacity.typical(now, class) else {
+    /// Tasks of each class with an objective for their start that must find room at once: a class's
+    /// typical job. A class that is promised its start only after a machine can have come up needs none.
+    pub(super) fn headroom(&self, now: Instant) -> Vec<HeadroomDemand> {
+        let mut demands = Vec::new();
+        for PromisedStart { class, within } in self.promised_starts() {
+            let Some(typical) = self.capacity.class_demand.typical_job(now, class) else {
                 continue;
             };
-            let suits = self
-                .fleet
-                .types
-                .iter()
-                .filter(|t| resources.count_in(&t.room) > 0);
-            let boot = suits.map(|t| self.capacity.boot_time(t)).max();
-            let deadline = |o: &Slo| o.kind == "deadline" && o.class.as_deref() == Some(class);
-            let due = self.config.slos.iter().any(deadline);
-            if due || boot.is_none_or(|b| within < b * BOOTS_FOR_A_START) {
-                let tasks = (f64::from(size) * self.config.tuning.headroom_jobs).ceil();
-                out.push((tasks as u32, resources));
+            if self.has_deadline_slo(class) || self.starts_too_soon(within, &typical.resources) {
+                let jobs = self.config.tuning.headroom_jobs;
+                let tasks = (f64::from(typical.task_count) * jobs).ceil();
+                demands.push(HeadroomDemand {
+                    tasks: tasks as u32,
+                    resources: typical.resources,
+                });
             }
         }
-        out
+        demands
+    }
+
+    fn has_deadline_slo(&self, class: &str) -> bool {
+        let deadline = |slo: &Slo| slo.kind == "deadline" && slo.class.as_deref() == Some(class);
+        self.config.slos.iter().any(deadline)
+    }
+
+    /// Whether no machine rented now would be up in time for such a start.
+    fn starts_too_soon(&self, within: Duration, resources: &Resources) -> bool {
+        let types = self.fleet.types.iter();
+        let suitable = types.filter(|t| resources.count_in(&t.room) > 0);
+        let slowest_boot = suitable.map(|t| self.capacity.boot_time(t)).max();
+        slowest_boot.is_none_or(|boot| within < boot * BOOTS_FOR_A_START)
     }
 
     /// The earliest start that each class was promised.
-    fn promised_starts(&self) -> Vec<(&str, Duration)> {
-        let mut promises: Vec<(&str, Duration)> = Vec::new();
-        for o in self.config.slos.iter().filter(|o| o.kind == "wait") {
-            let Some(class) = o.class.as_deref() else {
+    fn promised_starts(&self) -> Vec<PromisedStart<'_>> {
+        let mut promised: Vec<PromisedStart<'_>> = Vec::new();
+        for slo in self.config.slos.iter().filter(|slo| slo.kind == "wait") {
+            let Some(class) = slo.class.as_deref() else {
                 continue;
             };
-            let within = o.within.unwrap_or_default();
-            match promises.iter_mut().find(|p| p.0 == class) {
-                Some(p) => p.1 = p.1.min(within),
-                None => promises.push((class, within)),
+            let within = slo.within.unwrap_or_default();
+            match promised.iter_mut().find(|start| start.class == class) {
+                Some(start) => start.within = start.within.min(within),
+                None => promised.push(PromisedStart { class, within }),
             }
         }
-        promises
+        promised
     }
 
-    /// Plans the cheapest machines for headroom that is missing.
-    pub(in crate::core) fn plan_headroom(
-        &self,
-        now: Instant,
-        round: &RoundOutcome,
-        plan: &mut RentalPlan,
-    ) {
-        for (tasks, resources) in self.headroom(now) {
+    /// Adds the cheapest machines for headroom that is missing to a plan.
+    pub(super) fn plan_headroom(&self, now: Instant, round: &RoundOutcome, plan: &mut PackingPlan) {
+        for HeadroomDemand { tasks, resources } in self.headroom(now) {
             let tasks = tasks as usize;
             let types = self.headroom_types(&resources);
-            let mut have = self.headroom_at_hand(round, plan, &resources, &types);
+            let mut covered = self.covered_headroom(round, plan, &resources, &types);
             let candidates = self.headroom_candidates(now, &resources, &types);
-            while have < tasks {
-                let Some(candidate) = plan.cheapest(&candidates, tasks - have) else {
+            while covered < tasks {
+                let Some(candidate) = plan.cheapest(&candidates, tasks - covered) else {
                     break;
                 };
-                if !plan.add_headroom(candidate) {
+                if !plan.has_room() {
                     break;
                 }
-                have += candidate.slots;
+                plan.add_empty(candidate);
+                covered += candidate.tasks_that_fit;
             }
         }
     }
@@ -78,38 +113,35 @@
     /// The types whose room counts for a class. Room that larger waiting tasks will take is no
     /// headroom, where other machines serve.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
-        let apart = |t: &&MachineType| {
-            resources.count_in(&t.room) > 0
-                && !is_wanted_by_larger_tasks(&self.unplaced_resources, resources, t)
+        let counts = |t: &&MachineType| {
+            let fits = resources.count_in(&t.room) > 0;
+            fits && !is_wanted_by_larger_tasks(&self.unplaced_resources, resources, t)
         };
-        let types: Vec<&MachineType> = self.fleet.types.iter().filter(apart).collect();
+        let types: Vec<&MachineType> = self.fleet.types.iter().filter(counts).collect();
         if types.is_empty() {
             return self.fleet.types.iter().collect();
         }
         types
     }
 
-    /// Tasks that find room on machines that are up, coming up or planned.
-    fn headroom_at_hand(
+    /// Tasks that find room on machines that are up, booting or planned.
+    fn covered_headroom(
         &self,
         round: &RoundOutcome,
-        plan: &RentalPlan,
+        plan: &PackingPlan,
         resources: &Resources,
         types: &[&MachineType],
     ) -> usize {
-        let counts = |name: &MachineTypeName| types.iter().any(|t| &t.name == name);
-        let all = types.len() == self.fleet.types.len();
+        let all_count = types.len() == self.fleet.types.len();
+        let counts = |name: &MachineTypeName| all_count || types.iter().any(|t| &t.name == name);
         let spare = round.spare.iter().filter(|spare| {
             let machine = self.fleet.machines.get(&spare.machine);
-            all || machine.is_some_and(|h| counts(&h.machine_type))
+            all_count || machine.is_some_and(|m| counts(&m.machine_type))
         });
-        let planned = plan
-            .machines
-            .iter()
-            .filter(|m| all || counts(m.machine_type()));
-        let up: usize = spare.map(|spare| resources.count_in(&spare.free)).sum();
-        let coming: usize = planned.map(|m| resources.count_in(&m.free)).sum();
-        up + coming
+        let planned = plan.machines().filter(|m| counts(&m.offer.machine_type));
+        let on_machines: usize = spare.map(|spare| resources.count_in(&spare.free)).sum();
+        let on_planned: usize = planned.map(|m| resources.count_in(&m.free)).sum();
+        on_machines + on_planned
     }
 
     fn headroom_candidates(
@@ -117,18 +149,25 @@
         now: Instant,
         resources: &Resources,
         types: &[&MachineType],
-    ) -> Vec<Candidate> {
+    ) -> Vec<RentalCandidate> {
         let mut candidates = Vec::new();
-        for t in types {
-            let slots = resources.count_in(&t.room);
-            for zone in t.zones.iter().filter(|_| slots > 0) {
-                let offer = (t.name.clone(), zone.clone(), true);
-                if !self.is_refused(now, &offer) {
-                    candidates.push(Candidate {
-                        price: t.price(true),
+        for machine_type in types {
+            let tasks_that_fit = resources.count_in(&machine_type.room);
+            if tasks_that_fit == 0 {
+                continue;
+            }
+            for zone in &machine_type.zones {
+                let offer = MachineOffer {
+                    machine_type: machine_type.name.clone(),
+                    zone: zone.clone(),
+                    spot: true,
+                };
+                if !self.capacity.rentals.is_refused(now, &offer) {
+                    candidates.push(RentalCandidate {
+                        price: machine_type.price(true),
                         offer,
-                        room: t.room,
-                        slots,
+                        room: machine_type.room,
+                        tasks_that_fit,
                     });
                 }
             }
--- /dev/null
+++ b/src/core/capacity/packing.rs
@@ -0,0 +1,162 @@
+//! Bin packing of waiting tasks onto machines that might be rented.
+
+use crate::core::capacity::offer::MachineOffer;
+use crate::core::capacity::scale_out::ScaleOutPlan;
+use crate::core::model::{JobSpec, Resources, Zone};
+use crate::core::placement::zone_constraints::{permits, ZoneUse};
+use std::collections::{BTreeMap, HashMap};
+
+/// How much each machine in a zone adds to the cost of another one there, so that rentals spread.
+const ZONE_SPREAD_COST: f64 = 0.001;
+
+/// A machine that might be rented, as the plan fills it.
+#[derive(Clone, Debug)]
+pub(super) struct PlannedMachine {
+    pub(super) offer: MachineOffer,
+    /// Its whole room.
+    pub(super) room: Resources,
+    pub(super) free: Resources,
+    /// Tasks that it is rented for, or 1 where it is headroom.
+    tasks: usize,
+}
+
+impl PlannedMachine {
+    /// A machine without tasks.
+    pub(super) fn empty(offer: MachineOffer, room: Resources) -> PlannedMachine {
+        PlannedMachine {
+            offer,
+            room,
+            free: room,
+            tasks: 0,
+        }
+    }
+}
+
+/// What could be rented for a job.
+pub(super) struct RentalCandidate {
+    pub(super) price: f64,
+    pub(super) offer: MachineOffer,
+    pub(super) room: Resources,
+    /// How many of the job's tasks fit.
+    pub(super) tasks_that_fit: usize,
+}
+
+/// Machines to rent, filled with the work that they are for.
+pub(super) struct PackingPlan {
+    machines: Vec<PlannedMachine>,
+    /// The first so many are being rented already.
+    under_way: usize,
+    /// The indices of machines with room for the smallest of what waits: with a thousand small jobs
+    /// waiting, looking at the full ones again for each took most of the leader's processor.
+    open: Vec<usize>,
+    smallest_task: Resources,
+    /// Machines in each zone, planned ones too.
+    zone_counts: HashMap<Zone, usize>,
+    max_machines: usize,
+}
+
+impl PackingPlan {
+    /// A plan that begins with the machines under way. `smallest_task`: no task to be packed takes less.
+    pub(super) fn new(
+        under_way: Vec<PlannedMachine>,
+        smallest_task: Resources,
+        zone_counts: HashMap<Zone, usize>,
+        max_machines: usize,
+    ) -> PackingPlan {
+        PackingPlan {
+            under_way: under_way.len(),
+            open: (0..under_way.len()).collect(),
+            machines: under_way,
+            smallest_task,
+            zone_counts,
+            max_machines,
+        }
+    }
+
+    /// All machines, those under way too.
+    pub(super) fn machines(&self) -> impl Iterator<Item = &PlannedMachine> {
+        self.machines.iter()
+    }
+
+    pub(super) fn has_room(&self) -> bool {
+        self.machines.len() < self.max_machines
+    }
+
+    /// Packs tasks of a job onto what is planned already. Returns how many are left.
+    pub(super) fn pack(&mut self, spec: &JobSpec, zones: &ZoneUse, count: usize) -> usize {
+        let mut left = count;
+        let (machines, smallest_task) = (&mut self.machines, &self.smallest_task);
+        self.open.retain(|index| {
+            let machine = &mut machines[*index];
+            let offer = &machine.offer;
+            let fits = spec.resources.fits(&machine.free);
+            if left > 0
+                && fits
+                && permits(spec, zones, &offer.machine_type, &offer.zone, offer.spot)
+            {
+                let tasks = spec.resources.count_in(&machine.free).min(left);
+                machine.free.sub(&spec.resources.times(tasks as f64));
+                machine.tasks += tasks;
+                left -= tasks;
+            }
+            smallest_task.fits(&machine.free)
+        });
+        left
+    }
+
+    /// The candidate that costs least for each of so many tasks.
+    pub(super) fn cheapest<'a>(
+        &self,
+        candidates: &'a [RentalCandidate],
+        tasks: usize,
+    ) -> Option<&'a RentalCandidate> {
+        let cost = |candidate: &RentalCandidate| {
+            let in_zone = self.zone_counts.get(&candidate.offer.zone);
+            let in_zone = in_zone.copied().unwrap_or(0) as f64;
+            let per_task = candidate.price / candidate.tasks_that_fit.min(tasks) as f64;
+            per_task * (1.0 + ZONE_SPREAD_COST * in_zone)
+        };
+        candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
+    }
+
+    /// Adds a machine with so many tasks on it.
+    pub(super) fn add_with_tasks(
+        &mut self,
+        candidate: &RentalCandidate,
+        task: &Resources,
+        tasks: usize,
+    ) {
+        let mut free = candidate.room;
+        free.sub(&task.times(tasks as f64));
+        self.add(candidate, free, tasks);
+    }
+
+    /// Adds an empty machine, to be kept as headroom.
+    pub(super) fn add_empty(&mut self, candidate: &RentalCandidate) {
+        self.add(candidate, candidate.room, 1);
+    }
+
+    fn add(&mut self, candidate: &RentalCandidate, free: Resources, tasks: usize) {
+        let zone = candidate.offer.zone.clone();
+        *self.zone_counts.entry(zone).or_default() += 1;
+        if self.smallest_task.fits(&free) {
+            self.open.push(self.machines.len());
+        }
+        self.machines.push(PlannedMachine {
+            offer: candidate.offer.clone(),
+            room: candidate.room,
+            free,
+            tasks,
+        });
+    }
+
+    /// What is to be rented beside what is under way.
+    pub(super) fn into_scale_out(self) -> ScaleOutPlan {
+        let mut machines: BTreeMap<MachineOffer, u32> = BTreeMap::new();
+        let planned = self.machines.into_iter().skip(self.under_way);
+        for machine in planned.filter(|m| m.tasks > 0 && m.room != Resources::default()) {
+            *machines.entry(machine.offer).or_default() += 1;
+        }
+        ScaleOutPlan { machines }
+    }
+}
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -1,314 +1,228 @@
-//! Machines that go back: idle, silent, faulty, about to be taken, or never come up.
-
+//! Scale in: machines that are returned because they are idle, silent, faulty, about to be evicted, or
+//! never came up.
+//!
+//! Invariants: no machine is returned for being silent or unreachable while the fault is likely shared
+//! by many; idle machines stay as long as the headroom of some class needs them; only a leader that is
+//! certain to lead returns machines, except those that have kept a cancelled task for too long.
+
+use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
-use crate::core::state::cluster_state::{Action, ClusterState, Machine};
+use crate::core::state::cluster_state::{ClusterState, Machine};
 use crate::core::state::failure_attribution::QUARANTINE_PATIENCE;
-use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MANY};
 use std::collections::HashMap;
+use std::fmt;
 use std::time::{Duration, Instant};
 
-const MAX_RETURNED: usize = 100;
+/// The cloud takes no more names in one request.
+const MAX_MACHINES_PER_RETURN: usize = 100;
 /// Idle machines wait this long for others to go with: the cloud's rate is for rentals too.
-const RETURN_PAUSE: Duration = Duration::from_secs(2);
-
-/// A machine that has missed so many reports is silent, whatever its lease.
-const SILENT_HEARTBEATS: f64 = 3.5;
+const RETURN_INTERVAL: Duration = Duration::from_secs(2);
+/// A return that was not answered is sent again after this long.
+const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
 /// A machine never came up if it takes longer than so many usual boots and this margin.
-const LATE_BOOTS: f64 = 4.0;
-const LATE_BOOT_MARGIN: Duration = Duration::from_secs(30);
+const MAX_BOOT_FACTOR: f64 = 4.0;
+const MAX_BOOT_MARGIN: Duration = Duration::from_secs(30);
 /// The boot of a machine whose type is not known.
 const UNKNOWN_BOOT: Duration = Duration::from_secs(60);
-/// A return that was not answered is sent again after this long.
-const RETURN_AGAIN: Duration = Duration::from_secs(20);
+/// After a pause of this process, first heartbeats may be waiting for it for so many intervals.
+const HEARTBEATS_AFTER_PAUSE: u32 = 2;
 
-/// Why a machine goes back.
+/// Why a machine is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WhyReturned {
-    NeverCameUp,
-    Faulty,
-    ToBeTaken,
+pub(super) enum ReturnReason {
+    NeverBooted,
+    Quarantined,
+    SpotEviction,
     Silent,
-    NothingReachesIt,
+    /// Its heartbeats come, but our answers and commands do not reach it.
+    Unreachable,
     Idle,
 }
 
-impl WhyReturned {
-    fn text(self) -> &'static str {
-        match self {
-            WhyReturned::NeverCameUp => "never came up",
-            WhyReturned::Faulty => "faulty",
-            WhyReturned::ToBeTaken => "to be taken",
-            WhyReturned::Silent => "silent",
-            WhyReturned::NothingReachesIt => "nothing reaches it",
-            WhyReturned::Idle => "idle",
-        }
+impl fmt::Display for ReturnReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReturnReason::NeverBooted => "never_booted",
+            ReturnReason::Quarantined => "quarantined",
+            ReturnReason::SpotEviction => "spot_eviction",
+            ReturnReason::Silent => "silent",
+            ReturnReason::Unreachable => "unreachable",
+            ReturnReason::Idle => "idle",
+        })
     }
 }
 
-/// Room that stays free for each class with headroom while idle machines go.
-struct HeadroomLeft {
-    /// Tasks of each class, and what one needs.
-    wanted: Vec<(u32, Resources)>,
+/// The decision to return a machine.
+#[must_use]
+pub(super) struct MachineReturn {
+    pub(super) machine: MachineId,
+    pub(super) reason: ReturnReason,
+}
+
+/// Machines that the cloud is to be asked to take back.
+#[must_use]
+pub(super) struct ReturnRequest {
+    pub(super) machines: Vec<MachineId>,
+}
+
+/// Room for the headroom of each class while idle machines go.
+struct HeadroomReserve<'a> {
+    demands: Vec<HeadroomDemand>,
     /// For how many tasks of each class there is room.
-    slots: Vec<usize>,
-    free_of: HashMap<MachineId, Resources>,
+    covered: Vec<usize>,
+    free_by_machine: HashMap<&'a MachineId, Resources>,
 }
 
-impl HeadroomLeft {
-    /// Tasks of one class for which there is room without this machine.
-    fn slots_without(&self, machine: &MachineId, class: usize) -> usize {
-        let free = self.free_of.get(machine);
-        let here = free.map_or(0, |free| self.wanted[class].1.count_in(free));
-        self.slots[class].saturating_sub(here)
+impl HeadroomReserve<'_> {
+    /// Tasks of a class for which there is room without this machine.
+    fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
+        let free = self.free_by_machine.get(machine);
+        let fits = free.map_or(0, |free| self.demands[class].resources.count_in(free));
+        self.covered[class].saturating_sub(fits)
     }
 
-    fn enough_without(&self, machine: &MachineId) -> bool {
-        let mut classes = self.wanted.iter().enumerate();
-        classes.all(|(class, (tasks, _))| self.slots_without(machine, class) >= *tasks as usize)
+    fn is_enough_without(&self, machine: &MachineId) -> bool {
+        let mut demands = self.demands.iter().enumerate();
+        demands.all(|(class, demand)| self.covered_without(machine, class) >= demand.tasks as usize)
     }
 
     fn remove(&mut self, machine: &MachineId) {
-        for class in 0..self.wanted.len() {
-            self.slots[class] = self.slots_without(machine, class);
+        for class in 0..self.demands.len() {
+            self.covered[class] = self.covered_without(machine, class);
         }
-        self.free_of.remove(machine);
+        self.free_by_machine.remove(machine);
     }
 }
 
 impl ClusterState {
-    /// How many machines are up, and how many of them are silent or not heard of in this term.
-    pub(in crate::core) fn unheard(&self, now: Instant) -> (usize, usize) {
-        let up = |h: &&Machine| h.booting.is_none() && !h.returning;
-        let limit = self.config.heartbeat.mul_f64(2.5);
-        let quiet =
-            |h: &&Machine| !h.reported || now.saturating_duration_since(h.last_heartbeat) > limit;
-        let all = self.fleet.machines.values().filter(up).count();
-        (
-            all,
-            self.fleet
-                .machines
-                .values()
-                .filter(up)
-                .filter(quiet)
-                .count(),
-        )
-    }
-
-    /// Returns machines that are of no more use, as fast as the cloud takes them.
-    pub(in crate::core) fn return_machines(&mut self, now: Instant) {
-        let survey = self.survey_silence(now);
-        self.takeover.survey(survey);
-        for (id, why) in self.leaving_machines(now) {
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                log::info!(
-                    "returning host={id} why={} tasks={}",
-                    why.text(),
-                    h.placed.len()
-                );
-                h.returning = true;
-            }
-        }
-        self.send_returns(now);
-    }
-
-    /// Machines that are to go back from now on.
-    fn leaving_machines(&self, now: Instant) -> Vec<(MachineId, WhyReturned)> {
-        let mut headroom = self.headroom_left(now);
-        let mut leaving = Vec::new();
-        for h in self.most_expensive_first() {
-            let why = if h.booting.is_some() {
-                self.never_came_up(now, h)
+    /// Which machines to return from now on.
+    #[must_use]
+    pub(super) fn plan_scale_in(&self, now: Instant) -> Vec<MachineReturn> {
+        let mut headroom = self.headroom_reserve(now);
+        let mut returns = Vec::new();
+        for machine in self.most_expensive_first() {
+            let reason = if machine.booting.is_some() {
+                self.never_booted(now, machine)
             } else {
-                self.unusable(now, h)
-                    .or_else(|| self.idle(now, h, &mut headroom))
+                self.unusable(now, machine)
+                    .or_else(|| self.idle(now, machine, &mut headroom))
             };
-            if let Some(why) = why {
-                leaving.push((h.id.clone(), why));
-            }
-        }
-        leaving
-    }
-
-    /// After what time machines count as silent.
-    pub(in crate::core) fn silent_after(&self) -> Duration {
-        let p = &self.config;
-        let share = p.lease.mul_f64(p.tuning.silent_share);
-        share.max(p.heartbeat.mul_f64(SILENT_HEARTBEATS))
-    }
-
-    /// Which machines are silent together. Machines are counted one by one only where enough are silent
-    /// for it to matter.
-    fn survey_silence(&self, now: Instant) -> SilenceSurvey {
-        let after = self.silent_after();
-        let up = |h: &&Machine| h.reported && !h.returning;
-        let lost =
-            |h: &&Machine| self.is_silent(now, h, after) || self.is_unreachable(now, h, after);
-        let mut survey = SilenceSurvey::default();
-        if self.fleet.machines.values().filter(up).filter(lost).count() < MANY {
-            return survey;
-        }
-        for h in self.fleet.machines.values().filter(up) {
-            let segment = self.takeover.segment_of(&h.endpoint);
-            survey.add(&segment, &h.zone, lost(&h));
+            returns.extend(reason.map(|reason| MachineReturn {
+                machine: machine.id.clone(),
+                reason,
+            }));
         }
-        survey
-    }
-
-    pub(in crate::core) fn is_silent(&self, now: Instant, h: &Machine, after: Duration) -> bool {
-        let since = h.last_heartbeat.max(self.liveness.awake_since);
-        now.saturating_duration_since(since) > after
-    }
-
-    /// Its reports come, but for as long nothing that was answered has reached it.
-    fn is_unreachable(&self, now: Instant, h: &Machine, after: Duration) -> bool {
-        let since = match h.must_show {
-            Some((_, shown)) => Some(shown),
-            None if h.fenced || h.own => None,
-            None => Some(h.known_since),
-        };
-        let since = since.map(|t| t.max(self.liveness.awake_since));
-        h.reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
-    }
-
-    /// When most of a segment, a site or all machines fall silent at once, the fault is more likely on our
-    /// side or in the network; but not for longer than their leases last.
-    fn fault_may_be_ours(&self, now: Instant, h: &Machine) -> bool {
-        let since = h.last_heartbeat.max(self.liveness.awake_since);
-        let silent = now.saturating_duration_since(since);
-        silent <= self.config.lease + self.config.heartbeat
-            && self.takeover.silence_scope(&h.endpoint, &h.zone) != SilenceScope::Machine
+        returns
     }
 
-    /// Machines that are not on their way back, by what they cost.
+    /// Machines that are not being returned, by price from the top.
     fn most_expensive_first(&self) -> Vec<&Machine> {
-        let price = |h: &Machine| {
-            let t = self.fleet.machine_type(&h.machine_type);
-            t.map_or(0.0, |t| t.price(h.spot) / t.room.cpus.max(1.0))
-        };
-        let machines = self.fleet.machines.values().filter(|h| !h.returning);
-        let mut machines: Vec<(f64, &Machine)> = machines.map(|h| (price(h), h)).collect();
-        machines.sort_by(|a, b| b.0.total_cmp(&a.0));
-        machines.into_iter().map(|(_, h)| h).collect()
+        let machines = self.fleet.machines.values().filter(|m| !m.returning);
+        let mut by_price: Vec<(f64, &Machine)> = machines
+            .map(|machine| (self.price_per_cpu_of(machine), machine))
+            .collect();
+        by_price.sort_by(|a, b| b.0.total_cmp(&a.0));
+        by_price.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    fn never_came_up(&self, now: Instant, h: &Machine) -> Option<WhyReturned> {
-        let t = self.fleet.machine_type(&h.machine_type);
-        let boot = t.map_or(UNKNOWN_BOOT, |t| t.boot);
-        // Its first report may be waiting for us.
+    fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+        let booting = now.saturating_duration_since(machine.booting?);
+        let machine_type = self.fleet.machine_type(&machine.machine_type);
+        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.boot);
+        let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
         let awake = now.saturating_duration_since(self.liveness.awake_since);
-        let late = boot.mul_f64(LATE_BOOTS) + LATE_BOOT_MARGIN;
-        let booting = h.booting.map(|since| now.saturating_duration_since(since));
-        let never = awake > self.config.heartbeat * 2 && booting.is_some_and(|b| b > late);
-        never.then_some(WhyReturned::NeverCameUp)
+        let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PAUSE;
+        (has_listened && booting > max_boot).then_some(ReturnReason::NeverBooted)
     }
 
-    /// Faulty, about to be taken, or cut off.
-    fn unusable(&self, now: Instant, h: &Machine) -> Option<WhyReturned> {
-        let faulty = |t: Instant| now.saturating_duration_since(t) > QUARANTINE_PATIENCE;
-        if h.quarantined_at.is_some_and(faulty) {
-            return Some(WhyReturned::Faulty);
+    /// Faulty, about to be evicted, or cut off.
+    fn unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+        let is_over = |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
+        if machine.quarantined_at.is_some_and(is_over) {
+            return Some(ReturnReason::Quarantined);
         }
-        if h.eviction.is_some() && h.placed.is_empty() {
-            return Some(WhyReturned::ToBeTaken);
+        if machine.eviction.is_some() && machine.placed.is_empty() {
+            return Some(ReturnReason::SpotEviction);
         }
         let after = self.silent_after();
-        let silent = self.is_silent(now, h, after);
-        let deaf = self.is_unreachable(now, h, after);
-        if !(silent || deaf) || self.fault_may_be_ours(now, h) {
+        let silent = self.is_silent(now, machine, after);
+        let unreachable = self.is_unreachable(now, machine, after);
+        if !(silent || unreachable) || self.is_shared_outage(now, machine) {
             return None;
         }
-        let known = now.saturating_duration_since(h.known_since.max(self.liveness.awake_since));
-        let expected = h.reported || known > self.config.lease;
+        let known_since = machine.known_since.max(self.liveness.awake_since);
+        let known = now.saturating_duration_since(known_since);
+        let expected = machine.reported || known > self.config.lease;
         if silent && expected {
-            return Some(WhyReturned::Silent);
+            return Some(ReturnReason::Silent);
         }
-        deaf.then_some(WhyReturned::NothingReachesIt)
+        unreachable.then_some(ReturnReason::Unreachable)
     }
 
-    /// Idle for long enough, and no headroom is lost with it.
-    fn idle(&self, now: Instant, h: &Machine, headroom: &mut HeadroomLeft) -> Option<WhyReturned> {
-        let since = h.idle_since?;
+    /// Idle for long enough, or drained, and no headroom is lost with it.
+    fn idle(
+        &self,
+        now: Instant,
+        machine: &Machine,
+        headroom: &mut HeadroomReserve<'_>,
+    ) -> Option<ReturnReason> {
+        let since = machine.idle_since?;
         let tuning = &self.config.tuning;
-        let keep = if h.spot {
+        let max_idle = if machine.spot {
             tuning.idle_spot
         } else {
             tuning.idle_ordinary
         };
-        let idle = now.saturating_duration_since(since) > keep;
-        if !h.reported || !h.placed.is_empty() || !(idle || h.draining) {
+        let is_idle = now.saturating_duration_since(since) > max_idle;
+        if !machine.reported || !machine.placed.is_empty() || !(is_idle || machine.draining) {
             return None;
         }
-        if !h.draining && !headroom.enough_without(&h.id) {
+        if !machine.draining && !headroom.is_enough_without(&machine.id) {
             return None;
         }
-        headroom.remove(&h.id);
-        Some(WhyReturned::Idle)
+        headroom.remove(&machine.id);
+        Some(ReturnReason::Idle)
     }
 
     /// Room for each class's headroom, on all machines that take tasks.
-    fn headroom_left(&self, now: Instant) -> HeadroomLeft {
-        let wanted = self.headroom(now);
-        let mut slots: Vec<usize> = vec![0; wanted.len()];
-        let mut free_of: HashMap<MachineId, Resources> = HashMap::new();
-        for (h, free) in self.free_room(now) {
-            for (n, (_, resources)) in slots.iter_mut().zip(&wanted) {
-                *n += resources.count_in(&free);
+    fn headroom_reserve(&self, now: Instant) -> HeadroomReserve<'_> {
+        let demands = self.headroom(now);
+        let mut covered: Vec<usize> = vec![0; demands.len()];
+        let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
+        for room in self.free_room(now) {
+            for (covered, demand) in covered.iter_mut().zip(&demands) {
+                *covered += demand.resources.count_in(&room.free);
             }
-            free_of.insert(h.id.clone(), free);
+            free_by_machine.insert(&room.machine.id, room.free);
         }
-        HeadroomLeft {
-            wanted,
-            slots,
-            free_of,
+        HeadroomReserve {
+            demands,
+            covered,
+            free_by_machine,
         }
     }
 
-    /// Asks the cloud to take back machines, many at a time.
-    fn send_returns(&mut self, now: Instant) {
-        let again = |t: Instant| now.saturating_duration_since(t) > RETURN_AGAIN;
+    /// Which machines to ask the cloud to take back now, many at a time.
+    pub(super) fn plan_return_request(&self, now: Instant) -> Option<ReturnRequest> {
+        let since = |t: Instant| now.saturating_duration_since(t);
         let mut due: Vec<&Machine> = self
             .fleet
             .machines
             .values()
-            .filter(|h| h.returning && h.return_sent.is_none_or(again))
-            .filter(|h| self.leadership.confirmed || h.overdue)
+            .filter(|m| m.returning)
+            .filter(|m| m.return_sent.is_none_or(|t| since(t) > RETURN_RETRY_DELAY))
+            .filter(|m| self.leadership.confirmed || m.overdue)
             .collect();
-        // Those first whose tasks wait for the proof.
-        due.sort_by_key(|h| (!h.overdue, h.placed.is_empty()));
-        let pressing = due.first().is_some_and(|h| !h.placed.is_empty());
-        let waited = |t: Instant| now.saturating_duration_since(t) >= RETURN_PAUSE;
-        let soon =
-            pressing || due.len() >= MAX_RETURNED || self.capacity.last_return.is_none_or(waited);
-        due.truncate(MAX_RETURNED);
-        let due: Vec<MachineId> = due.iter().map(|h| h.id.clone()).collect();
-        if !soon || due.is_empty() {
-            return;
-        }
-        self.capacity.last_return = Some(now);
-        for id in &due {
-            if let Some(h) = self.fleet.machines.get_mut(id) {
-                h.return_sent = Some(now);
-            }
-        }
-        self.outbox.push(Action::Return { machines: due });
-    }
-
-    /// Room free now on machines that take tasks.
-    pub(in crate::core) fn free_room(&self, now: Instant) -> Vec<(&Machine, Resources)> {
-        let mut out = Vec::new();
-        for h in self.fleet.machines.values() {
-            let Some(t) = self.fleet.machine_type(&h.machine_type) else {
-                continue;
-            };
-            let fresh =
-                now.saturating_duration_since(h.last_heartbeat) <= self.config.heartbeat * 3;
-            let leaving = h.returning || h.quarantined || h.draining || h.eviction.is_some();
-            if h.reported && fresh && !leaving {
-                let mut free = t.room;
-                free.sub(&h.used);
-                out.push((h, free));
-            }
-        }
-        out
+        // Those first whose tasks wait for the proof that they are gone.
+        due.sort_by_key(|m| (!m.overdue, m.placed.is_empty()));
+        let is_urgent = !due.first()?.placed.is_empty();
+        let last_return = self.capacity.last_return;
+        let may_send = is_urgent
+            || due.len() >= MAX_MACHINES_PER_RETURN
+            || last_return.is_none_or(|t| since(t) >= RETURN_INTERVAL);
+        due.truncate(MAX_MACHINES_PER_RETURN);
+        may_send.then(|| ReturnRequest {
+            machines: due.iter().map(|m| m.id.clone()).collect(),
+        })
     }
 }
--- /dev/null
+++ b/src/core/capacity/spot_replacement.rs
@@ -0,0 +1,261 @@
+//! Expensive machines make way for spot machines.
+//!
+//! Ordinary machines in use are replaced by spot ones of their type where these can be had, and drained
+//! without a replacement where spot machines have room for their tasks by now.
+
+use crate::core::capacity::drain::{DrainPlan, DrainReason};
+use crate::core::capacity::headroom::are_all_covered;
+use crate::core::capacity::offer::MachineOffer;
+use crate::core::capacity::rentals::MAX_MACHINES_PER_RENTAL;
+use crate::core::capacity::EXPENSIVE_FACTOR;
+use crate::core::model::{MachineId, MachineType, MachineTypeName, Resources, TaskId};
+use crate::core::state::cluster_state::{ClusterState, Machine};
+use std::collections::{BTreeMap, HashMap};
+use std::time::{Duration, Instant};
+
+/// Replacements under way at a time.
+const MAX_REPLACEMENTS: u32 = 3;
+/// Or one for so many ordinary machines. Also, one in so many expensive machines is drained at a time.
+const REPLACEMENT_DIVISOR: u32 = 6;
+/// No replacement is looked for for this long after the cloud refused one.
+const PAUSE_AFTER_REFUSAL: Duration = Duration::from_secs(60);
+/// And for this long after none was on offer.
+const PAUSE_WITHOUT_OFFER: Duration = Duration::from_secs(10);
+
+/// Spot machines that were rented to take the place of ordinary ones, by type.
+#[derive(Debug, Default)]
+pub(super) struct SpotReplacements {
+    /// On their way.
+    under_way: HashMap<MachineTypeName, u32>,
+    /// Up, while the ordinary machines are not drained yet.
+    up: HashMap<MachineTypeName, u32>,
+    /// No replacement is looked for before this time.
+    paused_until: Option<Instant>,
+}
+
+impl SpotReplacements {
+    fn is_paused(&self, now: Instant) -> bool {
+        self.paused_until.is_some_and(|until| until > now)
+    }
+
+    fn under_way(&self, machine_type: &MachineTypeName) -> u32 {
+        self.under_way.get(machine_type).copied().unwrap_or(0)
+    }
+
+    /// A spot machine of this type came up. It counts as a replacement if one is under way.
+    pub(super) fn replacement_is_up(&mut self, machine_type: &MachineTypeName) {
+        let under_way = self.under_way.get_mut(machine_type);
+        if let Some(count) = under_way.filter(|count| **count > 0) {
+            *count -= 1;
+            *self.up.entry(machine_type.clone()).or_default() += 1;
+        }
+    }
+
+    /// The cloud refused spot machines of this type.
+    pub(super) fn replacement_refused(&mut self, now: Instant, machine_type: &MachineTypeName) {
+        if self.under_way.remove(machine_type).is_some() {
+            self.paused_until = Some(now + PAUSE_AFTER_REFUSAL);
+        }
+    }
+
+    pub(super) fn start(&mut self, machine_type: &MachineTypeName, number: u32) {
+        *self.under_way.entry(machine_type.clone()).or_default() += number;
+    }
+
+    pub(super) fn pause_without_offer(&mut self, now: Instant) {
+        self.paused_until = Some(now + PAUSE_WITHOUT_OFFER);
+    }
+
+    /// The machines of each type that are to be drained have been.
+    pub(super) fn replaced(&mut self) {
+        self.up.clear();
+    }
+}
+
+/// What to do about expensive machines.
+#[must_use]
+pub(super) enum ReplacementDecision {
+    /// Nothing is to be replaced now.
+    Nothing,
+    /// Some should be, but there is nothing to be had for them.
+    NoOffer,
+    /// These spot machines are to be rented.
+    Rent { offer: MachineOffer, number: u32 },
+}
+
+/// Ordinary machines of one type.
+#[derive(Clone, Copy, Default)]
+struct OrdinaryMachines {
+    count: u32,
+    /// Expensive ones in use, whose tasks may run on spot machines.
+    replaceable: u32,
+}
+
+/// Whether an ordinary machine of this type costs much more than a spot one.
+fn is_expensive(machine_type: &MachineType) -> bool {
+    machine_type.hourly > machine_type.low_price * EXPENSIVE_FACTOR
+}
+
+impl ClusterState {
+    /// Which spot machines to rent in place of ordinary ones. For a time in which nothing waits.
+    pub(super) fn plan_spot_replacement(&self, now: Instant) -> ReplacementDecision {
+        if self.capacity.replacements.is_paused(now) {
+            return ReplacementDecision::Nothing;
+        }
+        let by_type = self.ordinary_machines_by_type();
+        let allowed = self.allowed_replacements(now, &by_type);
+        let candidate = by_type.into_iter().find(|(_, m)| m.replaceable > 0);
+        let Some((machine_type, machines)) = candidate.filter(|_| allowed > 0) else {
+            return ReplacementDecision::Nothing;
+        };
+        let under_way = self.capacity.replacements.under_way(machine_type);
+        let number = allowed
+            .min(machines.count.saturating_sub(under_way))
+            .min(machines.replaceable)
+            .min(MAX_MACHINES_PER_RENTAL);
+        match self.spot_offer(now, machine_type) {
+            Some(offer) if number > 0 => ReplacementDecision::Rent { offer, number },
+            _ => ReplacementDecision::NoOffer,
+        }
+    }
+
+    fn ordinary_machines_by_type(&self) -> BTreeMap<&MachineTypeName, OrdinaryMachines> {
+        let mut by_type: BTreeMap<&MachineTypeName, OrdinaryMachines> = BTreeMap::new();
+        let machines = self.fleet.machines.values();
+        for machine in machines.filter(|m| !m.spot && !m.draining && !m.returning && m.reported) {
+            let of_type = by_type.entry(&machine.machine_type).or_default();
+            of_type.count += 1;
+            if self.is_replaceable(machine) {
+                of_type.replaceable += 1;
+            }
+        }
+        by_type
+    }
+
+    fn is_replaceable(&self, machine: &Machine) -> bool {
+        let machine_type = self.fleet.machine_type(&machine.machine_type);
+        !machine.placed.is_empty()
+            && machine_type.is_some_and(is_expensive)
+            && machine.placed.keys().all(|task| self.allows_spot(task))
+    }
+
+    /// Whether a task may run on a spot machine. One whose job is not known may.
+    fn allows_spot(&self, task: &TaskId) -> bool {
+        let job = self.jobs.get(&task.job_id);
+        job.is_none_or(|job| job.spec.allows_spot)
+    }
+
+    /// How many replacements may be rented now. None where spot machines have room for all tasks of
+    /// ordinary ones: these need no replacement.
+    fn allowed_replacements(
+        &self,
+        now: Instant,
+        by_type: &BTreeMap<&MachineTypeName, OrdinaryMachines>,
+    ) -> u32 {
+        let free_cpus: f64 = self.free_on_spot(now).iter().map(|free| free.cpus).sum();
+        let ordinary = self.fleet.machines.values().filter(|m| !m.spot);
+        let used_cpus: f64 = ordinary.map(|m| m.used.cpus).sum();
+        if free_cpus >= used_cpus {
+            return 0;
+        }
+        let machines: u32 = by_type.values().map(|m| m.count).sum();
+        let under_way: u32 = self.capacity.replacements.under_way.values().sum();
+        MAX_REPLACEMENTS
+            .max(machines / REPLACEMENT_DIVISOR)
+            .saturating_sub(under_way)
+    }
+
+    fn free_on_spot(&self, now: Instant) -> Vec<Resources> {
+        let free_room = self.free_room(now).into_iter();
+        let on_spot = free_room.filter(|room| room.machine.spot);
+        on_spot.map(|room| room.free).collect()
+    }
+
+    /// A zone in which spot machines of this type may be had.
+    fn spot_offer(&self, now: Instant, machine_type: &MachineTypeName) -> Option<MachineOffer> {
+        let zones = &self.fleet.machine_type(machine_type)?.zones;
+        zones.iter().find_map(|zone| {
+            let offer = MachineOffer {
+                machine_type: machine_type.clone(),
+                zone: zone.clone(),
+                spot: true,
+            };
+            let is_refused = self.capacity.rentals.is_refused(now, &offer);
+            (!is_refused).then_some(offer)
+        })
+    }
+
+    /// The most expensive ordinary machines whose tasks would find room on spot machines by now, with
+    /// the headroom left as it is.
+    pub(super) fn plan_superfluous_drains(&self, now: Instant) -> DrainPlan {
+        let mut free = self.free_on_spot(now);
+        let headroom = self.headroom(now);
+        let expensive = self.expensive_in_use();
+        let max_drained = (expensive.len() / REPLACEMENT_DIVISOR as usize).max(1);
+        let mut machines: Vec<MachineId> = Vec::new();
+        for machine in expensive {
+            if machines.len() >= max_drained || free.is_empty() {
+                break;
+            }
+            let Some(free_after) = self.pack_on_spot(machine, &free) else {
+                continue;
+            };
+            if !are_all_covered(&headroom, free_after.iter(), 0) {
+                // The headroom is used up: no other machine would leave it either.
+                break;
+            }
+            free = free_after;
+            machines.push(machine.id.clone());
+        }
+        DrainPlan {
+            reason: DrainReason::RoomOnSpot,
+            machines,
+        }
+    }
+
+    /// Expensive ordinary machines with tasks, by price from the top. Idle ones are returned in time: a
+    /// service that has just started has no tasks.
+    fn expensive_in_use(&self) -> Vec<&Machine> {
+        let machines = self.fleet.machines.values();
+        let mut expensive: Vec<(f64, &Machine)> = machines
+            .filter(|m| m.reported && !m.spot && !m.draining && !m.returning)
+            .filter(|m| !m.placed.is_empty())
+            .filter_map(|machine| {
+                let machine_type = self.fleet.machine_type(&machine.machine_type)?;
+                is_expensive(machine_type).then_some((machine_type.hourly, machine))
+            })
+            .collect();
+        expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
+        expensive.into_iter().map(|(_, machine)| machine).collect()
+    }
+
+    /// What is left of the free room on spot machines with all tasks of this machine. None: they do not
+    /// fit.
+    fn pack_on_spot(&self, machine: &Machine, free: &[Resources]) -> Option<Vec<Resources>> {
+        let mut free_after = free.to_vec();
+        for (task, resources) in &machine.placed {
+            let may_move = self.allows_spot(task);
+            let target = free_after
+                .iter_mut()
+                .find(|free| may_move && resources.fits(free))?;
+            target.sub(resources);
+        }
+        Some(free_after)
+    }
+
+    /// Ordinary machines whose replacements are up.
+    pub(super) fn plan_replaced_drains(&self) -> DrainPlan {
+        let mut machines = Vec::new();
+        for (machine_type, count) in &self.capacity.replacements.up {
+            let can_drain = |m: &&Machine| {
+                &m.machine_type == machine_type && !m.spot && !m.draining && m.booting.is_none()
+            };
+            let replaced = self.fleet.machines.values().filter(can_drain);
+            machines.extend(replaced.take(*count as usize).map(|m| m.id.clone()));
+        }
+        DrainPlan {
+            reason: DrainReason::Replaced,
+            machines,
+        }
+    }
+}
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -222,7 +222,7 @@
 
     /// The first report of a machine that was booting.
     fn came_up(&mut self, took: Duration, r: &Heartbeat) {
-        self.capacity.booted(&r.machine_type, took, r.spot);
+        self.capacity.record_boot(&r.machine_type, took, r.spot);
         log::info!(
             "host is up host={} type={} site={}",
             r.machine,
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -398,7 +398,7 @@
                 self.manage_capacity(now, &round);
             }
         }
-        self.probe();
+        self.send_probes();
         self.retry_paced_orders(now);
         self.flush(now)
     }
