--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -8,7 +8,7 @@
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::ledger::{dependents_key, job_key};
-use crate::net::peer::FRAMES_LIVE_INDEX;
+use crate::net::peer::VERSION_WITH_LIVE_INDEX;
 use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::StoredDependents;
 use crate::runtime::service::Shared;
@@ -27,7 +27,10 @@
 
 /// Whether some peer may need the lists.
 pub fn needed(shared: &Shared) -> bool {
-    !shared.peers.iter().all(|p| p.knows(FRAMES_LIVE_INDEX))
+    !shared
+        .peers
+        .iter()
+        .all(|p| p.supports(VERSION_WITH_LIVE_INDEX))
 }
 
 /// Enters a job in the lists of its dependencies, on condition that none of them has a verdict.
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -251,13 +251,17 @@
 /// A submission that failed here may still be carried out later: its conditions make the second one
 /// find the first, whichever it is.
 fn by_peer(shared: &Shared, r: &Request) -> Option<ApiResponse> {
-    let ask = PeerRequest::User {
+    let request = PeerRequest::UserRequest {
         method: r.method.clone(),
         path: r.path.clone(),
         body: r.body.clone(),
     };
-    match shared.able_peer()?.ask(&ask, PEER_CALL) {
-        Ok(PeerResponse::User(status, body, retry)) => Some(((status, body), retry)),
+    match shared.able_peer()?.call(&request, PEER_CALL) {
+        Ok(PeerResponse::UserRequest {
+            status,
+            body,
+            retry_after,
+        }) => Some(((status, body), retry_after)),
         _ => None,
     }
 }
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -166,13 +166,13 @@
     let Some(peer) = shared.able_peer() else {
         return found;
     };
-    let ask = PeerRequest::Questions(job_ids.iter().map(|u| u.0.clone()).collect());
-    let Ok(PeerResponse::JobStandings(words)) = peer.ask(&ask, PEER_PATIENCE) else {
+    let ask = PeerRequest::JobStatuses(job_ids.iter().map(|u| u.0.clone()).collect());
+    let Ok(PeerResponse::JobStatuses(words)) = peer.call(&ask, PEER_PATIENCE) else {
         return found;
     };
     for (job_id, word) in job_ids.iter().zip(words) {
         let status = match word {
-            PeerJobStatus::Silence => continue,
+            PeerJobStatus::Unknown => continue,
             PeerJobStatus::NeverAccepted => None,
             PeerJobStatus::Live => Some(JobOutcome::Live),
             PeerJobStatus::Done => Some(JobOutcome::Done),
@@ -195,7 +195,7 @@
         found.extend(local(shared, &asked, &part.iter().cloned().collect()).0);
     }
     let word = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|u| found.get(u)) {
-        None => PeerJobStatus::Silence,
+        None => PeerJobStatus::Unknown,
         Some(None) => PeerJobStatus::NeverAccepted,
         Some(Some(JobOutcome::Live)) => PeerJobStatus::Live,
         Some(Some(JobOutcome::Done)) => PeerJobStatus::Done,
--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -1,4 +1,4 @@
-//! Commands sent straight to workers.
+//! Commands sent straight to the agents on worker nodes, between their heartbeats.
 
 use crate::core::model::{FencingToken, Heartbeat, TaskCommand};
 use crate::net::http_client;
@@ -6,21 +6,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A hanging machine must not hold a sender for long: the next report carries the commands anyway.
-pub const LIMIT: Duration = Duration::from_millis(2000);
+/// Time limit for sending commands. A hanging machine must not hold a sender for long: the response to
+/// its next heartbeat carries the commands anyway.
+pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// `idle` connections to workers are kept open.
-pub fn client(idle: usize) -> ureq::Agent {
+/// Connections to agents, of which so many are kept open while they are idle.
+pub fn connection_pool(idle_connections: usize) -> ureq::Agent {
     ureq::AgentBuilder::new()
-        .timeout_connect(Duration::from_millis(1000))
-        .max_idle_connections(idle)
+        .timeout_connect(CONNECT_TIMEOUT)
+        .max_idle_connections(idle_connections)
         .max_idle_connections_per_host(1)
         .redirects(0)
         .build()
 }
 
-/// Commands in the form in which they go to a worker.
-pub fn encode(token: FencingToken, incarnation: u64, commands: &[TaskCommand]) -> Vec<u8> {
+/// Encodes commands as they are sent to an agent.
+pub fn encode_commands(token: FencingToken, incarnation: u64, commands: &[TaskCommand]) -> Vec<u8> {
     wire::encode(&CommandRequest {
         token: token.0,
         incarnation,
@@ -28,17 +30,22 @@
     })
 }
 
-/// Sends commands. The worker's report as it came, whether they were executed or not; None: no
-/// answer.
-pub fn deliver(agent: &ureq::Agent, endpoint: &str, body: &[u8]) -> Option<Vec<u8>> {
+/// Sends encoded commands. Returns the agent's encoded heartbeat, whether it has executed the commands
+/// or refused them. None: it did not answer.
+pub fn send_commands(
+    connections: &ureq::Agent,
+    endpoint: &str,
+    commands: &[u8],
+) -> Option<Vec<u8>> {
     let address: SocketAddr = endpoint.parse().ok()?;
     let url = format!("http://{address}/commands");
-    let a = http_client::exchange(agent, "POST", &url, Some(body), LIMIT).ok()?;
-    matches!(a.status, 200 | 409).then_some(a.body)
+    let response =
+        http_client::exchange(connections, "POST", &url, Some(commands), COMMAND_TIMEOUT).ok()?;
+    matches!(response.status, 200 | 409).then_some(response.body)
 }
 
-/// Reads a worker's report. None: it is malformed.
-pub fn heartbeat(body: &[u8]) -> Option<Heartbeat> {
+/// Decodes an agent's heartbeat. None: it is malformed.
+pub fn decode_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     let heartbeat: WireHeartbeat = wire::decode(body)?;
     heartbeat.try_into().ok()
 }
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,53 +1,57 @@
-//! The cloud's protocol.
+//! Client of the cloud's interface: machine types, rentals, returns and the list of rented machines.
+//!
+//! Invariant: a rental without a clear answer is reported as [`RentalOutcome::Unknown`]; it is repeated
+//! under its idempotency key, so that machines are not rented twice.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::{CloudMachine, MachineId};
-use crate::net::http_client::Client;
-use crate::net::wire::{MachineList, MachineNames, RentRequest, WireMachineTypes};
+use crate::net::http_client::{HttpClient, HttpResponse};
+use crate::net::wire::{ErrorResponse, MachineList, MachineNames, RentRequest, WireMachineTypes};
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(8);
-const NONE: Option<&()> = None;
+const TIMEOUT: Duration = Duration::from_secs(8);
+/// Machines on a page of the list.
+const PAGE_SIZE: usize = 500;
+/// The cloud's error where it has no such machines to rent.
+const NO_CAPACITY: &str = "no capacity";
 
 /// A client of the cloud's interface.
 #[derive(Clone)]
-pub struct Cloud {
-    client: Client,
+pub struct CloudClient {
+    http: HttpClient,
 }
 
-impl Cloud {
+/// A page of the list of rented machines.
+#[derive(Debug, PartialEq)]
+pub struct MachinePage {
+    /// The machines, in the order of their ids. Those that make no sense are left out.
+    pub machines: Vec<CloudMachine>,
+    /// Whether more pages follow.
+    pub has_next: bool,
+}
+
+impl CloudClient {
     /// A cloud that is called through this client.
-    pub fn new(client: Client) -> Cloud {
-        Cloud { client }
+    pub fn new(http: HttpClient) -> CloudClient {
+        CloudClient { http }
     }
 
     /// The machine types on offer. None: no answer that can be read.
-    pub fn types(&self) -> Option<WireMachineTypes> {
-        let a = self
-            .client
-            .call("GET", "/machine_types", NONE, LIMIT)
-            .ok()?;
-        (a.status == 200).then(|| a.decode()).flatten()
+    pub fn machine_types(&self) -> Option<WireMachineTypes> {
+        self.get("/machine_types")?.decode()
     }
 
-    /// Rents machines under a claim, which makes repetitions harmless.
+    /// Rents machines. The request's idempotency key makes repetitions harmless.
     pub fn rent(&self, request: &RentRequest) -> RentalOutcome {
-        #[derive(serde::Deserialize)]
-        struct Refusal {
-            error: Option<String>,
-        }
-        match self.client.call("POST", "/hosts", Some(request), LIMIT) {
-            Ok(a) if a.status == 200 => match a.decode::<MachineNames>() {
-                Some(n) => RentalOutcome::Machines(n.machines.into_iter().map(MachineId).collect()),
-                None => RentalOutcome::Unknown,
-            },
-            Ok(a) if a.status == 503 => match a.decode::<Refusal>().and_then(|r| r.error) {
-                Some(e) if e == "no capacity" => RentalOutcome::NoCapacity,
-                _ => RentalOutcome::Unknown,
-            },
-            Ok(a) if a.status == 400 => {
+        let Ok(response) = self.http.call("POST", "/hosts", Some(request), TIMEOUT) else {
+            return RentalOutcome::Unknown;
+        };
+        match response.status {
+            200 => rented_machines(&response),
+            503 if is_out_of_capacity(&response) => RentalOutcome::NoCapacity,
+            400 => {
                 log::warn!(
-                    "the cloud calls a rental malformed claim={}",
+                    "cloud rejected a rental as malformed idempotency_key={}",
                     request.idempotency_key
                 );
                 RentalOutcome::NoCapacity
@@ -56,37 +60,48 @@
         }
     }
 
-    /// True: by now the machines and all that was on them are gone.
-    pub fn give_back(&self, machines: &[MachineId]) -> bool {
-        let body = MachineNames {
-            machines: machines.iter().map(|h| h.0.clone()).collect(),
+    /// Returns machines to the cloud. True: by now they are gone with all that was on them.
+    pub fn return_machines(&self, machines: &[MachineId]) -> bool {
+        let request = MachineNames {
+            machines: machines.iter().map(|machine| machine.0.clone()).collect(),
         };
-        match self
-            .client
-            .call("POST", "/hosts/return", Some(&body), LIMIT)
-        {
-            Ok(a) => a.status == 200,
-            Err(_) => false,
-        }
+        let response = self
+            .http
+            .call("POST", "/hosts/return", Some(&request), TIMEOUT);
+        response.is_ok_and(|r| r.status == 200)
     }
 
-    /// One page of the list, from after `from`; the flag tells whether there is more.
-    pub fn list(&self, from: &str) -> Option<(Vec<CloudMachine>, bool)> {
-        let path = if from.is_empty() {
-            "/hosts?Most=500".to_owned()
+    /// The page of rented machines after this id, or the first page after an empty one. None: no answer
+    /// that can be read.
+    pub fn list_machines(&self, after: &str) -> Option<MachinePage> {
+        let path = if after.is_empty() {
+            format!("/hosts?Most={PAGE_SIZE}")
         } else {
-            format!("/hosts?From={from}&Most=500")
+            format!("/hosts?From={after}&Most={PAGE_SIZE}")
         };
-        let a = self.client.call("GET", &path, NONE, LIMIT).ok()?;
-        if a.status != 200 {
-            return None;
-        }
-        let l: MachineList = a.decode()?;
-        let more = l.has_next;
-        let listed = l
-            .machines
-            .into_iter()
-            .filter_map(|machine| machine.try_into().ok());
-        Some((listed.collect(), more))
+        let list: MachineList = self.get(&path)?.decode()?;
+        let machines = list.machines.into_iter();
+        Some(MachinePage {
+            machines: machines.filter_map(|m| m.try_into().ok()).collect(),
+            has_next: list.has_next,
+        })
     }
+
+    /// None: no answer, or another status than 200.
+    fn get(&self, path: &str) -> Option<HttpResponse> {
+        let response = self.http.call::<()>("GET", path, None, TIMEOUT).ok()?;
+        (response.status == 200).then_some(response)
+    }
+}
+
+fn rented_machines(response: &HttpResponse) -> RentalOutcome {
+    match response.decode::<MachineNames>() {
+        Some(names) => RentalOutcome::Machines(names.machines.into_iter().map(MachineId).collect()),
+        None => RentalOutcome::Unknown,
+    }
+}
+
+fn is_out_of_capacity(response: &HttpResponse) -> bool {
+    let refusal: Option<ErrorResponse> = response.decode();
+    refusal.is_some_and(|r| r.error == NO_CAPACITY)
 }
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -1,5 +1,9 @@
-//! The HTTP client side: one call with its time-outs, MessagePack both ways.
+//! HTTP client: one call with its time-outs, MessagePack both ways.
+//!
+//! Invariant: an error tells whether the request was certainly not executed or may have been.
 
+use crate::common::metrics::LatencyMeter;
+use crate::net::wire;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::Read;
@@ -7,13 +11,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::common::metrics::LatencyMeter;
-use crate::net::wire;
-
-/// Answers of the state service's lists and watches are longer than bodies of the protocol's own.
-const ANSWER_LIMIT: u64 = 16 * 1024 * 1024;
+/// Answers of the key-value store's lists and watches are longer than bodies of the protocol's own.
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
+/// Calls to this path of the key-value store are meant to wait: their time is not a latency.
+const LONG_POLL_PATH: &str = "/follow";
+/// Idle connections of a pool in all, for each that is kept to one address.
+const IDLE_ADDRESSES: usize = 8;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent: the request was certainly not executed.
@@ -24,116 +29,112 @@
     NoAnswer,
 }
 
-/// An answer, whatever its status.
+/// A response, whatever its status.
 pub struct HttpResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The body, not decoded.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// The body as MessagePack. None: it is something else.
+    /// Decodes the body from MessagePack. None: it is something else.
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         wire::decode(&self.body)
     }
 }
 
-/// A client for one service, with its own pool of connections.
+/// The address of a service and the connections to it.
+#[derive(Clone, Copy, Debug)]
+pub struct HttpClientConfig {
+    /// Where the service listens.
+    pub address: SocketAddr,
+    /// Time limit for a new connection.
+    pub connect_timeout: Duration,
+    /// Idle connections that are kept open.
+    pub idle_connections: usize,
+}
+
+/// A client of one service, with its own pool of connections.
 #[derive(Clone)]
-pub struct Client {
-    agent: ureq::Agent,
-    base: String,
-    meter: Arc<LatencyMeter>,
+pub struct HttpClient {
+    connections: ureq::Agent,
+    base_url: String,
+    latency: Arc<LatencyMeter>,
 }
 
-impl Client {
-    /// A client of one address, with so many idle connections.
-    pub fn new(
-        address: SocketAddr,
-        connect: Duration,
-        idle: usize,
-        meter: Arc<LatencyMeter>,
-    ) -> Client {
-        Client {
-            agent: agent(connect, idle),
-            base: format!("http://{address}"),
-            meter,
+impl HttpClient {
+    /// A client that records the time of its calls in `latency`.
+    pub fn new(config: HttpClientConfig, latency: Arc<LatencyMeter>) -> HttpClient {
+        HttpClient {
+            connections: ureq::AgentBuilder::new()
+                .timeout_connect(config.connect_timeout)
+                .max_idle_connections(config.idle_connections * IDLE_ADDRESSES)
+                .max_idle_connections_per_host(config.idle_connections)
+                .redirects(0)
+                .build(),
+            base_url: format!("http://{}", config.address),
+            latency,
         }
     }
 
-    /// One call with a body to encode.
+    /// Sends a request with a body to encode, if any, and waits for the response.
     pub fn call<T: Serialize>(
         &self,
         method: &str,
         path: &str,
         body: Option<&T>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<HttpResponse, CallError> {
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         let start = Instant::now();
-        let answer = call(&self.agent, method, &url, body, limit);
-        // A watch is meant to wait.
-        if !path.starts_with("/follow") {
-            self.meter.record(start.elapsed());
+        let body = body.map(|b| wire::encode(b));
+        let response = exchange(&self.connections, method, &url, body.as_deref(), timeout);
+        if !path.starts_with(LONG_POLL_PATH) {
+            self.latency.record(start.elapsed());
         }
-        answer
+        response
     }
 }
 
-/// Connections to any address, with so many idle ones for each.
-pub fn agent(connect: Duration, idle: usize) -> ureq::Agent {
-    ureq::AgentBuilder::new()
-        .timeout_connect(connect)
-        .max_idle_connections(idle * 8)
-        .max_idle_connections_per_host(idle)
-        .redirects(0)
-        .build()
-}
-
-/// One call with a body to encode.
-pub fn call<T: Serialize>(
-    agent: &ureq::Agent,
-    method: &str,
-    url: &str,
-    body: Option<&T>,
-    limit: Duration,
-) -> Result<HttpResponse, CallError> {
-    let body = body.map(|b| wire::encode(b));
-    exchange(agent, method, url, body.as_deref(), limit)
-}
-
-/// One call with a body that is encoded already.
-pub fn exchange(
-    agent: &ureq::Agent,
+/// Sends a request with a body that is encoded already, if any, and waits for the response.
+pub(super) fn exchange(
+    connections: &ureq::Agent,
     method: &str,
     url: &str,
     body: Option<&[u8]>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<HttpResponse, CallError> {
-    let request = agent.request(method, url).timeout(limit);
+    let request = connections.request(method, url).timeout(timeout);
     let result = match body {
-        Some(b) => request
+        Some(bytes) => request
             .set("Content-Type", "application/msgpack")
-            .send_bytes(b),
+            .send_bytes(bytes),
         None if method == "POST" => request.send_bytes(&[]),
         None => request.call(),
     };
-    let response = match result {
-        Ok(r) | Err(ureq::Error::Status(_, r)) => r,
-        Err(ureq::Error::Transport(t)) => {
-            return Err(match t.kind() {
-                ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => CallError::NotSent,
-                _ => CallError::NoAnswer,
-            })
-        }
-    };
+    match result {
+        Ok(response) | Err(ureq::Error::Status(_, response)) => read_response(response),
+        Err(ureq::Error::Transport(error)) => Err(error.into()),
+    }
+}
+
+fn read_response(response: ureq::Response) -> Result<HttpResponse, CallError> {
     let status = response.status();
     let mut body = Vec::new();
     response
         .into_reader()
-        .take(ANSWER_LIMIT)
+        .take(MAX_RESPONSE_BYTES)
         .read_to_end(&mut body)
         .map_err(|_| CallError::NoAnswer)?;
     Ok(HttpResponse { status, body })
 }
+
+impl From<ureq::Transport> for CallError {
+    fn from(error: ureq::Transport) -> Self {
+        match error.kind() {
+            ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => CallError::NotSent,
+            _ => CallError::NoAnswer,
+        }
+    }
+}
--- a/src/net/store/budget.rs
+++ b/src/net/store/budget.rs
@@ -83,7 +83,7 @@
             return false;
         }
         self.last_counted = Some(now);
-        if !self.window_start.is_some_and(|t| since(t) < REFUSAL_WINDOW) {
+        if self.window_start.is_none_or(|t| since(t) >= REFUSAL_WINDOW) {
             (self.count, self.window_start) = (0, Some(now));
         }
         self.count += 1;
--- a/src/net/store/error.rs
+++ b/src/net/store/error.rs
@@ -1,7 +1,7 @@
 //! Errors of calls to the key-value store, told apart by what is known of their execution.
 
 use crate::net::http_client::{CallError, HttpResponse};
-use crate::net::wire::StoreProblem;
+use crate::net::wire::ErrorResponse;
 
 /// The store's error for a transaction that names a lease which has ended.
 const LEASE_NOT_FOUND: &str = "no such lease";
@@ -35,7 +35,7 @@
 impl StoreError {
     /// The error of a transaction that the store answered with 400.
     pub(super) fn rejected_transaction(response: &HttpResponse) -> StoreError {
-        let error = response.decode::<StoreProblem>().map(|p| p.error);
+        let error = response.decode::<ErrorResponse>().map(|p| p.error);
         if error.as_deref() == Some(LEASE_NOT_FOUND) {
             return StoreError::LeaseNotFound;
         }
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -10,7 +10,7 @@
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::ledger::{job_key, live_key, Batch, JobOutcome};
-use crate::net::http_client::{Client, HttpResponse};
+use crate::net::http_client::{HttpClient, HttpResponse};
 use crate::net::wire::{
     GetResponse, Precondition, StoredOutcome, TransactionRequest, TransactionResponse,
 };
@@ -68,13 +68,13 @@
 /// A client of the key-value store.
 #[derive(Clone)]
 pub struct KvStore {
-    client: Client,
+    client: HttpClient,
     budget: Arc<StoreBudget>,
 }
 
 impl KvStore {
     /// A store that is called through `client` within `budget`.
-    pub fn new(client: Client, budget: StoreBudget) -> KvStore {
+    pub fn new(client: HttpClient, budget: StoreBudget) -> KvStore {
         KvStore {
             client,
             budget: Arc::new(budget),
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -16,8 +16,8 @@
 pub use error::InvalidField;
 pub use store::{Change, ListEntry, StoredValue, WatchEvent, WatchResponse};
 pub(in crate::net) use store::{
-    GetResponse, LeaseRequest, LeaseResponse, ListResponse, Precondition, StoreProblem,
-    TransactionRequest, TransactionResponse,
+    GetResponse, LeaseRequest, LeaseResponse, ListResponse, Precondition, TransactionRequest,
+    TransactionResponse,
 };
 pub use stored::{
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
--- a/src/net/wire/store.rs
+++ b/src/net/wire/store.rs
@@ -139,12 +139,6 @@
     pub revision: u64,
 }
 
-/// The body of a refusal.
-#[derive(Deserialize)]
-pub(in crate::net) struct StoreProblem {
-    pub error: String,
-}
-
 /// `POST /leases`
 #[derive(Serialize)]
 pub(in crate::net) struct LeaseRequest {
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -225,8 +225,8 @@
     pub running: Option<u32>,
 }
 
-/// The body of a refusal.
-#[derive(Serialize)]
+/// The body of a refusal, by this program or by another service.
+#[derive(Serialize, Deserialize)]
 pub struct ErrorResponse {
     /// What is wrong.
     pub error: String,
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -44,7 +44,7 @@
             CloudOrder::Return(term, machines) => {
                 // One that waited through a cut must not take machines that work for a new leader.
                 let leads = shared.holds_leader_lease(term);
-                let ok = leads && shared.cloud.give_back(&machines);
+                let ok = leads && shared.cloud.return_machines(&machines);
                 Event::Returned(term, machines, ok)
             }
         };
@@ -73,7 +73,7 @@
         }
         if now >= next_types && bucket.take(1.0) {
             next_types = now + Duration::from_secs(5);
-            if let Some(t) = shared.cloud.types() {
+            if let Some(t) = shared.cloud.machine_types() {
                 next_types = now + Duration::from_secs(120);
                 let types: Vec<MachineType> = t
                     .machine_types
@@ -93,12 +93,12 @@
 fn read_list(shared: &Shared, term: Term, bucket: &Bucket) {
     let mut from = String::new();
     let mut all = Vec::new();
-    while let Some((page, more)) = shared.cloud.list(&from) {
-        if let Some(last) = page.last() {
+    while let Some(page) = shared.cloud.list_machines(&from) {
+        if let Some(last) = page.machines.last() {
             from = last.id.0.clone();
         }
-        let end = !more || page.is_empty();
-        all.extend(page);
+        let end = !page.has_next || page.machines.is_empty();
+        all.extend(page.machines);
         if end || !bucket.take(1.0) {
             break;
         }
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -138,7 +138,7 @@
             return answers;
         };
         let peer = self.peers.iter().find(|p| p.member == leader);
-        let told = match peer.map(|p| p.ask(&PeerRequest::Heartbeats(bodies), RELAY_LIMIT)) {
+        let told = match peer.map(|p| p.call(&PeerRequest::Heartbeats(bodies), RELAY_LIMIT)) {
             Some(Ok(PeerResponse::Heartbeats(told))) if told.len() == places.len() => told,
             _ => {
                 for ip in senders {
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -6,7 +6,9 @@
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
 use crate::core::model::{ImageKey, JobId, MachineId, Term};
 use crate::net::agent;
-use crate::net::peer::{self, Hello, Peer, PeerRequest, PeerResponse};
+use crate::net::peer::{
+    self, CancellationPosition, Hello, HelloExtension, JobProgress, Peer, PeerRequest, PeerResponse,
+};
 use crate::runtime::elector::ElectorEvent;
 use crate::runtime::events::{CommandDelivery, CommandPayload, Event};
 use crate::runtime::heartbeats::AWAITED_RELAYED;
@@ -30,12 +32,12 @@
             continue;
         }
         let CommandPayload::CommandRequest(token, incarnation, commands) = &o.what;
-        let body = agent::encode(*token, *incarnation, commands);
+        let body = agent::encode_commands(*token, *incarnation, commands);
         let answer = match helper(shared, &o.machine) {
             Some(p) => through_peer(p, client, &o.endpoint, body),
-            None => agent::deliver(client, &o.endpoint, &body),
+            None => agent::send_commands(client, &o.endpoint, &body),
         };
-        let heartbeat = answer.and_then(|b| agent::heartbeat(&b));
+        let heartbeat = answer.and_then(|b| agent::decode_heartbeat(&b));
         let event = Event::Sent(o.term, o.machine, heartbeat);
         if shared.events.send(event).is_err() {
             return;
@@ -50,7 +52,7 @@
     let able: Vec<&std::sync::Arc<Peer>> = shared
         .peers
         .iter()
-        .filter(|p| p.delivers(now) && live.iter().any(|(m, _)| m == &p.member))
+        .filter(|p| p.accepts_commands(now) && live.iter().any(|(m, _)| m == &p.member))
         .collect();
     if able.is_empty() {
         return None;
@@ -65,54 +67,57 @@
     endpoint: &str,
     body: Vec<u8>,
 ) -> Option<Vec<u8>> {
-    let ask = PeerRequest::Command {
+    let request = PeerRequest::Command {
         endpoint: endpoint.to_owned(),
         body,
     };
-    let limit = agent::LIMIT + Duration::from_millis(500);
-    let answer = peer.ask(&ask, limit);
+    let limit = agent::COMMAND_TIMEOUT + Duration::from_millis(500);
+    let answer = peer.call(&request, limit);
     let now = Instant::now();
     match answer {
         Ok(PeerResponse::Command(answer)) => {
-            peer.delivered(answer.is_some(), now);
+            match answer {
+                Some(_) => peer.record_command_delivered(),
+                None => peer.record_command_failed(now),
+            }
             answer
         }
         Ok(_) => None,
         Err(e) => {
-            peer.delivered(false, now);
-            let PeerRequest::Command { body, .. } = ask else {
+            peer.record_command_failed(now);
+            let PeerRequest::Command { body, .. } = request else {
                 return None;
             };
             // A refusal came at once, so there is time to send it ourselves.
             let refused = e.kind() == std::io::ErrorKind::ConnectionRefused;
             refused
-                .then(|| agent::deliver(client, endpoint, &body))
+                .then(|| agent::send_commands(client, endpoint, &body))
                 .flatten()
         }
     }
 }
 
-fn hello(shared: &Shared, progress: Vec<(String, u32, u32)>, over: Vec<String>) -> Hello {
+fn hello(shared: &Shared, progress: Vec<JobProgress>, finished_jobs: Vec<String>) -> Hello {
     let now = Instant::now();
     let i = shared.view.read();
-    let leads = match i.role {
+    let leader_term = match i.role {
         RoleView::Leader(t) => Some(t.0),
         RoleView::Follower(_) => None,
     };
-    let highest = i.highest.0;
+    let highest_term = i.highest.0;
     drop(i);
     let demand = shared.store.budget().demand();
     Hello {
         member: shared.settings.member.clone(),
-        leads,
-        highest,
-        store_ok: shared.view.store_ok(now),
-        workers: shared.workers.count(now),
-        users_changes: demand.users,
-        leader_changes: demand.leader,
+        leader_term,
+        highest_term,
+        store_available: shared.view.store_ok(now),
+        worker_count: shared.workers.count(now),
+        user_changes_per_s: demand.users,
+        leader_changes_per_s: demand.leader,
         timer_lag_ms: shared.timer_lag.now().as_millis() as u32,
         progress,
-        over,
+        finished_jobs,
     }
 }
 
@@ -122,34 +127,39 @@
     let mut reader = Reader::default();
     while !shared.stop.wait(Duration::from_millis(1000)) {
         let mut progress = Vec::new();
-        let mut over = Vec::new();
+        let mut finished_jobs = Vec::new();
         {
             let i = shared.view.read();
             if matches!(i.role, RoleView::Leader(_)) {
                 for (job_id, counts) in &i.progress {
                     if told.get(job_id) != Some(counts) && progress.len() < 2000 {
-                        progress.push((job_id.0.clone(), counts.0, counts.1));
+                        progress.push(JobProgress {
+                            job_id: job_id.0.clone(),
+                            done: counts.0,
+                            running: counts.1,
+                        });
                     }
                 }
                 for job_id in told.keys().filter(|u| !i.progress.contains_key(*u)) {
-                    over.push(job_id.0.clone());
+                    finished_jobs.push(job_id.0.clone());
                 }
             } else {
                 told.clear();
             }
         }
-        let ask = PeerRequest::Hello(hello(shared, progress.clone(), over.clone()));
-        match peer.ask(&ask, Duration::from_millis(1500)) {
+        let request = PeerRequest::Hello(hello(shared, progress.clone(), finished_jobs.clone()));
+        match peer.call(&request, Duration::from_millis(1500)) {
             Ok(PeerResponse::Hello(h)) => {
                 hello_received(shared, &h);
-                peer.set_frames(peer::frames_of(&h.over));
-                if peer::says_fallen(&h.over) {
+                let extension = HelloExtension::decode(&h.finished_jobs);
+                peer.set_protocol_version(extension.protocol_version);
+                if extension.store_rates_reduced {
                     shared.store.budget().reduce_rates(Instant::now());
                 }
-                for (job_id, d, r) in progress {
-                    told.insert(JobId(job_id), (d, r));
+                for job in progress {
+                    told.insert(JobId(job.job_id), (job.done, job.running));
                 }
-                for job_id in over {
+                for job_id in finished_jobs {
                     told.remove(&JobId(job_id));
                 }
             }
@@ -167,8 +177,8 @@
 #[derive(Default)]
 struct Reader {
     term: Option<Term>,
-    /// The peer's incarnation, and the position in it to go on from.
-    from: Option<(u64, u64)>,
+    /// Where to continue.
+    from: Option<CancellationPosition>,
 }
 
 impl Reader {
@@ -181,25 +191,28 @@
             // No word counts across a term.
             (self.term, self.from) = (term, None);
         }
-        let Some(term) = term.filter(|_| peer.knows(peer::FRAMES_CANCELLATIONS)) else {
+        let Some(term) = term.filter(|_| peer.supports(peer::VERSION_WITH_CANCELLATIONS)) else {
             return;
         };
         let mut more = true;
         while more && !shared.stop.stopped() {
             let asked = ClockReading::now();
-            let ask = PeerRequest::Cancellations { from: self.from };
+            let request = PeerRequest::Cancellations { from: self.from };
             let Ok(PeerResponse::Cancellations {
                 incarnation,
                 continues,
                 job_ids,
                 next,
                 more: rest,
-            }) = peer.ask(&ask, Duration::from_millis(1500))
+            }) = peer.call(&request, Duration::from_millis(1500))
             else {
                 return;
             };
             let came = ClockReading::now();
-            self.from = Some((incarnation, next));
+            self.from = Some(CancellationPosition {
+                incarnation,
+                offset: next,
+            });
             more = rest;
             let word = CancellationReport {
                 asked,
@@ -223,18 +236,18 @@
 fn hello_received(shared: &Shared, h: &Hello) {
     let now = Instant::now();
     let demand = Demand {
-        users: h.users_changes,
-        leader: h.leader_changes,
+        users: h.user_changes_per_s,
+        leader: h.leader_changes_per_s,
     };
     let word = PeerStatus {
         at: now,
-        store_ok: h.store_ok,
-        workers: h.workers,
+        store_ok: h.store_available,
+        workers: h.worker_count,
         demand,
         timer_lag: Duration::from_millis(h.timer_lag_ms.into()),
     };
     shared.view.peer_said(&h.member, word);
-    if let Some(term) = h.leads {
+    if let Some(term) = h.leader_term {
         let own = shared.view.read().highest;
         if Term(term) > own {
             let _ = shared.elector_events.send(ElectorEvent::Term(Term(term)));
@@ -249,25 +262,27 @@
     let _ = stream.set_read_timeout(Some(Duration::from_secs(30)));
     let _ = stream.set_write_timeout(Some(Duration::from_secs(5)));
     while !shared.stop.stopped() {
-        let Ok(ask) = peer::read_frame::<PeerRequest>(&mut stream) else {
+        let Ok(request) = peer::read_frame::<PeerRequest>(&mut stream) else {
             return;
         };
-        let reply = match ask {
+        let reply = match request {
             PeerRequest::Hello(h) => {
                 hello_received(shared, &h);
-                if h.leads.is_some() && !matches!(shared.view.read().role, RoleView::Leader(_)) {
+                if h.leader_term.is_some()
+                    && !matches!(shared.view.read().role, RoleView::Leader(_))
+                {
                     let mut i = shared.view.write();
-                    for (job_id, d, r) in h.progress {
-                        i.progressed(JobId(job_id), d, r);
+                    for job in h.progress {
+                        i.progressed(JobId(job.job_id), job.done, job.running);
                     }
-                    for job_id in h.over {
+                    for job_id in h.finished_jobs {
                         i.progress.remove(&JobId(job_id));
                     }
                 }
                 PeerResponse::Hello(hello(
                     shared,
                     Vec::new(),
-                    peer::said(shared.store.budget().rates_reduced()),
+                    HelloExtension::current(shared.store.budget().rates_reduced()).encode(),
                 ))
             }
             PeerRequest::Heartbeats(bodies) => {
@@ -275,13 +290,15 @@
                 PeerResponse::Heartbeats(shared.local_heartbeats(&bodies, until))
             }
             PeerRequest::Command { endpoint, body } => {
-                PeerResponse::Command(agent::deliver(&shared.agent, &endpoint, &body))
+                PeerResponse::Command(agent::send_commands(&shared.agent, &endpoint, &body))
             }
-            PeerRequest::Questions(names) => {
-                PeerResponse::JobStandings(status_queries::for_peer(shared, &names))
+            PeerRequest::JobStatuses(names) => {
+                PeerResponse::JobStatuses(status_queries::for_peer(shared, &names))
             }
             PeerRequest::Cancellations { from } => {
-                let page = shared.view.cancellations(from);
+                let page = shared
+                    .view
+                    .cancellations(from.map(|p| (p.incarnation, p.offset)));
                 PeerResponse::Cancellations {
                     incarnation: page.incarnation,
                     continues: page.continues,
@@ -294,9 +311,13 @@
                 let job_ids: Vec<JobId> = names.iter().filter_map(|n| JobId::parse(n)).collect();
                 PeerResponse::Cancelled(shared.take_on_cancellations(job_ids))
             }
-            PeerRequest::User { method, path, body } => {
-                let ((status, body), retry) = server::for_peer(shared, &method, &path, &body);
-                PeerResponse::User(status, body, retry)
+            PeerRequest::UserRequest { method, path, body } => {
+                let ((status, body), retry_after) = server::for_peer(shared, &method, &path, &body);
+                PeerResponse::UserRequest {
+                    status,
+                    body,
+                    retry_after,
+                }
             }
         };
         if peer::write_frame(&mut stream, &reply).is_err() {
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -9,8 +9,8 @@
 use crate::core::model::Term;
 use crate::core::persistence::ledger::Batch;
 use crate::net::agent;
-use crate::net::cloud::Cloud;
-use crate::net::http_client::Client;
+use crate::net::cloud::CloudClient;
+use crate::net::http_client::{HttpClient, HttpClientConfig};
 use crate::net::http_server;
 use crate::net::peer::Peer;
 use crate::net::store::{KvStore, StoreBudget};
@@ -150,12 +150,7 @@
     let seeds = settings.peers.iter();
     let shared = Shared {
         store: state_service(&settings, &meters, now),
-        cloud: Cloud::new(Client::new(
-            settings.cloud_address,
-            CLOUD_CONNECT,
-            CLOUD_CONNECTIONS,
-            meters.cloud.clone(),
-        )),
+        cloud: cloud_client(&settings, &meters),
         meters,
         view: NodeView::new(now),
         events,
@@ -165,7 +160,7 @@
             .collect(),
         stop: Stop::new(),
         wake,
-        agent: agent::client(settings.socket_budget().workers),
+        agent: agent::connection_pool(settings.socket_budget().workers),
         workers: Workers::new(settings.config.heartbeat),
         crowd: SubmissionFairness::default(),
         live_index: LiveIndex::default(),
@@ -182,13 +177,21 @@
     // One for each thread that asks for a user, and for the leader's own duties.
     let users = settings.operations.api_threads + status_queries::QUESTION_THREADS;
     let kept = users + OWN_STATE_CONNECTIONS;
-    let client = Client::new(
-        settings.store_address,
-        STATE_CONNECT,
-        kept,
-        meters.store.clone(),
-    );
-    KvStore::new(client, budgets)
+    let config = HttpClientConfig {
+        address: settings.store_address,
+        connect_timeout: STATE_CONNECT,
+        idle_connections: kept,
+    };
+    KvStore::new(HttpClient::new(config, meters.store.clone()), budgets)
+}
+
+fn cloud_client(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
+    let config = HttpClientConfig {
+        address: settings.cloud_address,
+        connect_timeout: CLOUD_CONNECT,
+        idle_connections: CLOUD_CONNECTIONS,
+    };
+    CloudClient::new(HttpClient::new(config, meters.cloud.clone()))
 }
 
 /// The core, the writer of its transactions and the senders of its commands.
--- a/src/runtime/shared.rs
+++ b/src/runtime/shared.rs
@@ -5,7 +5,7 @@
 use crate::common::rate_limit::SubmissionFairness;
 use crate::common::stop_signal::Stop;
 use crate::core::model::{JobId, Term};
-use crate::net::cloud::Cloud;
+use crate::net::cloud::CloudClient;
 use crate::net::peer::{self, Peer, PeerRequest};
 use crate::net::store::KvStore;
 use crate::runtime::elector::ElectorEvent;
@@ -45,7 +45,7 @@
     /// The state service.
     pub store: KvStore,
     /// The cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudClient,
     /// To the core's loop.
     pub events: Sender<Event>,
     /// To the elector.
@@ -157,12 +157,12 @@
         let live = self.view.live_peers(Instant::now());
         let knows = |p: &&Arc<Peer>| {
             p.member == leader
-                && p.knows(peer::FRAMES_CANCELLATIONS)
+                && p.supports(peer::VERSION_WITH_CANCELLATIONS)
                 && live.iter().any(|(m, _)| *m == leader)
         };
         if let Some(p) = self.peers.iter().find(knows) {
             let names: Vec<String> = job_ids.iter().map(|u| u.0.clone()).collect();
-            if let Err(e) = p.ask(&PeerRequest::Cancelled(names), TELL_LIMIT) {
+            if let Err(e) = p.call(&PeerRequest::Cancelled(names), TELL_LIMIT) {
                 let jobs = job_ids.len();
                 log::debug!("the leader was not told of cancellations jobs={jobs} why=\"{e}\"");
             }
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -503,7 +503,7 @@
     let old = nodes.iter().position(leading).expect("one leads");
     // The peers have come to know each other's frames, and words go on from words.
     until("a watermark that peers keep", || {
-        let known = |n: &Service| n.shared.peers.iter().all(|p| p.knows(2));
+        let known = |n: &Service| n.shared.peers.iter().all(|p| p.supports(2));
         nodes.iter().flatten().all(known).then_some(())
     });
     std::thread::sleep(Duration::from_secs(7));
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -10,8 +10,8 @@
 use cypressgap::core::persistence::job_status_reads::Records;
 use cypressgap::core::persistence::ledger::{self, Batch, JobOutcome, Op, Value};
 use cypressgap::net::agent;
-use cypressgap::net::cloud::Cloud;
-use cypressgap::net::http_client::Client;
+use cypressgap::net::cloud::{CloudClient, MachinePage};
+use cypressgap::net::http_client::{HttpClient, HttpClientConfig};
 use cypressgap::net::store::{
     Acceptance, BudgetedReader, Change, Entry, KvStore, ReadPurpose, StoreBudget, StoreError,
     StoredValue, TransactionOutcome,
@@ -50,21 +50,26 @@
 /// One call: its name, the statuses of its answers, which are rows too, and the call itself.
 type Call<C> = (&'static str, &'static [u16], fn(&C));
 
-fn check_calls<C>(golden: &mut Golden, calls: &[Call<C>], client: fn(Client) -> C) {
+fn check_calls<C>(golden: &mut Golden, calls: &[Call<C>], client: fn(HttpClient) -> C) {
     for (name, statuses, call) in calls {
         let answer =
             |(n, status): (usize, &u16)| (*status, golden.sample(&format!("{name}: answer {n}")));
         let answers = statuses.iter().enumerate().map(answer).collect();
         let (address, requests) = service(answers);
         let meter = Arc::new(LatencyMeter::new());
-        call(&client(Client::new(address, LIMIT, 1, meter)));
+        let config = HttpClientConfig {
+            address,
+            connect_timeout: LIMIT,
+            idle_connections: 1,
+        };
+        call(&client(HttpClient::new(config, meter)));
         for (n, request) in requests.join().expect("requests").iter().enumerate() {
             golden.written(&format!("{name}: request {n}"), request);
         }
     }
 }
 
-fn store(client: Client) -> KvStore {
+fn store(client: HttpClient) -> KvStore {
     KvStore::new(
         client,
         StoreBudget::new(
@@ -199,9 +204,9 @@
     }),
 ];
 
-const CLOUD_CALLS: &[Call<Cloud>] = &[
+const CLOUD_CALLS: &[Call<CloudClient>] = &[
     ("types", &[200], |c| {
-        let types = c.types().expect("read").machine_types;
+        let types = c.machine_types().expect("read").machine_types;
         assert_eq!(
             MachineType::try_from(&types[0]),
             Ok(machine_type(8.0, 50.0, 0.5))
@@ -215,7 +220,7 @@
         assert_eq!(c.rent(&rental()), RentalOutcome::NoCapacity)
     }),
     ("return", &[200], |c| {
-        assert!(c.give_back(&["i-000231".into(), "i-000232".into()]));
+        assert!(c.return_machines(&["i-000231".into(), "i-000232".into()]));
     }),
     ("machines", &[200], |c| {
         let listed = |id: &str, endpoint: &str, phase| CloudMachine {
@@ -232,10 +237,18 @@
             listed("i-000232", "10.1.0.232:9000", CloudMachinePhase::Running),
             listed("i-000233", "", CloudMachinePhase::Failed),
         ];
-        assert_eq!(c.list("i-000230"), Some((machines, true)));
+        let page = MachinePage {
+            machines,
+            has_next: true,
+        };
+        assert_eq!(c.list_machines("i-000230"), Some(page));
     }),
     ("first machines", &[200], |c| {
-        assert_eq!(c.list(""), Some((vec![], false)))
+        let page = MachinePage {
+            machines: vec![],
+            has_next: false,
+        };
+        assert_eq!(c.list_machines(""), Some(page))
     }),
 ];
 
@@ -253,9 +266,9 @@
 fn requests_to_the_state_service_the_cloud_and_workers() {
     let mut golden = Golden::of(include_str!("requests.txt"));
     check_calls(&mut golden, STORE_CALLS, store);
-    check_calls(&mut golden, CLOUD_CALLS, Cloud::new);
+    check_calls(&mut golden, CLOUD_CALLS, CloudClient::new);
     let (address, requests) = service(vec![(409, vec![1, 2])]);
-    let answer = agent::deliver(&agent::client(1), &address.to_string(), &[7, 8]);
+    let answer = agent::send_commands(&agent::connection_pool(1), &address.to_string(), &[7, 8]);
     assert_eq!(answer, Some(vec![1, 2]));
     golden.written("commands", &requests.join().expect("a request")[0]);
     golden.finish();
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -5,7 +5,7 @@
 use cypressgap::api::server;
 use cypressgap::core::model::*;
 use cypressgap::net::agent;
-use cypressgap::net::peer::{read_frame, says_fallen, write_frame, PeerRequest, PeerResponse};
+use cypressgap::net::peer::{read_frame, write_frame, HelloExtension, PeerRequest, PeerResponse};
 use cypressgap::net::wire::*;
 
 #[test]
@@ -27,7 +27,11 @@
         ),
         (
             "user to come back at any time",
-            PeerResponse::User(200, vec![9], None),
+            PeerResponse::UserRequest {
+                status: 200,
+                body: vec![9],
+                retry_after: None,
+            },
         ),
         ("cancellations not taken on", PeerResponse::Cancelled(false)),
         (
@@ -46,7 +50,8 @@
             read_frame(&mut b).expect("read")
         });
     }
-    assert!(says_fallen(&["frames 2".into(), "next rates".into()]));
+    let extension = HelloExtension::decode(&["frames 2".into(), "next rates".into()]);
+    assert!(extension.store_rates_reduced);
     golden.finish();
 }
 
@@ -68,7 +73,7 @@
     let malformed = golden.sample("submission malformed");
     assert!(decode::<Submission>(&malformed).is_none());
     assert_eq!(read::<SubmissionId>(&malformed).job_id, Some(job_id().0));
-    let read_heartbeat = agent::heartbeat(&golden.sample("report"));
+    let read_heartbeat = agent::decode_heartbeat(&golden.sample("report"));
     assert_eq!(read_heartbeat, Some(heartbeat()));
     let short: WireMachineTypes = read(&golden.sample("types in short"));
     let expected = Some(machine_type(0.0, 0.0, 0.0));
@@ -98,7 +103,7 @@
                 commands: wire_commands(),
             }),
         ),
-        ("commands", agent::encode(token(), 2, &commands())),
+        ("commands", agent::encode_commands(token(), 2, &commands())),
         ("elsewhere", elsewhere(Some("10.1.0.1:8080".into()))),
         ("elsewhere unknown", elsewhere(None)),
     ];
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -3,7 +3,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::ledger::ChunkValue;
 use cypressgap::core::placement::history::HistorySummary;
-use cypressgap::net::peer::{said, Hello};
+use cypressgap::net::peer::{Hello, HelloExtension};
 use std::time::Duration;
 
 /// A time in seconds.
@@ -130,15 +130,15 @@
 pub fn hello() -> Hello {
     Hello {
         member: "worker-2".into(),
-        leads: None,
-        highest: 4,
-        store_ok: false,
-        workers: 900,
-        users_changes: 3.5,
-        leader_changes: 0.25,
+        leader_term: None,
+        highest_term: 4,
+        store_available: false,
+        worker_count: 900,
+        user_changes_per_s: 3.5,
+        leader_changes_per_s: 0.25,
         timer_lag_ms: 12,
         progress: vec![],
-        over: said(true),
+        finished_jobs: HelloExtension::current(true).encode(),
     }
 }
 
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -5,7 +5,8 @@
 
 use cypressgap::core::model::JobSpec;
 use cypressgap::net::peer::{
-    frames_of, read_frame, said, says_fallen, Hello, PeerJobStatus, PeerRequest, PeerResponse,
+    read_frame, CancellationPosition, Hello, HelloExtension, JobProgress, PeerJobStatus,
+    PeerRequest, PeerResponse,
 };
 use cypressgap::net::wire::{
     decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
@@ -178,18 +179,22 @@
     over.iter().fold(b, |b, o| b.text(o))
 }
 
-fn hello(over: Vec<String>) -> Hello {
+fn hello(finished_jobs: Vec<String>) -> Hello {
     Hello {
         member: "worker-1".into(),
-        leads: Some(4),
-        highest: 5,
-        store_ok: true,
-        workers: 3,
-        users_changes: 3.5,
-        leader_changes: 0.25,
+        leader_term: Some(4),
+        highest_term: 5,
+        store_available: true,
+        worker_count: 3,
+        user_changes_per_s: 3.5,
+        leader_changes_per_s: 0.25,
         timer_lag_ms: 12,
-        progress: vec![("wk-000001".into(), 1, 2)],
-        over,
+        progress: vec![JobProgress {
+            job_id: "wk-000001".into(),
+            done: 1,
+            running: 2,
+        }],
+        finished_jobs,
     }
 }
 
@@ -213,14 +218,14 @@
         ),
         (
             Bytes::variant(3).u32(1).text("wk-000003"),
-            PeerRequest::Questions(vec!["wk-000003".into()]),
+            PeerRequest::JobStatuses(vec!["wk-000003".into()]),
         ),
         (
             Bytes::variant(4)
                 .text("POST")
                 .text("/api/jobs")
                 .bytes(&[9, 9]),
-            PeerRequest::User {
+            PeerRequest::UserRequest {
                 method: "POST".into(),
                 path: "/api/jobs".into(),
                 body: vec![9, 9],
@@ -233,7 +238,10 @@
         (
             Bytes::variant(5).u8(1).u64(77).u64(12),
             PeerRequest::Cancellations {
-                from: Some((77, 12)),
+                from: Some(CancellationPosition {
+                    incarnation: 77,
+                    offset: 12,
+                }),
             },
         ),
         (
@@ -262,8 +270,8 @@
         ),
         (
             Bytes::variant(3).u32(5).u8(0).u8(1).u8(2).u8(3).u8(4),
-            PeerResponse::JobStandings(vec![
-                PeerJobStatus::Silence,
+            PeerResponse::JobStatuses(vec![
+                PeerJobStatus::Unknown,
                 PeerJobStatus::NeverAccepted,
                 PeerJobStatus::Live,
                 PeerJobStatus::Done,
@@ -272,7 +280,11 @@
         ),
         (
             Bytes::variant(4).u16(503).bytes(&[]).u8(1).u64(3),
-            PeerResponse::User(503, vec![], Some(3)),
+            PeerResponse::UserRequest {
+                status: 503,
+                body: vec![],
+                retry_after: Some(3),
+            },
         ),
         (
             Bytes::variant(5)
@@ -317,11 +329,19 @@
     ];
     for (over, known) in cases {
         let over: Vec<String> = over.iter().map(|o| o.to_string()).collect();
-        assert_eq!(frames_of(&over), known, "{over:?}");
+        assert_eq!(
+            HelloExtension::decode(&over).protocol_version,
+            known,
+            "{over:?}"
+        );
     }
-    for fallen in [false, true] {
-        let said = said(fallen);
-        assert_eq!((frames_of(&said), says_fallen(&said)), (3, fallen));
+    for store_rates_reduced in [false, true] {
+        let said = HelloExtension::current(store_rates_reduced).encode();
+        let expected = HelloExtension {
+            protocol_version: 3,
+            store_rates_reduced,
+        };
+        assert_eq!(HelloExtension::decode(&said), expected);
         // The production version reads the answer that says so as it stands.
         let texts: Vec<&str> = said.iter().map(String::as_str).collect();
         let new = borsh::to_vec(&PeerResponse::Hello(hello(said.clone()))).unwrap();
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -2,7 +2,7 @@
 
 use cypressgap::core::admission::fits_a_value;
 use cypressgap::core::model::*;
-use cypressgap::net::peer::{read_frame, write_frame, Hello, PeerRequest};
+use cypressgap::net::peer::{read_frame, write_frame, Hello, JobProgress, PeerRequest};
 use cypressgap::net::wire::{decode, encode, InvalidField, StoredJob, Submission, WireHeartbeat};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -219,15 +219,19 @@
 fn peer_frames_are_validated() {
     let hello = PeerRequest::Hello(Hello {
         member: "worker-1".into(),
-        leads: Some(4),
-        highest: 4,
-        store_ok: true,
-        users_changes: 3.5,
-        leader_changes: 0.0,
+        leader_term: Some(4),
+        highest_term: 4,
+        store_available: true,
+        user_changes_per_s: 3.5,
+        leader_changes_per_s: 0.0,
         timer_lag_ms: 12,
-        workers: 3,
-        progress: vec![("wk-000001".into(), 1, 2)],
-        over: vec![],
+        worker_count: 3,
+        progress: vec![JobProgress {
+            job_id: "wk-000001".into(),
+            done: 1,
+            running: 2,
+        }],
+        finished_jobs: vec![],
     });
     let mut wire = Vec::new();
     write_frame(&mut wire, &hello).unwrap();
