--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -40,7 +40,7 @@
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             log::info!(
                 "draining machine={id} reason={reason} tasks={}",
-                machine.placed.len()
+                machine.placed_tasks.len()
             );
             machine.draining = true;
         }
@@ -122,7 +122,7 @@
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 log::info!(
                     "returning machine={id} reason={reason} tasks={}",
-                    machine.placed.len()
+                    machine.placed_tasks.len()
                 );
                 machine.returning = true;
             }
@@ -133,7 +133,7 @@
         self.capacity.last_return = Some(now);
         for id in &request.machines {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
-                machine.return_sent = Some(now);
+                machine.return_requested_at = Some(now);
             }
         }
         self.outbox.push(Action::Return {
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -2,6 +2,7 @@
 
 use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
 use crate::core::state::cluster_state::{Action, ClusterState, Machine};
+use crate::core::state::machine::MachineIdentity;
 use std::time::Instant;
 
 /// Machines asked for their heartbeats in one tick.
@@ -40,7 +41,7 @@
             machine.zone = listed.zone.clone();
             machine.spot = listed.spot;
         }
-        let can_probe = !machine.reported && !machine.probed && !listed.endpoint.is_empty();
+        let can_probe = !machine.has_reported && !machine.probed && !listed.endpoint.is_empty();
         if can_probe && listed.phase == CloudMachinePhase::Running {
             machine.probed = true;
             let probe = (listed.id.clone(), listed.endpoint.clone());
@@ -65,7 +66,7 @@
                 continue;
             };
             left -= 1;
-            let incarnation = if machine.reported {
+            let incarnation = if machine.has_reported {
                 machine.incarnation
             } else {
                 FIRST_INCARNATION
@@ -82,16 +83,15 @@
 
 /// A machine that another term has rented.
 fn adopted(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
-    let mut machine = Machine::new(
-        listed.id.clone(),
-        listed.machine_type.clone(),
-        listed.zone.clone(),
-        listed.spot,
-        term,
-        now,
-    );
+    let identity = MachineIdentity {
+        id: listed.id.clone(),
+        machine_type: listed.machine_type.clone(),
+        zone: listed.zone.clone(),
+        spot: listed.spot,
+    };
+    let mut machine = Machine::new(identity, term, now);
     if listed.phase == CloudMachinePhase::Booting {
-        machine.booting = now.checked_sub(listed.age).or(Some(now));
+        machine.booting_since = now.checked_sub(listed.age).or(Some(now));
     }
     machine
 }
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -61,7 +61,7 @@
             }
             let (fuller, rest) = loads.split_at_mut(index);
             let (machine, used_share) = (rest[0].machine, rest[0].used_share);
-            if used_share > MAX_USED_SHARE || machine.placed.is_empty() {
+            if used_share > MAX_USED_SHARE || machine.placed_tasks.is_empty() {
                 continue;
             }
             let Some(tasks) = self.stops_to_move(now, machine) else {
@@ -70,7 +70,7 @@
             let Some(free_after) = pack_onto(fuller, machine) else {
                 continue;
             };
-            if !has_room_beside(&headroom, fuller, machine.placed.len()) {
+            if !has_room_beside(&headroom, fuller, machine.placed_tasks.len()) {
                 break;
             }
             for (target, free) in free_after {
@@ -112,8 +112,8 @@
 
     /// How to stop the tasks of a machine, when all of them can move.
     fn stops_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
-        let mut stops = Vec::with_capacity(machine.placed.len());
-        for task in machine.placed.keys() {
+        let mut stops = Vec::with_capacity(machine.placed_tasks.len());
+        for task in machine.placed_tasks.keys() {
             let job = self.jobs.get(&task.job_id)?;
             let attempt = job.active.get(&task.index)?;
             if !can_move(now, job, attempt) {
@@ -135,11 +135,11 @@
     let spec = &job.spec;
     let is_bound = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
     let ran = now.saturating_duration_since(running_since);
-    let remaining = attempt.est.saturating_sub(ran);
+    let remaining = attempt.estimated_run_time.saturating_sub(ran);
     let worth_moving = spec.checkpoint_duration * 2 + MIN_RUN_AFTER_MOVE;
     !is_bound
         && spec.saves()
-        && attempt.kill.is_none()
+        && attempt.kill_request.is_none()
         && ran >= MIN_RUN_BEFORE_MOVE
         && remaining >= worth_moving
 }
@@ -147,7 +147,7 @@
 /// What is free on machines, by index, once they have taken all tasks of another. None: they cannot.
 fn pack_onto(loads: &[MachineLoad<'_>], machine: &Machine) -> Option<HashMap<usize, Resources>> {
     let mut free_after: HashMap<usize, Resources> = HashMap::new();
-    for resources in machine.placed.values() {
+    for resources in machine.placed_tasks.values() {
         let target = (0..loads.len()).find(|i| {
             let free = free_after.get(i).unwrap_or(&loads[*i].free);
             loads[*i].used_share > 0.0 && resources.fits(free)
--- a/src/core/capacity/free_room.rs
+++ b/src/core/capacity/free_room.rs
@@ -21,11 +21,11 @@
         let max_age = self.config.heartbeat * MAX_MISSED_HEARTBEATS;
         let takes_tasks = |machine: &&Machine| {
             let is_leaving = machine.returning
-                || machine.quarantined
+                || machine.is_quarantined()
                 || machine.draining
-                || machine.eviction.is_some();
-            let is_fresh = now.saturating_duration_since(machine.last_heartbeat) <= max_age;
-            machine.reported && is_fresh && !is_leaving
+                || machine.eviction_at.is_some();
+            let is_fresh = now.saturating_duration_since(machine.last_heartbeat_at) <= max_age;
+            machine.has_reported && is_fresh && !is_leaving
         };
         self.fleet
             .machines
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -96,7 +96,8 @@
     /// Whether this term knows what machines there are: the cloud listed them and all of them have
     /// reported, or they have had time to.
     fn knows_fleet(&self, now: Instant) -> bool {
-        let has_not_reported = |m: &Machine| m.booting.is_none() && !m.reported && !m.returning;
+        let has_not_reported =
+            |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
         let all_reported =
             self.capacity.list_was_read && !self.fleet.machines.values().any(has_not_reported);
         let time_to_report = self.config.heartbeat.mul_f64(HEARTBEATS_TO_REPORT);
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -6,6 +6,7 @@
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::model::{MachineId, Term};
 use crate::core::state::cluster_state::{Action, ClusterState, Machine};
+use crate::core::state::machine::MachineIdentity;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
@@ -176,9 +177,15 @@
                     zone,
                     spot,
                 } = offer.clone();
-                let mut machine = Machine::new(id, machine_type, zone, spot, term, now);
-                machine.booting = Some(now);
-                machine.own = true;
+                let identity = MachineIdentity {
+                    id,
+                    machine_type,
+                    zone,
+                    spot,
+                };
+                let mut machine = Machine::new(identity, term, now);
+                machine.booting_since = Some(now);
+                machine.rented_this_term = true;
                 machine
             });
         }
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -101,7 +101,7 @@
         let mut headroom = self.headroom_reserve(now);
         let mut returns = Vec::new();
         for machine in self.most_expensive_first() {
-            let reason = if machine.booting.is_some() {
+            let reason = if machine.booting_since.is_some() {
                 self.never_booted(now, machine)
             } else {
                 self.unusable(now, machine)
@@ -126,7 +126,7 @@
     }
 
     fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let booting = now.saturating_duration_since(machine.booting?);
+        let booting = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
         let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.boot);
         let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
@@ -138,10 +138,10 @@
     /// Faulty, about to be evicted, or cut off.
     fn unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let is_over = |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
-        if machine.quarantined_at.is_some_and(is_over) {
+        if machine.quarantined_since.is_some_and(is_over) {
             return Some(ReturnReason::Quarantined);
         }
-        if machine.eviction.is_some() && machine.placed.is_empty() {
+        if machine.eviction_at.is_some() && machine.placed_tasks.is_empty() {
             return Some(ReturnReason::SpotEviction);
         }
         let after = self.silent_after();
@@ -152,7 +152,7 @@
         }
         let known_since = machine.known_since.max(self.liveness.awake_since);
         let known = now.saturating_duration_since(known_since);
-        let expected = machine.reported || known > self.config.lease;
+        let expected = machine.has_reported || known > self.config.lease;
         if silent && expected {
             return Some(ReturnReason::Silent);
         }
@@ -174,7 +174,10 @@
             tuning.idle_ordinary
         };
         let is_idle = now.saturating_duration_since(since) > max_idle;
-        if !machine.reported || !machine.placed.is_empty() || !(is_idle || machine.draining) {
+        if !machine.has_reported
+            || !machine.placed_tasks.is_empty()
+            || !(is_idle || machine.draining)
+        {
             return None;
         }
         if !machine.draining && !headroom.is_enough_without(&machine.id) {
@@ -210,12 +213,15 @@
             .machines
             .values()
             .filter(|m| m.returning)
-            .filter(|m| m.return_sent.is_none_or(|t| since(t) > RETURN_RETRY_DELAY))
-            .filter(|m| self.leadership.confirmed || m.overdue)
+            .filter(|m| {
+                m.return_requested_at
+                    .is_none_or(|t| since(t) > RETURN_RETRY_DELAY)
+            })
+            .filter(|m| self.leadership.confirmed || m.cancellation_overdue)
             .collect();
         // Those first whose tasks wait for the proof that they are gone.
-        due.sort_by_key(|m| (!m.overdue, m.placed.is_empty()));
-        let is_urgent = !due.first()?.placed.is_empty();
+        due.sort_by_key(|m| (!m.cancellation_overdue, m.placed_tasks.is_empty()));
+        let is_urgent = !due.first()?.placed_tasks.is_empty();
         let last_return = self.capacity.last_return;
         let may_send = is_urgent
             || due.len() >= MAX_MACHINES_PER_RETURN
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -25,15 +25,15 @@
     fn count_silent(&self, now: Instant) -> SilenceCount {
         let limit = self.config.heartbeat.mul_f64(SCALE_OUT_SILENT_HEARTBEATS);
         let is_silent = |machine: &Machine| {
-            let silence = now.saturating_duration_since(machine.last_heartbeat);
-            !machine.reported || silence > limit
+            let silence = now.saturating_duration_since(machine.last_heartbeat_at);
+            !machine.has_reported || silence > limit
         };
         let mut count = SilenceCount {
             machines: 0,
             silent: 0,
         };
         let machines = self.fleet.machines.values();
-        for machine in machines.filter(|m| m.booting.is_none() && !m.returning) {
+        for machine in machines.filter(|m| m.booting_since.is_none() && !m.returning) {
             count.machines += 1;
             count.silent += usize::from(is_silent(machine));
         }
@@ -55,7 +55,7 @@
             self.is_silent(now, machine, after) || self.is_unreachable(now, machine, after)
         };
         let machines = self.fleet.machines.values();
-        let known = machines.filter(|m| m.reported && !m.returning);
+        let known = machines.filter(|m| m.has_reported && !m.returning);
         let mut survey = SilenceSurvey::default();
         if known.clone().filter(|m| is_lost(m)).count() < MANY {
             return survey;
@@ -79,19 +79,19 @@
 
     /// For how long no heartbeat of a machine came, as far as this process was awake to notice.
     fn silence_of(&self, now: Instant, machine: &Machine) -> Duration {
-        let since = machine.last_heartbeat.max(self.liveness.awake_since);
+        let since = machine.last_heartbeat_at.max(self.liveness.awake_since);
         now.saturating_duration_since(since)
     }
 
     /// Whether its heartbeats come, but for longer than `after` none of our answers has reached it.
     pub(super) fn is_unreachable(&self, now: Instant, machine: &Machine, after: Duration) -> bool {
-        let since = match machine.must_show {
-            Some((_, since)) => Some(since),
-            None if machine.fenced || machine.own => None,
+        let since = match machine.required_token {
+            Some(required) => Some(required.since),
+            None if machine.fenced || machine.rented_this_term => None,
             None => Some(machine.known_since),
         };
         let since = since.map(|t| t.max(self.liveness.awake_since));
-        machine.reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
+        machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
     }
 
     /// When most of a segment, a zone or all machines fall silent at once, the fault is more likely on
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -122,7 +122,8 @@
     fn ordinary_machines_by_type(&self) -> BTreeMap<&MachineTypeName, OrdinaryMachines> {
         let mut by_type: BTreeMap<&MachineTypeName, OrdinaryMachines> = BTreeMap::new();
         let machines = self.fleet.machines.values();
-        for machine in machines.filter(|m| !m.spot && !m.draining && !m.returning && m.reported) {
+        for machine in machines.filter(|m| !m.spot && !m.draining && !m.returning && m.has_reported)
+        {
             let of_type = by_type.entry(&machine.machine_type).or_default();
             of_type.count += 1;
             if self.is_replaceable(machine) {
@@ -134,9 +135,12 @@
 
     fn is_replaceable(&self, machine: &Machine) -> bool {
         let machine_type = self.fleet.machine_type(&machine.machine_type);
-        !machine.placed.is_empty()
+        !machine.placed_tasks.is_empty()
             && machine_type.is_some_and(is_expensive)
-            && machine.placed.keys().all(|task| self.allows_spot(task))
+            && machine
+                .placed_tasks
+                .keys()
+                .all(|task| self.allows_spot(task))
     }
 
     /// Whether a task may run on a spot machine. One whose job is not known may.
@@ -218,8 +222,8 @@
     fn expensive_in_use(&self) -> Vec<&Machine> {
         let machines = self.fleet.machines.values();
         let mut expensive: Vec<(f64, &Machine)> = machines
-            .filter(|m| m.reported && !m.spot && !m.draining && !m.returning)
-            .filter(|m| !m.placed.is_empty())
+            .filter(|m| m.has_reported && !m.spot && !m.draining && !m.returning)
+            .filter(|m| !m.placed_tasks.is_empty())
             .filter_map(|machine| {
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
                 is_expensive(machine_type).then_some((machine_type.hourly, machine))
@@ -233,7 +237,7 @@
     /// fit.
     fn pack_on_spot(&self, machine: &Machine, free: &[Resources]) -> Option<Vec<Resources>> {
         let mut free_after = free.to_vec();
-        for (task, resources) in &machine.placed {
+        for (task, resources) in &machine.placed_tasks {
             let may_move = self.allows_spot(task);
             let target = free_after
                 .iter_mut()
@@ -248,7 +252,10 @@
         let mut machines = Vec::new();
         for (machine_type, count) in &self.capacity.replacements.up {
             let can_drain = |m: &&Machine| {
-                &m.machine_type == machine_type && !m.spot && !m.draining && m.booting.is_none()
+                &m.machine_type == machine_type
+                    && !m.spot
+                    && !m.draining
+                    && m.booting_since.is_none()
             };
             let replaced = self.fleet.machines.values().filter(can_drain);
             machines.extend(replaced.take(*count as usize).map(|m| m.id.clone()));
--- a/src/core/persistence/ledger.rs
+++ b/src/core/persistence/ledger.rs
@@ -266,7 +266,7 @@
             self.put_chunk(job, index, value);
         }
         // A cancelled job's tasks are only ever removed: its intents need no further leave.
-        if self.ops.len() > before && !job.cancelled && !job.finished {
+        if self.ops.len() > before && !job.is_cancelled() && !job.finished {
             let key = job_key(&job.spec.job_id);
             self.conditions.push((key, job.outcome_revision));
         }
@@ -289,7 +289,7 @@
     /// A job's verdict, the removal of its records, or its chunks: whichever is due.
     fn put_job(&mut self, job: &Job, now: Instant, may_close: bool) -> Room {
         let job_id = &job.spec.job_id;
-        if job.final_due() {
+        if job.is_outcome_due() {
             if !self.has_room(1) {
                 return Room::Full;
             }
@@ -299,7 +299,7 @@
         }
         if job.is_orphan() {
             // Blocked all its life, so nothing of it runs.
-            if !job.cascade_due(now, CASCADE_GRACE) {
+            if !job.is_cascade_due(now, CASCADE_GRACE) {
                 return Room::Left;
             }
             if !self.has_room(1) {
@@ -309,7 +309,7 @@
             self.flight.cascaded.push(job_id.clone());
             return Room::Left;
         }
-        if job.cancelled && job.active.is_empty() {
+        if job.is_cancelled() && job.active.is_empty() {
             if !may_close {
                 return Room::Left;
             }
@@ -317,7 +317,7 @@
                 return Room::Full;
             }
             self.delete(live_key(job_id));
-            if job.cancel_marked {
+            if job.cancellation.is_marked() {
                 self.delete(cancel_mark_key(job_id));
             }
             self.flight.closing.push(job_id.clone());
@@ -330,7 +330,7 @@
 fn write_priority(job: &Job) -> WritePriority {
     if job.is_orphan() {
         WritePriority::Cascade
-    } else if job.unlaunched > 0 || job.final_due() {
+    } else if job.unlaunched > 0 || job.is_outcome_due() {
         WritePriority::Prompt
     } else {
         WritePriority::Deferred
@@ -375,8 +375,8 @@
             if batch.put_job(job, now, may_close) == Room::Full {
                 break;
             }
-            let closing = job.cancelled && job.active.is_empty();
-            let waits = closing || job.is_orphan() || job.final_due() || job.is_dirty();
+            let closing = job.is_cancelled() && job.active.is_empty();
+            let waits = closing || job.is_orphan() || job.is_outcome_due() || job.is_dirty();
             if batch.ops.len() == before && !waits {
                 self.writes.dirty_jobs.remove(&job_id);
             }
@@ -419,7 +419,10 @@
     /// Whether all jobs are known that were accepted before this one was cancelled: the watch of the
     /// queue was asked again since.
     fn knows_all_before_cancellation(&self, job: &Job) -> bool {
-        match (job.close_after, self.leadership.last_queue_read) {
+        match (
+            job.cancellation.close_after(),
+            self.leadership.last_queue_read,
+        ) {
             (None, _) => true,
             (Some(after), Some(read)) => read > after,
             (Some(_), None) => false,
@@ -619,7 +622,7 @@
         }
         if let Some(job) = self.jobs.remove(job_id) {
             self.writes.dirty_jobs.remove(job_id);
-            if !job.cancelled {
+            if !job.is_cancelled() {
                 self.writes.obsolete_keys.push(live_key(job_id));
             }
             self.writes.obsolete_keys.extend(
--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -34,10 +34,14 @@
     fn mark_starved_jobs(&mut self, now: Instant) {
         for job in self.jobs.values_mut() {
             let starved = now.saturating_duration_since(job.last_placed) > STARVATION_TIME;
-            if starved && job.turn == 0 && !job.over() && !job.suspected && job.waiting_count() > 0
+            if starved
+                && job.boosted_tasks == 0
+                && !job.is_over()
+                && !job.crash_loop.is_suspected()
+                && job.waiting_count() > 0
             {
-                job.turn = job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR);
-                job.starved = true;
+                job.boosted_tasks = job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR);
+                job.was_starved = true;
             }
         }
     }
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -29,7 +29,7 @@
 
 /// The progress that a restarted task resumes from, in steps.
 fn progress_steps(job: &Job, index: u32) -> u64 {
-    let saved = job.progress.get(&index).copied().unwrap_or_default();
+    let saved = job.saved_progress.get(&index).copied().unwrap_or_default();
     (saved.as_secs_f64() / PROGRESS_STEP_S) as u64
 }
 
@@ -185,7 +185,7 @@
     if let Some(starved_tasks) = entry.starved_tasks {
         count = count.min(starved_tasks as usize);
     }
-    if job.suspected {
+    if job.crash_loop.is_suspected() {
         count = count.min(1);
     }
     if count == 0 {
@@ -204,7 +204,7 @@
     let mut pending = job.pending(before + count);
     pending.drain(..before.min(pending.len()));
     round.record_examined(job, pending.len());
-    if !job.progress.is_empty() {
+    if !job.saved_progress.is_empty() {
         pending.sort_by_key(|index| (Reverse(progress_steps(job, *index)), *index));
     }
     pending
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet};
 
 fn may_run(job: &Job) -> bool {
-    !job.over() && !job.suspected && !job.blocked
+    !job.is_over() && !job.crash_loop.is_suspected() && !job.blocked
 }
 
 fn has_guarantee(team: &Team) -> bool {
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -24,7 +24,7 @@
     let ran = attempt
         .running_since
         .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    let remaining = attempt.est.saturating_sub(ran);
+    let remaining = attempt.estimated_run_time.saturating_sub(ran);
     let is_protected = protection == StartProtection::Protected && ran < MIN_PROTECTED_RUN;
     if is_protected || remaining < MIN_PREEMPTION_WAIT {
         return None;
@@ -32,7 +32,9 @@
     let progress = ran.as_secs_f64() + saved_progress.as_secs_f64();
     let checkpoint_interval = job.spec.checkpoint_interval.as_secs_f64();
     let lost_work = match (attempt.running_since, checkpoint_interval > 0.0) {
-        (None, _) => now.saturating_duration_since(attempt.placed).as_secs_f64(),
+        (None, _) => now
+            .saturating_duration_since(attempt.placed_at)
+            .as_secs_f64(),
         (_, true) => progress % checkpoint_interval,
         (_, false) => progress,
     };
@@ -50,7 +52,7 @@
         attempt: &ActiveAttempt,
         jobs_within_guarantee: &HashSet<&JobId>,
     ) -> Option<f64> {
-        let saved_progress = job.progress.get(&index).copied().unwrap_or_default();
+        let saved_progress = job.saved_progress.get(&index).copied().unwrap_or_default();
         let protection = self.start_protection(job, jobs_within_guarantee);
         preemption_cost(now, job, attempt, saved_progress, protection)
     }
@@ -62,7 +64,7 @@
     ) -> StartProtection {
         // What starved for very long is not stopped right after its start.
         let is_protected = jobs_within_guarantee.contains(&job.spec.job_id)
-            || job.starved
+            || job.was_starved
             || self.has_start_slo(&job.spec);
         if is_protected {
             StartProtection::Protected
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -176,7 +176,7 @@
         for slot in input.slots {
             let mut victims: Vec<Victim<'a>> = Vec::new();
             if slot.ready_at.is_none() {
-                let tasks = slot.machine.placed.keys();
+                let tasks = slot.machine.placed_tasks.keys();
                 victims.extend(tasks.filter_map(|task| self.victim(task, slot, input)));
             }
             victims.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.task.cmp(b.task)));
@@ -193,7 +193,7 @@
     ) -> Option<Victim<'a>> {
         let job = self.jobs.get(&task.job_id)?;
         let attempt = job.active.get(&task.index)?;
-        if attempt.kill.is_some() || job.spec.kind == JobKind::Gang {
+        if attempt.kill_request.is_some() || job.spec.kind == JobKind::Gang {
             return None;
         }
         let guaranteed = input.jobs_within_guarantee;
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -114,7 +114,7 @@
     ) {
         for (index, attempt) in &job.active {
             let task = job.task(*index);
-            if attempt.kill.is_some() || preempted.contains(&task) {
+            if attempt.kill_request.is_some() || preempted.contains(&task) {
                 work.used.sub(&job.spec.resources);
                 continue;
             }
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -7,7 +7,7 @@
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::entities::Job;
+use crate::core::state::cluster_state::Job;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Instant;
 
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -110,27 +110,30 @@
 /// Whether a round may start tasks of this job.
 fn may_start(now: Instant, job: &Job) -> bool {
     // Of a suspected job, one task at a time tries.
-    let is_trying = job.suspected && !job.active.is_empty();
-    let backoff_is_over = job.backoff_until.is_none_or(|until| now >= until);
-    !job.over() && job.waiting_count() > 0 && backoff_is_over && !is_trying
+    let is_trying = job.crash_loop.is_suspected() && !job.active.is_empty();
+    let backoff_is_over = job
+        .crash_loop
+        .backoff_until
+        .is_none_or(|until| now >= until);
+    !job.is_over() && job.waiting_count() > 0 && backoff_is_over && !is_trying
 }
 
 /// Priorities in which jobs with deadlines are late.
 fn overloaded_priorities(jobs: &[&Job], late: &[bool]) -> HashSet<Priority> {
     jobs.iter()
         .zip(late)
-        .filter(|(job, late)| **late && job.spec.due.is_some() && !job.suspected)
+        .filter(|(job, late)| **late && job.spec.due.is_some() && !job.crash_loop.is_suspected())
         .map(|(job, _)| job.spec.priority)
         .collect()
 }
 
 /// Starved jobs by arrival, with the tasks that go before all others.
 fn starved_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
-    let starved = jobs.iter().copied().filter(|job| job.turn > 0);
+    let starved = jobs.iter().copied().filter(|job| job.boosted_tasks > 0);
     let mut starved: Vec<&Job> = starved.collect();
     starved.sort_by_key(|job| job.arrived);
     starved.into_iter().map(|job| QueueEntry {
         job,
-        starved_tasks: Some(job.turn),
+        starved_tasks: Some(job.boosted_tasks),
     })
 }
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -95,10 +95,14 @@
         plan.waiting.retain(|waiting| {
             self.jobs.get(&waiting.job_id).is_some_and(|job| {
                 let is_limited = rate_limited && is_ordinary(&job.spec, &jobs_within_guarantee);
-                !job.suspected && !is_limited
+                !job.crash_loop.is_suspected() && !is_limited
             })
         });
-        limited_jobs.retain(|id| self.jobs.get(id).is_some_and(|job| !job.suspected));
+        limited_jobs.retain(|id| {
+            self.jobs
+                .get(id)
+                .is_some_and(|job| !job.crash_loop.is_suspected())
+        });
         plan.preemptions = self.plan_preemptions(&PreemptionInput {
             now,
             waiting: &plan.waiting,
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -163,7 +163,8 @@
     pub(super) fn may_use_slot(&self, job: &Job, slot: &Slot<'_>, zones: &ZoneUse) -> bool {
         let machine = slot.machine;
         // A suspected job has failed on many machines, and most of them are well.
-        let has_failed_there = !job.suspected && job.error_machines.contains(&machine.id);
+        let has_failed_there =
+            !job.crash_loop.is_suspected() && job.crash_loop.has_failed_on(&machine.id);
         let type_name = &self.fleet.types[slot.type_index].name;
         !has_failed_there && permits(&job.spec, zones, type_name, &machine.zone, machine.spot)
     }
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -101,14 +101,14 @@
     pub(super) fn fetch_delay(&self, now: Instant, fetch_rate: f64, job: &Job) -> Duration {
         let image = job.image;
         if job.spec.image_gb <= 0.0
-            || self.machine.has_image(image)
+            || self.machine.images.contains(image)
             || self.reserved_images.contains(&image)
         {
             return Duration::ZERO;
         }
         let pending_fetch = || fetch_time_at(fetch_rate, self.pending_fetch_gb);
-        if let Some((since, _)) = self.machine.fetching.get(&image) {
-            return pending_fetch().saturating_sub(now.saturating_duration_since(*since));
+        if let Some(fetch) = self.machine.images.fetch(image) {
+            return pending_fetch().saturating_sub(now.saturating_duration_since(fetch.since));
         }
         if self.started_images.contains(&image) {
             return pending_fetch();
@@ -118,8 +118,8 @@
 
     /// A task of this job starts here, and with it the fetch of its image if that is missing.
     pub(super) fn add_fetch(&mut self, job: &Job) {
-        if !self.machine.has_image(job.image)
-            && !self.machine.fetching.contains_key(&job.image)
+        if !self.machine.images.contains(job.image)
+            && self.machine.images.fetch(job.image).is_none()
             && !self.started_images.contains(&job.image)
         {
             self.started_images.push(job.image);
@@ -147,15 +147,15 @@
         let types = &self.fleet.types;
         let type_index = types.iter().position(|t| t.name == machine.machine_type)?;
         let machine_type = &types[type_index];
-        let ready_at = match machine.booting {
+        let ready_at = match machine.booting_since {
             Some(since) if !machine.returning => Some(self.expected_up(now, since, machine_type)),
             _ if self.accepts_tasks(now, machine) => None,
             _ => return None,
         };
         let mut free = machine_type.room;
         free.sub(&machine.used);
-        free.sub(&machine.foreign);
-        let pending_fetch_gb = machine.fetching.values().map(|(_, gb)| gb).sum();
+        free.sub(&machine.unexpected_usage);
+        let pending_fetch_gb = machine.images.fetching_gb();
         let pending_fetch = fetch_time_at(fetch_rates[type_index], pending_fetch_gb);
         Some(Slot {
             machine,
@@ -164,7 +164,7 @@
             free_unreserved: free,
             releases: self.expected_releases(now, machine, pending_fetch),
             ready_at,
-            slowdown: machine.speed(),
+            slowdown: machine.slowdown(),
             price_step: price_step(price_per_cpu(machine_type, machine.spot)),
             pending_fetch_gb,
             started_images: Vec::new(),
@@ -176,14 +176,14 @@
     /// Whether a machine may be given tasks now.
     fn accepts_tasks(&self, now: Instant, machine: &Machine) -> bool {
         let max_age = self.config.heartbeat.mul_f64(MAX_HEARTBEAT_AGE);
-        machine.reported
-            && now.saturating_duration_since(machine.last_heartbeat) <= max_age
+        machine.has_reported
+            && now.saturating_duration_since(machine.last_heartbeat_at) <= max_age
             && machine.is_reachable()
             && !self.takeover.holds_machine(&machine.id)
             && !machine.returning
-            && !machine.quarantined
+            && !machine.is_quarantined()
             && !machine.draining
-            && machine.eviction.is_none()
+            && machine.eviction_at.is_none()
             && machine.avoid_until.is_none_or(|until| until <= now)
     }
 
@@ -199,12 +199,12 @@
         machine: &Machine,
         pending_fetch: Duration,
     ) -> Vec<ExpectedRelease> {
-        let mut releases = Vec::with_capacity(machine.placed.len() + 2);
-        releases.extend(machine.placed.keys().filter_map(|task| {
+        let mut releases = Vec::with_capacity(machine.placed_tasks.len() + 2);
+        releases.extend(machine.placed_tasks.keys().filter_map(|task| {
             let job = self.jobs.get(&task.job_id)?;
             let attempt = job.active.get(&task.index)?;
-            let fetch = machine.fetching.get(&job.image).map(|(since, _)| {
-                pending_fetch.saturating_sub(now.saturating_duration_since(*since))
+            let fetch = machine.images.fetch(job.image).map(|fetch| {
+                pending_fetch.saturating_sub(now.saturating_duration_since(fetch.since))
             });
             Some(ExpectedRelease {
                 at: now + expected_remaining(now, attempt, fetch.unwrap_or_default()),
@@ -218,13 +218,13 @@
 
 /// How long an attempt still takes its room. `fetch`: until its image is there.
 fn expected_remaining(now: Instant, attempt: &ActiveAttempt, fetch: Duration) -> Duration {
-    match (attempt.running_since, &attempt.kill) {
+    match (attempt.running_since, &attempt.kill_request) {
         (_, Some(kill)) => (kill.since + kill.grace_period).saturating_duration_since(now),
         (Some(since), None) => {
             let ran = now.saturating_duration_since(since);
             let overrun = ran.mul_f64(OVERRUN_SHARE);
-            attempt.est.saturating_sub(ran).max(overrun)
+            attempt.estimated_run_time.saturating_sub(ran).max(overrun)
         }
-        (None, None) => attempt.est + fetch,
+        (None, None) => attempt.estimated_run_time + fetch,
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -9,6 +9,7 @@
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, HeartbeatDecision};
+use crate::core::state::image_cache::CachedImage;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -85,7 +86,10 @@
         };
         for image in ["img-1", "img-2", "img-3"] {
             if rng.gen_bool(0.3) {
-                h.images.push_back((ImageKey::of(image), 4.0));
+                h.images.push(CachedImage {
+                    image: ImageKey::of(image),
+                    size_gb: 4.0,
+                });
             }
         }
         if rng.gen_bool(0.4) {
@@ -234,18 +238,18 @@
         c.on_job(s.clone(), 9);
         let a = ActiveAttempt {
             machine: "i-000".into(),
-            attempt: AttemptId(1),
+            id: AttemptId(1),
             durable: true,
             launch_token: FencingToken(1),
             incarnation: Some(1),
-            placed: now - secs(placed),
-            seen: None,
-            waited: None,
+            placed_at: now - secs(placed),
+            observed_phase: None,
+            last_fetching_at: None,
             running_since: ran.map(|r| now - secs(r)),
-            measured: true,
-            est: secs(90),
-            kill: None,
-            given: None,
+            start_observed: true,
+            estimated_run_time: secs(90),
+            kill_request: None,
+            launch_sent_at: None,
         };
         let job = &c.jobs[&s.job_id];
         let cost = preemption_cost(now, job, &a, Duration::ZERO, protection);
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -5,7 +5,7 @@
 };
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
-use crate::core::state::entities::{ActiveAttempt, KillRequest};
+use crate::core::state::cluster_state::{ActiveAttempt, KillRequest};
 use cypressgap_recovery::pacing::OrderClass;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -34,14 +34,14 @@
     /// The command to end it, unless it is at that already. `shown`: its machine shows it, or it is not
     /// known what the machine shows.
     fn kill_command(&self, now: Instant, task: &TaskId, shown: bool) -> Option<TaskCommand> {
-        let kill = self.kill.as_ref()?;
-        let saving = self.seen == Some(TaskPhase::Checkpointing);
+        let kill = self.kill_request.as_ref()?;
+        let saving = self.observed_phase == Some(TaskPhase::Checkpointing);
         if !shown || (saving && !kill.grace_period.is_zero()) {
             return None;
         }
         Some(TaskCommand::Kill {
             task: task.clone(),
-            attempt: self.attempt,
+            attempt: self.id,
             grace_period: if saving {
                 kill.left(now)
             } else {
@@ -67,23 +67,23 @@
         let session = Session {
             token: h.token,
             incarnation: h.incarnation,
-            leaving: h.returning || h.eviction.is_some(),
+            leaving: h.returning || h.eviction_at.is_some(),
         };
-        let tasks: Vec<TaskId> = h.placed.keys().cloned().collect();
+        let tasks: Vec<TaskId> = h.placed_tasks.keys().cloned().collect();
         for task in tasks {
             let job = self.jobs.get(&task.job_id);
             let Some(a) = job.and_then(|j| j.active.get(&task.index)) else {
                 continue;
             };
             // One that was adopted is there already.
-            if !a.durable && a.seen.is_none() {
+            if !a.durable && a.observed_phase.is_none() {
                 continue;
             }
             let known = match listed {
-                Some(l) => l.contains(&(task.clone(), a.attempt)),
-                None => a.seen.is_some(),
+                Some(l) => l.contains(&(task.clone(), a.id)),
+                None => a.observed_phase.is_some(),
             };
-            let command = if a.kill.is_some() {
+            let command = if a.kill_request.is_some() {
                 let kill = a.kill_command(now, &task, known || listed.is_none());
                 kill.filter(|kill| self.admit(now, machine, kill, self.kill_class(now, &task)))
             } else if known {
@@ -114,10 +114,10 @@
             return None;
         }
         let job = self.jobs.get(&task.job_id)?;
-        if job.cancelled || job.finished {
+        if job.is_cancelled() || job.finished {
             return None;
         }
-        let attempt = job.active.get(&task.index)?.attempt;
+        let attempt = job.active.get(&task.index)?.id;
         // What an earlier term may have sent is launched again only once it is proved absent.
         if !self.takeover.allows_launch(machine, task, attempt) {
             return None;
@@ -138,7 +138,7 @@
         let a = job.active.get_mut(&task.index)?;
         a.launch_token = a.launch_token.max(session.token);
         a.incarnation = Some(session.incarnation);
-        a.given.get_or_insert(now);
+        a.launch_sent_at.get_or_insert(now);
         Some(launch)
     }
 
@@ -150,7 +150,7 @@
         heartbeat: Option<Heartbeat>,
     ) -> Option<Term> {
         if let Some(h) = self.fleet.machines.get_mut(machine) {
-            h.sending = false;
+            h.command_in_flight = false;
         }
         match heartbeat {
             Some(r) if &r.machine == machine => match self.on_heartbeat(now, r, false) {
@@ -176,12 +176,12 @@
         let Some(h) = self.fleet.machines.get_mut(machine) else {
             return;
         };
-        let unseen = h.placed.keys().any(|t| {
+        let unseen = h.placed_tasks.keys().any(|t| {
             let a = self
                 .jobs
                 .get(&t.job_id)
                 .and_then(|j| j.active.get(&t.index));
-            a.is_some_and(|a| a.durable && a.kill.is_some() && a.seen.is_none())
+            a.is_some_and(|a| a.durable && a.kill_request.is_some() && a.observed_phase.is_none())
         });
         if unseen {
             h.token = h.token.next();
@@ -194,14 +194,14 @@
             let Some(h) = self.fleet.machines.get(&machine) else {
                 continue;
             };
-            if h.sending {
+            if h.command_in_flight {
                 self.outbox.urgent_machines.insert(machine);
                 continue;
             }
             // A silent host would only hold a sender up: the next report carries the commands.
             let silent =
-                now.saturating_duration_since(h.last_heartbeat) > self.config.heartbeat * 2;
-            if !h.reported || h.endpoint.is_empty() || silent {
+                now.saturating_duration_since(h.last_heartbeat_at) > self.config.heartbeat * 2;
+            if !h.has_reported || h.endpoint.is_empty() || silent {
                 continue;
             }
             self.fence_unseen_kills(&machine);
@@ -213,7 +213,7 @@
             let Some(h) = self.fleet.machines.get_mut(&machine) else {
                 continue;
             };
-            h.sending = true;
+            h.command_in_flight = true;
             self.outbox.push(Action::Send {
                 machine: machine.clone(),
                 endpoint: h.endpoint.clone(),
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -7,8 +7,9 @@
 use crate::core::reconciliation::commands::MAX_COMMANDS;
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::unrecorded_tasks::UnrecordedTask;
+use crate::core::state::cluster_state::Machine;
 use crate::core::state::cluster_state::{ClusterState, HeartbeatDecision};
-use crate::core::state::entities::Machine;
+use crate::core::state::machine::MachineIdentity;
 use cypressgap_recovery::pacing::OrderClass;
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
@@ -111,14 +112,13 @@
                     r.machine_type,
                     r.zone
                 );
-                Machine::new(
-                    r.machine.clone(),
-                    r.machine_type.clone(),
-                    r.zone.clone(),
-                    r.spot,
-                    term,
-                    now,
-                )
+                let identity = MachineIdentity {
+                    id: r.machine.clone(),
+                    machine_type: r.machine_type.clone(),
+                    zone: r.zone.clone(),
+                    spot: r.spot,
+                };
+                Machine::new(identity, term, now)
             })
     }
 
@@ -127,38 +127,37 @@
     fn outdated(&mut self, now: Instant, r: &Heartbeat, heartbeat: bool) -> Option<FencingToken> {
         let silence = self.config.heartbeat.mul_f64(RESTART_SILENCE_HEARTBEATS);
         let h = self.reporting_machine(now, r);
-        if h.floor.is_some_and(|f| r.token < f) {
+        if h.min_token.is_some_and(|f| r.token < f) {
             // The predecessor's.
             return Some(h.token);
         }
-        if !h.reported || (r.incarnation, r.serial) > (h.incarnation, h.serial) {
+        if !h.has_reported || (r.incarnation, r.serial) > (h.incarnation, h.serial) {
             return None;
         }
-        let silent = now.saturating_duration_since(h.last_heartbeat) > silence;
-        let restarted = h.restart_probe.is_some_and(|p| r.token >= p);
+        let silent = now.saturating_duration_since(h.last_heartbeat_at) > silence;
+        let restarted = h.restart_probe_token.is_some_and(|p| r.token >= p);
         if !restarted {
             // Overtaken by a newer message, or a late copy: nothing is learned from it. When it
             // is a live worker's report that crossed a direct command, its answer renews the
             // lease, counted from its sending; that was before the newer message came.
             if heartbeat {
-                h.last_answer = h.last_answer.max(Some(h.last_heartbeat));
+                h.lease_renewed_at = h.lease_renewed_at.max(Some(h.last_heartbeat_at));
             }
             // Or the machine was restarted under its name and counts from the beginning: it has been
             // silent, or shows a token below the one shown before. No copy can show a token that was
             // first given out after it was sent; and such a machine, which has forgotten what it was
             // told to stop, takes no command any more that was sent to it before.
-            let fallen_back = r.token < h.shown;
-            if (silent || fallen_back) && heartbeat && h.restart_probe.is_none() {
+            let fallen_back = r.token < h.observed_token;
+            if (silent || fallen_back) && heartbeat && h.restart_probe_token.is_none() {
                 h.token = h.token.next();
-                h.restart_probe = Some(h.token);
+                h.restart_probe_token = Some(h.token);
             }
             return Some(h.token);
         }
         log::info!("host was restarted host={}", r.machine);
-        h.floor = h.restart_probe;
+        h.min_token = h.restart_probe_token;
         h.images.clear();
-        h.fetching.clear();
-        h.last_answer = h.last_answer.max(Some(now));
+        h.lease_renewed_at = h.lease_renewed_at.max(Some(now));
         None
     }
 
@@ -166,44 +165,45 @@
     fn take_machine(&mut self, now: Instant, r: &Heartbeat) {
         let term = self.term;
         let h = self.reporting_machine(now, r);
-        h.restart_probe = None;
-        if !h.reported {
-            h.idle_since = h.placed.is_empty().then_some(now);
+        h.restart_probe_token = None;
+        if !h.has_reported {
+            h.idle_since = h.placed_tasks.is_empty().then_some(now);
             h.avoid_until = None;
         }
-        let booting = h.booting.take();
-        let new_session = !h.reported || r.incarnation != h.incarnation;
-        let later_session = h.reported && r.incarnation > h.incarnation;
-        h.reported = true;
+        let booting = h.booting_since.take();
+        let new_session = !h.has_reported || r.incarnation != h.incarnation;
+        let later_session = h.has_reported && r.incarnation > h.incarnation;
+        h.has_reported = true;
         h.machine_type = r.machine_type.clone();
         h.zone = r.zone.clone();
         h.spot = r.spot;
         h.endpoint = r.endpoint.clone();
         h.incarnation = r.incarnation;
         h.serial = r.serial;
-        h.shown = r.token;
-        h.last_heartbeat = now;
-        h.lease_spent = false;
+        h.observed_token = r.token;
+        h.last_heartbeat_at = now;
+        h.lease_expired = false;
         if r.token.term() == term {
             h.fenced = true;
             h.token = h.token.max(r.token);
-            if h.must_show.is_some_and(|(e, _)| r.token >= e) {
-                h.must_show = None;
+            if h.required_token
+                .is_some_and(|required| r.token >= required.token)
+            {
+                h.required_token = None;
             }
         }
         if later_session {
             h.images.clear();
-            h.fetching.clear();
             // The new session's lease runs from its beginning, which is not long before now. Counted
             // from the last answer of the old one, it would seem to have run out under tasks that
             // direct commands start in the new session.
-            h.last_answer = h.last_answer.max(Some(now));
+            h.lease_renewed_at = h.lease_renewed_at.max(Some(now));
             // Reports that were answered, and yet its lease ran out.
             h.require_token(now);
         }
-        let noticed = h.eviction.is_none() && r.eviction.is_some();
+        let noticed = h.eviction_at.is_none() && r.eviction.is_some();
         if let Some(remaining) = r.eviction {
-            h.eviction = Some(now + remaining);
+            h.eviction_at = Some(now + remaining);
         }
         if new_session || noticed {
             self.schedule.request_round();
@@ -235,7 +235,11 @@
     /// end of the session: what it shows may long be otherwise, since a leader launches the same attempt
     /// again where a session ended.
     fn is_current(&self, r: &Heartbeat) -> bool {
-        let own = self.fleet.machines.get(&r.machine).is_some_and(|h| h.own);
+        let own = self
+            .fleet
+            .machines
+            .get(&r.machine)
+            .is_some_and(|h| h.rented_this_term);
         r.token.term() == self.term || own
     }
 
@@ -248,7 +252,7 @@
             let job = self.jobs.get(&t.task.job_id);
             let matches = job
                 .and_then(|j| j.active.get(&t.task.index))
-                .is_some_and(|a| a.attempt == t.attempt && a.machine == r.machine);
+                .is_some_and(|a| a.id == t.attempt && a.machine == r.machine);
             let held = job.is_some_and(|j| j.is_held(t.task.index, t.attempt));
             match t.phase {
                 TaskPhase::Ended(exit) if matches => {
@@ -315,13 +319,13 @@
         let Some(h) = self.fleet.machines.get_mut(machine) else {
             return HeartbeatDecision::Ignore;
         };
-        h.foreign = Resources::default();
+        h.unexpected_usage = Resources::default();
         for (_, resources) in &tasks.foreign {
-            h.foreign.add(resources);
+            h.unexpected_usage.add(resources);
         }
         self.quota_usage.set_unexpected(machine, &tasks.foreign);
         if heartbeat {
-            h.last_answer = Some(now);
+            h.lease_renewed_at = Some(now);
         }
         // After a forget the worker would take a late copy of the launch for a new one, so the same
         // answer raises the token past every launch that went out before.
@@ -350,16 +354,16 @@
             return;
         };
         let long = |t: Instant| now.saturating_duration_since(t) > patience;
-        let ignored = h.placed.keys().any(|t| {
+        let ignored = h.placed_tasks.keys().any(|t| {
             let a = self
                 .jobs
                 .get(&t.job_id)
                 .and_then(|j| j.active.get(&t.index));
             a.is_some_and(|a| {
-                let shown = listed.contains(&(t.clone(), a.attempt));
-                let lost = !shown && a.kill.is_none() && a.given.is_some_and(long);
-                let kill = a.kill.as_ref();
-                let runs = a.seen != Some(TaskPhase::Checkpointing);
+                let shown = listed.contains(&(t.clone(), a.id));
+                let lost = !shown && a.kill_request.is_none() && a.launch_sent_at.is_some_and(long);
+                let kill = a.kill_request.as_ref();
+                let runs = a.observed_phase != Some(TaskPhase::Checkpointing);
                 lost || (shown && runs && kill.is_some_and(|k| long(k.since + k.grace_period)))
             })
         });
@@ -382,7 +386,7 @@
         };
         let mut gone = Vec::new();
         let mut fence = false;
-        for task in h.placed.keys() {
+        for task in h.placed_tasks.keys() {
             let Some(a) = self
                 .jobs
                 .get(&task.job_id)
@@ -390,16 +394,16 @@
             else {
                 continue;
             };
-            if !a.durable || listed.contains(&(task.clone(), a.attempt)) {
+            if !a.durable || listed.contains(&(task.clone(), a.id)) {
                 continue;
             }
-            let current = r.token.term() == self.term || h.own;
+            let current = r.token.term() == self.term || h.rented_this_term;
             let earlier = a.incarnation.is_some_and(|t| t < r.incarnation)
                 && a.launch_token != FencingToken(0)
                 && current;
-            let unwanted = a.kill.is_some()
+            let unwanted = a.kill_request.is_some()
                 || h.returning
-                || h.eviction.is_some()
+                || h.eviction_at.is_some()
                 || self.launch_check(task) == LaunchCheck::Refused;
             if earlier {
                 // The worker began a new session and killed what it had; commands of the old
@@ -411,7 +415,10 @@
                 } else {
                     fence |= h.token <= a.launch_token;
                 }
-            } else if a.seen.is_some() && r.token.term() == self.term && r.token > a.launch_token {
+            } else if a.observed_phase.is_some()
+                && r.token.term() == self.term
+                && r.token > a.launch_token
+            {
                 gone.push(task.clone());
             }
         }
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -8,7 +8,7 @@
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
 use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::entities::Job;
+use crate::core::state::cluster_state::Job;
 
 /// What may become of an attempt that its machine does not show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -34,10 +34,13 @@
         let Some(job) = self.jobs.get(&task.job_id) else {
             return OrderClass::Immediate;
         };
-        let cancelled_for = job.cancelled_at.map(|t| now.saturating_duration_since(t));
+        let cancelled_for = job
+            .cancellation
+            .known_since()
+            .map(|t| now.saturating_duration_since(t));
         let active = job.active.get(&task.index);
         let machine = active.and_then(|a| self.fleet.machines.get(&a.machine));
-        let leaves = machine.is_some_and(|h| h.eviction.is_some());
+        let leaves = machine.is_some_and(|h| h.eviction_at.is_some());
         let has_time_limit = leaves || job.spec.kind == JobKind::Gang;
         Takeover::kill_class(cancelled_for, self.config.cancel, has_time_limit)
     }
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -3,8 +3,9 @@
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, Zone};
 use crate::core::persistence::ledger::{self, ChunkValue, JobOutcome};
 use crate::core::placement::history::HistorySummary;
+use crate::core::state::cluster_state::{ActiveAttempt, Machine};
 use crate::core::state::cluster_state::{CancelSource, ClusterState};
-use crate::core::state::entities::{ActiveAttempt, Machine};
+use crate::core::state::machine::MachineIdentity;
 use cypressgap_recovery::attempt_state::AttemptState;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Instant;
@@ -153,7 +154,7 @@
         };
         let chunk = job.chunks.entry(index).or_default();
         chunk.revision = revision;
-        chunk.done = value.done;
+        chunk.done_bits = value.done;
         job.done_count += value.done.count_ones();
         let mut loaded = Vec::new();
         for (task, attempt, machine) in value.active {
@@ -179,7 +180,7 @@
             self.takeover.record(machine.clone(), task.clone(), attempt);
             self.quota_usage.enter(task.clone(), &team, resources);
             let h = self.loaded_machine(now, machine);
-            h.placed.insert(task, resources);
+            h.placed_tasks.insert(task, resources);
             h.used.add(&resources);
         }
     }
@@ -219,7 +220,13 @@
         let term = self.term;
         self.fleet.machines.entry(id.clone()).or_insert_with(|| {
             let (kind, zone) = (MachineTypeName(String::new()), Zone(String::new()));
-            Machine::new(id, kind, zone, false, term, now)
+            let identity = MachineIdentity {
+                id,
+                machine_type: kind,
+                zone,
+                spot: false,
+            };
+            Machine::new(identity, term, now)
         })
     }
 
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -66,10 +66,13 @@
         let allowed = spec.allows_type(&r.machine_type)
             && spec.allows_zone(&r.zone)
             && (spec.allows_spot || !r.spot);
-        let wanted = spec.kind == JobKind::Batch && !job.over() && !job.blocked && !job.suspected;
+        let wanted = spec.kind == JobKind::Batch
+            && !job.is_over()
+            && !job.blocked
+            && !job.crash_loop.is_suspected();
         let runs = matches!(shown.phase, TaskPhase::Fetching | TaskPhase::Running);
         let earlier = shown.attempt.term() < self.term;
-        let stays = !machine.returning && machine.eviction.is_none();
+        let stays = !machine.returning && machine.eviction_at.is_none();
         lacked && allowed && wanted && runs && earlier && stays
     }
 
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,9 +1,8 @@
 //! Attempts at tasks, from the decision to run one to the proof that it is off its host.
 
-use crate::core::model::{AttemptId, JobId, JobKind, MachineId, Resources, TaskId};
-use crate::core::persistence::ledger::CHUNK;
+use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
 use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::entities::{ActiveAttempt, KillRequest};
+use crate::core::state::cluster_state::{ActiveAttempt, KillRequest};
 use std::time::{Duration, Instant};
 
 impl ClusterState {
@@ -29,24 +28,20 @@
             return;
         };
         job.requeued.remove(&index);
-        if index == job.next {
-            job.next += 1;
+        if index == job.next_unplaced {
+            job.next_unplaced += 1;
         }
         let mut active = ActiveAttempt::planned(now, machine.clone(), attempt, est);
         active.incarnation = Some(h.incarnation);
         job.active.insert(index, active);
         job.last_placed = now;
-        job.turn = job.turn.saturating_sub(1);
+        job.boosted_tasks = job.boosted_tasks.saturating_sub(1);
         job.unlaunched += 1;
-        job.touch(index);
+        job.change_chunk(index);
         let resources = job.spec.resources;
-        h.placed.insert(job.task(index), resources);
-        h.used.add(&resources);
-        h.idle_since = None;
-        if !h.has_image(job.image) {
-            h.fetching
-                .entry(job.image)
-                .or_insert((now, job.spec.image_gb));
+        h.place(job.task(index), resources);
+        if !h.images.contains(job.image) {
+            h.images.fetch_started(now, job.image, job.spec.image_gb);
         }
         self.quota_usage
             .enter(job.task(index), &job.spec.team, resources);
@@ -62,15 +57,15 @@
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        let cancelled = job.cancelled;
+        let cancelled = job.is_cancelled();
         let Some(a) = job.active.get_mut(&task.index) else {
             return;
         };
-        if a.attempt != attempt || a.durable {
+        if a.id != attempt || a.durable {
             return;
         }
         a.durable = true;
-        a.placed = now;
+        a.placed_at = now;
         job.unlaunched = job.unlaunched.saturating_sub(1);
         if !cancelled {
             self.outbox.urgent_machines.insert(a.machine.clone());
@@ -93,15 +88,15 @@
             return;
         };
         // One that was adopted is on its machine before its record is durable.
-        if !a.durable && a.seen.is_none() {
+        if !a.durable && a.observed_phase.is_none() {
             self.gone(now, job_id, index, false);
             return;
         }
-        match &mut a.kill {
+        match &mut a.kill_request {
             Some(k) if k.grace_period <= grace_period => return,
             Some(k) => k.grace_period = grace_period,
             None => {
-                a.kill = Some(KillRequest {
+                a.kill_request = Some(KillRequest {
                     grace_period,
                     since: now,
                 })
@@ -123,21 +118,13 @@
         if !a.durable {
             job.unlaunched = job.unlaunched.saturating_sub(1);
         }
-        let attempt = a.attempt;
+        let attempt = a.id;
         let resources = job.spec.resources;
-        let chunk = job.touch(index);
-        let version = chunk.version;
-        chunk.held.push((index, attempt, version));
-        chunk.ended_since.get_or_insert(now);
+        job.change_chunk(index).hold(now, index, attempt);
         if done {
-            // A gang's members are all marked when the first one is done.
-            let bit = 1 << (index % CHUNK);
-            if chunk.done & bit == 0 {
-                chunk.done |= bit;
-                job.done_count += 1;
-            }
-            job.progress.remove(&index);
-        } else if !job.over() && !job.is_done(index) {
+            job.mark_done(index);
+            job.saved_progress.remove(&index);
+        } else if !job.is_over() && !job.is_done(index) {
             job.requeued.insert(index);
         }
         let task = job.task(index);
@@ -150,14 +137,7 @@
             self.writes.dirty_jobs.insert(job_id.clone());
         }
         if let Some(h) = self.fleet.machines.get_mut(&a.machine) {
-            if h.placed.remove(&task).is_some() {
-                h.used.sub(&resources);
-            }
-            if h.placed.is_empty() {
-                h.used = Resources::default();
-                h.fetching.clear();
-                h.idle_since = Some(now);
-            }
+            h.unplace(now, &task, &resources);
         }
         self.schedule.request_round();
         if gang {
@@ -174,14 +154,14 @@
         if done {
             for i in 0..job.spec.task_count {
                 if !job.is_done(i) {
-                    job.touch(i).done |= 1 << (i % CHUNK);
-                    job.done_count += 1;
+                    job.change_chunk(i);
+                    job.mark_done(i);
                 }
             }
             job.requeued.clear();
             return;
         }
-        if job.over() {
+        if job.is_over() {
             return;
         }
         let rest: Vec<u32> = job.active.keys().copied().collect();
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -7,20 +7,21 @@
 use crate::core::capacity::Capacity;
 use crate::core::leadership::cancellation_watermark::{self, ClockReading};
 use crate::core::leadership::leadership_status::LeadershipStatus;
-use crate::core::model::{
-    FencingToken, JobId, JobSpec, MachineId, MachineType, MachineTypeName, Resources,
-    SchedulerConfig, TaskCommand, Term, Zone,
-};
+use crate::core::model::{JobId, JobSpec, MachineType, Resources, SchedulerConfig, Term};
 use crate::core::persistence::ledger::{self, JobOutcome};
 use crate::core::persistence::pending_writes::PendingWrites;
 use crate::core::placement::history::History;
 use crate::core::placement::start_limiter::StartLimiter;
 use crate::core::reconciliation::state_loading::UnreadableRecords;
+pub use crate::core::state::actions::{Action, HeartbeatDecision};
+pub use crate::core::state::attempt::{ActiveAttempt, KillRequest};
+pub use crate::core::state::cancellation::CancelSource;
 use crate::core::state::dependencies::DependencyState;
-pub use crate::core::state::entities::{ActiveAttempt, Chunk, Job, KillRequest, Machine};
 use crate::core::state::fleet::Fleet;
+pub use crate::core::state::job::Job;
 use crate::core::state::job_table::JobTable;
 use crate::core::state::liveness::Liveness;
+pub use crate::core::state::machine::Machine;
 use crate::core::state::outbox::Outbox;
 use crate::core::state::quota_usage::QuotaUsage;
 use crate::core::state::recent_usage::RecentUsage;
@@ -31,85 +32,6 @@
 
 /// What passes, beyond a worker's interval, before its report has found its way round dead nodes.
 const HEARTBEAT_DETOUR_MARGIN: Duration = Duration::from_secs(5);
-/// What the core asks for.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Commands sent straight to a worker.
-    Send {
-        /// The worker.
-        machine: MachineId,
-        /// Where it takes commands.
-        endpoint: String,
-        /// The token to send.
-        token: FencingToken,
-        /// Its session.
-        incarnation: u64,
-        /// The commands.
-        commands: Vec<TaskCommand>,
-    },
-    /// Ask a worker for its report: a new leader need not wait for the next one.
-    Probe {
-        /// The worker.
-        machine: MachineId,
-        /// Where it takes commands.
-        endpoint: String,
-        /// The token to send.
-        token: FencingToken,
-        /// Its session.
-        incarnation: u64,
-    },
-    /// Rent machines.
-    Rent {
-        /// Names this rental, however often it is asked for.
-        idempotency_key: String,
-        /// Their type.
-        machine_type: MachineTypeName,
-        /// Their zone.
-        zone: Zone,
-        /// Whether the cloud may take them back.
-        spot: bool,
-        /// How many.
-        number: u32,
-    },
-    /// Give machines back.
-    Return {
-        /// Their names.
-        machines: Vec<MachineId>,
-    },
-    /// Carry out a transaction.
-    Store(ledger::Batch),
-}
-
-/// What to answer to a report.
-#[derive(Clone, Debug, PartialEq)]
-pub enum HeartbeatDecision {
-    /// The report is taken.
-    Accept {
-        /// The token to answer with.
-        token: FencingToken,
-        /// Commands that go with the answer.
-        commands: Vec<TaskCommand>,
-    },
-    /// Stale, or from a host that is gone: nothing was taken from it.
-    Ignore,
-    /// Taken, but not to be answered: a renewed lease could outlast a cancellation that is not known here.
-    Withheld,
-    /// The worker follows a higher term than ours.
-    Superseded(Term),
-}
-
-/// How the leader heard that a job is cancelled.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CancelSource {
-    /// The watch of the queue, in the order of the writes: all that was accepted before is known.
-    Watch,
-    /// The keys read while loading.
-    Load,
-    /// A node that confirms it.
-    Peer,
-    /// The verdict itself, read or written.
-    JobOutcome,
-}
 
 /// All that a leader knows and decides by, for the length of one term.
 pub struct ClusterState {
@@ -205,7 +127,9 @@
     pub fn confirm(&mut self, confirmed: bool) {
         if confirmed && !self.leadership.confirmed {
             // Launches that were held back.
-            let waiting = |a: &&ActiveAttempt| a.durable && a.given.is_none() && a.kill.is_none();
+            let waiting = |a: &&ActiveAttempt| {
+                a.durable && a.launch_sent_at.is_none() && a.kill_request.is_none()
+            };
             let active = self.jobs.values().flat_map(|j| j.active.values());
             let machines = active.filter(waiting).map(|a| a.machine.clone());
             self.outbox.urgent_machines.extend(machines);
@@ -227,7 +151,7 @@
             ),
         };
         let since = since.max(self.liveness.awake_since);
-        let expected = |h: &Machine| h.booting.is_none() && !h.returning;
+        let expected = |h: &Machine| h.booting_since.is_none() && !h.returning;
         now.saturating_duration_since(since) > patience
             && self.fleet.machines.values().any(expected)
     }
@@ -327,17 +251,9 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        match source {
-            CancelSource::Watch => (job.cancel_marked, job.close_after) = (true, None),
-            CancelSource::Load => (job.cancel_marked, job.close_after) = (true, Some(now)),
-            CancelSource::Peer | CancelSource::JobOutcome if job.cancelled => {}
-            CancelSource::Peer | CancelSource::JobOutcome => job.close_after = Some(now),
-        }
-        if job.cancelled {
+        if !job.cancellation.record(now, source) {
             return;
         }
-        job.cancelled = true;
-        job.cancelled_at = Some(now);
         job.requeued.clear();
         self.writes.dirty_jobs.insert(job_id.clone());
         let tasks: Vec<u32> = job.active.keys().copied().collect();
@@ -371,13 +287,22 @@
         if !self.liveness.resume(now) {
             return;
         }
-        for h in self.fleet.machines.values_mut().filter(|h| !h.lease_spent) {
-            h.last_answer = h.last_answer.map(|_| now);
+        for h in self
+            .fleet
+            .machines
+            .values_mut()
+            .filter(|h| !h.lease_expired)
+        {
+            h.lease_renewed_at = h.lease_renewed_at.map(|_| now);
         }
         for a in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
-            a.given = a.given.map(|_| now);
+            a.launch_sent_at = a.launch_sent_at.map(|_| now);
             // The grace was not given to a task that never heard of it.
-            if let Some(k) = a.kill.as_mut().filter(|k| !k.grace_period.is_zero()) {
+            if let Some(k) = a
+                .kill_request
+                .as_mut()
+                .filter(|k| !k.grace_period.is_zero())
+            {
                 k.since = now;
             }
         }
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -1,36 +1,25 @@
-//! Whose fault a failure is: the machine's or the job's.
+//! Attribution of task failures to the machine or to the job.
 //!
 //! A job that was submitted with a mistake fails on every machine until its user cancels it; a faulty
-//! machine fails every job. A job whose tasks failed on a few machines, none of them known as faulty,
-//! and of which nothing runs, is suspected: one task at a time tries, at growing intervals, and nothing
-//! is rented, kept ready or stopped for it. Its marks on machines do not count while it is suspected. As
-//! soon as one of its tasks ends well, or runs for far longer than the others took to fail, the suspicion
-//! is over, and the marks count again.
+//! machine fails every job. [`CrashLoop`](crate::core::state::crash_loop::CrashLoop) decides per job which
+//! of the two it is. While a job is suspected, one task at a time is retried, at growing intervals; nothing
+//! is rented, kept ready or preempted for it, and its failures do not count against machines. Once it
+//! shows that it can run, they count again. A machine on which several jobs failed is quarantined.
 
 use crate::core::model::{JobId, MachineId};
 use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::crash_loop::{FailureAttribution, TaskFailure};
 use std::time::{Duration, Instant};
 
-/// Machines on which a job must have failed to be suspected: two may be faulty by chance.
-const SUSPECT_AFTER: usize = 3;
-/// The same for a job of which something has run: many machines may be faulty at once.
-const SUSPECT_AFTER_SUCCESS: usize = 12;
-/// Two jobs that fail on a machine, with no success there between, put it in quarantine.
-const JOBS_FAILED: usize = 2;
-/// A machine is given back after so long in quarantine: by then the jobs it failed are known better.
+/// So many jobs that fail on a machine, with no success there between, put it into quarantine.
+const MIN_FAILED_JOBS: usize = 2;
+/// A machine is given back after this long in quarantine: by then more is known of the jobs it failed.
 pub(in crate::core) const QUARANTINE_PATIENCE: Duration = Duration::from_secs(8);
-/// The first pause before a suspected job tries again; each failed try doubles it.
-const FIRST_PAUSE: Duration = Duration::from_secs(5);
-const MAX_PAUSE: Duration = Duration::from_secs(60);
-/// A task that runs for this many times as long as the others took to fail, and this much more, shows
-/// that the job can run.
-const OUTLIVES: u32 = 3;
-const OUTLIVES_MIN: Duration = Duration::from_secs(4);
-/// A machine that failed a task gets no other for this long.
-const AVOIDED: Duration = Duration::from_secs(15);
+/// A machine on which a task failed is given no other for this long.
+const AVOIDANCE_AFTER_FAILURE: Duration = Duration::from_secs(15);
 
 impl ClusterState {
-    /// A task of this job failed there, so long after it was placed.
+    /// A task of this job failed on a machine, so long after it began.
     pub(in crate::core) fn failed(
         &mut self,
         now: Instant,
@@ -38,182 +27,156 @@
         machine: &MachineId,
         after: Duration,
     ) {
-        let faulty = self.faulty_by_others(job_id, machine);
-        let Some(job) = self.jobs.get_mut(job_id).filter(|j| !j.cancelled) else {
-            return;
+        let failure = TaskFailure {
+            machine,
+            machine_is_faulty: self.is_faulty_by_other_jobs(job_id, machine),
+            after,
         };
-        job.errors += 1;
-        job.failed_after = Some(job.failed_after.map_or(after, |f| f.min(after)));
-        if job.suspected {
-            // What was under way when the suspicion arose fails too; only a try that was due counts.
-            if job.backoff_until.is_none_or(|t| now >= t) {
-                job.tries += 1;
-                job.backoff_until = Some(now + pause(job.tries));
-            }
+        let Some(job) = self.jobs.get_mut(job_id).filter(|j| !j.is_cancelled()) else {
             return;
-        }
-        // A machine that others have shown to be faulty says nothing of the job.
-        if !faulty {
-            job.error_machines.insert(machine.clone());
-        }
-        let few = if job.sound {
-            SUSPECT_AFTER_SUCCESS
-        } else {
-            SUSPECT_AFTER
         };
-        if job.error_machines.len() >= few {
-            log::info!("job is suspected job={job_id} failures={}", job.errors);
-            job.suspected = true;
-            job.sound = false;
-            job.backoff_until = Some(now + pause(job.tries));
-            // What was only planned is not launched.
-            let planned = job.active.iter().filter(|(_, a)| !a.durable);
-            let planned: Vec<u32> = planned.map(|(i, _)| *i).collect();
-            for i in planned {
-                self.kill(now, job_id, i, Duration::ZERO);
-            }
-            self.update_quarantines_of(now, job_id);
+        match job.crash_loop.record_failure(now, failure) {
+            FailureAttribution::SuspectedJob => {}
+            FailureAttribution::NewlySuspectedJob => self.suspect(now, job_id),
+            FailureAttribution::Machine => self.blame_machine(now, job_id, machine),
+        }
+    }
+
+    /// A job has just been suspected: attempts that were only planned are not launched.
+    fn suspect(&mut self, now: Instant, job_id: &JobId) {
+        let Some(job) = self.jobs.get(job_id) else {
             return;
+        };
+        let failures = job.crash_loop.failure_count();
+        log::info!("crash loop suspected job={job_id} failures={failures}");
+        let planned = job.active.iter().filter(|(_, a)| !a.durable);
+        let planned: Vec<u32> = planned.map(|(i, _)| *i).collect();
+        for index in planned {
+            self.kill(now, job_id, index, Duration::ZERO);
         }
-        if let Some(h) = self.fleet.machines.get_mut(machine) {
-            h.failed_jobs.insert(job_id.clone());
-            h.avoid_until = Some(now + AVOIDED);
+        self.update_quarantines_of(now, job_id);
+    }
+
+    fn blame_machine(&mut self, now: Instant, job_id: &JobId, machine_id: &MachineId) {
+        if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
+            machine.failed_jobs.insert(job_id.clone());
+            machine.avoid_until = Some(now + AVOIDANCE_AFTER_FAILURE);
         }
-        self.update_quarantine(now, machine);
+        self.update_quarantine(now, machine_id);
     }
 
-    /// A task of this job ended well there.
+    /// A task of this job ended well on a machine.
     pub(in crate::core) fn succeeded(&mut self, now: Instant, job_id: &JobId, machine: &MachineId) {
-        if let Some(h) = self.fleet.machines.get_mut(machine) {
-            h.failed_jobs.clear();
+        if let Some(machine) = self.fleet.machines.get_mut(machine) {
+            machine.failed_jobs.clear();
         }
         self.update_quarantine(now, machine);
-        self.sound(now, job_id);
+        self.record_proof(now, job_id);
     }
 
-    /// The job can run after all: what failed on machines counts against them again.
-    fn sound(&mut self, now: Instant, job_id: &JobId) {
+    /// The job can run: what failed on machines counts against them again.
+    fn record_proof(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        job.sound = true;
-        if job.suspected {
-            log::info!("job is suspected no more job={job_id}");
-            job.suspected = false;
-            job.tries = 0;
-            job.backoff_until = None;
+        if job.crash_loop.record_proof() {
+            log::info!("crash loop suspicion cleared job={job_id}");
             self.schedule.request_round();
             self.update_quarantines_of(now, job_id);
         }
-        if let Some(job) = self.jobs.get_mut(job_id) {
-            // It keeps away from these no longer than the machines' own marks make it.
-            job.error_machines.clear();
-        }
     }
 
-    /// Suspected jobs one of whose tasks outlives those that failed.
+    /// Clears the suspicion of jobs one of whose tasks has outlived those that failed.
     pub(in crate::core) fn clear_suspicions(&mut self, now: Instant) {
-        let outlives = |j: &Job| {
-            let least = j.failed_after.unwrap_or_default() * OUTLIVES + OUTLIVES_MIN;
-            // One whose tasks fail sooner or later is believed less each time.
-            let most = least * 2u32.pow(j.cleared.min(8));
-            let long = |t: Instant| now.saturating_duration_since(t) > most;
-            j.active.values().any(|a| a.running_since.is_some_and(long))
+        let outlives = |job: &Job| {
+            let required = job.crash_loop.outliving_time();
+            let long = |t: Instant| now.saturating_duration_since(t) > required;
+            let mut attempts = job.active.values();
+            attempts.any(|a| a.running_since.is_some_and(long))
         };
-        let cleared = |j: &&Job| j.suspected && !j.over() && outlives(j);
-        let cleared: Vec<JobId> = self
-            .jobs
-            .values()
-            .filter(cleared)
-            .map(|j| j.spec.job_id.clone())
-            .collect();
+        let is_cleared =
+            |job: &&Job| job.crash_loop.is_suspected() && !job.is_over() && outlives(job);
+        let cleared = self.jobs.values().filter(is_cleared);
+        let cleared: Vec<JobId> = cleared.map(|job| job.spec.job_id.clone()).collect();
         for job_id in cleared {
-            if let Some(j) = self.jobs.get_mut(&job_id) {
-                j.cleared += 1;
+            if let Some(job) = self.jobs.get_mut(&job_id) {
+                job.crash_loop.record_outliving();
             }
-            self.sound(now, &job_id);
+            self.record_proof(now, &job_id);
         }
     }
 
-    /// Whether jobs that are not suspected, this one aside, have failed there.
-    fn faulty_by_others(&self, job_id: &JobId, machine: &MachineId) -> bool {
-        let Some(h) = self.fleet.machines.get(machine) else {
+    /// Whether jobs that are known to run, this one aside, have failed on a machine.
+    fn is_faulty_by_other_jobs(&self, job_id: &JobId, machine: &MachineId) -> bool {
+        let Some(machine) = self.fleet.machines.get(machine) else {
             return false;
         };
-        h.quarantined
-            || h.failed_jobs
-                .iter()
-                .any(|u| u != job_id && !self.is_suspected(u) && self.is_sound(u))
+        let counts = |id: &JobId| id != job_id && !self.is_suspected(id) && self.is_proven(id);
+        machine.is_quarantined() || machine.failed_jobs.iter().any(counts)
     }
 
     fn is_suspected(&self, job_id: &JobId) -> bool {
-        self.jobs.get(job_id).is_some_and(|j| j.suspected)
+        let job = self.jobs.get(job_id);
+        job.is_some_and(|j| j.crash_loop.is_suspected())
     }
 
-    fn is_sound(&self, job_id: &JobId) -> bool {
-        self.jobs.get(job_id).is_none_or(|j| j.sound)
+    /// A job that has left the table counts as proven: the failures of one that never ran are forgotten.
+    fn is_proven(&self, job_id: &JobId) -> bool {
+        let job = self.jobs.get(job_id);
+        job.is_none_or(|j| j.crash_loop.is_proven())
     }
 
-    /// The hosts on which tasks of this job failed.
+    /// The machines on which tasks of this job failed.
     fn machines_failed_by(&self, job_id: &JobId) -> Vec<MachineId> {
         let machines = self.fleet.machines.values();
-        let failed = machines.filter(|h| h.failed_jobs.contains(job_id));
-        failed.map(|h| h.id.clone()).collect()
+        let failed = machines.filter(|m| m.failed_jobs.contains(job_id));
+        failed.map(|m| m.id.clone()).collect()
     }
 
-    /// What this job's failures said of machines counts differently now.
+    /// The failures of this job have begun, or ceased, to count against machines.
     fn update_quarantines_of(&mut self, now: Instant, job_id: &JobId) {
         let suspected = self.is_suspected(job_id);
         for id in self.machines_failed_by(job_id) {
-            if let Some(h) = self.fleet.machines.get_mut(&id).filter(|_| suspected) {
-                h.avoid_until = None;
+            if let Some(machine) = self.fleet.machines.get_mut(&id).filter(|_| suspected) {
+                machine.avoid_until = None;
             }
             self.update_quarantine(now, &id);
         }
     }
 
-    /// Whether a machine belongs in quarantine.
-    fn update_quarantine(&mut self, now: Instant, machine: &MachineId) {
-        let Some(h) = self.fleet.machines.get(machine) else {
+    /// Puts a machine into quarantine or takes it out, by the jobs that failed on it.
+    fn update_quarantine(&mut self, now: Instant, machine_id: &MachineId) {
+        let Some(machine) = self.fleet.machines.get(machine_id) else {
             return;
         };
-        let blamed = h
-            .failed_jobs
-            .iter()
-            .filter(|u| !self.is_suspected(u))
-            .count()
-            >= JOBS_FAILED;
-        if blamed == h.quarantined {
+        let counting = machine.failed_jobs.iter().filter(|j| !self.is_suspected(j));
+        let quarantined = counting.count() >= MIN_FAILED_JOBS;
+        if quarantined == machine.is_quarantined() {
             return;
         }
-        let Some(h) = self.fleet.machines.get_mut(machine) else {
+        let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
             return;
         };
-        h.quarantined = blamed;
-        h.quarantined_at = blamed.then_some(now);
-        if blamed {
-            log::info!("host is quarantined host={machine}");
+        machine.quarantined_since = quarantined.then_some(now);
+        if quarantined {
+            log::info!("machine quarantined machine={machine_id}");
         } else {
-            log::info!("host is in quarantine no more host={machine}");
+            log::info!("machine released from quarantine machine={machine_id}");
             self.schedule.request_round();
         }
     }
 
-    /// A job that never showed that it can run is gone: its marks prove nothing.
+    /// A job that never showed that it can run is gone: its failures prove nothing about machines.
     pub(in crate::core) fn forget_failures_of(&mut self, now: Instant, job: &Job) {
-        if job.errors == 0 || job.sound {
+        if job.crash_loop.failure_count() == 0 || job.crash_loop.is_proven() {
             return;
         }
         let job_id = &job.spec.job_id;
         for id in self.machines_failed_by(job_id) {
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                h.failed_jobs.remove(job_id);
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                machine.failed_jobs.remove(job_id);
             }
             self.update_quarantine(now, &id);
         }
     }
 }
-
-fn pause(tries: u32) -> Duration {
-    (FIRST_PAUSE * 2u32.pow(tries.min(6))).min(MAX_PAUSE)
-}
--- a/src/core/state/fleet.rs
+++ b/src/core/state/fleet.rs
@@ -1,7 +1,7 @@
 //! The machines of the cluster, and those that left it.
 
 use crate::core::model::{MachineId, MachineType, MachineTypeName};
-use crate::core::state::entities::Machine;
+use crate::core::state::machine::Machine;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// At least so many returned machines are remembered.
--- a/src/core/state/job_table.rs
+++ b/src/core/state/job_table.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::dependencies::Dependencies;
-use crate::core::state::entities::Job;
+use crate::core::state::job::Job;
 use std::collections::HashMap;
 use std::ops::Index;
 
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -1,15 +1,12 @@
 //! What a machine shows of an attempt on record: how far it is, and how it ended.
 
 use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
+use crate::core::state::cluster_state::ActiveAttempt;
 use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::entities::ActiveAttempt;
 use std::time::{Duration, Instant};
 
 /// A machine that refused a start gets nothing for this long.
 const REFUSED_START_PAUSE: Duration = Duration::from_secs(4);
-/// The pause after a worker did not know the job, doubled with each time in a row, this often at most.
-const UNKNOWN_JOB_PAUSE: Duration = Duration::from_millis(500);
-const MAX_DOUBLINGS: u32 = 5;
 /// A run's length is compared with an estimate of this at least.
 const MIN_RUN_S: f64 = 0.1;
 /// Logarithms of measured over expected run times count within these bounds.
@@ -32,18 +29,18 @@
             return;
         };
         a.incarnation = Some(r.incarnation);
-        let before = a.seen.replace(phase);
+        let before = a.observed_phase.replace(phase);
         if phase == TaskPhase::Fetching {
-            a.waited = Some(now);
+            a.last_fetching_at = Some(now);
             if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
-                h.fetching.entry(image).or_insert((now, gb));
+                h.images.fetch_started(now, image, gb);
             }
             return;
         }
         let starts = phase == TaskPhase::Running && a.running_since.is_none();
         if starts && a.note_start(now, r, before) {
             self.start_waits
-                .push(now.saturating_duration_since(a.placed));
+                .push(now.saturating_duration_since(a.placed_at));
         }
         if matches!(before, None | Some(TaskPhase::Fetching)) {
             self.measure_fetch(now, r, image, before.is_some());
@@ -53,7 +50,7 @@
             .machine_type(&r.machine_type)
             .map_or(0.0, |t| t.cache_gb);
         if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
-            h.cached(image, gb, cache);
+            h.images.used(image, gb, cache);
         }
     }
 
@@ -61,14 +58,14 @@
     /// machine's rate for itself.
     fn measure_fetch(&mut self, now: Instant, r: &Heartbeat, image: ImageKey, seen_to_begin: bool) {
         let machine = self.fleet.machines.get(&r.machine);
-        let alone = machine.filter(|h| h.fetching.len() == 1);
-        let fetched = alone.and_then(|h| h.fetching.get(&image).copied());
-        if let Some((since, gb)) = fetched.filter(|_| seen_to_begin) {
+        let alone = machine.filter(|h| h.images.fetch_count() == 1);
+        let fetched = alone.and_then(|h| h.images.fetch(image).copied());
+        if let Some(fetch) = fetched.filter(|_| seen_to_begin) {
             let nominal = self.fleet.machine_type(&r.machine_type);
             let nominal = nominal.map_or(0.0, |t| t.fetch_gb_per_s);
-            let took = now.saturating_duration_since(since);
+            let took = now.saturating_duration_since(fetch.since);
             self.history
-                .record_fetch(&r.machine_type, nominal, gb, took);
+                .record_fetch(&r.machine_type, nominal, fetch.size_gb, took);
         }
     }
 
@@ -107,16 +104,16 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        job.unknowns = 0;
+        job.crash_loop.reset_unknown_refusals();
         let ran = a.measured_run(now);
-        let undisturbed = ran.filter(|_| a.kill.is_none() && job.done_count > 1);
+        let undisturbed = ran.filter(|_| a.kill_request.is_none() && job.done_count > 1);
         if let (Some(took), Some(h)) = (undisturbed, self.fleet.machines.get_mut(&r.machine)) {
-            let expected = a.est.as_secs_f64().max(MIN_RUN_S);
+            let expected = a.estimated_run_time.as_secs_f64().max(MIN_RUN_S);
             let ratio = (took.as_secs_f64().max(MIN_RUN_S) / expected).ln();
             h.slowness
                 .add(ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end()));
         }
-        if let Some(took) = ran.filter(|_| !job.progress.contains_key(&task.index)) {
+        if let Some(took) = ran.filter(|_| !job.saved_progress.contains_key(&task.index)) {
             self.history.record_run(&job.spec, &r.machine_type, took);
         }
         self.succeeded(now, job_id, &r.machine);
@@ -136,7 +133,7 @@
         } else {
             (took.as_secs_f64() / every).floor() * every
         };
-        *job.progress.entry(task.index).or_default() += Duration::from_secs_f64(kept);
+        *job.saved_progress.entry(task.index).or_default() += Duration::from_secs_f64(kept);
     }
 
     fn failed_by_itself(
@@ -149,9 +146,12 @@
         let Some(job) = self.jobs.get(&task.job_id) else {
             return;
         };
-        let began = a.running_since.or(a.waited).unwrap_or(a.placed);
+        let began = a
+            .running_since
+            .or(a.last_fetching_at)
+            .unwrap_or(a.placed_at);
         let after = now.saturating_duration_since(began);
-        let failures = job.errors + 1;
+        let failures = job.crash_loop.failure_count() + 1;
         log::info!("task failed task={task} host={machine} failures={failures}");
         self.failed(now, &task.job_id, machine, after);
     }
@@ -159,9 +159,7 @@
     /// The worker could not fetch the description (yet): soon again, then ever later.
     fn refused_as_unknown(&mut self, now: Instant, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
-            job.unknowns += 1;
-            let pause = UNKNOWN_JOB_PAUSE * (1 << job.unknowns.min(MAX_DOUBLINGS));
-            job.backoff_until = Some(now + pause);
+            job.crash_loop.record_unknown_refusal(now);
         }
     }
 }
@@ -171,13 +169,13 @@
     /// it is not known when it started.
     fn note_start(&mut self, now: Instant, r: &Heartbeat, before: Option<TaskPhase>) -> bool {
         self.running_since = Some(now);
-        self.measured = before.is_some() || self.launch_token.term() == r.token.term();
-        self.measured
+        self.start_observed = before.is_some() || self.launch_token.term() == r.token.term();
+        self.start_observed
     }
 
     /// How long it ran, if its start was seen.
     fn measured_run(&self, now: Instant) -> Option<Duration> {
-        let since = self.running_since.filter(|_| self.measured)?;
+        let since = self.running_since.filter(|_| self.start_observed)?;
         Some(now.saturating_duration_since(since))
     }
 }
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -21,9 +21,12 @@
         let Some(h) = self.fleet.machines.get(id) else {
             return;
         };
-        log::info!("host leaves host={id} why={why} tasks={}", h.placed.len());
+        log::info!(
+            "host leaves host={id} why={why} tasks={}",
+            h.placed_tasks.len()
+        );
         self.takeover.on_lease_expired(now, id);
-        let tasks: Vec<TaskId> = h.placed.keys().cloned().collect();
+        let tasks: Vec<TaskId> = h.placed_tasks.keys().cloned().collect();
         for t in tasks {
             self.gone(now, &t.job_id, t.index, false);
         }
@@ -39,7 +42,7 @@
     pub fn on_return_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
             if let Some(h) = self.fleet.machines.get_mut(id) {
-                h.return_sent = None;
+                h.return_requested_at = None;
             }
         }
     }
@@ -50,18 +53,18 @@
         let spent = self.config.lease.mul_f64(DRIFT) + Duration::from_secs(1);
         let mut gone = Vec::new();
         for h in self.fleet.machines.values_mut() {
-            if !h.fenced || h.lease_spent {
+            if !h.fenced || h.lease_expired {
                 continue;
             }
-            let Some(answer) = h.last_answer else {
+            let Some(answer) = h.lease_renewed_at else {
                 continue;
             };
             if now.saturating_duration_since(answer) > spent {
-                h.lease_spent = true;
-                h.foreign = Resources::default();
+                h.lease_expired = true;
+                h.unexpected_usage = Resources::default();
                 self.quota_usage.set_unexpected(&h.id, &[]);
                 self.takeover.on_lease_expired(now, &h.id);
-                gone.extend(h.placed.keys().cloned());
+                gone.extend(h.placed_tasks.keys().cloned());
             }
         }
         for t in gone {
@@ -82,7 +85,7 @@
         let limit = self.config.cancel.mul_f64(0.4);
         let mut machines = BTreeSet::new();
         for j in self.jobs.values() {
-            let Some(since) = j.cancelled_at else {
+            let Some(since) = j.cancellation.known_since() else {
                 continue;
             };
             if now.saturating_duration_since(since) > limit {
@@ -92,7 +95,7 @@
         for id in machines {
             if let Some(h) = self.fleet.machines.get_mut(&id) {
                 h.returning = true;
-                h.overdue = true;
+                h.cancellation_overdue = true;
             }
         }
     }
@@ -101,25 +104,25 @@
     pub(in crate::core) fn evictions(&mut self, now: Instant) {
         let mut kills = Vec::new();
         for h in self.fleet.machines.values() {
-            let Some(at) = h.eviction else {
+            let Some(at) = h.eviction_at else {
                 continue;
             };
             let left = at.saturating_duration_since(now);
-            for t in h.placed.keys() {
+            for t in h.placed_tasks.keys() {
                 let Some(j) = self.jobs.get(&t.job_id) else {
                     continue;
                 };
                 let Some(a) = j.active.get(&t.index) else {
                     continue;
                 };
-                if a.kill.is_some() {
+                if a.kill_request.is_some() {
                     continue;
                 }
                 let ran = a
                     .running_since
                     .map(|s| now.saturating_duration_since(s))
                     .unwrap_or_default();
-                let rest = a.est.saturating_sub(ran);
+                let rest = a.estimated_run_time.saturating_sub(ran);
                 if j.spec.saves() && a.running_since.is_some() {
                     let save = j.spec.checkpoint_duration;
                     if left <= save.mul_f64(1.3) + Duration::from_secs(2) {
@@ -161,7 +164,7 @@
         let mut due = Vec::new();
         for j in self.jobs.values_mut() {
             for a in j.active.values_mut() {
-                if let Some(k) = &mut a.kill {
+                if let Some(k) = &mut a.kill_request {
                     let passed = now.saturating_duration_since(k.since);
                     if !k.grace_period.is_zero() && passed > k.grace_period + again {
                         k.grace_period = Duration::ZERO;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -221,9 +221,7 @@
 
     pub fn active(&self, job_id: &str, index: u32) -> Option<(MachineId, AttemptId)> {
         let job = self.c.jobs.get(&JobId::from(job_id))?;
-        job.active
-            .get(&index)
-            .map(|a| (a.machine.clone(), a.attempt))
+        job.active.get(&index).map(|a| (a.machine.clone(), a.id))
     }
 }
 
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -55,7 +55,7 @@
     let known = |(job_id, index): &&(JobId, u32)| {
         let job = cluster.jobs.get(job_id);
         let active = job.and_then(|j| j.active.get(index));
-        active.is_none_or(|a| a.seen.is_some() || a.given.is_some())
+        active.is_none_or(|a| a.observed_phase.is_some() || a.launch_sent_at.is_some())
     };
     recorded.iter().filter(known).count()
 }
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -207,7 +207,7 @@
     // The process runs all the while.
     w.run(bound.as_secs() - 1);
     w.heartbeat("i-1", 3, tasks());
-    let answered = w.c.fleet.machines[&MachineId::from("i-1")].last_answer;
+    let answered = w.c.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
     w.run(2);
     let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
     let heartbeat = World::heartbeat_from("i-1", 1, 4, token, tasks());
@@ -216,8 +216,15 @@
         HeartbeatDecision::Withheld
     );
     let h = &w.c.fleet.machines[&MachineId::from("i-1")];
-    assert_eq!(h.last_answer, answered, "no lease is renewed in the books");
-    assert_eq!((h.serial, h.last_heartbeat), (4, w.now), "yet it was heard");
+    assert_eq!(
+        h.lease_renewed_at, answered,
+        "no lease is renewed in the books"
+    );
+    assert_eq!(
+        (h.serial, h.last_heartbeat_at),
+        (4, w.now),
+        "yet it was heard"
+    );
     // A late copy's answer would renew a lease too.
     let copy = World::heartbeat_from("i-1", 1, 2, token, tasks());
     assert_eq!(
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -179,7 +179,7 @@
     ];
     w.c.on_list(w.now, &list);
     assert!(w.c.fleet.machines[&MachineId::from("i-1")]
-        .booting
+        .booting_since
         .is_some());
     assert!(w.c.fleet.machines[&MachineId::from("i-3")].returning);
     let actions = w.settle();
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -84,7 +84,7 @@
     for second in 0..60 {
         f.second(|_| secs(30));
         let job = f.w.c.jobs.get(&"wk-000001".into());
-        if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.suspected) {
+        if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.crash_loop.is_suspected()) {
             cleared = Some(second);
         }
     }
@@ -102,7 +102,9 @@
     for _ in 0..4 {
         f.second(|_| secs(500));
     }
-    assert!(f.w.c.jobs[&JobId::from("wk-000001")].suspected);
+    assert!(f.w.c.jobs[&JobId::from("wk-000001")]
+        .crash_loop
+        .is_suspected());
     let before = f.rented;
     // The machines fill up with other work, and the urgent one's tries find no room.
     f.w.job(spec("wk-000002", 32, 1.0));
@@ -113,7 +115,7 @@
     assert_eq!(f.rented, before);
     let other = &f.w.c.jobs[&JobId::from("wk-000002")];
     assert!(other.active.len() >= 31, "{}", other.active.len());
-    assert!(other.active.values().all(|a| a.kill.is_none()));
+    assert!(other.active.values().all(|a| a.kill_request.is_none()));
 }
 
 #[test]
@@ -129,7 +131,7 @@
         .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
     w.heartbeat("i-1", 5, ends);
-    assert!(w.c.fleet.machines[&MachineId::from("i-1")].quarantined);
+    assert!(w.c.fleet.machines[&MachineId::from("i-1")].is_quarantined());
 
     let mut w = World::new();
     w.job(spec("wk-000001", 1, 4.0));
@@ -145,7 +147,10 @@
             TaskPhase::Ended(ExitReason::Failed),
         );
         w.heartbeat(machine, 5, vec![end]);
-        let held = w.c.jobs[&JobId::from("wk-000001")].backoff_until.is_some();
+        let held = w.c.jobs[&JobId::from("wk-000001")]
+            .crash_loop
+            .backoff_until
+            .is_some();
         assert_eq!(held, n == 2);
     }
 }
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -22,7 +22,7 @@
         w.heartbeat("i-1", 5, tasks());
         let (answered, token) = {
             let h = &w.c.fleet.machines[&first_machine()];
-            (h.last_answer, h.token)
+            (h.lease_renewed_at, h.token)
         };
         // From seconds to well over a lease later.
         for late in [2, 10, 19] {
@@ -34,7 +34,7 @@
                 matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
             assert!(none, "{name}: nothing is ordered on its word");
             let h = &w.c.fleet.machines[&first_machine()];
-            assert_eq!(h.last_answer, answered, "{name}: renews no lease");
+            assert_eq!(h.lease_renewed_at, answered, "{name}: renews no lease");
             assert_eq!((h.incarnation, h.serial), (1, 5), "{name}");
             assert_eq!(
                 w.active("wk-000001", 0),
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -3,6 +3,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::placement::is_wanted_by_larger_tasks;
+use cypressgap::core::state::image_cache::CachedImage;
 
 type Edit = fn(&mut JobSpec);
 
@@ -111,7 +112,10 @@
             h.slowness.add(slowness);
         }
         let h = w.c.fleet.machines.get_mut(&MachineId::from("i-2")).unwrap();
-        h.images.push_back((ImageKey::of("img-1"), 2.0));
+        h.images.push(CachedImage {
+            image: ImageKey::of("img-1"),
+            size_gb: 2.0,
+        });
         w.job(spec("wk-000002", 1, 4.0));
         let sent = launches(&w.settle());
         assert_eq!(sent.is_empty(), waits, "{rest} {slowness}");
@@ -129,7 +133,10 @@
                 .machines
                 .get_mut(&MachineId::from(*machine))
                 .unwrap();
-        h.images.push_back((ImageKey::of("img-1"), 2.0));
+        h.images.push(CachedImage {
+            image: ImageKey::of("img-1"),
+            size_gb: 2.0,
+        });
         for _ in 0..4 {
             h.slowness.add(if n == 0 { 1.5 } else { 0.0 });
         }
@@ -166,7 +173,7 @@
             .collect(),
     );
     let job = &w.c.jobs[&JobId::from("wk-000001")];
-    assert!(job.active.values().all(|a| a.kill.is_some()));
+    assert!(job.active.values().all(|a| a.kill_request.is_some()));
     w.heartbeat(
         "i-1",
         2,
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -41,7 +41,7 @@
         w.job(claimant);
         w.settle();
         let kill = w.c.jobs[&JobId::from("wk-000002")].active[&0]
-            .kill
+            .kill_request
             .is_some();
         assert_eq!(kill, stopped, "{gb}");
     }
@@ -88,7 +88,7 @@
         w.job(s);
         w.settle();
         let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0]
-            .kill
+            .kill_request
             .is_some();
         assert_eq!(kill, stopped, "{name}");
     }
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -85,7 +85,7 @@
         w.heartbeat("i-1", 2, tasks.clone());
         // An order to stop with some grace has not gone out yet.
         let job = w.c.jobs.get_mut(&"wk-000001".into()).unwrap();
-        job.active.get_mut(&0).unwrap().kill = Some(KillRequest {
+        job.active.get_mut(&0).unwrap().kill_request = Some(KillRequest {
             grace_period: secs(6),
             since: w.now,
         });
@@ -102,13 +102,17 @@
         let still = w.active("wk-000001", 0).is_some();
         assert_eq!(still, woke, "its lease is over only for who could answer");
         if woke {
-            let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0].kill.clone();
+            let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0]
+                .kill_request
+                .clone();
             assert_eq!(kill.unwrap().grace_period, secs(6));
             // Its next report is heard as if nothing had been.
             let (_, commands) = w.heartbeat("i-1", 3, tasks);
             let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
             assert!(commands.iter().any(graceful), "{commands:?}");
-            assert!(w.c.fleet.machines[&first_machine()].must_show.is_none());
+            assert!(w.c.fleet.machines[&first_machine()]
+                .required_token
+                .is_none());
             // In the end the lease counts again.
             w.pass(secs(1));
             for _ in 0..20 {
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -81,6 +81,7 @@
     w.c.jobs
         .get_mut(&JobId::from("wk-000001"))
         .unwrap()
+        .crash_loop
         .backoff_until = Some(w.now + secs(60));
     for n in 2..6 {
         let mut s = spec(&format!("wk-00000{n}"), 1, 4.0);
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -120,7 +120,7 @@
     assert_eq!(commands, vec![]);
     assert!(w.active("wk-000001", 0).is_some());
     assert_eq!(
-        w.c.fleet.machines[&MachineId::from("i-1")].last_answer,
+        w.c.fleet.machines[&MachineId::from("i-1")].lease_renewed_at,
         Some(w.now)
     );
 }
@@ -171,7 +171,7 @@
         let j = &w.c.jobs[&JobId::from("wk-000001")];
         assert_eq!(j.done_count == 1, done, "{exit:?}");
         assert_eq!(j.pending(9) == vec![0], waits, "{exit:?}");
-        assert_eq!(j.backoff_until.is_some(), held_back, "{exit:?}");
+        assert_eq!(j.crash_loop.backoff_until.is_some(), held_back, "{exit:?}");
         let h = &w.c.fleet.machines[&MachineId::from("i-1")];
         assert_eq!(h.avoid_until.is_some(), avoided, "{exit:?}");
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1127,7 +1127,7 @@
         let known = |machine: &MachineId, task: &TaskId, attempt: AttemptId| {
             let job = leader.cluster.jobs.get(&task.job_id);
             let active = job.and_then(|j| j.active.get(&task.index));
-            active.is_some_and(|a| &a.machine == machine && a.attempt == attempt)
+            active.is_some_and(|a| &a.machine == machine && a.id == attempt)
         };
         let mut missing = Vec::new();
         for w in self.workers.values() {
