--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -10,7 +10,8 @@
 use common::peaks::peak;
 use common::{secs, team};
 use cypressgap::core::model::SchedulerConfig;
-use simulation::{tight_config, Simulation, Troubles};
+use simulation::faults::FaultRates;
+use simulation::{tight_config, Simulation};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -35,7 +36,7 @@
     let steps = time.as_secs() * STEPS_A_SECOND;
     for _ in 0..steps {
         let mut broken = simulation.step();
-        broken.extend(simulation.unaccounted());
+        broken.extend(simulation.unaccounted_tasks());
         if !broken.is_empty() {
             return broken;
         }
@@ -52,7 +53,7 @@
 }
 
 /// The controllers are away for less than a heartbeat, for part of a lease, for just a lease and for
-/// several, and come back in both ways, under the troubles of every day and under many.
+/// several, and come back in both ways, without other faults and with many.
 #[test]
 fn nothing_is_started_twice_however_long_the_controllers_are_away() {
     let outages = [
@@ -71,16 +72,16 @@
     let mut seed = first.map_or(100, |seed| seed.parse().expect("a whole number"));
     for outage in outages {
         for back in returns {
-            for troubles in [Troubles::none(), Troubles::many()] {
+            for fault_rates in [FaultRates::none(), FaultRates::frequent()] {
                 seed += 1;
-                let mut s = Simulation::with(seed, 24, troubles, paced(600.0, 600.0));
+                let mut s = Simulation::with(seed, 24, fault_rates, paced(600.0, 600.0));
                 let mut broken = play(&mut s, secs(30));
-                s.end_all_controllers(outage);
+                s.crash_all_controllers(outage);
                 if let Return::Dying(after) = back {
                     for _ in 0..3 {
                         broken.extend(play(&mut s, outage));
                         broken.extend(play_for(&mut s, after));
-                        s.end_all_controllers(ms(300));
+                        s.crash_all_controllers(ms(300));
                     }
                 }
                 broken.extend(play(&mut s, outage + secs(40)));
@@ -133,20 +134,20 @@
         let mut p = paced(FLEET, SEGMENT);
         p.teams = vec![team("red", 2000.0, 2000.0)];
         p.tuning.max_machines = 100;
-        let mut s = Simulation::with(seed, 100, Troubles::none(), p);
-        s.submits = false;
-        s.run = Some(secs(12));
+        let mut s = Simulation::with(seed, 100, FaultRates::none(), p);
+        s.submits_jobs = false;
+        s.fixed_run_time = Some(secs(12));
         s.submit_jobs(150, "red", 40, 1.0);
         assert_eq!(play(&mut s, secs(25)), Vec::<String>::new());
-        s.end_all_controllers(outage);
+        s.crash_all_controllers(outage);
         assert_eq!(play(&mut s, outage), Vec::<String>::new());
         let back = s.now;
         assert_eq!(play(&mut s, secs(4)), Vec::<String>::new());
-        s.end_all_controllers(ms(500));
+        s.crash_all_controllers(ms(500));
         let mut over = None;
         for _ in 0..120 * STEPS_A_SECOND {
             assert_eq!(s.step(), Vec::<String>::new());
-            let is_over = s.leading().is_some_and(|c| c.takeover.is_over());
+            let is_over = s.leader_state().is_some_and(|c| c.takeover.is_over());
             over = over.or(is_over.then_some(s.now));
         }
         let over = over.expect("the takeover is over before long");
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -9,8 +9,9 @@
 use common::{secs, team};
 use cypressgap::core::model::{JobId, SchedulerConfig, TaskPhase};
 use cypressgap::core::state::cluster_state::ClusterState;
+use simulation::faults::FaultRates;
 use simulation::worker::endpoint;
-use simulation::{tight_config, Simulation, Troubles};
+use simulation::{tight_config, Simulation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -80,9 +81,9 @@
 }
 
 fn run(seed: u64, machines: usize, outage: Duration, enabled: bool) -> Figures {
-    let mut s = Simulation::with(seed, machines, Troubles::none(), fleet(machines, enabled));
-    s.submits = false;
-    s.run = Some(secs(150));
+    let mut s = Simulation::with(seed, machines, FaultRates::none(), fleet(machines, enabled));
+    s.submits_jobs = false;
+    s.fixed_run_time = Some(secs(150));
     let jobs = machines as f64 * TASKS_A_MACHINE / f64::from(TASKS_A_JOB);
     s.submit_jobs(jobs as u64, "red", TASKS_A_JOB, 4.0);
     let mut broken = play(&mut s, WARM_UP);
@@ -92,7 +93,7 @@
         "in use: {}",
         recorded.len()
     );
-    s.end_all_controllers(outage);
+    s.crash_all_controllers(outage);
     broken += play(&mut s, outage);
     let back = s.now;
     let survived = running(&s);
@@ -112,7 +113,7 @@
             }
         }
         before = now;
-        let reconciled = s.leading().map(|c| settled(c, &recorded));
+        let reconciled = s.leader_state().map(|c| settled(c, &recorded));
         if reconciled.is_some_and(|n| n * 100 >= recorded.len() * 95) {
             most_reconciled.get_or_insert(since);
         }
--- /dev/null
+++ b/tests/simulation/events.rs
@@ -0,0 +1,151 @@
+//! Messages in flight, and handing each to its receiver at its time.
+
+use super::Simulation;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use std::time::{Duration, Instant};
+
+/// A message between two parties. Leaders are named by their number.
+pub(super) enum Event {
+    /// A heartbeat reaches a leader. A late duplicate expects no answer.
+    Heartbeat {
+        heartbeat: Heartbeat,
+        sent_at: Instant,
+        expects_answer: bool,
+    },
+    /// The answer to the heartbeat that was sent at `sent_at`.
+    HeartbeatAnswer {
+        machine: MachineId,
+        sent_at: Instant,
+        incarnation: u64,
+        answer: HeartbeatDecision,
+    },
+    /// No leader took the heartbeat that was sent at `sent_at`.
+    HeartbeatRefusal {
+        machine: MachineId,
+        sent_at: Instant,
+    },
+    /// Commands that a leader sends of its own accord. `leader`: who waits for the answer, if anybody.
+    Command {
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
+        leader: Option<u64>,
+        boot_count: u64,
+    },
+    /// The answer to a command; without a heartbeat where none came in time.
+    CommandAnswered {
+        machine: MachineId,
+        leader: u64,
+        heartbeat: Option<Heartbeat>,
+    },
+    /// A transaction reaches the store. `leader`: who waits for the answer, if anybody.
+    Write {
+        batch: Batch,
+        leader: Option<u64>,
+        answer_delay: Duration,
+    },
+    WriteAnswered {
+        leader: u64,
+        outcome: BatchOutcome,
+    },
+    RentalAnswered {
+        leader: u64,
+        idempotency_key: String,
+        machines: Vec<MachineId>,
+    },
+    /// A return reaches the cloud. `leader`: who waits for the answer, if anybody.
+    Return {
+        machines: Vec<MachineId>,
+        leader: Option<u64>,
+    },
+    ReturnAnswered {
+        machines: Vec<MachineId>,
+        leader: u64,
+        confirmed: bool,
+    },
+    CloudListed(Vec<CloudMachine>),
+}
+
+impl Simulation {
+    /// Delivers all messages whose time has come, in their order.
+    pub(super) fn deliver(&mut self) {
+        while let Some(entry) = self.events.first_entry() {
+            if entry.key().0 > self.now {
+                return;
+            }
+            let event = entry.remove();
+            self.handle_event(event);
+        }
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Heartbeat {
+                heartbeat,
+                sent_at,
+                expects_answer,
+            } => {
+                self.deliver_heartbeat(heartbeat, sent_at, expects_answer);
+            }
+            Event::HeartbeatAnswer {
+                machine,
+                sent_at,
+                incarnation,
+                answer,
+            } => {
+                self.deliver_heartbeat_answer(machine, sent_at, incarnation, answer);
+            }
+            Event::HeartbeatRefusal { machine, sent_at } => {
+                if let Some(worker) = self.workers.get_mut(&machine) {
+                    worker.on_refusal(self.now, sent_at);
+                }
+            }
+            Event::Command {
+                machine,
+                token,
+                incarnation,
+                commands,
+                leader,
+                boot_count,
+            } => {
+                if self.command_applies(&machine, boot_count) {
+                    self.deliver_command(machine, token, incarnation, commands, leader);
+                }
+            }
+            Event::CommandAnswered {
+                machine,
+                leader,
+                heartbeat,
+            } => {
+                self.command_answered(leader, &machine, heartbeat);
+            }
+            Event::Write {
+                batch,
+                leader,
+                answer_delay,
+            } => {
+                self.apply_write(&batch, leader, answer_delay);
+            }
+            Event::WriteAnswered { leader, outcome } => self.write_answered(leader, outcome),
+            Event::RentalAnswered {
+                leader,
+                idempotency_key,
+                machines,
+            } => {
+                self.rental_answered(leader, &idempotency_key, machines);
+            }
+            Event::Return { machines, leader } => self.remove_machines(machines, leader),
+            Event::ReturnAnswered {
+                machines,
+                leader,
+                confirmed,
+            } => {
+                self.return_answered(leader, &machines, confirmed);
+            }
+            Event::CloudListed(listed) => self.cloud_listed(&listed),
+        }
+    }
+}
--- /dev/null
+++ b/tests/simulation/heartbeats.rs
@@ -0,0 +1,198 @@
+//! Heartbeats from workers to leaders, and the answers and commands that come back.
+
+use super::events::Event;
+use super::worker::{is_active, Worker};
+use super::Simulation;
+use cypressgap::core::model::*;
+use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use rand::Rng;
+use std::time::Instant;
+
+impl Simulation {
+    /// Sends the heartbeats that are due. A duplicate may follow much later.
+    pub(super) fn send_heartbeats(&mut self) {
+        let now = self.now;
+        let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
+        for id in ids {
+            let every = self.delay(2250, 3750);
+            let is_duplicated = self.rng.gen_bool(self.fault_rates.duplicate_heartbeats);
+            let forward = self.delay(5, 60);
+            let duplicate_delay = self.delay(2000, 40_000);
+            let Some(worker) = self.workers.get_mut(&id) else {
+                continue;
+            };
+            if now < worker.up_at || is_active(worker.paused_until, now) {
+                continue;
+            }
+            let is_lost = is_active(worker.outbound_partition_until, now);
+            let held = worker.partitioned_until.filter(|until| now < *until);
+            let Some(heartbeat) = worker.due_heartbeat(now, every) else {
+                continue;
+            };
+            if is_lost {
+                continue;
+            }
+            let sent_at = now;
+            if is_duplicated {
+                let event = Event::Heartbeat {
+                    heartbeat: heartbeat.clone(),
+                    sent_at,
+                    expects_answer: false,
+                };
+                self.schedule(duplicate_delay, event);
+            }
+            let after = held.map_or(forward, |until| until - now + forward);
+            let event = Event::Heartbeat {
+                heartbeat,
+                sent_at,
+                expects_answer: true,
+            };
+            self.schedule(after, event);
+        }
+    }
+
+    /// The leader that a worker's heartbeat reaches: mostly the newest.
+    pub(super) fn heartbeat_recipient(&mut self) -> Option<u64> {
+        let now = self.now;
+        let ready: Vec<u64> = self
+            .leaders
+            .iter()
+            .filter(|l| l.ready <= now)
+            .map(|l| l.id)
+            .collect();
+        let old = ready.len() > 1 && self.rng.gen_bool(0.3);
+        if old {
+            ready.first().copied()
+        } else {
+            ready.last().copied()
+        }
+    }
+
+    /// A heartbeat reaches a leader, or a node that knows none.
+    pub(super) fn deliver_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        sent_at: Instant,
+        expects_answer: bool,
+    ) {
+        let machine = heartbeat.machine.clone();
+        let incarnation = heartbeat.incarnation;
+        let back = self.delay(5, 60);
+        let now = self.now;
+        let Some(id) = self.heartbeat_recipient() else {
+            if expects_answer {
+                self.schedule(back, Event::HeartbeatRefusal { machine, sent_at });
+            }
+            return;
+        };
+        let Some(leader) = self.leader(id) else {
+            return;
+        };
+        let given = leader.cluster.on_heartbeat(now, heartbeat, true);
+        if matches!(given, HeartbeatDecision::Superseded(_)) {
+            self.depose(id);
+        }
+        if expects_answer {
+            self.schedule(
+                back,
+                Event::HeartbeatAnswer {
+                    machine,
+                    sent_at,
+                    incarnation,
+                    answer: given,
+                },
+            );
+        }
+    }
+
+    /// An answer reaches the worker, later if it is paused or cut off, or never.
+    pub(super) fn deliver_heartbeat_answer(
+        &mut self,
+        machine: MachineId,
+        sent_at: Instant,
+        incarnation: u64,
+        answer: HeartbeatDecision,
+    ) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
+        if is_active(worker.inbound_partition_until, now) {
+            return;
+        }
+        if let Some(until) = delivery_delayed_until(worker, now) {
+            let event = Event::HeartbeatAnswer {
+                machine,
+                sent_at,
+                incarnation,
+                answer,
+            };
+            self.schedule(until - now, event);
+            return;
+        }
+        match answer {
+            HeartbeatDecision::Accept { token, commands } => {
+                worker.on_answer(now, sent_at, incarnation, token, &commands, &self.uploads);
+            }
+            _ => worker.on_refusal(now, sent_at),
+        }
+    }
+
+    /// Whether a command finds the machine since the same boot, or since a later boot that a leader has
+    /// answered. No fencing token shuts out what comes in between.
+    pub(super) fn command_applies(&self, machine: &MachineId, boot_count: u64) -> bool {
+        let worker = self.workers.get(machine);
+        worker.is_some_and(|w| w.boot_count == boot_count || w.token > FencingToken(0))
+    }
+
+    /// A command reaches the worker, later if it is paused or cut off, or never.
+    pub(super) fn deliver_command(
+        &mut self,
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
+        leader: Option<u64>,
+    ) {
+        let now = self.now;
+        let back = self.delay(5, 60);
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
+        if is_active(worker.inbound_partition_until, now) || now < worker.up_at {
+            return;
+        }
+        if let Some(until) = delivery_delayed_until(worker, now) {
+            // Its sender no longer waits by then, or soon will not.
+            let event = Event::Command {
+                machine,
+                token,
+                incarnation,
+                commands,
+                leader: None,
+                boot_count: worker.boot_count,
+            };
+            self.schedule(until - now, event);
+            return;
+        }
+        worker.on_command(now, token, incarnation, &commands, &self.uploads);
+        let heartbeat = Some(worker.heartbeat(now));
+        if let Some(leader) = leader {
+            let event = Event::CommandAnswered {
+                machine,
+                leader,
+                heartbeat,
+            };
+            self.schedule(back, event);
+        }
+    }
+}
+
+/// Until when messages to a machine are held up.
+fn delivery_delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
+    [worker.paused_until, worker.partitioned_until]
+        .into_iter()
+        .flatten()
+        .filter(|t| now < *t)
+        .max()
+}
--- /dev/null
+++ b/tests/simulation/leaders.rs
@@ -0,0 +1,303 @@
+//! Leaders with the real core: election, reading the queue, and carrying out what they decide.
+
+use super::events::Event;
+use super::store::Queued;
+use super::worker::HEARTBEAT_TIMEOUT;
+use super::{ms, Simulation};
+use cypressgap::core::leadership::cancellation_watermark::ClockReading;
+use cypressgap::core::model::*;
+use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::state::cluster_state::{Action, CancelSource, ClusterState};
+use rand::Rng;
+use std::time::{Duration, Instant, SystemTime};
+
+/// How long a leader that cannot reach the store may still hold itself for the leader.
+pub(super) const LEADER_LEASE: Duration = Duration::from_secs(3);
+
+/// A node that leads, or believes so.
+pub(super) struct Leader {
+    pub(super) id: u64,
+    pub(super) cluster: ClusterState,
+    /// It acts from here on; before, it loads.
+    pub(super) ready: Instant,
+    pub(super) queue_revision: u64,
+    pub(super) next_queue_read: Instant,
+    pub(super) next_tick: Instant,
+    /// Since when it cannot reach the store.
+    pub(super) partitioned_since: Option<Instant>,
+}
+
+impl Simulation {
+    /// All controllers end; the first is back after this time.
+    pub fn crash_all_controllers(&mut self, outage: Duration) {
+        self.leaders.clear();
+        self.next_leader = Some(self.now + outage);
+        self.note(format!(
+            "all controllers end for {} s",
+            outage.as_secs_f64()
+        ));
+    }
+
+    /// The newest leader's cluster state, once it acts.
+    pub fn leader_state(&self) -> Option<&ClusterState> {
+        let newest = self.leaders.last().filter(|l| l.ready <= self.now)?;
+        Some(&newest.cluster)
+    }
+
+    /// A leader by its number, unless it was deposed.
+    pub(super) fn leader(&mut self, id: u64) -> Option<&mut Leader> {
+        self.leaders.iter_mut().find(|l| l.id == id)
+    }
+
+    /// A leader that found a newer term stops.
+    pub(super) fn depose(&mut self, id: u64) {
+        self.note(format!("leader {id} steps down"));
+        self.leaders.retain(|l| l.id != id);
+    }
+
+    /// Starts the next leader when it is due, and lets each leader that has loaded act.
+    pub(super) fn run_leaders(&mut self) {
+        if self.next_leader.is_some_and(|at| at <= self.now) {
+            self.next_leader = None;
+            self.start_leader();
+        }
+        let now = self.now;
+        let ids: Vec<u64> = self
+            .leaders
+            .iter()
+            .filter(|l| l.ready <= now)
+            .map(|l| l.id)
+            .collect();
+        for id in ids {
+            self.read_queue(id);
+            self.tick(id);
+        }
+    }
+
+    /// A node wins the election and loads what the store holds.
+    pub(super) fn start_leader(&mut self) {
+        let now = self.now;
+        let revision = self.store.take_leadership();
+        self.last_term += 1;
+        let elapsed = (now - self.start).as_millis() as u64;
+        let mut cluster = ClusterState::new(
+            self.config.clone(),
+            Term(self.last_term),
+            revision,
+            self.types.clone(),
+            now,
+            elapsed,
+        );
+        cluster.take_over(now, self.store.snapshot());
+        let ready = now + self.delay(0, 1500);
+        let id = self.last_term;
+        self.note(format!("leader {id} takes over"));
+        self.leaders.push(Leader {
+            id,
+            cluster,
+            ready,
+            queue_revision: self.store.revision(),
+            next_queue_read: now,
+            next_tick: ready,
+            partitioned_since: None,
+        });
+    }
+
+    /// Reads the changes of the queue, and the outcomes of dependencies that are not known yet.
+    pub(super) fn read_queue(&mut self, id: u64) {
+        let now = self.now;
+        let late = self.delay(100, 600);
+        let day = SystemTime::UNIX_EPOCH + (now - self.start);
+        let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
+            return;
+        };
+        leader
+            .cluster
+            .leadership
+            .set_clocks(ClockReading { steady: now, day });
+        if leader.partitioned_since.is_some() || now < leader.next_queue_read {
+            return;
+        }
+        leader.next_queue_read = now + late;
+        for queued in self.store.queued_after(leader.queue_revision) {
+            match queued {
+                Queued::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
+                Queued::Cancelled(job_id) => {
+                    leader
+                        .cluster
+                        .on_cancelled(now, &job_id, CancelSource::Watch);
+                }
+            }
+        }
+        leader.queue_revision = self.store.revision();
+        leader
+            .cluster
+            .leadership
+            .cancellations_read(ClockReading { steady: now, day });
+        for job_id in leader.cluster.unresolved() {
+            if let Some(outcome) = self.store.outcome(&job_id) {
+                leader.cluster.ended_before(now, &job_id, outcome);
+            }
+        }
+    }
+
+    /// A tick of the core, or between ticks what is due at once.
+    pub(super) fn tick(&mut self, id: u64) {
+        let now = self.now;
+        let allowance = self.rng.gen_range(2..=12);
+        let Some(leader) = self.leader(id) else {
+            return;
+        };
+        let certain = leader
+            .partitioned_since
+            .is_none_or(|t| now < t + LEADER_LEASE);
+        leader.cluster.confirm(certain);
+        leader.cluster.allow(allowance);
+        let actions = if now >= leader.next_tick {
+            leader.next_tick = now + ms(200);
+            leader.cluster.tick(now)
+        } else {
+            leader.cluster.flush(now)
+        };
+        for action in actions {
+            self.perform(id, action);
+        }
+    }
+
+    /// Hands an action of the core to the party that it concerns.
+    pub(super) fn perform(&mut self, id: u64, action: Action) {
+        match action {
+            Action::Store(batch) => self.write(id, batch),
+            Action::Send {
+                machine,
+                token,
+                incarnation,
+                commands,
+                ..
+            } => self.command(id, machine, token, incarnation, commands),
+            Action::Probe {
+                machine,
+                token,
+                incarnation,
+                ..
+            } => self.command(id, machine, token, incarnation, Vec::new()),
+            Action::Rent {
+                idempotency_key,
+                spot,
+                number,
+                ..
+            } => self.rent(id, idempotency_key, spot, number),
+            Action::Return { machines } => self.return_machines(id, machines),
+        }
+    }
+
+    /// Sends a transaction to the store. It may be lost, late, or applied without an answer.
+    pub(super) fn write(&mut self, id: u64, batch: Batch) {
+        let cut = self
+            .leader(id)
+            .is_some_and(|l| l.partitioned_since.is_some());
+        let lost = self.rng.gen_bool(self.fault_rates.lost_writes);
+        let late = self.rng.gen_bool(self.fault_rates.late_writes);
+        let carried_out = self.rng.gen_bool(0.5);
+        let there = self.delay(5, 300);
+        let answer_delay = self.delay(5, 100);
+        if !(cut || lost || late) {
+            let write = Event::Write {
+                batch,
+                leader: Some(id),
+                answer_delay,
+            };
+            self.schedule(there, write);
+            return;
+        }
+        let unanswered = Event::WriteAnswered {
+            leader: id,
+            outcome: BatchOutcome::Unknown,
+        };
+        self.schedule(ms(1500), unanswered);
+        if cut || (lost && !carried_out) {
+            return;
+        }
+        let after = if late {
+            self.delay(2_000, 12_000)
+        } else {
+            there
+        };
+        let write = Event::Write {
+            batch,
+            leader: None,
+            answer_delay,
+        };
+        self.schedule(after, write);
+    }
+
+    /// Sends commands to a machine, or a probe without any.
+    pub(super) fn command(
+        &mut self,
+        id: u64,
+        machine: MachineId,
+        token: FencingToken,
+        incarnation: u64,
+        commands: Vec<TaskCommand>,
+    ) {
+        let late = self.rng.gen_bool(self.fault_rates.late_commands);
+        let (soon, later) = (self.delay(5, 60), self.delay(2_000, 16_000));
+        let boot_count = self.workers.get(&machine).map_or(0, |w| w.boot_count);
+        // Whatever comes first counts, as with a sender that gives up.
+        let unanswered = Event::CommandAnswered {
+            machine: machine.clone(),
+            leader: id,
+            heartbeat: None,
+        };
+        self.schedule(HEARTBEAT_TIMEOUT, unanswered);
+        let command = Event::Command {
+            machine,
+            token,
+            incarnation,
+            commands,
+            leader: (!late).then_some(id),
+            boot_count,
+        };
+        self.schedule(if late { later } else { soon }, command);
+    }
+
+    /// The answer to a command, or none in time.
+    pub(super) fn command_answered(
+        &mut self,
+        leader: u64,
+        machine: &MachineId,
+        heartbeat: Option<Heartbeat>,
+    ) {
+        let now = self.now;
+        if let Some(sender) = self.leader(leader) {
+            if sender.cluster.on_sent(now, machine, heartbeat).is_some() {
+                self.depose(leader);
+            }
+        }
+    }
+
+    /// A transaction reaches the store.
+    pub(super) fn apply_write(
+        &mut self,
+        batch: &Batch,
+        leader: Option<u64>,
+        answer_delay: Duration,
+    ) {
+        let outcome = self.store.apply(batch);
+        if let Some(leader) = leader {
+            self.schedule(answer_delay, Event::WriteAnswered { leader, outcome });
+        }
+    }
+
+    /// The outcome of a transaction; it may show that the leader was replaced.
+    pub(super) fn write_answered(&mut self, leader: u64, outcome: BatchOutcome) {
+        let now = self.now;
+        let lost = match self.leader(leader) {
+            Some(writer) => writer.cluster.on_batch(now, outcome),
+            None => false,
+        };
+        if lost {
+            self.depose(leader);
+        }
+    }
+}
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! The state service of a simulation: keys with stamps, conditional transactions, a log of changes.
+//! The key-value store of a simulation: keys with revisions, compare-and-swap transactions, a log of changes.
 
 use cypressgap::core::model::{JobId, JobSpec};
 use cypressgap::core::persistence::ledger::{
@@ -11,7 +11,7 @@
 
 /// What a key holds.
 #[derive(Clone, Debug)]
-pub enum Stored {
+pub enum StoredValue {
     Job(Box<JobSpec>),
     JobOutcome(JobOutcome),
     Chunk(ChunkValue),
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 pub struct Store {
-    keys: BTreeMap<String, (Stored, u64)>,
+    keys: BTreeMap<String, (StoredValue, u64)>,
     revision: u64,
     queue_log: Vec<(u64, Queued)>,
 }
@@ -43,10 +43,10 @@
         self.keys.get(key).map_or(0, |(_, revision)| *revision)
     }
 
-    fn put(&mut self, key: String, value: Stored) {
+    fn put(&mut self, key: String, value: StoredValue) {
         let queued = match &value {
-            Stored::Job(spec) => Some(Queued::Job(spec.clone(), self.revision)),
-            Stored::CancelMark => key
+            StoredValue::Job(spec) => Some(Queued::Job(spec.clone(), self.revision)),
+            StoredValue::CancelMark => key
                 .strip_prefix(ledger::CANCEL_MARK_PREFIX)
                 .and_then(JobId::parse)
                 .map(Queued::Cancelled),
@@ -57,14 +57,14 @@
         self.keys.insert(key, (value, revision));
     }
 
-    /// Takes the leadership. Returns the leader key's stamp.
-    pub fn lead(&mut self) -> u64 {
+    /// Writes the leader key. Returns its revision.
+    pub fn take_leadership(&mut self) -> u64 {
         self.revision += 1;
-        self.put(ledger::LEADER_KEY.to_owned(), Stored::Leader);
+        self.put(ledger::LEADER_KEY.to_owned(), StoredValue::Leader);
         self.revision
     }
 
-    /// Accepts a job. False: something that it needs is cancelled, or it is known.
+    /// Accepts a job. False: one of its dependencies is cancelled, or it is known.
     pub fn accept(&mut self, spec: JobSpec) -> bool {
         let cancelled = |job_id: &JobId| self.outcome(job_id) == Some(JobOutcome::Cancelled);
         if spec.dependencies.iter().any(cancelled)
@@ -73,7 +73,10 @@
             return false;
         }
         self.revision += 1;
-        self.put(ledger::live_key(&spec.job_id), Stored::Job(Box::new(spec)));
+        self.put(
+            ledger::live_key(&spec.job_id),
+            StoredValue::Job(Box::new(spec)),
+        );
         true
     }
 
@@ -85,20 +88,20 @@
         self.revision += 1;
         self.put(
             ledger::job_key(job_id),
-            Stored::JobOutcome(JobOutcome::Cancelled),
+            StoredValue::JobOutcome(JobOutcome::Cancelled),
         );
-        self.put(ledger::cancel_mark_key(job_id), Stored::CancelMark);
+        self.put(ledger::cancel_mark_key(job_id), StoredValue::CancelMark);
         true
     }
 
     pub fn outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
         match self.keys.get(&ledger::job_key(job_id)) {
-            Some((Stored::JobOutcome(outcome), _)) => Some(*outcome),
+            Some((StoredValue::JobOutcome(outcome), _)) => Some(*outcome),
             _ => None,
         }
     }
 
-    /// Carries out a leader's transaction.
+    /// Applies a leader's transaction if its conditions hold.
     pub fn apply(&mut self, batch: &Batch) -> BatchOutcome {
         let failed = batch
             .conditions
@@ -140,51 +143,51 @@
             .collect()
     }
 
-    /// What a new leader reads.
-    pub fn picture(&self) -> StoredSnapshot {
-        let mut picture = StoredSnapshot::default();
+    /// What a new leader loads.
+    pub fn snapshot(&self) -> StoredSnapshot {
+        let mut snapshot = StoredSnapshot::default();
         for (key, (value, revision)) in &self.keys {
             match value {
-                Stored::Job(spec) => picture.jobs.push(StoredLiveJob {
+                StoredValue::Job(spec) => snapshot.jobs.push(StoredLiveJob {
                     spec: (**spec).clone(),
                     revision: *revision,
                 }),
-                Stored::Chunk(value) => {
+                StoredValue::Chunk(value) => {
                     let (job_id, index) = parse_chunk_key(key).expect("a chunk's key");
-                    picture.chunks.push(StoredIntents {
+                    snapshot.chunks.push(StoredIntents {
                         job_id,
                         index,
                         value: value.clone(),
                         revision: *revision,
                     });
                 }
-                Stored::CancelMark => {
+                StoredValue::CancelMark => {
                     let job_id = key.strip_prefix(ledger::CANCEL_MARK_PREFIX);
-                    picture.cancel_marks.extend(job_id.and_then(JobId::parse));
+                    snapshot.cancel_marks.extend(job_id.and_then(JobId::parse));
                 }
-                Stored::JobOutcome(_) | Stored::Leader | Stored::Other => {}
+                StoredValue::JobOutcome(_) | StoredValue::Leader | StoredValue::Other => {}
             }
         }
-        for job in &picture.jobs {
+        for job in &snapshot.jobs {
             let job_id = &job.spec.job_id;
             if let Some(outcome) = self.outcome(job_id) {
-                picture.over.insert(job_id.clone(), outcome);
+                snapshot.over.insert(job_id.clone(), outcome);
             }
             for needed in &job.spec.dependencies {
                 if self.revision_of(&ledger::live_key(needed)) == 0 {
                     let outcome = self.outcome(needed).unwrap_or(JobOutcome::Live);
-                    picture.ends.push((needed.clone(), outcome));
+                    snapshot.ends.push((needed.clone(), outcome));
                 }
             }
         }
-        picture
+        snapshot
     }
 }
 
-fn stored(value: &Value) -> Stored {
+fn stored(value: &Value) -> StoredValue {
     match value {
-        Value::Chunk(chunk) => Stored::Chunk(chunk.clone()),
-        Value::JobOutcome(outcome) => Stored::JobOutcome(*outcome),
-        Value::History(_) => Stored::Other,
+        Value::Chunk(chunk) => StoredValue::Chunk(chunk.clone()),
+        Value::JobOutcome(outcome) => StoredValue::JobOutcome(*outcome),
+        Value::History(_) => StoredValue::Other,
     }
 }
--- /dev/null
+++ b/tests/simulation/users.rs
@@ -0,0 +1,84 @@
+//! The users: they submit and cancel jobs.
+
+use super::Simulation;
+use crate::common::secs;
+use cypressgap::core::model::*;
+use rand::Rng;
+use std::sync::Arc;
+use std::time::Duration;
+
+impl Simulation {
+    /// Jobs of a team, with so many tasks each.
+    pub fn submit_jobs(&mut self, jobs: u64, team: &str, task_count: u32, cpus: f64) {
+        for _ in 0..jobs {
+            self.jobs += 1;
+            let mut spec = crate::common::spec(&format!("wk-{:06}", self.jobs), task_count, cpus);
+            spec.team = team.into();
+            spec.checkpoint_interval = Duration::ZERO;
+            spec.image_gb = 0.5;
+            self.store.accept(spec.clone());
+            self.uploads
+                .jobs
+                .insert(spec.job_id.clone(), Arc::new(spec));
+        }
+    }
+
+    pub(super) fn submit(&mut self) {
+        if !self.submits_jobs || !self.occurs(0.6) {
+            return;
+        }
+        self.jobs += 1;
+        let job_id = format!("wk-{:06}", self.jobs);
+        let gang = self.rng.gen_bool(0.2);
+        let task_count = match self.rng.gen_range(0..10) {
+            _ if gang => self.rng.gen_range(2..=4),
+            0 => self.rng.gen_range(60..=90),
+            1..=3 => self.rng.gen_range(8..=30),
+            _ => self.rng.gen_range(1..=5),
+        };
+        let cpus = [1.0, 1.3, 2.0, 2.7, 4.0][self.rng.gen_range(0..5)];
+        let mut spec = crate::common::spec(&job_id, task_count, cpus);
+        if gang {
+            spec.kind = JobKind::Gang;
+        }
+        let teams = &self.config.teams;
+        spec.team = teams[self.rng.gen_range(0..teams.len())].name.clone();
+        spec.priority =
+            [Priority::Idle, Priority::Standard, Priority::High][self.rng.gen_range(0..3)];
+        spec.class = ["plain", "quick"][self.rng.gen_range(0..2)].to_owned();
+        spec.image = format!("img-{}", self.rng.gen_range(0..6));
+        spec.image_gb = [0.0, 0.5, 2.0, 6.0][self.rng.gen_range(0..4)];
+        spec.same_place = self.rng.gen_bool(0.2);
+        spec.expected = secs(self.rng.gen_range(3..40));
+        if self.rng.gen_bool(0.4) {
+            spec.checkpoint_interval = Duration::ZERO;
+        }
+        let whole = if gang { f64::from(task_count) } else { 1.0 };
+        if whole * cpus > 16.0 {
+            spec.resources = crate::common::resources(16.0 / whole);
+        }
+        spec.accepted_ms = (self.now - self.start).as_millis() as u64;
+        if self.jobs > 5 && self.rng.gen_bool(0.2) {
+            let needed = self.rng.gen_range(self.jobs - 5..self.jobs);
+            let needed = JobId(format!("wk-{needed:06}"));
+            if self.uploads.jobs.contains_key(&needed) {
+                spec.dependencies = vec![needed];
+            }
+        }
+        if self.store.accept(spec.clone()) {
+            let job_id = spec.job_id.clone();
+            self.uploads.jobs.insert(job_id, Arc::new(spec));
+        }
+    }
+
+    pub(super) fn cancel(&mut self) {
+        if !self.occurs(self.fault_rates.cancellations) || self.jobs == 0 {
+            return;
+        }
+        let back = self.rng.gen_range(0..self.jobs.min(20));
+        let job_id = JobId(format!("wk-{:06}", self.jobs - back));
+        if self.uploads.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
+            self.invariants.cancelled.insert(job_id, self.now);
+        }
+    }
+}
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,4 +1,5 @@
-//! A machine with its worker, as the protocol describes it: it holds the truth about its tasks.
+//! A machine with its worker, as the protocol describes it: what it runs is what the invariants are
+//! checked on.
 
 use cypressgap::core::model::{
     AttemptId, ExitReason, FencingToken, Heartbeat, JobId, JobKind, JobSpec, MachineId,
@@ -8,10 +9,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A worker gives a report up that is not answered within this.
-pub const ANSWER_LIMIT: Duration = Duration::from_secs(4);
-const MIN_BETWEEN_HEARTBEATS: Duration = Duration::from_millis(500);
-const RETRY: Duration = Duration::from_secs(1);
+/// A worker gives up on a heartbeat that is not answered within this.
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A machine's address: sixteen machines share a segment of 28 bits.
 pub fn endpoint(id: &MachineId) -> String {
@@ -21,7 +22,7 @@
     format!("10.{a}.{b}.{c}:9")
 }
 
-/// What the users have uploaded: descriptions of jobs, and results that are kept.
+/// What outlives machines: the specs of accepted jobs, and which tasks have stored their results.
 #[derive(Default)]
 pub struct Uploads {
     pub jobs: BTreeMap<JobId, Arc<JobSpec>>,
@@ -40,8 +41,8 @@
     pub fn ended(&self) -> bool {
         matches!(self.phase, TaskPhase::Ended(_))
     }
-    /// It has its image, so it counts as on the machine.
-    pub fn on_machine(&self) -> bool {
+    /// It has its image, so it counts as running on the machine.
+    pub fn occupies_machine(&self) -> bool {
         !self.ended() && self.phase != TaskPhase::Fetching
     }
 }
@@ -52,8 +53,8 @@
     pub room: Resources,
     pub zone: Zone,
     pub spot: bool,
-    /// Which start of the machine this is.
-    pub life: u64,
+    /// How often the machine was booted.
+    pub boot_count: u64,
     pub incarnation: u64,
     pub serial: u64,
     pub token: FencingToken,
@@ -61,24 +62,24 @@
     pub images: BTreeSet<String>,
     pub up_at: Instant,
     pub eviction: Option<Instant>,
-    /// When it carried out an order of a controller.
+    /// When it executed commands.
     pub orders: Vec<Instant>,
-    /// Its lease counts from here.
+    /// The lease runs from here.
     pub lease_from: Instant,
     pub next_heartbeat: Instant,
     pub last_heartbeat: Option<Instant>,
-    /// When the report was sent that is not answered yet.
-    pub asked: Option<Instant>,
-    /// Troubles, until when.
-    pub hangs: Option<Instant>,
-    pub cut: Option<Instant>,
-    pub deaf: Option<Instant>,
-    pub mute: Option<Instant>,
+    /// When the heartbeat was sent that is not answered yet.
+    pub pending_since: Option<Instant>,
+    /// Until when each fault lasts.
+    pub paused_until: Option<Instant>,
+    pub partitioned_until: Option<Instant>,
+    pub inbound_partition_until: Option<Instant>,
+    pub outbound_partition_until: Option<Instant>,
 }
 
-/// Whether a trouble lasts.
-pub fn lasts(trouble: Option<Instant>, now: Instant) -> bool {
-    trouble.is_some_and(|until| now < until)
+/// Whether a fault lasts.
+pub fn is_active(fault_until: Option<Instant>, now: Instant) -> bool {
+    fault_until.is_some_and(|until| now < until)
 }
 
 impl Worker {
@@ -95,7 +96,7 @@
             room: t.1,
             zone,
             spot,
-            life: 1,
+            boot_count: 1,
             incarnation: 1,
             serial: 0,
             token: FencingToken(0),
@@ -107,11 +108,11 @@
             lease_from: up_at,
             next_heartbeat: up_at,
             last_heartbeat: None,
-            asked: None,
-            hangs: None,
-            cut: None,
-            deaf: None,
-            mute: None,
+            pending_since: None,
+            paused_until: None,
+            partitioned_until: None,
+            inbound_partition_until: None,
+            outbound_partition_until: None,
         }
     }
 
@@ -136,60 +137,66 @@
         }
     }
 
-    /// Something changed: the next report comes as soon as it may.
-    pub fn changed(&mut self, now: Instant) {
+    /// Something changed: the next heartbeat comes as soon as it may.
+    pub fn schedule_heartbeat(&mut self, now: Instant) {
         let earliest = self
             .last_heartbeat
-            .map_or(now, |t| t + MIN_BETWEEN_HEARTBEATS);
+            .map_or(now, |t| t + MIN_HEARTBEAT_INTERVAL);
         self.next_heartbeat = self.next_heartbeat.min(earliest.max(now));
     }
 
-    /// A report that is due and may be sent.
+    /// A heartbeat that is due and may be sent.
     pub fn due_heartbeat(&mut self, now: Instant, every: Duration) -> Option<Heartbeat> {
-        if self.asked.is_some_and(|t| now >= t + ANSWER_LIMIT) {
-            self.asked = None;
-            self.next_heartbeat = now + RETRY;
+        if self
+            .pending_since
+            .is_some_and(|t| now >= t + HEARTBEAT_TIMEOUT)
+        {
+            self.pending_since = None;
+            self.next_heartbeat = now + RETRY_DELAY;
         }
-        if self.asked.is_some() || now < self.next_heartbeat {
+        if self.pending_since.is_some() || now < self.next_heartbeat {
             return None;
         }
-        self.asked = Some(now);
+        self.pending_since = Some(now);
         self.last_heartbeat = Some(now);
         self.next_heartbeat = now + every;
         Some(self.heartbeat(now))
     }
 
-    /// A node answered that it does not act for the controllers.
-    pub fn refused(&mut self, now: Instant, asked: Instant) {
-        if self.asked == Some(asked) {
-            self.asked = None;
-            self.next_heartbeat = now + RETRY;
+    /// A node answered that no leader takes the heartbeat.
+    pub fn on_refusal(&mut self, now: Instant, sent_at: Instant) {
+        if self.pending_since == Some(sent_at) {
+            self.pending_since = None;
+            self.next_heartbeat = now + RETRY_DELAY;
         }
     }
 
-    /// The answer to the report that was sent at `asked` in session `incarnation`.
-    pub fn answered(
+    /// The answer to the heartbeat that was sent at `sent_at` in `incarnation`.
+    pub fn on_answer(
         &mut self,
         now: Instant,
-        asked: Instant,
+        sent_at: Instant,
         incarnation: u64,
         token: FencingToken,
         commands: &[TaskCommand],
         uploads: &Uploads,
     ) {
-        if self.asked != Some(asked) {
+        if self.pending_since != Some(sent_at) {
             return;
         }
-        self.asked = None;
-        if now >= asked + ANSWER_LIMIT || incarnation != self.incarnation || token < self.token {
+        self.pending_since = None;
+        if now >= sent_at + HEARTBEAT_TIMEOUT
+            || incarnation != self.incarnation
+            || token < self.token
+        {
             return;
         }
-        self.lease_from = self.lease_from.max(asked);
-        self.obey(now, token, commands, uploads);
+        self.lease_from = self.lease_from.max(sent_at);
+        self.execute(now, token, commands, uploads);
     }
 
-    /// A direct command. Returns whether it was carried out.
-    pub fn commanded(
+    /// Commands that a leader sent of its own accord. Returns whether they were executed.
+    pub fn on_command(
         &mut self,
         now: Instant,
         token: FencingToken,
@@ -199,12 +206,12 @@
     ) -> bool {
         let accepted = token >= self.token && incarnation == self.incarnation;
         if accepted {
-            self.obey(now, token, commands, uploads);
+            self.execute(now, token, commands, uploads);
         }
         accepted
     }
 
-    fn obey(
+    fn execute(
         &mut self,
         now: Instant,
         token: FencingToken,
@@ -213,7 +220,7 @@
     ) {
         if token > self.token {
             self.token = token;
-            self.changed(now);
+            self.schedule_heartbeat(now);
         }
         for command in commands {
             self.orders.push(now);
@@ -259,7 +266,7 @@
         };
         let until = now + fetch;
         self.tasks.insert(key, WorkerTask { spec, phase, until });
-        self.changed(now);
+        self.schedule_heartbeat(now);
     }
 
     fn kill(&mut self, now: Instant, task: &TaskId, attempt: AttemptId, grace_period: Duration) {
@@ -276,10 +283,10 @@
         } else {
             t.phase = TaskPhase::Ended(ExitReason::Stopped { stored: false });
         }
-        self.changed(now);
+        self.schedule_heartbeat(now);
     }
 
-    /// Its lease has run out: everything is killed and forgotten. Holds for a hanging machine too.
+    /// When the lease has expired, everything is killed and forgotten, on a paused machine too.
     pub fn check_lease(&mut self, now: Instant, lease: Duration) {
         if now <= self.lease_from + lease || now < self.up_at {
             return;
@@ -288,11 +295,11 @@
         self.images.clear();
         self.incarnation += 1;
         self.lease_from = now;
-        self.asked = None;
-        self.changed(now);
+        self.pending_since = None;
+        self.schedule_heartbeat(now);
     }
 
-    /// What time brings about on a machine that runs. Gangs gather and end as a whole elsewhere.
+    /// Moves tasks on to their next phase on a machine that runs. Gangs start and end in `machines`.
     pub fn advance(
         &mut self,
         now: Instant,
@@ -331,7 +338,7 @@
             t.phase = next;
         }
         if changed {
-            self.changed(now);
+            self.schedule_heartbeat(now);
         }
     }
 }
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -1,8 +1,8 @@
 //! No team's tasks use more than its limit, whatever fails: counted from what is on the machines.
 //!
-//! Each seed draws a whole deployment with its troubles. The same run checks that no task runs twice, too
-//! early, in a second zone or long after its cancellation, and that the newest leader's account lacks
-//! nothing that is on a machine.
+//! Each seed draws a whole deployment with its faults. The same run checks that no task runs twice, too
+//! early, in a second zone or long after its cancellation, and that the newest leader accounts for
+//! everything that is on a machine.
 //!
 //! A longer search, by hand: `FIRST_SEED=1000 SEEDS=5000 cargo test --release --test team_limits -- --nocapture`.
 
@@ -11,9 +11,10 @@
 
 use common::{resources, secs, spec, team};
 use cypressgap::core::model::{AttemptId, TaskId, TaskPhase};
-use simulation::truth::Truth;
+use simulation::faults::FaultRates;
+use simulation::invariants::InvariantChecker;
 use simulation::worker::{Worker, WorkerTask};
-use simulation::{Simulation, Troubles};
+use simulation::Simulation;
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -27,11 +28,11 @@
 const WITHOUT_THE_CHECK_LEADERS_END: [u64; 4] = [12, 812, 1075, 1076];
 
 /// Plays a seed until something breaks. Returns what broke.
-fn play(seed: u64, troubles: Troubles) -> Vec<String> {
-    let mut simulation = Simulation::new(seed, MACHINES, troubles);
+fn play(seed: u64, fault_rates: FaultRates) -> Vec<String> {
+    let mut simulation = Simulation::new(seed, MACHINES, fault_rates);
     for _ in 0..SECONDS * STEPS_A_SECOND {
         let mut broken = simulation.step();
-        broken.extend(simulation.unaccounted());
+        broken.extend(simulation.unaccounted_tasks());
         if !broken.is_empty() {
             return broken;
         }
@@ -56,11 +57,11 @@
     }
 }
 
-fn search(name: &str, troubles: fn() -> Troubles, known: &[u64]) {
+fn search(name: &str, fault_rates: fn() -> FaultRates, known: &[u64]) {
     let mut failed = Vec::new();
     let seeds = seeds(known);
     for seed in &seeds {
-        let broken = play(*seed, troubles());
+        let broken = play(*seed, fault_rates());
         if !broken.is_empty() {
             println!("{name}, seed {seed}: {broken:?}");
             failed.push(*seed);
@@ -72,13 +73,13 @@
 
 #[test]
 fn limits_hold_under_all_faults() {
-    search("all troubles", Troubles::many, &WITHOUT_THE_CHECK);
+    search("all faults", FaultRates::frequent, &WITHOUT_THE_CHECK);
 }
 
 #[test]
 fn limits_hold_while_leaders_end_every_few_seconds() {
     let known = &WITHOUT_THE_CHECK_LEADERS_END;
-    search("leaders end", Troubles::leaders, known);
+    search("leaders crash", FaultRates::leader_crashes, known);
 }
 
 /// A machine in a zone that runs these tasks of a job of 4 processors a task.
@@ -127,16 +128,18 @@
     ];
     for (rule, zone, tasks, dependencies, cancelled) in cases {
         let now = Instant::now() + secs(100);
-        let mut truth = Truth::default();
+        let mut invariants = InvariantChecker::default();
         if let Some(ago) = cancelled {
-            truth.cancelled.insert("wk-000001".into(), now - secs(ago));
+            invariants
+                .cancelled
+                .insert("wk-000001".into(), now - secs(ago));
         }
         let workers = [
             machine("i-1", "a", dependencies, &[0]),
             machine("i-2", zone, dependencies, tasks),
         ];
         let teams = [team("red", 0.0, 8.0)];
-        let broken = truth.look(now, workers.iter(), &teams, secs(50), |_| None);
+        let broken = invariants.check(now, workers.iter(), &teams, secs(50), |_| None);
         let found = broken.first().map(String::as_str);
         match rule {
             Some(rule) => assert!(found.is_some_and(|f| f.starts_with(rule)), "{broken:?}"),
