--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -1,7 +1,7 @@
 //! Commands sent straight to the agents on worker nodes, between their heartbeats.
 
 use crate::core::model::{FencingToken, Heartbeat, TaskCommand};
-use crate::net::http_client;
+use crate::net::http_client::{self, PoolConfig};
 use crate::net::wire::{self, CommandRequest, WireCommand, WireHeartbeat};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,11 @@
 
 /// Connections to agents, of which so many are kept open while they are idle.
 pub fn connection_pool(idle_connections: usize) -> ureq::Agent {
-    ureq::AgentBuilder::new()
-        .timeout_connect(CONNECT_TIMEOUT)
-        .max_idle_connections(idle_connections)
-        .max_idle_connections_per_host(1)
-        .redirects(0)
-        .build()
+    http_client::connection_pool(PoolConfig {
+        connect_timeout: CONNECT_TIMEOUT,
+        max_idle: idle_connections,
+        max_idle_per_address: 1,
+    })
 }
 
 /// Encodes commands as they are sent to an agent.
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -15,8 +15,8 @@
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 /// Calls to this path of the key-value store are meant to wait: their time is not a latency.
 const LONG_POLL_PATH: &str = "/follow";
-/// Idle connections of a pool in all, for each that is kept to one address.
-const IDLE_ADDRESSES: usize = 8;
+/// Idle connections that a client keeps in all, for each that it keeps to its address.
+const TOTAL_IDLE_FACTOR: usize = 8;
 
 /// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
@@ -67,12 +67,11 @@
     /// A client that records the time of its calls in `latency`.
     pub fn new(config: HttpClientConfig, latency: Arc<LatencyMeter>) -> HttpClient {
         HttpClient {
-            connections: ureq::AgentBuilder::new()
-                .timeout_connect(config.connect_timeout)
-                .max_idle_connections(config.idle_connections * IDLE_ADDRESSES)
-                .max_idle_connections_per_host(config.idle_connections)
-                .redirects(0)
-                .build(),
+            connections: connection_pool(PoolConfig {
+                connect_timeout: config.connect_timeout,
+                max_idle: config.idle_connections * TOTAL_IDLE_FACTOR,
+                max_idle_per_address: config.idle_connections,
+            }),
             base_url: format!("http://{}", config.address),
             latency,
         }
@@ -97,6 +96,23 @@
     }
 }
 
+/// Connections that are kept open while they are idle.
+pub(super) struct PoolConfig {
+    /// Time limit for a new connection.
+    pub connect_timeout: Duration,
+    pub max_idle: usize,
+    pub max_idle_per_address: usize,
+}
+
+pub(super) fn connection_pool(config: PoolConfig) -> ureq::Agent {
+    ureq::AgentBuilder::new()
+        .timeout_connect(config.connect_timeout)
+        .max_idle_connections(config.max_idle)
+        .max_idle_connections_per_host(config.max_idle_per_address)
+        .redirects(0)
+        .build()
+}
+
 /// Sends a request with a body that is encoded already, if any, and waits for the response.
 pub(super) fn exchange(
     connections: &ureq::Agent,
--- a/src/settings.rs
+++ b/src/settings/mod.rs
@@ -13,6 +13,7 @@
 
 mod checks;
 mod error;
+mod expressions;
 mod operators;
 mod platform;
 mod platform_file;
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -3,55 +3,15 @@
 //! `(cypressgap (NAME NUMBER) ... (recovery (NAME VALUE) ... (segment "NAME" "NETWORK") ...))`. Everything
 //! unknown or out of range is refused with its name and line.
 
+use super::expressions::{
+    head_of, line_of, named_number, named_segment, named_switch, symbol, NamedNumber, NumberError,
+    Problem,
+};
 use super::{OperatorSettings, Settings, SettingsError, SocketBudget};
 use crate::core::model::Tuning;
-use cypressgap_recovery::segments::NamedSegment;
-use cypressgap_recovery::settings::{parse_segment, Deployment, RecoverySettings, SettingName};
+use cypressgap_recovery::settings::{Deployment, RecoverySettings, SettingName};
 use lexpr::datum::Ref;
 use std::collections::HashMap;
-use std::time::Duration;
-
-/// What is wrong, and in which line.
-struct Problem {
-    line: usize,
-    text: String,
-}
-
-impl Problem {
-    fn new(line: usize, text: impl Into<String>) -> Problem {
-        Problem {
-            line,
-            text: text.into(),
-        }
-    }
-}
-
-/// A named number, to be checked against the bounds of its setting.
-struct NamedNumber {
-    name: String,
-    value: f64,
-}
-
-impl NamedNumber {
-    fn within(&self, min: f64, max: f64) -> Result<f64, String> {
-        if self.value >= min && self.value <= max {
-            return Ok(self.value);
-        }
-        Err(format!(
-            "{}: {} is not from {min} to {max}",
-            self.name, self.value
-        ))
-    }
-
-    fn seconds(&self, min: f64, max: f64) -> Result<Duration, String> {
-        self.within(min, max).map(Duration::from_secs_f64)
-    }
-
-    /// A whole number; a fraction is cut off.
-    fn integer(&self, min: f64, max: f64) -> Result<usize, String> {
-        self.within(min, max).map(|x| x as usize)
-    }
-}
 
 /// Lines of the settings that are checked together once all are read.
 type SettingLines = HashMap<SettingName, usize>;
@@ -91,7 +51,7 @@
         }
         let number = named_number(item)?;
         apply_number(&mut self.config.tuning, &mut self.operations, &number)
-            .map_err(|text| Problem::new(line_of(item), text))
+            .map_err(|e| Problem::new(line_of(item), e.to_string()))
     }
 
     fn check_sockets(&self) -> Result<(), Problem> {
@@ -124,46 +84,11 @@
     }
 }
 
-fn line_of(item: &Ref<'_>) -> usize {
-    item.span().start().line()
-}
-
-fn symbol(item: &Ref<'_>) -> Option<String> {
-    item.value().as_symbol().map(str::to_owned)
-}
-
-fn head_of(item: &Ref<'_>) -> Option<String> {
-    symbol(&item.list_iter()?.next()?)
-}
-
-/// `(NAME NUMBER)`.
-fn named_number(item: &Ref<'_>) -> Result<NamedNumber, Problem> {
-    let line = line_of(item);
-    let pair: Vec<lexpr::Value> = item
-        .list_iter()
-        .map(|l| l.map(|r| r.value().clone()).collect())
-        .unwrap_or_default();
-    let [name, value] = pair.as_slice() else {
-        return Err(Problem::new(line, "expected (NAME VALUE)"));
-    };
-    let Some(name) = name.as_symbol() else {
-        return Err(Problem::new(line, "the name must be a symbol"));
-    };
-    let Some(value) = value.as_f64() else {
-        let text = format!("{name}: the value must be a number");
-        return Err(Problem::new(line, text));
-    };
-    Ok(NamedNumber {
-        name: name.to_owned(),
-        value,
-    })
-}
-
 fn apply_number(
     tuning: &mut Tuning,
     operations: &mut OperatorSettings,
     number: &NamedNumber,
-) -> Result<(), String> {
+) -> Result<(), NumberError> {
     match number.name.as_str() {
         "summary-every-s" => tuning.summary_every = number.seconds(1.0, 3600.0)?,
         "silent-share" => tuning.silent_share = number.within(0.2, 2.0)?,
@@ -176,7 +101,7 @@
         "handlers" => operations.api_threads = number.integer(2.0, 256.0)?,
         "agents" => operations.command_threads = number.integer(1.0, 64.0)?,
         "metrics-every-s" => operations.metrics_interval = number.seconds(1.0, 86_400.0)?,
-        name => return Err(format!("unknown setting '{name}'")),
+        name => return Err(NumberError::UnknownSetting(name.to_owned())),
     }
     Ok(())
 }
@@ -202,7 +127,7 @@
                     lines.insert(name, line);
                 }
                 apply_recovery_number(recovery, &number)
-                    .map_err(|text| Problem::new(line, text))?;
+                    .map_err(|e| Problem::new(line, e.to_string()))?;
             }
         }
     }
@@ -221,7 +146,7 @@
 fn apply_recovery_number(
     recovery: &mut RecoverySettings,
     number: &NamedNumber,
-) -> Result<(), String> {
+) -> Result<(), NumberError> {
     match number.name.as_str() {
         "orders-per-s" => recovery.orders_per_second = Some(number.within(1.0, 1e6)?),
         "segment-orders-per-s" => {
@@ -231,39 +156,7 @@
         "segment-prefix-v6" => recovery.prefixes.v6 = number.integer(16.0, 128.0)? as u8,
         "replacements-per-s" => recovery.replacements_per_second = number.within(0.1, 1e4)?,
         "unrecorded-hold-s" => recovery.unrecorded_hold = number.seconds(2.0, 86_400.0)?,
-        name => return Err(format!("recovery: unknown setting '{name}'")),
+        name => return Err(NumberError::UnknownRecoverySetting(name.to_owned())),
     }
     Ok(())
 }
-
-/// `(NAME #t)` or `(NAME #f)`.
-fn named_switch(item: &Ref<'_>) -> Result<bool, Problem> {
-    let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
-    let value = match parts.as_slice() {
-        [_, value] => value.value().as_bool(),
-        _ => None,
-    };
-    value.ok_or_else(|| Problem::new(line_of(item), "enabled: expected #t or #f"))
-}
-
-/// `(segment "NAME" "NETWORK")`.
-fn named_segment(item: &Ref<'_>) -> Result<NamedSegment, Problem> {
-    let line = line_of(item);
-    let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
-    let texts = match parts.as_slice() {
-        [_, name, net] => name.value().as_str().zip(net.value().as_str()),
-        _ => None,
-    };
-    let Some((name, net)) = texts else {
-        return Err(Problem::new(
-            line,
-            "expected (segment \"NAME\" \"NETWORK\")",
-        ));
-    };
-    let net =
-        parse_segment(net).map_err(|text| Problem::new(line, format!("segment {name}: {text}")))?;
-    Ok(NamedSegment {
-        name: name.to_owned(),
-        net,
-    })
-}
