--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -14,7 +14,9 @@
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, Records};
-use crate::core::persistence::ledger::{cancel_mark_key, job_key, live_key, JobOutcome};
+use crate::core::persistence::keys::{cancel_mark_key, live_job_key, outcome_key};
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::store::{
     BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
 };
@@ -89,8 +91,8 @@
     job_id: &JobId,
     revision: u64,
 ) -> Result<TransactionOutcome, StoreError> {
-    let (outcome_key, mark_key) = (job_key(job_id), cancel_mark_key(job_id));
-    let conditions = [(outcome_key.clone(), revision)];
+    let (outcome_key, mark_key) = (outcome_key(job_id), cancel_mark_key(job_id));
+    let conditions = [KeyCondition::at_revision(outcome_key.clone(), revision)];
     let changes = vec![
         put_cancelled(&outcome_key),
         Change::Put {
@@ -177,16 +179,19 @@
     job_ids: &BTreeSet<JobId>,
 ) -> Result<BTreeSet<JobId>, StoreError> {
     let asked = lookup(shared);
-    let mut left: BTreeMap<String, JobId> =
-        job_ids.iter().map(|u| (live_key(u), u.clone())).collect();
+    let mut left: BTreeMap<String, JobId> = job_ids
+        .iter()
+        .map(|u| (live_job_key(u), u.clone()))
+        .collect();
     let mut indexed = BTreeSet::new();
     while !left.is_empty() {
         let most = status_queries::most_at_once(shared);
-        let expected: Vec<(String, u64)> = left.keys().take(most).map(|k| (k.clone(), 0)).collect();
+        let expected: Vec<KeyCondition> =
+            left.keys().take(most).map(KeyCondition::absent).collect();
         let differing = asked.differing(&expected)?;
         if differing.is_empty() {
-            expected.iter().for_each(|(key, _)| {
-                left.remove(key);
+            expected.iter().for_each(|condition| {
+                left.remove(&condition.key);
             });
         }
         // Perhaps not all of them are named: the others are compared again.
@@ -245,8 +250,8 @@
     if open.len() > shared.settings.config.txn_ops {
         return Ok(false);
     }
-    let keys: Vec<String> = open.iter().map(job_key).collect();
-    let conditions: Vec<(String, u64)> = keys.iter().map(|k| (k.clone(), 0)).collect();
+    let keys: Vec<String> = open.iter().map(outcome_key).collect();
+    let conditions: Vec<KeyCondition> = keys.iter().map(KeyCondition::absent).collect();
     let changes = keys.iter().map(|key| put_cancelled(key)).collect();
     let store = &shared.store;
     match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL) {
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -7,7 +7,8 @@
 use crate::api::server::STORE_CALL;
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::{dependents_key, job_key};
+use crate::core::persistence::keys::{dependents_key, outcome_key};
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::peer::VERSION_WITH_LIVE_INDEX;
 use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::StoredDependents;
@@ -69,8 +70,8 @@
         if list.size_bound() > room {
             continue;
         }
-        conditions.push((key.clone(), revision));
-        conditions.push((job_key(dependency), 0));
+        conditions.push(KeyCondition::at_revision(key.clone(), revision));
+        conditions.push(KeyCondition::absent(outcome_key(dependency)));
         lists.push((key, list));
     }
     if lists.is_empty() {
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -6,7 +6,7 @@
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::LIVE_PREFIX;
+use crate::core::persistence::keys::LIVE_JOB_PREFIX;
 use crate::core::state::dependencies::DependentsIndex;
 use crate::net::store::{ListOptions, StoreError};
 use crate::runtime::service::Shared;
@@ -67,11 +67,15 @@
         page_timeout: PAGE_LIMIT,
         retry_for: READ_LIMIT,
     };
-    let listing = shared
-        .store
-        .list_with_retries::<LiveJob>(LIVE_PREFIX, options, &shared.stop)?;
+    let listing =
+        shared
+            .store
+            .list_with_retries::<LiveJob>(LIVE_JOB_PREFIX, options, &shared.stop)?;
     let jobs = listing.entries.into_iter().filter_map(|entry| {
-        let job_id = entry.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse)?;
+        let job_id = entry
+            .key
+            .strip_prefix(LIVE_JOB_PREFIX)
+            .and_then(JobId::parse)?;
         let dependencies = entry
             .value
             .dependencies
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -9,7 +9,7 @@
 use crate::api::status_queries;
 use crate::api::submission::{self, read_submission};
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::JobOutcome;
+use crate::core::persistence::records::JobOutcome;
 use crate::net::http_server::{self, Limits, Request};
 use crate::net::peer::{PeerRequest, PeerResponse};
 use crate::net::store::{Acceptance, Entry, StoreError};
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -10,7 +10,7 @@
 };
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
-use crate::core::persistence::ledger::JobOutcome;
+use crate::core::persistence::records::JobOutcome;
 use crate::net::http_server::Request;
 use crate::net::peer::{PeerJobStatus, PeerRequest, PeerResponse};
 use crate::net::store::{BudgetedReader, ReadPurpose, StoreError};
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -11,7 +11,9 @@
 use crate::core::admission;
 use crate::core::model::{JobId, JobSpec};
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
-use crate::core::persistence::ledger::{job_key, live_key, JobOutcome};
+use crate::core::persistence::keys::{live_job_key, outcome_key};
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::store::{
     BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
 };
@@ -59,7 +61,7 @@
 struct Acceptance {
     spec: JobSpec,
     record: StoredJob,
-    conditions: Vec<(String, u64)>,
+    conditions: Vec<KeyCondition>,
 }
 
 /// How the dependencies of a submission stand.
@@ -93,8 +95,8 @@
         conditions,
     } = acceptance;
     let job_id = &spec.job_id;
-    let live = live_key(job_id);
-    let own = [job_key(job_id), live.clone()];
+    let live = live_job_key(job_id);
+    let own = [outcome_key(job_id), live.clone()];
     let changes = vec![Change::Put {
         key: &live,
         value: StoredValue::Job(Box::new(record)),
@@ -160,7 +162,7 @@
     admit_dependent(shared, spec, record)
 }
 
-fn accept(spec: JobSpec, record: StoredJob, conditions: Vec<(String, u64)>) -> Admission {
+fn accept(spec: JobSpec, record: StoredJob, conditions: Vec<KeyCondition>) -> Admission {
     Admission::Accept(Box::new(Acceptance {
         spec,
         record,
@@ -169,8 +171,11 @@
 }
 
 /// The job is neither known nor over.
-fn own_conditions(job_id: &JobId) -> Vec<(String, u64)> {
-    vec![(job_key(job_id), 0), (live_key(job_id), 0)]
+fn own_conditions(job_id: &JobId) -> Vec<KeyCondition> {
+    vec![
+        KeyCondition::absent(outcome_key(job_id)),
+        KeyCondition::absent(live_job_key(job_id)),
+    ]
 }
 
 /// Why a job that is not known yet is not accepted now, or ever.
@@ -222,7 +227,8 @@
     let mut conditions = own_conditions(job_id);
     let most = shared.settings.config.txn_ops * CONDITIONS_PER_CHANGE - conditions.len();
     // Ends of those beyond are found by the leader.
-    conditions.extend(open.iter().take(most).map(|u| (job_key(u), 0)));
+    let dependencies = open.iter().take(most);
+    conditions.extend(dependencies.map(|id| KeyCondition::absent(outcome_key(id))));
     Ok(accept(spec, record, conditions))
 }
 
@@ -293,7 +299,7 @@
 /// A job that names a cancelled one is accepted all the same, and is cancelled. No job can depend on
 /// it yet.
 fn accept_cancelled(shared: &Shared, job_id: &JobId) -> Result<ApiResponse, StoreError> {
-    let key = job_key(job_id);
+    let key = outcome_key(job_id);
     let change = Change::Put {
         key: &key,
         value: StoredValue::JobOutcome(JobOutcome::Cancelled.into()),
--- a/src/core/persistence/job_status_reads.rs
+++ b/src/core/persistence/job_status_reads.rs
@@ -6,7 +6,9 @@
 //! read, and what is final never changes again.
 
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::{job_key, live_key, JobOutcome};
+use crate::core::persistence::keys::{live_job_key, outcome_key};
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::KeyCondition;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// How a job stands. None: it was never accepted.
@@ -20,7 +22,7 @@
     /// Why the state service could not be asked.
     type Error;
     /// The keys that do not have these stamps (0: absent). It may name only some of them.
-    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, Self::Error>;
+    fn differing(&self, expected: &[KeyCondition]) -> Result<Vec<String>, Self::Error>;
     /// Those after this key.
     fn outcomes(&self, from: &str) -> Result<Page, Self::Error>;
     /// A job's verdict. None: it has none.
@@ -58,11 +60,11 @@
         let mut expected = Vec::with_capacity(open.len() * 2);
         let mut keys: HashMap<String, (&JobId, bool)> = HashMap::new();
         for job_id in &open {
-            keys.insert(job_key(job_id), (job_id, true));
-            expected.push((job_key(job_id), 0));
+            keys.insert(outcome_key(job_id), (job_id, true));
+            expected.push(KeyCondition::absent(outcome_key(job_id)));
             if !accepted.contains(job_id) {
-                keys.insert(live_key(job_id), (job_id, false));
-                expected.push((live_key(job_id), 0));
+                keys.insert(live_job_key(job_id), (job_id, false));
+                expected.push(KeyCondition::absent(live_job_key(job_id)));
             }
         }
         let differing = match records.differing(&expected) {
--- a/src/core/persistence/mod.rs
+++ b/src/core/persistence/mod.rs
@@ -1,6 +1,13 @@
-//! What is kept in the key-value store: keys, transactions of the leader, and reads of how jobs ended.
+//! What is kept in the key-value store: keys and records, the leader's transactions, and reads of the
+//! status of jobs.
 
 pub mod backoff;
+mod batch_builder;
+mod batch_planning;
+mod job_completion;
 pub mod job_status_reads;
-pub mod ledger;
+pub mod keys;
 pub mod pending_writes;
+pub mod records;
+pub mod write_batch;
+mod write_results;
--- /dev/null
+++ b/src/core/persistence/write_results.rs
@@ -0,0 +1,145 @@
+//! What follows from the result of a transaction: applied, failed on a condition, refused or unknown.
+
+use crate::core::model::{JobId, JobKind};
+use crate::core::persistence::batch_builder::{InFlightBatch, MIN_BATCH_OPS};
+use crate::core::persistence::keys::{parse_chunk_key, parse_outcome_key, LEADER_KEY};
+use crate::core::persistence::records::{
+    attempts_per_chunk, JobOutcome, FULL_CHUNK_VALUE_BYTES, MIN_VALUE_BYTES,
+};
+use crate::core::persistence::write_batch::{ConflictingKey, LeaderKeyStatus, WriteOutcome};
+use crate::core::state::cluster_state::{CancelSource, ClusterState};
+use std::time::Instant;
+
+impl ClusterState {
+    /// Takes in the result of the transaction in flight. Returns whether this term may go on.
+    pub fn on_write_outcome(&mut self, now: Instant, outcome: WriteOutcome) -> LeaderKeyStatus {
+        let Some(in_flight) = self.writes.finish() else {
+            return LeaderKeyStatus::Held;
+        };
+        match outcome {
+            WriteOutcome::Applied { revision } => {
+                self.writes.clear_retry_pause();
+                self.on_applied(now, in_flight, revision);
+                LeaderKeyStatus::Held
+            }
+            WriteOutcome::Unknown => {
+                self.writes.pause_before_retry(now);
+                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                LeaderKeyStatus::Held
+            }
+            WriteOutcome::Refused => {
+                self.writes.pause_before_retry(now);
+                self.shrink_batches(now, in_flight.op_count);
+                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                LeaderKeyStatus::Held
+            }
+            WriteOutcome::Failed { conflicts } => {
+                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                self.on_conflicts(now, conflicts)
+            }
+        }
+    }
+
+    fn on_applied(&mut self, now: Instant, in_flight: InFlightBatch, revision: u64) {
+        for chunk in in_flight.chunks {
+            if let Some(job) = self.jobs.get_mut(&chunk.job_id) {
+                job.written(chunk.index, chunk.version, revision);
+            }
+        }
+        for intent in in_flight.intents {
+            self.intent_durable(now, &intent.task, intent.attempt);
+        }
+        for job_id in in_flight.done_jobs {
+            log::info!("job done job={job_id} term={}", self.term.0);
+            self.on_done_durable(now, &job_id);
+        }
+        for job_id in in_flight.cascaded_jobs {
+            log::info!(
+                "cancelled with a dependency job={job_id} term={}",
+                self.term.0
+            );
+            self.on_cancelled(now, &job_id, CancelSource::JobOutcome);
+        }
+        for job_id in in_flight.removed_jobs {
+            log::info!("cancelled job removed job={job_id} term={}", self.term.0);
+            self.drop_job(now, &job_id);
+        }
+    }
+
+    /// Learns from the keys whose conditions failed. All of them are taken in, also after the leader key.
+    fn on_conflicts(&mut self, now: Instant, conflicts: Vec<ConflictingKey>) -> LeaderKeyStatus {
+        let mut status = LeaderKeyStatus::Held;
+        for conflict in conflicts {
+            if conflict.key == LEADER_KEY {
+                if conflict.revision != self.leader_revision {
+                    status = LeaderKeyStatus::Lost;
+                }
+            } else if let Some((job_id, index)) = parse_chunk_key(&conflict.key) {
+                self.on_chunk_conflict(&job_id, index, conflict.revision);
+            } else if let Some(job_id) = parse_outcome_key(&conflict.key) {
+                self.on_outcome_conflict(now, &job_id, &conflict);
+            }
+        }
+        status
+    }
+
+    /// An earlier transaction of unknown result was applied after all.
+    fn on_chunk_conflict(&mut self, job_id: &JobId, index: u32, revision: u64) {
+        let job = self.jobs.get_mut(job_id);
+        if let Some(chunk) = job.and_then(|job| job.chunks.get_mut(&index)) {
+            chunk.revision = revision;
+        }
+    }
+
+    fn on_outcome_conflict(&mut self, now: Instant, job_id: &JobId, conflict: &ConflictingKey) {
+        match conflict.outcome {
+            Some(JobOutcome::Cancelled) => {
+                self.on_cancelled(now, job_id, CancelSource::JobOutcome);
+            }
+            Some(JobOutcome::Done) => self.on_done_durable(now, job_id),
+            // A record of earlier versions, which kept live jobs under this key too.
+            Some(JobOutcome::Live) | None => {
+                if let Some(job) = self.jobs.get_mut(job_id) {
+                    job.outcome_revision = conflict.revision;
+                }
+            }
+        }
+    }
+
+    /// Keeps to half of what was refused for the rest of the term: fewer changes in a transaction or,
+    /// where one change was too much, smaller values. The next leader begins with the settings again.
+    fn shrink_batches(&mut self, now: Instant, refused_ops: usize) {
+        if refused_ops > MIN_BATCH_OPS {
+            self.config.txn_ops = (refused_ops / 2).max(MIN_BATCH_OPS);
+        } else {
+            // Beyond a full chunk of intents, a smaller limit would change nothing.
+            let value_bytes = self.config.value_bytes.min(FULL_CHUNK_VALUE_BYTES) / 2;
+            self.config.value_bytes = value_bytes.max(MIN_VALUE_BYTES);
+            self.shrink_chunks(now, attempts_per_chunk(self.config.value_bytes));
+        }
+        log::warn!(
+            "transaction refused by the store, limits lowered txn_ops={} value_bytes={}",
+            self.config.txn_ops,
+            self.config.value_bytes
+        );
+    }
+
+    /// Planned attempts beyond a chunk's room wait again: no command went out for them.
+    fn shrink_chunks(&mut self, now: Instant, room: u32) {
+        let mut excess = Vec::new();
+        for job in self.jobs.values_mut() {
+            job.chunk_room = room;
+            if job.spec.kind == JobKind::Gang {
+                continue;
+            }
+            for chunk in job.chunks.keys() {
+                let excess_count = job.attempts_in(*chunk).saturating_sub(room as usize);
+                let planned = job.intents(*chunk).take(excess_count);
+                excess.extend(planned.map(|(index, _)| job.task(index)));
+            }
+        }
+        for task in excess {
+            self.gone(now, &task.job_id, task.index, false);
+        }
+    }
+}
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -1,7 +1,8 @@
 //! The picture of a new term, from what the state service holds.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, Zone};
-use crate::core::persistence::ledger::{self, ChunkValue, JobOutcome};
+use crate::core::persistence::keys;
+use crate::core::persistence::records::{ChunkValue, JobOutcome};
 use crate::core::placement::history::HistorySummary;
 use crate::core::state::cluster_state::{ActiveAttempt, Machine};
 use crate::core::state::cluster_state::{CancelSource, ClusterState};
@@ -93,7 +94,7 @@
                 }
                 Some(JobOutcome::Done) => {
                     self.ended_before(now, &spec.job_id, JobOutcome::Done);
-                    self.forget_index(&spec.job_id);
+                    self.writes.remove_later(keys::live_job_key(&spec.job_id));
                 }
                 Some(JobOutcome::Cancelled) => {
                     cancelled.push(spec.job_id.clone());
@@ -109,7 +110,7 @@
             self.load_chunk(now, &chunk.job_id, chunk.index, chunk.value, chunk.revision);
         }
         for job_id in &done_gangs {
-            self.closed(now, job_id);
+            self.on_done_durable(now, job_id);
         }
         // After the intents, so that no task of a cancelled job is overlooked.
         for job_id in &picture.cancel_marks {
@@ -127,9 +128,9 @@
             self.jobs.dependencies.listed(job_id);
             return;
         }
-        let key = ledger::dependents_key(job_id);
-        if !self.writes.obsolete_keys.contains(&key) {
-            self.writes.obsolete_keys.push(key);
+        let key = keys::dependents_key(job_id);
+        if !self.writes.is_obsolete(&key) {
+            self.writes.remove_later(key);
         }
     }
 
@@ -147,9 +148,7 @@
             return;
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
-            self.writes
-                .obsolete_keys
-                .push(ledger::chunk_key(job_id, index));
+            self.writes.remove_later(keys::chunk_key(job_id, index));
             return;
         };
         let chunk = job.chunks.entry(index).or_default();
@@ -157,7 +156,8 @@
         chunk.done_bits = value.done;
         job.done_count += value.done.count_ones();
         let mut loaded = Vec::new();
-        for (task, attempt, machine) in value.active {
+        for intent in value.active {
+            let (task, attempt, machine) = (intent.task_index, intent.attempt, intent.machine);
             // A member of a gang is marked done with the first one that ends; it may still be there.
             let ended = job.is_done(task) && job.spec.kind == JobKind::Batch;
             if task >= job.spec.task_count || ended {
@@ -170,7 +170,7 @@
             loaded.push((job.task(task), attempt, machine));
         }
         if job.done_count == job.spec.task_count {
-            self.writes.dirty_jobs.insert(job_id.clone());
+            self.writes.mark_dirty(job_id);
         }
         if job.done_count > 0 || !job.active.is_empty() {
             job.last_placed = now;
@@ -232,7 +232,8 @@
 
     /// Machines that hold tasks of which nothing is known go back: that proves those tasks gone.
     fn return_machines_of_unknown(&mut self, now: Instant, value: ChunkValue) {
-        for (_, _, machine) in value.active {
+        for intent in value.active {
+            let machine = intent.machine;
             self.unreadable_records.machines.insert(machine.clone());
             self.loaded_machine(now, machine).returning = true;
         }
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -7,7 +7,7 @@
 
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
-use crate::core::persistence::ledger::JobOutcome;
+use crate::core::persistence::records::JobOutcome;
 use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer};
 use std::collections::BTreeSet;
--- a/src/core/state/actions.rs
+++ b/src/core/state/actions.rs
@@ -1,7 +1,7 @@
 //! What the core decides: actions for its surroundings, and answers to heartbeats.
 
 use crate::core::model::{FencingToken, MachineId, MachineTypeName, TaskCommand, Term, Zone};
-use crate::core::persistence::ledger;
+use crate::core::persistence::write_batch::WriteBatch;
 
 /// What the core asks its surroundings to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,7 +49,7 @@
         machines: Vec<MachineId>,
     },
     /// Commit a transaction.
-    Store(ledger::Batch),
+    Store(WriteBatch),
 }
 
 /// How to answer a heartbeat.
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -45,7 +45,7 @@
         }
         self.quota_usage
             .enter(job.task(index), &job.spec.team, resources);
-        self.writes.dirty_jobs.insert(job_id.clone());
+        self.writes.mark_dirty(job_id);
     }
 
     pub(in crate::core) fn intent_durable(
@@ -134,7 +134,7 @@
         if job.finished && job.active.is_empty() {
             self.drop_job(now, job_id);
         } else {
-            self.writes.dirty_jobs.insert(job_id.clone());
+            self.writes.mark_dirty(job_id);
         }
         if let Some(h) = self.fleet.machines.get_mut(&a.machine) {
             h.unplace(now, &task, &resources);
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -8,8 +8,9 @@
 use crate::core::leadership::cancellation_watermark::{self, ClockReading};
 use crate::core::leadership::leadership_status::LeadershipStatus;
 use crate::core::model::{JobId, JobSpec, MachineType, Resources, SchedulerConfig, Term};
-use crate::core::persistence::ledger::{self, JobOutcome};
+use crate::core::persistence::keys;
 use crate::core::persistence::pending_writes::PendingWrites;
+use crate::core::persistence::records::{attempts_per_chunk, JobOutcome};
 use crate::core::placement::history::History;
 use crate::core::placement::start_limiter::StartLimiter;
 use crate::core::reconciliation::state_loading::UnreadableRecords;
@@ -174,7 +175,7 @@
         }
         let mut job = Job::new(spec, revision, arrived);
         job.blocked = status != DependencyState::Ready;
-        job.chunk_room = ledger::chunk_room(self.config.value_bytes);
+        job.chunk_room = attempts_per_chunk(self.config.value_bytes);
         job.deadline = job.spec.due.map(|d| arrived + d);
         job.own_rank.deadline = job.deadline;
         self.jobs.insert(job);
@@ -202,9 +203,7 @@
     /// How a job ended that is not in the picture.
     pub fn ended_before(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
         if outcome != JobOutcome::Live && self.jobs.dependencies.unlist(job_id) {
-            self.writes
-                .obsolete_keys
-                .push(ledger::dependents_key(job_id));
+            self.writes.remove_later(keys::dependents_key(job_id));
         }
         match outcome {
             JobOutcome::Done => self.ready(now, job_id),
@@ -236,7 +235,7 @@
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.orphaned = true;
             job.orphaned_at = job.orphaned_at.or(heard);
-            self.writes.dirty_jobs.insert(job_id.clone());
+            self.writes.mark_dirty(job_id);
         }
     }
 
@@ -255,7 +254,7 @@
             return;
         }
         job.requeued.clear();
-        self.writes.dirty_jobs.insert(job_id.clone());
+        self.writes.mark_dirty(job_id);
         let tasks: Vec<u32> = job.active.keys().copied().collect();
         log::info!(
             "cancelling job={job_id} active={} term={}",
@@ -271,7 +270,7 @@
     /// How many changes the next transaction may have: a larger one would wait for the rate with all
     /// that is in it.
     pub fn allow(&mut self, changes: usize) {
-        self.writes.allowance = changes;
+        self.writes.set_allowance(changes);
     }
 
     /// How long the last tick took: rounds leave most of the processor to reports and users.
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -6,7 +6,7 @@
 //! started, since what they need was not done.
 
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::JobOutcome;
+use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// How jobs ended is remembered for this many, oldest first. A job's acceptance is heard of later than
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -4,7 +4,7 @@
 //! again; a task before `next_unplaced` is done, active, or among the requeued.
 
 use crate::core::model::{AttemptId, ImageKey, JobKind, JobSpec, TaskId};
-use crate::core::persistence::ledger::{ChunkValue, CHUNK};
+use crate::core::persistence::records::{ChunkValue, Intent, TASKS_PER_CHUNK};
 use crate::core::placement::priority_inheritance::SchedulingRank;
 use crate::core::state::attempt::ActiveAttempt;
 use crate::core::state::cancellation::Cancellation;
@@ -82,7 +82,7 @@
             cancellation: Cancellation::default(),
             finished: false,
             blocked: false,
-            chunk_room: CHUNK,
+            chunk_room: TASKS_PER_CHUNK,
             orphaned: false,
             orphaned_at: None,
             next_unplaced: 0,
@@ -148,7 +148,7 @@
 
     /// The chunk of a task, which is about to be changed.
     pub(in crate::core) fn change_chunk(&mut self, index: u32) -> &mut TaskChunk {
-        let chunk = self.chunks.entry(index / CHUNK).or_default();
+        let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         chunk.version += 1;
         chunk
     }
@@ -156,7 +156,7 @@
     /// Marks a task as done, in a chunk that was announced as changed. A gang's members are all marked
     /// when the first one is done, so it may be done before.
     pub(in crate::core) fn mark_done(&mut self, index: u32) {
-        let chunk = self.chunks.entry(index / CHUNK).or_default();
+        let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         if chunk.mark_done(index) {
             self.done_count += 1;
         }
@@ -184,7 +184,7 @@
             done: self.chunks.get(&chunk).map_or(0, |c| c.done_bits),
             active: self
                 .active_in(chunk)
-                .map(|(i, a)| (*i, a.id, a.machine.clone()))
+                .map(|(index, attempt)| Intent::new(*index, attempt.id, attempt.machine.clone()))
                 .collect(),
         }
     }
@@ -250,7 +250,7 @@
     }
 
     fn chunk_of(&self, index: u32) -> Option<&TaskChunk> {
-        self.chunks.get(&(index / CHUNK))
+        self.chunks.get(&(index / TASKS_PER_CHUNK))
     }
 
     fn active_in(&self, chunk: u32) -> impl Iterator<Item = (&u32, &ActiveAttempt)> {
@@ -269,7 +269,7 @@
     fn of(job: &Job) -> ChunkRoom<'_> {
         ChunkRoom {
             job,
-            limited: job.chunk_room < CHUNK && job.spec.kind != JobKind::Gang,
+            limited: job.chunk_room < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
             left: HashMap::new(),
         }
     }
@@ -280,8 +280,8 @@
             return true;
         }
         let job = self.job;
-        let left = self.left.entry(index / CHUNK).or_insert_with(|| {
-            let used = job.attempts_in(index / CHUNK) as u32;
+        let left = self.left.entry(index / TASKS_PER_CHUNK).or_insert_with(|| {
+            let used = job.attempts_in(index / TASKS_PER_CHUNK) as u32;
             job.chunk_room.saturating_sub(used)
         });
         let has_room = *left > 0;
--- a/src/core/state/task_chunk.rs
+++ b/src/core/state/task_chunk.rs
@@ -4,7 +4,7 @@
 //! reporting its end, until the version that records the end is durable.
 
 use crate::core::model::AttemptId;
-use crate::core::persistence::ledger::CHUNK;
+use crate::core::persistence::records::TASKS_PER_CHUNK;
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
     pub version: u64,
 }
 
-/// What is known, and what is durable, of up to [`CHUNK`] tasks of a job.
+/// What is known, and what is durable, of up to [`TASKS_PER_CHUNK`] tasks of a job.
 #[derive(Clone, Debug, Default)]
 pub struct TaskChunk {
     /// The revision of its key. 0: it was never written.
@@ -42,7 +42,7 @@
 impl TaskChunk {
     /// The indices of the tasks in a chunk.
     pub(in crate::core) fn task_range(chunk: u32) -> Range<u32> {
-        chunk * CHUNK..chunk.saturating_add(1).saturating_mul(CHUNK)
+        chunk * TASKS_PER_CHUNK..chunk.saturating_add(1).saturating_mul(TASKS_PER_CHUNK)
     }
 
     /// Whether the task with this index in the job is done.
@@ -101,6 +101,6 @@
     }
 
     fn bit(task_index: u32) -> u64 {
-        1 << (task_index % CHUNK)
+        1 << (task_index % TASKS_PER_CHUNK)
     }
 }
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -5,7 +5,9 @@
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::Stop;
 use crate::core::persistence::job_status_reads::{Page, Records};
-use crate::core::persistence::ledger::{JobOutcome, OUTCOME_PREFIX};
+use crate::core::persistence::keys::OUTCOME_PREFIX;
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::wire::{ListEntry, ListResponse, StoredOutcome};
 use serde::de::DeserializeOwned;
 use std::cell::Cell;
@@ -100,7 +102,7 @@
 impl Records for BudgetedReader<'_> {
     type Error = StoreError;
 
-    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, StoreError> {
+    fn differing(&self, expected: &[KeyCondition]) -> Result<Vec<String>, StoreError> {
         self.take_budget()?;
         let outcome = self
             .store
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -9,7 +9,9 @@
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::{job_key, live_key, Batch, JobOutcome};
+use crate::core::persistence::keys::{live_job_key, outcome_key};
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::{KeyCondition, WriteBatch};
 use crate::net::http_client::{HttpClient, HttpResponse};
 use crate::net::wire::{
     GetResponse, Precondition, StoredOutcome, TransactionRequest, TransactionResponse,
@@ -106,7 +108,7 @@
     /// A compare-and-swap transaction: the changes are made if each key has its revision (0: absent).
     pub fn transaction(
         &self,
-        preconditions: &[(String, u64)],
+        preconditions: &[KeyCondition],
         changes: Vec<Change<'_>>,
         class: RequestClass,
         timeout: Duration,
@@ -119,7 +121,7 @@
     pub fn transaction_with_reserve(
         &self,
         reserve: f64,
-        preconditions: &[(String, u64)],
+        preconditions: &[KeyCondition],
         changes: Vec<Change<'_>>,
         timeout: Duration,
     ) -> Result<TransactionOutcome, StoreError> {
@@ -136,7 +138,7 @@
     /// Carries out a transaction of the leader.
     pub fn commit(
         &self,
-        batch: &Batch,
+        batch: &WriteBatch,
         timeout: Duration,
     ) -> Result<TransactionOutcome, StoreError> {
         let changes = batch.ops.iter().map(Change::from).collect();
@@ -154,9 +156,9 @@
         let class = RequestClass::User;
         let accepted = acceptance == Acceptance::Known
             || self
-                .get::<IgnoredAny>(&live_key(job_id), class, timeout)?
+                .get::<IgnoredAny>(&live_job_key(job_id), class, timeout)?
                 .is_some();
-        let Some(entry) = self.get::<StoredOutcome>(&job_key(job_id), class, timeout)? else {
+        let Some(entry) = self.get::<StoredOutcome>(&outcome_key(job_id), class, timeout)? else {
             let live = Entry {
                 value: JobOutcome::Live,
                 revision: 0,
@@ -229,18 +231,13 @@
     /// A transaction for a caller that has taken its part of the rate.
     fn transaction_unbudgeted(
         &self,
-        preconditions: &[(String, u64)],
+        preconditions: &[KeyCondition],
         changes: Vec<Change<'_>>,
         timeout: Duration,
     ) -> Result<TransactionOutcome, StoreError> {
         let preconditions = preconditions.iter();
         let request = TransactionRequest {
-            preconditions: preconditions
-                .map(|(key, revision)| Precondition {
-                    key,
-                    revision: *revision,
-                })
-                .collect(),
+            preconditions: preconditions.map(Precondition::from).collect(),
             changes,
         };
         let response = self.call("POST", "/txn", Some(&request), timeout)?;
--- a/src/net/wire/store.rs
+++ b/src/net/wire/store.rs
@@ -4,7 +4,8 @@
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
     WireMachineTypes,
 };
-use crate::core::persistence::ledger::{Op, Value};
+use crate::core::persistence::records::RecordValue;
+use crate::core::persistence::write_batch::{KeyCondition, WriteOp};
 use serde::{Deserialize, Serialize};
 
 /// A condition of a transaction: the key has this revision.
@@ -17,6 +18,15 @@
     pub revision: u64,
 }
 
+impl<'a> From<&'a KeyCondition> for Precondition<'a> {
+    fn from(condition: &'a KeyCondition) -> Self {
+        Precondition {
+            key: &condition.key,
+            revision: condition.revision,
+        }
+    }
+}
+
 /// A change of one key in a transaction.
 #[derive(Serialize)]
 #[serde(untagged)]
@@ -41,15 +51,15 @@
     },
 }
 
-impl<'a> From<&'a Op> for Change<'a> {
-    fn from(op: &'a Op) -> Self {
+impl<'a> From<&'a WriteOp> for Change<'a> {
+    fn from(op: &'a WriteOp) -> Self {
         match op {
-            Op::Put(key, value) => Change::Put {
+            WriteOp::Put(key, value) => Change::Put {
                 key,
                 value: value.into(),
                 lease: None,
             },
-            Op::Delete(key) => Change::Delete { key },
+            WriteOp::Delete(key) => Change::Delete { key },
         }
     }
 }
@@ -76,12 +86,12 @@
     Types(WireMachineTypes),
 }
 
-impl From<&Value> for StoredValue {
-    fn from(value: &Value) -> Self {
+impl From<&RecordValue> for StoredValue {
+    fn from(value: &RecordValue) -> Self {
         match value {
-            Value::Chunk(chunk) => StoredValue::Chunk(chunk.into()),
-            Value::JobOutcome(outcome) => StoredValue::JobOutcome((*outcome).into()),
-            Value::History(summary) => StoredValue::History(summary.into()),
+            RecordValue::Chunk(chunk) => StoredValue::Chunk(chunk.into()),
+            RecordValue::JobOutcome(outcome) => StoredValue::JobOutcome((*outcome).into()),
+            RecordValue::History(summary) => StoredValue::History(summary.into()),
         }
     }
 }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -8,7 +8,7 @@
     AttemptId, JobId, JobKind, JobSpec, MachineId, MachineTypeName, Priority, Resources, TeamName,
     Zone,
 };
-use crate::core::persistence::ledger::{ChunkValue, JobOutcome};
+use crate::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use crate::core::placement::history::HistorySummary;
 use serde::{Deserialize, Serialize};
 
@@ -236,7 +236,13 @@
         StoredChunk {
             done: chunk.done,
             active: active
-                .map(|(task, attempt, machine)| StoredAttempt(*task, attempt.0, machine.0.clone()))
+                .map(|intent| {
+                    StoredAttempt(
+                        intent.task_index,
+                        intent.attempt.0,
+                        intent.machine.0.clone(),
+                    )
+                })
                 .collect(),
         }
     }
@@ -249,7 +255,7 @@
             done: stored.done,
             active: active
                 .map(|StoredAttempt(task, attempt, machine)| {
-                    (task, AttemptId(attempt), MachineId(machine))
+                    Intent::new(task, AttemptId(attempt), MachineId(machine))
                 })
                 .collect(),
         }
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -3,7 +3,8 @@
 use crate::common::rate_limit::{Bucket, RequestClass};
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::{MachineType, Term};
-use crate::core::persistence::ledger;
+use crate::core::persistence::keys;
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::store::{Change, StoredValue};
 use crate::net::wire;
 use crate::runtime::events::{CloudOrder, Event};
@@ -114,16 +115,16 @@
     let rank = RequestClass::Leader;
     let Ok(Some(leader)) = shared
         .store
-        .get::<wire::StoredLeader>(ledger::LEADER_KEY, rank, limit)
+        .get::<wire::StoredLeader>(keys::LEADER_KEY, rank, limit)
     else {
         return;
     };
     if leader.value.term != term.0 {
         return;
     }
-    let conditions = [(ledger::LEADER_KEY.to_owned(), leader.revision)];
+    let conditions = [KeyCondition::at_revision(keys::LEADER_KEY, leader.revision)];
     let change = Change::Put {
-        key: ledger::TYPES_KEY,
+        key: keys::MACHINE_TYPES_KEY,
         value: StoredValue::Types(types),
         lease: None,
     };
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -3,7 +3,7 @@
 use crate::common::rate_limit::RequestClass;
 use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::Term;
-use crate::core::persistence::ledger::{CONTROL_PREFIX, LEADER_KEY, TYPES_KEY};
+use crate::core::persistence::keys::{CONTROL_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY};
 use crate::net::store::StoreError;
 use crate::net::wire::{StoredLeader, WireMachineTypes};
 use crate::runtime::elector::ElectorEvent;
@@ -75,7 +75,7 @@
     for p in listing.entries {
         match p.value {
             Control::Leader(l) if p.key == LEADER_KEY => leader = Some(record(l, p.revision)),
-            Control::Types(t) if p.key == TYPES_KEY => take_types(shared, &t),
+            Control::Types(t) if p.key == MACHINE_TYPES_KEY => take_types(shared, &t),
             _ => {}
         }
     }
@@ -94,7 +94,7 @@
                 (Some(LEADER_KEY), Some(Control::Leader(l)), Some(revision)) => {
                     let _ = elector_events.send(ElectorEvent::Leader(Some(record(l, revision))));
                 }
-                (Some(TYPES_KEY), Some(Control::Types(t)), _) => take_types(shared, &t),
+                (Some(MACHINE_TYPES_KEY), Some(Control::Types(t)), _) => take_types(shared, &t),
                 _ => {}
             }
         }
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -3,7 +3,7 @@
 use crate::core::capacity::RentalOutcome;
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::model::JobId;
-use crate::core::persistence::ledger::BatchOutcome;
+use crate::core::persistence::write_batch::{LeaderKeyStatus, WriteOutcome};
 use crate::core::state::cluster_state::{Action, CancelSource, ClusterState, HeartbeatDecision};
 use crate::net::wire::RentRequest;
 use crate::runtime::elector::ElectorEvent;
@@ -272,8 +272,7 @@
             }
         }
         Event::Written(t, outcome) if t == term => {
-            let superseded = c.on_batch(now, outcome);
-            if superseded {
+            if c.on_write_outcome(now, outcome) == LeaderKeyStatus::Lost {
                 log::warn!("a write met a newer leader term={}", term.0);
                 let _ = out.elector_events.try_send(ElectorEvent::Leader(None));
             }
@@ -311,7 +310,7 @@
         match a {
             Action::Store(batch) => {
                 if out.store.try_send((term, batch)).is_err() {
-                    c.on_batch(now, BatchOutcome::Unknown);
+                    c.on_write_outcome(now, WriteOutcome::Unknown);
                 }
             }
             Action::Send {
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -4,7 +4,8 @@
 use crate::common::stop_signal::Stop;
 use crate::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use crate::core::model::Term;
-use crate::core::persistence::ledger::{LEADER_KEY, TERM_KEY};
+use crate::core::persistence::keys::{LEADER_KEY, TERM_KEY};
+use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::StoredLeader;
 use crate::runtime::control_watch::record;
@@ -287,8 +288,8 @@
         lease,
     };
     let conditions = [
-        (LEADER_KEY.to_owned(), revision),
-        (TERM_KEY.to_owned(), term_revision),
+        KeyCondition::at_revision(LEADER_KEY, revision),
+        KeyCondition::at_revision(TERM_KEY, term_revision),
     ];
     let changes = vec![
         Change::Put {
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -7,7 +7,8 @@
     Term,
 };
 use crate::core::persistence::job_status_reads::JobRecordStatus;
-use crate::core::persistence::ledger::{Batch, BatchOutcome, JobOutcome};
+use crate::core::persistence::records::JobOutcome;
+use crate::core::persistence::write_batch::{WriteBatch, WriteOutcome};
 use crate::core::state::cluster_state::ClusterState;
 use crate::net::wire::RentRequest;
 use crate::runtime::elector::ElectorEvent;
@@ -28,7 +29,7 @@
     /// The mark of a cancelled job was seen.
     Cancelled(Term, JobId),
     /// What became of the transaction in flight.
-    Written(Term, BatchOutcome),
+    Written(Term, WriteOutcome),
     /// A command went out; with the report that it was answered with.
     Sent(Term, MachineId, Option<Heartbeat>),
     /// How a rental ended.
@@ -88,7 +89,7 @@
 /// Where the core's actions go.
 pub struct Outlets {
     /// The leader's transactions.
-    pub store: Sender<(Term, Batch)>,
+    pub store: Sender<(Term, WriteBatch)>,
     /// Commands to workers.
     pub agents: Sender<CommandDelivery>,
     /// Rentals and returns.
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -6,7 +6,8 @@
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::model::{JobId, JobSpec, Term};
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
-use crate::core::persistence::ledger::{self, JobOutcome};
+use crate::core::persistence::keys;
+use crate::core::persistence::records::JobOutcome;
 use crate::core::placement::history::HistorySummary;
 use crate::core::reconciliation::state_loading::{StoredIntents, StoredLiveJob, StoredSnapshot};
 use crate::core::state::cluster_state::ClusterState;
@@ -66,7 +67,7 @@
     live: &[ListEntry<StoredJob>],
     stop: &Stop,
 ) -> Result<HashMap<JobId, JobOutcome>, StoreError> {
-    let job_ids = jobs_under(ledger::LIVE_PREFIX, live);
+    let job_ids = jobs_under(keys::LIVE_JOB_PREFIX, live);
     let found = statuses_of(shared, &job_ids, stop)?;
     let over = found
         .into_iter()
@@ -81,7 +82,7 @@
     live: &[ListEntry<StoredJob>],
     stop: &Stop,
 ) -> Result<Vec<(JobId, JobOutcome)>, StoreError> {
-    let prefix = ledger::LIVE_PREFIX;
+    let prefix = keys::LIVE_JOB_PREFIX;
     let known: HashSet<&str> = live
         .iter()
         .filter_map(|p| p.key.strip_prefix(prefix))
@@ -212,12 +213,12 @@
 }
 
 fn read_records(shared: &Shared, stop: &Stop) -> Result<StoredRecords, StoreError> {
-    let lists = read_all(shared, ledger::DEPENDENTS_PREFIX, stop)?.entries;
-    let live = read_readable(shared, ledger::LIVE_PREFIX, stop)?;
-    let cancel_marks = read_all(shared, ledger::CANCEL_MARK_PREFIX, stop)?.entries;
-    let intents = read_readable(shared, ledger::INTENT_PREFIX, stop)?;
+    let lists = read_all(shared, keys::DEPENDENTS_PREFIX, stop)?.entries;
+    let live = read_readable(shared, keys::LIVE_JOB_PREFIX, stop)?;
+    let cancel_marks = read_all(shared, keys::CANCEL_MARK_PREFIX, stop)?.entries;
+    let intents = read_readable(shared, keys::INTENT_PREFIX, stop)?;
     let history = shared.store.get::<StoredHistory>(
-        ledger::HISTORY_KEY,
+        keys::HISTORY_KEY,
         RequestClass::Leader,
         HISTORY_LIMIT,
     )?;
@@ -289,7 +290,7 @@
         }
     }
     let chunks = records.intents.into_iter().filter_map(|pair| {
-        let (job_id, index) = ledger::parse_chunk_key(&pair.key)?;
+        let (job_id, index) = keys::parse_chunk_key(&pair.key)?;
         Some(StoredIntents {
             job_id,
             index,
@@ -300,7 +301,7 @@
     for key in unreadable_live.iter().chain(&records.unreadable_intents) {
         log::error!("a record cannot be read and is left as it is key={key}");
     }
-    let prefix = ledger::LIVE_PREFIX;
+    let prefix = keys::LIVE_JOB_PREFIX;
     let unreadable_jobs = unreadable_live
         .iter()
         .filter_map(|k| k.strip_prefix(prefix));
@@ -310,12 +311,12 @@
         jobs,
         over,
         ends,
-        lists: jobs_under(ledger::DEPENDENTS_PREFIX, &records.lists),
-        cancel_marks: jobs_under(ledger::CANCEL_MARK_PREFIX, &records.cancel_marks),
+        lists: jobs_under(keys::DEPENDENTS_PREFIX, &records.lists),
+        cancel_marks: jobs_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
         chunks: chunks.collect(),
         unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
         unreadable_intents: unreadable_intents
-            .filter_map(|key| Some(ledger::parse_chunk_key(key)?.0))
+            .filter_map(|key| Some(keys::parse_chunk_key(key)?.0))
             .collect(),
     }
 }
--- a/src/runtime/node_view.rs
+++ b/src/runtime/node_view.rs
@@ -4,7 +4,7 @@
 use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::{JobId, MachineType, Term};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
-use crate::core::persistence::ledger::JobOutcome;
+use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::time::{Duration, Instant, SystemTime};
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -6,7 +6,8 @@
 use crate::core::leadership::cancellation_watermark::{self, ClockReading};
 use crate::core::model::{JobId, JobSpec, Term};
 use crate::core::persistence::backoff::Backoff;
-use crate::core::persistence::ledger::{self, JobOutcome};
+use crate::core::persistence::keys;
+use crate::core::persistence::records::JobOutcome;
 use crate::net::store::StoreError;
 use crate::net::wire::StoredJob;
 use crate::runtime::events::Event;
@@ -45,7 +46,7 @@
         let asked = ClockReading::now();
         match shared
             .store
-            .watch::<Queued>(ledger::QUEUE_PREFIX, revision, block)
+            .watch::<Queued>(keys::QUEUE_PREFIX, revision, block)
         {
             Ok(changes) => {
                 revision = revision.max(changes.revision);
@@ -60,7 +61,7 @@
                 let limit = Duration::from_secs(4);
                 match shared
                     .store
-                    .list::<Queued>(ledger::QUEUE_PREFIX, RequestClass::Leader, limit)
+                    .list::<Queued>(keys::QUEUE_PREFIX, RequestClass::Leader, limit)
                 {
                     Ok(listing) => {
                         for p in listing.entries {
@@ -101,7 +102,7 @@
     if dependents_list::needed(shared) {
         return;
     }
-    let prefix = ledger::DEPENDENTS_PREFIX;
+    let prefix = keys::DEPENDENTS_PREFIX;
     let listed = shared
         .store
         .list::<IgnoredAny>(prefix, RequestClass::Leader, LIST_SWEEP_LIMIT);
@@ -119,7 +120,7 @@
 }
 
 fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, revision: u64) {
-    let event = if let Some(job_id) = key.strip_prefix(ledger::CANCEL_MARK_PREFIX) {
+    let event = if let Some(job_id) = key.strip_prefix(keys::CANCEL_MARK_PREFIX) {
         JobId::parse(job_id).map(|u| Event::Cancelled(term, u))
     } else {
         match value {
@@ -127,7 +128,7 @@
                 Ok(spec) => indexed_job(shared, term, spec, revision),
                 Err(_) => unreadable(key),
             },
-            Some(Queued::Other(_)) if key.starts_with(ledger::LIVE_PREFIX) => unreadable(key),
+            Some(Queued::Other(_)) if key.starts_with(keys::LIVE_JOB_PREFIX) => unreadable(key),
             _ => None,
         }
     };
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -7,7 +7,7 @@
 use crate::common::rate_limit::{Bucket, SubmissionFairness};
 use crate::common::stop_signal::Stop;
 use crate::core::model::Term;
-use crate::core::persistence::ledger::Batch;
+use crate::core::persistence::write_batch::WriteBatch;
 use crate::net::agent;
 use crate::net::cloud::CloudClient;
 use crate::net::http_client::{HttpClient, HttpClientConfig};
@@ -63,7 +63,7 @@
 struct Queues {
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
-    batches: Receiver<(Term, Batch)>,
+    batches: Receiver<(Term, WriteBatch)>,
     commands: Receiver<CommandDelivery>,
     cloud_orders: Receiver<CloudOrder>,
     wake: Receiver<()>,
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -1,8 +1,10 @@
 //! The leader's transactions, one at a time.
 
 use crate::common::rate_limit::RequestClass;
-use crate::core::model::{JobId, Term};
-use crate::core::persistence::ledger::{self, Batch, BatchOutcome, JobOutcome};
+use crate::core::model::Term;
+use crate::core::persistence::keys;
+use crate::core::persistence::records::{JobOutcome, RecordValue};
+use crate::core::persistence::write_batch::{ConflictingKey, WriteBatch, WriteOp, WriteOutcome};
 use crate::net::store::{StoreError, TransactionOutcome};
 use crate::net::wire::StoredOutcome;
 use crate::runtime::events::Event;
@@ -12,19 +14,19 @@
 use std::time::Duration;
 
 /// Writes the leader's transactions, one at a time, and reads back what a failed one met.
-pub fn write_store(shared: &Shared, batches: &Receiver<(Term, Batch)>) {
+pub fn write_store(shared: &Shared, batches: &Receiver<(Term, WriteBatch)>) {
     while let Ok((term, batch)) = batches.recv() {
         let limit = Duration::from_millis(2000);
         let outcome = match shared.store.commit(&batch, limit) {
-            Ok(TransactionOutcome::Applied { revision }) => BatchOutcome::Applied { revision },
+            Ok(TransactionOutcome::Applied { revision }) => WriteOutcome::Applied { revision },
             Ok(TransactionOutcome::Failed { keys }) => read_failed(shared, keys),
-            Err(StoreError::Rejected) => BatchOutcome::Refused,
+            Err(StoreError::Rejected) => WriteOutcome::Refused,
             Err(e) => {
                 log::debug!("write not confirmed why=\"{e}\" ops={}", batch.ops.len());
-                BatchOutcome::Unknown
+                WriteOutcome::Unknown
             }
         };
-        if matches!(outcome, BatchOutcome::Applied { .. }) {
+        if matches!(outcome, WriteOutcome::Applied { .. }) {
             remember_done(shared, &batch);
         }
         if shared.events.send(Event::Written(term, outcome)).is_err() {
@@ -34,23 +36,22 @@
 }
 
 /// Users may be told of these at once. A cancellation has to be confirmed first.
-fn remember_done(shared: &Shared, batch: &Batch) {
+fn remember_done(shared: &Shared, batch: &WriteBatch) {
     for op in &batch.ops {
-        let ledger::Op::Put(key, ledger::Value::JobOutcome(JobOutcome::Done)) = op else {
+        let WriteOp::Put(key, RecordValue::JobOutcome(JobOutcome::Done)) = op else {
             continue;
         };
-        let job_id = key.strip_prefix(ledger::OUTCOME_PREFIX);
-        if let Some(job_id) = job_id.and_then(JobId::parse) {
+        if let Some(job_id) = keys::parse_outcome_key(key) {
             shared.view.remember_final(&job_id, JobOutcome::Done);
         }
     }
 }
 
-fn read_failed(shared: &Shared, keys: Vec<String>) -> BatchOutcome {
+fn read_failed(shared: &Shared, keys: Vec<String>) -> WriteOutcome {
     let limit = Duration::from_millis(1500);
-    let mut found = Vec::new();
+    let mut conflicts = Vec::new();
     for key in keys {
-        let entry = if key.starts_with(ledger::OUTCOME_PREFIX) {
+        let entry = if key.starts_with(keys::OUTCOME_PREFIX) {
             shared
                 .store
                 .get::<StoredOutcome>(&key, RequestClass::Leader, limit)
@@ -62,10 +63,18 @@
                 .map(|e| e.map(|e| (e.revision, None)))
         };
         match entry {
-            Ok(Some((revision, outcome))) => found.push((key, revision, outcome)),
-            Ok(None) => found.push((key, 0, None)),
-            Err(_) => return BatchOutcome::Unknown,
+            Ok(Some((revision, outcome))) => conflicts.push(ConflictingKey {
+                key,
+                revision,
+                outcome,
+            }),
+            Ok(None) => conflicts.push(ConflictingKey {
+                key,
+                revision: 0,
+                outcome: None,
+            }),
+            Err(_) => return WriteOutcome::Unknown,
         }
     }
-    BatchOutcome::Failed { found }
+    WriteOutcome::Failed { conflicts }
 }
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -2,7 +2,8 @@
 
 use super::World;
 use cypressgap::core::model::JobSpec;
-use cypressgap::core::persistence::ledger::{dependents_key, live_key, BatchOutcome, Op};
+use cypressgap::core::persistence::keys::{dependents_key, live_job_key};
+use cypressgap::core::persistence::write_batch::{WriteOp, WriteOutcome};
 use cypressgap::core::state::cluster_state::Action;
 use std::collections::BTreeSet;
 
@@ -15,7 +16,7 @@
 
 impl Keys {
     pub fn accept(&mut self, w: &mut World, spec: JobSpec) {
-        self.all.insert(live_key(&spec.job_id));
+        self.all.insert(live_job_key(&spec.job_id));
         if spec.listed {
             self.all
                 .extend(spec.dependencies.iter().map(dependents_key));
@@ -24,7 +25,7 @@
     }
 
     /// Lets a tick's transaction have so many changes, and carries it out.
-    pub fn tick(&mut self, w: &mut World, changes: usize) -> Vec<Op> {
+    pub fn tick(&mut self, w: &mut World, changes: usize) -> Vec<WriteOp> {
         w.c.allow(changes);
         let mut written = Vec::new();
         for action in w.c.tick(w.now) {
@@ -34,14 +35,14 @@
             self.changes += batch.ops.len();
             for op in &batch.ops {
                 match op {
-                    Op::Put(key, _) => self.all.insert(key.clone()),
-                    Op::Delete(key) => self.all.remove(key),
+                    WriteOp::Put(key, _) => self.all.insert(key.clone()),
+                    WriteOp::Delete(key) => self.all.remove(key),
                 };
             }
             written.extend(batch.ops);
             w.revision += 1;
             let revision = w.revision;
-            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+            w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
         }
         written
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub mod peaks;
 
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::persistence::write_batch::{WriteBatch, WriteOutcome};
 use cypressgap::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
 use cypressgap_recovery::settings::RecoverySettings;
 use std::collections::{BTreeMap, HashMap};
@@ -191,7 +191,7 @@
                         self.revision += 1;
                         let revision = self.revision;
                         self.c
-                            .on_batch(self.now, BatchOutcome::Applied { revision });
+                            .on_write_outcome(self.now, WriteOutcome::Applied { revision });
                     }
                     other => {
                         // The worker's answer is lost; what it shows comes by its reports.
@@ -207,7 +207,7 @@
     }
 
     /// The next batch that is due, left in flight.
-    pub fn batch(&mut self) -> Option<Batch> {
+    pub fn batch(&mut self) -> Option<WriteBatch> {
         for _ in 0..10 {
             self.now += Duration::from_millis(150);
             for a in self.c.tick(self.now) {
@@ -372,7 +372,9 @@
                         self.w.revision += 1;
                         let revision = self.w.revision;
                         let now = self.w.now;
-                        self.w.c.on_batch(now, BatchOutcome::Applied { revision });
+                        self.w
+                            .c
+                            .on_write_outcome(now, WriteOutcome::Applied { revision });
                     }
                     // Commands come with the reports' answers, a second later at most.
                     Action::Send { machine, .. } => {
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -4,9 +4,9 @@
 use crate::common::keys::Keys;
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
-use cypressgap::core::persistence::ledger::{
-    cancel_mark_key, dependents_key, live_key, JobOutcome, Op, Value,
-};
+use cypressgap::core::persistence::keys::{cancel_mark_key, dependents_key, live_job_key};
+use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
+use cypressgap::core::persistence::write_batch::WriteOp;
 use cypressgap::core::state::cluster_state::CancelSource;
 use std::time::{Duration, SystemTime};
 
@@ -45,9 +45,12 @@
             w.pass(Duration::from_millis(150));
             allowed += f64::from(CHANGES_A_SECOND) * 0.15;
             let before = keys.changes;
-            let root_indexed = keys.all.contains(&live_key(&job_id(0)));
+            let root_indexed = keys.all.contains(&live_job_key(&job_id(0)));
             for op in keys.tick(&mut w, allowed as usize) {
-                if matches!(op, Op::Put(_, Value::JobOutcome(JobOutcome::Cancelled))) {
+                if matches!(
+                    op,
+                    WriteOp::Put(_, RecordValue::JobOutcome(JobOutcome::Cancelled))
+                ) {
                     outcomes += 1;
                 }
             }
@@ -67,9 +70,10 @@
         let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
         let left: Vec<&String> = keys.all.iter().filter(left).collect();
         assert!(
-            !left.iter().any(
-                |k| k.as_str() <= live_key(&job_id(DEPENDENTS)).as_str() && k.starts_with("q/")
-            ),
+            !left
+                .iter()
+                .any(|k| k.as_str() <= live_job_key(&job_id(DEPENDENTS)).as_str()
+                    && k.starts_with("q/")),
             "chain {chain}: {left:?}"
         );
         assert!(!w.c.jobs.contains(&job_id(0)) && !w.c.jobs.contains(&job_id(DEPENDENTS)));
@@ -119,7 +123,7 @@
             }
             written.extend(keys.tick(&mut w, 24));
         }
-        let outcome = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(_)));
+        let outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
         assert_eq!(written.iter().any(outcome), !told, "told {told}");
     }
 }
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -6,7 +6,7 @@
     patience, CancellationReport, ClockReading, Watermark, MIN_PATIENCE,
 };
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::JobOutcome;
+use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
 use cypressgap::runtime::node_view::NodeView;
 use std::time::{Duration, Instant, SystemTime};
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -3,13 +3,16 @@
 use crate::common::keys::Keys;
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome, Op, Value};
+use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome, RecordValue};
+use cypressgap::core::persistence::write_batch::{
+    ConflictingKey, KeyCondition, WriteOp, WriteOutcome,
+};
 use cypressgap::core::state::cluster_state::Action;
 
 fn loaded(w: &mut World, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
         .iter()
-        .map(|(i, h)| (*i, AttemptId(100 + u64::from(*i)), MachineId::from(*h)))
+        .map(|(i, h)| Intent::new(*i, AttemptId(100 + u64::from(*i)), MachineId::from(*h)))
         .collect();
     let value = ChunkValue { done, active };
     w.c.load_chunk(w.now, &job_id.into(), 0, value, 90);
@@ -86,10 +89,12 @@
     let last = sent[0].2;
     let done = |a: &[Action]| {
         a.iter().any(|a| match a {
-            Action::Store(b) => b
-                .ops
-                .iter()
-                .any(|o| matches!(o, Op::Put(_, Value::JobOutcome(JobOutcome::Done)))),
+            Action::Store(b) => b.ops.iter().any(|o| {
+                matches!(
+                    o,
+                    WriteOp::Put(_, RecordValue::JobOutcome(JobOutcome::Done))
+                )
+            }),
             _ => false,
         })
     };
@@ -112,9 +117,8 @@
             if let Action::Store(_) = a {
                 w.revision += 1;
                 let revision = w.revision;
-                let applied =
-                    cypressgap::core::persistence::ledger::BatchOutcome::Applied { revision };
-                w.c.on_batch(w.now, applied);
+                let applied = WriteOutcome::Applied { revision };
+                w.c.on_write_outcome(w.now, applied);
             }
         }
     }
@@ -144,19 +148,25 @@
             )],
         );
         let batch = w.batch().expect("the verdict");
-        assert!(batch.conditions.contains(&("j/wk-000001".to_owned(), 0)));
+        assert!(batch
+            .conditions
+            .contains(&KeyCondition::absent("j/wk-000001")));
         let outcome = if withdrawn_first {
-            let found = vec![("j/wk-000001".to_owned(), 777, Some(JobOutcome::Cancelled))];
-            cypressgap::core::persistence::ledger::BatchOutcome::Failed { found }
+            let conflicts = vec![ConflictingKey {
+                key: "j/wk-000001".to_owned(),
+                revision: 777,
+                outcome: Some(JobOutcome::Cancelled),
+            }];
+            WriteOutcome::Failed { conflicts }
         } else {
-            cypressgap::core::persistence::ledger::BatchOutcome::Applied { revision: 777 }
+            WriteOutcome::Applied { revision: 777 }
         };
-        w.c.on_batch(w.now, outcome);
+        w.c.on_write_outcome(w.now, outcome);
         // What comes later of the other verdict changes nothing.
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         for a in w.settle() {
             let Action::Store(b) = a else { continue };
-            let again = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(_)));
+            let again = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
             assert!(!b.ops.iter().any(again), "{withdrawn_first}");
         }
         assert!(w.c.jobs.is_empty(), "{withdrawn_first}: nothing is left");
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -4,7 +4,8 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::backoff::Backoff;
-use cypressgap::core::persistence::ledger::{BatchOutcome, JobOutcome, Op, Value};
+use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
+use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOp, WriteOutcome};
 use cypressgap::core::state::cluster_state::Action;
 use cypressgap::core::state::dependencies::{Dependencies, DependencyState, DependentsIndex};
 use std::time::Duration;
@@ -124,17 +125,22 @@
     w.heartbeat("i-1", 2, ended(1, sent[0].2));
     // The verdict's transaction gets no answer for a while.
     let outcome = w.batch().expect("the verdict");
-    let done = |o: &Op| matches!(o, Op::Put(_, Value::JobOutcome(JobOutcome::Done)));
+    let done = |o: &WriteOp| {
+        matches!(
+            o,
+            WriteOp::Put(_, RecordValue::JobOutcome(JobOutcome::Done))
+        )
+    };
     assert!(outcome.ops.iter().any(done));
     for _ in 0..12 {
-        w.c.on_batch(w.now, BatchOutcome::Unknown);
+        w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
         w.pass(secs(1));
         let actions = w.c.tick(w.now);
         assert_eq!(launches(&actions), vec![], "not durable yet");
         w.heartbeat("i-1", 100 + w.revision, vec![]);
         w.revision += 1;
     }
-    w.c.on_batch(w.now, BatchOutcome::Unknown);
+    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
     let before = w.now;
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1);
@@ -176,14 +182,14 @@
                 for a in w.c.tick(w.now) {
                     if let Action::Store(b) = &a {
                         for o in &b.ops {
-                            if let Op::Put(key, Value::JobOutcome(v)) = o {
+                            if let WriteOp::Put(key, RecordValue::JobOutcome(v)) = o {
                                 written.push((key.clone(), *v));
-                                assert!(b.conditions.contains(&(key.clone(), 0)));
+                                assert!(b.conditions.contains(&KeyCondition::absent(key)));
                             }
                         }
                         w.revision += 1;
                         let revision = w.revision;
-                        w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
                     } else {
                         sent.extend(launches(&[a]));
                     }
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
 
 #[test]
@@ -58,7 +58,7 @@
         let a = AttemptId(7);
         let value = ChunkValue {
             done: 0,
-            active: vec![(0, a, first_machine())],
+            active: vec![Intent::new(0, a, first_machine())],
         };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         let tasks = if listed {
@@ -143,7 +143,7 @@
         w.job(spec("wk-000001", 1, 4.0));
         let value = ChunkValue {
             done: 0,
-            active: vec![(0, a, first_machine())],
+            active: vec![Intent::new(0, a, first_machine())],
         };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         w.heartbeat("i-2", 1, vec![]);
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -2,7 +2,8 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{BatchOutcome, ChunkValue};
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
+use cypressgap::core::persistence::write_batch::WriteOutcome;
 use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
 
 /// A new leader that loaded one intent for `i-1`.
@@ -14,7 +15,7 @@
     let attempt = AttemptId(7);
     let value = ChunkValue {
         done: 0,
-        active: vec![(0, attempt, "i-1".into())],
+        active: vec![Intent::new(0, attempt, "i-1".into())],
     };
     w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
     (w, attempt)
@@ -61,7 +62,7 @@
                 }
                 Action::Store(_) => {
                     let revision = w.revision;
-                    w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
                 }
                 _ => {}
             }
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::reconciliation::state_loading::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
@@ -26,7 +26,7 @@
 
 /// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
 fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> World {
-    let active = (0..on_record).map(|n| (n, EARLIER, MachineId(format!("i-{n}"))));
+    let active = (0..on_record).map(|n| Intent::new(n, EARLIER, MachineId(format!("i-{n}"))));
     let chunk = StoredIntents {
         job_id: job_id(),
         index: 0,
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -3,7 +3,7 @@
 use super::{is_kill, job_id, launched_index, running, taken_over};
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::BatchOutcome;
+use cypressgap::core::persistence::write_batch::WriteOutcome;
 use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
 use cypressgap_recovery::segments::NamedSegment;
 use cypressgap_recovery::settings::parse_segment;
@@ -35,7 +35,7 @@
             match action {
                 Action::Store(_) => {
                     let revision = 1000 + step;
-                    w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
                 }
                 Action::Send {
                     machine, commands, ..
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -3,7 +3,7 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome};
+use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use cypressgap::core::reconciliation::state_loading::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
@@ -14,7 +14,9 @@
 
 /// Tasks on record as sent to a machine.
 fn sent(job_id: &str, tasks: &[u32], machine: &str) -> StoredIntents {
-    let active = tasks.iter().map(|i| (*i, ATTEMPT, machine.into()));
+    let active = tasks
+        .iter()
+        .map(|i| Intent::new(*i, ATTEMPT, machine.into()));
     StoredIntents {
         job_id: job_id.into(),
         index: tasks[0] / 64,
@@ -213,7 +215,10 @@
         chunks: vec![StoredIntents {
             value: ChunkValue {
                 done: 0,
-                active: vec![(0, ATTEMPT, "i-1".into()), (1, ATTEMPT, "i-2".into())],
+                active: vec![
+                    Intent::new(0, ATTEMPT, "i-1".into()),
+                    Intent::new(1, ATTEMPT, "i-2".into()),
+                ],
             },
             ..sent("wk-000001", &[0], "i-1")
         }],
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -3,7 +3,7 @@
 use super::{is_kill, job_id, launched_index, red, running, taken_over, EARLIER};
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{ChunkValue, JobOutcome};
+use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use cypressgap::core::reconciliation::state_loading::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
@@ -108,7 +108,10 @@
 fn a_cancellation_confirmed_just_before_the_failover_holds() {
     for marked in [true, false] {
         let mut w = World::new();
-        let active = vec![(0, EARLIER, "i-0".into()), (1, EARLIER, "i-1".into())];
+        let active = vec![
+            Intent::new(0, EARLIER, "i-0".into()),
+            Intent::new(1, EARLIER, "i-1".into()),
+        ];
         let picture = StoredSnapshot {
             jobs: vec![StoredLiveJob {
                 spec: spec("wk-000001", 2, 4.0),
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -3,7 +3,7 @@
 use super::{is_kill, job_id, red, running, taken_over, EARLIER};
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::JobOutcome;
+use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::reconciliation::state_loading::StoredSnapshot;
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
 
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -2,30 +2,40 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{
-    chunk_key, job_key, BatchOutcome, JobOutcome, LEADER_KEY,
+use cypressgap::core::persistence::keys::{chunk_key, outcome_key, LEADER_KEY};
+use cypressgap::core::persistence::records::JobOutcome;
+use cypressgap::core::persistence::write_batch::{
+    ConflictingKey, KeyCondition, LeaderKeyStatus, WriteOutcome,
 };
 use cypressgap::core::state::cluster_state::ClusterState;
 
+fn conflict(key: &str, revision: u64, outcome: Option<JobOutcome>) -> ConflictingKey {
+    ConflictingKey {
+        key: key.to_owned(),
+        revision,
+        outcome,
+    }
+}
+
 #[test]
 fn nothing_is_launched_before_its_intent_is_durable() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     let batch = w.batch().expect("an intent is written");
-    let keys: Vec<&str> = batch.conditions.iter().map(|c| c.0.as_str()).collect();
+    let keys: Vec<&str> = batch.conditions.iter().map(|c| c.key.as_str()).collect();
     let job_id = JobId::from("wk-000001");
     // On the term, the intent's own stamp, and the job's not being cancelled.
     assert!(keys.contains(&LEADER_KEY));
     assert!(keys.contains(&chunk_key(&job_id, 0).as_str()));
-    assert!(keys.contains(&job_key(&job_id).as_str()));
+    assert!(keys.contains(&outcome_key(&job_id).as_str()));
     let (_, commands) = w.heartbeat("i-1", 2, vec![]);
     assert_eq!(commands, vec![]);
-    w.c.on_batch(w.now, BatchOutcome::Unknown);
+    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
     let (_, commands) = w.heartbeat("i-1", 3, vec![]);
     assert_eq!(commands, vec![], "an unknown outcome allows nothing");
     w.batch().expect("the write is repeated");
-    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 200 });
+    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 200 });
     let (_, commands) = w.heartbeat("i-1", 4, vec![]);
     assert!(matches!(commands[..], [TaskCommand::Launch { .. }]));
 }
@@ -36,13 +46,17 @@
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.batch().unwrap();
-    w.c.on_batch(w.now, BatchOutcome::Unknown);
+    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
     w.batch().unwrap();
     let key = chunk_key(&"wk-000001".into(), 0);
-    let found = vec![(key.clone(), 170, None)];
-    assert!(!w.c.on_batch(w.now, BatchOutcome::Failed { found }));
+    let conflicts = vec![conflict(&key, 170, None)];
+    let status =
+        w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
+    assert_eq!(status, LeaderKeyStatus::Held);
     let again = w.batch().unwrap();
-    assert!(again.conditions.contains(&(key, 170)));
+    assert!(again
+        .conditions
+        .contains(&KeyCondition::at_revision(key, 170)));
 }
 
 #[test]
@@ -51,8 +65,10 @@
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 1, 4.0));
     w.batch().unwrap();
-    let found = vec![(LEADER_KEY.to_owned(), REVISION + 9, None)];
-    assert!(w.c.on_batch(w.now, BatchOutcome::Failed { found }));
+    let conflicts = vec![conflict(LEADER_KEY, REVISION + 9, None)];
+    let status =
+        w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
+    assert_eq!(status, LeaderKeyStatus::Lost);
 }
 
 #[test]
@@ -61,9 +77,9 @@
     w.heartbeat("i-1", 1, vec![]);
     w.job(spec("wk-000001", 2, 4.0));
     w.batch().unwrap();
-    let key = job_key(&"wk-000001".into());
-    let found = vec![(key, 180, Some(JobOutcome::Cancelled))];
-    w.c.on_batch(w.now, BatchOutcome::Failed { found });
+    let key = outcome_key(&"wk-000001".into());
+    let conflicts = vec![conflict(&key, 180, Some(JobOutcome::Cancelled))];
+    w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
     assert_eq!(launches(&w.settle()), vec![]);
     assert_eq!(w.active("wk-000001", 0), None);
 }
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::runtime::node_view::{NodeView, RoleView};
 use std::time::{Instant, SystemTime};
 
@@ -135,7 +135,7 @@
             w.job(spec("wk-000001", 1, 4.0));
             let value = ChunkValue {
                 done: 0,
-                active: vec![(0, AttemptId(7), first_machine())],
+                active: vec![Intent::new(0, AttemptId(7), first_machine())],
             };
             w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
         }
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -3,7 +3,9 @@
 use cypressgap::core::model::JobId;
 use cypressgap::core::persistence::job_status_reads;
 use cypressgap::core::persistence::job_status_reads::{JobRecordStatus, Page, Records};
-use cypressgap::core::persistence::ledger::{job_key, live_key, JobOutcome};
+use cypressgap::core::persistence::keys::{live_job_key, outcome_key};
+use cypressgap::core::persistence::records::JobOutcome;
+use cypressgap::core::persistence::write_batch::KeyCondition;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,11 +30,13 @@
 
 impl Records for Shelf {
     type Error = &'static str;
-    fn differing(&self, expected: &[(String, u64)]) -> Result<Vec<String>, &'static str> {
+    fn differing(&self, expected: &[KeyCondition]) -> Result<Vec<String>, &'static str> {
         self.called()?;
         let exists = |k: &String| self.live.contains(k) || self.said.contains_key(k);
-        let differing = expected.iter().filter(|(k, s)| exists(k) != (*s > 0));
-        Ok(differing.take(self.named).map(|e| e.0.clone()).collect())
+        let differing = expected
+            .iter()
+            .filter(|c| exists(&c.key) != (c.revision > 0));
+        Ok(differing.take(self.named).map(|c| c.key.clone()).collect())
     }
     fn outcomes(&self, from: &str) -> Result<Page, &'static str> {
         self.called()?;
@@ -66,10 +70,10 @@
     Shelf {
         live: (0..100)
             .chain(150..170)
-            .map(|n| live_key(&job_id(n)))
+            .map(|n| live_job_key(&job_id(n)))
             .collect(),
         said: (0..200)
-            .filter_map(|n| Some((job_key(&job_id(n)), outcome(n)?)))
+            .filter_map(|n| Some((outcome_key(&job_id(n)), outcome(n)?)))
             .collect(),
         named,
         page,
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -3,9 +3,9 @@
 use crate::common::dependency_jobs::{job_depending_on, job_id};
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{
-    chunk_key, chunk_room, BatchOutcome, ChunkValue, Op, Value,
-};
+use cypressgap::core::persistence::keys::chunk_key;
+use cypressgap::core::persistence::records::{attempts_per_chunk, ChunkValue, RecordValue};
+use cypressgap::core::persistence::write_batch::{WriteOp, WriteOutcome};
 use cypressgap::core::state::cluster_state::Action;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +25,7 @@
             assert!(b.ops.len() <= 24 && b.conditions.len() <= 4 * 24);
             w.revision += 1;
             let revision = w.revision;
-            w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+            w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
         }
     }
     assert!(w.c.jobs[&JobId::from("wk-000001")].active.len() > 1000);
@@ -45,7 +45,7 @@
     }
     let first = w.batch().expect("the end is recorded");
     assert_eq!(first.ops.len(), 1, "the verdict at once");
-    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 200 });
+    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 200 });
     let mut removed = 0;
     let start = w.now;
     // With the place in the index.
@@ -54,7 +54,7 @@
         let batch = w.batch().expect("the rest follows");
         assert!(batch.ops.len() <= 4);
         removed += batch.ops.len();
-        w.c.on_batch(w.now, BatchOutcome::Applied { revision: 201 });
+        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 201 });
     }
     assert!(w.now - start >= std::time::Duration::from_secs(3));
 }
@@ -96,17 +96,20 @@
     let first = w.batch().expect("what there is room for");
     assert_eq!(first.ops.len(), 3);
     let old = chunk_key(&"wk-000001".into(), 0);
-    assert!(!first.conditions.iter().any(|c| c.0 == old), "endings wait");
-    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 400 });
+    assert!(
+        !first.conditions.iter().any(|c| c.key == old),
+        "endings wait"
+    );
+    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 400 });
     w.c.allow(24);
     let rest = w.batch().expect("the rest");
-    assert!(rest.conditions.iter().any(|c| c.0 == old));
+    assert!(rest.conditions.iter().any(|c| c.key == old));
 }
 
 #[test]
 fn a_chunk_of_intents_fits_into_small_values() {
     for (bytes, room) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
-        assert_eq!(chunk_room(bytes), room, "{bytes}");
+        assert_eq!(attempts_per_chunk(bytes), room, "{bytes}");
     }
     let mut p = config();
     p.value_bytes = 2048;
@@ -154,7 +157,7 @@
                         w.c.on_sent(w.now, &machine, None);
                     }
                     Action::Store(batch) => {
-                        let too_long = |o: &Op| matches!(o, Op::Put(_, Value::Chunk(c)) if c.active.len() > most_attempts);
+                        let too_long = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::Chunk(c)) if c.active.len() > most_attempts);
                         let outcome =
                             if batch.ops.len() > most_ops || batch.ops.iter().any(too_long) {
                                 assert!(
@@ -162,14 +165,14 @@
                                     "sent again as it was: {most_ops} {most_attempts}"
                                 );
                                 refused.push(batch.ops);
-                                BatchOutcome::Refused
+                                WriteOutcome::Refused
                             } else {
                                 w.revision += 1;
-                                BatchOutcome::Applied {
+                                WriteOutcome::Applied {
                                     revision: w.revision,
                                 }
                             };
-                        w.c.on_batch(w.now, outcome);
+                        w.c.on_write_outcome(w.now, outcome);
                     }
                     _ => {}
                 }
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -2,7 +2,9 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{job_key, BatchOutcome, JobOutcome};
+use cypressgap::core::persistence::keys::outcome_key;
+use cypressgap::core::persistence::records::JobOutcome;
+use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOutcome};
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
 
 #[test]
@@ -222,9 +224,9 @@
     );
     w.heartbeat("i-1", 5, vec![done]);
     let batch = w.batch().unwrap();
-    let condition = (job_key(&"wk-000001".into()), 0);
+    let condition = KeyCondition::absent(outcome_key(&"wk-000001".into()));
     assert!(batch.conditions.contains(&condition));
     assert_eq!(batch.ops.len(), 1, "its place in the index goes later");
-    w.c.on_batch(w.now, BatchOutcome::Applied { revision: 300 });
+    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 300 });
     assert!(w.c.jobs.is_empty());
 }
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::persistence::write_batch::{WriteBatch, WriteOutcome};
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
 use std::time::{Duration, Instant};
 
@@ -43,13 +43,13 @@
     },
     /// A transaction reaches the store. `leader`: who waits for the answer, if anybody.
     Write {
-        batch: Batch,
+        batch: WriteBatch,
         leader: Option<u64>,
         answer_delay: Duration,
     },
     WriteAnswered {
         leader: u64,
-        outcome: BatchOutcome,
+        outcome: WriteOutcome,
     },
     RentalAnswered {
         leader: u64,
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -2,7 +2,7 @@
 
 use super::worker::Worker;
 use cypressgap::core::model::{JobId, MachineId, Resources, TaskId, Team, TeamName, Zone};
-use cypressgap::core::persistence::ledger::JobOutcome;
+use cypressgap::core::persistence::records::JobOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -6,7 +6,7 @@
 use super::{ms, Simulation};
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{Batch, BatchOutcome};
+use cypressgap::core::persistence::write_batch::{LeaderKeyStatus, WriteBatch, WriteOutcome};
 use cypressgap::core::state::cluster_state::{Action, CancelSource, ClusterState};
 use rand::Rng;
 use std::time::{Duration, Instant, SystemTime};
@@ -192,7 +192,7 @@
     }
 
     /// Sends a transaction to the store. It may be lost, late, or applied without an answer.
-    pub(super) fn write(&mut self, id: u64, batch: Batch) {
+    pub(super) fn write(&mut self, id: u64, batch: WriteBatch) {
         let cut = self
             .leader(id)
             .is_some_and(|l| l.partitioned_since.is_some());
@@ -212,7 +212,7 @@
         }
         let unanswered = Event::WriteAnswered {
             leader: id,
-            outcome: BatchOutcome::Unknown,
+            outcome: WriteOutcome::Unknown,
         };
         self.schedule(ms(1500), unanswered);
         if cut || (lost && !carried_out) {
@@ -279,7 +279,7 @@
     /// A transaction reaches the store.
     pub(super) fn apply_write(
         &mut self,
-        batch: &Batch,
+        batch: &WriteBatch,
         leader: Option<u64>,
         answer_delay: Duration,
     ) {
@@ -290,13 +290,13 @@
     }
 
     /// The outcome of a transaction; it may show that the leader was replaced.
-    pub(super) fn write_answered(&mut self, leader: u64, outcome: BatchOutcome) {
+    pub(super) fn write_answered(&mut self, leader: u64, outcome: WriteOutcome) {
         let now = self.now;
-        let lost = match self.leader(leader) {
-            Some(writer) => writer.cluster.on_batch(now, outcome),
-            None => false,
+        let status = match self.leader(leader) {
+            Some(writer) => writer.cluster.on_write_outcome(now, outcome),
+            None => LeaderKeyStatus::Held,
         };
-        if lost {
+        if status == LeaderKeyStatus::Lost {
             self.depose(leader);
         }
     }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,8 +1,10 @@
 //! The key-value store of a simulation: keys with revisions, compare-and-swap transactions, a log of changes.
 
 use cypressgap::core::model::{JobId, JobSpec};
-use cypressgap::core::persistence::ledger::{
-    self, parse_chunk_key, Batch, BatchOutcome, ChunkValue, JobOutcome, Op, Value,
+use cypressgap::core::persistence::keys::{self, parse_chunk_key};
+use cypressgap::core::persistence::records::{ChunkValue, JobOutcome, RecordValue};
+use cypressgap::core::persistence::write_batch::{
+    ConflictingKey, WriteBatch, WriteOp, WriteOutcome,
 };
 use cypressgap::core::reconciliation::state_loading::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
@@ -47,7 +49,7 @@
         let queued = match &value {
             StoredValue::Job(spec) => Some(Queued::Job(spec.clone(), self.revision)),
             StoredValue::CancelMark => key
-                .strip_prefix(ledger::CANCEL_MARK_PREFIX)
+                .strip_prefix(keys::CANCEL_MARK_PREFIX)
                 .and_then(JobId::parse)
                 .map(Queued::Cancelled),
             _ => None,
@@ -60,7 +62,7 @@
     /// Writes the leader key. Returns its revision.
     pub fn take_leadership(&mut self) -> u64 {
         self.revision += 1;
-        self.put(ledger::LEADER_KEY.to_owned(), StoredValue::Leader);
+        self.put(keys::LEADER_KEY.to_owned(), StoredValue::Leader);
         self.revision
     }
 
@@ -68,13 +70,13 @@
     pub fn accept(&mut self, spec: JobSpec) -> bool {
         let cancelled = |job_id: &JobId| self.outcome(job_id) == Some(JobOutcome::Cancelled);
         if spec.dependencies.iter().any(cancelled)
-            || self.revision_of(&ledger::live_key(&spec.job_id)) > 0
+            || self.revision_of(&keys::live_job_key(&spec.job_id)) > 0
         {
             return false;
         }
         self.revision += 1;
         self.put(
-            ledger::live_key(&spec.job_id),
+            keys::live_job_key(&spec.job_id),
             StoredValue::Job(Box::new(spec)),
         );
         true
@@ -87,50 +89,52 @@
         }
         self.revision += 1;
         self.put(
-            ledger::job_key(job_id),
+            keys::outcome_key(job_id),
             StoredValue::JobOutcome(JobOutcome::Cancelled),
         );
-        self.put(ledger::cancel_mark_key(job_id), StoredValue::CancelMark);
+        self.put(keys::cancel_mark_key(job_id), StoredValue::CancelMark);
         true
     }
 
     pub fn outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
-        match self.keys.get(&ledger::job_key(job_id)) {
+        match self.keys.get(&keys::outcome_key(job_id)) {
             Some((StoredValue::JobOutcome(outcome), _)) => Some(*outcome),
             _ => None,
         }
     }
 
     /// Applies a leader's transaction if its conditions hold.
-    pub fn apply(&mut self, batch: &Batch) -> BatchOutcome {
+    pub fn apply(&mut self, batch: &WriteBatch) -> WriteOutcome {
         let failed = batch
             .conditions
             .iter()
-            .filter(|(k, s)| self.revision_of(k) != *s);
-        let found: Vec<_> = failed
-            .map(|(key, _)| (key.clone(), self.revision_of(key), self.outcome_at(key)))
+            .filter(|condition| self.revision_of(&condition.key) != condition.revision);
+        let conflicts: Vec<ConflictingKey> = failed
+            .map(|condition| ConflictingKey {
+                key: condition.key.clone(),
+                revision: self.revision_of(&condition.key),
+                outcome: self.outcome_at(&condition.key),
+            })
             .collect();
-        if !found.is_empty() {
-            return BatchOutcome::Failed { found };
+        if !conflicts.is_empty() {
+            return WriteOutcome::Failed { conflicts };
         }
         self.revision += 1;
         for op in &batch.ops {
             match op {
-                Op::Put(key, value) => self.put(key.clone(), stored(value)),
-                Op::Delete(key) => {
+                WriteOp::Put(key, value) => self.put(key.clone(), stored(value)),
+                WriteOp::Delete(key) => {
                     self.keys.remove(key);
                 }
             }
         }
-        BatchOutcome::Applied {
+        WriteOutcome::Applied {
             revision: self.revision,
         }
     }
 
     fn outcome_at(&self, key: &str) -> Option<JobOutcome> {
-        let job_id = key
-            .strip_prefix(ledger::OUTCOME_PREFIX)
-            .and_then(JobId::parse);
+        let job_id = keys::parse_outcome_key(key);
         job_id.and_then(|job_id| self.outcome(&job_id))
     }
 
@@ -162,7 +166,7 @@
                     });
                 }
                 StoredValue::CancelMark => {
-                    let job_id = key.strip_prefix(ledger::CANCEL_MARK_PREFIX);
+                    let job_id = key.strip_prefix(keys::CANCEL_MARK_PREFIX);
                     snapshot.cancel_marks.extend(job_id.and_then(JobId::parse));
                 }
                 StoredValue::JobOutcome(_) | StoredValue::Leader | StoredValue::Other => {}
@@ -174,7 +178,7 @@
                 snapshot.over.insert(job_id.clone(), outcome);
             }
             for needed in &job.spec.dependencies {
-                if self.revision_of(&ledger::live_key(needed)) == 0 {
+                if self.revision_of(&keys::live_job_key(needed)) == 0 {
                     let outcome = self.outcome(needed).unwrap_or(JobOutcome::Live);
                     snapshot.ends.push((needed.clone(), outcome));
                 }
@@ -184,10 +188,10 @@
     }
 }
 
-fn stored(value: &Value) -> StoredValue {
+fn stored(value: &RecordValue) -> StoredValue {
     match value {
-        Value::Chunk(chunk) => StoredValue::Chunk(chunk.clone()),
-        Value::JobOutcome(outcome) => StoredValue::JobOutcome(*outcome),
-        Value::History(_) => StoredValue::Other,
+        RecordValue::Chunk(chunk) => StoredValue::Chunk(chunk.clone()),
+        RecordValue::JobOutcome(outcome) => StoredValue::JobOutcome(*outcome),
+        RecordValue::History(_) => StoredValue::Other,
     }
 }
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -8,7 +8,9 @@
 use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::job_status_reads::Records;
-use cypressgap::core::persistence::ledger::{self, Batch, JobOutcome, Op, Value};
+use cypressgap::core::persistence::keys;
+use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
+use cypressgap::core::persistence::write_batch::{KeyCondition, WriteBatch, WriteOp};
 use cypressgap::net::agent;
 use cypressgap::net::cloud::{CloudClient, MachinePage};
 use cypressgap::net::http_client::{HttpClient, HttpClientConfig};
@@ -97,26 +99,29 @@
             key: "q/w/wk-000412",
         },
     ];
-    let conditions = [("ctl/leader".to_owned(), 50), ("j/wk-000412".to_owned(), 0)];
+    let conditions = [
+        KeyCondition::at_revision("ctl/leader", 50),
+        KeyCondition::absent("j/wk-000412"),
+    ];
     store.transaction(&conditions, changes, RequestClass::User, LIMIT)
 }
 
 fn conditions_alone(store: &KvStore) -> Result<TransactionOutcome, StoreError> {
-    let conditions = [("j/wk-000412".to_owned(), 0)];
+    let conditions = [KeyCondition::absent("j/wk-000412")];
     store.transaction(&conditions, vec![], RequestClass::User, LIMIT)
 }
 
-fn batch() -> Batch {
+fn batch() -> WriteBatch {
     let job_id = job_id();
-    Batch {
-        conditions: vec![("ctl/leader".into(), 50)],
+    WriteBatch {
+        conditions: vec![KeyCondition::at_revision("ctl/leader", 50)],
         ops: vec![
-            Op::Put(ledger::chunk_key(&job_id, 0), Value::Chunk(chunk())),
-            Op::Put(
-                ledger::job_key(&job_id),
-                Value::JobOutcome(JobOutcome::Done),
+            WriteOp::Put(keys::chunk_key(&job_id, 0), RecordValue::Chunk(chunk())),
+            WriteOp::Put(
+                keys::outcome_key(&job_id),
+                RecordValue::JobOutcome(JobOutcome::Done),
             ),
-            Op::Delete(ledger::live_key(&job_id)),
+            WriteOp::Delete(keys::live_job_key(&job_id)),
         ],
     }
 }
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -4,7 +4,10 @@
 use crate::golden::{read, Golden};
 use crate::values::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{self, ChunkValue, JobOutcome, Value};
+use cypressgap::core::persistence::keys;
+use cypressgap::core::persistence::records::{
+    ChunkValue, JobOutcome, RecordValue, TASKS_PER_CHUNK,
+};
 use cypressgap::core::placement::history::{History, HistorySummary};
 use cypressgap::core::state::cluster_state::Action;
 use cypressgap::net::store::StoredValue;
@@ -31,14 +34,14 @@
         ("verdict cancelled", JobOutcome::Cancelled),
     ];
     for (name, outcome) in outcomes {
-        let write = |v: &JobOutcome| encode(&StoredValue::from(&Value::JobOutcome(*v)));
+        let write = |v: &JobOutcome| encode(&StoredValue::from(&RecordValue::JobOutcome(*v)));
         golden.both(name, outcome, write, |b| {
             JobOutcome::try_from(&read::<StoredOutcome>(b)).expect("a verdict")
         });
     }
-    let write = |c: &ChunkValue| encode(&StoredValue::from(&Value::Chunk(c.clone())));
+    let write = |c: &ChunkValue| encode(&StoredValue::from(&RecordValue::Chunk(c.clone())));
     golden.both("chunk", chunk(), write, |b| read::<StoredChunk>(b).into());
-    let write = |s: &HistorySummary| encode(&StoredValue::from(&Value::History(s.clone())));
+    let write = |s: &HistorySummary| encode(&StoredValue::from(&RecordValue::History(s.clone())));
     golden.both("history", summary(), write, |b| {
         read::<StoredHistory>(b).into()
     });
@@ -80,28 +83,28 @@
 fn keys_of_the_state_service() {
     let job_id = job_id();
     let keys = [
-        (ledger::live_key(&job_id), "q/l/wk-000412"),
-        (ledger::cancel_mark_key(&job_id), "q/w/wk-000412"),
-        (ledger::job_key(&job_id), "j/wk-000412"),
-        (ledger::chunk_key(&job_id, 12), "i/wk-000412/12"),
-        (ledger::dependents_key(&job_id), "d/wk-000412"),
-        (ledger::LEADER_KEY.into(), "ctl/leader"),
-        (ledger::TERM_KEY.into(), "ctl/term"),
-        (ledger::TYPES_KEY.into(), "ctl/types"),
-        (ledger::HISTORY_KEY.into(), "h/summary"),
-        (ledger::CONTROL_PREFIX.into(), "ctl/"),
-        (ledger::QUEUE_PREFIX.into(), "q/"),
-        (ledger::LIVE_PREFIX.into(), "q/l/"),
-        (ledger::CANCEL_MARK_PREFIX.into(), "q/w/"),
-        (ledger::OUTCOME_PREFIX.into(), "j/"),
-        (ledger::INTENT_PREFIX.into(), "i/"),
-        (ledger::DEPENDENTS_PREFIX.into(), "d/"),
+        (keys::live_job_key(&job_id), "q/l/wk-000412"),
+        (keys::cancel_mark_key(&job_id), "q/w/wk-000412"),
+        (keys::outcome_key(&job_id), "j/wk-000412"),
+        (keys::chunk_key(&job_id, 12), "i/wk-000412/12"),
+        (keys::dependents_key(&job_id), "d/wk-000412"),
+        (keys::LEADER_KEY.into(), "ctl/leader"),
+        (keys::TERM_KEY.into(), "ctl/term"),
+        (keys::MACHINE_TYPES_KEY.into(), "ctl/types"),
+        (keys::HISTORY_KEY.into(), "h/summary"),
+        (keys::CONTROL_PREFIX.into(), "ctl/"),
+        (keys::QUEUE_PREFIX.into(), "q/"),
+        (keys::LIVE_JOB_PREFIX.into(), "q/l/"),
+        (keys::CANCEL_MARK_PREFIX.into(), "q/w/"),
+        (keys::OUTCOME_PREFIX.into(), "j/"),
+        (keys::INTENT_PREFIX.into(), "i/"),
+        (keys::DEPENDENTS_PREFIX.into(), "d/"),
     ];
     for (key, golden) in keys {
         assert_eq!(key, golden);
     }
-    assert_eq!(ledger::CHUNK, 64);
-    let chunk = ledger::parse_chunk_key("i/wk-000412/12");
+    assert_eq!(TASKS_PER_CHUNK, 64);
+    let chunk = keys::parse_chunk_key("i/wk-000412/12");
     assert_eq!(chunk, Some((job_id, 12)));
     assert_eq!(TaskId::parse("wk-000412/7"), Some(task(7)));
     assert_eq!(task(7).to_string(), "wk-000412/7");
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -1,7 +1,7 @@
 //! One builder for each type whose values are stored or sent.
 
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::ChunkValue;
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::placement::history::HistorySummary;
 use cypressgap::net::peer::{Hello, HelloExtension};
 use std::time::Duration;
@@ -92,7 +92,8 @@
 
 /// Tasks of the job, the last one of the chunk done.
 pub fn chunk() -> ChunkValue {
-    let active = |index: u32, machine: &str| (index, attempt(index.into()), machine.into());
+    let active =
+        |index: u32, machine: &str| Intent::new(index, attempt(index.into()), machine.into());
     ChunkValue {
         done: 1 << 63 | 5,
         active: vec![active(1, "i-000231"), active(3, "i-000232")],
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -5,7 +5,8 @@
 
 use common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::ledger::{BatchOutcome, ChunkValue};
+use cypressgap::core::persistence::records::{ChunkValue, Intent};
+use cypressgap::core::persistence::write_batch::WriteOutcome;
 use cypressgap::core::placement::zone_constraints::{permits, ZoneUse};
 use cypressgap::core::state::cluster_state::Action;
 use std::collections::{BTreeMap, BTreeSet};
@@ -187,7 +188,7 @@
                     Action::Store(_) => {
                         w.revision += 1;
                         let revision = w.revision;
-                        w.c.on_batch(w.now, BatchOutcome::Applied { revision });
+                        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
                     }
                     Action::Send {
                         machine, commands, ..
@@ -294,8 +295,8 @@
         let mut w = two_zones(32.0);
         w.job(tied("wk-000001", 3, same_place));
         let active = vec![
-            (0, AttemptId(100), MachineId::from("i-9")),
-            (1, AttemptId(101), MachineId::from("i-9")),
+            Intent::new(0, AttemptId(100), MachineId::from("i-9")),
+            Intent::new(1, AttemptId(101), MachineId::from("i-9")),
         ];
         let value = ChunkValue { done: 0, active };
         w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
