--- a/src/net/store/budget.rs
+++ b/src/net/store/budget/mod.rs
@@ -8,16 +8,16 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+mod refusals;
+mod usage;
+
+use refusals::Refusals;
+use usage::Usage;
+
 /// The leader's part of all requests. The rest is the users', node by node.
 const LEADER_REQUESTS: f64 = 0.4;
 /// Bursts of one second's worth are allowed; a little less allows for the clocks.
 const BURST_S: f64 = 0.9;
-/// So many refusals within [`REFUSAL_WINDOW`] show that the announced rates are in force.
-const REFUSALS_TO_REDUCE: u32 = 3;
-const REFUSAL_WINDOW: Duration = Duration::from_secs(10);
-/// Refusals that follow each other sooner have one cause, such as calls that an interruption held back
-/// and let go together.
-const MIN_REFUSAL_INTERVAL: Duration = Duration::from_millis(500);
 /// The part of the store's changes a second that is distributed among the nodes.
 const DISTRIBUTED_CHANGES: f64 = 0.97;
 /// The part of a node's requests that status queries leave to submissions and cancellations.
@@ -63,73 +63,6 @@
     }
 }
 
-/// Refusals for the rate by the store itself, and whether they showed the reduced rates to be in force.
-#[derive(Default)]
-struct Refusals {
-    count: u32,
-    window_start: Option<Instant>,
-    last_counted: Option<Instant>,
-    rates_reduced: bool,
-}
-
-impl Refusals {
-    /// Counts a refusal. True: there were enough of them to show that the reduced rates are in force.
-    fn record(&mut self, now: Instant) -> bool {
-        let since = |t: Instant| now.saturating_duration_since(t);
-        if self
-            .last_counted
-            .is_some_and(|t| since(t) < MIN_REFUSAL_INTERVAL)
-        {
-            return false;
-        }
-        self.last_counted = Some(now);
-        if self.window_start.is_none_or(|t| since(t) >= REFUSAL_WINDOW) {
-            (self.count, self.window_start) = (0, Some(now));
-        }
-        self.count += 1;
-        self.count >= REFUSALS_TO_REDUCE && !self.rates_reduced
-    }
-}
-
-/// Changes asked for since the last rebalancing, and the demand a second before that.
-struct Usage {
-    users: usize,
-    leader: usize,
-    since: Instant,
-    demand: Demand,
-}
-
-impl Usage {
-    fn new(now: Instant) -> Usage {
-        Usage {
-            users: 0,
-            leader: 0,
-            since: now,
-            demand: Demand::default(),
-        }
-    }
-
-    fn record(&mut self, class: RequestClass, changes: usize) {
-        match class {
-            RequestClass::User => self.users += changes,
-            RequestClass::Leader => self.leader += changes,
-        }
-    }
-
-    /// The mean of the demand before and the usage of the last `elapsed` seconds; after a pause only the
-    /// latter counts. Starts to count anew.
-    fn update_demand(&mut self, elapsed: f64, max_changes: f64, now: Instant) -> Demand {
-        let weight = (elapsed / 2.0).clamp(0.5, 1.0);
-        let mean = |old: f64, count: usize| old + (count as f64 / elapsed - old) * weight;
-        self.demand = Demand {
-            users: mean(self.demand.users, self.users).min(max_changes),
-            leader: mean(self.demand.leader, self.leader).min(max_changes),
-        };
-        (self.users, self.leader, self.since) = (0, 0, now);
-        self.demand
-    }
-}
-
 impl StoreBudget {
     /// This node's part of the store's rates. Only one controller leads, so each holds the leader's part
     /// ready.
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -49,8 +49,10 @@
     /// A task that cannot be read makes the whole heartbeat invalid: leaving it out would look like proof
     /// that it is gone.
     fn try_from(wire: WireHeartbeat) -> Result<Heartbeat, InvalidField> {
-        let tasks: Result<Vec<TaskStatus>, InvalidField> =
-            wire.tasks.into_iter().map(TaskStatus::try_from).collect();
+        let mut tasks = Vec::with_capacity(wire.tasks.len());
+        for task in wire.tasks {
+            tasks.push(TaskStatus::try_from(task)?);
+        }
         let eviction = wire
             .eviction_s
             .map(|seconds| duration(seconds.max(0.0), "EvictionS"))
@@ -65,7 +67,7 @@
             serial: wire.serial,
             token: FencingToken(wire.token),
             eviction,
-            tasks: tasks?,
+            tasks,
         })
     }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -45,11 +45,11 @@
         if file.member.is_empty() {
             return Err(checks.error("member", "is empty"));
         }
-        checks.deployment(&file.deployment)?;
-        let next = checks.next_store_limits(&file.deployment.store)?;
-        let teams = checks.teams(&file.deployment.teams)?;
-        let peers = checks.peers(&file.peers)?;
-        checks.lease(&file.deployment.workers)?;
+        checks.check_deployment(&file.deployment)?;
+        let next = checks.combine_store_limits(&file.deployment.store)?;
+        let teams = checks.convert_teams(&file.deployment.teams)?;
+        let peers = checks.convert_peers(&file.peers)?;
+        checks.check_lease(&file.deployment.workers)?;
         let deployment = &file.deployment;
         Ok(Settings {
             member: file.member,
@@ -86,7 +86,7 @@
 }
 
 impl Checks<'_> {
-    fn deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
+    fn check_deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
         if !(0.0..=MAX_SKEW_MS).contains(&deployment.skew_ms) {
             return Err(self.error("deployment.skew_ms", "must be from 0 to 60000"));
         }
@@ -114,7 +114,10 @@
 
     /// Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
     /// announced ones are in force.
-    fn next_store_limits(&self, store: &StoreLimits) -> Result<CombinedStoreLimits, SettingsError> {
+    fn combine_store_limits(
+        &self,
+        store: &StoreLimits,
+    ) -> Result<CombinedStoreLimits, SettingsError> {
         let Some(next) = &store.next else {
             let (value_kb, txn_ops) = (store.value_kb, store.txn_ops);
             return Ok(CombinedStoreLimits {
@@ -167,11 +170,14 @@
         })
     }
 
-    fn teams(&self, entries: &[TeamEntry]) -> Result<Vec<Team>, SettingsError> {
-        entries.iter().map(|entry| self.team(entry)).collect()
+    fn convert_teams(&self, entries: &[TeamEntry]) -> Result<Vec<Team>, SettingsError> {
+        entries
+            .iter()
+            .map(|entry| self.convert_team(entry))
+            .collect()
     }
 
-    fn team(&self, entry: &TeamEntry) -> Result<Team, SettingsError> {
+    fn convert_team(&self, entry: &TeamEntry) -> Result<Team, SettingsError> {
         let amount = |field: &str, value: f64| {
             let field = format!("deployment.teams.{field} of {}", entry.name);
             self.optional_amount(&field, value)
@@ -185,7 +191,7 @@
         })
     }
 
-    fn peers(&self, entries: &[PeerEntry]) -> Result<Vec<PeerAddress>, SettingsError> {
+    fn convert_peers(&self, entries: &[PeerEntry]) -> Result<Vec<PeerAddress>, SettingsError> {
         let peer = |entry: &PeerEntry| {
             let field = format!("seeds address of {}", entry.member);
             Ok(PeerAddress {
@@ -196,7 +202,7 @@
         entries.iter().map(peer).collect()
     }
 
-    fn lease(&self, workers: &WorkerTimes) -> Result<(), SettingsError> {
+    fn check_lease(&self, workers: &WorkerTimes) -> Result<(), SettingsError> {
         if workers.lease_s < workers.heartbeat_s * MIN_HEARTBEATS_PER_LEASE {
             let problem = format!("{} is below 2.5 times report_s", workers.lease_s);
             return Err(self.error("deployment.workers.lease_s", problem));
