--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -1,6 +1,6 @@
 //! Client of the consensus-backed key-value store, within the rates that are this node's part.
 //!
-//! Invariants: a call that may have been executed without an answer is reported as
+//! Invariants: a transaction that may have been executed without an answer is reported as
 //! [`StoreError::Unknown`], never as failed; each call takes its part of the rate before it is sent, and
 //! is not sent without it.
 //!
