--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -38,6 +38,15 @@
     Recorded,
 }
 
+/// Whether a heartbeat was certainly sent after the term began.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum HeartbeatOrigin {
+    /// It shows this term's token, or its machine did not exist before.
+    ThisTerm,
+    /// It may be a late copy of one that was sent to an earlier leader.
+    PossiblyEarlier,
+}
+
 impl AttemptState {
     /// All states, in the order of the table.
     pub const ALL: [AttemptState; 6] = [
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -4,7 +4,7 @@
 //! it was launched again, it ended, or it was proved gone. Attempts that the term itself decides on never
 //! enter.
 
-use crate::attempt_state::{AttemptState, Evidence};
+use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use cypressgap_model::{AttemptId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
@@ -78,22 +78,18 @@
         (recorded.attempt == attempt).then_some(recorded.state)
     }
 
-    /// A report of a machine. `shows`: whether it lists an attempt; `current`: it shows this term's token.
-    /// Returns how many attempts became certain by it.
+    /// Applies a heartbeat of a machine. `lists`: whether the heartbeat lists an attempt. Returns how many
+    /// attempts were settled by it.
     pub fn observe_heartbeat(
         &mut self,
         machine: &MachineId,
-        current: bool,
-        shows: impl Fn(&TaskId, AttemptId) -> bool,
+        origin: HeartbeatOrigin,
+        lists: impl Fn(&TaskId, AttemptId) -> bool,
     ) -> usize {
-        self.observe(machine, |task, attempt| {
-            if shows(task, attempt) {
-                Evidence::Shown
-            } else if current {
-                Evidence::NotShown
-            } else {
-                Evidence::NotShownEarlier
-            }
+        self.observe(machine, |task, attempt| match origin {
+            _ if lists(task, attempt) => Evidence::Shown,
+            HeartbeatOrigin::ThisTerm => Evidence::NotShown,
+            HeartbeatOrigin::PossiblyEarlier => Evidence::NotShownEarlier,
         })
     }
 
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -2,7 +2,7 @@
 //!
 //! With nothing to reconcile it is over from the beginning, and every question is answered at once.
 
-use crate::attempt_state::{AttemptState, Evidence};
+use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use crate::orders::{Order, OrderKind, OrderPacer};
 use crate::pacing::{OrderClass, RentalPace};
 use crate::progress::{Progress, Remaining, TakeoverPhase, TakeoverSummary};
@@ -82,20 +82,20 @@
 
     // --- evidence ---
 
-    /// A report. `current`: it shows this term's token.
+    /// Applies a heartbeat. `lists`: whether the heartbeat lists an attempt.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
         machine: &MachineId,
-        current: bool,
-        shows: impl Fn(&TaskId, AttemptId) -> bool,
+        origin: HeartbeatOrigin,
+        lists: impl Fn(&TaskId, AttemptId) -> bool,
     ) {
         if self.reconciliation.is_empty() {
             return;
         }
         let settled = self
             .reconciliation
-            .observe_heartbeat(machine, current, shows);
+            .observe_heartbeat(machine, origin, lists);
         self.progress.settled(now, settled);
     }
 
@@ -144,13 +144,13 @@
         &mut self,
         now: Instant,
         machine: &MachineId,
-        current: bool,
+        origin: HeartbeatOrigin,
         jobs: BTreeSet<JobId>,
     ) -> Vec<JobId> {
         if jobs.is_empty() && self.unrecorded.is_empty() {
             return Vec::new();
         }
-        let new = self.unrecorded.shown(now, machine, current, jobs);
+        let new = self.unrecorded.shown(now, machine, origin, jobs);
         if !new.is_empty() {
             self.progress.reopen();
         }
@@ -162,8 +162,8 @@
         self.unrecorded.disposition(now, job_id)
     }
 
-    /// Jobs that the state service is to be asked about.
-    pub fn jobs_to_ask(&self) -> Vec<JobId> {
+    /// Jobs whose status is to be read from the key-value store.
+    pub fn jobs_to_look_up(&self) -> Vec<JobId> {
         self.unrecorded.to_ask().cloned().collect()
     }
 
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -6,6 +6,7 @@
 //! anything is done about it, and a read that failed decides nothing. Until the work is proved gone it
 //! holds its machine, and counts as work of any team, since its team is not known.
 
+use crate::attempt_state::HeartbeatOrigin;
 use cypressgap_model::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -87,8 +88,8 @@
 #[derive(Debug)]
 struct ShownWork {
     jobs: BTreeSet<JobId>,
-    /// By a report that shows this term's token: no late copy.
-    current: bool,
+    /// Of the heartbeat that listed them.
+    origin: HeartbeatOrigin,
 }
 
 /// All such work.
@@ -117,7 +118,7 @@
         &mut self,
         now: Instant,
         machine: &MachineId,
-        current: bool,
+        origin: HeartbeatOrigin,
         jobs: BTreeSet<JobId>,
     ) -> Vec<JobId> {
         let mut new = Vec::new();
@@ -130,9 +131,9 @@
         }
         self.machine_cleared(machine);
         if !jobs.is_empty() {
-            self.current_machines += usize::from(current);
+            self.current_machines += usize::from(origin == HeartbeatOrigin::ThisTerm);
             self.machines
-                .insert(machine.clone(), ShownWork { jobs, current });
+                .insert(machine.clone(), ShownWork { jobs, origin });
         }
         new
     }
@@ -142,7 +143,7 @@
         let Some(work) = self.machines.remove(machine) else {
             return;
         };
-        self.current_machines -= usize::from(work.current);
+        self.current_machines -= usize::from(work.origin == HeartbeatOrigin::ThisTerm);
         for job_id in work.jobs {
             self.machine_left_job(&job_id);
         }
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -1,6 +1,7 @@
 //! What is known of attempts: transitions, reconciliation by reports, and work that no record names.
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
+use cypressgap_recovery::attempt_state::HeartbeatOrigin::{PossiblyEarlier, ThisTerm};
 use cypressgap_recovery::attempt_state::{AttemptState, Evidence};
 use cypressgap_recovery::reconciliation::Reconciliation;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer, UnrecordedWork, DENIALS_APART};
@@ -62,12 +63,15 @@
     r.record("i-2".into(), task(3), attempt(7));
     let state = |r: &Reconciliation, index| r.state(&machine, &task(index), attempt(7));
     // A report from before the term settles what it shows, and nothing else.
-    assert_eq!(r.observe_heartbeat(&machine, false, |t, _| t.index == 0), 1);
+    assert_eq!(
+        r.observe_heartbeat(&machine, PossiblyEarlier, |t, _| t.index == 0),
+        1
+    );
     assert_eq!(state(&r, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&r, 1), Some(AttemptState::Unheard));
     // A machine that shows another attempt of the task does not show this one.
     let other = |t: &TaskId, a: AttemptId| t.index <= 1 && a == attempt(8);
-    assert_eq!(r.observe_heartbeat(&machine, true, other), 2);
+    assert_eq!(r.observe_heartbeat(&machine, ThisTerm, other), 2);
     assert_eq!(state(&r, 0), Some(AttemptState::Absent));
     assert_eq!(state(&r, 1), Some(AttemptState::Absent));
     assert_eq!(
@@ -132,7 +136,7 @@
         let job_id = JobId::from("wk-000009");
         let mut work = UnrecordedWork::new(Duration::from_secs(60));
         let jobs = BTreeSet::from([job_id.clone()]);
-        assert_eq!(work.shown(start, &"i-1".into(), true, jobs).len(), 1);
+        assert_eq!(work.shown(start, &"i-1".into(), ThisTerm, jobs).len(), 1);
         for (after, answer) in answers {
             work.answered(start + Duration::from_secs(*after), &job_id, *answer);
         }
@@ -150,9 +154,9 @@
     let job_id = JobId::from("wk-000009");
     let jobs = || BTreeSet::from([job_id.clone()]);
     let mut work = UnrecordedWork::new(Duration::from_secs(60));
-    assert_eq!(work.shown(now, &first, false, jobs()).len(), 1);
+    assert_eq!(work.shown(now, &first, PossiblyEarlier, jobs()).len(), 1);
     assert_eq!(
-        work.shown(now, &second, false, jobs()).len(),
+        work.shown(now, &second, PossiblyEarlier, jobs()).len(),
         0,
         "known by now"
     );
@@ -160,9 +164,9 @@
     // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
     work.answered(now, &job_id, StoreAnswer::Over);
     assert!(!work.may_use_any_team());
-    work.shown(now, &second, true, jobs());
+    work.shown(now, &second, ThisTerm, jobs());
     assert!(work.may_use_any_team(), "this is no late copy");
-    work.shown(now, &second, true, BTreeSet::new());
+    work.shown(now, &second, ThisTerm, BTreeSet::new());
     assert!(!work.may_use_any_team() && work.len() == 1);
     work.machine_cleared(&first);
     assert!(work.is_empty() && work.to_ask().next().is_none());
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -75,7 +75,6 @@
                 eviction: None,
                 tasks: Vec::new(),
             },
-            true,
         );
         assert!(matches!(answer, HeartbeatDecision::Accept { .. }));
     }
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -1,49 +1,68 @@
-//! What workers are told: launches and kills, with the answers to their reports or by direct commands.
+//! The commands that a machine has outstanding: launches and kills that it does not show to have taken.
+//!
+//! Invariants: a launch goes out only once its intent is durable, only while the leadership is confirmed,
+//! and, for an attempt of an earlier term, only once that attempt is proved absent. The token that goes
+//! with it is recorded with the attempt, so that a later token proves that no copy of the launch is
+//! accepted any more.
 
-use crate::core::model::{
-    AttemptId, FencingToken, Heartbeat, MachineId, Priority, TaskCommand, TaskId, TaskPhase, Term,
-};
+use crate::core::model::{FencingToken, MachineId, Priority, TaskCommand, TaskId, TaskPhase};
 use crate::core::reconciliation::launch_check::LaunchCheck;
-use crate::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
-use crate::core::state::cluster_state::{ActiveAttempt, KillRequest};
+use crate::core::reconciliation::listed_attempts::ListedAttempts;
+use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, KillRequest, Machine};
 use cypressgap_recovery::pacing::OrderClass;
-use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Most directives in one message: far below 64 KiB.
-pub(in crate::core) const MAX_COMMANDS: usize = 300;
+/// Commands in one message: far below the limit of 64 KiB.
+pub(super) const MAX_COMMANDS: usize = 300;
 
-/// The session of a machine that is written to, and the token that goes with it.
+/// What a command to a machine depends on.
 #[derive(Clone, Copy)]
-struct Session {
+struct CommandTarget {
     token: FencingToken,
     incarnation: u64,
-    /// It gets no more tasks.
+    /// The machine is about to go: it is given no more tasks.
     leaving: bool,
 }
 
+impl From<&Machine> for CommandTarget {
+    fn from(machine: &Machine) -> Self {
+        CommandTarget {
+            token: machine.token,
+            incarnation: machine.incarnation,
+            leaving: machine.returning || machine.eviction_at.is_some(),
+        }
+    }
+}
+
+/// The command that a task placed on a machine needs.
+enum CommandNeed {
+    Nothing,
+    Launch,
+    Kill(TaskCommand),
+}
+
 impl KillRequest {
-    /// How long a task may still save. Repeated without what has passed, so that repeats do not extend it.
-    fn left(&self, now: Instant) -> Duration {
+    /// What is left of the grace period. Repeated kills carry no more than this, so that they do not
+    /// extend it.
+    fn remaining_grace(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.since);
         self.grace_period.saturating_sub(passed)
     }
 }
 
 impl ActiveAttempt {
-    /// The command to end it, unless it is at that already. `shown`: its machine shows it, or it is not
-    /// known what the machine shows.
-    fn kill_command(&self, now: Instant, task: &TaskId, shown: bool) -> Option<TaskCommand> {
+    /// The command that ends the attempt. None: no end was requested, or it is under way.
+    fn kill_command(&self, now: Instant, task: &TaskId) -> Option<TaskCommand> {
         let kill = self.kill_request.as_ref()?;
-        let saving = self.observed_phase == Some(TaskPhase::Checkpointing);
-        if !shown || (saving && !kill.grace_period.is_zero()) {
+        let is_checkpointing = self.observed_phase == Some(TaskPhase::Checkpointing);
+        if is_checkpointing && !kill.grace_period.is_zero() {
             return None;
         }
         Some(TaskCommand::Kill {
             task: task.clone(),
             attempt: self.id,
-            grace_period: if saving {
-                kill.left(now)
+            grace_period: if is_checkpointing {
+                kill.remaining_grace(now)
             } else {
                 kill.grace_period
             },
@@ -52,62 +71,79 @@
 }
 
 impl ClusterState {
-    /// Launches and kills that this host has not shown to have taken. `listed`: what it shows now, if
-    /// that is known.
-    pub(in crate::core) fn commands(
+    /// Adds the launches and kills that a machine has not shown to have taken. `listed`: the attempts that
+    /// it shows now, if that is known.
+    pub(super) fn add_commands(
         &mut self,
         now: Instant,
-        machine: &MachineId,
-        listed: Option<&HashSet<(TaskId, AttemptId)>>,
-        out: &mut Vec<TaskCommand>,
+        machine_id: &MachineId,
+        listed: Option<&ListedAttempts>,
+        commands: &mut Vec<TaskCommand>,
     ) {
-        let Some(h) = self.fleet.machines.get(machine) else {
+        let Some(machine) = self.fleet.machines.get(machine_id) else {
             return;
         };
-        let session = Session {
-            token: h.token,
-            incarnation: h.incarnation,
-            leaving: h.returning || h.eviction_at.is_some(),
-        };
-        let tasks: Vec<TaskId> = h.placed_tasks.keys().cloned().collect();
+        let target = CommandTarget::from(machine);
+        let tasks: Vec<TaskId> = machine.placed_tasks.keys().cloned().collect();
         for task in tasks {
-            let job = self.jobs.get(&task.job_id);
-            let Some(a) = job.and_then(|j| j.active.get(&task.index)) else {
+            let Some(need) = self.command_need(now, &task, listed) else {
                 continue;
             };
-            // One that was adopted is there already.
-            if !a.durable && a.observed_phase.is_none() {
-                continue;
-            }
-            let known = match listed {
-                Some(l) => l.contains(&(task.clone(), a.id)),
-                None => a.observed_phase.is_some(),
-            };
-            let command = if a.kill_request.is_some() {
-                let kill = a.kill_command(now, &task, known || listed.is_none());
-                kill.filter(|kill| self.admit(now, machine, kill, self.kill_class(now, &task)))
-            } else if known {
-                None
-            } else {
-                self.launch_command(now, machine, &task, session)
+            let command = match need {
+                CommandNeed::Nothing => None,
+                CommandNeed::Launch => self.launch_command(now, machine_id, &task, target),
+                CommandNeed::Kill(kill) => {
+                    let class = self.kill_class(now, &task);
+                    self.admit(now, machine_id, &kill, class).then_some(kill)
+                }
             };
-            out.extend(command);
-            if out.len() >= MAX_COMMANDS {
+            commands.extend(command);
+            if commands.len() >= MAX_COMMANDS {
                 break;
             }
         }
     }
 
-    /// The command to start an attempt, if it may start now.
+    /// What a task placed on a machine needs now. None: its intent is not durable yet.
+    fn command_need(
+        &self,
+        now: Instant,
+        task: &TaskId,
+        listed: Option<&ListedAttempts>,
+    ) -> Option<CommandNeed> {
+        let job = self.jobs.get(&task.job_id)?;
+        let attempt = job.active.get(&task.index)?;
+        // An adopted attempt is on its machine before its record is durable.
+        if !attempt.durable && attempt.observed_phase.is_none() {
+            return None;
+        }
+        let is_shown = match listed {
+            Some(listed) => listed.contains(task, attempt.id),
+            None => attempt.observed_phase.is_some(),
+        };
+        if attempt.kill_request.is_none() {
+            return Some(if is_shown {
+                CommandNeed::Nothing
+            } else {
+                CommandNeed::Launch
+            });
+        }
+        // Without a heartbeat it is not known what the machine shows, and the kill goes out in any case.
+        let may_be_there = is_shown || listed.is_none();
+        let kill = attempt.kill_command(now, task).filter(|_| may_be_there);
+        Some(kill.map_or(CommandNeed::Nothing, CommandNeed::Kill))
+    }
+
+    /// The command that starts an attempt, if it may start now.
     fn launch_command(
         &mut self,
         now: Instant,
-        machine: &MachineId,
+        machine_id: &MachineId,
         task: &TaskId,
-        session: Session,
+        target: CommandTarget,
     ) -> Option<TaskCommand> {
-        // Without the state service the job may have been cancelled unheard.
-        if session.leaving
+        // While the leadership is not confirmed, a cancellation of the job may not be known here.
+        if target.leaving
             || !self.leadership.confirmed
             || self.launch_check(task) != LaunchCheck::Allowed
         {
@@ -119,7 +155,7 @@
         }
         let attempt = job.active.get(&task.index)?.id;
         // What an earlier term may have sent is launched again only once it is proved absent.
-        if !self.takeover.allows_launch(machine, task, attempt) {
+        if !self.takeover.allows_launch(machine_id, task, attempt) {
             return None;
         }
         let launch = TaskCommand::Launch {
@@ -131,96 +167,14 @@
         } else {
             OrderClass::Ordinary
         };
-        if !self.admit(now, machine, &launch, class) {
+        if !self.admit(now, machine_id, &launch, class) {
             return None;
         }
         let job = self.jobs.get_mut(&task.job_id)?;
-        let a = job.active.get_mut(&task.index)?;
-        a.launch_token = a.launch_token.max(session.token);
-        a.incarnation = Some(session.incarnation);
-        a.launch_sent_at.get_or_insert(now);
+        let attempt = job.active.get_mut(&task.index)?;
+        attempt.launch_token = attempt.launch_token.max(target.token);
+        attempt.incarnation = Some(target.incarnation);
+        attempt.launch_sent_at.get_or_insert(now);
         Some(launch)
     }
-
-    /// A direct command's answer, or None when there was none.
-    pub fn on_sent(
-        &mut self,
-        now: Instant,
-        machine: &MachineId,
-        heartbeat: Option<Heartbeat>,
-    ) -> Option<Term> {
-        if let Some(h) = self.fleet.machines.get_mut(machine) {
-            h.command_in_flight = false;
-        }
-        match heartbeat {
-            Some(r) if &r.machine == machine => match self.on_heartbeat(now, r, false) {
-                HeartbeatDecision::Superseded(t) => Some(t),
-                HeartbeatDecision::Accept { commands, .. } => {
-                    // Forgets can wait for the next report; launches and kills cannot.
-                    if commands
-                        .iter()
-                        .any(|d| !matches!(d, TaskCommand::Forget { .. }))
-                    {
-                        self.outbox.urgent_machines.insert(machine.clone());
-                    }
-                    None
-                }
-                HeartbeatDecision::Ignore | HeartbeatDecision::Withheld => None,
-            },
-            _ => None,
-        }
-    }
-
-    /// A launch still in flight would come after its kill: the raised token shuts it out.
-    fn fence_unseen_kills(&mut self, machine: &MachineId) {
-        let Some(h) = self.fleet.machines.get_mut(machine) else {
-            return;
-        };
-        let unseen = h.placed_tasks.keys().any(|t| {
-            let a = self
-                .jobs
-                .get(&t.job_id)
-                .and_then(|j| j.active.get(&t.index));
-            a.is_some_and(|a| a.durable && a.kill_request.is_some() && a.observed_phase.is_none())
-        });
-        if unseen {
-            h.token = h.token.next();
-        }
-    }
-
-    /// Direct commands to the hosts that have something to be told at once.
-    pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
-        for machine in std::mem::take(&mut self.outbox.urgent_machines) {
-            let Some(h) = self.fleet.machines.get(&machine) else {
-                continue;
-            };
-            if h.command_in_flight {
-                self.outbox.urgent_machines.insert(machine);
-                continue;
-            }
-            // A silent host would only hold a sender up: the next report carries the commands.
-            let silent =
-                now.saturating_duration_since(h.last_heartbeat_at) > self.config.heartbeat * 2;
-            if !h.has_reported || h.endpoint.is_empty() || silent {
-                continue;
-            }
-            self.fence_unseen_kills(&machine);
-            let mut commands = Vec::new();
-            self.commands(now, &machine, None, &mut commands);
-            if commands.is_empty() {
-                continue;
-            }
-            let Some(h) = self.fleet.machines.get_mut(&machine) else {
-                continue;
-            };
-            h.command_in_flight = true;
-            self.outbox.push(Action::Send {
-                machine: machine.clone(),
-                endpoint: h.endpoint.clone(),
-                token: h.token,
-                incarnation: h.incarnation,
-                commands,
-            });
-        }
-    }
 }
--- /dev/null
+++ b/src/core/reconciliation/direct_commands.rs
@@ -0,0 +1,100 @@
+//! Commands that are sent straight to a machine, without waiting for its next heartbeat.
+//!
+//! Invariant: the kill of an attempt that its machine has not shown yet goes out under a raised token, so
+//! that a launch which is still in flight is not accepted after it.
+
+use crate::core::model::{Heartbeat, MachineId, TaskCommand, Term};
+use crate::core::reconciliation::heartbeats::StatusSource;
+use crate::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
+use std::time::Instant;
+
+/// A machine that misses this many heartbeats is sent nothing: it would only hold a sender up, and the
+/// answer to its next heartbeat carries the commands.
+const MAX_MISSED_HEARTBEATS: u32 = 2;
+
+impl ClusterState {
+    /// Applies the response to a direct command; None: there was none. Returns the term of the leader that
+    /// the machine follows, if it is higher than this one.
+    pub fn on_command_response(
+        &mut self,
+        now: Instant,
+        machine_id: &MachineId,
+        response: Option<Heartbeat>,
+    ) -> Option<Term> {
+        if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
+            machine.command_in_flight = false;
+        }
+        let status = response.filter(|status| &status.machine == machine_id)?;
+        match self.on_worker_status(now, &status, StatusSource::CommandResponse) {
+            HeartbeatDecision::Superseded(term) => Some(term),
+            HeartbeatDecision::Accept { commands, .. } => {
+                // Forgets can wait for the next heartbeat; launches and kills cannot.
+                let is_urgent =
+                    |command: &TaskCommand| !matches!(command, TaskCommand::Forget { .. });
+                if commands.iter().any(is_urgent) {
+                    self.outbox.urgent_machines.insert(machine_id.clone());
+                }
+                None
+            }
+            HeartbeatDecision::Ignore | HeartbeatDecision::Withheld => None,
+        }
+    }
+
+    /// Sends direct commands to the machines that have urgent ones outstanding.
+    pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
+        for machine_id in std::mem::take(&mut self.outbox.urgent_machines) {
+            self.send_direct_commands(now, machine_id);
+        }
+    }
+
+    fn send_direct_commands(&mut self, now: Instant, machine_id: MachineId) {
+        let Some(machine) = self.fleet.machines.get(&machine_id) else {
+            return;
+        };
+        if machine.command_in_flight {
+            self.outbox.urgent_machines.insert(machine_id);
+            return;
+        }
+        let silence = now.saturating_duration_since(machine.last_heartbeat_at);
+        let is_silent = silence > self.config.heartbeat * MAX_MISSED_HEARTBEATS;
+        if !machine.has_reported || machine.endpoint.is_empty() || is_silent {
+            return;
+        }
+        self.fence_unseen_kills(&machine_id);
+        let mut commands = Vec::new();
+        self.add_commands(now, &machine_id, None, &mut commands);
+        if commands.is_empty() {
+            return;
+        }
+        let Some(machine) = self.fleet.machines.get_mut(&machine_id) else {
+            return;
+        };
+        machine.command_in_flight = true;
+        self.outbox.push(Action::Send {
+            machine: machine_id,
+            endpoint: machine.endpoint.clone(),
+            token: machine.token,
+            incarnation: machine.incarnation,
+            commands,
+        });
+    }
+
+    /// Raises the token of a machine if some attempt on it is to be killed that it has not shown yet.
+    fn fence_unseen_kills(&mut self, machine_id: &MachineId) {
+        let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
+            return;
+        };
+        let has_unseen_kill = machine.placed_tasks.keys().any(|task| {
+            let job = self.jobs.get(&task.job_id);
+            let attempt = job.and_then(|job| job.active.get(&task.index));
+            attempt.is_some_and(|attempt| {
+                attempt.durable
+                    && attempt.kill_request.is_some()
+                    && attempt.observed_phase.is_none()
+            })
+        });
+        if has_unseen_kill {
+            machine.token = machine.token.next();
+        }
+    }
+}
--- /dev/null
+++ b/src/core/reconciliation/failover_progress.rs
@@ -0,0 +1,42 @@
+//! How far the failover to this leader is: silent machines, and its phases in the log.
+
+use crate::core::model::MachineId;
+use crate::core::state::cluster_state::ClusterState;
+use cypressgap_recovery::attempt_state::AttemptState;
+use cypressgap_recovery::takeover::PhaseChange;
+use std::time::Instant;
+
+impl ClusterState {
+    /// Notes the machines with attempts on record that are silent, and moves on to the next phase.
+    pub(in crate::core) fn advance_takeover(&mut self, now: Instant) {
+        if self.takeover.is_over() {
+            return;
+        }
+        let silent_after = self.silent_after();
+        let recorded = self.takeover.recorded_machines();
+        let is_silent = |id: &&MachineId| {
+            let machine = self.fleet.machines.get(*id);
+            machine.is_some_and(|machine| self.is_silent(now, machine, silent_after))
+        };
+        let silent: Vec<MachineId> = recorded.filter(is_silent).cloned().collect();
+        for machine in &silent {
+            self.takeover.on_silence(machine);
+        }
+        if let Some(change) = self.takeover.advance(now) {
+            self.log_phase(&change);
+        }
+    }
+
+    fn log_phase(&self, change: &PhaseChange) {
+        let states = AttemptState::ALL.map(|state| format!("{state}={}", change.counts.of(state)));
+        log::info!(
+            "takeover {} term={} {} unrecorded_jobs={} deferred={} {}",
+            change.phase,
+            self.term.0,
+            states.join(" "),
+            change.unrecorded_jobs,
+            change.deferred,
+            change.summary
+        );
+    }
+}
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -1,29 +1,30 @@
 //! Whether an attempt on record may be launched now.
 //!
 //! A record may outlive its attempt: once an attempt is proved gone, its room in the team's limit, and its
-//! zone, go to others at once, while the removal of its record waits for company and can be lost with
-//! the leader. So a record is no leave to launch. A leader launches only while its account, which holds
+//! zone, go to others at once, while the removal of its record is written later, with others, and can be lost
+//! with the leader. So a record alone does not allow a launch. A leader launches only while the usage that it counts, which includes
 //! all that is on record, keeps to the team's limit and to the job's zones. What may not be launched and
-//! is proved not to be on its machine leaves the account and waits to be placed anew.
+//! is proved not to be on its machine is no longer counted and waits to be placed anew.
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
 use crate::core::state::cluster_state::ClusterState;
 use crate::core::state::cluster_state::Job;
 
 /// What may become of an attempt that its machine does not show.
+#[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum LaunchCheck {
     /// It may be launched.
     Allowed,
     /// Where other tasks of its job are is not known yet.
     Unknown,
-    /// It may not be launched: it leaves once it is proved absent.
+    /// It may not be launched: it is removed once it is proved absent.
     Refused,
 }
 
 impl ClusterState {
     /// Whether an attempt may be launched on its machine.
-    pub(in crate::core) fn launch_check(&self, task: &TaskId) -> LaunchCheck {
+    pub(super) fn launch_check(&self, task: &TaskId) -> LaunchCheck {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return LaunchCheck::Refused;
         };
@@ -33,9 +34,9 @@
         self.check_zones(job, task.index)
     }
 
-    /// Whether an attempt that runs already may go on: as [`ClusterState::launch_check`], but what is not known
-    /// of other work does not end this one.
-    pub(in crate::core) fn may_go_on(&self, task: &TaskId) -> bool {
+    /// Whether an attempt that runs already may go on: as [`ClusterState::launch_check`], but unknown work
+    /// elsewhere does not end this one.
+    pub(super) fn may_go_on(&self, task: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return false;
         };
--- /dev/null
+++ b/src/core/reconciliation/listed_attempts.rs
@@ -0,0 +1,28 @@
+//! The attempts that a heartbeat lists.
+
+use crate::core::model::{AttemptId, Heartbeat, TaskId};
+use std::collections::HashSet;
+
+/// The attempts that a heartbeat lists, whatever their phase.
+#[derive(Debug, Default)]
+pub(in crate::core) struct ListedAttempts {
+    attempts: HashSet<(TaskId, AttemptId)>,
+}
+
+impl ListedAttempts {
+    /// Whether the heartbeat lists this attempt.
+    pub(super) fn contains(&self, task: &TaskId, attempt: AttemptId) -> bool {
+        self.attempts.contains(&(task.clone(), attempt))
+    }
+}
+
+impl From<&Heartbeat> for ListedAttempts {
+    fn from(heartbeat: &Heartbeat) -> Self {
+        let tasks = heartbeat.tasks.iter();
+        ListedAttempts {
+            attempts: tasks
+                .map(|status| (status.task.clone(), status.attempt))
+                .collect(),
+        }
+    }
+}
--- a/src/core/reconciliation/mod.rs
+++ b/src/core/reconciliation/mod.rs
@@ -1,8 +1,18 @@
-//! Squaring the stored state with what the workers' heartbeats show.
+//! Reconciliation of the stored state with what the machines' heartbeats show.
 
-pub(crate) mod commands;
-pub(crate) mod heartbeats;
+mod absence_proofs;
+mod acknowledgements;
+mod commands;
+mod direct_commands;
+mod failover_progress;
+mod heartbeat_order;
+mod heartbeats;
 pub(crate) mod launch_check;
-pub(crate) mod order_pacing;
-pub mod state_loading;
-pub(crate) mod unrecorded_tasks;
+mod listed_attempts;
+mod machine_status;
+mod order_pacing;
+mod reported_tasks;
+mod state_loading;
+pub mod stored_snapshot;
+pub(in crate::core) mod unreadable_records;
+mod unrecorded_tasks;
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -1,4 +1,4 @@
-//! Commands during a takeover: whether they may go out by its pace, and what reports acknowledge.
+//! Commands during a failover: whether they may go out at its pace, and what heartbeats acknowledge.
 
 use crate::core::model::{
     AttemptId, Heartbeat, JobKind, MachineId, TaskCommand, TaskId, TaskPhase,
@@ -11,61 +11,59 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Whether a command may go out now. If not, its machine is tried again once the pace allows.
-    pub(in crate::core) fn admit(
+    /// Whether a command may go out now. If not, its machine is tried again once the pace allows it.
+    pub(super) fn admit(
         &mut self,
         now: Instant,
-        machine: &MachineId,
+        machine_id: &MachineId,
         command: &TaskCommand,
         class: OrderClass,
     ) -> bool {
         if self.takeover.is_over() {
             return true;
         }
-        let Some(h) = self.fleet.machines.get(machine) else {
+        let Some(machine) = self.fleet.machines.get(machine_id) else {
             return false;
         };
         let order = order_of(command);
-        self.takeover.admit(now, machine, &h.endpoint, order, class)
+        self.takeover
+            .admit(now, machine_id, &machine.endpoint, order, class)
     }
 
     /// How long the kill of an attempt on record may wait.
-    pub(in crate::core) fn kill_class(&self, now: Instant, task: &TaskId) -> OrderClass {
+    pub(super) fn kill_class(&self, now: Instant, task: &TaskId) -> OrderClass {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return OrderClass::Immediate;
         };
-        let cancelled_for = job
-            .cancellation
-            .known_since()
-            .map(|t| now.saturating_duration_since(t));
-        let active = job.active.get(&task.index);
-        let machine = active.and_then(|a| self.fleet.machines.get(&a.machine));
-        let leaves = machine.is_some_and(|h| h.eviction_at.is_some());
-        let has_time_limit = leaves || job.spec.kind == JobKind::Gang;
+        let cancelled_at = job.cancellation.known_since();
+        let cancelled_for = cancelled_at.map(|at| now.saturating_duration_since(at));
+        let attempt = job.active.get(&task.index);
+        let machine = attempt.and_then(|attempt| self.fleet.machines.get(&attempt.machine));
+        let is_evicted = machine.is_some_and(|machine| machine.eviction_at.is_some());
+        let has_time_limit = is_evicted || job.spec.kind == JobKind::Gang;
         Takeover::kill_class(cancelled_for, self.config.cancel, has_time_limit)
     }
 
-    /// What a report tells of the orders that went to its machine.
-    pub(in crate::core) fn acknowledge_orders(&mut self, r: &Heartbeat) {
+    /// Takes the commands that a heartbeat shows as carried out off those that are outstanding.
+    pub(super) fn acknowledge_orders(&mut self, heartbeat: &Heartbeat) {
         if self.takeover.is_over() {
             return;
         }
-        let phases: HashMap<(&TaskId, AttemptId), TaskPhase> = r
-            .tasks
-            .iter()
-            .map(|t| ((&t.task, t.attempt), t.phase))
+        let statuses = heartbeat.tasks.iter();
+        let phases: HashMap<(&TaskId, AttemptId), TaskPhase> = statuses
+            .map(|status| ((&status.task, status.attempt), status.phase))
             .collect();
-        self.takeover.acknowledge(&r.machine, |order| {
+        self.takeover.acknowledge(&heartbeat.machine, |order| {
             let phase = phases.get(&(&order.task, order.attempt));
             match order.kind {
                 OrderKind::Launch => phase.is_some(),
-                OrderKind::Kill => phase.is_none_or(|p| is_ending(*p)),
+                OrderKind::Kill => phase.is_none_or(|phase| is_ending(*phase)),
                 OrderKind::Forget => phase.is_none(),
             }
         });
     }
 
-    /// Machines whose commands had to wait and may go out by now.
+    /// Marks the machines as urgent whose commands had to wait and may go out by now.
     pub(in crate::core) fn retry_paced_orders(&mut self, now: Instant) {
         if !self.takeover.is_over() {
             self.outbox
--- /dev/null
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -0,0 +1,109 @@
+//! The tasks that a heartbeat lists: what becomes of each, and what they take without a record.
+
+use crate::core::model::{
+    Heartbeat, JobId, Resources, TaskCommand, TaskPhase, TaskStatus, TeamName,
+};
+use crate::core::reconciliation::unrecorded_tasks::UnrecordedTask;
+use crate::core::state::cluster_state::ClusterState;
+use cypressgap_recovery::attempt_state::HeartbeatOrigin;
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+/// What follows from the tasks that a heartbeat lists.
+#[derive(Default)]
+pub(super) struct ReportedTasks {
+    /// Kills of tasks that should not be there.
+    pub(super) unexpected_kills: Vec<TaskCommand>,
+    /// Commands to forget attempts that have ended.
+    pub(super) forgets: Vec<TaskCommand>,
+    /// The resources of tasks that should not be there, with the teams that they belong to.
+    pub(super) unexpected_usage: Vec<(TeamName, Resources)>,
+    /// Jobs of unexpected tasks that are not known here.
+    pub(super) unknown_jobs: BTreeSet<JobId>,
+    /// The token must be raised, so that no late command can start what is killed.
+    pub(super) must_raise_token: bool,
+}
+
+impl ClusterState {
+    /// Applies the statuses of the tasks that a heartbeat lists.
+    pub(super) fn apply_task_statuses(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        origin: HeartbeatOrigin,
+    ) -> ReportedTasks {
+        let mut reported = ReportedTasks::default();
+        for status in &heartbeat.tasks {
+            let is_recorded = self.is_recorded(heartbeat, status);
+            match status.phase {
+                TaskPhase::Ended(exit) if is_recorded => {
+                    if origin == HeartbeatOrigin::ThisTerm {
+                        self.ended(now, heartbeat, &status.task, exit);
+                    }
+                }
+                TaskPhase::Ended(_) => {
+                    if !self.is_held(status) {
+                        reported.forgets.push(forget(status));
+                    }
+                }
+                phase if is_recorded => self.progress(now, heartbeat, &status.task, phase),
+                phase => match self.decide_unrecorded(now, heartbeat, status, origin) {
+                    UnrecordedTask::Adopted => self.progress(now, heartbeat, &status.task, phase),
+                    decision => self.note_unexpected(status, decision, &mut reported),
+                },
+            }
+        }
+        reported
+    }
+
+    /// Whether an attempt is on record on the machine that lists it.
+    fn is_recorded(&self, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
+        let job = self.jobs.get(&status.task.job_id);
+        let attempt = job.and_then(|job| job.active.get(&status.task.index));
+        attempt.is_some_and(|attempt| {
+            attempt.id == status.attempt && attempt.machine == heartbeat.machine
+        })
+    }
+
+    /// Whether an attempt has ended and the record of its end is not durable yet.
+    fn is_held(&self, status: &TaskStatus) -> bool {
+        let job = self.jobs.get(&status.task.job_id);
+        job.is_some_and(|job| job.is_held(status.task.index, status.attempt))
+    }
+
+    /// Notes a task without a record that is not adopted.
+    fn note_unexpected(
+        &mut self,
+        status: &TaskStatus,
+        decision: UnrecordedTask,
+        reported: &mut ReportedTasks,
+    ) {
+        let job_id = &status.task.job_id;
+        match self.jobs.get(job_id) {
+            Some(job) => {
+                let usage = (job.spec.team.clone(), job.spec.resources);
+                reported.unexpected_usage.push(usage);
+            }
+            None => {
+                reported.unknown_jobs.insert(job_id.clone());
+            }
+        }
+        if decision == UnrecordedTask::Held {
+            return;
+        }
+        reported.must_raise_token |= decision == UnrecordedTask::KilledUnderRaisedToken;
+        self.takeover.on_killed();
+        reported.unexpected_kills.push(TaskCommand::Kill {
+            task: status.task.clone(),
+            attempt: status.attempt,
+            grace_period: Duration::ZERO,
+        });
+    }
+}
+
+fn forget(status: &TaskStatus) -> TaskCommand {
+    TaskCommand::Forget {
+        task: status.task.clone(),
+        attempt: status.attempt,
+    }
+}
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -1,129 +1,89 @@
-//! The picture of a new term, from what the state service holds.
+//! The cluster's state at the beginning of a term, from what the key-value store holds.
+//!
+//! Invariants: whatever an intent names may be on its machine, and counts as taken until it is proved gone.
+//! Cancellations are applied after the intents, so that no task of a cancelled job is overlooked.
 
-use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, Zone};
+use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, TaskId, Zone};
 use crate::core::persistence::keys;
-use crate::core::persistence::records::{ChunkValue, JobOutcome};
-use crate::core::placement::history::HistorySummary;
-use crate::core::state::cluster_state::{ActiveAttempt, Machine};
-use crate::core::state::cluster_state::{CancelSource, ClusterState};
+use crate::core::persistence::records::{ChunkValue, Intent, JobOutcome};
+use crate::core::reconciliation::stored_snapshot::{StoredLiveJob, StoredSnapshot};
+use crate::core::state::cluster_state::{ActiveAttempt, CancelSource, ClusterState, Job, Machine};
 use crate::core::state::machine::MachineIdentity;
-use cypressgap_recovery::attempt_state::AttemptState;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use std::time::Instant;
 
-/// A record of the index of live jobs.
-#[derive(Clone, Debug)]
-pub struct StoredLiveJob {
-    /// The job.
-    pub spec: JobSpec,
-    /// The stamp of its acceptance.
-    pub revision: u64,
-}
-
-/// A record of intents.
-#[derive(Clone, Debug)]
-pub struct StoredIntents {
-    /// The job.
-    pub job_id: JobId,
-    /// Which of its chunks.
-    pub index: u32,
-    /// What is done, and what was sent where.
-    pub value: ChunkValue,
-    /// The record's stamp.
-    pub revision: u64,
-}
-
-/// What the state service holds of the cluster.
-///
-/// The index of live jobs is read before the verdicts of what it lists, and the intents last: nobody but
-/// the leader writes intents, and no other leader's writes succeed any more.
-#[derive(Clone, Debug, Default)]
-pub struct StoredSnapshot {
-    /// What earlier leaders measured.
-    pub history: Option<HistorySummary>,
-    /// The index of live jobs.
-    pub jobs: Vec<StoredLiveJob>,
-    /// Verdicts of jobs that are still in the index. Without one, a job is live.
-    pub over: HashMap<JobId, JobOutcome>,
-    /// How those ended that live jobs need and that are not in the index.
-    pub ends: Vec<(JobId, JobOutcome)>,
-    /// Jobs with a list of dependents.
-    pub lists: Vec<JobId>,
-    /// Jobs with a mark of their cancellation.
-    pub cancel_marks: Vec<JobId>,
-    /// The intents.
-    pub chunks: Vec<StoredIntents>,
-    /// Jobs whose record in the index cannot be read.
-    pub unreadable_jobs: Vec<JobId>,
-    /// Jobs of which a record of intents cannot be read.
-    pub unreadable_intents: Vec<JobId>,
+/// Jobs of the index that have an outcome, and whose tasks may still be on machines.
+#[derive(Default)]
+struct EndedJobs {
+    cancelled: Vec<JobId>,
+    done_gangs: Vec<JobId>,
 }
 
 impl ClusterState {
-    /// Takes over what was read.
-    pub fn take_over(&mut self, now: Instant, picture: StoredSnapshot) {
-        if let Some(history) = picture.history {
+    /// Takes over what was read from the store.
+    pub fn take_over(&mut self, now: Instant, snapshot: StoredSnapshot) {
+        if let Some(history) = snapshot.history {
             self.history.load(&history);
         }
-        for (job_id, outcome) in picture.ends {
+        for (job_id, outcome) in snapshot.dependency_outcomes {
             self.ended_before(now, &job_id, outcome);
         }
-        self.unreadable_records.unknown = !picture.unreadable_intents.is_empty();
-        self.unreadable_records.jobs.extend(picture.unreadable_jobs);
         self.unreadable_records
-            .jobs
-            .extend(picture.unreadable_intents);
-        let (mut cancelled, mut done_gangs) = (Vec::new(), Vec::new());
-        for StoredLiveJob { spec, revision } in picture.jobs {
-            if self.unreadable_records.holds(&spec.job_id) {
+            .load(snapshot.unreadable_jobs, snapshot.unreadable_intents);
+        let ended = self.load_jobs(now, snapshot.jobs, &snapshot.outcomes);
+        for job_id in &snapshot.jobs_with_dependents_list {
+            self.load_dependents_list(job_id);
+        }
+        for chunk in snapshot.chunks {
+            self.load_chunk(now, &chunk.job_id, chunk.index, chunk.value, chunk.revision);
+        }
+        for job_id in &ended.done_gangs {
+            self.on_done_durable(now, job_id);
+        }
+        for job_id in &snapshot.cancel_marks {
+            self.on_cancelled(now, job_id, CancelSource::Load);
+        }
+        for job_id in &ended.cancelled {
+            self.on_cancelled(now, job_id, CancelSource::JobOutcome);
+        }
+        self.takeover.begin();
+    }
+
+    /// Loads the index of live jobs. Returns the jobs in it that have ended and must be loaded nevertheless.
+    fn load_jobs(
+        &mut self,
+        now: Instant,
+        jobs: Vec<StoredLiveJob>,
+        outcomes: &HashMap<JobId, JobOutcome>,
+    ) -> EndedJobs {
+        let mut ended = EndedJobs::default();
+        for StoredLiveJob { spec, revision } in jobs {
+            if self.unreadable_records.contains(&spec.job_id) {
                 continue;
             }
-            match picture.over.get(&spec.job_id) {
-                // An array is done when each task's end was reported. A gang is done with the first
-                // member's, and the others may still be on their machines.
+            match outcomes.get(&spec.job_id) {
+                // An array is done once the end of each task was reported. A gang is done with its first
+                // member, and the others may still be on their machines.
                 Some(JobOutcome::Done) if spec.kind == JobKind::Gang => {
-                    done_gangs.push(spec.job_id.clone());
-                    let dependencies = Vec::new();
-                    self.on_job(
-                        JobSpec {
-                            dependencies,
-                            ..spec
-                        },
-                        revision,
-                    );
+                    ended.done_gangs.push(spec.job_id.clone());
+                    self.on_job(without_dependencies(spec), revision);
                 }
                 Some(JobOutcome::Done) => {
                     self.ended_before(now, &spec.job_id, JobOutcome::Done);
                     self.writes.remove_later(keys::live_job_key(&spec.job_id));
                 }
                 Some(JobOutcome::Cancelled) => {
-                    cancelled.push(spec.job_id.clone());
+                    ended.cancelled.push(spec.job_id.clone());
                     self.on_job(spec, revision);
                 }
                 Some(JobOutcome::Live) | None => self.on_job(spec, revision),
             }
         }
-        for job_id in &picture.lists {
-            self.load_list(job_id);
-        }
-        for chunk in picture.chunks {
-            self.load_chunk(now, &chunk.job_id, chunk.index, chunk.value, chunk.revision);
-        }
-        for job_id in &done_gangs {
-            self.on_done_durable(now, job_id);
-        }
-        // After the intents, so that no task of a cancelled job is overlooked.
-        for job_id in &picture.cancel_marks {
-            self.on_cancelled(now, job_id, CancelSource::Load);
-        }
-        for job_id in &cancelled {
-            self.on_cancelled(now, job_id, CancelSource::JobOutcome);
-        }
-        self.takeover.begin();
+        ended
     }
 
-    /// A list of dependents found in the state service. It goes with its job.
-    pub fn load_list(&mut self, job_id: &JobId) {
+    /// Notes that the store holds a list of a job's dependents. It is removed with the job.
+    pub fn load_dependents_list(&mut self, job_id: &JobId) {
         if self.jobs.contains(job_id) {
             self.jobs.dependencies.listed(job_id);
             return;
@@ -134,7 +94,7 @@
         }
     }
 
-    /// An intent chunk found at takeover. Whatever it names may be on its host.
+    /// Loads a chunk of a job's tasks. Whatever it names may be on its machine.
     pub fn load_chunk(
         &mut self,
         now: Instant,
@@ -143,8 +103,8 @@
         value: ChunkValue,
         revision: u64,
     ) {
-        if self.unreadable_records.holds(job_id) {
-            self.return_machines_of_unknown(now, value);
+        if self.unreadable_records.contains(job_id) {
+            self.return_machines_of_unreadable(now, value);
             return;
         }
         let Some(job) = self.jobs.get_mut(job_id) else {
@@ -155,67 +115,37 @@
         chunk.revision = revision;
         chunk.done_bits = value.done;
         job.done_count += value.done.count_ones();
-        let mut loaded = Vec::new();
-        for intent in value.active {
-            let (task, attempt, machine) = (intent.task_index, intent.attempt, intent.machine);
-            // A member of a gang is marked done with the first one that ends; it may still be there.
-            let ended = job.is_done(task) && job.spec.kind == JobKind::Batch;
-            if task >= job.spec.task_count || ended {
-                continue;
-            }
-            let mut active =
-                ActiveAttempt::planned(now, machine.clone(), attempt, job.spec.expected);
-            active.durable = true;
-            job.active.insert(task, active);
-            loaded.push((job.task(task), attempt, machine));
-        }
-        if job.done_count == job.spec.task_count {
+        let loaded = load_attempts(job, now, value.active);
+        if job.is_complete() {
             self.writes.mark_dirty(job_id);
         }
         if job.done_count > 0 || !job.active.is_empty() {
             job.last_placed = now;
         }
-        let (resources, team) = (job.spec.resources, job.spec.team.clone());
-        for (task, attempt, machine) in loaded {
-            self.takeover.record(machine.clone(), task.clone(), attempt);
-            self.quota_usage.enter(task.clone(), &team, resources);
-            let h = self.loaded_machine(now, machine);
-            h.placed_tasks.insert(task, resources);
-            h.used.add(&resources);
-        }
+        self.place_loaded(now, job_id, loaded);
     }
 
-    /// Silent machines, and how far the takeover is.
-    pub(in crate::core) fn advance_takeover(&mut self, now: Instant) {
-        if self.takeover.is_over() {
+    /// Counts loaded attempts as placed on their machines.
+    fn place_loaded(&mut self, now: Instant, job_id: &JobId, loaded: Vec<Intent>) {
+        let Some(job) = self.jobs.get(job_id) else {
             return;
-        }
-        let after = self.silent_after();
-        let recorded = self.takeover.recorded_machines();
-        let silent = |id: &&MachineId| {
-            let machine = self.fleet.machines.get(*id);
-            machine.is_some_and(|h| self.is_silent(now, h, after))
         };
-        let silent: Vec<MachineId> = recorded.filter(silent).cloned().collect();
-        for machine in &silent {
-            self.takeover.on_silence(machine);
-        }
-        if let Some(change) = self.takeover.advance(now) {
-            let counts = &change.counts;
-            let states = AttemptState::ALL.map(|s| format!("{s}={}", counts.of(s)));
-            log::info!(
-                "takeover {} term={} {} unrecorded_jobs={} deferred={} {}",
-                change.phase,
-                self.term.0,
-                states.join(" "),
-                change.unrecorded_jobs,
-                change.deferred,
-                change.summary
-            );
+        let (resources, team) = (job.spec.resources, job.spec.team.clone());
+        for intent in loaded {
+            let task = TaskId {
+                job_id: job_id.clone(),
+                index: intent.task_index,
+            };
+            self.takeover
+                .record(intent.machine.clone(), task.clone(), intent.attempt);
+            self.quota_usage.enter(task.clone(), &team, resources);
+            let machine = self.loaded_machine(now, intent.machine);
+            machine.placed_tasks.insert(task, resources);
+            machine.used.add(&resources);
         }
     }
 
-    /// A host that a record names. Its type and zone come with its report or the cloud's list.
+    /// A machine that a record names. Its type and zone come with its heartbeat or the cloud's list.
     fn loaded_machine(&mut self, now: Instant, id: MachineId) -> &mut Machine {
         let term = self.term;
         self.fleet.machines.entry(id.clone()).or_insert_with(|| {
@@ -230,39 +160,36 @@
         })
     }
 
-    /// Machines that hold tasks of which nothing is known go back: that proves those tasks gone.
-    fn return_machines_of_unknown(&mut self, now: Instant, value: ChunkValue) {
+    /// Gives back the machines that hold tasks of which nothing is known: that proves those tasks gone.
+    fn return_machines_of_unreadable(&mut self, now: Instant, value: ChunkValue) {
         for intent in value.active {
-            let machine = intent.machine;
-            self.unreadable_records.machines.insert(machine.clone());
-            self.loaded_machine(now, machine).returning = true;
+            self.unreadable_records.add_machine(intent.machine.clone());
+            self.loaded_machine(now, intent.machine).returning = true;
         }
     }
 }
 
-/// Jobs of which some record cannot be read. Their records stay, nothing of them is started, and what
-/// they may hold counts as taken: until it is known to be gone, no team with a limit starts anything.
-#[derive(Debug, Default)]
-pub(in crate::core) struct UnreadableRecords {
-    jobs: BTreeSet<JobId>,
-    /// Machines that their readable records name.
-    machines: BTreeSet<MachineId>,
-    /// Where their tasks are is not known either.
-    unknown: bool,
-}
-
-impl UnreadableRecords {
-    fn holds(&self, job_id: &JobId) -> bool {
-        self.jobs.contains(job_id)
-    }
-
-    /// Tasks of an unknown team may be on machines.
-    pub(in crate::core) fn may_run(&self) -> bool {
-        self.unknown || !self.machines.is_empty()
+fn without_dependencies(spec: JobSpec) -> JobSpec {
+    JobSpec {
+        dependencies: Vec::new(),
+        ..spec
     }
+}
 
-    /// A machine is gone with all that was on it.
-    pub(in crate::core) fn machine_gone(&mut self, machine: &MachineId) {
-        self.machines.remove(machine);
+/// Enters the attempts of a chunk as active, but for those that are known to have ended. Returns them.
+fn load_attempts(job: &mut Job, now: Instant, intents: Vec<Intent>) -> Vec<Intent> {
+    let mut loaded = Vec::new();
+    for intent in intents {
+        // A member of a gang is marked done with the first one that ends; it may still be there.
+        let has_ended = job.is_done(intent.task_index) && job.spec.kind == JobKind::Batch;
+        if intent.task_index >= job.spec.task_count || has_ended {
+            continue;
+        }
+        let machine = intent.machine.clone();
+        let mut attempt = ActiveAttempt::planned(now, machine, intent.attempt, job.spec.expected);
+        attempt.durable = true;
+        job.active.insert(intent.task_index, attempt);
+        loaded.push(intent);
     }
+    loaded
 }
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -1,24 +1,26 @@
-//! Tasks that a machine shows and that no record names: adopted, held until more is known, or killed.
+//! Tasks that a machine reports and that no record names: adopted, held until more is known, or killed.
 //!
-//! A launch goes out only once its intent is durable, so such a task is a command that came late, or the
-//! state service was put back to an earlier state. Of a live job it is adopted where a launch would be
-//! allowed: its work goes on, and nothing is started twice. A job that is not known here is first asked
-//! for in the state service; `cypressgap_recovery::unrecorded` says what follows.
+//! A launch goes out only once its intent is durable, so such a task comes from a late command, or the
+//! key-value store was restored to an earlier state. One of a live job is adopted where a launch would be
+//! allowed: its work goes on, and nothing is started twice. A job that is not known here is first looked
+//! up in the store; `cypressgap_recovery::unrecorded` decides what follows.
 
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::state::cluster_state::ClusterState;
+use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 /// What becomes of a task that no record names.
+#[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::core) enum UnrecordedTask {
-    /// It is on record from now on.
+pub(super) enum UnrecordedTask {
+    /// It is recorded from now on.
     Adopted,
-    /// Its job is not known: it stays until the state service has been asked.
+    /// Its job is not known: it stays until the job was looked up in the store.
     Held,
     /// It should not be there.
     Killed,
@@ -27,100 +29,105 @@
 }
 
 impl ClusterState {
-    /// Decides on a task that a report shows running and that no record names. `current`: the report is
-    /// no late copy of an earlier term's.
-    pub(in crate::core) fn take_unrecorded(
+    /// Decides on a task that a heartbeat lists as running and that no record names.
+    pub(super) fn decide_unrecorded(
         &mut self,
         now: Instant,
-        r: &Heartbeat,
-        shown: &TaskStatus,
-        current: bool,
+        heartbeat: &Heartbeat,
+        status: &TaskStatus,
+        origin: HeartbeatOrigin,
     ) -> UnrecordedTask {
-        let job_id = &shown.task.job_id;
+        let job_id = &status.task.job_id;
         if !self.jobs.contains(job_id) {
             return match self.takeover.disposition(now, job_id) {
                 Disposition::Hold => UnrecordedTask::Held,
                 Disposition::Kill => UnrecordedTask::KilledUnderRaisedToken,
             };
         }
-        if current && self.may_adopt(r, shown) && self.adopt(now, r, shown) {
+        let may_adopt = origin == HeartbeatOrigin::ThisTerm && self.may_adopt(heartbeat, status);
+        if may_adopt && self.adopt(now, heartbeat, status) {
             return UnrecordedTask::Adopted;
         }
         UnrecordedTask::Killed
     }
 
-    /// Whether a task is one that its job still lacks, on a machine that the job allows. An attempt of
-    /// this term is never adopted: it is on record until it is proved gone.
-    fn may_adopt(&self, r: &Heartbeat, shown: &TaskStatus) -> bool {
+    /// Whether a task is one that its job still needs, on a machine that the job allows. An attempt of this
+    /// term is never adopted: it is on record until it is proved gone.
+    fn may_adopt(&self, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
         let (Some(job), Some(machine)) = (
-            self.jobs.get(&shown.task.job_id),
-            self.fleet.machines.get(&r.machine),
+            self.jobs.get(&status.task.job_id),
+            self.fleet.machines.get(&heartbeat.machine),
         ) else {
             return false;
         };
-        let (spec, index) = (&job.spec, shown.task.index);
-        let lacked = index < spec.task_count
+        let (spec, index) = (&job.spec, status.task.index);
+        let is_missing = index < spec.task_count
             && !job.is_done(index)
             && !job.active.contains_key(&index)
-            && !job.is_held(index, shown.attempt);
-        let allowed = spec.allows_type(&r.machine_type)
-            && spec.allows_zone(&r.zone)
-            && (spec.allows_spot || !r.spot);
-        let wanted = spec.kind == JobKind::Batch
+            && !job.is_held(index, status.attempt);
+        let is_allowed = spec.allows_type(&heartbeat.machine_type)
+            && spec.allows_zone(&heartbeat.zone)
+            && (spec.allows_spot || !heartbeat.spot);
+        let is_wanted = spec.kind == JobKind::Batch
             && !job.is_over()
             && !job.blocked
             && !job.crash_loop.is_suspected();
-        let runs = matches!(shown.phase, TaskPhase::Fetching | TaskPhase::Running);
-        let earlier = shown.attempt.term() < self.term;
-        let stays = !machine.returning && machine.eviction_at.is_none();
-        lacked && allowed && wanted && runs && earlier && stays
+        let is_running = matches!(status.phase, TaskPhase::Fetching | TaskPhase::Running);
+        let is_of_earlier_term = status.attempt.term() < self.term;
+        let machine_stays = !machine.returning && machine.eviction_at.is_none();
+        is_missing && is_allowed && is_wanted && is_running && is_of_earlier_term && machine_stays
     }
 
-    /// Enters a task as if it had been placed there, unless its team's limit or its job's zones forbid it.
-    fn adopt(&mut self, now: Instant, r: &Heartbeat, shown: &TaskStatus) -> bool {
-        let (job_id, index) = (&shown.task.job_id, shown.task.index);
-        let Some(est) = self.jobs.get(job_id).map(|job| job.spec.expected) else {
+    /// Records a task as if it had been placed there, unless its team's limit or its job's zones forbid it.
+    /// Returns whether it was adopted.
+    fn adopt(&mut self, now: Instant, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
+        let (job_id, index) = (&status.task.job_id, status.task.index);
+        let Some(estimated_run_time) = self.jobs.get(job_id).map(|job| job.spec.expected) else {
             return false;
         };
-        // What the report before showed of it is counted as its own from here on.
-        self.quota_usage.set_unexpected(&r.machine, &[]);
-        self.assign(now, job_id, index, &r.machine, shown.attempt, est);
-        if !self.may_go_on(&shown.task) {
+        // What the heartbeat before listed of it is counted as the job's own usage from here on.
+        self.quota_usage.set_unexpected(&heartbeat.machine, &[]);
+        self.assign(
+            now,
+            job_id,
+            index,
+            &heartbeat.machine,
+            status.attempt,
+            estimated_run_time,
+        );
+        if !self.may_go_on(&status.task) {
             self.gone(now, job_id, index, false);
             return false;
         }
         log::warn!(
-            "a task that no record names is adopted task={} host={}",
-            shown.task,
-            r.machine
+            "unrecorded task adopted task={} machine={}",
+            status.task,
+            heartbeat.machine
         );
         self.takeover.on_adopted();
         true
     }
 
-    /// The unknown jobs whose tasks a machine shows, in place of those that it showed before.
-    pub(in crate::core) fn note_unknown_jobs(
+    /// Replaces the unknown jobs of which a machine was known to run tasks.
+    pub(super) fn note_unknown_jobs(
         &mut self,
         now: Instant,
         machine: &MachineId,
-        current: bool,
+        origin: HeartbeatOrigin,
         jobs: BTreeSet<JobId>,
     ) {
-        for job_id in self
-            .takeover
-            .unknown_jobs_shown(now, machine, current, jobs)
-        {
-            log::warn!("a task of an unknown job is held until the state service was asked job={job_id} host={machine}");
+        for job_id in self.takeover.unknown_jobs_shown(now, machine, origin, jobs) {
+            log::warn!("task of an unknown job held until the store is read job={job_id} machine={machine}");
         }
     }
 
-    /// Jobs of which machines show tasks and that the state service is to be asked about.
-    pub fn jobs_to_ask(&self) -> Vec<JobId> {
-        self.takeover.jobs_to_ask()
+    /// Unknown jobs of which machines report tasks, and whose status is to be read from the store.
+    pub fn jobs_to_look_up(&self) -> Vec<JobId> {
+        self.takeover.jobs_to_look_up()
     }
 
-    /// How the jobs stand that were asked about. A job that could not be asked about is not among them.
-    pub fn on_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
+    /// Takes in the status of jobs that were looked up. A job whose lookup failed is not among them.
+    pub fn on_job_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
         for (job_id, status) in statuses {
             let answer = match status {
                 None => StoreAnswer::NeverAccepted,
@@ -128,9 +135,7 @@
                 Some(JobOutcome::Done | JobOutcome::Cancelled) => StoreAnswer::Over,
             };
             if answer == StoreAnswer::NeverAccepted {
-                log::error!(
-                    "machines show tasks of a job that the state service does not know job={job_id}"
-                );
+                log::error!("machines report tasks of a job that was never accepted job={job_id}");
             }
             self.takeover.on_store_answer(now, job_id, answer);
         }
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -13,7 +13,7 @@
 use crate::core::persistence::records::{attempts_per_chunk, JobOutcome};
 use crate::core::placement::history::History;
 use crate::core::placement::start_limiter::StartLimiter;
-use crate::core::reconciliation::state_loading::UnreadableRecords;
+use crate::core::reconciliation::unreadable_records::UnreadableRecords;
 pub use crate::core::state::actions::{Action, HeartbeatDecision};
 pub use crate::core::state::attempt::{ActiveAttempt, KillRequest};
 pub use crate::core::state::cancellation::CancelSource;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -186,7 +186,7 @@
 
 /// Jobs of which machines show tasks and that the leader does not know, for the inquiries.
 fn publish_unrecorded(shared: &Shared, c: &ClusterState) {
-    let unrecorded = c.jobs_to_ask();
+    let unrecorded = c.jobs_to_look_up();
     if shared.view.read().unrecorded != unrecorded {
         shared.view.write().unrecorded = unrecorded;
     }
@@ -229,7 +229,7 @@
     match event {
         Event::Heartbeats(heartbeats, reply) => {
             let answers = heartbeats.into_iter().map(|heartbeat| {
-                match c.on_heartbeat(now, heartbeat, true) {
+                match c.on_heartbeat(now, heartbeat) {
                     HeartbeatDecision::Accept { token, commands } => {
                         HeartbeatReply::Accept(token, commands)
                     }
@@ -252,16 +252,16 @@
             c.on_job(*spec, revision);
             c.on_cancelled(now, &job_id, CancelSource::JobOutcome);
         }
-        Event::Lists(t, job_ids) if t == term => {
-            job_ids.iter().for_each(|job_id| c.load_list(job_id))
-        }
+        Event::Lists(t, job_ids) if t == term => job_ids
+            .iter()
+            .for_each(|job_id| c.load_dependents_list(job_id)),
         Event::Cancelled(t, job_id) if t == term => c.on_cancel_marked(now, &job_id),
         Event::Ended(t, ends) if t == term => {
             for (job_id, outcome) in ends {
                 c.ended_before(now, &job_id, outcome);
             }
         }
-        Event::Standings(t, statuses) if t == term => c.on_statuses(now, &statuses),
+        Event::Standings(t, statuses) if t == term => c.on_job_statuses(now, &statuses),
         Event::Read(t, asked) if t == term => c.leadership.cancellations_read(asked),
         Event::CancelledElsewhere(t, job_ids, covers) if t == term => {
             for job_id in &job_ids {
@@ -278,7 +278,7 @@
             }
         }
         Event::Sent(t, machine, heartbeat) if t == term => {
-            if let Some(higher) = c.on_sent(now, &machine, heartbeat) {
+            if let Some(higher) = c.on_command_response(now, &machine, heartbeat) {
                 let _ = out.elector_events.try_send(ElectorEvent::Term(higher));
             }
         }
@@ -328,7 +328,7 @@
                 };
                 if out.agents.try_send(order).is_err() {
                     // The host's next report carries them.
-                    c.on_sent(now, &machine, None);
+                    c.on_command_response(now, &machine, None);
                 }
             }
             Action::Probe {
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -9,7 +9,7 @@
 use crate::core::persistence::keys;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::placement::history::HistorySummary;
-use crate::core::reconciliation::state_loading::{StoredIntents, StoredLiveJob, StoredSnapshot};
+use crate::core::reconciliation::stored_snapshot::{StoredIntents, StoredLiveJob, StoredSnapshot};
 use crate::core::state::cluster_state::ClusterState;
 use crate::net::store::{BudgetedReader, ListEntry, ListOptions, Listing, ReadPurpose, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
@@ -309,9 +309,9 @@
     StoredSnapshot {
         history: records.history.map(HistorySummary::from),
         jobs,
-        over,
-        ends,
-        lists: jobs_under(keys::DEPENDENTS_PREFIX, &records.lists),
+        outcomes: over,
+        dependency_outcomes: ends,
+        jobs_with_dependents_list: jobs_under(keys::DEPENDENTS_PREFIX, &records.lists),
         cancel_marks: jobs_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
         chunks: chunks.collect(),
         unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -174,7 +174,7 @@
             .get(&MachineId::from(machine))
             .map_or(FencingToken::first(self.c.term).0, |h| h.token.0);
         let r = World::heartbeat_from(machine, 1, serial, token, tasks);
-        match self.c.on_heartbeat(self.now, r, true) {
+        match self.c.on_heartbeat(self.now, r) {
             HeartbeatDecision::Accept { token, commands } => (token, commands),
             other => panic!("report refused: {other:?}"),
         }
@@ -196,7 +196,7 @@
                     other => {
                         // The worker's answer is lost; what it shows comes by its reports.
                         if let Action::Send { machine, .. } = &other {
-                            self.c.on_sent(self.now, machine, None);
+                            self.c.on_command_response(self.now, machine, None);
                         }
                         out.push(other);
                     }
@@ -378,7 +378,7 @@
                     }
                     // Commands come with the reports' answers, a second later at most.
                     Action::Send { machine, .. } => {
-                        self.w.c.on_sent(self.w.now, &machine, None);
+                        self.w.c.on_command_response(self.w.now, &machine, None);
                     }
                     Action::Rent { .. } => self.rented += 1,
                     Action::Return { machines } => {
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -186,7 +186,7 @@
         if live {
             w.job(job_depending_on(1, &[]));
         }
-        w.c.load_list(&job_id(1));
+        w.c.load_dependents_list(&job_id(1));
         for _ in 0..10 {
             w.pass(secs(1));
             keys.tick(&mut w, 24);
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -212,7 +212,7 @@
     let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
     let heartbeat = World::heartbeat_from("i-1", 1, 4, token, tasks());
     assert_eq!(
-        w.c.on_heartbeat(w.now, heartbeat, true),
+        w.c.on_heartbeat(w.now, heartbeat),
         HeartbeatDecision::Withheld
     );
     let h = &w.c.fleet.machines[&MachineId::from("i-1")];
@@ -227,10 +227,7 @@
     );
     // A late copy's answer would renew a lease too.
     let copy = World::heartbeat_from("i-1", 1, 2, token, tasks());
-    assert_eq!(
-        w.c.on_heartbeat(w.now, copy, true),
-        HeartbeatDecision::Withheld
-    );
+    assert_eq!(w.c.on_heartbeat(w.now, copy), HeartbeatDecision::Withheld);
     // A peer's word about the job: the kill goes straight to the machine.
     w.c.on_cancel_marked(w.now, &"wk-000001".into());
     let kills = |actions: &[Action]| {
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -56,7 +56,7 @@
                 // A copy from before, then the machine itself.
                 let old = FencingToken::first(Term(TERM.0 - 1)).0;
                 let copy = World::heartbeat_from("i-1", 1, 3, old, vec![]);
-                w.c.on_heartbeat(w.now, copy, true);
+                w.c.on_heartbeat(w.now, copy);
                 assert_eq!(launches(&w.settle()), vec![], "a copy is no proof");
                 let incarnation = if matches!(goes, Goes::NewSession) {
                     2
@@ -65,7 +65,7 @@
                 };
                 let token = w.c.fleet.machines[&MachineId::from("i-1")].token.next().0;
                 let live = World::heartbeat_from("i-1", incarnation, 9, token, vec![]);
-                w.c.on_heartbeat(w.now, live, true);
+                w.c.on_heartbeat(w.now, live);
             }
         }
         let sent = launches(&w.settle());
@@ -190,7 +190,7 @@
             if heartbeats && second % 3 == 0 {
                 let tasks = vec![running("wk-000001", 0)];
                 let r = World::heartbeat_from("i-1", 1, 10 + second, old, tasks);
-                w.c.on_heartbeat(w.now, r, true);
+                w.c.on_heartbeat(w.now, r);
             }
             w.heartbeat("i-8", second, vec![]);
             w.heartbeat("i-9", second, vec![]);
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -29,7 +29,7 @@
             w.run(late);
             let old = if listed { tasks() } else { vec![] };
             let copy = World::heartbeat_from("i-1", incarnation, serial, token.0, old);
-            let answer = w.c.on_heartbeat(w.now, copy, true);
+            let answer = w.c.on_heartbeat(w.now, copy);
             let none =
                 matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
             assert!(none, "{name}: nothing is ordered on its word");
@@ -68,13 +68,9 @@
         };
         let before = FencingToken::first(Term(TERM.0 - 1)).0;
         let copy = World::heartbeat_from("i-1", 1, 40, before, tasks);
-        w.c.on_heartbeat(w.now, copy, true);
+        w.c.on_heartbeat(w.now, copy);
         // A machine that was returned in an earlier term seems to report too.
-        w.c.on_heartbeat(
-            w.now,
-            World::heartbeat_from("i-3", 1, 9, before, vec![]),
-            true,
-        );
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-3", 1, 9, before, vec![]));
         assert_eq!(
             launches(&w.settle())
                 .iter()
@@ -102,7 +98,7 @@
             h.token.0,
             vec![shown("wk-000001", 0, a, TaskPhase::Running)],
         );
-        w.c.on_heartbeat(w.now, live, true);
+        w.c.on_heartbeat(w.now, live);
         let sent = launches(&w.settle());
         assert!(sent
             .iter()
@@ -150,7 +146,7 @@
         let before = FencingToken::first(Term(TERM.0 - 1)).0;
         for (incarnation, serial, tasks) in copies {
             let copy = World::heartbeat_from("i-1", incarnation, serial, before, tasks);
-            w.c.on_heartbeat(w.now, copy, true);
+            w.c.on_heartbeat(w.now, copy);
             w.settle();
             assert_eq!(
                 w.active("wk-000001", 0),
@@ -161,14 +157,14 @@
         // The machine itself, once it shows this term's token: it runs there, or is proved gone.
         let token = w.c.fleet.machines[&first_machine()].token.0;
         let live = World::heartbeat_from("i-1", 2, 50, token, running());
-        w.c.on_heartbeat(w.now, live, true);
+        w.c.on_heartbeat(w.now, live);
         assert_eq!(
             w.active("wk-000001", 0),
             Some((first_machine(), a)),
             "{name}"
         );
         let live = World::heartbeat_from("i-1", 3, 51, token, vec![]);
-        w.c.on_heartbeat(w.now, live, true);
+        w.c.on_heartbeat(w.now, live);
         assert!(w.active("wk-000001", 0).is_none(), "{name}: a proof");
     }
 }
@@ -181,10 +177,7 @@
     for late in [1, 30, 300] {
         w.pass(secs(late));
         let copy = World::heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
-        assert_eq!(
-            w.c.on_heartbeat(w.now, copy, true),
-            HeartbeatDecision::Ignore
-        );
+        assert_eq!(w.c.on_heartbeat(w.now, copy), HeartbeatDecision::Ignore);
         assert!(w.c.fleet.machines.is_empty());
     }
 }
@@ -204,18 +197,14 @@
     // Its life's reports count from the beginning; at first they look like copies.
     w.pass(secs(9));
     let HeartbeatDecision::Accept { token, .. } =
-        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]), true)
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]))
     else {
         panic!("refused");
     };
     assert!(token.0 > old, "a token that no copy can show");
     assert!(w.active("wk-000001", 0).is_some());
     w.pass(secs(1));
-    w.c.on_heartbeat(
-        w.now,
-        World::heartbeat_from("i-1", 1, 2, token.0, vec![]),
-        true,
-    );
+    w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 2, token.0, vec![]));
     assert_eq!(
         w.c.fleet.machines[&first_machine()].serial,
         2,
@@ -231,6 +220,6 @@
         old,
         vec![shown("wk-000001", 0, a, TaskPhase::Running)],
     );
-    w.c.on_heartbeat(w.now, copy, true);
+    w.c.on_heartbeat(w.now, copy);
     assert_eq!(w.c.fleet.machines[&first_machine()].serial, 2);
 }
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -28,13 +28,13 @@
     assert_eq!(launches(&w.settle()), vec![], "i-1 may have it");
     // The first report lacks it, and may be a late copy: nothing is ordered by it.
     let r = World::heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
-    let HeartbeatDecision::Accept { token, commands } = w.c.on_heartbeat(w.now, r, true) else {
+    let HeartbeatDecision::Accept { token, commands } = w.c.on_heartbeat(w.now, r) else {
         panic!("refused");
     };
     assert_eq!((token.term(), commands), (TERM, vec![]));
     // One of this term's does not: the command may be in flight, so the same attempt is sent again.
     let r = World::heartbeat_from("i-1", 1, 41, token.0, vec![]);
-    let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
+    let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) else {
         panic!("refused");
     };
     let launch = TaskCommand::Launch {
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -10,7 +10,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
-use cypressgap::core::reconciliation::state_loading::{
+use cypressgap::core::reconciliation::stored_snapshot::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
 
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -41,7 +41,7 @@
                     machine, commands, ..
                 } => {
                     launched.extend(commands.iter().filter_map(launched_index));
-                    w.c.on_sent(w.now, &machine, None);
+                    w.c.on_command_response(w.now, &machine, None);
                 }
                 _ => {}
             }
@@ -51,7 +51,7 @@
             let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
             let mut r = World::heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
             r.endpoint = format!("10.0.{}.{n}:9", n % 2);
-            if let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) {
+            if let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) {
                 launched.extend(commands.iter().filter_map(launched_index));
             }
         }
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -25,7 +25,7 @@
                     .map_or(FencingToken::first(TERM), |h| h.token);
             let mut r = World::heartbeat_from(&machine, 1, second + 1, token.0, vec![]);
             r.endpoint = format!("10.0.{}.{n}:9", n / 8);
-            w.c.on_heartbeat(w.now, r, true);
+            w.c.on_heartbeat(w.now, r);
         }
         w.pass(secs(1));
         for action in w.c.tick(w.now) {
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
-use cypressgap::core::reconciliation::state_loading::{
+use cypressgap::core::reconciliation::stored_snapshot::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
@@ -150,7 +150,7 @@
     // It shows no token of this term: what was sent before the term may still come.
     let before = FencingToken::first(w.c.term).0 - 1;
     let r = World::heartbeat_from("i-1", 1, 1, before, vec![]);
-    let answer = w.c.on_heartbeat(w.now, r, true);
+    let answer = w.c.on_heartbeat(w.now, r);
     assert!(matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty()));
     assert_eq!(red(&w), 16.0);
 }
@@ -197,7 +197,7 @@
         let tasks = others.iter().map(|i| running("wk-000001", *i)).collect();
         let mut r = World::heartbeat_from("i-2", 1, 1, token, tasks);
         r.zone = zone.into();
-        w.c.on_heartbeat(w.now, r, true);
+        w.c.on_heartbeat(w.now, r);
         let (_, commands) = w.heartbeat("i-1", 1, vec![]);
         let launch = !launched(&commands).is_empty();
         assert_eq!(launch, allowed, "{same_place} {spread} {zone}");
@@ -243,7 +243,7 @@
         let over = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
         let mut w = world(StoredSnapshot {
             jobs: vec![gang, job("wk-000002", 2)],
-            over: over.into_iter().collect(),
+            outcomes: over.into_iter().collect(),
             chunks: vec![members],
             ..StoredSnapshot::default()
         });
@@ -356,7 +356,7 @@
     // of the launch would find the same session, and the attempt forgotten.
     w.pass(secs(1));
     let answer =
-        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]), true);
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]));
     let HeartbeatDecision::Accept { token, commands } = answer else {
         panic!("refused: {answer:?}");
     };
@@ -364,7 +364,7 @@
     assert_eq!(commands, vec![]);
     // Its next report shows that token, so it is believed although it counts below the last one.
     let r = World::heartbeat_from("i-1", 1, 2, token.0, vec![]);
-    w.c.on_heartbeat(w.now, r, true);
+    w.c.on_heartbeat(w.now, r);
     let held = w.active("wk-000001", 0);
     assert_ne!(
         held.map(|(_, a)| a),
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
-use cypressgap::core::reconciliation::state_loading::{
+use cypressgap::core::reconciliation::stored_snapshot::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
 use cypressgap_recovery::attempt_state::AttemptState;
@@ -38,7 +38,7 @@
     assert!(w.active("wk-000001", 1).is_some());
     // Back with its earlier life's report, and then with one of its new session.
     let late = World::heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
-    w.c.on_heartbeat(w.now, late, true);
+    w.c.on_heartbeat(w.now, late);
     assert!(w.active("wk-000001", 1).is_some(), "a late copy");
     w.c.on_returned(w.now, &["i-1".into()]);
     assert_eq!(red(&w), 0.0, "the cloud's word is a proof");
@@ -93,7 +93,7 @@
                 spec: dependent,
                 revision: 50,
             }],
-            ends: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
+            dependency_outcomes: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
             ..StoredSnapshot::default()
         };
         w.c.take_over(w.now, picture);
@@ -117,7 +117,7 @@
                 spec: spec("wk-000001", 2, 4.0),
                 revision: 50,
             }],
-            over: (!marked)
+            outcomes: (!marked)
                 .then(|| (job_id(), JobOutcome::Cancelled))
                 .into_iter()
                 .collect(),
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::JobOutcome;
-use cypressgap::core::reconciliation::state_loading::StoredSnapshot;
+use cypressgap::core::reconciliation::stored_snapshot::StoredSnapshot;
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
 
 /// A task runs though no record names it. What the job or the machine is like -> adopted.
@@ -43,7 +43,7 @@
         edit(&mut job, &mut r);
         let cpus = job.resources.cpus;
         let mut w = taken_over(config(), vec![job], 0);
-        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
+        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) else {
             panic!("{name}: refused");
         };
         assert_eq!(commands.iter().any(is_kill), !adopted, "{name}");
@@ -80,7 +80,7 @@
     ] {
         let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 1);
         let r = World::heartbeat_from("i-9", 1, 1, token, vec![task]);
-        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r, true) else {
+        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) else {
             panic!("{name}: refused");
         };
         assert!(commands.iter().any(is_kill), "{name}");
@@ -101,7 +101,7 @@
     assert_eq!(launches(&w.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         w.pass(secs(after));
-        w.c.on_statuses(w.now, &[(lost_job_id.clone(), None)]);
+        w.c.on_job_statuses(w.now, &[(lost_job_id.clone(), None)]);
         let (_, d) = w.heartbeat("i-9", serial, vec![lost()]);
         assert_eq!(d.iter().any(is_kill), killed, "{serial}");
         assert!(w.c.takeover.holds_machine(&"i-9".into()));
@@ -118,7 +118,7 @@
     let mut w = taken_over(config(), vec![], 0);
     let (_, d) = w.heartbeat("i-9", 1, vec![running(0)]);
     assert!(d.is_empty());
-    w.c.on_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
+    w.c.on_job_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
     w.job(spec("wk-000001", 1, 4.0));
     let (_, d) = w.heartbeat("i-9", 2, vec![running(0)]);
     assert_eq!(d, []);
@@ -165,7 +165,7 @@
     for serial in 1..20 {
         let (_, d) = w.heartbeat("i-9", serial, vec![running(0)]);
         assert_eq!(d, vec![], "{serial}");
-        w.c.on_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
+        w.c.on_job_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
         w.pass(secs(10));
     }
     assert!(w.c.takeover.holds_machine(&"i-9".into()));
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -12,7 +12,7 @@
     let mut out = Vec::new();
     for n in 0..seconds / 2 {
         let r = World::heartbeat_from("i-1", incarnation, serial + n, token, vec![]);
-        w.c.on_heartbeat(w.now, r, true);
+        w.c.on_heartbeat(w.now, r);
         // The others are well: the fault is not on our side.
         for h in ["i-8", "i-9"] {
             w.heartbeat(h, 100 + w.revision * 50 + n, vec![]);
@@ -79,7 +79,7 @@
         let (_, _, old) = launches(&w.settle())[0].clone();
         let token = w.c.fleet.machines[&first_machine()].token.0;
         let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
-        w.c.on_heartbeat(w.now, fresh, true);
+        w.c.on_heartbeat(w.now, fresh);
         let moved = w.active("wk-000001", 0).is_none_or(|a| a.1 != old);
         assert!(moved, "the later session proves the task gone");
         assert_eq!(launches(&w.settle()), vec![]);
@@ -88,11 +88,7 @@
         } else {
             token
         };
-        w.c.on_heartbeat(
-            w.now,
-            World::heartbeat_from("i-1", 2, 2, shown, vec![]),
-            true,
-        );
+        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 2, 2, shown, vec![]));
         assert_eq!(launches(&w.settle()).len(), usize::from(hears));
     }
 }
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -42,7 +42,7 @@
         let mut r = World::heartbeat_from("i-2", 1, 1, FencingToken::first(TERM).0, vec![]);
         r.spot = true;
         r.zone = "b".into();
-        w.c.on_heartbeat(w.now, r, true);
+        w.c.on_heartbeat(w.now, r);
         let mut s = spec("wk-000001", 3, 4.0);
         s.allows_spot = allows_spot;
         s.same_place = same_place;
@@ -236,7 +236,7 @@
     let mut w = World::with(unlimited, vec![small, large]);
     let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
     r.machine_type = "m64".into();
-    w.c.on_heartbeat(w.now, r, true);
+    w.c.on_heartbeat(w.now, r);
     w.job(spec("wk-000001", 3, 24.0));
     assert_eq!(launches(&w.settle()).len(), 2, "the third waits");
     w.heartbeat("i-2", 1, vec![]);
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -120,7 +120,7 @@
         r.machine_type = "m99".into();
         r
     };
-    w.c.on_heartbeat(w.now, r(1), true);
+    w.c.on_heartbeat(w.now, r(1));
     w.job(spec("wk-000001", 200, 1.0));
     w.settle();
     let value = w.c.jobs[&job_id(1)].chunk_value(0);
@@ -137,7 +137,7 @@
         let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
         let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
         r.machine_type = "m99".into();
-        w.c.on_heartbeat(w.now, r, true);
+        w.c.on_heartbeat(w.now, r);
         w.job(spec("wk-000001", 100, 1.0));
         (2..30).for_each(|n| w.job(spec(&job_id(n).0, 1, 1.0)));
         w.job(job_depending_on(40, &[1]));
@@ -154,7 +154,7 @@
                 );
                 match action {
                     Action::Send { machine, .. } => {
-                        w.c.on_sent(w.now, &machine, None);
+                        w.c.on_command_response(w.now, &machine, None);
                     }
                     Action::Store(batch) => {
                         let too_long = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::Chunk(c)) if c.active.len() > most_attempts);
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -26,7 +26,7 @@
     ];
     for (name, incarnation, serial, token_offset, listed, held) in cases {
         let (mut w, attempt) = launched_task();
-        w.c.on_sent(w.now, &"i-1".into(), None);
+        w.c.on_command_response(w.now, &"i-1".into(), None);
         w.c.on_cancel_marked(w.now, &"wk-000001".into());
         // The kill goes out with a raised token, so that no copy of the launch comes after it.
         w.settle();
@@ -37,7 +37,7 @@
             vec![]
         };
         let r = World::heartbeat_from("i-1", incarnation, serial, token as u64, tasks);
-        w.c.on_heartbeat(w.now, r, true);
+        w.c.on_heartbeat(w.now, r);
         assert_eq!(w.active("wk-000001", 0).is_some(), held, "{name}");
     }
 }
@@ -71,11 +71,11 @@
     w.pass(lease);
     let token = w.c.fleet.machines[&machine].token.0;
     let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
-    w.c.on_sent(w.now, &machine, Some(fresh));
+    w.c.on_command_response(w.now, &machine, Some(fresh));
     assert_eq!(launches(&w.settle()), vec![], "does anything reach it?");
     let token = w.c.fleet.machines[&machine].token.0;
     let shows = World::heartbeat_from("i-1", 2, 2, token, vec![]);
-    w.c.on_sent(w.now, &machine, Some(shows));
+    w.c.on_command_response(w.now, &machine, Some(shows));
     let sent = launches(&w.settle());
     assert_eq!(sent.len(), 1, "the old session's task starts anew");
     let (_, task, attempt) = sent[0].clone();
@@ -92,10 +92,7 @@
     assert_eq!(w.active("wk-000001", 0), None);
     assert_eq!(w.c.jobs[&JobId::from("wk-000001")].pending(9), vec![0]);
     let late = World::heartbeat_from("i-1", 1, 99, 0, vec![]);
-    assert_eq!(
-        w.c.on_heartbeat(w.now, late, true),
-        HeartbeatDecision::Ignore
-    );
+    assert_eq!(w.c.on_heartbeat(w.now, late), HeartbeatDecision::Ignore);
     assert!(w.c.fleet.machines.is_empty());
 }
 
@@ -105,7 +102,7 @@
     let higher = FencingToken::first(Term(TERM.0 + 1));
     let r = World::heartbeat_from("i-1", 1, 1, higher.0, vec![]);
     assert_eq!(
-        w.c.on_heartbeat(w.now, r, true),
+        w.c.on_heartbeat(w.now, r),
         HeartbeatDecision::Superseded(Term(TERM.0 + 1))
     );
 }
@@ -116,7 +113,7 @@
     let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
     let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let direct = World::heartbeat_from("i-1", 1, 8, token, running);
-    w.c.on_sent(w.now, &"i-1".into(), Some(direct));
+    w.c.on_command_response(w.now, &"i-1".into(), Some(direct));
     // Sent before the command, arriving after it: its list without the task proves nothing.
     let (_, commands) = w.heartbeat("i-1", 7, vec![]);
     assert_eq!(commands, vec![]);
@@ -193,8 +190,8 @@
     w.pass(secs(2));
     let (before, d) = w.heartbeat("i-1", 1, vec![running(), ended]);
     assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
-    assert!(w.c.jobs_to_ask().contains(&job_id));
-    w.c.on_statuses(w.now, &[(job_id, Some(JobOutcome::Done))]);
+    assert!(w.c.jobs_to_look_up().contains(&job_id));
+    w.c.on_job_statuses(w.now, &[(job_id, Some(JobOutcome::Done))]);
     let (token, d) = w.heartbeat("i-1", 2, vec![running()]);
     assert!(matches!(d[..], [TaskCommand::Kill { .. }]), "{d:?}");
     assert!(token > before, "no late command starts it again");
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -88,7 +88,7 @@
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let given = leader.cluster.on_heartbeat(now, heartbeat, true);
+        let given = leader.cluster.on_heartbeat(now, heartbeat);
         if matches!(given, HeartbeatDecision::Superseded(_)) {
             self.depose(id);
         }
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -270,7 +270,11 @@
     ) {
         let now = self.now;
         if let Some(sender) = self.leader(leader) {
-            if sender.cluster.on_sent(now, machine, heartbeat).is_some() {
+            if sender
+                .cluster
+                .on_command_response(now, machine, heartbeat)
+                .is_some()
+            {
                 self.depose(leader);
             }
         }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::persistence::write_batch::{
     ConflictingKey, WriteBatch, WriteOp, WriteOutcome,
 };
-use cypressgap::core::reconciliation::state_loading::{
+use cypressgap::core::reconciliation::stored_snapshot::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
 use std::collections::BTreeMap;
@@ -175,12 +175,12 @@
         for job in &snapshot.jobs {
             let job_id = &job.spec.job_id;
             if let Some(outcome) = self.outcome(job_id) {
-                snapshot.over.insert(job_id.clone(), outcome);
+                snapshot.outcomes.insert(job_id.clone(), outcome);
             }
             for needed in &job.spec.dependencies {
                 if self.revision_of(&keys::live_job_key(needed)) == 0 {
                     let outcome = self.outcome(needed).unwrap_or(JobOutcome::Live);
-                    snapshot.ends.push((needed.clone(), outcome));
+                    snapshot.dependency_outcomes.push((needed.clone(), outcome));
                 }
             }
         }
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -42,7 +42,7 @@
     let mut r = World::heartbeat_from(machine, incarnation, serial, token, tasks);
     r.machine_type = "m32".into();
     r.zone = zone_of(machine).into();
-    w.c.on_heartbeat(w.now, r, true);
+    w.c.on_heartbeat(w.now, r);
 }
 
 fn tied(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
@@ -193,7 +193,7 @@
                     Action::Send {
                         machine, commands, ..
                     } => {
-                        w.c.on_sent(w.now, &machine, None);
+                        w.c.on_command_response(w.now, &machine, None);
                         if lost.contains(&machine.0) {
                             continue;
                         }
