--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -1,14 +1,14 @@
 //! Jobs cancelled together with their dependents, over whole nodes: outages, lost answers and ends of
 //! nodes between the steps.
 
-use crate::standins::test_cluster::*;
-use crate::standins::*;
+use crate::fakes::test_cluster::*;
+use crate::fakes::*;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 fn await_on(node: SocketAddr, job_id: &str, dependencies: &[&str]) {
-    let body = awaiting(job_id, dependencies);
+    let body = submission_depending_on(job_id, dependencies);
     until("accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
         assert_ne!(status, 422, "{job_id}");
@@ -29,7 +29,7 @@
     let mut unsettled = vec![String::new()];
     while !unsettled.is_empty() {
         assert!(
-            start.elapsed() < PATIENCE,
+            start.elapsed() < WAIT_LIMIT,
             "{why}: never settled: {unsettled:?}"
         );
         unsettled.clear();
@@ -75,9 +75,9 @@
 fn outage_in_a_cascade(key: &'static str, ends: bool) {
     let why = format!("{key}, ends {ends}");
     let (lease, cancel_bound) = (Duration::from_secs(3), Duration::from_secs(11));
-    let zone = TestCluster::new(2);
+    let cluster = TestCluster::new(2);
     let mut nodes = [0, 1].map(|n| {
-        Some(zone.start_with(n, |s| {
+        Some(cluster.start_with(n, |s| {
             (s.config.lease, s.config.cancel) = (lease, cancel_bound);
         }))
     });
@@ -86,14 +86,23 @@
         .iter()
         .position(|n| n.as_ref().is_some_and(|n| leads(n).is_none()))
         .expect("a follower");
-    let [a, b] = [zone.names[confirming].1, zone.names[1 - confirming].1];
+    let [a, b] = [
+        cluster.members[confirming].1,
+        cluster.members[1 - confirming].1,
+    ];
     submit(a, "wk-000400", 1);
     await_on(b, "wk-000401", &["wk-000400"]);
     await_on(a, "wk-000402", &["wk-000401"]);
-    zone.state.fault(key, Fault::ThenOut);
+    cluster
+        .store
+        .inject_fault(key, Fault::UnavailableAfterwards);
     cancel(a, "wk-000400");
     until("the outage", || {
-        zone.state.out.load(Ordering::SeqCst).then_some(())
+        cluster
+            .store
+            .unavailable
+            .load(Ordering::SeqCst)
+            .then_some(())
     });
     if ends {
         if let Some(node) = nodes[confirming].take() {
@@ -101,7 +110,7 @@
         }
     }
     std::thread::sleep(cancel_bound);
-    zone.state.out.store(false, Ordering::SeqCst);
+    cluster.store.unavailable.store(false, Ordering::SeqCst);
     let asked: Vec<SocketAddr> = if ends { vec![b] } else { vec![b, a] };
     never_orphaned(&asked, "wk-000400", &["wk-000401", "wk-000402"], &why);
     until("confirmed", || {
@@ -112,15 +121,15 @@
     }
 }
 
-fn index_is_cleared(zone: &TestCluster, why: &str) {
+fn index_is_cleared(cluster: &TestCluster, why: &str) {
     let start = Instant::now();
     loop {
-        let mut left = zone.state.keys("q/");
-        left.extend(zone.state.keys("d/"));
+        let mut left = cluster.store.keys("q/");
+        left.extend(cluster.store.keys("d/"));
         if left.is_empty() {
             return;
         }
-        assert!(start.elapsed() < PATIENCE, "{why}: left {left:?}");
+        assert!(start.elapsed() < WAIT_LIMIT, "{why}: left {left:?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -129,12 +138,12 @@
 /// when its own node has told users that the job is cancelled.
 #[test]
 fn a_job_cancelled_before_its_acceptance_is_known_leaves_the_index() {
-    let zone = TestCluster::new(1);
-    let node = zone.start(0);
-    let address = zone.names[0].1;
+    let cluster = TestCluster::new(1);
+    let node = cluster.start(0);
+    let address = cluster.members[0].1;
     until("one leads", || leads(&node));
     submit(address, "wk-000600", 1);
-    zone.state.queue_watch_held.store(true, Ordering::SeqCst);
+    cluster.store.queue_watch_held.store(true, Ordering::SeqCst);
     await_on(address, "wk-000601", &["wk-000600"]);
     submit(address, "wk-000602", 1);
     for job_id in ["wk-000600", "wk-000602"] {
@@ -143,8 +152,11 @@
         });
     }
     never_orphaned(&[address], "wk-000600", &["wk-000601"], "a late watch");
-    zone.state.queue_watch_held.store(false, Ordering::SeqCst);
-    index_is_cleared(&zone, "a late watch");
+    cluster
+        .store
+        .queue_watch_held
+        .store(false, Ordering::SeqCst);
+    index_is_cleared(&cluster, "a late watch");
     node.stop();
 }
 
@@ -152,19 +164,19 @@
 /// because another of its dependencies was cancelled, while the leader still lived.
 #[test]
 fn a_list_without_a_dependent_goes_once_no_node_needs_lists() {
-    let zone = TestCluster::new(1);
-    let node = zone.start(0);
-    let address = zone.names[0].1;
+    let cluster = TestCluster::new(1);
+    let node = cluster.start(0);
+    let address = cluster.members[0].1;
     until("one leads", || leads(&node));
     submit(address, "wk-000620", 1);
-    zone.state.put(
+    cluster.store.put(
         "d/wk-000620",
-        map([("by", Any::List(vec![t("wk-000621")]))]),
+        map([("by", Value::List(vec![text("wk-000621")]))]),
     );
     until("confirmed", || {
         (cancel(address, "wk-000620") == 200).then_some(())
     });
-    index_is_cleared(&zone, "a list without a dependent");
+    index_is_cleared(&cluster, "a list without a dependent");
     node.stop();
 }
 
@@ -194,9 +206,9 @@
 }
 
 fn race(why: &str, faults: &[(&'static str, Fault)]) {
-    let zone = TestCluster::new(2);
-    let nodes = [zone.start(0), zone.start(1)];
-    let [a, b] = [zone.names[0].1, zone.names[1].1];
+    let cluster = TestCluster::new(2);
+    let nodes = [cluster.start(0), cluster.start(1)];
+    let [a, b] = [cluster.members[0].1, cluster.members[1].1];
     until("one leads", || nodes.iter().find_map(leads));
     submit(a, "wk-000500", 1);
     let submit_some = |node: SocketAddr, first: u32| {
@@ -205,7 +217,7 @@
         for n in first..first + 12 {
             let job_id = format!("wk-{n:06}");
             // A fan and chains at once.
-            let body = awaiting(&job_id, &["wk-000500", &before]);
+            let body = submission_depending_on(&job_id, &["wk-000500", &before]);
             let start = Instant::now();
             while start.elapsed() < Duration::from_secs(6) {
                 if matches!(call("POST", node, "/api/jobs", Some(&body)).0, 200 | 201) {
@@ -224,7 +236,7 @@
         let second = s.spawn(|| submit_some(b, 540));
         std::thread::sleep(Duration::from_millis(60));
         for (prefix, fault) in faults {
-            zone.state.fault(prefix, *fault);
+            cluster.store.inject_fault(prefix, *fault);
         }
         until("confirmed", || {
             (cancel(b, "wk-000500") == 200).then_some(())
@@ -236,7 +248,7 @@
     assert!(dependents.len() > 6, "{why}: {dependents:?}");
     let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
     never_orphaned(&[a, b], "wk-000500", &names, why);
-    index_is_cleared(&zone, why);
+    index_is_cleared(&cluster, why);
     for node in nodes {
         node.stop();
     }
@@ -249,12 +261,12 @@
     const DEPENDENTS: u32 = 60;
     // Two nodes that know each other's version, and one that has never heard its peer.
     for heard in [true, false] {
-        let zone = TestCluster::new(2);
+        let cluster = TestCluster::new(2);
         // Lists with room for a few names only.
         let small = |s: &mut cypressgap::settings::Settings| s.config.value_bytes = 700;
-        let mut nodes = vec![zone.start_with(0, small)];
+        let mut nodes = vec![cluster.start_with(0, small)];
         if heard {
-            nodes.push(zone.start_with(1, small));
+            nodes.push(cluster.start_with(1, small));
             until("they know each other", || {
                 let knows = |n: &cypressgap::runtime::service::Service| {
                     n.shared.peers.iter().all(|p| p.supports(3))
@@ -262,12 +274,12 @@
                 nodes.iter().all(knows).then_some(())
             });
         }
-        let node = zone.names[0].1;
+        let node = cluster.members[0].1;
         submit(node, "wk-000600", 1);
         for n in 0..DEPENDENTS {
             await_on(node, &format!("wk-{:06}", 700 + n), &["wk-000600"]);
         }
-        let lists = zone.state.keys("d/").len();
+        let lists = cluster.store.keys("d/").len();
         assert_eq!(
             lists == 0,
             heard,
@@ -287,7 +299,7 @@
             assert_eq!(said, "withdrawn", "{job_id}");
         }
         until("lists and index are cleared", || {
-            let left = zone.state.keys("q/").len() + zone.state.keys("d/").len();
+            let left = cluster.store.keys("q/").len() + cluster.store.keys("d/").len();
             (left == 0).then_some(())
         });
         for node in nodes {
@@ -310,35 +322,36 @@
     std::thread::scope(|s| {
         for meets in [Meets::Nothing, Meets::AnOutage, Meets::ANewLeader] {
             s.spawn(move || {
-                let zone = TestCluster::new(2);
-                let mut nodes = [Some(zone.start(0)), Some(zone.start(1))];
-                let worker = Worker::start("i-1", Duration::from_millis(300), zone.names.clone());
+                let cluster = TestCluster::new(2);
+                let mut nodes = [Some(cluster.start(0)), Some(cluster.start(1))];
+                let worker =
+                    FakeWorker::start("i-1", Duration::from_millis(300), cluster.members.clone());
                 until("one leads", || nodes.iter().flatten().find_map(leads));
                 let leading = nodes
                     .iter()
                     .position(|n| n.as_ref().is_some_and(|n| leads(n).is_some()))
                     .expect("a leader");
-                let other = zone.names[1 - leading].1;
-                worker.runs_for(Duration::from_secs(600));
+                let other = cluster.members[1 - leading].1;
+                worker.set_run_time(Duration::from_secs(600));
                 submit(other, "wk-000750", 1);
                 let dependents: Vec<String> = (751..766).map(|n| format!("wk-{n:06}")).collect();
                 for job_id in &dependents {
                     await_on(other, job_id, &["wk-000750"]);
                 }
-                zone.state.most_ops.store(3, Ordering::SeqCst);
+                cluster.store.max_changes.store(3, Ordering::SeqCst);
                 // It may be told to come back while the rate of changes is used up. Once its own
                 // verdict is durable, nobody asks again: the rest is the nodes' to finish.
                 until("the cancellation is durable", || {
                     cancel(other, "wk-000750");
-                    let outcomes = zone.state.keys("j/wk-000750").len();
+                    let outcomes = cluster.store.keys("j/wk-000750").len();
                     (outcomes == 1).then_some(())
                 });
                 match meets {
                     Meets::Nothing => {}
                     Meets::AnOutage => {
-                        zone.state.out.store(true, Ordering::SeqCst);
+                        cluster.store.unavailable.store(true, Ordering::SeqCst);
                         std::thread::sleep(Duration::from_secs(3));
-                        zone.state.out.store(false, Ordering::SeqCst);
+                        cluster.store.unavailable.store(false, Ordering::SeqCst);
                     }
                     Meets::ANewLeader => {
                         if let Some(node) = nodes[leading].take() {
@@ -349,7 +362,7 @@
                 let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
                 never_orphaned(&[other], "wk-000750", &names, &format!("{meets:?}"));
                 // What comes afterwards is served as well.
-                worker.runs_for(Duration::from_millis(300));
+                worker.set_run_time(Duration::from_millis(300));
                 submit(other, "wk-000790", 2);
                 until("it ends", || {
                     (phase(other, "wk-000790")? == "done").then_some(())
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -1,10 +1,10 @@
 //! All controller processes are killed at once and come back: what runs is started once, and the machines
-//! get no burst of orders. Counted at the stand-in workers.
+//! get no burst of orders. Counted at the fake workers.
 
+use super::fakes::process::NodeProcess;
+use super::fakes::test_cluster::*;
+use super::fakes::*;
 use super::peaks::peak;
-use super::standins::process::Node;
-use super::standins::test_cluster::*;
-use super::standins::*;
 use cypressgap::core::model::{FencingToken, Term};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -27,32 +27,38 @@
 }
 
 /// Controllers and machines in two segments.
-struct ClusterState {
-    zone: TestCluster,
-    nodes: Vec<Option<Node>>,
-    workers: Vec<Worker>,
+struct Deployment {
+    cluster: TestCluster,
+    nodes: Vec<Option<NodeProcess>>,
+    workers: Vec<FakeWorker>,
     operators: String,
 }
 
-impl ClusterState {
-    fn start(machines: u16, operators: String) -> ClusterState {
-        let zone = TestCluster::new(NODES);
+impl Deployment {
+    fn start(machines: u16, operators: String) -> Deployment {
+        let cluster = TestCluster::new(NODES);
         let machine = |n: u16| {
             let [_, last] = (1 + n / 2).to_be_bytes();
             let address = Ipv4Addr::new(127, 0, 1 + (n % 2) as u8, last);
             let (run, pause) = (Duration::from_secs(600), Duration::from_millis(300));
-            Worker::start_at(address, &format!("i-{n}"), run, pause, zone.names.clone())
+            FakeWorker::start_at(
+                address,
+                &format!("i-{n}"),
+                run,
+                pause,
+                cluster.members.clone(),
+            )
         };
         let workers = (0..machines).map(machine).collect();
-        let mut cluster = ClusterState {
-            zone,
+        let mut deployment = Deployment {
+            cluster,
             nodes: Vec::new(),
             workers,
             operators,
         };
-        cluster.nodes.resize_with(NODES, || None);
-        cluster.start_nodes();
-        cluster
+        deployment.nodes.resize_with(NODES, || None);
+        deployment.start_nodes();
+        deployment
     }
 
     fn start_nodes(&mut self) {
@@ -66,7 +72,7 @@
             text.replace("cpus_max = 128.0", "cpus_max = 4000.0")
                 .replace("report_s = 3.0", "report_s = 0.5")
         };
-        self.nodes[n] = Some(Node::start(&self.zone, n, edit, &self.operators));
+        self.nodes[n] = Some(NodeProcess::start(&self.cluster, n, edit, &self.operators));
     }
 
     fn kill_all(&mut self) {
@@ -77,8 +83,8 @@
 
     /// The node that leads, by the leader key.
     fn leader(&self) -> Option<usize> {
-        let member = self.zone.state.value("ctl/leader")?.text("member");
-        self.zone.names.iter().position(|n| n.0 == member)
+        let member = self.cluster.store.value("ctl/leader")?.text("member");
+        self.cluster.members.iter().position(|n| n.0 == member)
     }
 
     /// Tasks that run, with the machines that they run on. Each on one at most.
@@ -101,7 +107,11 @@
     fn submit_all(&self) {
         let jobs = self.all() as u64 / TASKS_A_JOB;
         for job in 1..=jobs {
-            submit(self.zone.names[0].1, &format!("wk-{job:06}"), TASKS_A_JOB);
+            submit(
+                self.cluster.members[0].1,
+                &format!("wk-{job:06}"),
+                TASKS_A_JOB,
+            );
         }
     }
 
@@ -114,14 +124,14 @@
     /// Until the leases of all machines have run out, and everything on them ended.
     fn let_leases_run_out(&self) {
         for w in &self.workers {
-            w.leased(Duration::from_millis(700));
+            w.set_lease(Duration::from_millis(700));
         }
         until("all leases ran out", || {
-            let spent = |w: &Worker| w.running() == 0 && w.sessions_ended() > 0;
+            let spent = |w: &FakeWorker| w.running() == 0 && w.expired_leases() > 0;
             self.workers.iter().all(spent).then_some(())
         });
         for w in &self.workers {
-            w.leased(Duration::ZERO);
+            w.set_lease(Duration::ZERO);
         }
     }
 
@@ -159,57 +169,57 @@
 
 #[test]
 fn all_controllers_are_killed_and_restarted() {
-    let mut cluster = ClusterState::start(MACHINES, paced(MACHINES));
-    cluster.submit_all();
-    cluster.await_all_running();
-    let all = cluster.all();
-    assert_eq!(cluster.starts(), all);
+    let mut deployment = Deployment::start(MACHINES, paced(MACHINES));
+    deployment.submit_all();
+    deployment.await_all_running();
+    let all = deployment.all();
+    assert_eq!(deployment.starts(), all);
 
-    // Shorter than a lease; the state service is back later than they are, and one of them stays cut off it.
-    let term = cluster.await_term_after(Term(0));
-    cluster.kill_all();
-    let out = cluster.zone.state.out.clone();
+    // Shorter than a lease; the store is back later than they are, and one of them stays cut off it.
+    let term = deployment.await_term_after(Term(0));
+    deployment.kill_all();
+    let out = deployment.cluster.store.unavailable.clone();
     out.store(true, std::sync::atomic::Ordering::SeqCst);
-    cluster.zone.to_state[0].cut(true);
-    cluster.start_nodes();
+    deployment.cluster.store_links[0].partition();
+    deployment.start_nodes();
     std::thread::sleep(Duration::from_secs(1));
     out.store(false, std::sync::atomic::Ordering::SeqCst);
-    let term = cluster.await_term_after(term);
-    assert_eq!(cluster.running().len(), all);
-    assert_eq!(cluster.starts(), all, "what runs is not started again");
+    let term = deployment.await_term_after(term);
+    assert_eq!(deployment.running().len(), all);
+    assert_eq!(deployment.starts(), all, "what runs is not started again");
 
     // All leases run out meanwhile; and the first leader dies while it starts the tasks again.
-    cluster.kill_all();
-    cluster.let_leases_run_out();
-    cluster.zone.to_state[0].cut(false);
+    deployment.kill_all();
+    deployment.let_leases_run_out();
+    deployment.cluster.store_links[0].heal();
     let back = Instant::now();
-    cluster.start_nodes();
+    deployment.start_nodes();
     until("some are started again", || {
-        (cluster.starts() > all + FLEET / 4).then_some(())
+        (deployment.starts() > all + FLEET / 4).then_some(())
     });
-    let leader = cluster.leader().expect("one leads");
-    if let Some(node) = cluster.nodes[leader].take() {
+    let leader = deployment.leader().expect("one leads");
+    if let Some(node) = deployment.nodes[leader].take() {
         node.kill();
     }
-    cluster.await_term_after(Term(term.0 + 1));
-    cluster.start_node(leader);
-    cluster.await_all_running();
-    let (fleet, segment) = cluster.peaks(back, Duration::from_secs(2));
+    deployment.await_term_after(Term(term.0 + 1));
+    deployment.start_node(leader);
+    deployment.await_all_running();
+    let (fleet, segment) = deployment.peaks(back, Duration::from_secs(2));
     println!("orders in two seconds: fleet {fleet}, segment {segment}");
     assert!(fleet <= 2 * FLEET, "{fleet}");
     assert!(segment <= 2 * SEGMENT, "{segment}");
-    assert_eq!(cluster.starts(), 2 * all, "each was started once more");
-    cluster.kill_all();
+    assert_eq!(deployment.starts(), 2 * all, "each was started once more");
+    deployment.kill_all();
 }
 
-/// The state service is put back to an earlier state while a task runs. It is neither killed nor started
+/// The store is reset to an earlier state while a task runs. It is neither killed nor started
 /// again, and belongs to its job once its user has submitted that again.
 #[test]
 fn tasks_continue_though_the_store_lost_their_job() {
-    let zone = TestCluster::new(1);
-    let node = zone.names[0].1;
-    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
-    let start = || Node::start(&zone, 0, |text| text, "(cypressgap)");
+    let cluster = TestCluster::new(1);
+    let node = cluster.members[0].1;
+    let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
+    let start = || NodeProcess::start(&cluster, 0, |text| text, "(cypressgap)");
     let term = || FencingToken(worker.token()).term();
     // Several terms, so that the numbers of the first ones are in use when it begins anew.
     for n in 0..3 {
@@ -222,7 +232,7 @@
     until("the task runs", || (worker.running() == 1).then_some(()));
     let before = term();
     process.kill();
-    zone.state.put_back();
+    cluster.store.reset();
     let process = start();
     until("a later term leads", || (term() > before).then_some(()));
     // Nobody knows what the task takes and whose it is, so nothing is started beside it.
@@ -233,7 +243,7 @@
     until("the other job starts", || {
         (worker.running() == 2).then_some(())
     });
-    worker.runs_for(Duration::from_millis(100));
+    worker.set_run_time(Duration::from_millis(100));
     for job_id in ["wk-000001", "wk-000002"] {
         until("done", || (phase(node, job_id)? == "done").then_some(()));
     }
@@ -250,34 +260,34 @@
     let text = |name: &str| std::env::var(name).ok();
     let machines = text("MACHINES").map_or(200, |n| n.parse().expect("a number"));
     let operators = text("OPERATORS").unwrap_or("(cypressgap)".to_owned());
-    let mut cluster = ClusterState::start(machines, operators);
-    cluster.submit_all();
-    cluster.await_all_running();
+    let mut deployment = Deployment::start(machines, operators);
+    deployment.submit_all();
+    deployment.await_all_running();
     for spent in [false, true] {
-        let before = cluster.starts();
-        let term = cluster.await_term_after(Term(0));
-        cluster.kill_all();
+        let before = deployment.starts();
+        let term = deployment.await_term_after(Term(0));
+        deployment.kill_all();
         if spent {
-            cluster.let_leases_run_out();
+            deployment.let_leases_run_out();
         } else {
             std::thread::sleep(Duration::from_secs(2));
         }
         let back = Instant::now();
-        cluster.start_nodes();
-        cluster.await_term_after(term);
+        deployment.start_nodes();
+        deployment.await_term_after(term);
         let known = back.elapsed();
-        cluster.await_all_running();
+        deployment.await_all_running();
         let running = back.elapsed();
         std::thread::sleep(Duration::from_secs(3));
         let second = Duration::from_secs(1);
         println!(
             "{machines} machines, leases spent {spent}: started {}, orders a second {:?}, \
              all machines know the term after {:.1} s, all tasks run after {:.1} s",
-            cluster.starts() - before,
-            cluster.peaks(back, second),
+            deployment.starts() - before,
+            deployment.peaks(back, second),
             known.as_secs_f64(),
             running.as_secs_f64()
         );
     }
-    cluster.kill_all();
+    deployment.kill_all();
 }
--- a/tests/end_to_end/heartbeat_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -1,8 +1,8 @@
 //! A large fleet reports all at once to a node that has just come back.
 
-use super::standins::process::Node;
-use super::standins::test_cluster::*;
-use super::standins::*;
+use super::fakes::process::NodeProcess;
+use super::fakes::test_cluster::*;
+use super::fakes::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,17 +17,17 @@
     words.and_then(|n| n.parse().ok()).expect("a number")
 }
 
-fn heartbeat(machine: usize, serial: u64) -> Any {
+fn heartbeat(machine: usize, serial: u64) -> Value {
     map([
-        ("Host", t(&format!("i-{machine:06}"))),
-        ("Endpoint", t("127.0.0.1:9")),
-        ("HostType", t("m8")),
-        ("Site", t("hall-a")),
-        ("Preemptible", Any::Bool(false)),
-        ("Tenure", Any::Int(1)),
-        ("Serial", Any::Int(serial)),
-        ("Epoch", Any::Int(0)),
-        ("Shards", Any::List(Vec::new())),
+        ("Host", text(&format!("i-{machine:06}"))),
+        ("Endpoint", text("127.0.0.1:9")),
+        ("HostType", text("m8")),
+        ("Site", text("hall-a")),
+        ("Preemptible", Value::Bool(false)),
+        ("Tenure", Value::Int(1)),
+        ("Serial", Value::Int(serial)),
+        ("Epoch", Value::Int(0)),
+        ("Shards", Value::List(Vec::new())),
     ])
 }
 
@@ -45,11 +45,11 @@
 
 /// All machines report in two seconds at most: each is answered before long, and memory stays bounded.
 fn flood(machines: usize) -> (Duration, usize, u64) {
-    let zone = TestCluster::new(1);
-    let node = zone.names[0].1;
-    let process = Node::start(&zone, 0, |text| text, "(cypressgap (max-hosts 10000))");
+    let cluster = TestCluster::new(1);
+    let node = cluster.members[0].1;
+    let process = NodeProcess::start(&cluster, 0, |text| text, "(cypressgap (max-hosts 10000))");
     until("the node leads", || {
-        zone.state.value("ctl/leader").map(|_| ())
+        cluster.store.value("ctl/leader").map(|_| ())
     });
     let next = Arc::new(AtomicUsize::new(0));
     let began = Instant::now();
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -1,8 +1,8 @@
 //! Users who look closely: at all nodes at the same time, again and again, right after a job was
 //! accepted, ended or cancelled. No node may answer something older than any node has told before.
 
-use crate::standins::test_cluster::*;
-use crate::standins::*;
+use crate::fakes::test_cluster::*;
+use crate::fakes::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use std::time::Duration;
@@ -120,10 +120,10 @@
 fn status_reads_are_monotonic_across_nodes() {
     // Whether the state service refuses one node, whose peer asks in its place.
     for refused in [false, true] {
-        let zone = TestCluster::new(2);
-        let nodes = [zone.start(0), zone.start(1)];
-        let _worker = Worker::start("i-1", Duration::from_millis(400), zone.names.clone());
-        let addresses = [zone.names[0].1, zone.names[1].1];
+        let cluster = TestCluster::new(2);
+        let nodes = [cluster.start(0), cluster.start(1)];
+        let _worker = FakeWorker::start("i-1", Duration::from_millis(400), cluster.members.clone());
+        let addresses = [cluster.members[0].1, cluster.members[1].1];
         until("one leads", || nodes.iter().find_map(leads));
         submit(addresses[0], "wk-000900", 1);
         until("it ends", || {
@@ -131,7 +131,7 @@
         });
         if refused {
             let follower = nodes.iter().position(|n| leads(n).is_none());
-            zone.to_state[follower.expect("a follower")].cut(true);
+            cluster.store_links[follower.expect("a follower")].partition();
             // Until it knows that the state service does not answer it.
             std::thread::sleep(Duration::from_secs(4));
         }
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -1,39 +1,39 @@
-//! This version beside the one in production: what that one does to the state service is done here by
+//! This version beside the one in production: what that one does to the store is done here by
 //! hand, by its layouts, while a node of this version serves.
 
-use crate::standins::test_cluster::*;
-use crate::standins::*;
+use crate::fakes::test_cluster::*;
+use crate::fakes::*;
 use std::time::Duration;
 
-/// The version in production, as the state service sees it.
+/// The version in production, as the store sees it.
 struct EarlierNode<'a> {
-    state: &'a StateService,
+    store: &'a FakeStore,
 }
 
 impl EarlierNode<'_> {
     fn revision(&self, key: &str) -> u64 {
         let path = format!("/store/{key}");
-        call("GET", self.state.address, &path, None).1.int("Stamp")
+        call("GET", self.store.address, &path, None).1.int("Stamp")
     }
 
-    fn txn(&self, conditions: &[(&str, u64)], puts: &[(&str, Any)]) -> u16 {
+    fn txn(&self, conditions: &[(&str, u64)], puts: &[(&str, Value)]) -> u16 {
         let conditions = conditions
             .iter()
-            .map(|(key, revision)| map([("Path", t(key)), ("Stamp", Any::Int(*revision))]));
+            .map(|(key, revision)| map([("Path", text(key)), ("Stamp", Value::Int(*revision))]));
         let puts = puts
             .iter()
-            .map(|(key, value)| map([("Put", t(key)), ("V", value.clone())]));
+            .map(|(key, value)| map([("Put", text(key)), ("V", value.clone())]));
         let body = map([
-            ("If", Any::List(conditions.collect())),
-            ("Apply", Any::List(puts.collect())),
+            ("If", Value::List(conditions.collect())),
+            ("Apply", Value::List(puts.collect())),
         ]);
-        call("POST", self.state.address, "/txn", Some(&body)).0
+        call("POST", self.store.address, "/txn", Some(&body)).0
     }
 
     /// Enters a job in the list of what it needs, then accepts it: no field says that it is listed.
     fn accepts(&self, job_id: &str, resources: &str) {
         let (list, outcome) = (format!("d/{resources}"), format!("j/{resources}"));
-        let names = map([("by", Any::List(vec![t(job_id)]))]);
+        let names = map([("by", Value::List(vec![text(job_id)]))]);
         let listed = self.txn(
             &[(&list, self.revision(&list)), (&outcome, 0)],
             &[(&list, names)],
@@ -58,23 +58,23 @@
         let mut puts = Vec::new();
         for (outcome, mark) in &outcomes {
             conditions.push((outcome, 0));
-            puts.push((outcome.as_str(), map([("p", t("withdrawn"))])));
-            puts.push((mark.as_str(), Any::Int(1)));
+            puts.push((outcome.as_str(), map([("p", text("withdrawn"))])));
+            puts.push((mark.as_str(), Value::Int(1)));
         }
         self.txn(&conditions, &puts)
     }
 }
 
-fn record(job_id: &str, resources: &str) -> Any {
+fn record(job_id: &str, resources: &str) -> Value {
     let mut record = job_record(job_id, 1);
-    if let Any::Map(fields) = &mut record {
-        fields.insert("needs".to_owned(), Any::List(vec![t(resources)]));
+    if let Value::Map(fields) = &mut record {
+        fields.insert("needs".to_owned(), Value::List(vec![text(resources)]));
     }
     record
 }
 
 fn accepts(node: std::net::SocketAddr, job_id: &str, dependencies: &[&str]) {
-    let body = awaiting(job_id, dependencies);
+    let body = submission_depending_on(job_id, dependencies);
     until("accepted", || {
         let status = call("POST", node, "/api/jobs", Some(&body)).0;
         matches!(status, 200 | 201).then_some(())
@@ -85,11 +85,13 @@
 /// not until it is asked: it keeps the lists which that one needs.
 #[test]
 fn each_version_finds_what_the_other_accepted_and_cancelled() {
-    let zone = TestCluster::new(2);
-    let node = zone.start(0);
-    let address = zone.names[0].1;
-    let worker = Worker::start("i-1", Duration::from_secs(600), zone.names.clone());
-    let earlier = EarlierNode { state: &zone.state };
+    let cluster = TestCluster::new(2);
+    let node = cluster.start(0);
+    let address = cluster.members[0].1;
+    let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
+    let earlier = EarlierNode {
+        store: &cluster.store,
+    };
     until("it leads", || leads(&node));
     let told = |job_id: &str, expected: &str| {
         until(job_id, || {
@@ -139,7 +141,7 @@
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(worker.starts().len(), 1, "all but the first wait");
     let leader = earlier.revision("ctl/leader");
-    let done = map([("p", t("done"))]);
+    let done = map([("p", text("done"))]);
     // Late, after the next leader's first write: the leader's stamp is another.
     let late = [("ctl/leader", leader - 1), ("j/wk-000820", 0)];
     assert_eq!(earlier.txn(&late, &[("j/wk-000820", done.clone())]), 409);
@@ -149,12 +151,12 @@
     );
     node.stop();
     // Another life of this version leads next, with the pipeline half done.
-    let mut zone = zone;
-    zone.names[0].1 = free_port();
-    zone.peers[0] = free_port();
-    let next = zone.start(0);
+    let mut cluster = cluster;
+    cluster.members[0].1 = free_port();
+    cluster.peers[0] = free_port();
+    let next = cluster.start(0);
     until("it leads again", || leads(&next));
-    let fresh = Worker::start("i-2", Duration::from_millis(200), zone.names.clone());
+    let fresh = FakeWorker::start("i-2", Duration::from_millis(200), cluster.members.clone());
     until("the last of the chain runs", || {
         let starts = [worker.starts(), fresh.starts()].concat();
         starts.iter().any(|s| s.0 == "wk-000821/0").then_some(())
--- /dev/null
+++ b/tests/fakes/http.rs
@@ -0,0 +1,84 @@
+//! HTTP on loopback: servers for the fakes, and a client for the tests.
+
+use super::value::Value;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tiny_http::{Method, Response, Server};
+
+pub type FakeResponse = (u16, Value);
+
+/// Serves requests, each in a thread of its own, until the process ends.
+pub(super) fn serve(
+    handle: impl Fn(&Method, &str, Value) -> FakeResponse + Send + Sync + 'static,
+) -> SocketAddr {
+    serve_at(Ipv4Addr::LOCALHOST, handle)
+}
+
+pub(super) fn serve_at(
+    address: Ipv4Addr,
+    handle: impl Fn(&Method, &str, Value) -> FakeResponse + Send + Sync + 'static,
+) -> SocketAddr {
+    let server = Server::http((address, 0)).expect("a stand-in listens");
+    let address = server.server_addr().to_ip().expect("an IP address");
+    let handle = Arc::new(handle);
+    std::thread::spawn(move || {
+        for mut request in server.incoming_requests() {
+            let handle = handle.clone();
+            std::thread::spawn(move || {
+                let mut body = Vec::new();
+                let _ = request.as_reader().read_to_end(&mut body);
+                let body = rmp_serde::from_slice(&body).unwrap_or(Value::Nil(()));
+                let (status, answer) = handle(request.method(), request.url(), body);
+                let bytes = rmp_serde::to_vec_named(&answer).expect("an answer");
+                let response = Response::from_data(bytes).with_status_code(status);
+                let _ = request.respond(response);
+            });
+        }
+    });
+    address
+}
+
+pub(super) fn query(url: &str, name: &str) -> Option<String> {
+    let (_, q) = url.split_once('?')?;
+    q.split('&')
+        .find_map(|p| p.strip_prefix(&format!("{name}=")))
+        .map(str::to_owned)
+}
+
+/// One call; status 0: no answer.
+pub fn call(method: &str, address: SocketAddr, path: &str, body: Option<&Value>) -> (u16, Value) {
+    let request =
+        ureq::request(method, &format!("http://{address}{path}")).timeout(Duration::from_secs(4));
+    let sent = match body {
+        Some(b) => request.send_bytes(&rmp_serde::to_vec_named(b).expect("a body")),
+        None if method == "POST" => request.send_bytes(&[]),
+        None => request.call(),
+    };
+    match sent {
+        Ok(r) | Err(ureq::Error::Status(_, r)) => {
+            let status = r.status();
+            let mut bytes = Vec::new();
+            let _ = r.into_reader().read_to_end(&mut bytes);
+            let body = rmp_serde::from_slice(&bytes).unwrap_or(Value::Nil(()));
+            (status, body)
+        }
+        Err(_) => (0, Value::Nil(())),
+    }
+}
+
+/// A free port for a node that is started later. Below the range from which the system takes ports
+/// for connections and for listeners that name none: one of those would have it by then.
+pub fn free_port() -> SocketAddr {
+    static NEXT: AtomicU16 = AtomicU16::new(0);
+    let first = 15_000 + (std::process::id() % 100) as u16 * 100;
+    for _ in 0..5_000 {
+        let port = 15_000 + (first + NEXT.fetch_add(1, Ordering::SeqCst)) % 12_000;
+        let address = SocketAddr::from(([127, 0, 0, 1], port));
+        if TcpListener::bind(address).is_ok() {
+            return address;
+        }
+    }
+    panic!("no free port");
+}
--- a/tests/standins/process.rs
+++ b/tests/fakes/process.rs
@@ -5,28 +5,28 @@
 use std::process::{Child, Command, Stdio};
 
 /// A controller process. It is killed when this goes.
-pub struct Node {
+pub struct NodeProcess {
     child: Child,
     files: Vec<PathBuf>,
 }
 
-impl Node {
+impl NodeProcess {
     /// Node `n` of a site, with the platform's settings edited and these operators' settings.
     pub fn start(
-        zone: &TestCluster,
+        cluster: &TestCluster,
         n: usize,
         edit: impl Fn(String) -> String,
         operators: &str,
-    ) -> Node {
+    ) -> NodeProcess {
         let folder = std::env::temp_dir();
         let name = format!(
             "cypressgap-{}-{}",
             std::process::id(),
-            zone.names[n].1.port()
+            cluster.members[n].1.port()
         );
         let config = folder.join(format!("{name}.toml"));
         let own = folder.join(format!("{name}.lisp"));
-        std::fs::write(&config, edit(zone.config(n))).expect("the settings are written");
+        std::fs::write(&config, edit(cluster.config(n))).expect("the settings are written");
         std::fs::write(&own, operators).expect("the operators' settings are written");
         let program = std::env::var_os("NODE_PROGRAM");
         let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_cypressgap").into());
@@ -41,7 +41,7 @@
             .spawn()
             .expect("a node starts");
         let files = vec![config, own];
-        Node { child, files }
+        NodeProcess { child, files }
     }
 
     /// The number of the process.
@@ -60,7 +60,7 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         self.end();
         for file in &self.files {
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -4,6 +4,10 @@
 //! `deploy/service.toml` names and of the one before it, not with this version's types.
 
 use cypressgap::core::model::JobSpec;
+#[path = "fakes/value.rs"]
+#[allow(dead_code)]
+mod value;
+
 use cypressgap::net::peer::{
     read_frame, CancellationPosition, Hello, HelloExtension, JobProgress, PeerJobStatus,
     PeerRequest, PeerResponse,
@@ -12,109 +16,94 @@
     decode, encode, StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader,
     StoredOutcome,
 };
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(untagged)]
-enum Any {
-    Nil(()),
-    Bool(bool),
-    Int(u64),
-    Float(f64),
-    Text(String),
-    List(Vec<Any>),
-    Map(BTreeMap<String, Any>),
-}
-
-fn t(s: &str) -> Any {
-    Any::Text(s.to_owned())
-}
-
-fn map(items: &[(&str, Any)]) -> Any {
-    Any::Map(
-        items
-            .iter()
-            .map(|(k, v)| (k.to_string(), v.clone()))
-            .collect(),
-    )
-}
+use serde::Serialize;
+use value::{map, text, Value};
 
 /// What the production version keeps of a job.
-fn job_record() -> Any {
-    map(&[
-        ("uid", t("wk-000412")),
-        ("class", t("train")),
-        ("owner", t("vision")),
-        ("gang", Any::Bool(true)),
-        ("urgency", Any::Int(2)),
-        ("shards", Any::Int(16)),
+fn job_record() -> Value {
+    map([
+        ("uid", text("wk-000412")),
+        ("class", text("train")),
+        ("owner", text("vision")),
+        ("gang", Value::Bool(true)),
+        ("urgency", Value::Int(2)),
+        ("shards", Value::Int(16)),
         (
             "need",
-            Any::List(vec![Any::Float(8.0), Any::Float(1.0), Any::Float(64.0)]),
+            Value::List(vec![
+                Value::Float(8.0),
+                Value::Float(1.0),
+                Value::Float(64.0),
+            ]),
         ),
-        ("types", Any::List(vec![t("g8")])),
-        ("site", Any::Nil(())),
-        ("same_place", Any::Bool(true)),
-        ("spread", Any::Bool(false)),
-        ("spot", Any::Bool(true)),
-        ("image", Any::List(vec![t("img-07"), Any::Float(6.2)])),
-        ("expected", Any::Float(240.0)),
-        ("every", Any::Float(30.0)),
-        ("save", Any::Float(4.0)),
-        ("due", Any::Float(900.0)),
-        ("at", Any::Int(7)),
+        ("types", Value::List(vec![text("g8")])),
+        ("site", Value::Nil(())),
+        ("same_place", Value::Bool(true)),
+        ("spread", Value::Bool(false)),
+        ("spot", Value::Bool(true)),
+        (
+            "image",
+            Value::List(vec![text("img-07"), Value::Float(6.2)]),
+        ),
+        ("expected", Value::Float(240.0)),
+        ("every", Value::Float(30.0)),
+        ("save", Value::Float(4.0)),
+        ("due", Value::Float(900.0)),
+        ("at", Value::Int(7)),
     ])
 }
 
 #[test]
 fn records_of_the_version_in_production_are_read_and_written_as_they_are() {
-    fn both<T: Serialize + serde::de::DeserializeOwned>(record: Any) {
+    fn both<T: Serialize + serde::de::DeserializeOwned>(record: Value) {
         let read: T = decode(&encode(&record)).expect("it is read");
-        let again: Any = decode(&encode(&read)).expect("it is written");
+        let again: Value = decode(&encode(&read)).expect("it is written");
         assert_eq!(again, record);
     }
     both::<StoredJob>(job_record());
-    both::<StoredOutcome>(map(&[("p", t("withdrawn"))]));
-    both::<StoredLeader>(map(&[
-        ("member", t("worker-1")),
-        ("boot", Any::Int(77)),
-        ("term", Any::Int(4)),
+    both::<StoredOutcome>(map([("p", text("withdrawn"))]));
+    both::<StoredLeader>(map([
+        ("member", text("worker-1")),
+        ("boot", Value::Int(77)),
+        ("term", Value::Int(4)),
+    ]));
+    let attempt = Value::List(vec![Value::Int(3), Value::Int(1 << 30), text("i-000231")]);
+    both::<StoredChunk>(map([
+        ("d", Value::Int(5)),
+        ("a", Value::List(vec![attempt])),
     ]));
-    let attempt = Any::List(vec![Any::Int(3), Any::Int(1 << 30), t("i-000231")]);
-    both::<StoredChunk>(map(&[("d", Any::Int(5)), ("a", Any::List(vec![attempt]))]));
-    let run = Any::List(vec![Any::Int(9), Any::Float(1.5), Any::Int(2)]);
-    both::<StoredHistory>(map(&[
-        ("runs", Any::List(vec![run])),
-        ("bias", Any::List(vec![])),
-        ("fetch", Any::List(vec![])),
+    let run = Value::List(vec![Value::Int(9), Value::Float(1.5), Value::Int(2)]);
+    both::<StoredHistory>(map([
+        ("runs", Value::List(vec![run])),
+        ("bias", Value::List(vec![])),
+        ("fetch", Value::List(vec![])),
     ]));
     let stored: StoredJob = decode(&encode(&job_record())).expect("it is read");
     let spec = JobSpec::try_from(stored).expect("a job");
     assert_eq!((spec.task_count, spec.dependencies.len()), (16, 0));
     // A job that awaits others has one field more, which the oldest version passes over. The version
     // in production writes it, and enters the job in a list of each dependency.
-    both::<StoredDependents>(map(&[(
+    both::<StoredDependents>(map([(
         "by",
-        Any::List(vec![t("wk-000412"), t("wk-000415")]),
+        Value::List(vec![text("wk-000412"), text("wk-000415")]),
     )]));
     let mut awaits = spec.clone();
     awaits.dependencies = vec!["wk-000398".into()];
     awaits.listed = true;
-    let Any::Map(mut listed) = job_record() else {
+    let Value::Map(mut listed) = job_record() else {
         panic!("not a map");
     };
-    listed.insert("needs".into(), Any::List(vec![t("wk-000398")]));
-    both::<StoredJob>(Any::Map(listed.clone()));
-    let read: StoredJob = decode(&encode(&Any::Map(listed.clone()))).expect("it is read");
+    listed.insert("needs".into(), Value::List(vec![text("wk-000398")]));
+    both::<StoredJob>(Value::Map(listed.clone()));
+    let read: StoredJob = decode(&encode(&Value::Map(listed.clone()))).expect("it is read");
     assert_eq!(JobSpec::try_from(read).as_ref(), Ok(&awaits));
-    let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    assert_eq!(written, Any::Map(listed.clone()));
+    let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
+    assert_eq!(written, Value::Map(listed.clone()));
     // This version says where it enters none; the versions before pass over that.
     awaits.listed = false;
-    let written: Any = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    listed.insert("unlisted".into(), Any::Bool(true));
-    assert_eq!(written, Any::Map(listed));
+    let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
+    listed.insert("unlisted".into(), Value::Bool(true));
+    assert_eq!(written, Value::Map(listed));
 }
 
 /// Bytes of a `borsh` frame, put together field by field.
