--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -203,11 +203,14 @@
         releases.extend(machine.placed_tasks.keys().filter_map(|task| {
             let job = self.jobs.get(&task.job_id)?;
             let attempt = job.active.get(&task.index)?;
-            let fetch = machine.images.fetch(job.image).map(|fetch| {
-                pending_fetch.saturating_sub(now.saturating_duration_since(fetch.since))
-            });
+            let fetch = || match machine.images.fetch(job.image) {
+                Some(fetch) => {
+                    pending_fetch.saturating_sub(now.saturating_duration_since(fetch.since))
+                }
+                None => Duration::ZERO,
+            };
             Some(ExpectedRelease {
-                at: now + expected_remaining(now, attempt, fetch.unwrap_or_default()),
+                at: now + expected_remaining(now, attempt, fetch),
                 resources: job.spec.resources,
             })
         }));
@@ -216,8 +219,12 @@
     }
 }
 
-/// How long an attempt still takes its room. `fetch`: until its image is there.
-fn expected_remaining(now: Instant, attempt: &ActiveAttempt, fetch: Duration) -> Duration {
+/// How long an attempt still takes its room. `fetch`: how long until its image is there.
+fn expected_remaining(
+    now: Instant,
+    attempt: &ActiveAttempt,
+    fetch: impl Fn() -> Duration,
+) -> Duration {
     match (attempt.running_since, &attempt.kill_request) {
         (_, Some(kill)) => (kill.since + kill.grace_period).saturating_duration_since(now),
         (Some(since), None) => {
@@ -225,6 +232,6 @@
             let overrun = ran.mul_f64(OVERRUN_SHARE);
             attempt.estimated_run_time.saturating_sub(ran).max(overrun)
         }
-        (None, None) => attempt.estimated_run_time + fetch,
+        (None, None) => attempt.estimated_run_time + fetch(),
     }
 }
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -17,6 +17,10 @@
 const RATE_INCREASE_PER_S: f64 = 0.15;
 /// The limit never falls below this: the cause of late timers may lie elsewhere.
 const MIN_STARTS_PER_S: f64 = 20.0;
+/// A limit this many times the recent starts limits nothing.
+const UNLIMITED_FACTOR: f64 = 4.0;
+/// Longer intervals between two observations count as this long.
+const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
 /// Starts that were not used are kept for this long.
 const MAX_BURST_S: f64 = 1.0;
 /// The time constant of the average of recent starts.
@@ -52,50 +56,57 @@
 impl StartLimiter {
     /// Adjusts the limit to how late timers fire on the slowest node.
     pub fn observe_timer_lag(&mut self, now: Instant, lag: Duration) {
-        let passed = match self.last_timer_lag.replace(now) {
-            Some(t) => now.saturating_duration_since(t).as_secs_f64().min(1.0),
-            None => return,
+        let Some(last) = self.last_timer_lag.replace(now) else {
+            return;
         };
+        let passed_s = now.saturating_duration_since(last).as_secs_f64();
+        let passed_s = passed_s.min(MAX_COUNTED_INTERVAL_S);
+        let recent = self.recent_starts_per_s.max(MIN_STARTS_PER_S);
         if lag > OVERLOADED_TIMER_LAG {
-            let from = self
-                .starts_per_s
-                .min(self.recent_starts_per_s.max(MIN_STARTS_PER_S));
-            self.starts_per_s = (from * (1.0 - RATE_DECREASE_PER_S * passed)).max(MIN_STARTS_PER_S);
-        } else if lag < HEALTHY_TIMER_LAG && self.starts_per_s.is_finite() {
-            self.starts_per_s *= 1.0 + RATE_INCREASE_PER_S * passed;
-            // Far more than is wanted limits nothing.
-            if self.starts_per_s > self.recent_starts_per_s.max(MIN_STARTS_PER_S) * 4.0 {
+            let lowered = self.starts_per_s.min(recent) * (1.0 - RATE_DECREASE_PER_S * passed_s);
+            self.starts_per_s = lowered.max(MIN_STARTS_PER_S);
+        } else if lag < HEALTHY_TIMER_LAG && self.is_limited() {
+            self.starts_per_s *= 1.0 + RATE_INCREASE_PER_S * passed_s;
+            if self.starts_per_s > recent * UNLIMITED_FACTOR {
                 self.starts_per_s = f64::INFINITY;
             }
         }
     }
 
+    fn is_limited(&self) -> bool {
+        self.starts_per_s.is_finite()
+    }
+
     /// Adds the tokens for the time since the last placement round.
     pub fn refill(&mut self, now: Instant) {
-        let passed = match self.last_refill.replace(now) {
-            Some(t) => now.saturating_duration_since(t).as_secs_f64(),
-            None => 0.0,
-        };
-        if passed > 0.0 {
-            let fresh = 1.0 - (-passed / AVERAGING_TIME_S).exp();
-            self.recent_starts_per_s +=
-                (self.starts_since_refill as f64 / passed - self.recent_starts_per_s) * fresh;
-            self.starts_since_refill = 0;
+        let last = self.last_refill.replace(now);
+        let passed = last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
+        let passed_s = passed.as_secs_f64();
+        if passed_s > 0.0 {
+            self.update_recent_starts(passed_s);
         }
-        self.tokens = if self.starts_per_s.is_finite() {
-            // High-priority work may have taken more than there were.
-            let left = if self.tokens.is_finite() {
-                self.tokens
-            } else {
-                0.0
-            };
-            (left + self.starts_per_s * passed).min(self.starts_per_s * MAX_BURST_S)
+        if !self.is_limited() {
+            self.tokens = f64::INFINITY;
+            return;
+        }
+        let left = if self.tokens.is_finite() {
+            self.tokens
         } else {
-            f64::INFINITY
+            0.0
         };
+        let max_tokens = self.starts_per_s * MAX_BURST_S;
+        self.tokens = (left + self.starts_per_s * passed_s).min(max_tokens);
+    }
+
+    fn update_recent_starts(&mut self, passed_s: f64) {
+        let weight = 1.0 - (-passed_s / AVERAGING_TIME_S).exp();
+        let starts_per_s = self.starts_since_refill as f64 / passed_s;
+        self.recent_starts_per_s += (starts_per_s - self.recent_starts_per_s) * weight;
+        self.starts_since_refill = 0;
     }
 
     /// How many tasks may start in this round before ordinary work has to wait.
+    #[must_use]
     pub fn available(&self) -> usize {
         if self.tokens.is_finite() {
             self.tokens.max(0.0) as usize
@@ -108,12 +119,14 @@
     pub fn consume(&mut self, starts: usize) {
         self.starts_since_refill += starts;
         if self.tokens.is_finite() {
-            self.tokens = (self.tokens - starts as f64).max(-self.starts_per_s * MAX_BURST_S);
+            let max_debt = self.starts_per_s * MAX_BURST_S;
+            self.tokens = (self.tokens - starts as f64).max(-max_debt);
         }
     }
 
     /// The limit in starts a second, if there is one.
+    #[must_use]
     pub fn limit(&self) -> Option<f64> {
-        self.starts_per_s.is_finite().then_some(self.starts_per_s)
+        self.is_limited().then_some(self.starts_per_s)
     }
 }
