--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -3,6 +3,7 @@
 use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
 use crate::core::state::cluster_state::{Action, ClusterState, Machine};
 use crate::core::state::machine::MachineIdentity;
+use crate::core::state::outbox::PendingProbe;
 use std::time::Instant;
 
 /// Machines asked for their heartbeats in one tick.
@@ -44,8 +45,10 @@
         let can_probe = !machine.has_reported && !machine.probed && !listed.endpoint.is_empty();
         if can_probe && listed.phase == CloudMachinePhase::Running {
             machine.probed = true;
-            let probe = (listed.id.clone(), listed.endpoint.clone());
-            self.outbox.probes.push_back(probe);
+            self.outbox.probes.push_back(PendingProbe {
+                machine: listed.id.clone(),
+                endpoint: listed.endpoint.clone(),
+            });
         }
         if listed.phase == CloudMachinePhase::Failed && !machine.returning {
             log::info!("machine failed machine={}", listed.id);
@@ -58,7 +61,11 @@
     pub(in crate::core) fn send_probes(&mut self) {
         let mut left = MAX_PROBES_PER_TICK;
         while left > 0 {
-            let Some((id, endpoint)) = self.outbox.probes.pop_front() else {
+            let Some(PendingProbe {
+                machine: id,
+                endpoint,
+            }) = self.outbox.probes.pop_front()
+            else {
                 return;
             };
             let machine = self.fleet.machines.get(&id);
--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -1,44 +1,65 @@
-//! The watermark of cancellations: the time up to which this leader surely knows all that were confirmed.
+//! The watermark of cancellations: the time up to which this leader knows all that were confirmed.
 //!
-//! A cancellation is confirmed by whichever node wrote or read its verdict; from then on its tasks have
-//! `cancel_s`. A leader that answers a report renews the worker's lease, and with it every task there,
-//! those included of whose cancellation it has not heard. So it answers only while a lease renewed now
-//! ends within `cancel_s` of the watermark; past that the leases run out by themselves.
+//! A cancellation is confirmed by whichever controller wrote or read the job's outcome; from then on the
+//! job's tasks may run for `cancel_s`. A leader that answers a heartbeat renews the machine's lease, and with
+//! it every task there, including those whose cancellation it does not know. So it answers only while a lease
+//! renewed now expires within `cancel_s` of the watermark; past that the leases expire by themselves.
 //!
-//! Two kinds of evidence move the watermark. A read of the state service shows all that was confirmed
-//! before it was asked for. And what every other node says of itself: all that it confirmed before it was
-//! asked. A node back in a new life cannot speak for its earlier one, so its word counts only once the
-//! watermark has passed the moment when the new life was first heard. All times are the leader's own,
-//! of when it asked, so that no two clocks are compared.
+//! Two kinds of evidence move the watermark. A read of the key-value store shows all that was confirmed
+//! before the read was sent. And every peer reports what it confirmed itself before it was asked. A peer that
+//! was restarted knows nothing of what it confirmed before, so its reports count only once the watermark has
+//! passed the time of its first report after the restart. All times are this leader's own, of when it sent
+//! the request, so that no two clocks are compared.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
 /// Clocks drift by 0.05%; this is four times as much, as for leases.
 const DRIFT: f64 = 0.002;
-/// For the time of day's error, and what passes between a look at the clocks and the answer.
+/// For the error of the time of day, and for what passes between the reading of the clocks and the answer.
 const MARGIN: Duration = Duration::from_secs(2);
-/// Even an undisturbed watch of the state service answers only so often. Where `cancel_s` leaves less
-/// than this beyond `lease_s`, leases alone cannot keep the rule (`--check` says so).
-pub const MIN_PATIENCE: Duration = Duration::from_secs(6);
-
-/// How old the watermark may be for a report to be answered, and whether that keeps every cancelled
-/// task's end within `cancel`.
-pub fn patience(lease: Duration, cancel: Duration) -> (Duration, bool) {
-    let spent = lease.mul_f64(1.0 + DRIFT) + MARGIN;
-    let left = cancel.mul_f64(1.0 - DRIFT).saturating_sub(spent);
-    (left.max(MIN_PATIENCE), left >= MIN_PATIENCE)
+/// The least bound on the age of the watermark, since even an undisturbed watch of the key-value store answers
+/// only so often. Where `cancel_s` leaves less than this beyond `lease_s`, leases alone cannot end cancelled
+/// tasks in time (`--check` says so).
+pub const MIN_MAX_AGE: Duration = Duration::from_secs(6);
+
+/// How old the watermark may be for heartbeats to be answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WatermarkBound {
+    /// The greatest age at which heartbeats are answered.
+    pub max_age: Duration,
+    /// Whether this ends every cancelled task within `cancel_s`.
+    pub ends_tasks_in_time: bool,
 }
 
-/// By how much a cancelled task may outlast `cancel` where leases alone end it: its leader has lost the
-/// state service and its peers, and its machine is not reached. Zero where the rule is kept.
+impl WatermarkBound {
+    /// The bound for a length of the lease and a time within which cancellations have to take effect.
+    #[must_use]
+    pub fn new(lease: Duration, cancel: Duration) -> WatermarkBound {
+        let expiry = longest_expiry(lease);
+        let left = cancel.mul_f64(1.0 - DRIFT).saturating_sub(expiry);
+        WatermarkBound {
+            max_age: left.max(MIN_MAX_AGE),
+            ends_tasks_in_time: left >= MIN_MAX_AGE,
+        }
+    }
+}
+
+/// By how much a cancelled task may outlast `cancel` where lease expiry alone ends it: its leader is cut off
+/// from the key-value store and its peers, and its machine cannot be reached. Zero if that is in time.
+#[must_use]
 pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
-    let (patience, _) = patience(lease, cancel);
-    let longest = patience + lease.mul_f64(1.0 + DRIFT) + MARGIN;
+    let bound = WatermarkBound::new(lease, cancel);
+    let longest = bound.max_age + longest_expiry(lease);
     longest.saturating_sub(cancel.mul_f64(1.0 - DRIFT))
 }
 
-/// A point in time by both clocks. The steady one may stand still with the process.
+/// How long after its renewal a lease expires at the latest.
+fn longest_expiry(lease: Duration) -> Duration {
+    lease.mul_f64(1.0 + DRIFT) + MARGIN
+}
+
+/// A point in time by both clocks. The steady one may stop while the process is paused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
     /// The steady clock.
@@ -56,7 +77,7 @@
         }
     }
 
-    /// This moment shifted to another reading of the steady clock.
+    /// The same point shifted to another reading of the steady clock.
     pub fn at(self, steady: Instant) -> ClockReading {
         let day = match steady.checked_duration_since(self.steady) {
             Some(later) => self.day + later,
@@ -65,41 +86,42 @@
         ClockReading { steady, day }
     }
 
-    /// How long ago, by the clock that says more.
+    /// The age by the clock that shows the greater one.
     fn age(self, now: ClockReading) -> Duration {
         let steady = now.steady.saturating_duration_since(self.steady);
         steady.max(now.day.duration_since(self.day).unwrap_or_default())
     }
 }
 
-/// One node's word on what it confirmed.
+/// A peer's report of all cancellations that it confirmed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CancellationReport {
-    /// When it was asked, and when its answer came.
-    pub asked: ClockReading,
-    /// When its answer came.
-    pub came: ClockReading,
-    /// It goes on from its word before, with nothing left out between.
-    pub continues: bool,
+    /// When it was requested.
+    pub asked_at: ClockReading,
+    /// When it was received.
+    pub received_at: ClockReading,
+    /// It continues the peer's previous report without a gap.
+    pub is_continuous: bool,
 }
 
-/// What one node's words cover.
+/// The time that a peer's reports cover without a gap.
 #[derive(Clone, Copy, Debug)]
-struct Covered {
+struct CoveredPeriod {
     since: ClockReading,
     until: ClockReading,
 }
 
-/// Up to which moment all confirmed cancellations are known.
+/// The time up to which all confirmed cancellations are known.
 #[derive(Clone, Debug)]
 pub struct Watermark {
     at: ClockReading,
-    peers: BTreeMap<String, Option<Covered>>,
+    /// What the reports of each peer cover; `None` before its first one.
+    peers: BTreeMap<String, Option<CoveredPeriod>>,
 }
 
 impl Watermark {
-    /// From a read of all cancellations that was asked for at this time, with the nodes that may
-    /// confirm others.
+    /// A watermark at the time at which a read of all cancellations was sent, with the peers that may confirm
+    /// others.
     pub fn new(read: ClockReading, peers: impl IntoIterator<Item = String>) -> Watermark {
         Watermark {
             at: read,
@@ -107,38 +129,42 @@
         }
     }
 
-    /// All that the state service held when it was asked is known now.
-    pub fn read(&mut self, asked: ClockReading) {
-        self.raise(asked);
+    /// Records that all cancellations are known that the key-value store held when a read was sent.
+    pub fn record_read(&mut self, asked_at: ClockReading) {
+        self.raise(asked_at);
         self.advance();
     }
 
-    /// A node told all that it confirmed since its word before.
-    pub fn stated(&mut self, peer: &str, statement: CancellationReport) {
+    /// Records a peer's report, whose cancellations are known now.
+    pub fn record_report(&mut self, peer: &str, report: CancellationReport) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
         };
         *covered = match *covered {
-            Some(c) if statement.continues => Some(Covered {
+            Some(c) if report.is_continuous => Some(CoveredPeriod {
                 since: c.since,
-                until: statement.asked,
+                until: report.asked_at,
             }),
-            // The first statement, or another life's: what went before it only the state service shows.
-            _ => Some(Covered {
-                since: statement.came,
-                until: statement.came,
+            // The first report since the peer started: what it confirmed before, only the store shows.
+            _ => Some(CoveredPeriod {
+                since: report.received_at,
+                until: report.received_at,
             }),
         };
         self.advance();
     }
 
+    /// Moves the watermark to the earliest time up to which every peer has reported.
     fn advance(&mut self) {
         let at = self.at.steady;
-        let covered = |c: &Option<Covered>| c.filter(|c| c.since.steady <= at).map(|c| c.until);
-        let all: Option<Vec<ClockReading>> = self.peers.values().map(covered).collect();
-        let least = all.and_then(|a| a.into_iter().min_by_key(|m| m.steady));
-        if let Some(least) = least {
-            self.raise(least);
+        let covered_until = |period: &Option<CoveredPeriod>| {
+            let period = period.filter(|p| p.since.steady <= at)?;
+            Some(period.until)
+        };
+        let all: Option<Vec<ClockReading>> = self.peers.values().map(covered_until).collect();
+        let earliest = all.and_then(|all| all.into_iter().min_by_key(|until| until.steady));
+        if let Some(earliest) = earliest {
+            self.raise(earliest);
         }
     }
 
@@ -148,7 +174,7 @@
         }
     }
 
-    /// How old the watermark is. A node without others confirms everything itself.
+    /// The age of the watermark. Without peers, all cancellations are confirmed here.
     pub fn age(&self, now: ClockReading) -> Duration {
         if self.peers.is_empty() {
             Duration::ZERO
@@ -157,8 +183,8 @@
         }
     }
 
-    /// Whether a lease renewed now surely ends in time for all cancellations that are not known.
-    pub fn renews(&self, now: ClockReading, patience: Duration) -> bool {
-        self.age(now) < patience
+    /// Whether the watermark is younger than `max_age`.
+    pub fn is_fresh(&self, now: ClockReading, max_age: Duration) -> bool {
+        self.age(now) < max_age
     }
 }
--- a/src/core/leadership/election.rs
+++ b/src/core/leadership/election.rs
@@ -1,8 +1,8 @@
-//! Who leads: a state machine over what the state service answers.
+//! Leader election: a state machine over the answers of the key-value store.
 //!
-//! Taking leadership is one transaction: the leader key, bound to a lease, and the term's counter
-//! raised by one. Everything the leader writes afterwards is conditional on the stamp that this
-//! transaction gave the leader key, so a superseded leader's writes fail wherever they linger.
+//! Taking the leadership is one transaction: it puts the leader key, bound to a lease, and raises the counter
+//! of terms by one. Invariant: everything that the leader writes afterwards is conditional on the revision that
+//! this transaction gave the leader key, so a superseded leader's writes fail however late they arrive.
 
 use crate::core::model::Term;
 use std::time::{Duration, Instant};
@@ -12,105 +12,109 @@
 pub struct LeaderRecord {
     /// The member that leads.
     pub member: String,
-    /// Tells two lives of the same member apart.
+    /// Distinguishes processes of the same member.
     pub boot: u64,
-    /// Its term.
+    /// The member's term.
     pub term: Term,
-    /// The stamp of the leader key.
+    /// The revision of the leader key.
     pub revision: u64,
 }
 
-/// What this node is.
+/// The role of this controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Another node leads, or none.
+    /// Another controller leads, or none.
     Follower {
         /// The leader, if one is known.
         leader: Option<LeaderRecord>,
     },
-    /// This node leads.
+    /// This controller leads.
     Leader {
-        /// Its term.
+        /// The term of this leadership.
         term: Term,
-        /// The stamp of its leader key.
+        /// The revision of the leader key.
         revision: u64,
     },
 }
 
-/// What the elector does next.
+/// What the election needs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing to do before the next observation.
+    /// Nothing before the next observation.
     Wait,
-    /// Try to take the leadership; the leader key must still have this stamp (0: absent).
+    /// Try to take the leadership.
     Campaign {
-        /// The stamp that the leader key must have.
+        /// The revision that the leader key must still have (0: absent).
         revision: u64,
     },
-    /// Keep the lease alive.
+    /// Renew the lease of the leader key.
     Renew,
-    /// Another leads; stop at once.
+    /// Stop acting as the leader at once.
     StepDown,
 }
 
-/// The state machine of one node.
+/// The state machine of one controller.
 pub struct Leadership {
     member: String,
     role: Role,
-    renew_every: Duration,
+    renewal_interval: Duration,
     last_renewal: Option<Instant>,
     backoff_until: Option<Instant>,
-    highest: Term,
+    highest_term: Term,
 }
 
 impl Leadership {
     /// A follower that knows of no leader.
-    pub fn new(member: &str, renew_every: Duration) -> Self {
+    pub fn new(member: &str, renewal_interval: Duration) -> Self {
         Leadership {
             member: member.to_owned(),
             role: Role::Follower { leader: None },
-            renew_every,
+            renewal_interval,
             last_renewal: None,
             backoff_until: None,
-            highest: Term(0),
+            highest_term: Term(0),
         }
     }
 
-    /// What this node is now.
+    /// The role of this controller.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
     /// The highest term seen anywhere.
-    pub fn highest(&self) -> Term {
-        self.highest
+    pub fn highest_term(&self) -> Term {
+        self.highest_term
     }
 
-    /// The leader key as it stands (None: absent).
-    pub fn observed(&mut self, now: Instant, record: Option<LeaderRecord>) -> Step {
+    /// The leader key was read (None: absent).
+    pub fn on_leader_key(&mut self, now: Instant, record: Option<LeaderRecord>) -> Step {
         if let Some(r) = &record {
-            self.highest = self.highest.max(r.term);
+            self.highest_term = self.highest_term.max(r.term);
         }
         match (&self.role, record) {
-            (Role::Leader { revision, .. }, Some(r)) if r.revision == *revision => self.due(now),
-            // An old read may be overtaken by our own takeover: only a newer stamp counts.
-            (Role::Leader { revision, .. }, Some(r)) if r.revision < *revision => self.due(now),
+            (Role::Leader { revision, .. }, Some(r)) if r.revision == *revision => {
+                self.next_step(now)
+            }
+            // The read may be older than our own campaign: only a newer revision counts.
+            (Role::Leader { revision, .. }, Some(r)) if r.revision < *revision => {
+                self.next_step(now)
+            }
             (Role::Leader { .. }, r) => {
                 self.role = Role::Follower { leader: r };
                 Step::StepDown
             }
             (Role::Follower { .. }, r) => {
                 self.role = Role::Follower { leader: r };
-                self.due(now)
+                self.next_step(now)
             }
         }
     }
 
-    /// What is due now.
-    pub fn due(&self, now: Instant) -> Step {
+    /// The next step without a new observation.
+    pub fn next_step(&self, now: Instant) -> Step {
         match &self.role {
             Role::Leader { .. } => match self.last_renewal {
-                Some(t) if now.saturating_duration_since(t) < self.renew_every => Step::Wait,
+                Some(t) if now.saturating_duration_since(t) < self.renewal_interval => Step::Wait,
                 _ => Step::Renew,
             },
             Role::Follower { leader } => {
@@ -119,10 +123,10 @@
                 }
                 match leader {
                     None => Step::Campaign { revision: 0 },
-                    // Our own key, and we do not lead by it. An earlier life took it, which is dead,
-                    // since a member is one process; or a campaign whose answer was lost, so that
-                    // nobody acts in that term. Late writes fail on the stamp, and a lease that
-                    // nobody renews would keep all nodes waiting.
+                    // Our own key, and we do not lead by it. An earlier process of this member took it,
+                    // which is dead, since a member is one process; or a campaign did whose answer was
+                    // lost, so that nobody acts in that term. Late writes fail on the revision, and a
+                    // lease that nobody renews would keep all controllers waiting.
                     Some(r) if r.member == self.member => Step::Campaign {
                         revision: r.revision,
                     },
@@ -133,18 +137,18 @@
     }
 
     /// The campaign was won.
-    pub fn won(&mut self, now: Instant, term: Term, revision: u64) {
-        self.highest = self.highest.max(term);
+    pub fn on_campaign_won(&mut self, now: Instant, term: Term, revision: u64) {
+        self.highest_term = self.highest_term.max(term);
         self.last_renewal = Some(now);
         self.role = Role::Leader { term, revision };
     }
 
-    /// A campaign that failed or whose outcome is unknown: look again after a pause.
-    pub fn lost(&mut self, now: Instant, pause: Duration) {
+    /// A campaign failed, or its outcome is unknown: the next one waits.
+    pub fn on_campaign_lost(&mut self, now: Instant, pause: Duration) {
         self.backoff_until = Some(now + pause);
     }
 
-    /// Gives this term up, and leaves the next one to others for a while.
+    /// Resigns from this term, and leaves the next one to other controllers for a while.
     pub fn resign(&mut self, now: Instant, term: Term, pause: Duration) -> Step {
         match &self.role {
             Role::Leader { term: own, .. } if term == *own => {
@@ -156,25 +160,25 @@
         }
     }
 
-    /// The lease of the next term has another length.
-    pub fn renew_every(&mut self, every: Duration) {
-        self.renew_every = every;
+    /// Sets how often the lease is renewed.
+    pub fn set_renewal_interval(&mut self, interval: Duration) {
+        self.renewal_interval = interval;
     }
 
     /// The lease was renewed by a request sent at this time.
-    pub fn renewed(&mut self, now: Instant) {
-        self.last_renewal = Some(now);
+    pub fn on_lease_renewed(&mut self, sent_at: Instant) {
+        self.last_renewal = Some(sent_at);
     }
 
-    /// The lease has ended, and with it the leader key.
-    pub fn lease_ended(&mut self) -> Step {
+    /// The lease has expired, and with it the leader key.
+    pub fn on_lease_expired(&mut self) -> Step {
         self.role = Role::Follower { leader: None };
         Step::StepDown
     }
 
-    /// A report or a peer shows a term. A higher one ends ours.
-    pub fn term_seen(&mut self, term: Term) -> Step {
-        self.highest = self.highest.max(term);
+    /// A heartbeat or a peer shows a term. A higher one ends ours.
+    pub fn on_term(&mut self, term: Term) -> Step {
+        self.highest_term = self.highest_term.max(term);
         match &self.role {
             Role::Leader { term: own, .. } if term > *own => {
                 self.role = Role::Follower { leader: None };
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -1,24 +1,27 @@
-//! How certain a leader can be of its leadership, and of the cancellations that it must know.
+//! Whether a leader's lease is confirmed, and up to when it knows all confirmed cancellations.
+//!
+//! Invariant: heartbeats are answered only while the watermark is fresh enough that a lease renewed now expires
+//! in time for any cancellation that is not known here.
 
 use crate::core::leadership::cancellation_watermark::{
     CancellationReport, ClockReading, Watermark,
 };
 use std::time::{Duration, Instant};
 
-/// The certainty of the leadership, and the watermark of confirmed cancellations.
+/// Whether the leadership is confirmed, and the watermark of confirmed cancellations.
 pub struct LeadershipStatus {
-    /// The leadership is certain: the lease on the leader key has not run out.
+    /// The lease on the leader key has certainly not expired.
     pub(in crate::core) confirmed: bool,
-    /// When the queue was last asked for what an answer showed since.
+    /// When the newest read of the queue that was answered was sent.
     pub(in crate::core) last_queue_read: Option<Instant>,
-    /// Up to when all confirmed cancellations are known.
+    /// The time up to which all confirmed cancellations are known.
     watermark: Watermark,
-    /// Both clocks as they were last read together.
+    /// Both clocks, as they were last read together.
     clocks: ClockReading,
 }
 
 impl LeadershipStatus {
-    /// A leadership that begins at this time.
+    /// A leadership that begins now.
     pub fn new(clocks: ClockReading) -> LeadershipStatus {
         LeadershipStatus {
             confirmed: true,
@@ -28,30 +31,29 @@
         }
     }
 
-    /// Names the other nodes, which confirm cancellations too, and when the first read of the store was
-    /// asked for.
+    /// Sets the peers, which confirm cancellations too, and when the first read of the store was sent.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = String>, read: ClockReading) {
         self.watermark = Watermark::new(read, peers);
     }
 
-    /// Sets what both clocks say now.
+    /// Sets the present reading of both clocks.
     pub fn set_clocks(&mut self, now: ClockReading) {
         self.clocks = now;
     }
 
-    /// All cancellations that the store showed when it was asked have been applied.
-    pub fn cancellations_read(&mut self, asked: ClockReading) {
-        self.last_queue_read = Some(asked.steady);
-        self.watermark.read(asked);
+    /// All cancellations have been applied that the store held when a read was sent.
+    pub fn on_cancellations_read(&mut self, asked_at: ClockReading) {
+        self.last_queue_read = Some(asked_at.steady);
+        self.watermark.record_read(asked_at);
     }
 
     /// All cancellations that a peer reported have been applied.
-    pub fn cancellations_reported(&mut self, peer: &str, report: CancellationReport) {
-        self.watermark.stated(peer, report);
+    pub fn on_cancellations_reported(&mut self, peer: &str, report: CancellationReport) {
+        self.watermark.record_report(peer, report);
     }
 
-    /// Whether the watermark is at most this old.
+    /// Whether the watermark is younger than `max_age`.
     pub(in crate::core) fn knows_cancellations(&self, now: Instant, max_age: Duration) -> bool {
-        self.watermark.renews(self.clocks.at(now), max_age)
+        self.watermark.is_fresh(self.clocks.at(now), max_age)
     }
 }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -1,4 +1,4 @@
-//! Who leads, and up to when all confirmed cancellations are known.
+//! The leader election, and what a leader must know before it renews leases.
 
 pub mod cancellation_watermark;
 pub mod election;
--- a/src/core/persistence/job_completion.rs
+++ b/src/core/persistence/job_completion.rs
@@ -13,7 +13,7 @@
             return;
         };
         job.finished = true;
-        self.ready(now, job_id);
+        self.release_dependents(now, job_id);
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
@@ -30,7 +30,7 @@
 
     /// Removes a job from the cluster's state. Its keys become obsolete.
     pub(in crate::core) fn drop_job(&mut self, now: Instant, job_id: &JobId) {
-        if self.jobs.dependencies.unlist(job_id) {
+        if self.jobs.dependencies.take_listed(job_id) {
             self.writes.remove_later(dependents_key(job_id));
         }
         let Some(job) = self.jobs.remove(job_id) else {
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -7,6 +7,7 @@
     attempts_per_chunk, JobOutcome, FULL_CHUNK_VALUE_BYTES, MIN_VALUE_BYTES,
 };
 use crate::core::persistence::write_batch::{ConflictingKey, LeaderKeyStatus, WriteOutcome};
+use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cluster_state::{CancelSource, ClusterState};
 use std::time::Instant;
 
@@ -47,7 +48,7 @@
             }
         }
         for intent in in_flight.intents {
-            self.intent_durable(now, &intent.task, intent.attempt);
+            self.on_intent_durable(now, &intent.task, intent.attempt);
         }
         for job_id in in_flight.done_jobs {
             log::info!("job done job={job_id} term={}", self.term.0);
@@ -139,7 +140,7 @@
             }
         }
         for task in excess {
-            self.gone(now, &task.job_id, task.index, false);
+            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
     }
 }
--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -3,6 +3,7 @@
 use crate::core::model::{AttemptId, JobId};
 use crate::core::placement::plan::{RoundOutcome, RoundPlan, StartKind, TaskStart, WaitingTasks};
 use crate::core::placement::preemption::Preemption;
+use crate::core::state::attempts::Assignment;
 use crate::core::state::cluster_state::ClusterState;
 use std::time::{Duration, Instant};
 
@@ -78,14 +79,14 @@
                 start.image_fetch.as_secs_f64(),
                 self.term.0
             );
-            self.assign(
-                now,
-                &start.job_id,
-                start.index,
-                &start.machine,
+            let assignment = Assignment {
+                job_id: &start.job_id,
+                task_index: start.index,
+                machine: &start.machine,
                 attempt,
-                start.expected_run,
-            );
+                estimated_run_time: start.expected_run,
+            };
+            self.assign(now, assignment);
         }
     }
 
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -8,6 +8,7 @@
 use crate::core::placement::scoring::{ScoredSlot, TaskGroup, TypeEstimate};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
+use crate::core::state::cluster_state::TermStart;
 use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, HeartbeatDecision};
 use crate::core::state::image_cache::CachedImage;
 use rand::rngs::StdRng;
@@ -58,7 +59,16 @@
         tuning: Tuning::default(),
         recovery: Default::default(),
     };
-    let mut c = ClusterState::new(config, Term(3), 50, types, now, 0);
+    let mut c = ClusterState::new(
+        config,
+        TermStart {
+            term: Term(3),
+            leader_revision: 50,
+            machine_types: types,
+            started_at: now,
+            started_ms: 0,
+        },
+    );
     for n in 0..40 {
         let name = if rng.gen_bool(0.5) { "small" } else { "large" };
         let answer = c.on_heartbeat(
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -7,6 +7,7 @@
 use crate::core::model::{FencingToken, Heartbeat, TaskId};
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
+use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Machine};
 use std::time::Instant;
 
@@ -60,7 +61,7 @@
                 "task proved absent task={task} machine={}",
                 heartbeat.machine
             );
-            self.gone(now, &task.job_id, task.index, false);
+            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
     }
 
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -38,7 +38,7 @@
             match status.phase {
                 TaskPhase::Ended(exit) if is_recorded => {
                     if origin == HeartbeatOrigin::ThisTerm {
-                        self.ended(now, heartbeat, &status.task, exit);
+                        self.on_task_ended(now, heartbeat, &status.task, exit);
                     }
                 }
                 TaskPhase::Ended(_) => {
@@ -46,9 +46,11 @@
                         reported.forgets.push(forget(status));
                     }
                 }
-                phase if is_recorded => self.progress(now, heartbeat, &status.task, phase),
+                phase if is_recorded => self.on_task_phase(now, heartbeat, &status.task, phase),
                 phase => match self.decide_unrecorded(now, heartbeat, status, origin) {
-                    UnrecordedTask::Adopted => self.progress(now, heartbeat, &status.task, phase),
+                    UnrecordedTask::Adopted => {
+                        self.on_task_phase(now, heartbeat, &status.task, phase)
+                    }
                     decision => self.note_unexpected(status, decision, &mut reported),
                 },
             }
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -26,7 +26,7 @@
             self.history.load(&history);
         }
         for (job_id, outcome) in snapshot.dependency_outcomes {
-            self.ended_before(now, &job_id, outcome);
+            self.on_past_outcome(now, &job_id, outcome);
         }
         self.unreadable_records
             .load(snapshot.unreadable_jobs, snapshot.unreadable_intents);
@@ -69,7 +69,7 @@
                     self.on_job(without_dependencies(spec), revision);
                 }
                 Some(JobOutcome::Done) => {
-                    self.ended_before(now, &spec.job_id, JobOutcome::Done);
+                    self.on_past_outcome(now, &spec.job_id, JobOutcome::Done);
                     self.writes.remove_later(keys::live_job_key(&spec.job_id));
                 }
                 Some(JobOutcome::Cancelled) => {
@@ -85,7 +85,7 @@
     /// Notes that the store holds a list of a job's dependents. It is removed with the job.
     pub fn load_dependents_list(&mut self, job_id: &JobId) {
         if self.jobs.contains(job_id) {
-            self.jobs.dependencies.listed(job_id);
+            self.jobs.dependencies.mark_listed(job_id);
             return;
         }
         let key = keys::dependents_key(job_id);
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -8,6 +8,7 @@
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
+use crate::core::state::attempts::{Assignment, AttemptEnd};
 use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer};
@@ -87,16 +88,16 @@
         };
         // What the heartbeat before listed of it is counted as the job's own usage from here on.
         self.quota_usage.set_unexpected(&heartbeat.machine, &[]);
-        self.assign(
-            now,
+        let adopted = Assignment {
             job_id,
-            index,
-            &heartbeat.machine,
-            status.attempt,
+            task_index: index,
+            machine: &heartbeat.machine,
+            attempt: status.attempt,
             estimated_run_time,
-        );
+        };
+        self.assign(now, adopted);
         if !self.may_go_on(&status.task) {
-            self.gone(now, job_id, index, false);
+            self.attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return false;
         }
         log::warn!(
--- a/src/core/state/attempt.rs
+++ b/src/core/state/attempt.rs
@@ -71,6 +71,17 @@
         }
     }
 
+    /// The process was paused: commands that it did not send are not overdue.
+    pub(in crate::core) fn restart_waiting_times(&mut self, now: Instant) {
+        self.launch_sent_at = self.launch_sent_at.map(|_| now);
+        // The grace period was not given to a task to which the kill was never sent.
+        if let Some(kill) = &mut self.kill_request {
+            if !kill.grace_period.is_zero() {
+                kill.since = now;
+            }
+        }
+    }
+
     /// Whether it was running by the machine's newest heartbeat.
     pub fn is_running(&self) -> bool {
         matches!(
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,78 +1,100 @@
-//! Attempts at tasks, from the decision to run one to the proof that it is off its host.
+//! The steps of an attempt: assignment, durable intent, kill, and the proof that it is gone.
+//!
+//! Invariants: the launch is sent only once the intent is durable; an attempt counts against its machine and
+//! its team's quota from its assignment until the proof that it is off its machine; a gang ends as a whole.
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
+use crate::core::state::attempt::{ActiveAttempt, KillRequest};
 use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::cluster_state::{ActiveAttempt, KillRequest};
 use std::time::{Duration, Instant};
 
+/// The decision to run a task on a machine.
+pub(in crate::core) struct Assignment<'a> {
+    /// The task's job.
+    pub(in crate::core) job_id: &'a JobId,
+    /// The task's index in its job.
+    pub(in crate::core) task_index: u32,
+    /// The machine.
+    pub(in crate::core) machine: &'a MachineId,
+    /// The id of the new attempt.
+    pub(in crate::core) attempt: AttemptId,
+    /// How long the task is expected to run there.
+    pub(in crate::core) estimated_run_time: Duration,
+}
+
+/// Whether an attempt that is gone completed its task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum AttemptEnd {
+    /// The task is done.
+    Completed,
+    /// The task has to run again, unless its job is over.
+    Incomplete,
+}
+
 impl ClusterState {
+    /// The id of the next attempt, unique over all terms.
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
         self.attempt_count += 1;
         AttemptId::of(self.term, self.attempt_count)
     }
 
-    /// Records the decision to run a task on a host. The launch goes out once this is durable.
-    pub(in crate::core) fn assign(
-        &mut self,
-        now: Instant,
-        job_id: &JobId,
-        index: u32,
-        machine: &MachineId,
-        attempt: AttemptId,
-        est: Duration,
-    ) {
-        let (Some(job), Some(h)) = (
+    /// Records the decision to run a task on a machine. The launch is sent once this is durable.
+    pub(in crate::core) fn assign(&mut self, now: Instant, assignment: Assignment) {
+        let Assignment {
+            job_id, task_index, ..
+        } = assignment;
+        let (Some(job), Some(machine)) = (
             self.jobs.get_mut(job_id),
-            self.fleet.machines.get_mut(machine),
+            self.fleet.machines.get_mut(assignment.machine),
         ) else {
             return;
         };
-        job.requeued.remove(&index);
-        if index == job.next_unplaced {
-            job.next_unplaced += 1;
-        }
-        let mut active = ActiveAttempt::planned(now, machine.clone(), attempt, est);
-        active.incarnation = Some(h.incarnation);
-        job.active.insert(index, active);
-        job.last_placed = now;
-        job.boosted_tasks = job.boosted_tasks.saturating_sub(1);
-        job.unlaunched += 1;
-        job.change_chunk(index);
+        let mut attempt = ActiveAttempt::planned(
+            now,
+            assignment.machine.clone(),
+            assignment.attempt,
+            assignment.estimated_run_time,
+        );
+        attempt.incarnation = Some(machine.incarnation);
+        job.start_attempt(now, task_index, attempt);
         let resources = job.spec.resources;
-        h.place(job.task(index), resources);
-        if !h.images.contains(job.image) {
-            h.images.fetch_started(now, job.image, job.spec.image_gb);
+        machine.place(job.task(task_index), resources);
+        if !machine.images.contains(job.image) {
+            machine
+                .images
+                .fetch_started(now, job.image, job.spec.image_gb);
         }
         self.quota_usage
-            .enter(job.task(index), &job.spec.team, resources);
+            .enter(job.task(task_index), &job.spec.team, resources);
         self.writes.mark_dirty(job_id);
     }
 
-    pub(in crate::core) fn intent_durable(
+    /// The intent of an attempt is durable, so that its launch may be sent.
+    pub(in crate::core) fn on_intent_durable(
         &mut self,
         now: Instant,
         task: &TaskId,
-        attempt: AttemptId,
+        attempt_id: AttemptId,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
         let cancelled = job.is_cancelled();
-        let Some(a) = job.active.get_mut(&task.index) else {
+        let Some(attempt) = job.active.get_mut(&task.index) else {
             return;
         };
-        if a.id != attempt || a.durable {
+        if attempt.id != attempt_id || attempt.durable {
             return;
         }
-        a.durable = true;
-        a.placed_at = now;
+        attempt.durable = true;
+        attempt.placed_at = now;
         job.unlaunched = job.unlaunched.saturating_sub(1);
         if !cancelled {
-            self.outbox.urgent_machines.insert(a.machine.clone());
+            self.outbox.urgent_machines.insert(attempt.machine.clone());
         }
     }
 
-    /// Asks for an attempt's end. One that was never sent ends here and now.
+    /// Requests the end of an attempt. One whose launch was never sent ends at once.
     pub(in crate::core) fn kill(
         &mut self,
         now: Instant,
@@ -80,93 +102,68 @@
         index: u32,
         grace_period: Duration,
     ) {
-        let Some(a) = self
-            .jobs
-            .get_mut(job_id)
-            .and_then(|j| j.active.get_mut(&index))
-        else {
+        let job = self.jobs.get_mut(job_id);
+        let Some(attempt) = job.and_then(|j| j.active.get_mut(&index)) else {
             return;
         };
         // One that was adopted is on its machine before its record is durable.
-        if !a.durable && a.observed_phase.is_none() {
-            self.gone(now, job_id, index, false);
+        if !attempt.durable && attempt.observed_phase.is_none() {
+            self.attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return;
         }
-        match &mut a.kill_request {
-            Some(k) if k.grace_period <= grace_period => return,
-            Some(k) => k.grace_period = grace_period,
+        match &mut attempt.kill_request {
+            Some(kill) if kill.grace_period <= grace_period => return,
+            Some(kill) => kill.grace_period = grace_period,
             None => {
-                a.kill_request = Some(KillRequest {
+                attempt.kill_request = Some(KillRequest {
                     grace_period,
                     since: now,
                 })
             }
         }
-        self.outbox.urgent_machines.insert(a.machine.clone());
+        self.outbox.urgent_machines.insert(attempt.machine.clone());
     }
 
-    /// The attempt is off its host for certain. Unless it was done, the task waits again.
-    pub(in crate::core) fn gone(
+    /// An attempt is proved off its machine. Unless it completed, the task waits again.
+    pub(in crate::core) fn attempt_gone(
         &mut self,
         now: Instant,
         job_id: &JobId,
         index: u32,
-        done: bool,
+        end: AttemptEnd,
     ) -> Option<ActiveAttempt> {
         let job = self.jobs.get_mut(job_id)?;
-        let a = job.active.remove(&index)?;
-        if !a.durable {
-            job.unlaunched = job.unlaunched.saturating_sub(1);
-        }
-        let attempt = a.id;
-        let resources = job.spec.resources;
-        job.change_chunk(index).hold(now, index, attempt);
-        if done {
-            job.mark_done(index);
-            job.saved_progress.remove(&index);
-        } else if !job.is_over() && !job.is_done(index) {
-            job.requeued.insert(index);
-        }
+        let attempt = job.end_attempt(now, index, end)?;
         let task = job.task(index);
+        let resources = job.spec.resources;
+        let is_gang = job.spec.kind == JobKind::Gang;
+        let is_over = job.finished && job.active.is_empty();
         self.quota_usage.leave(&task);
-        self.takeover.on_gone(now, &a.machine, &task);
-        let gang = job.spec.kind == JobKind::Gang;
-        if job.finished && job.active.is_empty() {
+        self.takeover.on_gone(now, &attempt.machine, &task);
+        if is_over {
             self.drop_job(now, job_id);
         } else {
             self.writes.mark_dirty(job_id);
         }
-        if let Some(h) = self.fleet.machines.get_mut(&a.machine) {
-            h.unplace(now, &task, &resources);
+        if let Some(machine) = self.fleet.machines.get_mut(&attempt.machine) {
+            machine.unplace(now, &task, &resources);
         }
         self.schedule.request_round();
-        if gang {
-            self.gang_lost(now, job_id, done);
+        if is_gang {
+            self.gang_member_gone(now, job_id, end);
         }
-        Some(a)
+        Some(attempt)
     }
 
-    /// A gang ends as a whole: done when one task is, and otherwise stopped to start anew.
-    pub(in crate::core) fn gang_lost(&mut self, now: Instant, job_id: &JobId, done: bool) {
+    /// Ends a gang as a whole: it is done when one member is, and is otherwise stopped to start anew.
+    fn gang_member_gone(&mut self, now: Instant, job_id: &JobId, end: AttemptEnd) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        if done {
-            for i in 0..job.spec.task_count {
-                if !job.is_done(i) {
-                    job.change_chunk(i);
-                    job.mark_done(i);
-                }
-            }
-            job.requeued.clear();
-            return;
-        }
-        if job.is_over() {
-            return;
-        }
-        let rest: Vec<u32> = job.active.keys().copied().collect();
-        for i in rest {
-            self.kill(now, job_id, i, Duration::ZERO);
+        match end {
+            AttemptEnd::Completed => job.mark_all_done(),
+            AttemptEnd::Incomplete if job.is_over() => {}
+            AttemptEnd::Incomplete => self.stop_gang(now, job_id, Duration::ZERO),
         }
     }
 }
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -1,54 +1,57 @@
-//! Which jobs wait for which: the graph of live jobs and of what they need.
+//! The dependency graph of live jobs.
 //!
-//! Only accepted jobs may be named, so the graph has no cycles. A job is blocked until a durable `done`
-//! of each of its dependencies is known; nothing else releases it, so what is not known blocks. When a
-//! job is cancelled, so are all of its dependents, direct or through others: none of them can have
-//! started, since what they need was not done.
+//! Invariants: only accepted jobs may be dependencies, so the graph has no cycles. A job is blocked until a
+//! durable `done` of each of its dependencies is known; nothing else releases it, so an unknown dependency
+//! blocks. When a job is cancelled, so are all of its dependents, direct or through others: none of them can
+//! have started, since a dependency was not done.
 
 use crate::core::model::JobId;
 use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// How jobs ended is remembered for this many, oldest first. A job's acceptance is heard of later than
-/// an end that followed it only by the watch's delay.
-const ENDS_KEPT: usize = 100_000;
+/// The outcomes of this many jobs are remembered; the oldest are forgotten first. The acceptance of a job
+/// becomes known after an outcome that followed it only by the delay of the watch.
+const MAX_OUTCOMES: usize = 100_000;
 
-/// How a job stands to what it needs.
+/// The state of a job's dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// All that it needs is done.
+    /// All dependencies are done.
     Ready,
-    /// Something that it needs is not known to be done.
+    /// A dependency is not known to be done.
     Blocked,
-    /// Something that it needs was cancelled.
+    /// A dependency was cancelled.
     Orphaned,
 }
 
-/// The graph of live jobs and of what they need.
+/// The dependency graph of live jobs.
 #[derive(Default)]
 pub struct Dependencies {
-    /// What live jobs need that is not known to be done.
-    open: HashMap<JobId, BTreeSet<JobId>>,
+    /// The dependencies of live jobs that are not known to be done.
+    unfinished: HashMap<JobId, BTreeSet<JobId>>,
+    /// The reverse of `unfinished`.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Jobs for which the state service holds a list of dependents.
+    /// Jobs for which the key-value store holds a list of dependents.
     listed: BTreeSet<JobId>,
-    /// Jobs whose dependents have changed since this was last taken.
+    /// Jobs whose dependents have changed since [`Dependencies::take_changed`].
     changed: BTreeSet<JobId>,
-    ends: HashMap<JobId, JobOutcome>,
-    order: VecDeque<JobId>,
+    /// The outcomes of jobs that are over.
+    outcomes: HashMap<JobId, JobOutcome>,
+    /// The jobs in `outcomes`, oldest first.
+    outcome_order: VecDeque<JobId>,
 }
 
 impl Dependencies {
-    /// A live job and what it needs. `listed`: its dependencies have lists of their dependents.
+    /// Adds a live job. `listed`: the key-value store holds lists of dependents for its dependencies.
     pub fn add(&mut self, job_id: &JobId, dependencies: &[JobId], listed: bool) -> DependencyState {
-        let mut open = BTreeSet::new();
+        let mut unfinished = BTreeSet::new();
         let mut orphaned = false;
-        for resources in dependencies {
-            match self.ends.get(resources) {
+        for dependency in dependencies {
+            match self.outcomes.get(dependency) {
                 Some(JobOutcome::Done) => {}
                 Some(JobOutcome::Cancelled) => orphaned = true,
                 _ => {
-                    open.insert(resources.clone());
+                    unfinished.insert(dependency.clone());
                 }
             }
         }
@@ -56,112 +59,114 @@
             return DependencyState::Orphaned;
         }
         self.changed.insert(job_id.clone());
-        if open.is_empty() {
+        if unfinished.is_empty() {
             return DependencyState::Ready;
         }
-        for resources in &open {
-            let of = self.dependents.entry(resources.clone()).or_default();
-            of.insert(job_id.clone());
+        for dependency in &unfinished {
+            let dependents = self.dependents.entry(dependency.clone()).or_default();
+            dependents.insert(job_id.clone());
             if listed {
-                self.listed.insert(resources.clone());
+                self.listed.insert(dependency.clone());
             }
         }
-        self.open.insert(job_id.clone(), open);
+        self.unfinished.insert(job_id.clone(), unfinished);
         DependencyState::Blocked
     }
 
-    fn ended(&mut self, job_id: &JobId, outcome: JobOutcome) {
-        if self.ends.insert(job_id.clone(), outcome).is_none() {
-            self.order.push_back(job_id.clone());
-            if self.order.len() > ENDS_KEPT {
-                if let Some(old) = self.order.pop_front() {
-                    self.ends.remove(&old);
+    fn record_outcome(&mut self, job_id: &JobId, outcome: JobOutcome) {
+        if self.outcomes.insert(job_id.clone(), outcome).is_none() {
+            self.outcome_order.push_back(job_id.clone());
+            if self.outcome_order.len() > MAX_OUTCOMES {
+                if let Some(old) = self.outcome_order.pop_front() {
+                    self.outcomes.remove(&old);
                 }
             }
         }
     }
 
-    /// A job's `done` is durable. Returns the jobs that now need nothing more.
-    pub fn done(&mut self, job_id: &JobId) -> Vec<JobId> {
-        self.ended(job_id, JobOutcome::Done);
+    /// Records that a job's `done` is durable. Returns the jobs whose dependencies are now all done.
+    pub fn record_done(&mut self, job_id: &JobId) -> Vec<JobId> {
+        self.record_outcome(job_id, JobOutcome::Done);
         let mut ready = Vec::new();
-        for d in self.dependents.remove(job_id).unwrap_or_default() {
-            let Some(open) = self.open.get_mut(&d) else {
+        for dependent in self.dependents.remove(job_id).unwrap_or_default() {
+            let Some(unfinished) = self.unfinished.get_mut(&dependent) else {
                 continue;
             };
-            open.remove(job_id);
-            if open.is_empty() {
-                self.open.remove(&d);
-                ready.push(d);
+            unfinished.remove(job_id);
+            if unfinished.is_empty() {
+                self.unfinished.remove(&dependent);
+                ready.push(dependent);
             }
         }
         ready
     }
 
-    /// A job is cancelled. Returns all jobs that need it, directly or through others.
-    pub fn cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
+    /// Records that a job is cancelled. Returns all jobs that depend on it, directly or through others.
+    pub fn record_cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
         self.forget(job_id);
-        self.ended(job_id, JobOutcome::Cancelled);
+        self.record_outcome(job_id, JobOutcome::Cancelled);
         let mut all = Vec::new();
         let mut next = vec![job_id.clone()];
-        while let Some(u) = next.pop() {
-            for d in self.dependents.remove(&u).unwrap_or_default() {
-                if self.forget(&d) {
-                    self.ended(&d, JobOutcome::Cancelled);
-                    next.push(d.clone());
-                    all.push(d);
+        while let Some(cancelled) = next.pop() {
+            for dependent in self.dependents.remove(&cancelled).unwrap_or_default() {
+                if self.forget(&dependent) {
+                    self.record_outcome(&dependent, JobOutcome::Cancelled);
+                    next.push(dependent.clone());
+                    all.push(dependent);
                 }
             }
         }
         all
     }
 
-    /// Takes a job out that is over. Whether it was blocked.
+    /// Takes out a job that is over. Returns whether it was blocked.
     fn forget(&mut self, job_id: &JobId) -> bool {
-        let Some(open) = self.open.remove(job_id) else {
+        let Some(unfinished) = self.unfinished.remove(job_id) else {
             return false;
         };
-        for resources in open {
-            if let Some(of) = self.dependents.get_mut(&resources) {
-                of.remove(job_id);
-                if of.is_empty() {
-                    self.dependents.remove(&resources);
+        for dependency in unfinished {
+            if let Some(dependents) = self.dependents.get_mut(&dependency) {
+                dependents.remove(job_id);
+                if dependents.is_empty() {
+                    self.dependents.remove(&dependency);
                 }
             }
-            self.changed.insert(resources);
+            self.changed.insert(dependency);
         }
         true
     }
 
-    /// Jobs that came, or lost dependents, since the last call.
+    /// Takes the jobs that arrived, or lost dependents, since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// What a job still needs.
+    /// The dependencies of a job that are not known to be done.
     pub fn dependencies(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
-        self.open.get(job_id).into_iter().flatten()
+        self.unfinished.get(job_id).into_iter().flatten()
     }
 
-    /// The live jobs that need this one directly.
+    /// The live jobs that depend directly on this one.
     pub fn dependents(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job_id).into_iter().flatten()
     }
 
-    /// The state service holds a list of this job's dependents.
-    pub fn listed(&mut self, job_id: &JobId) {
+    /// Records that the key-value store holds a list of this job's dependents.
+    pub fn mark_listed(&mut self, job_id: &JobId) {
         self.listed.insert(job_id.clone());
     }
 
-    /// Whether the state service holds a list for this job that can go now: it is over. Said once.
-    pub fn unlist(&mut self, job_id: &JobId) -> bool {
+    /// A job is over. Returns whether the key-value store holds a list of its dependents, which can be removed
+    /// now; true once.
+    pub fn take_listed(&mut self, job_id: &JobId) -> bool {
         self.listed.remove(job_id)
     }
 
-    /// Needed jobs of which neither life nor end is known: the state service tells.
+    /// Dependencies that are neither live nor have a known outcome, which is to be read from the key-value
+    /// store.
     pub fn unresolved(&self, live: impl Fn(&JobId) -> bool) -> Vec<JobId> {
-        let unknown = |u: &&JobId| !live(u);
-        self.dependents.keys().filter(unknown).cloned().collect()
+        let is_unknown = |job_id: &&JobId| !live(job_id);
+        self.dependents.keys().filter(is_unknown).cloned().collect()
     }
 }
 
@@ -172,18 +177,18 @@
 }
 
 impl DependentsIndex {
-    /// From live jobs with their dependencies.
+    /// Builds the index from live jobs with their dependencies.
     pub fn new(jobs: impl IntoIterator<Item = (JobId, Vec<JobId>)>) -> DependentsIndex {
         let mut direct: HashMap<JobId, Vec<JobId>> = HashMap::new();
         for (job_id, dependencies) in jobs {
-            for resources in dependencies {
-                direct.entry(resources).or_default().push(job_id.clone());
+            for dependency in dependencies {
+                direct.entry(dependency).or_default().push(job_id.clone());
             }
         }
         DependentsIndex { direct }
     }
 
-    /// All jobs that need one of these, directly or through others.
+    /// All jobs that depend on one of these, directly or through others.
     pub fn descendants<'a>(&self, of: impl IntoIterator<Item = &'a JobId>) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
         let mut next: Vec<&JobId> = of.into_iter().collect();
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -7,8 +7,9 @@
 //! shows that it can run, they count again. A machine on which several jobs failed is quarantined.
 
 use crate::core::model::{JobId, MachineId};
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::cluster_state::ClusterState;
 use crate::core::state::crash_loop::{FailureAttribution, TaskFailure};
+use crate::core::state::job::Job;
 use std::time::{Duration, Instant};
 
 /// So many jobs that fail on a machine, with no success there between, put it into quarantine.
@@ -20,7 +21,7 @@
 
 impl ClusterState {
     /// A task of this job failed on a machine, so long after it began.
-    pub(in crate::core) fn failed(
+    pub(in crate::core) fn attribute_failure(
         &mut self,
         now: Instant,
         job_id: &JobId,
@@ -66,7 +67,12 @@
     }
 
     /// A task of this job ended well on a machine.
-    pub(in crate::core) fn succeeded(&mut self, now: Instant, job_id: &JobId, machine: &MachineId) {
+    pub(in crate::core) fn on_task_succeeded(
+        &mut self,
+        now: Instant,
+        job_id: &JobId,
+        machine: &MachineId,
+    ) {
         if let Some(machine) = self.fleet.machines.get_mut(machine) {
             machine.failed_jobs.clear();
         }
--- a/src/core/state/fleet.rs
+++ b/src/core/state/fleet.rs
@@ -1,21 +1,25 @@
 //! The machines of the cluster, and those that left it.
+//!
+//! Invariant: a machine that was returned is not added again while its id is remembered, so that a late
+//! heartbeat does not revive it.
 
 use crate::core::model::{MachineId, MachineType, MachineTypeName};
 use crate::core::state::machine::Machine;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// At least so many returned machines are remembered.
+/// At least this many returned machines are remembered.
 const MIN_TOMBSTONES: usize = 5000;
 
-/// The machines that the leader knows, the types on offer, and the names of returned machines.
+/// The machines that the leader knows, the types on offer, and the ids of returned machines.
 #[derive(Default)]
 pub struct Fleet {
     /// Machines that are not known to be gone.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machine types on offer.
     pub types: Vec<MachineType>,
+    /// The ids of returned machines.
     tombstones: HashSet<MachineId>,
-    /// The names in `tombstones`, oldest first.
+    /// The ids in `tombstones`, oldest first.
     tombstone_order: VecDeque<MachineId>,
 }
 
@@ -28,17 +32,17 @@
         }
     }
 
-    /// A machine type by its name.
+    /// A machine type on offer, by its name.
     pub fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         self.types.iter().find(|t| &t.name == name)
     }
 
-    /// Whether this machine was returned: what comes from it later is ignored.
+    /// Whether this machine was returned, so that later messages from it are ignored.
     pub fn is_tombstone(&self, id: &MachineId) -> bool {
         self.tombstones.contains(id)
     }
 
-    /// Takes a machine out for good. Its name is remembered until `max_machines` others have gone.
+    /// Removes a machine for good. Its id is remembered until at least `max_machines` others were removed.
     pub(in crate::core) fn remove(&mut self, id: &MachineId, max_machines: usize) {
         self.machines.remove(id);
         if !self.tombstones.insert(id.clone()) {
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -7,6 +7,7 @@
 use crate::core::persistence::records::{ChunkValue, Intent, TASKS_PER_CHUNK};
 use crate::core::placement::priority_inheritance::SchedulingRank;
 use crate::core::state::attempt::ActiveAttempt;
+use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cancellation::Cancellation;
 use crate::core::state::crash_loop::CrashLoop;
 use crate::core::state::task_chunk::TaskChunk;
@@ -147,21 +148,71 @@
     }
 
     /// The chunk of a task, which is about to be changed.
-    pub(in crate::core) fn change_chunk(&mut self, index: u32) -> &mut TaskChunk {
+    fn change_chunk(&mut self, index: u32) -> &mut TaskChunk {
         let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         chunk.version += 1;
         chunk
     }
 
-    /// Marks a task as done, in a chunk that was announced as changed. A gang's members are all marked
-    /// when the first one is done, so it may be done before.
-    pub(in crate::core) fn mark_done(&mut self, index: u32) {
+    /// Marks a task as done in a chunk that is being changed. A gang's members are all marked when the first
+    /// one is done, so it may have been done before.
+    fn mark_done(&mut self, index: u32) {
         let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         if chunk.mark_done(index) {
             self.done_count += 1;
         }
     }
 
+    /// Records that an attempt at a task was decided on.
+    pub(in crate::core) fn start_attempt(
+        &mut self,
+        now: Instant,
+        index: u32,
+        attempt: ActiveAttempt,
+    ) {
+        self.requeued.remove(&index);
+        if index == self.next_unplaced {
+            self.next_unplaced += 1;
+        }
+        self.active.insert(index, attempt);
+        self.last_placed = now;
+        self.boosted_tasks = self.boosted_tasks.saturating_sub(1);
+        self.unlaunched += 1;
+        self.change_chunk(index);
+    }
+
+    /// Takes out the attempt at a task, which is gone, and requeues the task unless it is done.
+    pub(in crate::core) fn end_attempt(
+        &mut self,
+        now: Instant,
+        index: u32,
+        end: AttemptEnd,
+    ) -> Option<ActiveAttempt> {
+        let attempt = self.active.remove(&index)?;
+        if !attempt.durable {
+            self.unlaunched = self.unlaunched.saturating_sub(1);
+        }
+        self.change_chunk(index).hold(now, index, attempt.id);
+        if end == AttemptEnd::Completed {
+            self.mark_done(index);
+            self.saved_progress.remove(&index);
+        } else if !self.is_over() && !self.is_done(index) {
+            self.requeued.insert(index);
+        }
+        Some(attempt)
+    }
+
+    /// Marks all tasks of a gang as done.
+    pub(in crate::core) fn mark_all_done(&mut self) {
+        for index in 0..self.spec.task_count {
+            if !self.is_done(index) {
+                self.change_chunk(index);
+                self.mark_done(index);
+            }
+        }
+        self.requeued.clear();
+    }
+
     /// Chunks to be written now: with intents at once, with ends of attempts alone after a while.
     pub fn dirty_chunks(&self, now: Instant) -> Vec<u32> {
         let is_due = |index: u32, chunk: &TaskChunk| {
--- /dev/null
+++ b/src/core/state/job_events.rs
@@ -0,0 +1,117 @@
+//! What happens to jobs as a whole: they arrive, their dependencies end, they are cancelled.
+//!
+//! Invariants: a job is unblocked only by a durable `done` of each of its dependencies, and when a job is
+//! cancelled, all of its dependents, direct or through others, are orphaned and then cancelled too.
+
+use crate::core::model::{JobId, JobSpec};
+use crate::core::persistence::keys;
+use crate::core::persistence::records::{attempts_per_chunk, JobOutcome};
+use crate::core::state::cancellation::CancelSource;
+use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::dependencies::DependencyState;
+use crate::core::state::job::Job;
+use std::time::{Duration, Instant};
+
+impl ClusterState {
+    /// Adds a live job, from the index at takeover or from the watch. Known ones are left as they are.
+    pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
+        if self.jobs.contains(&spec.job_id) || spec.task_count == 0 {
+            return;
+        }
+        let job_id = spec.job_id.clone();
+        let arrived = self.liveness.instant_of(spec.accepted_ms);
+        let dependencies = &mut self.jobs.dependencies;
+        let status = dependencies.add(&job_id, &spec.dependencies, spec.listed);
+        if status == DependencyState::Ready {
+            self.capacity.record_arrival(&spec, arrived);
+        }
+        let mut job = Job::new(spec, revision, arrived);
+        job.blocked = status != DependencyState::Ready;
+        job.chunk_room = attempts_per_chunk(self.config.value_bytes);
+        job.deadline = job.spec.due.map(|due| arrived + due);
+        job.own_rank.deadline = job.deadline;
+        self.jobs.insert(job);
+        if status == DependencyState::Orphaned {
+            self.orphan(None, &job_id);
+            self.orphan_dependents(None, &job_id);
+        }
+        self.schedule.request_round();
+    }
+
+    /// A job's `done` is durable: those that depended only on it may start. Their waits count from now.
+    pub(in crate::core) fn release_dependents(&mut self, now: Instant, job_id: &JobId) {
+        for dependent in self.jobs.dependencies.record_done(job_id) {
+            if let Some(job) = self.jobs.get_mut(&dependent) {
+                log::debug!("all dependencies done job={dependent}");
+                job.blocked = false;
+                job.arrived = now;
+                job.last_placed = now;
+                self.capacity.record_arrival(&job.spec, now);
+                self.schedule.request_round();
+            }
+        }
+    }
+
+    /// The outcome of a job that is not in the job table.
+    pub fn on_past_outcome(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
+        if outcome != JobOutcome::Live && self.jobs.dependencies.take_listed(job_id) {
+            self.writes.remove_later(keys::dependents_key(job_id));
+        }
+        match outcome {
+            JobOutcome::Done => self.release_dependents(now, job_id),
+            JobOutcome::Cancelled => self.orphan_dependents(None, job_id),
+            JobOutcome::Live => {}
+        }
+    }
+
+    /// Dependencies of live jobs of which nothing is known here.
+    pub fn unresolved_dependencies(&self) -> Vec<JobId> {
+        let is_live = |job_id: &JobId| self.jobs.contains(job_id);
+        self.jobs.dependencies.unresolved(is_live)
+    }
+
+    /// The watch of the queue shows that a job is cancelled.
+    pub fn on_cancel_marked(&mut self, now: Instant, job_id: &JobId) {
+        self.on_cancelled(now, job_id, CancelSource::Watch);
+    }
+
+    /// A job is cancelled: its tasks are killed, and its dependents are cancelled with it.
+    pub fn on_cancelled(&mut self, now: Instant, job_id: &JobId, source: CancelSource) {
+        self.orphan_dependents(Some(now), job_id);
+        let Some(job) = self.jobs.get_mut(job_id) else {
+            return;
+        };
+        if !job.cancellation.record(now, source) {
+            return;
+        }
+        job.requeued.clear();
+        self.writes.mark_dirty(job_id);
+        let tasks: Vec<u32> = job.active.keys().copied().collect();
+        log::info!(
+            "cancelling job={job_id} active={} term={}",
+            tasks.len(),
+            self.term.0
+        );
+        for index in tasks {
+            self.kill(now, job_id, index, Duration::ZERO);
+        }
+        self.schedule.request_round();
+    }
+
+    /// Orphans all jobs that depend on a cancelled one, directly or through others.
+    fn orphan_dependents(&mut self, known_since: Option<Instant>, job_id: &JobId) {
+        for dependent in self.jobs.dependencies.record_cancelled(job_id) {
+            self.orphan(known_since, &dependent);
+        }
+    }
+
+    /// A dependency is cancelled, and so is this job. Its outcome is written here unless the peer that
+    /// confirms the cancellation does so soon after it became known (`None`: no peer is known to do it).
+    fn orphan(&mut self, known_since: Option<Instant>, job_id: &JobId) {
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            job.orphaned = true;
+            job.orphaned_at = job.orphaned_at.or(known_since);
+            self.writes.mark_dirty(job_id);
+        }
+    }
+}
--- a/src/core/state/job_table.rs
+++ b/src/core/state/job_table.rs
@@ -1,4 +1,7 @@
 //! The jobs of the cluster, with their dependencies and the order in which they are scheduled.
+//!
+//! Invariants: the scheduling order is sorted again before it is read after a job was added, removed or given
+//! another priority; every removed job is reported once by [`JobTable::take_removed`].
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::dependencies::Dependencies;
@@ -6,18 +9,18 @@
 use std::collections::HashMap;
 use std::ops::Index;
 
-/// Live jobs, and those that are over with records left in the store.
+/// Live jobs, and those that are over but have records left in the key-value store.
 #[derive(Default)]
 pub struct JobTable {
     by_id: HashMap<JobId, Job>,
-    /// Which jobs wait for which.
+    /// The dependency graph of the jobs.
     pub(in crate::core) dependencies: Dependencies,
     /// Jobs by priority and arrival.
     scheduling_order: Vec<JobId>,
     order_is_stale: bool,
-    /// Jobs that left the table since [`JobTable::take_removed`].
+    /// Jobs that were removed since [`JobTable::take_removed`].
     removed: Vec<JobId>,
-    /// Priorities computed along pipelines in this term, for the summary in the log.
+    /// How many inherited priorities were computed in this term, for the summary in the log.
     pub priorities_computed: u64,
 }
 
@@ -63,7 +66,7 @@
         self.order_is_stale = true;
     }
 
-    /// Takes a job out.
+    /// Removes a job.
     pub(in crate::core) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.by_id.remove(id)?;
         self.order_is_stale = true;
@@ -71,12 +74,12 @@
         Some(job)
     }
 
-    /// Jobs that left the table since the last call.
+    /// Takes the ids of the jobs that were removed since the last call.
     pub fn take_removed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.removed)
     }
 
-    /// The priority of a job has changed.
+    /// Records that the priority of a job has changed.
     pub(in crate::core) fn priority_changed(&mut self) {
         self.order_is_stale = true;
     }
--- a/src/core/state/liveness.rs
+++ b/src/core/state/liveness.rs
@@ -1,21 +1,23 @@
-//! Since when silence can be judged: what this process has noticed of time and of heartbeats.
+//! Since when missing heartbeats prove anything.
+//!
+//! Invariant: no time during which this process was paused counts as silence of a machine.
 
 use std::time::{Duration, Instant};
 
-/// Ticks are never this far apart in a process that runs.
-const PROCESS_PAUSE: Duration = Duration::from_secs(4);
+/// Ticks that are further apart than this show that the process was paused.
+const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(4);
 
-/// When the term began, when the process last ran and when a worker's heartbeat last came.
+/// When the term began, when the process last ran and when a heartbeat was last received.
 #[derive(Debug)]
 pub struct Liveness {
     /// When the term began.
     pub started: Instant,
-    /// Time of day at `started`, in milliseconds since 1970.
+    /// The time of day at `started`, in milliseconds since 1970.
     pub started_ms: u64,
-    /// When a worker's heartbeat last came, by whichever node.
+    /// When a heartbeat was last received, by any controller.
     pub(in crate::core) last_heartbeat: Option<Instant>,
     last_tick: Option<Instant>,
-    /// Since when this process has not been paused: silence before that proves nothing.
+    /// Since when this process has not been paused: heartbeats that were missing before prove nothing.
     pub(in crate::core) awake_since: Instant,
 }
 
@@ -31,13 +33,13 @@
         }
     }
 
-    /// A tick begins. Whether the process was paused since the last one.
+    /// Records that a tick begins. Returns whether the process was paused since the last one.
     pub(in crate::core) fn tick(&mut self, now: Instant) -> bool {
         let last = self.last_tick.replace(now);
-        last.is_some_and(|t| now.saturating_duration_since(t) > PROCESS_PAUSE)
+        last.is_some_and(|t| now.saturating_duration_since(t) > MIN_PROCESS_PAUSE)
     }
 
-    /// The process was paused until now. False: that is known already.
+    /// Records that the process was paused until now. Returns false if that is known already.
     pub(in crate::core) fn resume(&mut self, now: Instant) -> bool {
         if self.awake_since == now {
             return false;
@@ -48,7 +50,8 @@
         true
     }
 
-    /// When a time of day was, by the steady clock. Times of day of different nodes agree well enough.
+    /// When a time of day was, by the steady clock. The times of day of different controllers agree well
+    /// enough for this.
     pub(in crate::core) fn instant_of(&self, time_of_day_ms: u64) -> Instant {
         let age = Duration::from_millis(self.started_ms.saturating_sub(time_of_day_ms));
         if age.is_zero() {
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod actions;
 pub mod attempt;
-pub mod attempts;
+pub(crate) mod attempts;
 pub mod cancellation;
 pub mod cluster_state;
 pub mod crash_loop;
@@ -14,6 +14,7 @@
 pub mod fleet;
 pub mod image_cache;
 pub mod job;
+pub(crate) mod job_events;
 pub mod job_table;
 pub mod liveness;
 pub mod machine;
--- a/src/core/state/outbox.rs
+++ b/src/core/state/outbox.rs
@@ -1,18 +1,26 @@
-//! What the core asks its surroundings to do, gathered until the end of an event.
+//! What is to be sent, gathered until the current event has been handled.
 
 use crate::core::model::MachineId;
 use crate::core::state::cluster_state::Action;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Actions that are ready, and machines that are to be written to.
+/// A machine whose heartbeat is to be requested.
+pub(in crate::core) struct PendingProbe {
+    /// The machine.
+    pub(in crate::core) machine: MachineId,
+    /// The address at which its agent takes commands.
+    pub(in crate::core) endpoint: String,
+}
+
+/// Actions that are ready, and machines to which something is to be sent.
 #[derive(Default)]
 pub struct Outbox {
     /// Actions that go out when the current event has been handled.
     actions: Vec<Action>,
-    /// Machines with commands that do not wait for the next heartbeat.
+    /// Machines with commands that must not wait for the answer to the next heartbeat.
     pub(in crate::core) urgent_machines: BTreeSet<MachineId>,
-    /// Listed machines to be asked for their heartbeats, with their endpoints.
-    pub(in crate::core) probes: VecDeque<(MachineId, String)>,
+    /// Machines whose heartbeats are to be requested.
+    pub(in crate::core) probes: VecDeque<PendingProbe>,
 }
 
 impl Outbox {
@@ -21,7 +29,7 @@
         self.actions.push(action);
     }
 
-    /// Takes all actions out.
+    /// Takes out all actions.
     pub(in crate::core) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -1,37 +1,39 @@
-//! What each team's tasks use, as far as it can be known: the one account that limits are kept by.
+//! Accounting of the resources that each team's tasks use, by which quotas are enforced.
 //!
-//! An attempt is entered when it is placed, or when its record is found at a takeover, and leaves it on the
-//! proof that it is off its machine. Tasks that a report shows although no record names them are in it
-//! until a later report of the machine, or its end. So the account is never less than what is truly on
-//! machines, and whatever starts a task asks it first.
+//! An attempt is entered when it is placed, or when its record is found at a failover, and leaves on the
+//! proof that it is off its machine. Tasks that a heartbeat shows although no record names them are counted
+//! until a later heartbeat of the machine, or its end. Invariant: the account is never less than what is
+//! truly on machines, and whatever starts a task checks it first.
 
 use crate::core::model::{MachineId, Resources, TaskId, TeamName};
 use std::collections::HashMap;
 
-/// One task's part.
+/// The resources of one task.
 #[derive(Clone, Debug)]
 struct Entry {
     team: TeamName,
     resources: Resources,
 }
 
-/// The sum of a team's entries, and their number: a sum of none is zero, whatever was rounded.
+/// The sum of a team's entries, and their number: the sum of no entries is zero, without rounding errors.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     resources: Resources,
     entries: usize,
 }
 
-/// The account of all teams.
+/// The resources used by all teams.
 #[derive(Debug, Default)]
 pub struct QuotaUsage {
+    /// Attempts on record.
     attempts: HashMap<TaskId, Entry>,
+    /// Tasks that machines show without a record.
     unexpected: HashMap<MachineId, Vec<Entry>>,
     totals: HashMap<TeamName, Total>,
 }
 
 impl QuotaUsage {
-    /// An attempt at a task may be on a machine from now on. A task has one attempt at a time.
+    /// Enters the attempt at a task, which may be on a machine from now on. A task has one attempt at a time.
     pub fn enter(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
             team: team.clone(),
@@ -43,14 +45,14 @@
         }
     }
 
-    /// The attempt at this task is proved off its machine.
+    /// Removes the attempt at a task, which is proved off its machine.
     pub fn leave(&mut self, task: &TaskId) {
         if let Some(entry) = self.attempts.remove(task) {
             self.subtract(&entry);
         }
     }
 
-    /// What a machine shows beside the attempts on record, in place of what it showed before.
+    /// Sets the tasks that a machine shows without a record, in place of those that it showed before.
     pub fn set_unexpected(&mut self, machine: &MachineId, tasks: &[(TeamName, Resources)]) {
         for entry in self.unexpected.remove(machine).unwrap_or_default() {
             self.subtract(&entry);
@@ -69,7 +71,7 @@
         self.unexpected.insert(machine.clone(), entries);
     }
 
-    /// What a team's tasks use.
+    /// The resources that a team's tasks use.
     pub fn of(&self, team: &TeamName) -> Resources {
         self.totals
             .get(team)
@@ -77,7 +79,7 @@
             .unwrap_or_default()
     }
 
-    /// What every team's tasks use.
+    /// The resources that every team's tasks use.
     pub fn by_team(&self) -> HashMap<TeamName, Resources> {
         let totals = self.totals.iter();
         totals
@@ -85,7 +87,7 @@
             .collect()
     }
 
-    /// A team's use counted anew, entry by entry.
+    /// The resources that a team's tasks use, summed anew entry by entry, as a check of [`QuotaUsage::of`].
     pub fn recount(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
--- a/src/core/state/recent_usage.rs
+++ b/src/core/state/recent_usage.rs
@@ -1,4 +1,4 @@
-//! What each team has used recently, averaged over time.
+//! The resources that each team has used recently, averaged over time.
 
 use crate::core::model::{Resources, TeamName};
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 /// The time constant of the average.
 const AVERAGING_TIME: Duration = Duration::from_secs(20);
 
-/// An exponentially weighted average of each team's use. Tasks that all end at once would otherwise
-/// leave their team with none for a moment.
+/// An exponentially weighted average of each team's usage. Without it, a team whose tasks all end at once
+/// would briefly seem to use nothing.
 #[derive(Debug, Default)]
 pub struct RecentUsage {
     mean: HashMap<TeamName, Resources>,
@@ -16,7 +16,7 @@
 }
 
 impl RecentUsage {
-    /// Takes the present use of all teams into the average.
+    /// Adds the present usage of all teams to the average.
     pub(in crate::core) fn update(&mut self, now: Instant, current: HashMap<TeamName, Resources>) {
         let Some(before) = self.updated.replace(now) else {
             self.mean = current;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// What a team has used on average.
+    /// The resources that a team has used on average.
     pub(in crate::core) fn of(&self, team: &TeamName) -> Resources {
         self.mean.get(team).copied().unwrap_or_default()
     }
--- a/src/core/state/round_schedule.rs
+++ b/src/core/state/round_schedule.rs
@@ -1,14 +1,16 @@
 //! When the periodic work of the leader is due.
+//!
+//! Invariant: work that is reported as due counts as done, so that it is due once per interval.
 
 use std::time::{Duration, Instant};
 
-/// Rounds take one part in so many of the time, and come within these bounds.
-const ROUND_SHARE: u32 = 5;
+/// The interval between rounds in ticks, by the duration of the last one, within these bounds.
+const ROUND_INTERVAL_FACTOR: u32 = 5;
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(1500);
-/// A round comes this often though nothing has changed.
+/// The interval between rounds while nothing changes.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(1000);
-/// Scaling, and what else walks all machines or tasks, needs no more than this.
+/// The interval between scaling decisions, and between sweeps over all machines and tasks.
 const SCALING_INTERVAL: Duration = Duration::from_millis(450);
 const SWEEP_INTERVAL: Duration = Duration::from_millis(450);
 
@@ -40,9 +42,10 @@
         self.round_requested = true;
     }
 
-    /// How long the last tick took: rounds leave most of the processor to heartbeats and users.
-    pub(in crate::core) fn tick_took(&mut self, took: Duration) {
-        self.round_interval = (took * ROUND_SHARE).clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
+    /// Sets how long the last tick took: rounds leave most of the processor to heartbeats and requests.
+    pub(in crate::core) fn set_tick_duration(&mut self, duration: Duration) {
+        self.round_interval =
+            (duration * ROUND_INTERVAL_FACTOR).clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
     }
 
     /// Whether a placement round is due. If so, it counts as done now.
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -1,163 +1,194 @@
-//! What a machine shows of an attempt on record: how far it is, and how it ended.
+//! What a machine's heartbeat shows of an attempt on record: its phase, and how it ended.
 
 use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
-use crate::core::state::cluster_state::ActiveAttempt;
+use crate::core::state::attempt::ActiveAttempt;
+use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cluster_state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// A machine that refused a start gets nothing for this long.
-const REFUSED_START_PAUSE: Duration = Duration::from_secs(4);
-/// A run's length is compared with an estimate of this at least.
-const MIN_RUN_S: f64 = 0.1;
-/// Logarithms of measured over expected run times count within these bounds.
-const SLOWNESS: std::ops::RangeInclusive<f64> = -1.0..=3.0;
+/// A machine that refused a start is given nothing for this long.
+const AVOIDANCE_AFTER_REFUSAL: Duration = Duration::from_secs(4);
+/// Shorter run times and estimates count as this when they are compared.
+const MIN_COMPARED_RUN_S: f64 = 0.1;
+/// The logarithm of measured over expected run time counts within these bounds.
+const MIN_LOG_SLOWDOWN: f64 = -1.0;
+const MAX_LOG_SLOWDOWN: f64 = 3.0;
 
 impl ClusterState {
     /// An attempt is on its machine and has not ended.
-    pub(in crate::core) fn progress(
+    pub(in crate::core) fn on_task_phase(
         &mut self,
         now: Instant,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         task: &TaskId,
         phase: TaskPhase,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        let (image, gb) = (job.image, job.spec.image_gb);
-        let Some(a) = job.active.get_mut(&task.index) else {
+        let (image, image_gb) = (job.image, job.spec.image_gb);
+        let Some(attempt) = job.active.get_mut(&task.index) else {
             return;
         };
-        a.incarnation = Some(r.incarnation);
-        let before = a.observed_phase.replace(phase);
+        attempt.incarnation = Some(heartbeat.incarnation);
+        let previous = attempt.observed_phase.replace(phase);
         if phase == TaskPhase::Fetching {
-            a.last_fetching_at = Some(now);
-            if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
-                h.images.fetch_started(now, image, gb);
+            attempt.last_fetching_at = Some(now);
+            if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
+                machine.images.fetch_started(now, image, image_gb);
             }
             return;
         }
-        let starts = phase == TaskPhase::Running && a.running_since.is_none();
-        if starts && a.note_start(now, r, before) {
-            self.start_waits
-                .push(now.saturating_duration_since(a.placed_at));
+        let starts = phase == TaskPhase::Running && attempt.running_since.is_none();
+        if starts && attempt.record_start(now, heartbeat, previous) {
+            let waited = now.saturating_duration_since(attempt.placed_at);
+            self.start_waits.push(waited);
         }
-        if matches!(before, None | Some(TaskPhase::Fetching)) {
-            self.measure_fetch(now, r, image, before.is_some());
+        if matches!(previous, None | Some(TaskPhase::Fetching)) {
+            self.measure_fetch(now, heartbeat, image, previous.is_some());
         }
-        let cache = self
-            .fleet
-            .machine_type(&r.machine_type)
-            .map_or(0.0, |t| t.cache_gb);
-        if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
-            h.images.used(image, gb, cache);
+        let machine_type = self.fleet.machine_type(&heartbeat.machine_type);
+        let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
+            machine.images.used(image, image_gb, cache_gb);
         }
     }
 
-    /// An image was fetched. How long that took is known if it was seen to begin, and only where it had the
-    /// machine's rate for itself.
-    fn measure_fetch(&mut self, now: Instant, r: &Heartbeat, image: ImageKey, seen_to_begin: bool) {
-        let machine = self.fleet.machines.get(&r.machine);
-        let alone = machine.filter(|h| h.images.fetch_count() == 1);
-        let fetched = alone.and_then(|h| h.images.fetch(image).copied());
-        if let Some(fetch) = fetched.filter(|_| seen_to_begin) {
-            let nominal = self.fleet.machine_type(&r.machine_type);
-            let nominal = nominal.map_or(0.0, |t| t.fetch_gb_per_s);
-            let took = now.saturating_duration_since(fetch.since);
-            self.history
-                .record_fetch(&r.machine_type, nominal, fetch.size_gb, took);
-        }
+    /// An image was fetched. How long that took is known if its begin was observed, and only if the machine
+    /// fetched no other image beside it.
+    fn measure_fetch(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        image: ImageKey,
+        begin_observed: bool,
+    ) {
+        let machine = self.fleet.machines.get(&heartbeat.machine);
+        let only_fetch = machine
+            .filter(|m| m.images.fetch_count() == 1)
+            .and_then(|m| m.images.fetch(image).copied());
+        let Some(fetch) = only_fetch.filter(|_| begin_observed) else {
+            return;
+        };
+        let machine_type = &heartbeat.machine_type;
+        let nominal_rate = self
+            .fleet
+            .machine_type(machine_type)
+            .map_or(0.0, |t| t.fetch_gb_per_s);
+        let took = now.saturating_duration_since(fetch.since);
+        self.history
+            .record_fetch(machine_type, nominal_rate, fetch.size_gb, took);
     }
 
     /// An attempt ended by itself or by command.
-    pub(in crate::core) fn ended(
+    pub(in crate::core) fn on_task_ended(
         &mut self,
         now: Instant,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         task: &TaskId,
         exit: ExitReason,
     ) {
         let job_id = &task.job_id;
-        let Some(a) = self.gone(now, job_id, task.index, exit == ExitReason::Completed) else {
+        let end = match exit {
+            ExitReason::Completed => AttemptEnd::Completed,
+            _ => AttemptEnd::Incomplete,
+        };
+        let Some(attempt) = self.attempt_gone(now, job_id, task.index, end) else {
             return;
         };
-        log::debug!("task ended task={task} host={} exit={exit:?}", r.machine);
+        let machine_id = &heartbeat.machine;
+        log::debug!("task ended task={task} machine={machine_id} exit={exit:?}");
         if !self.jobs.contains(job_id) {
             return;
         }
         match exit {
-            ExitReason::Completed => self.completed(now, r, task, &a),
-            ExitReason::Stopped { stored } => self.stopped(now, task, &a, stored),
-            ExitReason::Failed => self.failed_by_itself(now, &r.machine, task, &a),
+            ExitReason::Completed => self.on_task_completed(now, heartbeat, task, &attempt),
+            ExitReason::Stopped { stored } => self.record_checkpoint(now, task, &attempt, stored),
+            ExitReason::Failed => self.on_task_failed(now, machine_id, task, &attempt),
             ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
-                if let Some(h) = self.fleet.machines.get_mut(&r.machine) {
-                    h.avoid_until = Some(now + REFUSED_START_PAUSE);
+                if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
+                    machine.avoid_until = Some(now + AVOIDANCE_AFTER_REFUSAL);
                 }
             }
-            ExitReason::UnknownTask => self.refused_as_unknown(now, job_id),
+            ExitReason::UnknownTask => self.on_refused_as_unknown(now, job_id),
             ExitReason::GangMemberEnded | ExitReason::GangIncomplete => {}
         }
     }
 
-    fn completed(&mut self, now: Instant, r: &Heartbeat, task: &TaskId, a: &ActiveAttempt) {
+    fn on_task_completed(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        task: &TaskId,
+        attempt: &ActiveAttempt,
+    ) {
         let job_id = &task.job_id;
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
         job.crash_loop.reset_unknown_refusals();
-        let ran = a.measured_run(now);
-        let undisturbed = ran.filter(|_| a.kill_request.is_none() && job.done_count > 1);
-        if let (Some(took), Some(h)) = (undisturbed, self.fleet.machines.get_mut(&r.machine)) {
-            let expected = a.estimated_run_time.as_secs_f64().max(MIN_RUN_S);
-            let ratio = (took.as_secs_f64().max(MIN_RUN_S) / expected).ln();
-            h.slowness
-                .add(ratio.clamp(*SLOWNESS.start(), *SLOWNESS.end()));
+        let run_time = attempt.measured_run_time(now);
+        // Until a sibling has completed, the estimate may be off on all machines alike.
+        let comparable = attempt.kill_request.is_none() && job.done_count > 1;
+        let machine = self.fleet.machines.get_mut(&heartbeat.machine);
+        if let (Some(took), Some(machine)) = (run_time.filter(|_| comparable), machine) {
+            let expected = seconds_to_compare(attempt.estimated_run_time);
+            let log_slowdown = (seconds_to_compare(took) / expected).ln();
+            machine
+                .slowness
+                .add(log_slowdown.clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN));
         }
-        if let Some(took) = ran.filter(|_| !job.saved_progress.contains_key(&task.index)) {
-            self.history.record_run(&job.spec, &r.machine_type, took);
+        let from_the_beginning = !job.saved_progress.contains_key(&task.index);
+        if let Some(took) = run_time.filter(|_| from_the_beginning) {
+            self.history
+                .record_run(&job.spec, &heartbeat.machine_type, took);
         }
-        self.succeeded(now, job_id, &r.machine);
+        self.on_task_succeeded(now, job_id, &heartbeat.machine);
     }
 
-    /// What it has saved counts as its progress.
-    fn stopped(&mut self, now: Instant, task: &TaskId, a: &ActiveAttempt, stored: bool) {
+    /// A task was stopped: what its checkpoints hold counts as its progress.
+    fn record_checkpoint(
+        &mut self,
+        now: Instant,
+        task: &TaskId,
+        attempt: &ActiveAttempt,
+        stored: bool,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        let Some(took) = a.measured_run(now).filter(|_| job.spec.saves()) else {
+        let run_time = attempt.measured_run_time(now);
+        let Some(took) = run_time.filter(|_| job.spec.saves()) else {
             return;
         };
-        let every = job.spec.checkpoint_interval.as_secs_f64();
-        let kept = if stored {
+        let interval = job.spec.checkpoint_interval.as_secs_f64();
+        let saved = if stored {
             took.as_secs_f64()
         } else {
-            (took.as_secs_f64() / every).floor() * every
+            (took.as_secs_f64() / interval).floor() * interval
         };
-        *job.saved_progress.entry(task.index).or_default() += Duration::from_secs_f64(kept);
+        *job.saved_progress.entry(task.index).or_default() += Duration::from_secs_f64(saved);
     }
 
-    fn failed_by_itself(
+    fn on_task_failed(
         &mut self,
         now: Instant,
         machine: &MachineId,
         task: &TaskId,
-        a: &ActiveAttempt,
+        attempt: &ActiveAttempt,
     ) {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return;
         };
-        let began = a
-            .running_since
-            .or(a.last_fetching_at)
-            .unwrap_or(a.placed_at);
-        let after = now.saturating_duration_since(began);
+        let began = attempt.running_since.or(attempt.last_fetching_at);
+        let after = now.saturating_duration_since(began.unwrap_or(attempt.placed_at));
         let failures = job.crash_loop.failure_count() + 1;
-        log::info!("task failed task={task} host={machine} failures={failures}");
-        self.failed(now, &task.job_id, machine, after);
+        log::info!("task failed task={task} machine={machine} failures={failures}");
+        self.attribute_failure(now, &task.job_id, machine, after);
     }
 
-    /// The worker could not fetch the description (yet): soon again, then ever later.
-    fn refused_as_unknown(&mut self, now: Instant, job_id: &JobId) {
+    /// The worker could not fetch the job's description (yet).
+    fn on_refused_as_unknown(&mut self, now: Instant, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.crash_loop.record_unknown_refusal(now);
         }
@@ -165,17 +196,27 @@
 }
 
 impl ActiveAttempt {
-    /// It is seen running for the first time. Returns whether its start was seen: at once after a takeover
-    /// it is not known when it started.
-    fn note_start(&mut self, now: Instant, r: &Heartbeat, before: Option<TaskPhase>) -> bool {
+    /// Records that it is observed to run for the first time. Returns whether its start was observed: right
+    /// after a failover it is not known when it started.
+    fn record_start(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        previous: Option<TaskPhase>,
+    ) -> bool {
+        let launched_in_this_term = self.launch_token.term() == heartbeat.token.term();
         self.running_since = Some(now);
-        self.start_observed = before.is_some() || self.launch_token.term() == r.token.term();
+        self.start_observed = previous.is_some() || launched_in_this_term;
         self.start_observed
     }
 
-    /// How long it ran, if its start was seen.
-    fn measured_run(&self, now: Instant) -> Option<Duration> {
+    /// How long it ran, if its start was observed.
+    fn measured_run_time(&self, now: Instant) -> Option<Duration> {
         let since = self.running_since.filter(|_| self.start_observed)?;
         Some(now.saturating_duration_since(since))
     }
 }
+
+fn seconds_to_compare(run_time: Duration) -> f64 {
+    run_time.as_secs_f64().max(MIN_COMPARED_RUN_S)
+}
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -1,34 +1,58 @@
-//! Hosts and tasks that go: returned, taken back, out of their lease, cancelled or stopped.
+//! The end of machines and tasks: returned, evicted, with an expired lease, cancelled or killed.
+//!
+//! Invariant: an attempt is taken off its machine only on proof, which here is the cloud's confirmation that
+//! the machine is gone or a lease that has certainly expired.
 
 use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
+use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::job::Job;
+use crate::core::state::machine::Machine;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Names of returned hosts that are remembered, so that late reports do not revive them: so many, or all
-/// Clocks drift by 0.05%; a lease counts as run out only after this much more of it, and a second.
-const DRIFT: f64 = 1.002;
+/// Clocks drift by 0.05%; a lease counts as expired only after this many times its length and the margin.
+const LEASE_DRIFT_FACTOR: f64 = 1.002;
+const LEASE_MARGIN: Duration = Duration::from_secs(1);
+/// A cancelled task that is not proved gone after this part of `cancel_s` has its machine returned.
+const OVERDUE_CANCELLATION_FRACTION: f64 = 0.4;
+/// A task writes its checkpoint this many times as long before the eviction as that takes, and this much
+/// more.
+const CHECKPOINT_LEAD_FACTOR: f64 = 1.3;
+const CHECKPOINT_LEAD_MARGIN: Duration = Duration::from_secs(2);
+/// The grace period of such a task ends so long before the eviction.
+const EVICTION_MARGIN: Duration = Duration::from_millis(500);
+/// A task without checkpoints moves at once if it needs this many times the time that is left.
+const UNFINISHABLE_FACTOR: f64 = 1.5;
+/// A kill becomes immediate so long after its grace period has passed.
+const KILL_ESCALATION_DELAY: Duration = Duration::from_secs(2);
+
+/// A task that has to leave its machine before the cloud reclaims it.
+struct Evicted {
+    task: TaskId,
+    grace_period: Duration,
+}
 
 impl ClusterState {
-    /// The cloud confirmed that these hosts and all on them are gone.
+    /// The cloud confirmed that these machines, and all tasks on them, are gone.
     pub fn on_returned(&mut self, now: Instant, machines: &[MachineId]) {
         for id in machines {
             self.remove_machine(now, id, "returned");
         }
     }
 
-    pub(in crate::core) fn remove_machine(&mut self, now: Instant, id: &MachineId, why: &str) {
-        let Some(h) = self.fleet.machines.get(id) else {
+    pub(in crate::core) fn remove_machine(&mut self, now: Instant, id: &MachineId, reason: &str) {
+        let Some(machine) = self.fleet.machines.get(id) else {
             return;
         };
+        let tasks: Vec<TaskId> = machine.placed_tasks.keys().cloned().collect();
         log::info!(
-            "host leaves host={id} why={why} tasks={}",
-            h.placed_tasks.len()
+            "machine removed machine={id} reason={reason} tasks={}",
+            tasks.len()
         );
         self.takeover.on_lease_expired(now, id);
-        let tasks: Vec<TaskId> = h.placed_tasks.keys().cloned().collect();
-        for t in tasks {
-            self.gone(now, &t.job_id, t.index, false);
+        for task in tasks {
+            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
         let max_machines = self.config.tuning.max_machines;
         self.fleet.remove(id, max_machines);
@@ -38,141 +62,149 @@
         self.schedule.request_round();
     }
 
-    /// The return did not go through; it is asked for again.
+    /// The return of these machines failed; it is requested again.
     pub fn on_return_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
-            if let Some(h) = self.fleet.machines.get_mut(id) {
-                h.return_requested_at = None;
+            if let Some(machine) = self.fleet.machines.get_mut(id) {
+                machine.return_requested_at = None;
             }
         }
     }
 
-    /// Leases that ran out for certain. Only for hosts that this term has fenced: before that,
-    /// another controller's answers may have renewed them.
+    /// Takes off the tasks of machines whose leases have certainly expired. Only of machines that this term
+    /// has fenced: before that, another leader's answers may have renewed their leases.
     pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
-        let spent = self.config.lease.mul_f64(DRIFT) + Duration::from_secs(1);
-        let mut gone = Vec::new();
-        for h in self.fleet.machines.values_mut() {
-            if !h.fenced || h.lease_expired {
-                continue;
-            }
-            let Some(answer) = h.lease_renewed_at else {
+        let lease = self.config.lease.mul_f64(LEASE_DRIFT_FACTOR) + LEASE_MARGIN;
+        let mut tasks = Vec::new();
+        for machine in self.fleet.machines.values_mut() {
+            if !is_lease_expired(machine, now, lease) {
                 continue;
-            };
-            if now.saturating_duration_since(answer) > spent {
-                h.lease_expired = true;
-                h.unexpected_usage = Resources::default();
-                self.quota_usage.set_unexpected(&h.id, &[]);
-                self.takeover.on_lease_expired(now, &h.id);
-                gone.extend(h.placed_tasks.keys().cloned());
             }
+            machine.lease_expired = true;
+            machine.unexpected_usage = Resources::default();
+            self.quota_usage.set_unexpected(&machine.id, &[]);
+            self.takeover.on_lease_expired(now, &machine.id);
+            tasks.extend(machine.placed_tasks.keys().cloned());
         }
-        for t in gone {
-            let sent = self
-                .jobs
-                .get(&t.job_id)
-                .and_then(|j| j.active.get(&t.index))
-                .is_some();
-            if sent {
-                log::info!("lease ran out under task={t}");
-                self.gone(now, &t.job_id, t.index, false);
+        for task in tasks {
+            let job = self.jobs.get(&task.job_id);
+            if job.is_some_and(|j| j.active.contains_key(&task.index)) {
+                log::info!("lease expired task={task}");
+                self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
             }
         }
     }
 
-    /// Withdrawn tasks whose end is still unproved well before `cancel_s`: their host goes.
-    pub(in crate::core) fn overdue_cancellations(&mut self, now: Instant) {
-        let limit = self.config.cancel.mul_f64(0.4);
-        let mut machines = BTreeSet::new();
-        for j in self.jobs.values() {
-            let Some(since) = j.cancellation.known_since() else {
-                continue;
-            };
-            if now.saturating_duration_since(since) > limit {
-                machines.extend(j.active.values().map(|a| a.machine.clone()));
-            }
-        }
+    /// Returns the machines of cancelled tasks that are not proved gone well before `cancel_s` has passed.
+    pub(in crate::core) fn return_machines_of_overdue_cancellations(&mut self, now: Instant) {
+        let limit = self.config.cancel.mul_f64(OVERDUE_CANCELLATION_FRACTION);
+        let is_overdue = |job: &&Job| {
+            let since = job.cancellation.known_since();
+            since.is_some_and(|t| now.saturating_duration_since(t) > limit)
+        };
+        let overdue = self.jobs.values().filter(is_overdue);
+        let attempts = overdue.flat_map(|job| job.active.values());
+        let machines: BTreeSet<MachineId> = attempts.map(|a| a.machine.clone()).collect();
         for id in machines {
-            if let Some(h) = self.fleet.machines.get_mut(&id) {
-                h.returning = true;
-                h.cancellation_overdue = true;
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
+                machine.returning = true;
+                machine.cancellation_overdue = true;
             }
         }
     }
 
-    /// Spot notices: tasks that can save do so in time, those that cannot finish move at once.
-    pub(in crate::core) fn evictions(&mut self, now: Instant) {
-        let mut kills = Vec::new();
-        for h in self.fleet.machines.values() {
-            let Some(at) = h.eviction_at else {
+    /// Spot evictions that were announced: tasks with checkpoints write one in time, and those that cannot
+    /// finish move at once.
+    pub(in crate::core) fn prepare_evictions(&mut self, now: Instant) {
+        let mut evicted = Vec::new();
+        for machine in self.fleet.machines.values() {
+            let Some(eviction_at) = machine.eviction_at else {
                 continue;
             };
-            let left = at.saturating_duration_since(now);
-            for t in h.placed_tasks.keys() {
-                let Some(j) = self.jobs.get(&t.job_id) else {
-                    continue;
-                };
-                let Some(a) = j.active.get(&t.index) else {
-                    continue;
-                };
-                if a.kill_request.is_some() {
-                    continue;
-                }
-                let ran = a
-                    .running_since
-                    .map(|s| now.saturating_duration_since(s))
-                    .unwrap_or_default();
-                let rest = a.estimated_run_time.saturating_sub(ran);
-                if j.spec.saves() && a.running_since.is_some() {
-                    let save = j.spec.checkpoint_duration;
-                    if left <= save.mul_f64(1.3) + Duration::from_secs(2) {
-                        let grace = save.max(left.saturating_sub(Duration::from_millis(500)));
-                        kills.push((t.clone(), grace));
-                    }
-                } else if a.running_since.is_none() || rest > left.mul_f64(1.5) {
-                    kills.push((t.clone(), Duration::ZERO));
+            let left = eviction_at.saturating_duration_since(now);
+            for task in machine.placed_tasks.keys() {
+                if let Some(grace_period) = self.eviction_grace_period(now, task, left) {
+                    evicted.push(Evicted {
+                        task: task.clone(),
+                        grace_period,
+                    });
                 }
             }
         }
-        for (t, grace) in kills {
-            let gang = self
-                .jobs
-                .get(&t.job_id)
-                .is_some_and(|j| j.spec.kind == JobKind::Gang);
-            if gang {
-                self.stop_gang(now, &t.job_id, grace);
+        for Evicted { task, grace_period } in evicted {
+            let job = self.jobs.get(&task.job_id);
+            if job.is_some_and(|j| j.spec.kind == JobKind::Gang) {
+                self.stop_gang(now, &task.job_id, grace_period);
             } else {
-                self.kill(now, &t.job_id, t.index, grace);
+                self.kill(now, &task.job_id, task.index, grace_period);
             }
         }
     }
 
-    /// An orderly stop: every member hears of it in the same moment.
-    pub(in crate::core) fn stop_gang(&mut self, now: Instant, job_id: &JobId, grace: Duration) {
+    /// The grace period with which a task must be killed now, if it must, when its machine is reclaimed in
+    /// `left`.
+    fn eviction_grace_period(
+        &self,
+        now: Instant,
+        task: &TaskId,
+        left: Duration,
+    ) -> Option<Duration> {
+        let job = self.jobs.get(&task.job_id)?;
+        let attempt = job.active.get(&task.index)?;
+        if attempt.kill_request.is_some() {
+            return None;
+        }
+        let ran = attempt
+            .running_since
+            .map(|t| now.saturating_duration_since(t));
+        let Some(ran) = ran else {
+            return Some(Duration::ZERO);
+        };
+        if job.spec.saves() {
+            let checkpoint = job.spec.checkpoint_duration;
+            let lead = checkpoint.mul_f64(CHECKPOINT_LEAD_FACTOR) + CHECKPOINT_LEAD_MARGIN;
+            let grace_period = checkpoint.max(left.saturating_sub(EVICTION_MARGIN));
+            return (left <= lead).then_some(grace_period);
+        }
+        let remaining = attempt.estimated_run_time.saturating_sub(ran);
+        (remaining > left.mul_f64(UNFINISHABLE_FACTOR)).then_some(Duration::ZERO)
+    }
+
+    /// Stops a gang in good order: all of its members are killed with the same grace period.
+    pub(in crate::core) fn stop_gang(
+        &mut self,
+        now: Instant,
+        job_id: &JobId,
+        grace_period: Duration,
+    ) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
         let members: Vec<u32> = job.active.keys().copied().collect();
-        for i in members {
-            self.kill(now, job_id, i, grace);
+        for index in members {
+            self.kill(now, job_id, index, grace_period);
         }
     }
 
-    /// Kills that the grace has run out for become immediate; unproved ones are sent again.
-    pub(in crate::core) fn press_kills(&mut self, now: Instant) {
-        let again = Duration::from_secs(2);
-        let mut due = Vec::new();
-        for j in self.jobs.values_mut() {
-            for a in j.active.values_mut() {
-                if let Some(k) = &mut a.kill_request {
-                    let passed = now.saturating_duration_since(k.since);
-                    if !k.grace_period.is_zero() && passed > k.grace_period + again {
-                        k.grace_period = Duration::ZERO;
-                        due.push(a.machine.clone());
-                    }
-                }
+    /// Makes kills immediate whose grace period has passed.
+    pub(in crate::core) fn escalate_kills(&mut self, now: Instant) {
+        let mut machines = Vec::new();
+        for attempt in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
+            let Some(kill) = &mut attempt.kill_request else {
+                continue;
+            };
+            let passed = now.saturating_duration_since(kill.since);
+            if !kill.grace_period.is_zero() && passed > kill.grace_period + KILL_ESCALATION_DELAY {
+                kill.grace_period = Duration::ZERO;
+                machines.push(attempt.machine.clone());
             }
         }
-        self.outbox.urgent_machines.extend(due);
+        self.outbox.urgent_machines.extend(machines);
     }
 }
+
+/// Whether the lease of a machine that this term has fenced has just expired.
+fn is_lease_expired(machine: &Machine, now: Instant, lease: Duration) -> bool {
+    let expired = |renewed: Instant| now.saturating_duration_since(renewed) > lease;
+    machine.fenced && !machine.lease_expired && machine.lease_renewed_at.is_some_and(expired)
+}
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -102,7 +102,7 @@
         self.last_woke = woke;
         log::warn!("this process stood still; what it knew is old");
         if let Some(c) = self.cluster.as_mut() {
-            c.woke(now);
+            c.on_process_resumed(now);
         }
     }
 
@@ -138,9 +138,9 @@
             }
             return;
         };
-        c.allow(shared.store.leader_changes_left());
+        c.set_write_allowance(shared.store.leader_changes_left());
         let certain = shared.holds_leader_lease(c.term);
-        c.confirm(certain);
+        c.set_leadership_confirmed(certain);
         let actions = if ticking {
             c.start_limiter
                 .observe_timer_lag(now, shared.worst_timer_lag());
@@ -148,7 +148,7 @@
             let took = now.elapsed();
             self.next_tick = Instant::now() + TICK;
             shared.meters.rounds.record(took);
-            c.tick_took(took);
+            c.set_tick_duration(took);
             // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
             if certain && c.is_without_heartbeats(now) {
                 let _ = self
@@ -178,7 +178,7 @@
 
 /// Jobs that others need and that the leader knows nothing of, for the queue's feed to ask about.
 fn publish_unresolved(shared: &Shared, c: &ClusterState) {
-    let unresolved = c.unresolved();
+    let unresolved = c.unresolved_dependencies();
     if !unresolved.is_empty() || !shared.view.read().unresolved.is_empty() {
         shared.view.write().unresolved = unresolved;
     }
@@ -258,17 +258,17 @@
         Event::Cancelled(t, job_id) if t == term => c.on_cancel_marked(now, &job_id),
         Event::Ended(t, ends) if t == term => {
             for (job_id, outcome) in ends {
-                c.ended_before(now, &job_id, outcome);
+                c.on_past_outcome(now, &job_id, outcome);
             }
         }
         Event::Standings(t, statuses) if t == term => c.on_job_statuses(now, &statuses),
-        Event::Read(t, asked) if t == term => c.leadership.cancellations_read(asked),
+        Event::Read(t, asked) if t == term => c.leadership.on_cancellations_read(asked),
         Event::CancelledElsewhere(t, job_ids, covers) if t == term => {
             for job_id in &job_ids {
                 c.on_cancelled(now, job_id, CancelSource::Peer);
             }
             if let Some((peer, word)) = covers {
-                c.leadership.cancellations_reported(&peer, word);
+                c.leadership.on_cancellations_reported(&peer, word);
             }
         }
         Event::Written(t, outcome) if t == term => {
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -116,11 +116,11 @@
         match event {
             Ok(ElectorEvent::Leader(found)) => {
                 self.looked = true;
-                self.machine.observed(now, found)
+                self.machine.on_leader_key(now, found)
             }
-            Ok(ElectorEvent::Term(term)) => self.machine.term_seen(term),
+            Ok(ElectorEvent::Term(term)) => self.machine.on_term(term),
             Ok(ElectorEvent::NoHeartbeats(term)) => self.resign(now, term),
-            Err(_) => self.machine.due(now),
+            Err(_) => self.machine.next_step(now),
         }
     }
 
@@ -163,11 +163,11 @@
             Some(Ok(())) => {
                 view.store_answered(true, Instant::now());
                 view.lease_lasts(asked, self.lease_duration);
-                self.machine.renewed(asked.0);
+                self.machine.on_lease_renewed(asked.0);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("the leader lease has ended");
-                self.machine.lease_ended();
+                self.machine.on_lease_expired();
                 self.step_down();
             }
             // The state service may be out for everyone: then the lease lives on.
@@ -201,10 +201,10 @@
     /// Begins the term that was won.
     fn lead(&mut self, won: Won, asked: (Instant, SystemTime)) {
         self.machine
-            .renew_every(self.lease_duration / RENEWALS_PER_LEASE);
+            .set_renewal_interval(self.lease_duration / RENEWALS_PER_LEASE);
         self.shared.view.lease_lasts(asked, self.lease_duration);
         self.machine
-            .won(Instant::now(), won.term, won.leader_revision);
+            .on_campaign_won(Instant::now(), won.term, won.leader_revision);
         self.lease = Some(won.lease);
         self.term_stop = Stop::new();
         log::info!("leading term={}", won.term.0);
@@ -222,14 +222,14 @@
     fn look_again(&mut self, pause_ms: Range<u64>) {
         let pause = rand::thread_rng().gen_range(pause_ms);
         self.machine
-            .lost(Instant::now(), Duration::from_millis(pause));
+            .on_campaign_lost(Instant::now(), Duration::from_millis(pause));
         let found = self
             .shared
             .store
             .get::<StoredLeader>(LEADER_KEY, RequestClass::Leader, CALL);
         if let Ok(found) = found {
             let found = found.map(|e| record(e.value, e.revision));
-            self.machine.observed(Instant::now(), found);
+            self.machine.on_leader_key(Instant::now(), found);
         }
     }
 
@@ -251,14 +251,14 @@
         ),
     };
     let i = shared.view.read();
-    if i.role == role && i.highest == machine.highest() {
+    if i.role == role && i.highest == machine.highest_term() {
         return;
     }
     drop(i);
     let mut i = shared.view.write();
     i.role = role;
     i.leader = leader;
-    i.highest = i.highest.max(machine.highest());
+    i.highest = i.highest.max(machine.highest_term());
 }
 
 /// One transaction: the leader key on a new lease, and the term's counter raised.
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -11,6 +11,7 @@
 use crate::core::placement::history::HistorySummary;
 use crate::core::reconciliation::stored_snapshot::{StoredIntents, StoredLiveJob, StoredSnapshot};
 use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::cluster_state::TermStart;
 use crate::net::store::{BudgetedReader, ListEntry, ListOptions, Listing, ReadPurpose, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
 use crate::runtime::events::Event;
@@ -267,7 +268,14 @@
         .map_or(0, |d| d.as_millis() as u64);
     let types = shared.view.read().types.clone();
     let config = shared.settings.config.clone();
-    ClusterState::new(config, term, leader_revision, types, now, now_ms)
+    let start = TermStart {
+        term,
+        leader_revision,
+        machine_types: types,
+        started_at: now,
+        started_ms: now_ms,
+    };
+    ClusterState::new(config, start)
 }
 
 /// The records in the core's form. What cannot be read is named, and no part of it is dropped.
--- a/src/runtime/peer_duties.rs
+++ b/src/runtime/peer_duties.rs
@@ -215,9 +215,9 @@
             });
             more = rest;
             let word = CancellationReport {
-                asked,
-                came,
-                continues,
+                asked_at: asked,
+                received_at: came,
+                is_continuous: continues,
             };
             let job_ids = job_ids.iter().filter_map(|u| JobId::parse(u)).collect();
             // What is told in parts covers nothing before the last of them.
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -3,7 +3,7 @@
 use crate::api::dependents_list;
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::Stop;
-use crate::core::leadership::cancellation_watermark::{self, ClockReading};
+use crate::core::leadership::cancellation_watermark::{ClockReading, WatermarkBound};
 use crate::core::model::{JobId, JobSpec, Term};
 use crate::core::persistence::backoff::Backoff;
 use crate::core::persistence::keys;
@@ -33,8 +33,8 @@
 pub fn feed(shared: &Shared, term: Term, mut revision: u64, stop: &Stop) {
     // Each answer moves the watermark of cancellations to when it was asked for.
     let config = &shared.settings.config;
-    let (patience, _) = cancellation_watermark::patience(config.lease, config.cancel);
-    let block = WATCH_BLOCK.min(patience / 3);
+    let bound = WatermarkBound::new(config.lease, config.cancel);
+    let block = WATCH_BLOCK.min(bound.max_age / 3);
     let mut backoff = Backoff::default();
     let mut next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
     while !stop.stopped() {
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -1,7 +1,7 @@
 //! Settings that the node runs with, although it cannot keep all its limits with them.
 
 use super::Settings;
-use crate::core::leadership::cancellation_watermark;
+use crate::core::leadership::cancellation_watermark::{self, WatermarkBound};
 
 impl Settings {
     /// A text for each setting that the node runs with, but not without loss.
@@ -12,8 +12,7 @@
 
     fn cancellation_warning(&self) -> Option<String> {
         let (lease, cancel) = (self.config.lease, self.config.cancel);
-        let (_, within_limit) = cancellation_watermark::patience(lease, cancel);
-        if within_limit {
+        if WatermarkBound::new(lease, cancel).ends_tasks_in_time {
             return None;
         }
         let overshoot = cancellation_watermark::overshoot(lease, cancel);
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -26,7 +26,7 @@
 
     /// Lets a tick's transaction have so many changes, and carries it out.
     pub fn tick(&mut self, w: &mut World, changes: usize) -> Vec<WriteOp> {
-        w.c.allow(changes);
+        w.c.set_write_allowance(changes);
         let mut written = Vec::new();
         for action in w.c.tick(w.now) {
             let Action::Store(batch) = action else {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,6 +7,7 @@
 
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::{WriteBatch, WriteOutcome};
+use cypressgap::core::state::cluster_state::TermStart;
 use cypressgap::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
 use cypressgap_recovery::settings::RecoverySettings;
 use std::collections::{BTreeMap, HashMap};
@@ -116,7 +117,16 @@
     pub fn with(config: SchedulerConfig, types: Vec<MachineType>) -> World {
         let now = Instant::now();
         World {
-            c: ClusterState::new(config, TERM, REVISION, types, now, 0),
+            c: ClusterState::new(
+                config,
+                TermStart {
+                    term: TERM,
+                    leader_revision: REVISION,
+                    machine_types: types,
+                    started_at: now,
+                    started_ms: 0,
+                },
+            ),
             now,
             revision: 100,
         }
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -13,7 +13,7 @@
 fn queue_read(w: &mut World) {
     let day = SystemTime::UNIX_EPOCH;
     w.c.leadership
-        .cancellations_read(ClockReading { steady: w.now, day });
+        .on_cancellations_read(ClockReading { steady: w.now, day });
 }
 
 /// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
@@ -172,7 +172,7 @@
         let left: Vec<&String> = keys.all.iter().filter(left).collect();
         assert_eq!(left, Vec::<&String>::new(), "listed {listed}");
         assert!(most < 60, "listed {listed}: {most}");
-        assert!(w.c.jobs.is_empty() && w.c.unresolved().is_empty());
+        assert!(w.c.jobs.is_empty() && w.c.unresolved_dependencies().is_empty());
     }
 }
 
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -1,9 +1,8 @@
 //! Cancellations that the leader may not know of: how long it may renew leases without having read them.
 
 use crate::common::*;
-use cypressgap::core::leadership::cancellation_watermark;
 use cypressgap::core::leadership::cancellation_watermark::{
-    patience, CancellationReport, ClockReading, Watermark, MIN_PATIENCE,
+    self, CancellationReport, ClockReading, Watermark, WatermarkBound, MIN_MAX_AGE,
 };
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::JobOutcome;
@@ -25,12 +24,13 @@
     ];
     for (lease, cancel, whole, keeps) in cases {
         let (lease, cancel) = (secs_f(lease), secs_f(cancel));
-        let (p, k) = patience(lease, cancel);
-        assert_eq!((p.as_secs(), k), (whole, keeps), "{lease:?} {cancel:?}");
-        assert!(p >= MIN_PATIENCE);
+        let bound = WatermarkBound::new(lease, cancel);
+        let found = (bound.max_age.as_secs(), bound.ends_tasks_in_time);
+        assert_eq!(found, (whole, keeps), "{lease:?} {cancel:?}");
+        assert!(bound.max_age >= MIN_MAX_AGE);
         if keeps {
             // A lease renewed at the last moment ends in time, on clocks that drift.
-            assert!(p + lease.mul_f64(1.001) < cancel.mul_f64(0.999));
+            assert!(bound.max_age + lease.mul_f64(1.001) < cancel.mul_f64(0.999));
         }
     }
 }
@@ -141,24 +141,23 @@
         let mut w = Watermark::new(at(0), peers.iter().map(|p| p.to_string()));
         for h in happens {
             match *h {
-                Read(asked) => w.read(at(asked)),
+                Read(asked) => w.record_read(at(asked)),
                 Told(peer, asked, came, continues) => {
-                    let (asked, came) = (at(asked), at(came));
-                    let word = CancellationReport {
-                        asked,
-                        came,
-                        continues,
+                    let report = CancellationReport {
+                        asked_at: at(asked),
+                        received_at: at(came),
+                        is_continuous: continues,
                     };
-                    w.stated(peer, word);
+                    w.record_report(peer, report);
                 }
             }
         }
         assert_eq!(w.age(at(100)), secs(100 - expected), "{name}");
-        assert!(w.renews(at(expected + 9), secs(10)), "{name}");
-        assert!(!w.renews(at(expected + 10), secs(10)), "{name}");
+        assert!(w.is_fresh(at(expected + 9), secs(10)), "{name}");
+        assert!(!w.is_fresh(at(expected + 10), secs(10)), "{name}");
     }
     // Whoever has no peers confirms everything itself.
-    assert!(Watermark::new(at(0), []).renews(at(1000), secs(10)));
+    assert!(Watermark::new(at(0), []).is_fresh(at(1000), secs(10)));
 }
 
 /// Guards against a process that stood still, whose steady clock stood with it.
@@ -170,15 +169,15 @@
         steady: start.steady + secs(steady),
         day: start.day + secs(day),
     };
-    assert!(w.renews(later(9, 9), secs(10)));
-    assert!(!w.renews(later(2, 10), secs(10)));
-    assert!(!w.renews(later(10, 2), secs(10)));
+    assert!(w.is_fresh(later(9, 9), secs(10)));
+    assert!(!w.is_fresh(later(2, 10), secs(10)));
+    assert!(!w.is_fresh(later(10, 2), secs(10)));
     // A time of day set back says nothing.
     let back = ClockReading {
         steady: start.steady + secs(9),
         day: start.day - secs(50),
     };
-    assert!(w.renews(back, secs(10)));
+    assert!(w.is_fresh(back, secs(10)));
 }
 
 /// A running task on a machine of a leader with one peer.
@@ -202,10 +201,10 @@
 fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
     let (mut w, attempt) = in_doubt();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let (bound, _) = patience(w.c.config.lease, w.c.config.cancel);
+    let bound = WatermarkBound::new(w.c.config.lease, w.c.config.cancel);
     w.heartbeat("i-1", 2, tasks());
     // The process runs all the while.
-    w.run(bound.as_secs() - 1);
+    w.run(bound.max_age.as_secs() - 1);
     w.heartbeat("i-1", 3, tasks());
     let answered = w.c.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
     w.run(2);
@@ -248,7 +247,7 @@
         day: SystemTime::now(),
     };
     w.c.leadership.set_clocks(read);
-    w.c.leadership.cancellations_read(read);
+    w.c.leadership.on_cancellations_read(read);
     w.heartbeat("i-1", 9, vec![]);
 }
 
@@ -258,13 +257,13 @@
 fn launches_wait_for_a_confirmed_leadership() {
     let mut w = World::new();
     w.heartbeat("i-1", 1, vec![]);
-    w.c.confirm(false);
+    w.c.set_leadership_confirmed(false);
     w.job(spec("wk-000001", 1, 4.0));
     assert_eq!(launches(&w.settle()), vec![]);
     let (_, in_answer) = w.heartbeat("i-1", 2, vec![]);
     assert_eq!(in_answer, vec![]);
     assert!(w.active("wk-000001", 0).is_some(), "its intent is durable");
-    w.c.confirm(true);
+    w.c.set_leadership_confirmed(true);
     assert_eq!(launches(&w.c.flush(w.now)).len(), 1);
 }
 
@@ -334,12 +333,12 @@
     let tenths = |d: Duration| (d.as_secs_f64() * 10.0).round() as u64;
     for (lease, cancel, age, over) in cases {
         let (lease, cancel) = (secs(lease), secs(cancel));
-        let (patience, kept) = cancellation_watermark::patience(lease, cancel);
-        assert_eq!(tenths(patience), age, "{lease:?} {cancel:?}");
+        let bound = WatermarkBound::new(lease, cancel);
+        assert_eq!(tenths(bound.max_age), age, "{lease:?} {cancel:?}");
         let overshoot = cancellation_watermark::overshoot(lease, cancel);
         assert_eq!(tenths(overshoot), over, "{lease:?} {cancel:?}");
         assert_eq!(
-            kept,
+            bound.ends_tasks_in_time,
             overshoot < Duration::from_millis(1),
             "{lease:?} {cancel:?}"
         );
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -86,10 +86,14 @@
                     );
                 }
                 Done(n, ready) => {
-                    assert_eq!(d.done(&job_id(*n)), job_ids(ready), "{name}: {n} done")
+                    assert_eq!(
+                        d.record_done(&job_id(*n)),
+                        job_ids(ready),
+                        "{name}: {n} done"
+                    )
                 }
                 Cancelled(n, orphans) => {
-                    let mut all = d.cancelled(&job_id(*n));
+                    let mut all = d.record_cancelled(&job_id(*n));
                     all.sort();
                     assert_eq!(all, job_ids(orphans), "{name}: {n} withdrawn");
                 }
@@ -165,15 +169,15 @@
             let mut w = World::new();
             w.heartbeat("i-1", 1, vec![]);
             if let (Some(v), true) = (found, told_first) {
-                w.c.ended_before(w.now, &job_id(1), v);
+                w.c.on_past_outcome(w.now, &job_id(1), v);
             }
             w.job(job_depending_on(2, &[1]));
             w.job(job_depending_on(3, &[2]));
             if !told_first {
-                assert_eq!(w.c.unresolved(), job_ids(&[1]));
+                assert_eq!(w.c.unresolved_dependencies(), job_ids(&[1]));
             }
             if let (Some(v), false) = (found, told_first) {
-                w.c.ended_before(w.now, &job_id(1), v);
+                w.c.on_past_outcome(w.now, &job_id(1), v);
             }
             let mut written = Vec::new();
             let mut sent = Vec::new();
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -8,6 +8,7 @@
     ConflictingKey, KeyCondition, LeaderKeyStatus, WriteOutcome,
 };
 use cypressgap::core::state::cluster_state::ClusterState;
+use cypressgap::core::state::cluster_state::TermStart;
 
 fn conflict(key: &str, revision: u64, outcome: Option<JobOutcome>) -> ConflictingKey {
     ConflictingKey {
@@ -91,7 +92,16 @@
         let now = std::time::Instant::now();
         let types = vec![machine_type("m8", 8.0)];
         let mut w = World {
-            c: ClusterState::new(config(), Term(term), REVISION, types, now, 0),
+            c: ClusterState::new(
+                config(),
+                TermStart {
+                    term: Term(term),
+                    leader_revision: REVISION,
+                    machine_types: types,
+                    started_at: now,
+                    started_ms: 0,
+                },
+            ),
             now,
             revision: 100,
         };
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -35,7 +35,7 @@
     ];
     for (name, key, step) in cases {
         let mut l = Leadership::new("m0", renew);
-        assert_eq!(l.observed(now, key), step, "{name}");
+        assert_eq!(l.on_leader_key(now, key), step, "{name}");
     }
     // What a leader of term 4 makes of what it sees.
     let cases: [(&str, Option<LeaderRecord>, Step); 4] = [
@@ -46,28 +46,28 @@
     ];
     for (name, key, step) in cases {
         let mut l = Leadership::new("m0", renew);
-        l.won(now, Term(4), 40);
-        assert_eq!(l.observed(now, key), step, "{name}");
+        l.on_campaign_won(now, Term(4), 40);
+        assert_eq!(l.on_leader_key(now, key), step, "{name}");
     }
     let mut l = Leadership::new("m0", renew);
-    l.won(now, Term(4), 40);
-    assert_eq!(l.term_seen(Term(4)), Step::Wait);
-    assert_eq!(l.due(now + secs(2)), Step::Renew);
+    l.on_campaign_won(now, Term(4), 40);
+    assert_eq!(l.on_term(Term(4)), Step::Wait);
+    assert_eq!(l.next_step(now + secs(2)), Step::Renew);
     // Renewals that fail leave it leading: the state service may be out for all.
     assert!(matches!(l.role(), Role::Leader { .. }));
-    assert_eq!(l.term_seen(Term(5)), Step::StepDown);
+    assert_eq!(l.on_term(Term(5)), Step::StepDown);
     let mut l = Leadership::new("m0", renew);
-    l.observed(now, None);
-    l.lost(now, secs(1));
-    assert_eq!(l.due(now), Step::Wait);
-    assert_eq!(l.due(now + secs(2)), Step::Campaign { revision: 0 });
+    l.on_leader_key(now, None);
+    l.on_campaign_lost(now, secs(1));
+    assert_eq!(l.next_step(now), Step::Wait);
+    assert_eq!(l.next_step(now + secs(2)), Step::Campaign { revision: 0 });
     // Given up, a term is left to others for a while; a word about an earlier term changes nothing.
     let mut l = Leadership::new("m0", renew);
-    l.won(now, Term(4), 40);
+    l.on_campaign_won(now, Term(4), 40);
     assert_eq!(l.resign(now, Term(3), secs(9)), Step::Wait);
     assert_eq!(l.resign(now, Term(4), secs(9)), Step::StepDown);
-    assert_eq!(l.observed(now, None), Step::Wait);
-    assert_eq!(l.due(now + secs(10)), Step::Campaign { revision: 0 });
+    assert_eq!(l.on_leader_key(now, None), Step::Wait);
+    assert_eq!(l.next_step(now + secs(10)), Step::Campaign { revision: 0 });
 }
 
 #[test]
@@ -103,7 +103,7 @@
         let (on, a) = (l[0].0.clone(), l[0].2);
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
         w.heartbeat(&on.0, 2, tasks);
-        w.c.confirm(false);
+        w.c.set_leadership_confirmed(false);
         if cancelled {
             w.c.on_cancel_marked(w.now, &"wk-000001".into());
         }
@@ -113,7 +113,7 @@
         let expected = if cancelled { vec![on] } else { vec![] };
         assert_eq!(gone, expected, "cancelled {cancelled}");
         // Once it is the leader for certain, what is still silent goes.
-        w.c.confirm(true);
+        w.c.set_leadership_confirmed(true);
         assert_eq!(returned_machines(&w.settle()).len(), 2 - gone.len());
     }
 }
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -91,7 +91,7 @@
         });
         w.pass(secs(45));
         if woke {
-            w.c.woke(w.now);
+            w.c.on_process_resumed(w.now);
         } else {
             // As if it had run and ticked all the time.
             for _ in 0..20 {
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -50,7 +50,7 @@
     let start = w.now;
     // With the place in the index.
     while removed < 21 {
-        w.c.allow(8);
+        w.c.set_write_allowance(8);
         let batch = w.batch().expect("the rest follows");
         assert!(batch.ops.len() <= 4);
         removed += batch.ops.len();
@@ -90,9 +90,9 @@
     }
     w.pass(secs(5));
     w.heartbeat("i-1", 3, vec![]);
-    w.c.allow(0);
+    w.c.set_write_allowance(0);
     assert_eq!(w.batch(), None);
-    w.c.allow(3);
+    w.c.set_write_allowance(3);
     let first = w.batch().expect("what there is room for");
     assert_eq!(first.ops.len(), 3);
     let old = chunk_key(&"wk-000001".into(), 0);
@@ -101,7 +101,7 @@
         "endings wait"
     );
     w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 400 });
-    w.c.allow(24);
+    w.c.set_write_allowance(24);
     let rest = w.batch().expect("the rest");
     assert!(rest.conditions.iter().any(|c| c.key == old));
 }
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -7,6 +7,7 @@
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::{LeaderKeyStatus, WriteBatch, WriteOutcome};
+use cypressgap::core::state::cluster_state::TermStart;
 use cypressgap::core::state::cluster_state::{Action, CancelSource, ClusterState};
 use rand::Rng;
 use std::time::{Duration, Instant, SystemTime};
@@ -82,11 +83,13 @@
         let elapsed = (now - self.start).as_millis() as u64;
         let mut cluster = ClusterState::new(
             self.config.clone(),
-            Term(self.last_term),
-            revision,
-            self.types.clone(),
-            now,
-            elapsed,
+            TermStart {
+                term: Term(self.last_term),
+                leader_revision: revision,
+                machine_types: self.types.clone(),
+                started_at: now,
+                started_ms: elapsed,
+            },
         );
         cluster.take_over(now, self.store.snapshot());
         let ready = now + self.delay(0, 1500);
@@ -133,10 +136,10 @@
         leader
             .cluster
             .leadership
-            .cancellations_read(ClockReading { steady: now, day });
-        for job_id in leader.cluster.unresolved() {
+            .on_cancellations_read(ClockReading { steady: now, day });
+        for job_id in leader.cluster.unresolved_dependencies() {
             if let Some(outcome) = self.store.outcome(&job_id) {
-                leader.cluster.ended_before(now, &job_id, outcome);
+                leader.cluster.on_past_outcome(now, &job_id, outcome);
             }
         }
     }
@@ -151,8 +154,8 @@
         let certain = leader
             .partitioned_since
             .is_none_or(|t| now < t + LEADER_LEASE);
-        leader.cluster.confirm(certain);
-        leader.cluster.allow(allowance);
+        leader.cluster.set_leadership_confirmed(certain);
+        leader.cluster.set_write_allowance(allowance);
         let actions = if now >= leader.next_tick {
             leader.next_tick = now + ms(200);
             leader.cluster.tick(now)
