--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AttemptState {
     /// On record, and its machine has told nothing about it yet.
-    Unheard,
+    Unreported,
     /// On record, and its machine shows it.
     Confirmed,
     /// On record, and proved not to be on its machine.
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
     /// Its machine's report lists it.
-    Shown,
+    Reported,
     /// A report without it that shows this term's token: it was sent after the term began.
-    NotShown,
+    NotReported,
     /// A report without it that shows an earlier token: it may be a late copy.
-    NotShownEarlier,
+    NotReportedPossiblyEarlier,
     /// Its machine has missed its reports.
-    HostSilent,
+    MachineSilent,
     /// Its machine's lease has certainly run out, or the machine is gone.
     LeaseExpired,
     /// A record of it was written.
@@ -50,7 +50,7 @@
 impl AttemptState {
     /// All states, in the order of the table.
     pub const ALL: [AttemptState; 6] = [
-        AttemptState::Unheard,
+        AttemptState::Unreported,
         AttemptState::Confirmed,
         AttemptState::Absent,
         AttemptState::Silent,
@@ -60,21 +60,21 @@
 
     /// The state after a piece of evidence.
     pub fn after(self, evidence: Evidence) -> AttemptState {
-        use AttemptState::{Absent, Confirmed, Expired, Silent, Unheard, Unrecorded};
+        use AttemptState::{Absent, Confirmed, Expired, Silent, Unrecorded, Unreported};
         match (self, evidence) {
             // The lease's end is final: what is shown afterwards was sent before.
             (Expired, _) | (_, Evidence::LeaseExpired) => Expired,
             (Unrecorded, Evidence::Recorded) => Confirmed,
-            (Unrecorded, Evidence::NotShown) => Expired,
+            (Unrecorded, Evidence::NotReported) => Expired,
             (Unrecorded, _) => Unrecorded,
             (state, Evidence::Recorded) => state,
-            (_, Evidence::Shown) => Confirmed,
-            (_, Evidence::NotShown) => Absent,
-            (Silent, Evidence::NotShownEarlier) => Unheard,
-            (state, Evidence::NotShownEarlier) => state,
+            (_, Evidence::Reported) => Confirmed,
+            (_, Evidence::NotReported) => Absent,
+            (Silent, Evidence::NotReportedPossiblyEarlier) => Unreported,
+            (state, Evidence::NotReportedPossiblyEarlier) => state,
             // No order was sent since the proof, so silence takes nothing from it.
-            (Absent, Evidence::HostSilent) => Absent,
-            (_, Evidence::HostSilent) => Silent,
+            (Absent, Evidence::MachineSilent) => Absent,
+            (_, Evidence::MachineSilent) => Silent,
         }
     }
 
@@ -92,7 +92,7 @@
     /// Its name in tables and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            AttemptState::Unheard => "unheard",
+            AttemptState::Unreported => "unheard",
             AttemptState::Confirmed => "confirmed",
             AttemptState::Absent => "absent",
             AttemptState::Silent => "silent",
@@ -111,10 +111,10 @@
 impl Evidence {
     /// All kinds of evidence, in the order of the table.
     pub const ALL: [Evidence; 6] = [
-        Evidence::Shown,
-        Evidence::NotShown,
-        Evidence::NotShownEarlier,
-        Evidence::HostSilent,
+        Evidence::Reported,
+        Evidence::NotReported,
+        Evidence::NotReportedPossiblyEarlier,
+        Evidence::MachineSilent,
         Evidence::LeaseExpired,
         Evidence::Recorded,
     ];
--- a/crates/recovery/src/orders.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -1,8 +1,8 @@
 //! Orders that went out and that no report has acknowledged, and machines whose orders wait for the pace.
 
-use crate::pacing::{OrderClass, OrderPace};
+use crate::rate_limits::{CommandRateLimiter, PacingClass};
 use crate::segments::Segment;
-use crate::settings::Paces;
+use crate::settings::CommandRates;
 use cypressgap_model::{AttemptId, MachineId, TaskId};
 use fnv::FnvHasher;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -17,7 +17,7 @@
 
 /// What is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Start an attempt.
     Launch,
     /// Stop an attempt.
@@ -28,9 +28,9 @@
 
 /// An order to a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Order {
+pub struct PacedCommand {
     /// What is ordered.
-    pub kind: OrderKind,
+    pub kind: CommandKind,
     /// Of which task.
     pub task: TaskId,
     /// Of which attempt.
@@ -39,8 +39,8 @@
 
 /// An order that went out.
 #[derive(Clone, Debug)]
-struct SentOrder {
-    order: Order,
+struct SentCommand {
+    order: PacedCommand,
     /// It may be repeated from then on.
     retry_at: Instant,
     repeats: u32,
@@ -48,16 +48,16 @@
 
 /// What went to one machine.
 #[derive(Clone, Debug)]
-struct HostOrders {
+struct UnacknowledgedCommands {
     segment: Segment,
-    sent: Vec<SentOrder>,
+    sent: Vec<SentCommand>,
 }
 
 /// Paces orders, by machine.
 #[derive(Clone, Debug)]
-pub struct OrderPacer {
-    pace: OrderPace,
-    machines: HashMap<MachineId, HostOrders>,
+pub struct CommandPacer {
+    pace: CommandRateLimiter,
+    machines: HashMap<MachineId, UnacknowledgedCommands>,
     /// Machines with orders that wait, first come first served.
     waiting: VecDeque<MachineId>,
     is_waiting: BTreeSet<MachineId>,
@@ -69,11 +69,11 @@
     deferred: u64,
 }
 
-impl OrderPacer {
+impl CommandPacer {
     /// Nothing was sent yet, and all buckets are empty.
-    pub fn new(paces: Paces, now: Instant) -> OrderPacer {
-        OrderPacer {
-            pace: OrderPace::new(paces, now),
+    pub fn new(command_rates: CommandRates, now: Instant) -> CommandPacer {
+        CommandPacer {
+            pace: CommandRateLimiter::new(command_rates, now),
             machines: HashMap::new(),
             waiting: VecDeque::new(),
             is_waiting: BTreeSet::new(),
@@ -90,17 +90,17 @@
         now: Instant,
         machine: &MachineId,
         segment: &Segment,
-        order: Order,
-        class: OrderClass,
+        order: PacedCommand,
+        class: PacingClass,
     ) -> bool {
         let repeats = match self.sent(machine, &order) {
             // Kills are pressed as often as their wind-down asks for it.
-            Some(sent) if order.kind != OrderKind::Kill && now < sent.retry_at => return false,
+            Some(sent) if order.kind != CommandKind::Kill && now < sent.retry_at => return false,
             Some(sent) => sent.repeats + 1,
             None => 0,
         };
         // Machines that wait go before those whose report just came.
-        let queued = class == OrderClass::Ordinary
+        let queued = class == PacingClass::Ordinary
             && !self.waiting.is_empty()
             && !self.in_turn.contains(machine);
         if queued || !self.pace.admit(now, segment, class) {
@@ -112,7 +112,7 @@
         true
     }
 
-    fn sent(&self, machine: &MachineId, order: &Order) -> Option<&SentOrder> {
+    fn sent(&self, machine: &MachineId, order: &PacedCommand) -> Option<&SentCommand> {
         let orders = self.machines.get(machine)?;
         orders.sent.iter().find(|sent| sent.order == *order)
     }
@@ -122,21 +122,21 @@
         now: Instant,
         machine: &MachineId,
         segment: &Segment,
-        order: Order,
+        order: PacedCommand,
         repeats: u32,
     ) {
         let retry_at = now + retry_after(machine, &order, repeats);
-        let orders = self
-            .machines
-            .entry(machine.clone())
-            .or_insert_with(|| HostOrders {
-                segment: segment.clone(),
-                sent: Vec::new(),
-            });
+        let orders =
+            self.machines
+                .entry(machine.clone())
+                .or_insert_with(|| UnacknowledgedCommands {
+                    segment: segment.clone(),
+                    sent: Vec::new(),
+                });
         let before = orders.sent.len();
         orders.sent.retain(|sent| sent.order != order);
         let repeated = before - orders.sent.len();
-        orders.sent.push(SentOrder {
+        orders.sent.push(SentCommand {
             order,
             retry_at,
             repeats,
@@ -145,10 +145,10 @@
         self.pace.acknowledged(segment, repeated);
     }
 
-    fn defer(&mut self, now: Instant, machine: &MachineId, class: OrderClass) {
+    fn defer(&mut self, now: Instant, machine: &MachineId, class: PacingClass) {
         self.deferred += 1;
         self.last_deferral = Some(now);
-        if class == OrderClass::Background {
+        if class == PacingClass::Background {
             // The next report brings it up again.
             return;
         }
@@ -159,7 +159,11 @@
     }
 
     /// A message of a machine shows what became of its orders.
-    pub fn acknowledge(&mut self, machine: &MachineId, carried_out: impl Fn(&Order) -> bool) {
+    pub fn acknowledge(
+        &mut self,
+        machine: &MachineId,
+        carried_out: impl Fn(&PacedCommand) -> bool,
+    ) {
         let Some(orders) = self.machines.get_mut(machine) else {
             return;
         };
@@ -182,7 +186,7 @@
     }
 
     /// Machines whose turn it is now: as many as the pace has room for.
-    pub fn take_waiting(&mut self, now: Instant) -> Vec<MachineId> {
+    pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
@@ -213,7 +217,7 @@
 }
 
 /// When an order may be repeated. The same machine and order always give the same jitter.
-fn retry_after(machine: &MachineId, order: &Order, repeats: u32) -> Duration {
+fn retry_after(machine: &MachineId, order: &PacedCommand, repeats: u32) -> Duration {
     let mut hasher = FnvHasher::default();
     (machine, order, repeats).hash(&mut hasher);
     let part = hasher.finish() as f64 / u64::MAX as f64;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -16,9 +16,9 @@
 #![warn(missing_docs)]
 
 pub mod attempt_state;
-pub mod orders;
-pub mod pacing;
+pub mod command_pacing;
 pub mod progress;
+pub mod rate_limits;
 pub mod reconciliation;
 pub mod segments;
 pub mod settings;
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 2;
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 2;
 /// The share of attempts after which most are reconciled.
-const MAX_PART: f64 = 0.95;
+const MOSTLY_RECONCILED_SHARE: f64 = 0.95;
 
 /// How far a takeover is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,7 +69,8 @@
             phase: TakeoverPhase::Over,
             recorded: 0,
             settled: 0,
-            confirmations: Histogram::new(DIGITS).expect("the number of digits is allowed"),
+            confirmations: Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
+                .expect("the number of digits is allowed"),
             most_reconciled: None,
             first_order: None,
             last_order: None,
@@ -115,7 +116,7 @@
         let _ = self
             .confirmations
             .record_n(after.as_millis() as u64, attempts as u64);
-        let most = (self.recorded as f64 * MAX_PART).ceil() as usize;
+        let most = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE).ceil() as usize;
         if self.settled >= most && self.most_reconciled.is_none() {
             self.most_reconciled = Some(after);
         }
--- a/crates/recovery/src/pacing.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -6,23 +6,23 @@
 //! out are not acknowledged.
 
 use crate::segments::Segment;
-use crate::settings::{Paces, RESERVED_PART};
+use crate::settings::{CommandRates, RESERVED_SHARE};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 /// Parts of a limit: what is refilled in a second and what is kept. With the reserve they come to 1.
-const REFILL_PART: f64 = 0.7;
-const KEPT_PART: f64 = 1.0 - RESERVED_PART - REFILL_PART;
+const REFILL_SHARE: f64 = 0.7;
+const CAPACITY_SHARE: f64 = 1.0 - RESERVED_SHARE - REFILL_SHARE;
 /// What a bucket holds at the start: a few orders, so that a small fleet need not wait.
-const INITIAL_PART: f64 = 0.01;
+const INITIAL_SHARE: f64 = 0.01;
 /// However few orders are acknowledged, some go out: the next ones may reach machines that answer.
-const MIN_REFILL: f64 = 0.1;
+const MIN_REFILL_FACTOR: f64 = 0.1;
 /// Refilling slows down once so many seconds' worth of orders are not acknowledged.
-const UNACKNOWLEDGED_SECONDS: f64 = 4.0;
+const MAX_UNACKNOWLEDGED_SECONDS: f64 = 4.0;
 
 /// How long an order may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum OrderClass {
+pub enum PacingClass {
     /// For the pace, and behind all others: forgets, which nobody waits for.
     Background,
     /// For the pace.
@@ -46,7 +46,7 @@
     pub fn new(limit: f64, now: Instant) -> TokenBucket {
         TokenBucket {
             limit,
-            tokens: limit * INITIAL_PART,
+            tokens: limit * INITIAL_SHARE,
             refilled: now,
         }
     }
@@ -55,22 +55,22 @@
     pub fn refill(&mut self, now: Instant, part: f64) {
         let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.refilled = now;
-        let fresh = passed * self.limit * REFILL_PART * part;
+        let fresh = passed * self.limit * REFILL_SHARE * part;
         self.tokens = (self.tokens + fresh).min(self.kept());
     }
 
     /// What it holds at most. With less than one token nothing would ever go out.
     fn kept(&self) -> f64 {
-        (self.limit * KEPT_PART).max(1.0)
+        (self.limit * CAPACITY_SHARE).max(1.0)
     }
 
     /// Whether an order of this class may go out now.
-    pub fn admits(&self, class: OrderClass) -> bool {
+    pub fn admits(&self, class: PacingClass) -> bool {
         match class {
-            OrderClass::Background => self.tokens >= (self.kept() / 2.0).max(1.0),
-            OrderClass::Ordinary => self.tokens >= 1.0,
-            OrderClass::Prompt => self.tokens >= 1.0 - self.limit * RESERVED_PART,
-            OrderClass::Immediate => true,
+            PacingClass::Background => self.tokens >= (self.kept() / 2.0).max(1.0),
+            PacingClass::Ordinary => self.tokens >= 1.0,
+            PacingClass::Prompt => self.tokens >= 1.0 - self.limit * RESERVED_SHARE,
+            PacingClass::Immediate => true,
         }
     }
 
@@ -87,24 +87,25 @@
 
 /// A bucket with the orders that went out and were not acknowledged.
 #[derive(Clone, Debug)]
-struct Lane {
+struct LimitedLane {
     bucket: TokenBucket,
     unacknowledged: usize,
 }
 
-impl Lane {
-    fn new(limit: f64, now: Instant) -> Lane {
-        Lane {
+impl LimitedLane {
+    fn new(limit: f64, now: Instant) -> LimitedLane {
+        LimitedLane {
             bucket: TokenBucket::new(limit, now),
             unacknowledged: 0,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        let capacity = self.bucket.limit * UNACKNOWLEDGED_SECONDS;
+        let capacity = self.bucket.limit * MAX_UNACKNOWLEDGED_SECONDS;
         let free = 1.0 - self.unacknowledged as f64 / capacity;
         // In full as long as half of the capacity is free.
-        self.bucket.refill(now, (free * 2.0).clamp(MIN_REFILL, 1.0));
+        self.bucket
+            .refill(now, (free * 2.0).clamp(MIN_REFILL_FACTOR, 1.0));
     }
 
     fn take(&mut self) {
@@ -115,29 +116,29 @@
 
 /// The pace of orders to the fleet and to each segment.
 #[derive(Clone, Debug)]
-pub struct OrderPace {
+pub struct CommandRateLimiter {
     segment_limit: f64,
-    fleet: Lane,
-    segments: HashMap<Segment, Lane>,
+    fleet: LimitedLane,
+    segments: HashMap<Segment, LimitedLane>,
     started: Instant,
 }
 
-impl OrderPace {
+impl CommandRateLimiter {
     /// All buckets nearly empty.
-    pub fn new(paces: Paces, now: Instant) -> OrderPace {
-        OrderPace {
-            segment_limit: paces.segment,
-            fleet: Lane::new(paces.fleet, now),
+    pub fn new(command_rates: CommandRates, now: Instant) -> CommandRateLimiter {
+        CommandRateLimiter {
+            segment_limit: command_rates.segment,
+            fleet: LimitedLane::new(command_rates.fleet, now),
             segments: HashMap::new(),
             started: now,
         }
     }
 
     /// Charges an order if it may go out now.
-    pub fn admit(&mut self, now: Instant, segment: &Segment, class: OrderClass) -> bool {
+    pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
             // A segment that is first heard of has been filling up with the fleet's bucket.
-            let lane = Lane::new(self.segment_limit, self.started);
+            let lane = LimitedLane::new(self.segment_limit, self.started);
             self.segments.insert(segment.clone(), lane);
         }
         let Some(lane) = self.segments.get_mut(segment) else {
@@ -170,16 +171,16 @@
 
 /// How many machines are rented in a second while most of a segment or site is silent.
 #[derive(Clone, Debug)]
-pub struct RentalPace {
+pub struct RentalRateLimiter {
     per_second: f64,
     tokens: f64,
     refilled: Option<Instant>,
 }
 
-impl RentalPace {
+impl RentalRateLimiter {
     /// A full second's worth to begin with.
-    pub fn new(per_second: f64) -> RentalPace {
-        RentalPace {
+    pub fn new(per_second: f64) -> RentalRateLimiter {
+        RentalRateLimiter {
             per_second,
             tokens: per_second.max(1.0),
             refilled: None,
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -54,7 +54,7 @@
 impl Reconciliation {
     /// An attempt found on record.
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
-        let state = AttemptState::Unheard;
+        let state = AttemptState::Unreported;
         let recorded = Recorded { attempt, state };
         let before = self
             .machines
@@ -87,9 +87,9 @@
         lists: impl Fn(&TaskId, AttemptId) -> bool,
     ) -> usize {
         self.observe(machine, |task, attempt| match origin {
-            _ if lists(task, attempt) => Evidence::Shown,
-            HeartbeatOrigin::ThisTerm => Evidence::NotShown,
-            HeartbeatOrigin::PossiblyEarlier => Evidence::NotShownEarlier,
+            _ if lists(task, attempt) => Evidence::Reported,
+            HeartbeatOrigin::ThisTerm => Evidence::NotReported,
+            HeartbeatOrigin::PossiblyEarlier => Evidence::NotReportedPossiblyEarlier,
         })
     }
 
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 /// Part of the pace that is left for cancellations, and for what must not wait at all.
-pub const RESERVED_PART: f64 = 0.2;
+pub const RESERVED_SHARE: f64 = 0.2;
 /// Within this part of `cancel_s` the kills of cancelled jobs go out at the pace; what is late then goes
 /// out at once. Their machines are given back at 0.4 of it.
-pub const CANCELLATION_PART: f64 = 0.3;
+pub const CANCELLATION_SHARE: f64 = 0.3;
 
 /// Paces where operators set none and the deployment asks for no more.
-const DEFAULT_FLEET_PACE: f64 = 1200.0;
-const DEFAULT_SEGMENT_PACE: f64 = 600.0;
+const DEFAULT_FLEET_RATE: f64 = 1200.0;
+const DEFAULT_SEGMENT_RATE: f64 = 600.0;
 
 /// What operators may set.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,7 +59,7 @@
 
 /// Most orders in any second of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Paces {
+pub struct CommandRates {
     /// To all machines.
     pub fleet: f64,
     /// To the machines of one segment.
@@ -119,7 +119,7 @@
 
 /// A problem, and the setting that it lies in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UnusableSettings {
+pub struct InvalidSettings {
     /// The setting.
     pub setting: SettingName,
     /// What is wrong with it.
@@ -143,42 +143,47 @@
 impl RecoverySettings {
     /// The paces that hold for a deployment. Those that are not set are raised where the default would not
     /// reach all machines in time for a cancellation.
-    pub fn paces(&self, deployment: Deployment) -> Paces {
+    pub fn command_rates(&self, deployment: Deployment) -> CommandRates {
         let cancel = deployment.cancel;
         let fleet = self
             .orders_per_second
-            .unwrap_or(DEFAULT_FLEET_PACE.max(least_pace(cancel, deployment.machines)));
+            .unwrap_or(DEFAULT_FLEET_RATE.max(min_rate(cancel, deployment.machines)));
         let largest = self.largest_segment().min(deployment.machines);
         let segment = self.segment_orders_per_second.unwrap_or(
-            DEFAULT_SEGMENT_PACE
-                .max(least_pace(cancel, largest))
+            DEFAULT_SEGMENT_RATE
+                .max(min_rate(cancel, largest))
                 .min(fleet),
         );
-        Paces { fleet, segment }
+        CommandRates { fleet, segment }
     }
 
     /// Whether these settings can be used with a deployment: a pace must reach all machines in time for a
     /// cancellation, and segments must not overlap.
-    pub fn validate(&self, deployment: Deployment) -> Result<(), UnusableSettings> {
+    pub fn validate(&self, deployment: Deployment) -> Result<(), InvalidSettings> {
         self.validate_segments()?;
         if !self.enabled {
             return Ok(());
         }
-        let paces = self.paces(deployment);
-        if paces.segment > paces.fleet {
-            return Err(UnusableSettings {
+        let command_rates = self.command_rates(deployment);
+        if command_rates.segment > command_rates.fleet {
+            return Err(InvalidSettings {
                 setting: SettingName::SegmentOrdersPerSecond,
                 problem: SettingsProblem::AboveFleet {
-                    segment: paces.segment,
-                    fleet: paces.fleet,
+                    segment: command_rates.segment,
+                    fleet: command_rates.fleet,
                 },
             });
         }
         let Deployment { cancel, machines } = deployment;
-        check_pace(SettingName::OrdersPerSecond, paces.fleet, cancel, machines)?;
+        check_rate(
+            SettingName::OrdersPerSecond,
+            command_rates.fleet,
+            cancel,
+            machines,
+        )?;
         let largest = self.largest_segment().min(machines);
         let segment = SettingName::SegmentOrdersPerSecond;
-        check_pace(segment, paces.segment, cancel, largest)
+        check_rate(segment, command_rates.segment, cancel, largest)
     }
 
     /// How many machines a segment may have, by its addresses.
@@ -192,7 +197,7 @@
         1usize.checked_shl(bits).unwrap_or(usize::MAX)
     }
 
-    fn validate_segments(&self) -> Result<(), UnusableSettings> {
+    fn validate_segments(&self) -> Result<(), InvalidSettings> {
         for (i, segment) in self.segments.iter().enumerate() {
             for other in &self.segments[..i] {
                 let problem = if segment.name == other.name {
@@ -207,7 +212,7 @@
                     continue;
                 };
                 let setting = SettingName::Segment(segment.name.clone());
-                return Err(UnusableSettings { setting, problem });
+                return Err(InvalidSettings { setting, problem });
             }
         }
         Ok(())
@@ -215,27 +220,27 @@
 }
 
 /// The least pace that reaches so many machines in time for a cancellation.
-fn least_pace(cancel: Duration, machines: usize) -> f64 {
-    let within = cancel.as_secs_f64() * CANCELLATION_PART;
-    (machines as f64 / (within * (1.0 - RESERVED_PART))).ceil()
+fn min_rate(cancel: Duration, machines: usize) -> f64 {
+    let within = cancel.as_secs_f64() * CANCELLATION_SHARE;
+    (machines as f64 / (within * (1.0 - RESERVED_SHARE))).ceil()
 }
 
-fn check_pace(
+fn check_rate(
     setting: SettingName,
     rate: f64,
     cancel: Duration,
     machines: usize,
-) -> Result<(), UnusableSettings> {
-    if rate >= least_pace(cancel, machines) {
+) -> Result<(), InvalidSettings> {
+    if rate >= min_rate(cancel, machines) {
         return Ok(());
     }
-    Err(UnusableSettings {
+    Err(InvalidSettings {
         setting,
         problem: SettingsProblem::TooSlow {
             rate,
             machines,
-            within: cancel.as_secs_f64() * CANCELLATION_PART,
-            part: CANCELLATION_PART,
+            within: cancel.as_secs_f64() * CANCELLATION_SHARE,
+            part: CANCELLATION_SHARE,
         },
     })
 }
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// This many silent machines are no accident of each one's own.
-pub const MANY: usize = 3;
+pub const MIN_SILENT_MACHINES: usize = 3;
 
 /// How far a silence reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,38 +26,39 @@
 
 /// Machines of a group, and how many of them are silent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct MachineTally {
     machines: usize,
     silent: usize,
 }
 
-impl Tally {
+impl MachineTally {
     fn add(&mut self, silent: bool) {
         self.machines += 1;
         self.silent += usize::from(silent);
     }
 
     fn mostly_silent(&self) -> bool {
-        self.silent >= MANY && self.silent * 2 > self.machines
+        self.silent >= MIN_SILENT_MACHINES && self.silent * 2 > self.machines
     }
 }
 
 /// Silent machines by segment and site, counted at one time.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceSurvey {
-    segments: HashMap<Segment, Tally>,
-    zones: HashMap<Zone, Tally>,
-    fleet: Tally,
+    segments: HashMap<Segment, MachineTally>,
+    zones: HashMap<Zone, MachineTally>,
+    fleet: MachineTally,
 }
 
 impl SilenceSurvey {
     /// Counts a machine.
     pub fn add(&mut self, segment: &Segment, zone: &Zone, silent: bool) {
         if !self.segments.contains_key(segment) {
-            self.segments.insert(segment.clone(), Tally::default());
+            self.segments
+                .insert(segment.clone(), MachineTally::default());
         }
         if !self.zones.contains_key(zone) {
-            self.zones.insert(zone.clone(), Tally::default());
+            self.zones.insert(zone.clone(), MachineTally::default());
         }
         let segment = self.segments.get_mut(segment);
         let zone = self.zones.get_mut(zone);
@@ -69,7 +70,7 @@
 
     /// How far the silence reaches that a silent machine of this segment and site is part of.
     pub fn scope(&self, segment: &Segment, zone: &Zone) -> SilenceScope {
-        let most = |tally: Option<&Tally>| tally.is_some_and(Tally::mostly_silent);
+        let most = |tally: Option<&MachineTally>| tally.is_some_and(MachineTally::mostly_silent);
         if self.fleet.mostly_silent() {
             SilenceScope::Fleet
         } else if most(self.zones.get(zone)) {
@@ -83,12 +84,12 @@
 
     /// The widest silence that there is.
     pub fn widest(&self) -> SilenceScope {
-        let known = |(segment, tally): (&Segment, &Tally)| {
+        let known = |(segment, tally): (&Segment, &MachineTally)| {
             *segment != Segment::Unknown && tally.mostly_silent()
         };
         if self.fleet.mostly_silent() {
             SilenceScope::Fleet
-        } else if self.zones.values().any(Tally::mostly_silent) {
+        } else if self.zones.values().any(MachineTally::mostly_silent) {
             SilenceScope::Zone
         } else if self.segments.iter().any(known) {
             SilenceScope::Segment
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -3,24 +3,24 @@
 //! With nothing to reconcile it is over from the beginning, and every question is answered at once.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
-use crate::orders::{Order, OrderKind, OrderPacer};
-use crate::pacing::{OrderClass, RentalPace};
+use crate::command_pacing::{CommandKind, CommandPacer, PacedCommand};
 use crate::progress::{Progress, Remaining, TakeoverPhase, TakeoverSummary};
+use crate::rate_limits::{PacingClass, RentalRateLimiter};
 use crate::reconciliation::{Reconciliation, StateCounts};
 use crate::segments::{Segment, SegmentMap};
-use crate::settings::{Deployment, RecoverySettings, CANCELLATION_PART};
+use crate::settings::{Deployment, RecoverySettings, CANCELLATION_SHARE};
 use crate::silence::{SilenceScope, SilenceSurvey};
-use crate::unrecorded::{Disposition, StoreAnswer, UnrecordedWork};
+use crate::unrecorded::{Disposition, StoredJobStatus, UnrecordedWork};
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 /// Orders are paced for this long after the last one that had to wait.
-const QUIET: Duration = Duration::from_secs(5);
+const PACING_QUIET_PERIOD: Duration = Duration::from_secs(5);
 /// And, once everything on record is settled, for no more than so many orders for each attempt on record: to
 /// start it, to end it, and to start what comes next. A pace below what the fleet's daily work asks for would
 /// hold that up for good.
-const ORDERS_FOR_EACH: u64 = 3;
+const MAX_COMMANDS_PER_RECORDED_ATTEMPT: u64 = 3;
 
 /// A change of phase, for the log.
 #[derive(Clone, Debug)]
@@ -44,8 +44,8 @@
     segments: SegmentMap,
     reconciliation: Reconciliation,
     unrecorded: UnrecordedWork,
-    orders: OrderPacer,
-    rentals: RentalPace,
+    orders: CommandPacer,
+    rentals: RentalRateLimiter,
     silence: SilenceSurvey,
     progress: Progress,
 }
@@ -58,8 +58,8 @@
             segments: SegmentMap::new(&settings.segments, settings.prefixes),
             reconciliation: Reconciliation::default(),
             unrecorded: UnrecordedWork::new(settings.unrecorded_hold),
-            orders: OrderPacer::new(settings.paces(deployment), now),
-            rentals: RentalPace::new(settings.replacements_per_second),
+            orders: CommandPacer::new(settings.command_rates(deployment), now),
+            rentals: RentalRateLimiter::new(settings.replacements_per_second),
             silence: SilenceSurvey::default(),
             progress: Progress::new(now),
         }
@@ -102,7 +102,7 @@
     /// A machine has missed its reports.
     pub fn on_silence(&mut self, machine: &MachineId) {
         self.reconciliation
-            .observe_machine(machine, Evidence::HostSilent);
+            .observe_machine(machine, Evidence::MachineSilent);
     }
 
     /// A machine's lease has certainly run out, or it is gone.
@@ -110,12 +110,12 @@
         let evidence = Evidence::LeaseExpired;
         let settled = self.reconciliation.observe_machine(machine, evidence);
         self.progress.settled(now, settled);
-        self.unrecorded.machine_cleared(machine);
+        self.unrecorded.remove_machine(machine);
         self.orders.machine_gone(machine);
     }
 
     /// An attempt ended, or is proved gone.
-    pub fn on_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
+    pub fn on_attempt_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
         let state = self.reconciliation.remove(machine, task);
         if state.is_some_and(|state| !state.is_settled()) {
             self.progress.settled(now, 1);
@@ -140,7 +140,7 @@
     // --- work that no record names ---
 
     /// The jobs unknown to the leader of which a machine shows tasks. Returns those that are new.
-    pub fn unknown_jobs_shown(
+    pub fn on_unknown_jobs(
         &mut self,
         now: Instant,
         machine: &MachineId,
@@ -168,7 +168,7 @@
     }
 
     /// The state service's answer about a job.
-    pub fn on_store_answer(&mut self, now: Instant, job_id: &JobId, answer: StoreAnswer) {
+    pub fn on_stored_job_status(&mut self, now: Instant, job_id: &JobId, answer: StoredJobStatus) {
         self.unrecorded.answered(now, job_id, answer);
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// A task that no record named was adopted.
-    pub fn on_adopted(&mut self) {
+    pub fn on_unrecorded_adopted(&mut self) {
         self.progress.adopted();
         self.progress.reopen();
     }
@@ -202,36 +202,36 @@
         cancelled_for: Option<Duration>,
         cancel: Duration,
         has_time_limit: bool,
-    ) -> OrderClass {
+    ) -> PacingClass {
         match cancelled_for {
-            Some(passed) if passed >= cancel.mul_f64(CANCELLATION_PART) => OrderClass::Immediate,
-            Some(_) => OrderClass::Prompt,
-            None if has_time_limit => OrderClass::Prompt,
-            None => OrderClass::Ordinary,
+            Some(passed) if passed >= cancel.mul_f64(CANCELLATION_SHARE) => PacingClass::Immediate,
+            Some(_) => PacingClass::Prompt,
+            None if has_time_limit => PacingClass::Prompt,
+            None => PacingClass::Ordinary,
         }
     }
 
     /// Whether an order may go out now. If it may not, its machine is among those that
-    /// [`Takeover::waiting_machines`] names later.
+    /// [`Takeover::take_waiting_machines`] names later.
     pub fn admit(
         &mut self,
         now: Instant,
         machine: &MachineId,
         endpoint: &str,
-        order: Order,
-        class: OrderClass,
+        order: PacedCommand,
+        class: PacingClass,
     ) -> bool {
         if self.is_over() {
             return true;
         }
         if self.enabled {
             let segment = self.segments.of_endpoint(endpoint);
-            let launch = (order.kind == OrderKind::Launch).then(|| order.task.clone());
+            let launch = (order.kind == CommandKind::Launch).then(|| order.task.clone());
             if !self.orders.admit(now, machine, &segment, order, class) {
                 return false;
             }
             self.launched(machine, launch);
-        } else if order.kind == OrderKind::Launch {
+        } else if order.kind == CommandKind::Launch {
             self.launched(machine, Some(order.task));
         }
         self.progress.ordered(now);
@@ -246,20 +246,24 @@
     }
 
     /// Work that no record names was told to end.
-    pub fn on_killed(&mut self) {
+    pub fn on_unrecorded_killed(&mut self) {
         self.progress.killed();
     }
 
     /// A message of a machine shows what became of its orders.
-    pub fn acknowledge(&mut self, machine: &MachineId, carried_out: impl Fn(&Order) -> bool) {
+    pub fn acknowledge(
+        &mut self,
+        machine: &MachineId,
+        carried_out: impl Fn(&PacedCommand) -> bool,
+    ) {
         if !self.is_over() {
             self.orders.acknowledge(machine, carried_out);
         }
     }
 
     /// Machines whose orders waited and may be tried again now.
-    pub fn waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
-        self.orders.take_waiting(now)
+    pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
+        self.orders.take_waiting_machines(now)
     }
 
     // --- silence ---
@@ -302,8 +306,10 @@
         }
         let counts = self.reconciliation.counts();
         let unrecorded_jobs = self.unrecorded.len();
-        let spread = self.orders.given() >= ORDERS_FOR_EACH * self.progress.recorded();
-        let waits = counts.of(AttemptState::Absent) > 0 || self.orders.is_busy(now, QUIET);
+        let spread =
+            self.orders.given() >= MAX_COMMANDS_PER_RECORDED_ATTEMPT * self.progress.recorded();
+        let waits =
+            counts.of(AttemptState::Absent) > 0 || self.orders.is_busy(now, PACING_QUIET_PERIOD);
         let remaining = Remaining {
             counts,
             unrecorded_jobs,
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Two answers that a job was never accepted must lie this far apart to count as two.
-pub const DENIALS_APART: Duration = Duration::from_secs(2);
+pub const MIN_DENIAL_INTERVAL: Duration = Duration::from_secs(2);
 /// So many of them are needed before work is killed.
-pub const DENIALS_NEEDED: u32 = 2;
+pub const MIN_DENIALS: u32 = 2;
 
 /// What the state service says of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreAnswer {
+pub enum StoredJobStatus {
     /// It is accepted and not over: its record is on its way here, or cannot be read.
     Live,
     /// Its verdict is durable, so all of its tasks were proved ended or gone before.
@@ -38,18 +38,18 @@
 
 /// What is known of one job.
 #[derive(Clone, Copy, Debug)]
-struct Inquiry {
+struct UnknownJob {
     first_shown: Instant,
-    answer: Option<StoreAnswer>,
+    answer: Option<StoredJobStatus>,
     denials: u32,
     last_denial: Option<Instant>,
     /// Machines that show work of it.
     machines: usize,
 }
 
-impl Inquiry {
-    fn new(now: Instant) -> Inquiry {
-        Inquiry {
+impl UnknownJob {
+    fn new(now: Instant) -> UnknownJob {
+        UnknownJob {
             first_shown: now,
             machines: 0,
             answer: None,
@@ -58,14 +58,14 @@
         }
     }
 
-    fn answered(&mut self, now: Instant, answer: StoreAnswer) {
+    fn answered(&mut self, now: Instant, answer: StoredJobStatus) {
         self.answer = Some(answer);
-        if answer != StoreAnswer::NeverAccepted {
+        if answer != StoredJobStatus::NeverAccepted {
             self.denials = 0;
             self.last_denial = None;
             return;
         }
-        let apart = |t: Instant| now.saturating_duration_since(t) >= DENIALS_APART;
+        let apart = |t: Instant| now.saturating_duration_since(t) >= MIN_DENIAL_INTERVAL;
         if self.last_denial.is_none_or(apart) {
             self.denials += 1;
             self.last_denial = Some(now);
@@ -75,8 +75,8 @@
     fn disposition(&self, now: Instant, hold: Duration) -> Disposition {
         let held = now.saturating_duration_since(self.first_shown);
         match self.answer {
-            Some(StoreAnswer::Over) => Disposition::Kill,
-            Some(StoreAnswer::NeverAccepted) if self.denials >= DENIALS_NEEDED && held >= hold => {
+            Some(StoredJobStatus::Over) => Disposition::Kill,
+            Some(StoredJobStatus::NeverAccepted) if self.denials >= MIN_DENIALS && held >= hold => {
                 Disposition::Kill
             }
             _ => Disposition::Hold,
@@ -96,7 +96,7 @@
 #[derive(Debug)]
 pub struct UnrecordedWork {
     hold: Duration,
-    jobs: BTreeMap<JobId, Inquiry>,
+    jobs: BTreeMap<JobId, UnknownJob>,
     machines: BTreeMap<MachineId, ShownWork>,
     /// Machines whose newest report is no late copy.
     current_machines: usize,
@@ -125,11 +125,11 @@
         for job_id in &jobs {
             let inquiry = self.jobs.entry(job_id.clone()).or_insert_with(|| {
                 new.push(job_id.clone());
-                Inquiry::new(now)
+                UnknownJob::new(now)
             });
             inquiry.machines += 1;
         }
-        self.machine_cleared(machine);
+        self.remove_machine(machine);
         if !jobs.is_empty() {
             self.current_machines += usize::from(origin == HeartbeatOrigin::ThisTerm);
             self.machines
@@ -139,7 +139,7 @@
     }
 
     /// Nothing of the kind is on a machine any more, or the machine is gone.
-    pub fn machine_cleared(&mut self, machine: &MachineId) {
+    pub fn remove_machine(&mut self, machine: &MachineId) {
         let Some(work) = self.machines.remove(machine) else {
             return;
         };
@@ -161,7 +161,7 @@
     }
 
     /// The state service's answer about a job.
-    pub fn answered(&mut self, now: Instant, job_id: &JobId, answer: StoreAnswer) {
+    pub fn answered(&mut self, now: Instant, job_id: &JobId, answer: StoredJobStatus) {
         if let Some(inquiry) = self.jobs.get_mut(job_id) {
             inquiry.answered(now, answer);
         }
@@ -176,7 +176,7 @@
     /// Jobs to ask the state service about.
     pub fn to_ask(&self) -> impl Iterator<Item = &JobId> {
         let open = self.jobs.iter();
-        open.filter(|(_, inquiry)| inquiry.answer != Some(StoreAnswer::Over))
+        open.filter(|(_, inquiry)| inquiry.answer != Some(StoredJobStatus::Over))
             .map(|(job_id, _)| job_id)
     }
 
@@ -188,7 +188,7 @@
     /// Whether tasks of a team that is not known may be on machines. A job whose verdict is durable had
     /// nothing on machines then, so only a report that is no late copy can show work of it.
     pub fn may_use_any_team(&self) -> bool {
-        let over = |inquiry: &Inquiry| inquiry.answer == Some(StoreAnswer::Over);
+        let over = |inquiry: &UnknownJob| inquiry.answer == Some(StoredJobStatus::Over);
         self.current_machines > 0 || !self.jobs.values().all(over)
     }
 
--- a/crates/recovery/tests/pacing.rs
+++ b/crates/recovery/tests/pacing.rs
@@ -1,8 +1,8 @@
 //! Orders by the second, for the fleet and each segment, whatever comes in whatever order.
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
-use cypressgap_recovery::orders::{Order, OrderKind, OrderPacer};
-use cypressgap_recovery::pacing::{OrderClass, RentalPace, TokenBucket};
+use cypressgap_recovery::command_pacing::{CommandKind, CommandPacer, PacedCommand};
+use cypressgap_recovery::rate_limits::{PacingClass, RentalRateLimiter, TokenBucket};
 use cypressgap_recovery::segments::{Segment, SegmentMap};
 use cypressgap_recovery::settings::{Deployment, RecoverySettings};
 use cypressgap_recovery::Takeover;
@@ -17,8 +17,8 @@
     Duration::from_millis(n)
 }
 
-fn order(kind: OrderKind, index: u32) -> Order {
-    Order {
+fn order(kind: CommandKind, index: u32) -> PacedCommand {
+    PacedCommand {
         kind,
         task: TaskId {
             job_id: JobId::from("wk-000001"),
@@ -53,7 +53,7 @@
         let settings = settings();
         let start = Instant::now();
         let map = SegmentMap::new(&settings.segments, settings.prefixes);
-        let mut pacer = OrderPacer::new(settings.paces(DEPLOYMENT), start);
+        let mut pacer = CommandPacer::new(settings.command_rates(DEPLOYMENT), start);
         let mut sent: Vec<(Segment, Instant)> = Vec::new();
         for step in 0..3000u64 {
             // Idle for a while in between, so that buckets fill up.
@@ -61,8 +61,8 @@
             for n in 0..6u64 {
                 let machine = MachineId(format!("i-{}", n % 3));
                 let segment = map.of_endpoint(&format!("10.0.{}.7:9000", n % 3));
-                let class = [OrderClass::Ordinary, OrderClass::Prompt][(n / 3) as usize];
-                let order = order(OrderKind::Kill, (step * 6 + n) as u32);
+                let class = [PacingClass::Ordinary, PacingClass::Prompt][(n / 3) as usize];
+                let order = order(CommandKind::Kill, (step * 6 + n) as u32);
                 if pacer.admit(now, &machine, &segment, order, class) {
                     sent.push((segment, now));
                 }
@@ -92,23 +92,23 @@
     let start = Instant::now();
     let mut bucket = TokenBucket::new(10.0, start);
     assert!(
-        !bucket.admits(OrderClass::Ordinary),
+        !bucket.admits(PacingClass::Ordinary),
         "no burst at the start"
     );
     assert!(
         TokenBucket::new(500.0, start).left() <= 5,
         "nor of a large one"
     );
-    assert!(!bucket.admits(OrderClass::Background));
-    assert!(bucket.admits(OrderClass::Prompt), "what is reserved");
-    assert!(bucket.admits(OrderClass::Immediate));
+    assert!(!bucket.admits(PacingClass::Background));
+    assert!(bucket.admits(PacingClass::Prompt), "what is reserved");
+    assert!(bucket.admits(PacingClass::Immediate));
     for _ in 0..50 {
         bucket.take();
     }
-    assert!(bucket.admits(OrderClass::Immediate));
+    assert!(bucket.admits(PacingClass::Immediate));
     // Owed for a second at most, so that others go on soon.
     bucket.refill(start + Duration::from_secs(2), 1.0);
-    assert!(bucket.admits(OrderClass::Ordinary));
+    assert!(bucket.admits(PacingClass::Ordinary));
 }
 
 #[test]
@@ -117,12 +117,12 @@
     let mut bucket = TokenBucket::new(1000.0, start);
     bucket.refill(start + Duration::from_secs(2), 1.0);
     let mut forgets = 0;
-    while bucket.admits(OrderClass::Background) {
+    while bucket.admits(PacingClass::Background) {
         bucket.take();
         forgets += 1;
     }
     assert_eq!(forgets, 51, "half of what the bucket keeps");
-    assert!(bucket.left() >= 49 && bucket.admits(OrderClass::Ordinary));
+    assert!(bucket.left() >= 49 && bucket.admits(PacingClass::Ordinary));
 }
 
 #[test]
@@ -133,12 +133,14 @@
     let start = Instant::now();
     let mut repeated = Vec::new();
     for n in 0..20 {
-        let mut pacer =
-            OrderPacer::new(settings.paces(DEPLOYMENT), start - Duration::from_secs(10));
+        let mut pacer = CommandPacer::new(
+            settings.command_rates(DEPLOYMENT),
+            start - Duration::from_secs(10),
+        );
         let machine = MachineId(format!("i-{n}"));
-        let launch = |pacer: &mut OrderPacer, at| {
-            let order = order(OrderKind::Launch, 0);
-            pacer.admit(at, &machine, &segment, order, OrderClass::Ordinary)
+        let launch = |pacer: &mut CommandPacer, at| {
+            let order = order(CommandKind::Launch, 0);
+            pacer.admit(at, &machine, &segment, order, PacingClass::Ordinary)
         };
         assert!(launch(&mut pacer, start));
         let again = (1..5000)
@@ -155,7 +157,7 @@
         );
         repeated.push(again);
         // What a report shows is over with: the same order would be a new one.
-        pacer.acknowledge(&machine, |o| o.kind == OrderKind::Launch);
+        pacer.acknowledge(&machine, |o| o.kind == CommandKind::Launch);
         assert!(launch(&mut pacer, start + Duration::from_secs(60)));
     }
     repeated.sort_unstable();
@@ -167,21 +169,21 @@
 fn machines_that_wait_are_named_as_the_pace_allows() {
     let settings = settings();
     let start = Instant::now();
-    let mut pacer = OrderPacer::new(settings.paces(DEPLOYMENT), start);
+    let mut pacer = CommandPacer::new(settings.command_rates(DEPLOYMENT), start);
     for n in 0..1000u32 {
         let machine = MachineId(format!("i-{n}"));
-        let order = order(OrderKind::Launch, n);
+        let order = order(CommandKind::Launch, n);
         assert!(!pacer.admit(
             start,
             &machine,
             &Segment::Unknown,
             order,
-            OrderClass::Ordinary
+            PacingClass::Ordinary
         ));
     }
-    assert!(pacer.take_waiting(start).len() <= 1);
+    assert!(pacer.take_waiting_machines(start).len() <= 1);
     let now = start + ms(50);
-    let named = pacer.take_waiting(now);
+    let named = pacer.take_waiting_machines(now);
     assert!((1..=5).contains(&named.len()), "{}", named.len());
     assert!(pacer.is_busy(now, Duration::from_secs(5)));
     assert_eq!((pacer.given(), pacer.deferred()), (0, 1000));
@@ -192,11 +194,11 @@
 fn a_cancellation_never_waits_for_long() {
     let cancel = Duration::from_secs(50);
     let cases = [
-        (None, false, OrderClass::Ordinary),
-        (None, true, OrderClass::Prompt),
-        (Some(0), false, OrderClass::Prompt),
-        (Some(14), false, OrderClass::Prompt),
-        (Some(15), true, OrderClass::Immediate),
+        (None, false, PacingClass::Ordinary),
+        (None, true, PacingClass::Prompt),
+        (Some(0), false, PacingClass::Prompt),
+        (Some(14), false, PacingClass::Prompt),
+        (Some(15), true, PacingClass::Immediate),
     ];
     for (passed, has_time_limit, class) in cases {
         let passed = passed.map(Duration::from_secs);
@@ -208,7 +210,7 @@
 #[test]
 fn rentals_are_spread_over_time() {
     let start = Instant::now();
-    let mut pace = RentalPace::new(10.0);
+    let mut pace = RentalRateLimiter::new(10.0);
     let mut rented = 0;
     for step in 0..100 {
         rented += pace.take(start + ms(step * 100), 50);
@@ -219,17 +221,23 @@
 /// Machines that report all the time take nothing from those that wait.
 #[test]
 fn who_waits_goes_before_who_just_reported() {
-    let paces = RecoverySettings {
+    let command_rates = RecoverySettings {
         segment_orders_per_second: Some(100.0),
         ..settings()
     }
-    .paces(DEPLOYMENT);
+    .command_rates(DEPLOYMENT);
     let start = Instant::now();
-    let mut pacer = OrderPacer::new(paces, start - Duration::from_secs(10));
+    let mut pacer = CommandPacer::new(command_rates, start - Duration::from_secs(10));
     let (busy, first) = (MachineId::from("busy"), MachineId::from("first"));
-    let admit = |pacer: &mut OrderPacer, machine: &MachineId, index: u32, now: Instant| {
-        let order = order(OrderKind::Launch, index);
-        pacer.admit(now, machine, &Segment::Unknown, order, OrderClass::Ordinary)
+    let admit = |pacer: &mut CommandPacer, machine: &MachineId, index: u32, now: Instant| {
+        let order = order(CommandKind::Launch, index);
+        pacer.admit(
+            now,
+            machine,
+            &Segment::Unknown,
+            order,
+            PacingClass::Ordinary,
+        )
     };
     let mut given = 0;
     while given < 50 && admit(&mut pacer, &busy, given, start) {
@@ -243,7 +251,10 @@
         assert!(!admit(&mut pacer, &busy, index, later));
     }
     // It was the first to wait; then comes the other.
-    assert_eq!(pacer.take_waiting(later), [busy.clone(), first.clone()]);
+    assert_eq!(
+        pacer.take_waiting_machines(later),
+        [busy.clone(), first.clone()]
+    );
     assert!(admit(&mut pacer, &first, 0, later));
     assert!(admit(&mut pacer, &busy, 100, later));
 }
--- a/crates/recovery/tests/segments.rs
+++ b/crates/recovery/tests/segments.rs
@@ -126,9 +126,9 @@
         cancel: Duration::from_secs(20),
         machines: 100_000,
     };
-    let paces = RecoverySettings::default().paces(huge);
+    let command_rates = RecoverySettings::default().command_rates(huge);
     assert!(
-        paces.fleet > 20_000.0 && paces.segment < 1000.0,
-        "{paces:?}"
+        command_rates.fleet > 20_000.0 && command_rates.segment < 1000.0,
+        "{command_rates:?}"
     );
 }
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -4,7 +4,9 @@
 use cypressgap_recovery::attempt_state::HeartbeatOrigin::{PossiblyEarlier, ThisTerm};
 use cypressgap_recovery::attempt_state::{AttemptState, Evidence};
 use cypressgap_recovery::reconciliation::Reconciliation;
-use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer, UnrecordedWork, DENIALS_APART};
+use cypressgap_recovery::unrecorded::{
+    Disposition, StoredJobStatus, UnrecordedWork, MIN_DENIAL_INTERVAL,
+};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -46,7 +48,10 @@
     }
     for state in AttemptState::ALL {
         // Silence and late copies prove nothing: they settle no attempt that was not settled.
-        for evidence in [Evidence::HostSilent, Evidence::NotShownEarlier] {
+        for evidence in [
+            Evidence::MachineSilent,
+            Evidence::NotReportedPossiblyEarlier,
+        ] {
             let after = state.after(evidence);
             assert!(state.is_settled() || !after.is_settled(), "{state}");
         }
@@ -68,7 +73,7 @@
         1
     );
     assert_eq!(state(&r, 0), Some(AttemptState::Confirmed));
-    assert_eq!(state(&r, 1), Some(AttemptState::Unheard));
+    assert_eq!(state(&r, 1), Some(AttemptState::Unreported));
     // A machine that shows another attempt of the task does not show this one.
     let other = |t: &TaskId, a: AttemptId| t.index <= 1 && a == attempt(8);
     assert_eq!(r.observe_heartbeat(&machine, ThisTerm, other), 2);
@@ -80,7 +85,7 @@
         "not on record"
     );
     assert_eq!(r.counts().unsettled(), 1);
-    r.observe_machine(&"i-2".into(), Evidence::HostSilent);
+    r.observe_machine(&"i-2".into(), Evidence::MachineSilent);
     assert_eq!(r.counts().of(AttemptState::Silent), 1);
     assert_eq!(r.observe_machine(&"i-2".into(), Evidence::LeaseExpired), 1);
     for index in 0..3 {
@@ -94,10 +99,10 @@
 #[test]
 fn unrecorded_work_is_killed_only_on_answers() {
     use Disposition::{Hold, Kill};
-    use StoreAnswer::{Live, NeverAccepted, Over};
+    use StoredJobStatus::{Live, NeverAccepted, Over};
     type Case = (
         &'static str,
-        &'static [(u64, StoreAnswer)],
+        &'static [(u64, StoredJobStatus)],
         u64,
         Disposition,
     );
@@ -144,7 +149,7 @@
         assert_eq!(work.disposition(now, &job_id), expected, "{name}");
         assert!(work.holds_machine(&"i-1".into()) && work.may_use_any_team());
     }
-    assert!(DENIALS_APART > Duration::ZERO);
+    assert!(MIN_DENIAL_INTERVAL > Duration::ZERO);
 }
 
 #[test]
@@ -162,12 +167,12 @@
     );
     assert_eq!(work.to_ask().count(), 1);
     // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
-    work.answered(now, &job_id, StoreAnswer::Over);
+    work.answered(now, &job_id, StoredJobStatus::Over);
     assert!(!work.may_use_any_team());
     work.shown(now, &second, ThisTerm, jobs());
     assert!(work.may_use_any_team(), "this is no late copy");
     work.shown(now, &second, ThisTerm, BTreeSet::new());
     assert!(!work.may_use_any_team() && work.len() == 1);
-    work.machine_cleared(&first);
+    work.remove_machine(&first);
     assert!(work.is_empty() && work.to_ask().next().is_none());
 }
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -1,7 +1,7 @@
 //! Machines that are silent or cannot be reached, and whether the fault is likely theirs.
 
 use crate::core::state::cluster_state::{ClusterState, Machine};
-use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MANY};
+use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MIN_SILENT_MACHINES};
 use std::time::{Duration, Instant};
 
 /// A machine that has missed so many heartbeats is silent, whatever its lease.
@@ -19,7 +19,7 @@
     /// Whether most machines are silent, so that work which seems to lack room may have it.
     pub(super) fn are_most_machines_silent(&self, now: Instant) -> bool {
         let count = self.count_silent(now);
-        count.silent >= MANY && count.silent * 2 > count.machines
+        count.silent >= MIN_SILENT_MACHINES && count.silent * 2 > count.machines
     }
 
     fn count_silent(&self, now: Instant) -> SilenceCount {
@@ -57,7 +57,7 @@
         let machines = self.fleet.machines.values();
         let known = machines.filter(|m| m.has_reported && !m.returning);
         let mut survey = SilenceSurvey::default();
-        if known.clone().filter(|m| is_lost(m)).count() < MANY {
+        if known.clone().filter(|m| is_lost(m)).count() < MIN_SILENT_MACHINES {
             return survey;
         }
         for machine in known {
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -9,7 +9,7 @@
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
 use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, KillRequest, Machine};
-use cypressgap_recovery::pacing::OrderClass;
+use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::{Duration, Instant};
 
 /// Commands in one message: far below the limit of 64 KiB.
@@ -163,9 +163,9 @@
             attempt,
         };
         let class = if job.spec.priority >= Priority::High {
-            OrderClass::Prompt
+            PacingClass::Prompt
         } else {
-            OrderClass::Ordinary
+            PacingClass::Ordinary
         };
         if !self.admit(now, machine_id, &launch, class) {
             return None;
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::core::reconciliation::reported_tasks::ReportedTasks;
 use crate::core::state::cluster_state::{ClusterState, HeartbeatDecision};
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
-use cypressgap_recovery::pacing::OrderClass;
+use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::Instant;
 
 /// How a worker's status reached this node.
@@ -119,10 +119,10 @@
     ) -> HeartbeatDecision {
         let mut commands = tasks.unexpected_kills;
         for kill in &commands {
-            self.admit(now, machine_id, kill, OrderClass::Immediate);
+            self.admit(now, machine_id, kill, PacingClass::Immediate);
         }
         let mut forgets = tasks.forgets;
-        forgets.retain(|forget| self.admit(now, machine_id, forget, OrderClass::Background));
+        forgets.retain(|forget| self.admit(now, machine_id, forget, PacingClass::Background));
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
             return HeartbeatDecision::Ignore;
         };
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -4,8 +4,8 @@
     AttemptId, Heartbeat, JobKind, MachineId, TaskCommand, TaskId, TaskPhase,
 };
 use crate::core::state::cluster_state::ClusterState;
-use cypressgap_recovery::orders::{Order, OrderKind};
-use cypressgap_recovery::pacing::OrderClass;
+use cypressgap_recovery::command_pacing::{CommandKind, PacedCommand};
+use cypressgap_recovery::rate_limits::PacingClass;
 use cypressgap_recovery::Takeover;
 use std::collections::HashMap;
 use std::time::Instant;
@@ -17,7 +17,7 @@
         now: Instant,
         machine_id: &MachineId,
         command: &TaskCommand,
-        class: OrderClass,
+        class: PacingClass,
     ) -> bool {
         if self.takeover.is_over() {
             return true;
@@ -25,15 +25,15 @@
         let Some(machine) = self.fleet.machines.get(machine_id) else {
             return false;
         };
-        let order = order_of(command);
+        let order = paced_command(command);
         self.takeover
             .admit(now, machine_id, &machine.endpoint, order, class)
     }
 
     /// How long the kill of an attempt on record may wait.
-    pub(super) fn kill_class(&self, now: Instant, task: &TaskId) -> OrderClass {
+    pub(super) fn kill_class(&self, now: Instant, task: &TaskId) -> PacingClass {
         let Some(job) = self.jobs.get(&task.job_id) else {
-            return OrderClass::Immediate;
+            return PacingClass::Immediate;
         };
         let cancelled_at = job.cancellation.known_since();
         let cancelled_for = cancelled_at.map(|at| now.saturating_duration_since(at));
@@ -56,9 +56,9 @@
         self.takeover.acknowledge(&heartbeat.machine, |order| {
             let phase = phases.get(&(&order.task, order.attempt));
             match order.kind {
-                OrderKind::Launch => phase.is_some(),
-                OrderKind::Kill => phase.is_none_or(|phase| is_ending(*phase)),
-                OrderKind::Forget => phase.is_none(),
+                CommandKind::Launch => phase.is_some(),
+                CommandKind::Kill => phase.is_none_or(|phase| is_ending(*phase)),
+                CommandKind::Forget => phase.is_none(),
             }
         });
     }
@@ -68,7 +68,7 @@
         if !self.takeover.is_over() {
             self.outbox
                 .urgent_machines
-                .extend(self.takeover.waiting_machines(now));
+                .extend(self.takeover.take_waiting_machines(now));
         }
     }
 }
@@ -77,13 +77,13 @@
     matches!(phase, TaskPhase::Checkpointing | TaskPhase::Ended(_))
 }
 
-fn order_of(command: &TaskCommand) -> Order {
+fn paced_command(command: &TaskCommand) -> PacedCommand {
     let (kind, task, attempt) = match command {
-        TaskCommand::Launch { task, attempt } => (OrderKind::Launch, task, attempt),
-        TaskCommand::Kill { task, attempt, .. } => (OrderKind::Kill, task, attempt),
-        TaskCommand::Forget { task, attempt } => (OrderKind::Forget, task, attempt),
+        TaskCommand::Launch { task, attempt } => (CommandKind::Launch, task, attempt),
+        TaskCommand::Kill { task, attempt, .. } => (CommandKind::Kill, task, attempt),
+        TaskCommand::Forget { task, attempt } => (CommandKind::Forget, task, attempt),
     };
-    Order {
+    PacedCommand {
         kind,
         task: task.clone(),
         attempt: *attempt,
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -94,7 +94,7 @@
             return;
         }
         reported.must_raise_token |= decision == UnrecordedTask::KilledUnderRaisedToken;
-        self.takeover.on_killed();
+        self.takeover.on_unrecorded_killed();
         reported.unexpected_kills.push(TaskCommand::Kill {
             task: status.task.clone(),
             attempt: status.attempt,
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -11,7 +11,7 @@
 use crate::core::state::attempts::{Assignment, AttemptEnd};
 use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
-use cypressgap_recovery::unrecorded::{Disposition, StoreAnswer};
+use cypressgap_recovery::unrecorded::{Disposition, StoredJobStatus};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -105,7 +105,7 @@
             status.task,
             heartbeat.machine
         );
-        self.takeover.on_adopted();
+        self.takeover.on_unrecorded_adopted();
         true
     }
 
@@ -117,7 +117,7 @@
         origin: HeartbeatOrigin,
         jobs: BTreeSet<JobId>,
     ) {
-        for job_id in self.takeover.unknown_jobs_shown(now, machine, origin, jobs) {
+        for job_id in self.takeover.on_unknown_jobs(now, machine, origin, jobs) {
             log::warn!("task of an unknown job held until the store is read job={job_id} machine={machine}");
         }
     }
@@ -131,14 +131,14 @@
     pub fn on_job_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
         for (job_id, status) in statuses {
             let answer = match status {
-                None => StoreAnswer::NeverAccepted,
-                Some(JobOutcome::Live) => StoreAnswer::Live,
-                Some(JobOutcome::Done | JobOutcome::Cancelled) => StoreAnswer::Over,
+                None => StoredJobStatus::NeverAccepted,
+                Some(JobOutcome::Live) => StoredJobStatus::Live,
+                Some(JobOutcome::Done | JobOutcome::Cancelled) => StoredJobStatus::Over,
             };
-            if answer == StoreAnswer::NeverAccepted {
+            if answer == StoredJobStatus::NeverAccepted {
                 log::error!("machines report tasks of a job that was never accepted job={job_id}");
             }
-            self.takeover.on_store_answer(now, job_id, answer);
+            self.takeover.on_stored_job_status(now, job_id, answer);
         }
     }
 }
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -139,7 +139,7 @@
         let is_gang = job.spec.kind == JobKind::Gang;
         let is_over = job.finished && job.active.is_empty();
         self.quota_usage.leave(&task);
-        self.takeover.on_gone(now, &attempt.machine, &task);
+        self.takeover.on_attempt_gone(now, &attempt.machine, &task);
         if is_over {
             self.drop_job(now, job_id);
         } else {
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -21,7 +21,7 @@
         w.c.takeover.state(&machine, &task, EARLIER)
     };
     assert_eq!(state(&w, 0), Some(AttemptState::Confirmed));
-    assert_eq!(state(&w, 1), Some(AttemptState::Unheard));
+    assert_eq!(state(&w, 1), Some(AttemptState::Unreported));
     for _ in 0..8 {
         w.pass(secs(3));
         w.c.tick(w.now);
