--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -1,177 +1,202 @@
-//! Users' questions about jobs, answered together.
+//! Users' status queries, answered in batches.
 //!
-//! Questions that come while others are under way wait in a small queue and share the next call to the
-//! state service. Each is answered from a read that began after it came, or from a final verdict. A
-//! node that the state service does not answer has a peer ask.
+//! Queries that come while others are under way wait in a small queue and share the next call to the
+//! key-value store. Each is answered from a read that began after it came, or from a final outcome. When
+//! the store does not answer this node, a peer is asked.
 
 use crate::api::cancellation;
-use crate::api::server::{
-    problem, respond, state, store_said, unavailable, ApiResponse, USER_STALE,
-};
+use crate::api::context::ApiContext;
+use crate::api::responses::{job_state, no_such_job, unavailable, ApiResponse, CountsDetail};
+use crate::api::routes::queried_job;
+use crate::api::server::collect_batch;
+use crate::api::user_requests::USER_REQUEST_STALE;
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::records::JobOutcome;
 use crate::net::http_server::Request;
 use crate::net::peer::{PeerJobStatus, PeerRequest, PeerResponse};
 use crate::net::store::{BudgetedReader, ReadPurpose, StoreError};
-use crate::net::wire;
-use crate::runtime::service::Shared;
 use crossbeam::channel::Receiver;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Questions that wait for a thread. A storm's worth of a second or so; one more is told to come back.
-pub const QUESTIONS_WAITING: usize = 512;
-/// Threads for questions: while one lot is under way, the next can be.
-pub const QUESTION_THREADS: usize = 3;
-/// How long the state service may take. A user waits 2 s.
-const PATIENCE: Duration = Duration::from_millis(1300);
-/// How long a peer may take that asks in our place.
+/// Queries that wait for a thread: a storm's worth of a second or so. One more is told to come back.
+pub(super) const MAX_WAITING_QUERIES: usize = 512;
+/// Threads for queries: while one batch is under way, the next can be.
+pub const QUERY_THREADS: usize = 3;
+/// How long the key-value store may take. A user waits 2 s.
+const STORE_PATIENCE: Duration = Duration::from_millis(1300);
+/// How long a peer may take that asks the store in our place.
 const PEER_PATIENCE: Duration = Duration::from_millis(900);
 
-/// How many questions share one call, within the limits of a transaction.
-pub fn most_at_once(shared: &Shared) -> usize {
-    // Four times as many conditions as changes.
-    job_status_reads::most_at_once(shared.settings.config.txn_ops * 4, wire::BODY_LIMIT)
+/// The statuses that were found, and why others were not.
+#[derive(Default)]
+struct Lookup {
+    found: HashMap<JobId, JobRecordStatus>,
+    error: Option<StoreError>,
 }
 
-/// The job that a question's path names.
-pub fn job_of(path: &str) -> Option<JobId> {
-    path.strip_prefix("/api/jobs/").and_then(JobId::parse)
-}
-
-/// Answers questions about jobs, many at a time, until the queue ends.
-pub fn pool(shared: &Shared, queue: &Receiver<Request>) {
-    let most = most_at_once(shared);
+/// Answers status queries, many at a time, until the queue ends.
+pub(super) fn run_pool(context: &ApiContext, queue: &Receiver<Request>) {
+    let max_batch = context.config.transaction_limits.status_reads();
     while let Ok(first) = queue.recv() {
-        let until = first.received_at + PATIENCE;
-        let asked =
-            BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::StatusQuery, until);
+        let until = first.received_at + STORE_PATIENCE;
+        let reads = BudgetedReader::new(
+            &context.store,
+            &context.stop,
+            ReadPurpose::StatusQuery,
+            until,
+        );
         // Those that come while the rate is short go together, once it is not.
-        if shared.view.store_ok(Instant::now()) {
-            asked.wait_for_budget();
-        }
-        let mut batch = vec![first];
-        while batch.len() < most {
-            match queue.try_recv() {
-                Ok(r) => batch.push(r),
-                Err(_) => break,
-            }
+        if context.view.store_ok(Instant::now()) {
+            reads.wait_for_budget();
         }
-        answer(shared, &asked, batch);
+        let batch = collect_batch(first, queue, max_batch);
+        answer(context, &reads, batch);
     }
 }
 
-fn answer(shared: &Shared, asked: &BudgetedReader<'_>, batch: Vec<Request>) {
-    let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
-    for r in batch {
-        match job_of(&r.path) {
-            _ if r.received_at.elapsed() > USER_STALE => respond(r, unavailable(shared)),
-            Some(job_id) => by_job.entry(job_id).or_default().push(r),
-            None => respond(r, (problem(404, "no such job"), None)),
-        }
-    }
+fn answer(context: &ApiContext, reads: &BudgetedReader<'_>, batch: Vec<Request>) {
+    let by_job = group_by_job(context, batch);
     let job_ids: BTreeSet<JobId> = by_job.keys().cloned().collect();
-    let (mut found, trouble) = local(shared, asked, &job_ids);
-    let missing: Vec<&JobId> = job_ids.iter().filter(|u| !found.contains_key(*u)).collect();
-    if !missing.is_empty() && trouble.is_some_and(|e| e != StoreError::RateLimited) {
-        found.extend(by_peer(shared, &missing));
-    }
+    let found = statuses(context, reads, &job_ids);
     for (job_id, requests) in by_job {
-        let said = found.get(&job_id).copied();
-        for r in requests {
-            // A process that stood still meanwhile must not pass an old answer off as a new one.
-            let late = r.received_at.elapsed() > USER_STALE;
-            let answer = match said {
-                Some(status) if !late => reply(shared, &job_id, status),
-                _ => unavailable(shared),
+        let status = found.get(&job_id).copied();
+        for request in requests {
+            // A process that was paused meanwhile must not pass an old answer off as a new one.
+            let response = match status {
+                Some(status) if !is_stale(&request) => status_response(context, &job_id, status),
+                _ => unavailable(context),
             };
-            respond(r, answer);
+            response.send(request);
         }
     }
 }
 
-fn reply(shared: &Shared, job_id: &JobId, status: JobRecordStatus) -> ApiResponse {
+/// The queries by the jobs that they ask about. Those that need no lookup are answered.
+fn group_by_job(context: &ApiContext, batch: Vec<Request>) -> BTreeMap<JobId, Vec<Request>> {
+    let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
+    for request in batch {
+        match queried_job(&request.path) {
+            _ if is_stale(&request) => unavailable(context).send(request),
+            Some(job_id) => by_job.entry(job_id).or_default().push(request),
+            None => no_such_job().send(request),
+        }
+    }
+    by_job
+}
+
+fn is_stale(request: &Request) -> bool {
+    request.received_at.elapsed() > USER_REQUEST_STALE
+}
+
+fn status_response(context: &ApiContext, job_id: &JobId, status: JobRecordStatus) -> ApiResponse {
     match status {
-        Some(v) => ((200, state(shared, job_id, v, true)), None),
-        None => (problem(404, "no such job"), None),
+        Some(outcome) => job_state(context, 200, job_id, outcome, CountsDetail::Included),
+        None => no_such_job(),
     }
 }
 
-/// How these jobs stand, as this node can find out itself, and what kept it from the rest.
-fn local(
-    shared: &Shared,
-    asked: &BudgetedReader<'_>,
+/// The statuses that this node, or a peer in its place, can find out.
+fn statuses(
+    context: &ApiContext,
+    reads: &BudgetedReader<'_>,
     job_ids: &BTreeSet<JobId>,
-) -> (HashMap<JobId, JobRecordStatus>, Option<StoreError>) {
-    let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
+) -> HashMap<JobId, JobRecordStatus> {
+    let Lookup { mut found, error } = look_up(context, reads, job_ids);
+    let missing: Vec<&JobId> = job_ids
+        .iter()
+        .filter(|job_id| !found.contains_key(*job_id))
+        .collect();
+    if !missing.is_empty() && error.is_some_and(|e| e != StoreError::RateLimited) {
+        found.extend(ask_peer(context, &missing));
+    }
+    found
+}
+
+/// The statuses that this node can find out itself.
+fn look_up(context: &ApiContext, reads: &BudgetedReader<'_>, job_ids: &BTreeSet<JobId>) -> Lookup {
+    let mut lookup = Lookup::default();
+    let mut open: BTreeSet<JobId> = BTreeSet::new();
     for job_id in job_ids {
-        if let Some(v) = shared.view.final_answer(job_id) {
-            found.insert(job_id.clone(), Some(v));
+        match context.view.final_outcome(job_id) {
+            Some(outcome) => {
+                lookup.found.insert(job_id.clone(), Some(outcome));
+            }
+            None => {
+                open.insert(job_id.clone());
+            }
         }
     }
-    let open: BTreeSet<JobId> = job_ids
-        .iter()
-        .filter(|u| !found.contains_key(*u))
-        .cloned()
-        .collect();
     if open.is_empty() {
-        return (found, None);
+        return lookup;
     }
-    if !shared.view.store_ok(Instant::now()) {
-        return (found, Some(StoreError::Unavailable));
+    if !context.view.store_ok(Instant::now()) {
+        lookup.error = Some(StoreError::Unavailable);
+        return lookup;
     }
-    let mut accepted = shared.view.accepted_of(open.iter());
-    let before = accepted.len();
-    let (mut said, trouble) = job_status_reads::statuses(asked, &open, &mut accepted);
-    if accepted.len() > before {
-        shared.view.remember_accepted(accepted.iter());
+    let read = read_records(context, reads, &open);
+    lookup.found.extend(read.found);
+    lookup.error = read.error;
+    lookup
+}
+
+/// Reads the statuses of jobs without a known outcome, and remembers them.
+fn read_records(
+    context: &ApiContext,
+    reads: &BudgetedReader<'_>,
+    open: &BTreeSet<JobId>,
+) -> Lookup {
+    let mut accepted = context.view.accepted_among(open.iter());
+    let accepted_before = accepted.len();
+    let (mut found, error) = job_status_reads::statuses(reads, open, &mut accepted);
+    if accepted.len() > accepted_before {
+        context.view.remember_accepted(accepted.iter());
     }
-    match &trouble {
-        Some(e) => store_said(shared, &Err::<(), _>(e.clone())),
-        None => store_said(shared, &Ok::<_, StoreError>(())),
+    context.record_store_result(&error.clone().map_or(Ok(()), Err));
+    let confirmation_error = withhold_unconfirmed(context, &mut found);
+    context.view.remember_statuses(&found);
+    Lookup {
+        found,
+        error: error.or(confirmation_error),
     }
-    let unconfirmed = withhold_unconfirmed(shared, &mut said);
-    shared.view.learn(&said);
-    found.extend(said);
-    (found, trouble.or(unconfirmed))
 }
 
-/// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are.
-/// Returns what kept it from finding out.
+/// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are
+/// cancelled. Returns what kept it from finding out.
 fn withhold_unconfirmed(
-    shared: &Shared,
+    context: &ApiContext,
     found: &mut HashMap<JobId, JobRecordStatus>,
 ) -> Option<StoreError> {
-    let is_cancelled = |s: &JobRecordStatus| *s == Some(JobOutcome::Cancelled);
+    let is_cancelled = |status: &JobRecordStatus| *status == Some(JobOutcome::Cancelled);
     let cancelled: BTreeSet<JobId> = found
         .iter()
-        .filter(|(_, s)| is_cancelled(s))
-        .map(|(u, _)| u.clone())
+        .filter(|(_, status)| is_cancelled(status))
+        .map(|(job_id, _)| job_id.clone())
         .collect();
     if cancelled.is_empty() {
         return None;
     }
-    let (confirmed, trouble) = match cancellation::confirmed(shared, &cancelled) {
+    let (confirmed, error) = match cancellation::confirmed(context, &cancelled) {
         Ok(confirmed) => (confirmed, None),
         Err(e) => (BTreeSet::new(), Some(e)),
     };
     found.retain(|job_id, status| !is_cancelled(status) || confirmed.contains(job_id));
-    trouble
+    error
 }
 
-/// Has a peer ask that reaches the state service.
-fn by_peer(shared: &Shared, job_ids: &[&JobId]) -> HashMap<JobId, JobRecordStatus> {
+/// Has a peer ask that reaches the key-value store.
+fn ask_peer(context: &ApiContext, job_ids: &[&JobId]) -> HashMap<JobId, JobRecordStatus> {
     let mut found = HashMap::new();
-    let Some(peer) = shared.able_peer() else {
+    let Some(peer) = context.peer_with_store() else {
         return found;
     };
-    let ask = PeerRequest::JobStatuses(job_ids.iter().map(|u| u.0.clone()).collect());
-    let Ok(PeerResponse::JobStatuses(words)) = peer.call(&ask, PEER_PATIENCE) else {
+    let request = PeerRequest::JobStatuses(job_ids.iter().map(|id| id.0.clone()).collect());
+    let Ok(PeerResponse::JobStatuses(statuses)) = peer.call(&request, PEER_PATIENCE) else {
         return found;
     };
-    for (job_id, word) in job_ids.iter().zip(words) {
-        let status = match word {
+    for (job_id, status) in job_ids.iter().zip(statuses) {
+        let status = match status {
             PeerJobStatus::Unknown => continue,
             PeerJobStatus::NeverAccepted => None,
             PeerJobStatus::Live => Some(JobOutcome::Live),
@@ -180,26 +205,32 @@
         };
         found.insert((*job_id).clone(), status);
     }
-    shared.view.learn(&found);
+    context.view.remember_statuses(&found);
     found
 }
 
-/// A peer's questions, which are not passed on a second time.
-pub fn for_peer(shared: &Shared, names: &[String]) -> Vec<PeerJobStatus> {
-    let job_ids: Vec<Option<JobId>> = names.iter().map(|n| JobId::parse(n)).collect();
+/// Answers a peer's queries, which are not passed on a second time.
+pub fn answer_peer(context: &ApiContext, names: &[String]) -> Vec<PeerJobStatus> {
+    let job_ids: Vec<Option<JobId>> = names.iter().map(|name| JobId::parse(name)).collect();
     let until = Instant::now() + PEER_PATIENCE;
-    let asked = BudgetedReader::new(&shared.store, &shared.stop, ReadPurpose::StatusQuery, until);
-    let all: Vec<JobId> = job_ids.iter().flatten().cloned().collect();
+    let reads = BudgetedReader::new(
+        &context.store,
+        &context.stop,
+        ReadPurpose::StatusQuery,
+        until,
+    );
+    let valid: Vec<JobId> = job_ids.iter().flatten().cloned().collect();
     let mut found = HashMap::new();
-    for part in all.chunks(most_at_once(shared)) {
-        found.extend(local(shared, &asked, &part.iter().cloned().collect()).0);
+    for chunk in valid.chunks(context.config.transaction_limits.status_reads()) {
+        let chunk = chunk.iter().cloned().collect();
+        found.extend(look_up(context, &reads, &chunk).found);
     }
-    let word = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|u| found.get(u)) {
+    let status = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|id| found.get(id)) {
         None => PeerJobStatus::Unknown,
         Some(None) => PeerJobStatus::NeverAccepted,
         Some(Some(JobOutcome::Live)) => PeerJobStatus::Live,
         Some(Some(JobOutcome::Done)) => PeerJobStatus::Done,
         Some(Some(JobOutcome::Cancelled)) => PeerJobStatus::Cancelled,
     };
-    job_ids.iter().map(word).collect()
+    job_ids.iter().map(status).collect()
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -2,11 +2,17 @@
 //!
 //! A job is accepted by one transaction that writes its record into the index of live jobs. The record
 //! names the dependencies that are not done, and the transaction is conditional on that none of them
-//! has a verdict; one that has is looked at anew.
+//! has an outcome; one that has is looked up anew.
+//!
+//! Invariants: a job is durable before its submission is answered with 201. Repeating a submission is
+//! safe: the transaction is also conditional on that the job itself is neither known nor over.
 
+use crate::api::cancellation::put_cancelled;
+use crate::api::context::ApiContext;
 use crate::api::dependents_list::{self, DependentsListOutcome};
-use crate::api::server::{known, problem, state, store_said, unavailable, ApiResponse, STORE_CALL};
-use crate::api::status_queries;
+use crate::api::job_lookup::known_job;
+use crate::api::responses::{job_state, unavailable, ApiResponse, CountsDetail};
+use crate::api::user_requests::STORE_CALL_LIMIT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::admission;
 use crate::core::model::{JobId, JobSpec};
@@ -18,54 +24,59 @@
     BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
 };
 use crate::net::wire::{self, InvalidField, StoredJob, Submission, SubmissionId};
-use crate::runtime::service::Shared;
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a submission is looked at anew because a dependency ended meanwhile.
-const SUBMIT_TRIES: usize = 3;
+/// How often a submission is tried, anew because a dependency ended meanwhile.
+const MAX_ATTEMPTS: usize = 3;
 /// How long the accepting transaction may take.
 const ACCEPT_LIMIT: Duration = Duration::from_millis(2000);
 /// How long looking up dependencies may wait for the rate and for answers.
 const LOOKUP_LIMIT: Duration = Duration::from_millis(1200);
-/// When a user should come back while there are too many jobs.
+/// When a user should come back while there are too many jobs, in seconds.
 const TOO_MANY_JOBS_RETRY_S: u64 = 10;
-/// A transaction may have so many conditions for each change that it may have.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// When a user should come back while the machine types are not known, in seconds.
+const NO_MACHINE_TYPES_RETRY_S: u64 = 1;
 
-type Refusal = (u16, Vec<u8>);
+/// A submission that is malformed.
+pub(super) struct InvalidSubmission {
+    /// The job's id, when that much can be read.
+    pub(super) job_id: Option<JobId>,
+    /// The refusal.
+    pub(super) response: ApiResponse,
+}
 
-/// A submission, or its refusal, with the job's id when that much can be read.
-pub(crate) fn read_submission(body: &[u8]) -> Result<JobSpec, (Option<JobId>, Refusal)> {
+/// Reads a submission from its wire form.
+pub(super) fn read_submission(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let parsed = wire::decode::<Submission>(body)
         .ok_or(InvalidField("body"))
-        .and_then(|s| s.to_spec(now.as_millis() as u64));
-    parsed.map_err(|invalid| {
-        let job_id = wire::decode::<SubmissionId>(body)
-            .and_then(|j| j.job_id)
-            .and_then(|u| JobId::parse(&u));
-        (job_id, problem(400, &invalid.to_string()))
+        .and_then(|submission| submission.to_spec(now.as_millis() as u64));
+    parsed.map_err(|invalid| InvalidSubmission {
+        job_id: wire::decode::<SubmissionId>(body)
+            .and_then(|submission| submission.job_id)
+            .and_then(|name| JobId::parse(&name)),
+        response: ApiResponse::problem(400, &invalid.to_string()),
     })
 }
 
-/// What is to become of a submission before its own transaction.
+/// What is decided about a submission before its own transaction.
 enum Admission {
     Answered(ApiResponse),
-    Accept(Box<Acceptance>),
+    Accept(Box<PreparedJob>),
 }
 
 /// A job as it is to be stored, and what must hold then.
-struct Acceptance {
+struct PreparedJob {
     spec: JobSpec,
     record: StoredJob,
     conditions: Vec<KeyCondition>,
 }
 
-/// How the dependencies of a submission stand.
-enum Resolution {
+/// The statuses of a submission's dependencies, taken together.
+enum Dependencies {
     /// All were accepted, and these are not over.
     Open(Vec<JobId>),
     /// One of them is cancelled.
@@ -73,61 +84,70 @@
     NeverAccepted(JobId),
 }
 
-/// `POST /api/jobs`.
-pub fn submit(shared: &Shared, body: &[u8]) -> Result<ApiResponse, StoreError> {
-    for tries_left in (0..SUBMIT_TRIES).rev() {
-        if let Some(answer) = try_submit(shared, body, tries_left == 0)? {
-            return Ok(answer);
+/// What came of one attempt to accept a submission.
+enum Attempt {
+    Answered(ApiResponse),
+    /// A dependency of this job has ended meanwhile.
+    DependencyChanged(JobId),
+}
+
+/// `POST /api/jobs`: accepts a job.
+pub(super) fn submit(context: &ApiContext, body: &[u8]) -> Result<ApiResponse, StoreError> {
+    let mut attempts_left = MAX_ATTEMPTS;
+    loop {
+        attempts_left -= 1;
+        match try_submit(context, body)? {
+            Attempt::Answered(response) => return Ok(response),
+            Attempt::DependencyChanged(job_id) if attempts_left == 0 => {
+                return known_job(context, &job_id, unavailable(context))
+            }
+            Attempt::DependencyChanged(_) => {}
         }
     }
-    Ok(unavailable(shared))
 }
 
-/// None: a dependency has changed, unless this is the last try.
-fn try_submit(shared: &Shared, body: &[u8], last: bool) -> Result<Option<ApiResponse>, StoreError> {
-    let acceptance = match admit(shared, body)? {
-        Admission::Answered(answer) => return Ok(Some(answer)),
-        Admission::Accept(acceptance) => *acceptance,
-    };
-    let Acceptance {
+fn try_submit(context: &ApiContext, body: &[u8]) -> Result<Attempt, StoreError> {
+    let PreparedJob {
         spec,
         record,
         conditions,
-    } = acceptance;
+    } = match admit(context, body)? {
+        Admission::Answered(response) => return Ok(Attempt::Answered(response)),
+        Admission::Accept(prepared) => *prepared,
+    };
     let job_id = &spec.job_id;
     let live = live_job_key(job_id);
-    let own = [outcome_key(job_id), live.clone()];
+    let own_keys = [outcome_key(job_id), live.clone()];
     let changes = vec![Change::Put {
         key: &live,
         value: StoredValue::Job(Box::new(record)),
         lease: None,
     }];
-    // A team that floods us leaves the others a way in.
-    let floor = shared.crowd.floor(&spec.team, Instant::now());
-    let result = shared
+    // A team that floods the node leaves the others a part of the rate.
+    let floor = context.fairness.floor(&spec.team, Instant::now());
+    let result = context
         .store
         .transaction_with_reserve(floor, &conditions, changes, ACCEPT_LIMIT);
-    store_said(shared, &result);
+    context.record_store_result(&result);
     match result {
-        Ok(TransactionOutcome::Applied { .. }) => Ok(Some(accepted(shared, &spec))),
-        // Only dependencies have changed.
-        Ok(TransactionOutcome::Failed { keys })
-            if !last && !keys.iter().any(|k| own.contains(k)) =>
-        {
-            Ok(None)
+        Ok(TransactionOutcome::Applied { .. }) => Ok(Attempt::Answered(accepted(context, &spec))),
+        Ok(TransactionOutcome::Failed { keys }) if !keys.iter().any(|k| own_keys.contains(k)) => {
+            Ok(Attempt::DependencyChanged(spec.job_id))
         }
         // Known already, or accepted by a transaction whose answer was lost: the keys tell.
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
-            known(shared, job_id, unavailable(shared)).map(Some)
+            known_job(context, job_id, unavailable(context)).map(Attempt::Answered)
         }
         Err(e) => Err(e),
     }
 }
 
-fn accepted(shared: &Shared, spec: &JobSpec) -> ApiResponse {
-    shared.view.remember_accepted(std::iter::once(&spec.job_id));
+fn accepted(context: &ApiContext, spec: &JobSpec) -> ApiResponse {
+    context
+        .view
+        .remember_accepted(std::iter::once(&spec.job_id));
     log::debug!(
-        "accepted job={} class={} shards={} cpus={:.1} expected_s={:.1} due_s={:.1}",
+        "accepted job={} class={} tasks={} cpus={:.1} expected_s={:.1} due_s={:.1}",
         spec.job_id,
         spec.class,
         spec.task_count,
@@ -135,35 +155,44 @@
         spec.expected.as_secs_f64(),
         spec.due.unwrap_or_default().as_secs_f64()
     );
-    let body = state(shared, &spec.job_id, JobOutcome::Live, false);
-    ((201, body), None)
+    created(context, &spec.job_id)
+}
+
+/// 201, in the interface's form: a job that was just accepted is live.
+fn created(context: &ApiContext, job_id: &JobId) -> ApiResponse {
+    let detail = CountsDetail::Omitted;
+    job_state(context, 201, job_id, JobOutcome::Live, detail)
 }
 
 /// Everything before a submission's own transaction.
-fn admit(shared: &Shared, body: &[u8]) -> Result<Admission, StoreError> {
-    let answered = |r: Result<ApiResponse, StoreError>| r.map(Admission::Answered);
+fn admit(context: &ApiContext, body: &[u8]) -> Result<Admission, StoreError> {
     let spec = match read_submission(body) {
         Ok(spec) => spec,
-        // A job that was accepted stays known, however its repetition is mangled.
-        Err((Some(job_id), refusal)) => return answered(known(shared, &job_id, (refusal, None))),
-        Err((None, refusal)) => return Ok(Admission::Answered((refusal, None))),
+        Err(InvalidSubmission { job_id, response }) => {
+            // A job that was accepted stays known, however its repetition is mangled.
+            let response = match job_id {
+                Some(job_id) => known_job(context, &job_id, response)?,
+                None => response,
+            };
+            return Ok(Admission::Answered(response));
+        }
     };
     let record = StoredJob::from(&spec);
-    if let Some(refusal) = refusal(shared, &spec, &record) {
-        return answered(known(shared, &spec.job_id, refusal));
+    if let Some(refusal) = refusal(context, &spec, &record) {
+        return known_job(context, &spec.job_id, refusal).map(Admission::Answered);
     }
-    if !shared.view.store_ok(Instant::now()) {
+    if !context.view.store_ok(Instant::now()) {
         return Err(StoreError::Unavailable);
     }
     if spec.dependencies.is_empty() {
         let conditions = own_conditions(&spec.job_id);
         return Ok(accept(spec, record, conditions));
     }
-    admit_dependent(shared, spec, record)
+    admit_dependent(context, spec, record)
 }
 
 fn accept(spec: JobSpec, record: StoredJob, conditions: Vec<KeyCondition>) -> Admission {
-    Admission::Accept(Box::new(Acceptance {
+    Admission::Accept(Box::new(PreparedJob {
         spec,
         record,
         conditions,
@@ -179,69 +208,78 @@
 }
 
 /// Why a job that is not known yet is not accepted now, or ever.
-fn refusal(shared: &Shared, spec: &JobSpec, record: &StoredJob) -> Option<ApiResponse> {
-    let config = &shared.settings.config;
-    let types = shared.view.read().types.clone();
-    if types.is_empty() {
-        return Some((problem(503, "machine types are not known yet"), Some(1)));
+fn refusal(context: &ApiContext, spec: &JobSpec, record: &StoredJob) -> Option<ApiResponse> {
+    let config = &context.config;
+    let machine_types = context.view.read().machine_types.clone();
+    if machine_types.is_empty() {
+        let problem = ApiResponse::problem(503, "machine types are not known yet");
+        return Some(problem.with_retry_after(NO_MACHINE_TYPES_RETRY_S));
     }
-    if let Err(why) = admission::check(spec, &config.teams, &types) {
-        return Some((problem(422, &why.to_string()), None));
+    if let Err(why) = admission::check(spec, &config.teams, &machine_types) {
+        return Some(ApiResponse::problem(422, &why.to_string()));
     }
-    if let Err(why) = admission::fits_a_value(record.size_bound(), config.value_bytes) {
-        return Some((problem(422, &why.to_string()), None));
+    let max_bytes = config.transaction_limits.value_bytes;
+    if let Err(why) = admission::fits_a_value(record.size_bound(), max_bytes) {
+        return Some(ApiResponse::problem(422, &why.to_string()));
     }
-    if shared.view.final_answer(&spec.job_id).is_some() {
-        return Some(unavailable(shared));
+    if context.view.final_outcome(&spec.job_id).is_some() {
+        return Some(unavailable(context));
     }
-    if shared.view.read().live_jobs >= config.tuning.max_live_jobs {
-        return Some((problem(429, "too many jobs"), Some(TOO_MANY_JOBS_RETRY_S)));
+    if context.view.read().live_jobs >= config.max_live_jobs {
+        let problem = ApiResponse::problem(429, "too many jobs");
+        return Some(problem.with_retry_after(TOO_MANY_JOBS_RETRY_S));
     }
     None
 }
 
-/// A job that names others.
+/// Admits a job that names others.
 fn admit_dependent(
-    shared: &Shared,
+    context: &ApiContext,
     spec: JobSpec,
     mut record: StoredJob,
 ) -> Result<Admission, StoreError> {
     let job_id = &spec.job_id;
-    let answered = |r: Result<ApiResponse, StoreError>| r.map(Admission::Answered);
-    if shared.view.is_accepted(job_id) {
-        return answered(known(shared, job_id, unavailable(shared)));
+    let limits = context.config.transaction_limits;
+    if context.view.is_accepted(job_id) {
+        return known_job(context, job_id, unavailable(context)).map(Admission::Answered);
     }
-    let open = match resolve(shared, job_id, &spec.dependencies)? {
-        Resolution::Open(open) => open,
-        Resolution::Cancelled => return answered(accept_cancelled(shared, job_id)),
-        Resolution::NeverAccepted(dependency) => {
+    let open = match resolve_dependencies(context, job_id, &spec.dependencies)? {
+        Dependencies::Open(open) => open,
+        Dependencies::Cancelled => {
+            return accept_cancelled(context, job_id).map(Admission::Answered)
+        }
+        Dependencies::NeverAccepted(dependency) => {
             let why = format!("Awaits names {dependency}, which was never accepted");
-            return answered(known(shared, job_id, (problem(422, &why), None)));
+            let problem = ApiResponse::problem(422, &why);
+            return known_job(context, job_id, problem).map(Admission::Answered);
         }
     };
-    let listed = dependents_list::needed(shared);
-    if listed && dependents_list::enter(shared, job_id, &open)? == DependentsListOutcome::Changed {
-        return answered(known(shared, job_id, unavailable(shared)));
+    let listed = dependents_list::is_needed(&context.peers);
+    if listed {
+        let entered = dependents_list::enter(&context.store, limits, job_id, &open)?;
+        if entered == DependentsListOutcome::Changed {
+            return known_job(context, job_id, unavailable(context)).map(Admission::Answered);
+        }
     }
     record.keep_dependencies(&open, listed);
     let mut conditions = own_conditions(job_id);
-    let most = shared.settings.config.txn_ops * CONDITIONS_PER_CHANGE - conditions.len();
-    // Ends of those beyond are found by the leader.
-    let dependencies = open.iter().take(most);
-    conditions.extend(dependencies.map(|id| KeyCondition::absent(outcome_key(id))));
+    let max_dependencies = limits.conditions() - conditions.len();
+    // The ends of those beyond are found by the leader.
+    let not_over = open.iter().take(max_dependencies);
+    conditions.extend(not_over.map(|dependency| KeyCondition::absent(outcome_key(dependency))));
     Ok(accept(spec, record, conditions))
 }
 
 /// Looks up the dependencies of a submission.
-fn resolve(
-    shared: &Shared,
+fn resolve_dependencies(
+    context: &ApiContext,
     job_id: &JobId,
     dependencies: &[JobId],
-) -> Result<Resolution, StoreError> {
+) -> Result<Dependencies, StoreError> {
     if dependencies.contains(job_id) {
-        return Ok(Resolution::NeverAccepted(job_id.clone()));
+        return Ok(Dependencies::NeverAccepted(job_id.clone()));
     }
-    let found = statuses(shared, dependencies)?;
+    let found = statuses(context, dependencies)?;
     let mut open = Vec::new();
     let mut cancelled = false;
     for dependency in dependencies {
@@ -249,47 +287,51 @@
             Some(Some(JobOutcome::Live)) => open.push(dependency.clone()),
             Some(Some(JobOutcome::Done)) => {}
             Some(Some(JobOutcome::Cancelled)) => cancelled = true,
-            Some(None) => return Ok(Resolution::NeverAccepted(dependency.clone())),
+            Some(None) => return Ok(Dependencies::NeverAccepted(dependency.clone())),
             None => return Err(StoreError::Unavailable),
         }
     }
     Ok(if cancelled {
-        Resolution::Cancelled
+        Dependencies::Cancelled
     } else {
-        Resolution::Open(open)
+        Dependencies::Open(open)
     })
 }
 
-/// How these jobs stand; an error if any of them could not be asked about.
+/// The statuses of these jobs; an error if any of them could not be looked up.
 fn statuses(
-    shared: &Shared,
+    context: &ApiContext,
     job_ids: &[JobId],
 ) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
     let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
-    let mut left: Vec<&JobId> = Vec::new();
+    let mut open: Vec<&JobId> = Vec::new();
     for job_id in job_ids {
-        match shared.view.final_answer(job_id) {
+        match context.view.final_outcome(job_id) {
             Some(outcome) => {
                 found.insert(job_id.clone(), Some(outcome));
             }
-            None => left.push(job_id),
+            None => open.push(job_id),
         }
     }
-    let asked = BudgetedReader::new(
-        &shared.store,
-        &shared.stop,
+    let until = Instant::now() + LOOKUP_LIMIT;
+    let reads = BudgetedReader::new(
+        &context.store,
+        &context.stop,
         ReadPurpose::UserChange,
-        Instant::now() + LOOKUP_LIMIT,
+        until,
     );
-    for part in left.chunks(status_queries::most_at_once(shared)) {
-        let part: BTreeSet<JobId> = part.iter().map(|u| (*u).clone()).collect();
-        let mut accepted = shared.view.accepted_of(part.iter());
-        let (mut said, trouble) = job_status_reads::statuses(&asked, &part, &mut accepted);
-        found.extend(said.iter().map(|(u, s)| (u.clone(), *s)));
+    for chunk in open.chunks(context.config.transaction_limits.status_reads()) {
+        let chunk: BTreeSet<JobId> = chunk.iter().map(|job_id| (*job_id).clone()).collect();
+        let mut accepted = context.view.accepted_among(chunk.iter());
+        let (mut read, error) = job_status_reads::statuses(&reads, &chunk, &mut accepted);
+        found.extend(
+            read.iter()
+                .map(|(job_id, status)| (job_id.clone(), *status)),
+        );
         // Users are told of a cancellation only once it is confirmed.
-        said.retain(|_, status| *status != Some(JobOutcome::Cancelled));
-        shared.view.learn(&said);
-        if let Some(e) = trouble {
+        read.retain(|_, status| *status != Some(JobOutcome::Cancelled));
+        context.view.remember_statuses(&read);
+        if let Some(e) = error {
             return Err(e);
         }
     }
@@ -298,30 +340,22 @@
 
 /// A job that names a cancelled one is accepted all the same, and is cancelled. No job can depend on
 /// it yet.
-fn accept_cancelled(shared: &Shared, job_id: &JobId) -> Result<ApiResponse, StoreError> {
+fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
+    let conditions = own_conditions(job_id);
     let key = outcome_key(job_id);
-    let change = Change::Put {
-        key: &key,
-        value: StoredValue::JobOutcome(JobOutcome::Cancelled.into()),
-        lease: None,
-    };
-    let store = &shared.store;
-    let result = store.transaction(
-        &own_conditions(job_id),
-        vec![change],
-        RequestClass::User,
-        STORE_CALL,
-    );
-    store_said(shared, &result);
+    let changes = vec![put_cancelled(&key)];
+    let store = &context.store;
+    let result = store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_LIMIT);
+    context.record_store_result(&result);
     match result {
         Ok(TransactionOutcome::Applied { .. }) => {
-            shared.view.remember_final(job_id, JobOutcome::Cancelled);
+            context.view.remember_outcome(job_id, JobOutcome::Cancelled);
             log::info!("accepted, cancelled with a dependency job={job_id}");
-            // In the interface's form; from now on it is cancelled.
-            Ok(((201, state(shared, job_id, JobOutcome::Live, false)), None))
+            // From now on a query says that it is cancelled.
+            Ok(created(context, job_id))
         }
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
-            known(shared, job_id, unavailable(shared))
+            known_job(context, job_id, unavailable(context))
         }
         Err(e) => Err(e),
     }
--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -44,7 +44,7 @@
     }
 
     /// The same as facts of a log line, under `name`.
-    pub fn facts(&self, name: &str) -> String {
+    pub fn take_fields(&self, name: &str) -> String {
         let (n, p50, p95) = self.take();
         format!("{name}={n} {name}_ms_p50={p50:.1} {name}_ms_p95={p95:.1}")
     }
@@ -62,13 +62,13 @@
 
 impl TimerLag {
     /// A timer fired this much too late.
-    pub fn fired(&self, late: Duration) {
+    pub fn record(&self, late: Duration) {
         let mut mean = self.late.lock().unwrap_or_else(|e| e.into_inner());
         *mean = mean.mul_f64(1.0 - LAST_PART) + late.min(MAX_LATE).mul_f64(LAST_PART);
     }
 
     /// How late timers fire of late.
-    pub fn now(&self) -> Duration {
+    pub fn average(&self) -> Duration {
         *self.late.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -15,7 +15,7 @@
 }
 
 /// A token bucket.
-pub struct Bucket {
+pub struct TokenBucket {
     state: Mutex<State>,
 }
 
@@ -34,11 +34,11 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     /// `rate` a second, with bursts worth `burst_s` seconds.
-    pub fn new(rate: f64, burst_s: f64, now: Instant) -> Bucket {
+    pub fn new(rate: f64, burst_s: f64, now: Instant) -> TokenBucket {
         let size = (rate * burst_s).max(1.0);
-        Bucket {
+        TokenBucket {
             state: Mutex::new(State {
                 size,
                 rate,
--- a/src/common/stop_signal.rs
+++ b/src/common/stop_signal.rs
@@ -5,14 +5,14 @@
 
 /// A signal to end, shared by threads.
 #[derive(Clone, Default)]
-pub struct Stop {
+pub struct StopSignal {
     inner: Arc<(Mutex<bool>, Condvar)>,
 }
 
-impl Stop {
+impl StopSignal {
     /// A signal that is not given yet.
-    pub fn new() -> Stop {
-        Stop::default()
+    pub fn new() -> StopSignal {
+        StopSignal::default()
     }
 
     /// Gives the signal.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,5 +9,6 @@
 pub mod common;
 pub mod core;
 pub mod net;
+pub mod node;
 pub mod runtime;
 pub mod settings;
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -4,7 +4,7 @@
 use super::connection_load::ConnectionLoad;
 use super::request::Request;
 use super::Limits;
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
 use mio::event::Event;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -57,7 +57,7 @@
     }
 
     /// Serves until stopped. `handle` gets the requests that came together.
-    pub fn run(mut self, stop: &Stop, mut handle: impl FnMut(Vec<Request>)) {
+    pub fn run(mut self, stop: &StopSignal, mut handle: impl FnMut(Vec<Request>)) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         while !stop.stopped() {
             if let Err(e) = self.poll.poll(&mut events, Some(self.time_to_wait())) {
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -9,7 +9,7 @@
 //! of the requests; each request is answered, with 503 if it is dropped; no more connections are open than
 //! the limit allows.
 
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
 use std::time::Duration;
 
 mod connection;
@@ -38,7 +38,7 @@
 pub fn serve(
     listener: std::net::TcpListener,
     limits: Limits,
-    stop: &Stop,
+    stop: &StopSignal,
     handle: impl FnMut(Vec<Request>),
 ) -> std::io::Result<()> {
     event_loop::EventLoop::new(listener, limits)?.run(stop, handle);
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -3,7 +3,7 @@
 //! Users' requests and the leader's work have buckets of their own, so that neither takes what the other
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
-use crate::common::rate_limit::{shares, Bucket, Demand, RequestClass, LEADER_CHANGES};
+use crate::common::rate_limit::{shares, Demand, RequestClass, TokenBucket, LEADER_CHANGES};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -44,15 +44,15 @@
 
 /// One class of requests: each call takes a request, and as many changes as it makes.
 struct Buckets {
-    requests: Bucket,
-    changes: Bucket,
+    requests: TokenBucket,
+    changes: TokenBucket,
 }
 
 impl Buckets {
     fn new(rates: StoreRates, now: Instant) -> Buckets {
         Buckets {
-            requests: Bucket::new(rates.requests, BURST_S, now),
-            changes: Bucket::new(rates.changes, BURST_S, now),
+            requests: TokenBucket::new(rates.requests, BURST_S, now),
+            changes: TokenBucket::new(rates.changes, BURST_S, now),
         }
     }
 
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -3,7 +3,7 @@
 use super::listing::PAGE_SIZE;
 use super::{Entry, KvStore, StoreError, TransactionOutcome};
 use crate::common::rate_limit::RequestClass;
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
 use crate::core::persistence::job_status_reads::{Page, Records};
 use crate::core::persistence::keys::OUTCOME_PREFIX;
 use crate::core::persistence::records::JobOutcome;
@@ -30,7 +30,7 @@
 /// Reads of the key-value store for one purpose.
 pub struct BudgetedReader<'a> {
     store: &'a KvStore,
-    stop: &'a Stop,
+    stop: &'a StopSignal,
     purpose: ReadPurpose,
     deadline: Instant,
     /// The next call's part of the rate has been taken already.
@@ -41,7 +41,7 @@
     /// Reads of `store` until `deadline`, or until `stop`.
     pub fn new(
         store: &'a KvStore,
-        stop: &'a Stop,
+        stop: &'a StopSignal,
         purpose: ReadPurpose,
         deadline: Instant,
     ) -> BudgetedReader<'a> {
--- a/src/net/store/listing.rs
+++ b/src/net/store/listing.rs
@@ -2,7 +2,7 @@
 
 use super::{KvStore, StoreError};
 use crate::common::rate_limit::RequestClass;
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
 use crate::net::wire::{ListEntry, ListResponse};
 use serde::de::DeserializeOwned;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
             page_timeout: timeout,
             retry_for: timeout,
         };
-        self.list_with_retries(prefix, options, &Stop::new())
+        self.list_with_retries(prefix, options, &StopSignal::new())
     }
 
     /// All keys under a prefix. Pages that fail are asked for again, so that a node that is busy or short
@@ -55,7 +55,7 @@
         &self,
         prefix: &str,
         options: ListOptions,
-        stop: &Stop,
+        stop: &StopSignal,
     ) -> Result<Listing<T>, StoreError> {
         let deadline = Instant::now() + options.retry_for;
         let mut entries: Vec<ListEntry<T>> = Vec::new();
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -1,122 +1,167 @@
-//! The duties towards the cloud: rentals and returns, machine types, the list of machines.
+//! The threads that talk to the cloud: scaling out and in, and reading machine types and machines.
+//!
+//! All of them share the cloud's rate. Invariant: machines are returned only under a leader lease that
+//! has certainly not run out, since they may work for another leader by then.
 
-use crate::common::rate_limit::{Bucket, RequestClass};
+use crate::common::rate_limit::{RequestClass, TokenBucket};
 use crate::core::capacity::RentalOutcome;
-use crate::core::model::{MachineType, Term};
+use crate::core::model::{CloudMachine, MachineId, MachineType, Term};
 use crate::core::persistence::keys;
 use crate::core::persistence::write_batch::KeyCondition;
 use crate::net::store::{Change, StoredValue};
-use crate::net::wire;
-use crate::runtime::events::{CloudOrder, Event};
-use crate::runtime::node_view::RoleView;
-use crate::runtime::service::Shared;
+use crate::net::wire::{RentRequest, StoredLeader, WireMachineTypes};
+use crate::runtime::context::NodeContext;
+use crate::runtime::events::{CloudOrder, Event, ReturnOutcome, TermEvent};
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
+/// Between two tries to take a token of the cloud's rate.
+const RATE_PAUSE: Duration = Duration::from_millis(150);
+/// How often it is checked what has to be read, without a wakeup.
+const READ_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Between two reads of the list of machines.
+const LIST_INTERVAL: Duration = Duration::from_secs(15);
+/// Between two reads of the machine types.
+const TYPES_INTERVAL: Duration = Duration::from_secs(120);
+/// The same after a read that failed.
+const TYPES_RETRY: Duration = Duration::from_secs(5);
+/// How long one call of the key-value store may take.
+const STORE_CALL_LIMIT: Duration = Duration::from_millis(1500);
+
 /// Carries out rentals and returns, in order, within the cloud's rate.
-pub fn cloud_worker(shared: &Shared, bucket: &Bucket, orders: &Receiver<CloudOrder>) {
+pub(super) fn carry_out_orders(
+    context: &NodeContext,
+    rate: &TokenBucket,
+    orders: &Receiver<CloudOrder>,
+) {
     while let Ok(order) = orders.recv() {
-        while !bucket.take(1.0) {
-            if shared.stop.wait(Duration::from_millis(150)) {
+        while !rate.take(1.0) {
+            if context.stop.wait(RATE_PAUSE) {
                 return;
             }
         }
         let event = match order {
-            CloudOrder::Rent(term, r) => {
-                // What is rented under an uncertain leadership is adopted by whoever leads. But an order that waited while
-                // this process stood still is not carried out for a term that may be over.
-                let leads = shared.leads(term)
-                    && (shared.holds_leader_lease(term) || !shared.woke_recently());
-                let outcome = if leads {
-                    shared.cloud.rent(&r)
-                } else {
-                    RentalOutcome::Unknown
-                };
-                if outcome == RentalOutcome::NoCapacity {
-                    log::info!(
-                        "no capacity type={} site={} spot={}",
-                        r.machine_type,
-                        r.zone,
-                        r.spot
-                    );
-                }
-                Event::RentalEnded(term, r.idempotency_key, outcome)
-            }
-            CloudOrder::Return(term, machines) => {
-                // One that waited through a cut must not take machines that work for a new leader.
-                let leads = shared.holds_leader_lease(term);
-                let ok = leads && shared.cloud.return_machines(&machines);
-                Event::Returned(term, machines, ok)
+            CloudOrder::Rent { term, request } => rent(context, term, request).in_term(term),
+            CloudOrder::Return { term, machines } => {
+                return_machines(context, term, machines).in_term(term)
             }
         };
-        if shared.events.send(event).is_err() {
+        if context.events.send(event).is_err() {
             return;
         }
     }
 }
 
+/// What is rented under an uncertain leadership is adopted by whoever leads. But an order that waited
+/// during a pause of this process is not carried out for a term that may be over.
+fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
+    let may_rent =
+        context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
+    let outcome = if may_rent {
+        context.cloud.rent(&request)
+    } else {
+        RentalOutcome::Unknown
+    };
+    if outcome == RentalOutcome::NoCapacity {
+        log::info!(
+            "no cloud capacity machine_type={} zone={} spot={}",
+            request.machine_type,
+            request.zone,
+            request.spot
+        );
+    }
+    TermEvent::RentalEnded {
+        idempotency_key: request.idempotency_key,
+        outcome,
+    }
+}
+
+/// An order that waited while this node was cut off must not take machines that work for a new leader.
+fn return_machines(context: &NodeContext, term: Term, machines: Vec<MachineId>) -> TermEvent {
+    let returned = context.holds_leader_lease(term) && context.cloud.return_machines(&machines);
+    let outcome = if returned {
+        ReturnOutcome::Returned
+    } else {
+        ReturnOutcome::Failed
+    };
+    TermEvent::ReturnEnded { machines, outcome }
+}
+
 /// Reads the machine types and the list of machines, while this node leads.
-pub fn cloud_reader(shared: &Shared, bucket: &Bucket, wake: &Receiver<()>) {
+pub(super) fn read_cloud(context: &NodeContext, rate: &TokenBucket, wakeup: &Receiver<()>) {
     let mut next_types = Instant::now();
     let mut next_list = Instant::now();
-    while !shared.stop.stopped() {
-        // Woken by a takeover.
-        let _ = wake.recv_timeout(Duration::from_millis(1000));
-        let RoleView::Leader(term) = shared.view.read().role.clone() else {
+    while !context.stop.stopped() {
+        // Woken at the begin of a term.
+        let _ = wakeup.recv_timeout(READ_CHECK_INTERVAL);
+        let Some(term) = context.view.read().leading_term() else {
             next_types = Instant::now();
             next_list = Instant::now();
             continue;
         };
         let now = Instant::now();
-        if now >= next_list && bucket.take(1.0) {
-            next_list = now + Duration::from_secs(15);
-            read_list(shared, term, bucket);
+        if now >= next_list && rate.take(1.0) {
+            next_list = now + LIST_INTERVAL;
+            read_machines(context, term, rate);
         }
-        if now >= next_types && bucket.take(1.0) {
-            next_types = now + Duration::from_secs(5);
-            if let Some(t) = shared.cloud.machine_types() {
-                next_types = now + Duration::from_secs(120);
-                let types: Vec<MachineType> = t
-                    .machine_types
-                    .iter()
-                    .filter_map(|t| t.try_into().ok())
-                    .collect();
-                if !types.is_empty() {
-                    keep_types(shared, term, t);
-                    shared.view.write().types = types.clone();
-                    let _ = shared.events.send(Event::Types(types));
-                }
-            }
+        if now >= next_types && rate.take(1.0) {
+            let answered = read_types(context, term);
+            next_types = now
+                + if answered {
+                    TYPES_INTERVAL
+                } else {
+                    TYPES_RETRY
+                };
         }
     }
 }
 
-fn read_list(shared: &Shared, term: Term, bucket: &Bucket) {
-    let mut from = String::new();
-    let mut all = Vec::new();
-    while let Some(page) = shared.cloud.list_machines(&from) {
+fn read_machines(context: &NodeContext, term: Term, rate: &TokenBucket) {
+    let mut after = String::new();
+    let mut machines: Vec<CloudMachine> = Vec::new();
+    while let Some(page) = context.cloud.list_machines(&after) {
         if let Some(last) = page.machines.last() {
-            from = last.id.0.clone();
+            after = last.id.0.clone();
         }
-        let end = !page.has_next || page.machines.is_empty();
-        all.extend(page.machines);
-        if end || !bucket.take(1.0) {
+        let at_end = !page.has_next || page.machines.is_empty();
+        machines.extend(page.machines);
+        if at_end || !rate.take(1.0) {
             break;
         }
     }
-    if !all.is_empty() {
-        let _ = shared.events.send(Event::CloudListed(term, all));
+    if !machines.is_empty() {
+        let event = TermEvent::CloudListed(machines);
+        let _ = context.events.send(event.in_term(term));
+    }
+}
+
+/// Reads the machine types. Returns whether the cloud answered.
+fn read_types(context: &NodeContext, term: Term) -> bool {
+    let Some(listed) = context.cloud.machine_types() else {
+        return false;
+    };
+    let machine_types = machine_types(&listed);
+    if !machine_types.is_empty() {
+        store_types(context, term, listed);
+        context.view.set_machine_types(machine_types.clone());
+        let _ = context.events.send(Event::MachineTypes(machine_types));
     }
+    true
+}
+
+/// The machine types that this version can use.
+pub(super) fn machine_types(listed: &WireMachineTypes) -> Vec<MachineType> {
+    let types = listed.machine_types.iter();
+    types.filter_map(|listed| listed.try_into().ok()).collect()
 }
 
-/// Machine types outlive the cloud's outages in the state service.
-fn keep_types(shared: &Shared, term: Term, types: wire::WireMachineTypes) {
-    let limit = Duration::from_millis(1500);
-    let rank = RequestClass::Leader;
-    let Ok(Some(leader)) = shared
+/// Keeps the machine types in the key-value store, where they outlive the cloud's outages.
+fn store_types(context: &NodeContext, term: Term, listed: WireMachineTypes) {
+    let class = RequestClass::Leader;
+    let read = context
         .store
-        .get::<wire::StoredLeader>(keys::LEADER_KEY, rank, limit)
-    else {
+        .get::<StoredLeader>(keys::LEADER_KEY, class, STORE_CALL_LIMIT);
+    let Ok(Some(leader)) = read else {
         return;
     };
     if leader.value.term != term.0 {
@@ -125,13 +170,13 @@
     let conditions = [KeyCondition::at_revision(keys::LEADER_KEY, leader.revision)];
     let change = Change::Put {
         key: keys::MACHINE_TYPES_KEY,
-        value: StoredValue::Types(types),
+        value: StoredValue::Types(listed),
         lease: None,
     };
-    if let Err(e) = shared
+    let written = context
         .store
-        .transaction(&conditions, vec![change], rank, limit)
-    {
-        log::info!("machine types not kept why=\"{e}\"");
+        .transaction(&conditions, vec![change], class, STORE_CALL_LIMIT);
+    if let Err(e) = written {
+        log::info!("machine types not stored error=\"{e}\"");
     }
 }
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -1,103 +1,122 @@
-//! Watching the control keys: who leads, and the machine types.
+//! Watches the control keys of the key-value store: the leader key, and the machine types.
+//!
+//! A watch that ends, for whatever reason, begins again with a read of the keys, so no change is missed
+//! for good. Its answers also tell the node's view whether the store is reachable.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::Term;
 use crate::core::persistence::keys::{CONTROL_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY};
 use crate::net::store::StoreError;
-use crate::net::wire::{StoredLeader, WireMachineTypes};
+use crate::net::wire::{StoredLeader, WatchEvent, WireMachineTypes};
+use crate::runtime::cloud_workers::machine_types;
+use crate::runtime::context::NodeContext;
 use crate::runtime::elector::ElectorEvent;
-use crate::runtime::service::Shared;
-use crossbeam::channel::Sender;
 use rand::Rng;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
+use std::ops::Range;
 use std::time::{Duration, Instant};
 
-const CALL: Duration = Duration::from_millis(1500);
+/// How long one call of the key-value store may take.
+const CALL_LIMIT: Duration = Duration::from_millis(1500);
+/// How long the store may hold a watch without a change.
 const WATCH_BLOCK: Duration = Duration::from_secs(5);
 /// Before a watch that ended is begun again, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 300..600;
+const RESTART_PAUSE_MS: Range<u64> = 300..600;
 
+/// The value of a control key.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Control {
+enum ControlValue {
     Leader(StoredLeader),
     Types(WireMachineTypes),
     Other(IgnoredAny),
 }
 
-/// The leader key's content with its stamp.
-pub(super) fn record(l: StoredLeader, revision: u64) -> LeaderRecord {
+/// The leader key's content with its revision.
+pub(super) fn leader_record(stored: StoredLeader, revision: u64) -> LeaderRecord {
     LeaderRecord {
-        member: l.member,
-        boot: l.boot,
-        term: Term(l.term),
+        member: stored.member,
+        boot: stored.boot,
+        term: Term(stored.term),
         revision,
     }
 }
 
-fn take_types(shared: &Shared, t: &WireMachineTypes) {
-    let types: Vec<_> = t
-        .machine_types
-        .iter()
-        .filter_map(|t| t.try_into().ok())
-        .collect();
-    if !types.is_empty() {
-        shared.view.write().types = types;
+/// Follows the control keys until the service ends.
+pub(super) fn run(context: &NodeContext) {
+    while !context.stop.stopped() {
+        if let Err(e) = watch(context) {
+            log::debug!("control watch ended error=\"{e}\"");
+            let answered = e == StoreError::RevisionTooOld;
+            context.view.record_store_call(answered, Instant::now());
+        }
+        let pause = rand::thread_rng().gen_range(RESTART_PAUSE_MS);
+        context.stop.wait(Duration::from_millis(pause));
     }
 }
 
-/// Follows the control keys: the leader and the machine types.
-pub fn watch_control(shared: &Shared, elector_events: &Sender<ElectorEvent>) {
-    while !shared.stop.stopped() {
-        if let Err(e) = watch_until_trouble(shared, elector_events) {
-            log::debug!("watch of the control keys ended why=\"{e}\"");
-            shared
-                .view
-                .store_answered(e == StoreError::RevisionTooOld, Instant::now());
+/// Reads the control keys, then follows their changes until a call fails.
+fn watch(context: &NodeContext) -> Result<(), StoreError> {
+    let mut revision = read_all(context)?;
+    while !context.stop.stopped() {
+        let changes = context
+            .store
+            .watch::<ControlValue>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
+        context.view.record_store_call(true, Instant::now());
+        revision = changes.revision.max(revision);
+        for change in changes.events {
+            apply_change(context, change);
         }
-        let pause = rand::thread_rng().gen_range(PAUSE_MS);
-        shared.stop.wait(Duration::from_millis(pause));
     }
+    Ok(())
 }
 
-fn watch_until_trouble(
-    shared: &Shared,
-    elector_events: &Sender<ElectorEvent>,
-) -> Result<(), StoreError> {
-    let listing = shared
-        .store
-        .list::<Control>(CONTROL_PREFIX, RequestClass::Leader, CALL)?;
-    shared.view.store_answered(true, Instant::now());
-    let mut revision = listing.revision;
+/// Reads the control keys, and returns the revision from which to follow them.
+fn read_all(context: &NodeContext) -> Result<u64, StoreError> {
+    let class = RequestClass::Leader;
+    let store = &context.store;
+    let listing = store.list::<ControlValue>(CONTROL_PREFIX, class, CALL_LIMIT)?;
+    context.view.record_store_call(true, Instant::now());
     let mut leader = None;
-    for p in listing.entries {
-        match p.value {
-            Control::Leader(l) if p.key == LEADER_KEY => leader = Some(record(l, p.revision)),
-            Control::Types(t) if p.key == MACHINE_TYPES_KEY => take_types(shared, &t),
+    for entry in listing.entries {
+        match entry.value {
+            ControlValue::Leader(stored) if entry.key == LEADER_KEY => {
+                leader = Some(leader_record(stored, entry.revision))
+            }
+            ControlValue::Types(listed) if entry.key == MACHINE_TYPES_KEY => {
+                apply_types(context, &listed)
+            }
             _ => {}
         }
     }
-    let _ = elector_events.send(ElectorEvent::Leader(leader));
-    while !shared.stop.stopped() {
-        let changes = shared
-            .store
-            .watch::<Control>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
-        shared.view.store_answered(true, Instant::now());
-        revision = changes.revision.max(revision);
-        for c in changes.events {
-            if c.delete.as_deref() == Some(LEADER_KEY) {
-                let _ = elector_events.send(ElectorEvent::Leader(None));
-            }
-            match (c.put.as_deref(), c.value, c.revision) {
-                (Some(LEADER_KEY), Some(Control::Leader(l)), Some(revision)) => {
-                    let _ = elector_events.send(ElectorEvent::Leader(Some(record(l, revision))));
-                }
-                (Some(MACHINE_TYPES_KEY), Some(Control::Types(t)), _) => take_types(shared, &t),
-                _ => {}
-            }
+    report_leader(context, leader);
+    Ok(listing.revision)
+}
+
+fn apply_change(context: &NodeContext, change: WatchEvent<ControlValue>) {
+    if change.delete.as_deref() == Some(LEADER_KEY) {
+        report_leader(context, None);
+    }
+    match (change.put.as_deref(), change.value, change.revision) {
+        (Some(LEADER_KEY), Some(ControlValue::Leader(stored)), Some(revision)) => {
+            report_leader(context, Some(leader_record(stored, revision)));
         }
+        (Some(MACHINE_TYPES_KEY), Some(ControlValue::Types(listed)), _) => {
+            apply_types(context, &listed)
+        }
+        _ => {}
+    }
+}
+
+fn report_leader(context: &NodeContext, leader: Option<LeaderRecord>) {
+    let _ = context.elector_events.send(ElectorEvent::LeaderKey(leader));
+}
+
+fn apply_types(context: &NodeContext, listed: &WireMachineTypes) {
+    let machine_types = machine_types(listed);
+    if !machine_types.is_empty() {
+        context.view.set_machine_types(machine_types);
     }
-    Ok(())
 }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,104 +1,102 @@
-//! Campaigning for the leadership, renewing its lease, and giving it up.
+//! The elector's thread: campaigns for the leadership, renews its lease, and steps down.
+//!
+//! What to do is decided by `core::leadership::election`; this thread carries it out. Invariants: a lease
+//! counts from when its grant or renewal was asked for, never from the answer; and whoever steps down
+//! stops the term's threads before anything else.
 
 use crate::common::rate_limit::RequestClass;
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
+use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use crate::core::model::Term;
-use crate::core::persistence::keys::{LEADER_KEY, TERM_KEY};
-use crate::core::persistence::write_batch::KeyCondition;
-use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
+use crate::core::persistence::keys::LEADER_KEY;
+use crate::net::store::StoreError;
 use crate::net::wire::StoredLeader;
-use crate::runtime::control_watch::record;
-use crate::runtime::loading::serve_term;
-use crate::runtime::node_view::RoleView;
-use crate::runtime::service::Shared;
+use crate::node::view::{NodeView, RoleView};
+use crate::runtime::campaign::{campaign, Candidacy, Victory};
+use crate::runtime::context::NodeContext;
+use crate::runtime::control_watch::leader_record;
+use crate::runtime::events::Event;
+use crate::runtime::loading::{serve_term, WonTerm};
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use rand::Rng;
 use std::ops::Range;
 use std::sync::Arc;
-use std::time::{Duration, Instant, SystemTime};
+use std::time::{Duration, Instant};
 
-const CALL: Duration = Duration::from_millis(1500);
-/// How often the elector looks what is due, without an event.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// How long one call of the key-value store may take.
+const CALL_LIMIT: Duration = Duration::from_millis(1500);
+/// How often it is checked what is due, without an event.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A lease is renewed, and may take to be renewed, this part of its duration.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Who gave the leadership up because it heard nobody takes it again only after this.
-const RESIGNED: Duration = Duration::from_secs(10);
-/// How long a node that no worker reports to leaves the leadership to others.
-const YIELD: Duration = Duration::from_millis(900);
-/// Pauses after a campaign that another node won, and after one that failed, in milliseconds.
+/// A leader that resigned since it received no heartbeats campaigns again only after this.
+const RESIGNATION_PAUSE: Duration = Duration::from_secs(10);
+/// How long a node without workers leaves a vacant leadership to others.
+const YIELD_TIME: Duration = Duration::from_millis(900);
+/// The pause after a campaign that another node won, in milliseconds.
 const LOST_PAUSE_MS: Range<u64> = 100..400;
+/// The pause after a campaign that failed, in milliseconds.
 const FAILED_PAUSE_MS: Range<u64> = 300..800;
-/// Timers this late double the leader's lease, at most `MAX_LONGER` times more is added to it.
-const STRAINED: Duration = Duration::from_millis(200);
-const MAX_LONGER: f64 = 3.0;
 
-/// What the elector hears.
+/// A message to the elector's thread.
 pub enum ElectorEvent {
-    /// The leader key as it stands.
-    Leader(Option<LeaderRecord>),
-    /// A term that a report or a peer has shown.
-    Term(Term),
-    /// The leader of this term hears no worker.
+    /// The leader key as it stands, or that it is absent.
+    LeaderKey(Option<LeaderRecord>),
+    /// A term that a heartbeat or a peer has shown.
+    TermSeen(Term),
+    /// The leader of this term receives no heartbeats.
     NoHeartbeats(Term),
 }
 
-/// Campaigns and renews; starts and stops what a term needs.
-pub fn elect(shared: &Arc<Shared>, elector_events: &Receiver<ElectorEvent>) {
-    let mut elector = Elector::new(shared.clone());
-    while !shared.stop.stopped() {
-        let event = elector_events.recv_timeout(LOOK_EVERY);
+/// Serves the leadership until the service ends.
+pub(super) fn run(context: &Arc<NodeContext>, events: &Receiver<ElectorEvent>) {
+    let mut elector = Elector::new(context.clone());
+    while !context.stop.stopped() {
+        let event = events.recv_timeout(CHECK_INTERVAL);
         elector.advance(event);
     }
     elector.end();
 }
 
-/// A term that was won, with its lease.
-struct Won {
-    term: Term,
-    leader_revision: u64,
-    lease: u64,
-}
-
-/// The elector's thread.
 struct Elector {
-    shared: Arc<Shared>,
-    machine: Leadership,
-    /// Tells two lives of this member apart.
+    context: Arc<NodeContext>,
+    leadership: Leadership,
+    /// Tells two incarnations of this member apart.
     boot: u64,
     /// How long the lease of the present term lasts without a renewal.
     lease_duration: Duration,
     /// The lease of the present term.
-    lease: Option<u64>,
+    lease_id: Option<u64>,
     /// Ends the threads of the present term.
-    term_stop: Stop,
-    /// The leader key was looked at: before, its absence means nothing.
-    looked: bool,
+    term_stop: StopSignal,
+    /// The leader key was read: before, its absence means nothing.
+    leader_key_read: bool,
     /// Since when nobody leads, as far as is known here.
-    vacant: Option<Instant>,
+    vacant_since: Option<Instant>,
 }
 
 impl Elector {
-    fn new(shared: Arc<Shared>) -> Elector {
-        let lease_duration = shared.settings.operations.leader_lease;
+    fn new(context: Arc<NodeContext>) -> Elector {
+        let lease_duration = context.settings.operations.leader_lease;
+        let renewal_interval = lease_duration / RENEWALS_PER_LEASE;
         let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
         Elector {
-            machine: Leadership::new(&shared.settings.member, lease_duration / RENEWALS_PER_LEASE),
-            shared,
+            leadership: Leadership::new(&context.settings.member, renewal_interval),
+            context,
             boot,
             lease_duration,
-            lease: None,
-            term_stop: Stop::new(),
-            looked: false,
-            vacant: None,
+            lease_id: None,
+            term_stop: StopSignal::new(),
+            leader_key_read: false,
+            vacant_since: None,
         }
     }
 
     /// Takes an event, and does what is due then.
     fn advance(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
         let step = self.take(event);
-        let asked = (Instant::now(), SystemTime::now());
+        let asked = ClockReading::now();
         match self.hold_back(step) {
             Step::Wait => {}
             Step::Renew => self.renew(asked),
@@ -108,72 +106,73 @@
             }
             Step::Campaign { revision } => self.campaign(revision, asked),
         }
-        publish(&self.shared, &self.machine);
+        publish(&self.context.view, &self.leadership);
     }
 
     fn take(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) -> Step {
         let now = Instant::now();
         match event {
-            Ok(ElectorEvent::Leader(found)) => {
-                self.looked = true;
-                self.machine.on_leader_key(now, found)
+            Ok(ElectorEvent::LeaderKey(found)) => {
+                self.leader_key_read = true;
+                self.leadership.on_leader_key(now, found)
             }
-            Ok(ElectorEvent::Term(term)) => self.machine.on_term(term),
+            Ok(ElectorEvent::TermSeen(term)) => self.leadership.on_term(term),
             Ok(ElectorEvent::NoHeartbeats(term)) => self.resign(now, term),
-            Err(_) => self.machine.next_step(now),
+            Err(_) => self.leadership.next_step(now),
         }
     }
 
-    /// Gives the term up in which no worker is heard.
+    /// Resigns from a term in which no heartbeats are received.
     fn resign(&mut self, now: Instant, term: Term) -> Step {
-        let step = self.machine.resign(now, term, RESIGNED);
-        if let (Step::StepDown, Some(lease)) = (&step, self.lease) {
-            log::warn!(
-                "no worker is heard, the leadership is given up term={}",
-                term.0
-            );
+        let step = self.leadership.resign(now, term, RESIGNATION_PAUSE);
+        if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
+            log::warn!("resigned, no heartbeats received term={}", term.0);
             // If this fails, the lease ends by itself.
-            let _ = self.shared.store.revoke_lease(lease, CALL);
+            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
         }
         step
     }
 
-    /// Campaigns that must wait. Before the first look at the leader key its absence means nothing. And
-    /// who hears no worker lets those go first who may, unless the key is its own earlier life's.
+    /// Holds back campaigns that must wait. Before the first read of the leader key its absence means
+    /// nothing. And a node that receives no heartbeats lets those go first that do, unless the key is its
+    /// own earlier incarnation's.
     fn hold_back(&mut self, step: Step) -> Step {
         let Step::Campaign { revision } = step else {
-            self.vacant = None;
+            self.vacant_since = None;
             return step;
         };
         let now = Instant::now();
-        let since = *self.vacant.get_or_insert(now);
-        let waited = now.saturating_duration_since(since) >= YIELD;
-        let first = revision != 0 || waited || self.shared.workers.any(now);
-        if self.looked && first {
+        let since = *self.vacant_since.get_or_insert(now);
+        let yielded = now.saturating_duration_since(since) >= YIELD_TIME;
+        let may_go_first = revision != 0 || yielded || self.context.workers.any(now);
+        if self.leader_key_read && may_go_first {
             step
         } else {
             Step::Wait
         }
     }
 
-    fn renew(&mut self, asked: (Instant, SystemTime)) {
+    fn renew(&mut self, asked: ClockReading) {
         let limit = self.lease_duration / RENEWALS_PER_LEASE;
-        let view = &self.shared.view;
-        match self.lease.map(|p| self.shared.store.renew_lease(p, limit)) {
+        let view = &self.context.view;
+        let renewal = self
+            .lease_id
+            .map(|id| self.context.store.renew_lease(id, limit));
+        match renewal {
             Some(Ok(())) => {
-                view.store_answered(true, Instant::now());
-                view.lease_lasts(asked, self.lease_duration);
-                self.machine.on_lease_renewed(asked.0);
+                view.record_store_call(true, Instant::now());
+                view.set_lease(asked, self.lease_duration);
+                self.leadership.on_lease_renewed(asked.steady);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
-                log::warn!("the leader lease has ended");
-                self.machine.on_lease_expired();
+                log::warn!("leader lease expired");
+                self.leadership.on_lease_expired();
                 self.step_down();
             }
-            // The state service may be out for everyone: then the lease lives on.
+            // The key-value store may be out for everyone: then the lease lives on.
             Some(Err(e)) => {
-                view.store_answered(false, Instant::now());
-                log::info!("lease not renewed why=\"{e}\"");
+                view.record_store_call(false, Instant::now());
+                log::info!("leader lease not renewed error=\"{e}\"");
             }
         }
     }
@@ -181,151 +180,82 @@
     /// Ends the present term's threads. Its lease is not renewed any more.
     fn step_down(&mut self) {
         self.term_stop.stop();
-        self.lease = None;
-        self.shared.step_down();
-        publish(&self.shared, &self.machine);
+        self.lease_id = None;
+        let _ = self.context.events.send(Event::StepDown);
+        publish(&self.context.view, &self.leadership);
     }
 
-    fn campaign(&mut self, revision: u64, asked: (Instant, SystemTime)) {
-        match campaign(&self.shared, self.boot, revision, &mut self.lease_duration) {
-            Ok(Some(won)) => self.lead(won, asked),
-            Ok(None) => self.look_again(LOST_PAUSE_MS),
+    fn campaign(&mut self, revision: u64, asked: ClockReading) {
+        let candidacy = Candidacy {
+            boot: self.boot,
+            leader_revision: revision,
+        };
+        match campaign(&self.context, &candidacy) {
+            Ok(Some(victory)) => self.lead(victory, asked),
+            Ok(None) => self.observe_again(LOST_PAUSE_MS),
             Err(e) => {
-                log::info!("campaign failed why=\"{e}\"");
-                self.shared.view.store_answered(false, Instant::now());
-                self.look_again(FAILED_PAUSE_MS);
+                log::info!("campaign failed error=\"{e}\"");
+                self.context.view.record_store_call(false, Instant::now());
+                self.observe_again(FAILED_PAUSE_MS);
             }
         }
     }
 
     /// Begins the term that was won.
-    fn lead(&mut self, won: Won, asked: (Instant, SystemTime)) {
-        self.machine
-            .set_renewal_interval(self.lease_duration / RENEWALS_PER_LEASE);
-        self.shared.view.lease_lasts(asked, self.lease_duration);
-        self.machine
-            .on_campaign_won(Instant::now(), won.term, won.leader_revision);
-        self.lease = Some(won.lease);
-        self.term_stop = Stop::new();
-        log::info!("leading term={}", won.term.0);
-        publish(&self.shared, &self.machine);
-        let (shared, stop) = (self.shared.clone(), self.term_stop.clone());
+    fn lead(&mut self, victory: Victory, asked: ClockReading) {
+        let WonTerm {
+            term,
+            leader_revision,
+        } = victory.won;
+        self.lease_duration = victory.lease_duration;
+        let renewal_interval = self.lease_duration / RENEWALS_PER_LEASE;
+        self.leadership.set_renewal_interval(renewal_interval);
+        self.context.view.set_lease(asked, self.lease_duration);
+        self.leadership
+            .on_campaign_won(Instant::now(), term, leader_revision);
+        self.lease_id = Some(victory.lease_id);
+        self.term_stop = StopSignal::new();
+        log::info!("leading term={}", term.0);
+        publish(&self.context.view, &self.leadership);
+        let (context, stop) = (self.context.clone(), self.term_stop.clone());
         let spawned = std::thread::Builder::new()
             .name("term".into())
-            .spawn(move || serve_term(&shared, won.term, won.leader_revision, &stop));
-        if spawned.is_err() {
-            log::error!("no thread for the term");
+            .spawn(move || serve_term(&context, victory.won, &stop));
+        if let Err(e) = spawned {
+            log::error!("term thread not started error=\"{e}\"");
         }
     }
 
     /// After a campaign that was not won: a pause, and the leader key as it stands.
-    fn look_again(&mut self, pause_ms: Range<u64>) {
+    fn observe_again(&mut self, pause_ms: Range<u64>) {
         let pause = rand::thread_rng().gen_range(pause_ms);
-        self.machine
+        self.leadership
             .on_campaign_lost(Instant::now(), Duration::from_millis(pause));
-        let found = self
-            .shared
-            .store
-            .get::<StoredLeader>(LEADER_KEY, RequestClass::Leader, CALL);
-        if let Ok(found) = found {
-            let found = found.map(|e| record(e.value, e.revision));
-            self.machine.on_leader_key(Instant::now(), found);
+        let class = RequestClass::Leader;
+        let store = &self.context.store;
+        if let Ok(found) = store.get::<StoredLeader>(LEADER_KEY, class, CALL_LIMIT) {
+            let found = found.map(|entry| leader_record(entry.value, entry.revision));
+            self.leadership.on_leader_key(Instant::now(), found);
         }
     }
 
     /// The service ends: the next leader need not wait for the lease.
     fn end(&self) {
         self.term_stop.stop();
-        if let Some(lease) = self.lease {
-            let _ = self.shared.store.revoke_lease(lease, CALL);
+        if let Some(lease_id) = self.lease_id {
+            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
         }
     }
 }
 
-fn publish(shared: &Shared, machine: &Leadership) {
-    let (role, leader) = match machine.role() {
+/// Shows the other threads who leads.
+fn publish(view: &NodeView, leadership: &Leadership) {
+    let (role, leader) = match leadership.role() {
         Role::Leader { term, .. } => (RoleView::Leader(*term), None),
-        Role::Follower { leader } => (
-            RoleView::Follower(leader.as_ref().map(|l| l.member.clone())),
-            leader.clone(),
-        ),
-    };
-    let i = shared.view.read();
-    if i.role == role && i.highest == machine.highest_term() {
-        return;
-    }
-    drop(i);
-    let mut i = shared.view.write();
-    i.role = role;
-    i.leader = leader;
-    i.highest = i.highest.max(machine.highest_term());
-}
-
-/// One transaction: the leader key on a new lease, and the term's counter raised.
-fn campaign(
-    shared: &Shared,
-    boot: u64,
-    revision: u64,
-    lease_duration: &mut Duration,
-) -> Result<Option<Won>, StoreError> {
-    let counter = shared
-        .store
-        .get::<u64>(TERM_KEY, RequestClass::Leader, CALL)?;
-    let (old, term_revision) = counter.map_or((0, 0), |e| (e.value, e.revision));
-    // Nodes that cannot keep up renew late: with a lease that is short for that, each leader lost it
-    // while it loaded, and the next one began anew.
-    let timer_lag = shared.worst_timer_lag().as_secs_f64() / STRAINED.as_secs_f64();
-    let longer = 1.0 + timer_lag.min(MAX_LONGER);
-    *lease_duration = shared.settings.operations.leader_lease.mul_f64(longer);
-    let lease = shared.store.grant_lease(*lease_duration, CALL)?;
-    // Above all terms that workers and peers have shown, too: a state service that was put back to an
-    // earlier state would give out numbers that are in use.
-    let shown = shared.view.read().highest;
-    let term = old.max(shown.0) + 1;
-    let won = |leader_revision| Won {
-        term: Term(term),
-        leader_revision,
-        lease,
-    };
-    let conditions = [
-        KeyCondition::at_revision(LEADER_KEY, revision),
-        KeyCondition::at_revision(TERM_KEY, term_revision),
-    ];
-    let changes = vec![
-        Change::Put {
-            key: LEADER_KEY,
-            value: StoredValue::Leader(StoredLeader {
-                member: shared.settings.member.clone(),
-                boot,
-                term,
-            }),
-            lease: Some(lease),
-        },
-        Change::Put {
-            key: TERM_KEY,
-            value: StoredValue::Number(term),
-            lease: None,
-        },
-    ];
-    match shared
-        .store
-        .transaction(&conditions, changes, RequestClass::Leader, CALL)
-    {
-        Ok(TransactionOutcome::Applied { revision }) => Ok(Some(won(revision))),
-        Ok(TransactionOutcome::Failed { .. }) => {
-            let _ = shared.store.revoke_lease(lease, CALL);
-            Ok(None)
+        Role::Follower { leader } => {
+            let member = leader.as_ref().map(|record| record.member.clone());
+            (RoleView::Follower(member), leader.clone())
         }
-        Err(StoreError::Unknown) => {
-            // It may have been applied: the key tells. If it is applied later, the lease that
-            // nobody renews ends that leadership by itself.
-            let found = shared
-                .store
-                .get::<StoredLeader>(LEADER_KEY, RequestClass::Leader, CALL)?;
-            Ok(found
-                .filter(|e| e.value.boot == boot && e.value.term == term)
-                .map(|e| won(e.revision)))
-        }
-        Err(e) => Err(e),
-    }
+    };
+    view.set_leadership(role, leader, leadership.highest_term());
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,18 +1,26 @@
-//! The threads of a node, and the channels and timers that join them with the core.
+//! The threads of a node, and the channels that join them with the core, the API and the network.
+//!
+//! `service` starts everything. The core's thread alone owns the cluster state; all other threads send it
+//! events and carry out its actions. Nothing below this module imports it.
 
-pub mod cloud_workers;
-pub mod control_watch;
-pub mod core_loop;
+mod campaign;
+mod cancellation_exchange;
+mod cloud_workers;
+mod command_sender;
+pub mod context;
+mod control_watch;
+mod core_actions;
+mod core_events;
+mod core_loop;
+mod core_publication;
 pub mod elector;
 pub mod events;
 mod heartbeats;
-mod job_lookups;
-pub mod loading;
-pub mod node_view;
-pub mod peer_duties;
-pub mod queue_feed;
+mod loading;
+mod peer_server;
+mod peer_status_exchange;
+mod queue_feed;
 pub mod service;
-pub mod shared;
-pub mod stall_detector;
-pub mod store_writer;
+mod status_reads;
+mod store_writer;
 pub mod worker_distribution;
--- /dev/null
+++ b/src/runtime/peer_server.rs
@@ -0,0 +1,127 @@
+//! Answers the frames of the other controllers.
+//!
+//! Each connection has a thread of its own, up to a limit; one more is closed at once. What a peer passes
+//! on for its users is not passed on a second time.
+
+use crate::api::context::ApiContext;
+use crate::api::{status_queries, user_requests};
+use crate::core::model::JobId;
+use crate::net::agent;
+use crate::net::peer::{self, PeerRequest, PeerResponse};
+use crate::runtime::cancellation_exchange::NotificationOutcome;
+use crate::runtime::context::NodeContext;
+use crate::runtime::peer_status_exchange;
+use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A peer says hello each second: one that is silent for this long is gone.
+const READ_LIMIT: Duration = Duration::from_secs(30);
+/// How long a peer may take to read an answer.
+const WRITE_LIMIT: Duration = Duration::from_secs(5);
+/// After a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
+/// A peer's thread needs little stack.
+const STACK_BYTES: usize = 256 * 1024;
+
+/// Accepts connections of other controllers until the service ends.
+pub(super) fn run(context: &Arc<NodeContext>, api: &Arc<ApiContext>, listener: &TcpListener) {
+    let max_connections = context.settings.socket_budget().peers;
+    let open = Arc::new(AtomicUsize::new(0));
+    while !context.stop.stopped() {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                if open.fetch_add(1, Ordering::Relaxed) >= max_connections {
+                    open.fetch_sub(1, Ordering::Relaxed);
+                    continue;
+                }
+                start_connection(context, api, stream, &open);
+            }
+            Err(e) => {
+                log::warn!("peer connection not accepted error=\"{e}\"");
+                context.stop.wait(ACCEPT_PAUSE);
+            }
+        }
+    }
+}
+
+/// Serves one connection, which is counted already, in a thread of its own.
+fn start_connection(
+    context: &Arc<NodeContext>,
+    api: &Arc<ApiContext>,
+    stream: TcpStream,
+    open: &Arc<AtomicUsize>,
+) {
+    let (context, api, count) = (context.clone(), api.clone(), open.clone());
+    let spawned = std::thread::Builder::new()
+        .name("peer".into())
+        .stack_size(STACK_BYTES)
+        .spawn(move || {
+            serve_connection(&context, &api, stream);
+            count.fetch_sub(1, Ordering::Relaxed);
+        });
+    if spawned.is_err() {
+        open.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+fn serve_connection(context: &NodeContext, api: &ApiContext, mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_read_timeout(Some(READ_LIMIT));
+    let _ = stream.set_write_timeout(Some(WRITE_LIMIT));
+    while !context.stop.stopped() {
+        let Ok(request) = peer::read_frame::<PeerRequest>(&mut stream) else {
+            return;
+        };
+        let response = answer(context, api, request);
+        if peer::write_frame(&mut stream, &response).is_err() {
+            return;
+        }
+    }
+}
+
+fn answer(context: &NodeContext, api: &ApiContext, request: PeerRequest) -> PeerResponse {
+    match request {
+        PeerRequest::Hello(hello) => {
+            PeerResponse::Hello(peer_status_exchange::answer_hello(context, hello))
+        }
+        PeerRequest::Heartbeats(bodies) => {
+            let responses = context.decide_relayed(&bodies).into_iter();
+            PeerResponse::Heartbeats(responses.map(|r| (r.status, r.body)).collect())
+        }
+        PeerRequest::Command { endpoint, body } => PeerResponse::Command(agent::send_commands(
+            &context.agent_client,
+            &endpoint,
+            &body,
+        )),
+        PeerRequest::JobStatuses(names) => {
+            PeerResponse::JobStatuses(status_queries::answer_peer(api, &names))
+        }
+        PeerRequest::Cancellations { from } => {
+            let page = context
+                .view
+                .cancellations(from.map(|p| (p.incarnation, p.offset)));
+            PeerResponse::Cancellations {
+                incarnation: page.incarnation,
+                continues: page.continues,
+                job_ids: page.job_ids.into_iter().map(|job_id| job_id.0).collect(),
+                next: page.next,
+                more: page.more,
+            }
+        }
+        PeerRequest::Cancelled(names) => {
+            let job_ids = names.iter().filter_map(|name| JobId::parse(name)).collect();
+            let outcome = context.take_on_cancellations(job_ids);
+            PeerResponse::Cancelled(outcome == NotificationOutcome::TakenOn)
+        }
+        PeerRequest::UserRequest { method, path, body } => {
+            let response = user_requests::handle_for_peer(api, &method, &path, &body);
+            PeerResponse::UserRequest {
+                status: response.status,
+                body: response.body,
+                retry_after: response.retry_after,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/runtime/peer_status_exchange.rs
@@ -0,0 +1,168 @@
+//! What the nodes regularly report to each other: their health, terms and load, and jobs' progress.
+//!
+//! Each node says hello to each peer once a second, and the answer is the peer's own hello. Progress
+//! goes from the leader to the followers, for display only: users may be answered by any node.
+
+use crate::common::rate_limit::Demand;
+use crate::core::model::{JobId, Term};
+use crate::net::peer::{Hello, HelloExtension, JobProgress, Peer, PeerRequest, PeerResponse};
+use crate::node::job_cache::TaskCounts;
+use crate::node::peer_table::PeerStatus;
+use crate::node::view::RoleView;
+use crate::runtime::cancellation_exchange::CancellationReader;
+use crate::runtime::context::NodeContext;
+use crate::runtime::elector::ElectorEvent;
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+/// Between two hellos to a peer.
+const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
+/// How long a peer may take to answer one.
+const HELLO_LIMIT: Duration = Duration::from_millis(1500);
+/// Jobs whose counts go with one hello.
+const MAX_PROGRESS_PER_HELLO: usize = 2000;
+
+/// Changes of jobs' progress for one peer.
+#[derive(Clone, Default)]
+struct ProgressUpdate {
+    changed: Vec<JobProgress>,
+    ended: Vec<String>,
+}
+
+/// The progress that a peer was told of.
+#[derive(Default)]
+struct AnnouncedProgress {
+    counts: HashMap<JobId, TaskCounts>,
+}
+
+impl AnnouncedProgress {
+    /// What the peer has to be told, if this node leads.
+    fn update(&mut self, context: &NodeContext) -> ProgressUpdate {
+        let mut update = ProgressUpdate::default();
+        let state = context.view.read();
+        if state.leading_term().is_none() {
+            self.counts.clear();
+            return update;
+        }
+        let progress = state.jobs.progress();
+        for (job_id, counts) in progress {
+            if self.counts.get(job_id) != Some(counts)
+                && update.changed.len() < MAX_PROGRESS_PER_HELLO
+            {
+                update.changed.push(JobProgress {
+                    job_id: job_id.0.clone(),
+                    done: counts.done,
+                    running: counts.running,
+                });
+            }
+        }
+        let ended = self.counts.keys().filter(|id| !progress.contains_key(*id));
+        update.ended = ended.map(|job_id| job_id.0.clone()).collect();
+        update
+    }
+
+    /// The peer has received this update.
+    fn confirm(&mut self, update: ProgressUpdate) {
+        self.counts.extend(task_counts(update.changed));
+        for name in update.ended {
+            self.counts.remove(&JobId(name));
+        }
+    }
+
+    /// The peer may have missed updates, or be a new incarnation that knows of none.
+    fn clear(&mut self) {
+        self.counts.clear();
+    }
+}
+
+fn task_counts(changed: Vec<JobProgress>) -> impl Iterator<Item = (JobId, TaskCounts)> {
+    changed.into_iter().map(|job| {
+        let counts = TaskCounts {
+            done: job.done,
+            running: job.running,
+        };
+        (JobId(job.job_id), counts)
+    })
+}
+
+/// Reports to one peer until the service ends, and reads its cancellations while this node leads.
+pub(super) fn run(context: &NodeContext, peer: &Peer) {
+    let mut announced = AnnouncedProgress::default();
+    let mut cancellations = CancellationReader::default();
+    while !context.stop.wait(HELLO_INTERVAL) {
+        let update = announced.update(context);
+        let request = PeerRequest::Hello(hello(context, update.clone()));
+        match peer.call(&request, HELLO_LIMIT) {
+            Ok(PeerResponse::Hello(answer)) => {
+                record_hello(context, &answer);
+                let extension = HelloExtension::decode(&answer.finished_jobs);
+                peer.set_protocol_version(extension.protocol_version);
+                if extension.store_rates_reduced {
+                    context.store.budget().reduce_rates(Instant::now());
+                }
+                announced.confirm(update);
+            }
+            Ok(_) => {}
+            Err(_) => announced.clear(),
+        }
+        cancellations.read(context, peer);
+    }
+}
+
+/// The answer to a peer's hello.
+pub(super) fn answer_hello(context: &NodeContext, received: Hello) -> Hello {
+    record_hello(context, &received);
+    let from_leader = received.leader_term.is_some();
+    let leads_here = matches!(context.view.read().role, RoleView::Leader(_));
+    if from_leader && !leads_here {
+        let ended = received.finished_jobs.into_iter().map(JobId);
+        context
+            .view
+            .apply_progress(task_counts(received.progress), ended);
+    }
+    let extension = HelloExtension::current(context.store.budget().rates_reduced());
+    Hello {
+        finished_jobs: extension.encode(),
+        ..hello(context, ProgressUpdate::default())
+    }
+}
+
+fn hello(context: &NodeContext, update: ProgressUpdate) -> Hello {
+    let now = Instant::now();
+    let (leader_term, highest_term) = {
+        let state = context.view.read();
+        (state.leading_term(), state.highest_term)
+    };
+    let demand = context.store.budget().demand();
+    Hello {
+        member: context.settings.member.clone(),
+        leader_term: leader_term.map(|term| term.0),
+        highest_term: highest_term.0,
+        store_available: context.view.store_ok(now),
+        worker_count: context.workers.count(now),
+        user_changes_per_s: demand.users,
+        leader_changes_per_s: demand.leader,
+        timer_lag_ms: context.timer_lag.average().as_millis() as u32,
+        progress: update.changed,
+        finished_jobs: update.ended,
+    }
+}
+
+fn record_hello(context: &NodeContext, hello: &Hello) {
+    let status = PeerStatus {
+        received_at: Instant::now(),
+        store_ok: hello.store_available,
+        workers: hello.worker_count,
+        demand: Demand {
+            users: hello.user_changes_per_s,
+            leader: hello.leader_changes_per_s,
+        },
+        timer_lag: Duration::from_millis(hello.timer_lag_ms.into()),
+    };
+    context.view.record_peer(&hello.member, status);
+    if let Some(term) = hello.leader_term.map(Term) {
+        if term > context.view.read().highest_term {
+            let _ = context.elector_events.send(ElectorEvent::TermSeen(term));
+        }
+    }
+}
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -1,8 +1,12 @@
-//! The watch of the queue: accepted jobs and cancellations, for the leader's core.
+//! Follows the queue in the key-value store for the leader's core: accepted jobs and cancellations,
+//! whichever node took them.
+//!
+//! The feed continues from the revision that the cluster state was loaded at, so it misses nothing. Each
+//! answer moves the watermark of cancellations to when it was asked for, never later.
 
 use crate::api::dependents_list;
 use crate::common::rate_limit::RequestClass;
-use crate::common::stop_signal::Stop;
+use crate::common::stop_signal::StopSignal;
 use crate::core::leadership::cancellation_watermark::{ClockReading, WatermarkBound};
 use crate::core::model::{JobId, JobSpec, Term};
 use crate::core::persistence::backoff::Backoff;
@@ -10,146 +14,193 @@
 use crate::core::persistence::records::JobOutcome;
 use crate::net::store::StoreError;
 use crate::net::wire::StoredJob;
-use crate::runtime::events::Event;
-use crate::runtime::service::Shared;
+use crate::runtime::context::NodeContext;
+use crate::runtime::events::{AcceptedJob, TermEvent};
+use crate::runtime::status_reads;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 use std::time::{Duration, Instant};
 
-/// How long the watch of the queue waits for a change, at most.
-const WATCH_BLOCK: Duration = Duration::from_secs(5);
-/// How often lists of dependents without a use are looked for, and how long that may keep the watch.
-const LIST_SWEEP_EVERY: Duration = Duration::from_secs(20);
+/// How long the store may hold the watch without a change, at most.
+const MAX_WATCH_BLOCK: Duration = Duration::from_secs(5);
+/// The watch answers at least so often within the watermark's largest age.
+const ANSWERS_PER_MAX_AGE: u32 = 3;
+/// After a watch that failed.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long reading the whole queue may take.
+const READ_LIMIT: Duration = Duration::from_secs(4);
+/// After a read of the whole queue that failed.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// How often obsolete lists of dependents are looked for.
+const LIST_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
+/// How long that may hold up the watch.
 const LIST_SWEEP_LIMIT: Duration = Duration::from_millis(500);
 
+/// The value of a key in the queue.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Queued {
+enum QueueValue {
     Job(Box<StoredJob>),
     Other(IgnoredAny),
 }
 
-/// Follows the queue: accepted jobs and cancellations, whichever node took them.
-pub fn feed(shared: &Shared, term: Term, mut revision: u64, stop: &Stop) {
-    // Each answer moves the watermark of cancellations to when it was asked for.
-    let config = &shared.settings.config;
+/// Feeds the core from a revision on until the term ends.
+pub(super) fn run(context: &NodeContext, term: Term, revision: u64, stop: &StopSignal) {
+    let mut feed = QueueFeed {
+        context,
+        term,
+        stop,
+        revision,
+        backoff: Backoff::default(),
+        next_list_sweep: Instant::now() + LIST_SWEEP_INTERVAL,
+    };
+    let config = &context.settings.config;
     let bound = WatermarkBound::new(config.lease, config.cancel);
-    let block = WATCH_BLOCK.min(bound.max_age / 3);
-    let mut backoff = Backoff::default();
-    let mut next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
+    let block = MAX_WATCH_BLOCK.min(bound.max_age / ANSWERS_PER_MAX_AGE);
     while !stop.stopped() {
-        resolve(shared, term, &mut backoff, stop);
-        if Instant::now() >= next_list_sweep {
-            sweep_lists(shared, term);
-            next_list_sweep = Instant::now() + LIST_SWEEP_EVERY;
+        feed.resolve_dependencies();
+        feed.sweep_lists_if_due();
+        feed.follow(block);
+    }
+}
+
+struct QueueFeed<'a> {
+    context: &'a NodeContext,
+    term: Term,
+    stop: &'a StopSignal,
+    /// Up to here the queue was read.
+    revision: u64,
+    backoff: Backoff,
+    next_list_sweep: Instant,
+}
+
+impl QueueFeed<'_> {
+    fn send(&self, event: TermEvent) {
+        let _ = self.context.events.send(event.in_term(self.term));
+    }
+
+    /// Reads the outcomes of dependencies of which the leader knows nothing: they ended while the
+    /// acceptance of their dependents was under way. What stays unknown is read ever more rarely.
+    fn resolve_dependencies(&mut self) {
+        let unresolved = self.context.view.read().unresolved.clone();
+        let due = self.backoff.due(&unresolved, Instant::now());
+        if due.is_empty() {
+            return;
+        }
+        if let Ok(found) = status_reads::read_accepted(self.context, &due, self.stop) {
+            let outcomes = found
+                .into_iter()
+                .filter_map(|(job_id, status)| Some((job_id, status?)));
+            self.send(TermEvent::DependenciesEnded(outcomes.collect()));
+        }
+    }
+
+    fn sweep_lists_if_due(&mut self) {
+        if Instant::now() >= self.next_list_sweep {
+            self.sweep_lists();
+            self.next_list_sweep = Instant::now() + LIST_SWEEP_INTERVAL;
+        }
+    }
+
+    /// Finds lists of dependents that nobody needs any more. A submission may have been entered in one
+    /// and then refused, so that no job in the index names it.
+    fn sweep_lists(&self) {
+        if dependents_list::is_needed(&self.context.peers) {
+            return;
         }
+        let prefix = keys::DEPENDENTS_PREFIX;
+        let store = &self.context.store;
+        let class = RequestClass::Leader;
+        let Ok(lists) = store.list::<IgnoredAny>(prefix, class, LIST_SWEEP_LIMIT) else {
+            return;
+        };
+        let job_ids: Vec<JobId> = lists
+            .entries
+            .iter()
+            .filter_map(|pair| pair.key.strip_prefix(prefix).and_then(JobId::parse))
+            .collect();
+        if !job_ids.is_empty() {
+            self.send(TermEvent::DependentsListsFound(job_ids));
+        }
+    }
+
+    /// Waits for changes of the queue, and passes them on.
+    fn follow(&mut self, block: Duration) {
         let asked = ClockReading::now();
-        match shared
-            .store
-            .watch::<Queued>(keys::QUEUE_PREFIX, revision, block)
-        {
+        let prefix = keys::QUEUE_PREFIX;
+        let store = &self.context.store;
+        match store.watch::<QueueValue>(prefix, self.revision, block) {
             Ok(changes) => {
-                revision = revision.max(changes.revision);
-                for c in changes.events {
-                    if let Some(key) = c.put {
-                        take_queued(shared, term, &key, c.value, c.revision.unwrap_or(0));
+                self.revision = self.revision.max(changes.revision);
+                for change in changes.events {
+                    if let Some(key) = change.put {
+                        self.pass_on(&key, change.value, change.revision.unwrap_or(0));
                     }
                 }
-                let _ = shared.events.send(Event::Read(term, asked));
+                self.send(TermEvent::CancellationsRead { asked });
             }
-            Err(StoreError::RevisionTooOld) => {
-                let limit = Duration::from_secs(4);
-                match shared
-                    .store
-                    .list::<Queued>(keys::QUEUE_PREFIX, RequestClass::Leader, limit)
-                {
-                    Ok(listing) => {
-                        for p in listing.entries {
-                            take_queued(shared, term, &p.key, Some(p.value), p.revision);
-                        }
-                        revision = listing.revision;
-                        let _ = shared.events.send(Event::Read(term, asked));
-                    }
-                    Err(_) => {
-                        stop.wait(Duration::from_millis(500));
-                    }
+            Err(StoreError::RevisionTooOld) => self.read_all(asked),
+            Err(_) => {
+                self.stop.wait(WATCH_RETRY_PAUSE);
+            }
+        }
+    }
+
+    /// Reads the whole queue: the store does not hold the changes any more.
+    fn read_all(&mut self, asked: ClockReading) {
+        let prefix = keys::QUEUE_PREFIX;
+        let store = &self.context.store;
+        match store.list::<QueueValue>(prefix, RequestClass::Leader, READ_LIMIT) {
+            Ok(listing) => {
+                for entry in listing.entries {
+                    self.pass_on(&entry.key, Some(entry.value), entry.revision);
                 }
+                self.revision = listing.revision;
+                self.send(TermEvent::CancellationsRead { asked });
             }
             Err(_) => {
-                stop.wait(Duration::from_millis(300));
+                self.stop.wait(READ_RETRY_PAUSE);
             }
         }
     }
-}
 
-/// Asks how jobs ended that others need and of which the leader knows nothing: they ended while the
-/// acceptance of those others was under way. What stays unknown is asked for ever more rarely.
-fn resolve(shared: &Shared, term: Term, backoff: &mut Backoff, stop: &Stop) {
-    let unresolved = shared.view.read().unresolved.clone();
-    let due = backoff.due(&unresolved, Instant::now());
-    if due.is_empty() {
-        return;
-    }
-    if let Ok(found) = crate::runtime::loading::statuses_of(shared, &due, stop) {
-        let ends = found.into_iter().filter_map(|(u, s)| Some((u, s?)));
-        let _ = shared.events.send(Event::Ended(term, ends.collect()));
+    fn pass_on(&self, key: &str, value: Option<QueueValue>, revision: u64) {
+        if let Some(event) = self.event_of(key, value, revision) {
+            self.send(event);
+        }
     }
-}
 
-/// Finds lists of dependents that nobody needs any more. A submission may have been entered in one and
-/// then refused, so that no job in the index names it.
-fn sweep_lists(shared: &Shared, term: Term) {
-    if dependents_list::needed(shared) {
-        return;
-    }
-    let prefix = keys::DEPENDENTS_PREFIX;
-    let listed = shared
-        .store
-        .list::<IgnoredAny>(prefix, RequestClass::Leader, LIST_SWEEP_LIMIT);
-    let Ok(lists) = listed else {
-        return;
-    };
-    let job_ids: Vec<JobId> = lists
-        .entries
-        .iter()
-        .filter_map(|list| list.key.strip_prefix(prefix).and_then(JobId::parse))
-        .collect();
-    if !job_ids.is_empty() {
-        let _ = shared.events.send(Event::Lists(term, job_ids));
+    fn event_of(&self, key: &str, value: Option<QueueValue>, revision: u64) -> Option<TermEvent> {
+        if let Some(job_id) = key.strip_prefix(keys::CANCEL_MARK_PREFIX) {
+            return JobId::parse(job_id).map(TermEvent::CancelMarkRead);
+        }
+        match value? {
+            QueueValue::Job(job) => match JobSpec::try_from(*job) {
+                Ok(spec) => self.accepted_job(spec, revision),
+                Err(_) => skip_unreadable(key),
+            },
+            QueueValue::Other(_) if key.starts_with(keys::LIVE_JOB_PREFIX) => skip_unreadable(key),
+            QueueValue::Other(_) => None,
+        }
     }
-}
 
-fn take_queued(shared: &Shared, term: Term, key: &str, value: Option<Queued>, revision: u64) {
-    let event = if let Some(job_id) = key.strip_prefix(keys::CANCEL_MARK_PREFIX) {
-        JobId::parse(job_id).map(|u| Event::Cancelled(term, u))
-    } else {
-        match value {
-            Some(Queued::Job(job)) => match JobSpec::try_from(*job) {
-                Ok(spec) => indexed_job(shared, term, spec, revision),
-                Err(_) => unreadable(key),
-            },
-            Some(Queued::Other(_)) if key.starts_with(keys::LIVE_JOB_PREFIX) => unreadable(key),
-            _ => None,
+    /// The index keeps a job for a while after its outcome. One that is done was the leader's already.
+    /// One that is cancelled may not have been, if the watch is late: its place in the index is the
+    /// leader's to remove all the same.
+    fn accepted_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
+        let outcome = self.context.view.final_outcome(&spec.job_id);
+        let spec = Box::new(spec);
+        let job = AcceptedJob { spec, revision };
+        match outcome {
+            Some(JobOutcome::Done) => None,
+            Some(JobOutcome::Cancelled) => Some(TermEvent::CancelledJobAccepted(job)),
+            Some(JobOutcome::Live) | None => Some(TermEvent::JobAccepted(job)),
         }
-    };
-    if let Some(e) = event {
-        let _ = shared.events.send(e);
     }
 }
 
 /// Nothing of such a job is on a machine: its record is new.
-fn unreadable(key: &str) -> Option<Event> {
-    log::error!("a record cannot be read and is left as it is key={key}");
+fn skip_unreadable(key: &str) -> Option<TermEvent> {
+    log::error!("unreadable record left unchanged key={key}");
     None
 }
-
-/// The index keeps a job for a while after its verdict. One that is done was the leader's already. One
-/// that is cancelled may not have been, if the watch is late: its place in the index is the leader's
-/// to remove all the same.
-fn indexed_job(shared: &Shared, term: Term, spec: JobSpec, revision: u64) -> Option<Event> {
-    match shared.view.final_answer(&spec.job_id) {
-        Some(JobOutcome::Done) => None,
-        Some(JobOutcome::Cancelled) => Some(Event::CancelledJob(term, Box::new(spec), revision)),
-        Some(JobOutcome::Live) | None => Some(Event::Job(term, Box::new(spec), revision)),
-    }
-}
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -1,61 +1,71 @@
 //! A node: its channels, its threads, and their end.
+//!
+//! This is the one place where the parts of a node are joined: the API is given its context, the core its
+//! channels, and each thread the ends that it serves.
 
+use crate::api::context::{ApiConfig, ApiContext, HeartbeatHandler};
 use crate::api::live_index::LiveIndex;
 use crate::api::server;
-use crate::api::status_queries;
+use crate::api::status_queries::QUERY_THREADS;
 use crate::common::metrics::TimerLag;
-use crate::common::rate_limit::{Bucket, SubmissionFairness};
-use crate::common::stop_signal::Stop;
-use crate::core::model::Term;
-use crate::core::persistence::write_batch::WriteBatch;
+use crate::common::rate_limit::{SubmissionFairness, TokenBucket};
+use crate::common::stop_signal::StopSignal;
+use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::net::agent;
 use crate::net::cloud::CloudClient;
 use crate::net::http_client::{HttpClient, HttpClientConfig};
 use crate::net::http_server;
 use crate::net::peer::Peer;
 use crate::net::store::{KvStore, StoreBudget};
-use crate::runtime::cloud_workers;
-use crate::runtime::control_watch;
-use crate::runtime::core_loop;
-use crate::runtime::elector::{self, ElectorEvent};
-use crate::runtime::events::{CloudOrder, CommandDelivery, Event, Outlets};
-use crate::runtime::job_lookups;
-use crate::runtime::node_view::NodeView;
-use crate::runtime::peer_duties;
-pub use crate::runtime::shared::{LatencyMeters, Shared};
-use crate::runtime::stall_detector::StallDetector;
-use crate::runtime::store_writer;
-use crate::runtime::worker_distribution::Workers;
+use crate::node::pause_detector::PauseDetector;
+use crate::node::transaction_limits::TransactionLimits;
+use crate::node::view::NodeView;
+use crate::runtime::context::{LatencyMeters, NodeContext};
+use crate::runtime::elector::ElectorEvent;
+use crate::runtime::events::{
+    ActionChannels, CloudOrder, CommandDelivery, Event, LeaderTransaction,
+};
+use crate::runtime::worker_distribution::WorkerDistribution;
+use crate::runtime::{
+    cloud_workers, command_sender, control_watch, core_loop, elector, peer_server,
+    peer_status_exchange, status_reads, store_writer,
+};
 use crate::settings::Settings;
 use crossbeam::channel::{bounded, Receiver};
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::thread::JoinHandle;
-use std::time::{Duration, Instant, SystemTime};
+use std::time::{Duration, Instant};
 
 /// Messages that wait in each channel, at most.
-const EVENTS_WAITING: usize = 512;
-const ELECTOR_EVENTS_WAITING: usize = 256;
-const COMMANDS_WAITING: usize = 64;
-const CLOUD_ORDERS_WAITING: usize = 32;
-/// One transaction of the leader is under way, and one look at the cloud asked for.
-const ONE: usize = 1;
+const EVENT_CAPACITY: usize = 512;
+const ELECTOR_EVENT_CAPACITY: usize = 256;
+const COMMAND_CAPACITY: usize = 64;
+const CLOUD_ORDER_CAPACITY: usize = 32;
+/// One transaction of the leader is under way.
+const TRANSACTION_CAPACITY: usize = 1;
+/// One read of the cloud is asked for.
+const CLOUD_WAKEUP_CAPACITY: usize = 1;
 
-/// Time for a connection to the state service.
-const STATE_CONNECT: Duration = Duration::from_millis(800);
+/// Time for a connection to the key-value store.
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Connections to it that are kept for the leader's own duties.
-const OWN_STATE_CONNECTIONS: usize = 8;
-/// Time for a connection to the cloud, and connections kept to it.
-const CLOUD_CONNECT: Duration = Duration::from_secs(2);
+const LEADER_STORE_CONNECTIONS: usize = 8;
+/// Time for a connection to the cloud.
+const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Connections kept to the cloud.
 const CLOUD_CONNECTIONS: usize = 2;
-/// The part of the cloud's rate that is used, and for how many seconds' worth of it a burst may last.
+/// The part of the cloud's rate that is used.
 const CLOUD_RATE_PART: f64 = 0.8;
-const CLOUD_BURST: f64 = 1.5;
+/// For how many seconds' worth of that rate a burst may last.
+const CLOUD_BURST_S: f64 = 1.5;
+/// How often `wait` checks for the end of the service.
+const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// A running node. Dropping it leaves the threads to the process; `stop` ends them in order.
 pub struct Service {
-    /// What its threads share.
-    pub shared: Arc<Shared>,
+    /// What the node's threads share.
+    pub context: Arc<NodeContext>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -63,200 +73,220 @@
 struct Queues {
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
-    batches: Receiver<(Term, WriteBatch)>,
+    transactions: Receiver<LeaderTransaction>,
     commands: Receiver<CommandDelivery>,
     cloud_orders: Receiver<CloudOrder>,
-    wake: Receiver<()>,
+    cloud_wakeup: Receiver<()>,
 }
 
-/// The threads of a node, by their names.
+/// The threads of a node.
 #[derive(Default)]
 struct Threads {
     handles: Vec<JoinHandle<()>>,
 }
 
 impl Threads {
-    fn spawn(&mut self, name: &str, duty: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
+    fn spawn(&mut self, name: &str, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
         let builder = std::thread::Builder::new().name(name.to_owned());
-        self.handles.push(builder.spawn(duty)?);
+        self.handles.push(builder.spawn(run)?);
         Ok(())
     }
 }
 
 impl Service {
-    /// Starts all threads. An error: a port cannot be had.
+    /// Starts all threads. An error says that a port or a thread cannot be had.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
-        let front_listener = http_server::bind(settings.http_bind)?;
+        let api_listener = http_server::bind(settings.http_bind)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
-        let (shared, outlets, queues) = connect(settings);
+        let (context, channels, queues) = connect(settings);
+        let api = Arc::new(api_context(&context));
         let mut threads = Threads::default();
-        start_core(&mut threads, &shared, outlets, &queues)?;
-        start_cloud(&mut threads, &shared, &queues)?;
-        start_leadership(&mut threads, &shared, &queues)?;
-        start_peers(&mut threads, &shared, peer_listener)?;
-        server::serve(&shared, front_listener, &mut |name, duty| {
-            threads.spawn(name, duty)
+        start_core(&mut threads, &context, channels, &queues)?;
+        start_cloud(&mut threads, &context, &queues)?;
+        start_leadership(&mut threads, &context, &queues)?;
+        start_peers(&mut threads, &context, &api, peer_listener)?;
+        let heartbeat_handler: Arc<dyn HeartbeatHandler> = context.clone();
+        server::serve(&api, &heartbeat_handler, api_listener, &mut |name, run| {
+            threads.spawn(name, run)
         })?;
         log::info!(
-            "serving member={} front={} peers={}",
-            shared.settings.member,
-            shared.settings.http_bind,
-            shared.settings.peers.len()
+            "serving member={} api={} peers={}",
+            context.settings.member,
+            context.settings.http_bind,
+            context.settings.peers.len()
         );
         let threads = threads.handles;
-        Ok(Service { shared, threads })
+        Ok(Service { context, threads })
     }
 
     /// Blocks until the service is stopped.
     pub fn wait(&self) {
-        while !self.shared.stop.wait(Duration::from_secs(3600)) {}
+        while !self.context.stop.wait(WAIT_INTERVAL) {}
     }
 
-    /// Ends the node's routines. Threads that wait in an accept end with the process.
+    /// Ends the node's threads. Those that wait for a connection end with the process.
     pub fn stop(self) {
-        self.shared.stop.stop();
-        for t in self.threads {
-            if t.is_finished() {
-                let _ = t.join();
+        self.context.stop.stop();
+        for thread in self.threads {
+            if thread.is_finished() {
+                let _ = thread.join();
             }
         }
     }
 }
 
 /// The channels of a node, and what its threads share.
-fn connect(settings: Settings) -> (Arc<Shared>, Outlets, Queues) {
-    let (events, event_queue) = bounded(EVENTS_WAITING);
-    let (elector_events, elector_queue) = bounded(ELECTOR_EVENTS_WAITING);
-    let (batches, batch_queue) = bounded(ONE);
-    let (commands, command_queue) = bounded(COMMANDS_WAITING);
-    let (cloud_orders, cloud_queue) = bounded(CLOUD_ORDERS_WAITING);
-    let (wake, wake_queue) = bounded(ONE);
-    let outlets = Outlets {
-        store: batches,
-        agents: commands,
-        cloud: cloud_orders,
+fn connect(settings: Settings) -> (Arc<NodeContext>, ActionChannels, Queues) {
+    let (events, event_queue) = bounded(EVENT_CAPACITY);
+    let (elector_events, elector_queue) = bounded(ELECTOR_EVENT_CAPACITY);
+    let (transactions, transaction_queue) = bounded(TRANSACTION_CAPACITY);
+    let (commands, command_queue) = bounded(COMMAND_CAPACITY);
+    let (cloud_orders, cloud_queue) = bounded(CLOUD_ORDER_CAPACITY);
+    let (cloud_wakeup, wakeup_queue) = bounded(CLOUD_WAKEUP_CAPACITY);
+    let channels = ActionChannels {
+        transactions,
+        commands,
+        cloud_orders,
         elector_events: elector_events.clone(),
     };
     let queues = Queues {
         events: event_queue,
         elector_events: elector_queue,
-        batches: batch_queue,
+        transactions: transaction_queue,
         commands: command_queue,
         cloud_orders: cloud_queue,
-        wake: wake_queue,
+        cloud_wakeup: wakeup_queue,
     };
-    let now = Instant::now();
+    let clocks = ClockReading::now();
     let meters = LatencyMeters::default();
     let seeds = settings.peers.iter();
-    let shared = Shared {
-        store: state_service(&settings, &meters, now),
-        cloud: cloud_client(&settings, &meters),
+    let peers = seeds.map(|seed| Arc::new(Peer::new(&seed.member, seed.address)));
+    let context = NodeContext {
+        store: Arc::new(connect_store(&settings, &meters, clocks.steady)),
+        cloud: connect_cloud(&settings, &meters),
         meters,
-        view: NodeView::new(now),
+        view: Arc::new(NodeView::new(clocks.steady)),
         events,
         elector_events,
-        peers: seeds
-            .map(|s| Arc::new(Peer::new(&s.member, s.address)))
-            .collect(),
-        stop: Stop::new(),
-        wake,
-        agent: agent::connection_pool(settings.socket_budget().workers),
-        workers: Workers::new(settings.config.heartbeat),
-        crowd: SubmissionFairness::default(),
-        live_index: LiveIndex::default(),
-        stall_detector: StallDetector::new(settings.max_clock_skew, now, SystemTime::now()),
+        cloud_wakeup,
+        peers: peers.collect(),
+        stop: StopSignal::new(),
+        agent_client: agent::connection_pool(settings.socket_budget().workers),
+        workers: WorkerDistribution::new(settings.config.heartbeat),
+        pause_detector: Arc::new(PauseDetector::new(settings.max_clock_skew, clocks)),
         timer_lag: TimerLag::default(),
+        transaction_limits: TransactionLimits::from(&settings),
         settings,
     };
-    (Arc::new(shared), outlets, queues)
+    (Arc::new(context), channels, queues)
 }
 
-fn state_service(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
-    let budgets = StoreBudget::new(settings.store_rates, settings.controller_count, now);
-    let budgets = budgets.with_reduced_rates(settings.next_store_rates);
+fn connect_store(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
+    let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
+        .with_reduced_rates(settings.next_store_rates);
     // One for each thread that asks for a user, and for the leader's own duties.
-    let users = settings.operations.api_threads + status_queries::QUESTION_THREADS;
-    let kept = users + OWN_STATE_CONNECTIONS;
+    let user_connections = settings.operations.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
-        connect_timeout: STATE_CONNECT,
-        idle_connections: kept,
+        connect_timeout: STORE_CONNECT_TIMEOUT,
+        idle_connections: user_connections + LEADER_STORE_CONNECTIONS,
     };
-    KvStore::new(HttpClient::new(config, meters.store.clone()), budgets)
+    KvStore::new(HttpClient::new(config, meters.store.clone()), budget)
 }
 
-fn cloud_client(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
+fn connect_cloud(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
     let config = HttpClientConfig {
         address: settings.cloud_address,
-        connect_timeout: CLOUD_CONNECT,
+        connect_timeout: CLOUD_CONNECT_TIMEOUT,
         idle_connections: CLOUD_CONNECTIONS,
     };
     CloudClient::new(HttpClient::new(config, meters.cloud.clone()))
 }
 
-/// The core, the writer of its transactions and the senders of its commands.
+/// The part of the node that the API uses.
+fn api_context(context: &Arc<NodeContext>) -> ApiContext {
+    ApiContext {
+        config: ApiConfig::from(&context.settings),
+        store: context.store.clone(),
+        view: context.view.clone(),
+        peers: context.peers.clone(),
+        stop: context.stop.clone(),
+        pause_detector: context.pause_detector.clone(),
+        cancellation_notifier: context.clone(),
+        fairness: SubmissionFairness::default(),
+        live_index: LiveIndex::default(),
+    }
+}
+
+/// The core, the writer of its transactions, the senders of its commands, and its status reads.
 fn start_core(
     threads: &mut Threads,
-    shared: &Arc<Shared>,
-    outlets: Outlets,
+    context: &Arc<NodeContext>,
+    channels: ActionChannels,
     queues: &Queues,
 ) -> std::io::Result<()> {
-    let (s, events) = (shared.clone(), queues.events.clone());
-    threads.spawn("core", move || core_loop::core_loop(&s, &events, &outlets))?;
-    let (s, batches) = (shared.clone(), queues.batches.clone());
-    threads.spawn("writer", move || store_writer::write_store(&s, &batches))?;
-    for _ in 0..shared.settings.operations.command_threads {
-        let (s, commands) = (shared.clone(), queues.commands.clone());
-        threads.spawn("agent", move || {
-            peer_duties::send_commands(&s, &s.agent, &commands)
+    let (node, events) = (context.clone(), queues.events.clone());
+    threads.spawn("core", move || core_loop::run(&node, &events, &channels))?;
+    let (node, transactions) = (context.clone(), queues.transactions.clone());
+    threads.spawn("store-writer", move || {
+        store_writer::run(&node, &transactions)
+    })?;
+    for _ in 0..context.settings.operations.command_threads {
+        let (node, commands) = (context.clone(), queues.commands.clone());
+        threads.spawn("command-sender", move || {
+            command_sender::run(&node, &commands)
         })?;
     }
-    let s = shared.clone();
-    threads.spawn("inquiries", move || job_lookups::ask_about_unrecorded(&s))
+    let node = context.clone();
+    threads.spawn("status-reads", move || status_reads::run_unrecorded(&node))
 }
 
-/// Rentals and returns, and the reader of the cloud's list, which share its rate.
+/// Scaling out and in, and the reads of the cloud, which share its rate.
 fn start_cloud(
     threads: &mut Threads,
-    shared: &Arc<Shared>,
+    context: &Arc<NodeContext>,
     queues: &Queues,
 ) -> std::io::Result<()> {
-    let rate = shared.settings.cloud_rate * CLOUD_RATE_PART;
-    let bucket = Arc::new(Bucket::new(rate, CLOUD_BURST, Instant::now()));
-    let (s, b, orders) = (shared.clone(), bucket.clone(), queues.cloud_orders.clone());
-    threads.spawn("cloud", move || {
-        cloud_workers::cloud_worker(&s, &b, &orders)
+    let rate = context.settings.cloud_rate * CLOUD_RATE_PART;
+    let rate = Arc::new(TokenBucket::new(rate, CLOUD_BURST_S, Instant::now()));
+    let (node, orders) = (context.clone(), queues.cloud_orders.clone());
+    let order_rate = rate.clone();
+    threads.spawn("cloud-orders", move || {
+        cloud_workers::carry_out_orders(&node, &order_rate, &orders)
     })?;
-    let (s, wake) = (shared.clone(), queues.wake.clone());
-    threads.spawn("cloud", move || {
-        cloud_workers::cloud_reader(&s, &bucket, &wake)
+    let (node, wakeup) = (context.clone(), queues.cloud_wakeup.clone());
+    threads.spawn("cloud-reader", move || {
+        cloud_workers::read_cloud(&node, &rate, &wakeup)
     })
 }
 
 /// The watch of the control keys, and the elector.
 fn start_leadership(
     threads: &mut Threads,
-    shared: &Arc<Shared>,
+    context: &Arc<NodeContext>,
     queues: &Queues,
 ) -> std::io::Result<()> {
-    let s = shared.clone();
-    threads.spawn("watch", move || {
-        control_watch::watch_control(&s, &s.elector_events)
-    })?;
-    let (s, events) = (shared.clone(), queues.elector_events.clone());
-    threads.spawn("elector", move || elector::elect(&s, &events))
+    let node = context.clone();
+    threads.spawn("control-watch", move || control_watch::run(&node))?;
+    let (node, events) = (context.clone(), queues.elector_events.clone());
+    threads.spawn("elector", move || elector::run(&node, &events))
 }
 
-/// What the nodes tell each other.
+/// The exchange of status with each peer, and the server for their frames.
 fn start_peers(
     threads: &mut Threads,
-    shared: &Arc<Shared>,
+    context: &Arc<NodeContext>,
+    api: &Arc<ApiContext>,
     listener: TcpListener,
 ) -> std::io::Result<()> {
-    for peer in shared.peers.clone() {
-        let s = shared.clone();
-        threads.spawn("announce", move || peer_duties::announce(&s, &peer))?;
+    for peer in context.peers.clone() {
+        let node = context.clone();
+        threads.spawn("peer-status", move || {
+            peer_status_exchange::run(&node, &peer)
+        })?;
     }
-    let s = shared.clone();
-    threads.spawn("peers", move || peer_duties::listen_peers(&s, &listener))
+    let (node, api) = (context.clone(), api.clone());
+    threads.spawn("peer-server", move || {
+        peer_server::run(&node, &api, &listener)
+    })
 }
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -1,80 +1,93 @@
-//! The leader's transactions, one at a time.
+//! Writes the leader's transactions, one at a time.
+//!
+//! Each transaction is conditional on the leader key, so one that was delayed past the end of its term
+//! fails wherever it lingers. A transaction whose outcome is unknown is reported as such, never as failed.
 
 use crate::common::rate_limit::RequestClass;
-use crate::core::model::Term;
 use crate::core::persistence::keys;
 use crate::core::persistence::records::{JobOutcome, RecordValue};
 use crate::core::persistence::write_batch::{ConflictingKey, WriteBatch, WriteOp, WriteOutcome};
 use crate::net::store::{StoreError, TransactionOutcome};
 use crate::net::wire::StoredOutcome;
-use crate::runtime::events::Event;
-use crate::runtime::service::Shared;
+use crate::runtime::context::NodeContext;
+use crate::runtime::events::{LeaderTransaction, TermEvent};
 use crossbeam::channel::Receiver;
 use serde::de::IgnoredAny;
 use std::time::Duration;
 
-/// Writes the leader's transactions, one at a time, and reads back what a failed one met.
-pub fn write_store(shared: &Shared, batches: &Receiver<(Term, WriteBatch)>) {
-    while let Ok((term, batch)) = batches.recv() {
-        let limit = Duration::from_millis(2000);
-        let outcome = match shared.store.commit(&batch, limit) {
-            Ok(TransactionOutcome::Applied { revision }) => WriteOutcome::Applied { revision },
-            Ok(TransactionOutcome::Failed { keys }) => read_failed(shared, keys),
-            Err(StoreError::Rejected) => WriteOutcome::Refused,
-            Err(e) => {
-                log::debug!("write not confirmed why=\"{e}\" ops={}", batch.ops.len());
-                WriteOutcome::Unknown
-            }
-        };
+/// How long a transaction may take.
+const WRITE_LIMIT: Duration = Duration::from_millis(2000);
+/// How long reading one key back may take.
+const READ_LIMIT: Duration = Duration::from_millis(1500);
+
+/// Writes transactions until the queue ends.
+pub(super) fn run(context: &NodeContext, queue: &Receiver<LeaderTransaction>) {
+    while let Ok(LeaderTransaction { term, batch }) = queue.recv() {
+        let outcome = write(context, &batch);
         if matches!(outcome, WriteOutcome::Applied { .. }) {
-            remember_done(shared, &batch);
+            remember_done(context, &batch);
         }
-        if shared.events.send(Event::Written(term, outcome)).is_err() {
+        let event = TermEvent::TransactionEnded(outcome);
+        if context.events.send(event.in_term(term)).is_err() {
             return;
         }
     }
 }
 
-/// Users may be told of these at once. A cancellation has to be confirmed first.
-fn remember_done(shared: &Shared, batch: &WriteBatch) {
+fn write(context: &NodeContext, batch: &WriteBatch) -> WriteOutcome {
+    match context.store.commit(batch, WRITE_LIMIT) {
+        Ok(TransactionOutcome::Applied { revision }) => WriteOutcome::Applied { revision },
+        Ok(TransactionOutcome::Failed { keys }) => read_back(context, keys),
+        Err(StoreError::Rejected) => WriteOutcome::Refused,
+        Err(e) => {
+            let operations = batch.ops.len();
+            log::debug!("write not confirmed error=\"{e}\" operations={operations}");
+            WriteOutcome::Unknown
+        }
+    }
+}
+
+/// Remembers the jobs that are done, of which users may be told at once. A cancellation has to be
+/// confirmed first.
+fn remember_done(context: &NodeContext, batch: &WriteBatch) {
     for op in &batch.ops {
         let WriteOp::Put(key, RecordValue::JobOutcome(JobOutcome::Done)) = op else {
             continue;
         };
         if let Some(job_id) = keys::parse_outcome_key(key) {
-            shared.view.remember_final(&job_id, JobOutcome::Done);
+            context.view.remember_outcome(&job_id, JobOutcome::Done);
         }
     }
 }
 
-fn read_failed(shared: &Shared, keys: Vec<String>) -> WriteOutcome {
-    let limit = Duration::from_millis(1500);
+/// Reads the keys on which a transaction failed, so that the core sees what it met there.
+fn read_back(context: &NodeContext, keys: Vec<String>) -> WriteOutcome {
     let mut conflicts = Vec::new();
     for key in keys {
-        let entry = if key.starts_with(keys::OUTCOME_PREFIX) {
-            shared
-                .store
-                .get::<StoredOutcome>(&key, RequestClass::Leader, limit)
-                .map(|e| e.map(|e| (e.revision, JobOutcome::try_from(&e.value).ok())))
-        } else {
-            shared
-                .store
-                .get::<IgnoredAny>(&key, RequestClass::Leader, limit)
-                .map(|e| e.map(|e| (e.revision, None)))
-        };
-        match entry {
-            Ok(Some((revision, outcome))) => conflicts.push(ConflictingKey {
-                key,
-                revision,
-                outcome,
-            }),
-            Ok(None) => conflicts.push(ConflictingKey {
-                key,
-                revision: 0,
-                outcome: None,
-            }),
+        match read_key(context, key) {
+            Ok(conflict) => conflicts.push(conflict),
             Err(_) => return WriteOutcome::Unknown,
         }
     }
     WriteOutcome::Failed { conflicts }
 }
+
+/// A key's revision, 0 if it is absent, and the outcome that it holds if it is a job's.
+fn read_key(context: &NodeContext, key: String) -> Result<ConflictingKey, StoreError> {
+    let store = &context.store;
+    let class = RequestClass::Leader;
+    let (revision, outcome) = if key.starts_with(keys::OUTCOME_PREFIX) {
+        let entry = store.get::<StoredOutcome>(&key, class, READ_LIMIT)?;
+        entry.map_or((0, None), |e| {
+            (e.revision, JobOutcome::try_from(&e.value).ok())
+        })
+    } else {
+        let entry = store.get::<IgnoredAny>(&key, class, READ_LIMIT)?;
+        (entry.map_or(0, |e| e.revision), None)
+    };
+    Ok(ConflictingKey {
+        key,
+        revision,
+        outcome,
+    })
+}
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -1,128 +1,165 @@
-//! Which workers report to this node, and which of them should report to another.
+//! Which workers send their heartbeats to this node, and which of them are redirected to another.
 //!
-//! Reading and answering reports is most of the nodes' work, so the workers are spread: a follower
-//! takes its part, and the leader, which also places and writes, takes less.
+//! Reading and answering heartbeats is most of the nodes' work, so the workers are spread: a follower
+//! takes its part, and the leader, which also places and writes, takes less. Workers are redirected one
+//! by one, and none twice within a minute, so that the nodes do not pass them to and fro.
 
+use crate::node::peer_table::LivePeer;
 use std::collections::HashMap;
 use std::net::IpAddr;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A worker that comes back within this time of being sent away could not reach the other node.
-const MEMORY: Duration = Duration::from_secs(60);
-/// At most one worker is sent away in this time: the peers' counts are a second old.
-const PACE: Duration = Duration::from_millis(60);
-/// How much beyond its part a node may have.
-const EXCESS: f64 = 1.2;
-const EXCESS_MIN: f64 = 6.0;
-/// The parts of a follower and of the leader.
-const FOLLOWER_PART: f64 = 4.0;
-const LEADER_PART: f64 = 1.0;
+/// A worker that comes back within this time of being redirected could not reach the other node.
+const REDIRECT_MEMORY: Duration = Duration::from_secs(60);
+/// At most one worker is redirected in this time: the peers' counts are a second old.
+const REDIRECT_INTERVAL: Duration = Duration::from_millis(60);
+/// Workers are forgotten after as many heartbeat intervals without one.
+const FRESH_HEARTBEATS: f64 = 2.5;
+/// How often workers and redirections that are too old are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// A node redirects workers beyond its part times this,
+const EXCESS_FACTOR: f64 = 1.2;
+/// and this many more.
+const EXCESS_WORKERS: f64 = 6.0;
+/// The weight of a follower's part.
+const FOLLOWER_WEIGHT: f64 = 4.0;
+/// The weight of the leader's part.
+const LEADER_WEIGHT: f64 = 1.0;
+
+/// The nodes among which workers are spread, as one of them sees them.
+pub struct Neighbours<'a> {
+    /// This node.
+    pub own: &'a str,
+    /// The leader, which may be this node.
+    pub leader: &'a str,
+    /// The live peers.
+    pub peers: &'a [LivePeer],
+}
+
+impl Neighbours<'_> {
+    fn weight(&self, member: &str) -> f64 {
+        if member == self.leader {
+            LEADER_WEIGHT
+        } else {
+            FOLLOWER_WEIGHT
+        }
+    }
+}
 
 #[derive(Default)]
-struct Inner {
-    seen: HashMap<IpAddr, Instant>,
-    sent_away: HashMap<IpAddr, Instant>,
-    last: Option<Instant>,
-    swept: Option<Instant>,
+struct State {
+    last_heartbeats: HashMap<IpAddr, Instant>,
+    redirected: HashMap<IpAddr, Instant>,
+    last_redirect: Option<Instant>,
+    last_sweep: Option<Instant>,
+}
+
+impl State {
+    fn sweep(&mut self, fresh: Duration, now: Instant) {
+        let swept_recently = |at: Instant| now.saturating_duration_since(at) < SWEEP_INTERVAL;
+        if self.last_sweep.is_some_and(swept_recently) {
+            return;
+        }
+        self.last_sweep = Some(now);
+        self.remove_silent(fresh, now);
+        self.redirected
+            .retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_MEMORY);
+    }
+
+    fn remove_silent(&mut self, fresh: Duration, now: Instant) {
+        self.last_heartbeats
+            .retain(|_, at| now.saturating_duration_since(*at) < fresh);
+    }
 }
 
-/// The workers that report to this node, by their addresses.
-pub struct Workers {
-    heartbeat: Duration,
-    inner: Mutex<Inner>,
+/// The workers that send their heartbeats to this node, by their addresses.
+pub struct WorkerDistribution {
+    heartbeat_interval: Duration,
+    state: Mutex<State>,
 }
 
-impl Workers {
-    /// Workers that report this often.
-    pub fn new(heartbeat: Duration) -> Workers {
-        Workers {
-            heartbeat,
-            inner: Mutex::default(),
+impl WorkerDistribution {
+    /// No workers yet. Each sends a heartbeat this often.
+    pub fn new(heartbeat_interval: Duration) -> WorkerDistribution {
+        WorkerDistribution {
+            heartbeat_interval,
+            state: Mutex::default(),
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A report came from this address.
-    pub fn saw(&self, ip: IpAddr, now: Instant) {
-        self.lock().seen.insert(ip, now);
+    fn fresh(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(FRESH_HEARTBEATS)
     }
 
-    /// The worker at this address will report elsewhere.
-    pub fn lost(&self, ip: IpAddr) {
-        self.lock().seen.remove(&ip);
+    /// Records a heartbeat from this address.
+    pub fn record(&self, from: IpAddr, now: Instant) {
+        self.lock().last_heartbeats.insert(from, now);
     }
 
-    /// Whether any worker reports here.
+    /// Forgets the worker at this address, which goes to another node.
+    pub fn forget(&self, from: IpAddr) {
+        self.lock().last_heartbeats.remove(&from);
+    }
+
+    /// Whether any worker sends its heartbeats here.
     pub fn any(&self, now: Instant) -> bool {
         self.count(now) > 0
     }
 
-    /// How many workers report here.
+    /// How many workers send their heartbeats here.
     pub fn count(&self, now: Instant) -> u32 {
-        let mut i = self.lock();
-        let fresh = self.heartbeat.mul_f64(2.5);
-        i.seen
-            .retain(|_, t| now.saturating_duration_since(*t) < fresh);
-        i.seen.len() as u32
+        let mut state = self.lock();
+        state.remove_silent(self.fresh(), now);
+        state.last_heartbeats.len() as u32
     }
 
-    /// The node that this worker should report to instead, if any. `own` is this node's name and its
-    /// leader's, when it does not lead itself; `peers` are those heard of late, with their counts.
-    pub fn elsewhere(
+    /// The node to which the worker at this address is redirected, if it is.
+    pub fn redirect_target(
         &self,
-        ip: IpAddr,
-        own: (&str, Option<&str>),
-        peers: &[(String, u32)],
+        from: IpAddr,
+        neighbours: &Neighbours<'_>,
         now: Instant,
     ) -> Option<String> {
-        if peers.is_empty() {
-            return None;
-        }
-        let leader = own.1.unwrap_or(own.0);
-        let part = |member: &str| {
-            if member == leader {
-                LEADER_PART
-            } else {
-                FOLLOWER_PART
-            }
-        };
-        let mut i = self.lock();
-        if i.last
-            .is_some_and(|t| now.saturating_duration_since(t) < PACE)
-        {
+        if neighbours.peers.is_empty() {
             return None;
         }
-        let fresh = self.heartbeat.mul_f64(2.5);
-        if i.swept
-            .is_none_or(|t| now.saturating_duration_since(t) >= Duration::from_secs(1))
-        {
-            i.swept = Some(now);
-            i.seen
-                .retain(|_, t| now.saturating_duration_since(*t) < fresh);
-            i.sent_away
-                .retain(|_, t| now.saturating_duration_since(*t) < MEMORY);
-        }
-        let here = i.seen.len() as f64;
-        let all = here + peers.iter().map(|p| f64::from(p.1)).sum::<f64>();
-        let parts = part(own.0) + peers.iter().map(|p| part(&p.0)).sum::<f64>();
-        let due = |member: &str| all * part(member) / parts;
-        if here <= due(own.0) * EXCESS + EXCESS_MIN || i.sent_away.contains_key(&ip) {
+        let mut state = self.lock();
+        let just_redirected = |at: Instant| now.saturating_duration_since(at) < REDIRECT_INTERVAL;
+        if state.last_redirect.is_some_and(just_redirected) {
             return None;
         }
-        let (to, there) = peers
-            .iter()
-            .map(|(m, n)| (m, f64::from(*n) - due(m)))
-            .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        if there >= 0.0 {
+        state.sweep(self.fresh(), now);
+        if state.redirected.contains_key(&from) {
             return None;
         }
-        i.last = Some(now);
-        i.seen.remove(&ip);
-        i.sent_away.insert(ip, now);
-        Some(to.clone())
+        let target = node_below_its_part(neighbours, state.last_heartbeats.len())?;
+        state.last_redirect = Some(now);
+        state.last_heartbeats.remove(&from);
+        state.redirected.insert(from, now);
+        Some(target.to_owned())
+    }
+}
+
+/// The peer that lacks most to its part, if this node has too many workers and a peer too few.
+fn node_below_its_part<'a>(neighbours: &Neighbours<'a>, own_workers: usize) -> Option<&'a str> {
+    let own_workers = own_workers as f64;
+    let peers = neighbours.peers;
+    let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
+    let peer_weights = peers.iter().map(|p| neighbours.weight(&p.member));
+    let weights = neighbours.weight(neighbours.own) + peer_weights.sum::<f64>();
+    let part_of = |member: &str| workers * neighbours.weight(member) / weights;
+    if own_workers <= part_of(neighbours.own) * EXCESS_FACTOR + EXCESS_WORKERS {
+        return None;
     }
+    let excess = |peer: &LivePeer| f64::from(peer.workers) - part_of(&peer.member);
+    let (member, excess) = peers
+        .iter()
+        .map(|peer| (&peer.member, excess(peer)))
+        .min_by(|a, b| a.1.total_cmp(&b.1))?;
+    (excess < 0.0).then_some(member.as_str())
 }
--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -269,7 +269,7 @@
             nodes.push(cluster.start_with(1, small));
             until("they know each other", || {
                 let knows = |n: &cypressgap::runtime::service::Service| {
-                    n.shared.peers.iter().all(|p| p.supports(3))
+                    n.context.peers.iter().all(|p| p.supports(3))
                 };
                 nodes.iter().all(knows).then_some(())
             });
--- a/tests/end_to_end/failover.rs
+++ b/tests/end_to_end/failover.rs
@@ -3,7 +3,7 @@
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
 use cypressgap::common::rate_limit::RequestClass;
-use cypressgap::common::stop_signal::Stop;
+use cypressgap::common::stop_signal::StopSignal;
 use cypressgap::net::store::ListOptions;
 use cypressgap::runtime::service::Service;
 use std::sync::atomic::Ordering;
@@ -77,7 +77,7 @@
     let second = cluster.start(1);
     until("it leads", || leads(&second));
     let since = Instant::now();
-    until("it has loaded", || second.shared.view.read().loaded);
+    until("it has loaded", || second.context.view.read().loaded_term);
     assert!(
         since.elapsed() < Duration::from_secs(12),
         "{:?}",
@@ -125,8 +125,8 @@
         "it waited for that"
     );
     // A page that cannot be read is asked for until the service is back.
-    let store = &node.shared.store;
-    let (limit, stop) = (Duration::from_secs(4), Stop::new());
+    let store = &node.context.store;
+    let (limit, stop) = (Duration::from_secs(4), StopSignal::new());
     let options = |retry_for| ListOptions {
         class: RequestClass::User,
         page_timeout: limit,
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -3,7 +3,7 @@
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
 use cypressgap::core::model::FencingToken;
-use cypressgap::runtime::node_view::RoleView;
+use cypressgap::node::view::RoleView;
 use cypressgap::runtime::service::Service;
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     cluster.cloud_listing.lock().expect("the list").push(listed);
     submit(cluster.members[0].1, "wk-000005", 2);
     until("started", || (worker.running() == 2).then_some(()));
-    let heartbeats = nodes[old].shared.workers.any(Instant::now());
+    let heartbeats = nodes[old].context.workers.any(Instant::now());
     assert!(heartbeats, "the worker reports to the leader");
     let term = leads(&nodes[old]).expect("its term");
     let (cut_off, other) = (cluster.members[old].1, cluster.members[1 - old].1);
@@ -109,7 +109,7 @@
     let old = until("one leads", || nodes.iter().position(leader));
     let (follower, third) = ((old + 1) % 3, (old + 2) % 3);
     let knows = |n: usize| {
-        let role = nodes[n].shared.view.read().role.clone();
+        let role = nodes[n].context.view.read().role.clone();
         matches!(role, RoleView::Follower(Some(_))).then_some(())
     };
     until("the follower knows it", || knows(follower));
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -200,7 +200,7 @@
     let old = nodes.iter().position(leading).expect("one leads");
     // The peers have come to know each other's frames, and words go on from words.
     until("a watermark that peers keep", || {
-        let known = |n: &Service| n.shared.peers.iter().all(|p| p.supports(2));
+        let known = |n: &Service| n.context.peers.iter().all(|p| p.supports(2));
         nodes.iter().flatten().all(known).then_some(())
     });
     std::thread::sleep(Duration::from_secs(7));
--- a/tests/fakes/test_cluster.rs
+++ b/tests/fakes/test_cluster.rs
@@ -4,7 +4,7 @@
 
 use super::{call, free_port, map, start_cloud, text, CloudListing, FakeStore, Link, Value};
 use cypressgap::core::model::Term;
-use cypressgap::runtime::node_view::RoleView;
+use cypressgap::node::view::RoleView;
 use cypressgap::runtime::service::Service;
 use cypressgap::settings::Settings;
 use std::net::SocketAddr;
@@ -178,7 +178,7 @@
 
 /// The term in which a node leads.
 pub fn leads(s: &Service) -> Option<Term> {
-    match s.shared.view.read().role {
+    match s.context.view.read().role {
         RoleView::Leader(t) => Some(t),
         RoleView::Follower(_) => None,
     }
--- a/tests/http_server.rs
+++ b/tests/http_server.rs
@@ -2,7 +2,7 @@
 //!
 //! Waits end on what is observed; their limits are far beyond what any machine needs.
 
-use cypressgap::common::stop_signal::Stop;
+use cypressgap::common::stop_signal::StopSignal;
 use cypressgap::net::http_server::{self, Limits, Request};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,14 +16,14 @@
 
 struct Serving {
     address: SocketAddr,
-    stop: Stop,
+    stop: StopSignal,
 }
 
 /// Answers each request with its body, or with what `answer` does.
 fn serve(answer: impl Fn(Request) + Send + 'static) -> Serving {
     let listener = http_server::bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let address = listener.local_addr().expect("its address");
-    let stop = Stop::new();
+    let stop = StopSignal::new();
     let s = stop.clone();
     std::thread::spawn(move || {
         let take = |requests: Vec<Request>| requests.into_iter().for_each(&answer);
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -7,7 +7,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
-use cypressgap::runtime::node_view::NodeView;
+use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant, SystemTime};
 
 #[test]
@@ -273,7 +273,7 @@
     let job_id = |n: u32| JobId::from(format!("wk-{n:06}").as_str());
     let learn = |from: u32, to: u32| {
         for n in from..to {
-            v.remember_final(&job_id(n), JobOutcome::Cancelled);
+            v.remember_outcome(&job_id(n), JobOutcome::Cancelled);
         }
     };
     learn(0, 3);
@@ -282,7 +282,7 @@
     assert_eq!((first.continues, first.job_ids.len()), (false, 0));
     assert!(!first.more);
     learn(0, 5);
-    v.remember_final(&job_id(900), JobOutcome::Done);
+    v.remember_outcome(&job_id(900), JobOutcome::Done);
     let page = v.cancellations(Some((first.incarnation, first.next)));
     assert_eq!(
         page.job_ids,
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -1,11 +1,12 @@
 //! Leadership: election, the leader lease, and what a leader does that may have been replaced.
 
 use crate::common::*;
+use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::leadership::election::{LeaderRecord, Leadership, Role, Step};
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
-use cypressgap::runtime::node_view::{NodeView, RoleView};
-use std::time::{Instant, SystemTime};
+use cypressgap::node::view::{NodeView, RoleView};
+use std::time::Instant;
 
 #[test]
 fn leader_election_cases() {
@@ -72,21 +73,24 @@
 
 #[test]
 fn a_leader_lease_holds_only_while_both_clocks_agree() {
-    let (start, day) = (Instant::now(), SystemTime::now());
+    let start = ClockReading::now();
     // Seconds passed by each clock.
     let cases = [(1, 1, true), (4, 4, false), (1, 40, false), (40, 1, false)];
     for (steady, by_day, leads) in cases {
-        let view = NodeView::new(start);
-        view.write().role = RoleView::Leader(TERM);
-        assert!(!view.holds_leader_lease(TERM, start, day), "never renewed");
-        view.lease_lasts((start, day), secs(3));
-        let (now, today) = (start + secs(steady), day + secs(by_day));
+        let view = NodeView::new(start.steady);
+        view.set_leadership(RoleView::Leader(TERM), None, TERM);
+        assert!(!view.holds_leader_lease(TERM, start), "never renewed");
+        view.set_lease(start, secs(3));
+        let now = ClockReading {
+            steady: start.steady + secs(steady),
+            day: start.day + secs(by_day),
+        };
         assert_eq!(
-            view.holds_leader_lease(TERM, now, today),
+            view.holds_leader_lease(TERM, now),
             leads,
             "{steady} {by_day}"
         );
-        assert!(!view.holds_leader_lease(Term(9), now, today));
+        assert!(!view.holds_leader_lease(Term(9), now));
     }
 }
 
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -3,7 +3,8 @@
 use crate::common::*;
 use cypressgap::common::metrics::LatencyMeter;
 use cypressgap::common::rate_limit::Demand;
-use cypressgap::runtime::node_view::{NodeView, PeerStatus};
+use cypressgap::node::peer_table::PeerStatus;
+use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -22,23 +23,23 @@
         let start = Instant::now();
         let now = start + secs(100);
         let view = NodeView::new(start);
-        view.store_answered(true, start);
+        view.record_store_call(true, start);
         if let Some(s) = failing {
-            view.store_answered(false, now - secs(s));
+            view.record_store_call(false, now - secs(s));
         }
         if let Some((ok, ago)) = peer {
             let word = PeerStatus {
-                at: now - secs(ago),
+                received_at: now - secs(ago),
                 store_ok: ok,
                 workers: 0,
                 demand: Demand::default(),
                 timer_lag: secs(0),
             };
-            view.peer_said("worker-1", word);
+            view.record_peer("worker-1", word);
         }
-        assert_eq!(view.healthy(true, now), healthy, "{name}");
+        assert_eq!(view.is_healthy(true, now), healthy, "{name}");
         if peer.is_none() {
-            assert!(view.healthy(false, now), "{name}, and there are none");
+            assert!(view.is_healthy(false, now), "{name}, and there are none");
         }
     }
 }
@@ -53,7 +54,7 @@
     assert_eq!(n, 100);
     assert!((49.0..52.0).contains(&p50) && (94.0..97.0).contains(&p95));
     assert_eq!(
-        m.facts("calls"),
+        m.take_fields("calls"),
         "calls=0 calls_ms_p50=0.0 calls_ms_p95=0.0"
     );
 }
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -1,10 +1,11 @@
 //! Pauses of the leader's process: they are detected, and the time of a pause counts against no machine.
 
 use crate::common::*;
+use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
 use cypressgap::core::state::cluster_state::KillRequest;
-use cypressgap::runtime::stall_detector::StallDetector;
-use std::time::{Duration, Instant, SystemTime};
+use cypressgap::node::pause_detector::PauseDetector;
+use std::time::Duration;
 
 /// Guards against a process that stood still and takes its own silence for the machines'.
 #[test]
@@ -43,32 +44,26 @@
         ("the time of day was set back", 0.5, -60.0, true),
     ];
     for (name, steady, day, stood) in cases {
-        let start = (Instant::now(), SystemTime::now());
-        let stall_detector = StallDetector::new(Duration::from_millis(100), start.0, start.1);
-        let now = start.0 + Duration::from_secs_f64(steady);
+        let start = ClockReading::now();
+        let detector = PauseDetector::new(Duration::from_millis(100), start);
         let moved = Duration::from_secs_f64(day.abs());
-        let today = if day < 0.0 {
-            start.1 - moved
-        } else {
-            start.1 + moved
+        let now = ClockReading {
+            steady: start.steady + Duration::from_secs_f64(steady),
+            day: if day < 0.0 {
+                start.day - moved
+            } else {
+                start.day + moved
+            },
+        };
+        assert_eq!(detector.just_resumed(now), stood, "{name}");
+        assert_eq!(detector.check(now), stood.then_some(now.steady), "{name}");
+        let later = ClockReading {
+            steady: now.steady + secs(1),
+            day: now.day + secs(1),
         };
-        assert_eq!(stall_detector.waking(now, today), stood, "{name}");
-        assert_eq!(
-            stall_detector.look(now, today),
-            stood.then_some(now),
-            "{name}"
-        );
-        let later = now + secs(1);
-        assert!(
-            !stall_detector.waking(later, today + secs(1)),
-            "{name}, a second later"
-        );
+        assert!(!detector.just_resumed(later), "{name}, a second later");
         // A thread that read its clock before another one looked changes nothing.
-        assert_eq!(
-            stall_detector.look(start.0, start.1).is_some(),
-            stood,
-            "{name}"
-        );
+        assert_eq!(detector.check(start).is_some(), stood, "{name}");
     }
 }
 
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -1,7 +1,9 @@
 //! Rate limits of the key-value store, and how nodes, teams and kinds of requests share them.
 
 use crate::common::*;
-use cypressgap::common::rate_limit::{shares, Bucket, Demand, RequestClass, SubmissionFairness};
+use cypressgap::common::rate_limit::{
+    shares, Demand, RequestClass, SubmissionFairness, TokenBucket,
+};
 use cypressgap::net::store::StoreBudget;
 use cypressgap::settings::StoreRates;
 use std::time::{Duration, Instant};
@@ -40,7 +42,7 @@
     assert!((80..=100).contains(&requests), "{requests}");
     assert!((30..=40).contains(&changes), "{changes}");
     // More than a bucket holds goes through when it is full, and is paid back.
-    let b = Bucket::new(10.0, 1.0, now);
+    let b = TokenBucket::new(10.0, 1.0, now);
     assert!(b.take_at(25.0, now));
     assert!(!b.take_at(1.0, now + secs(1)));
     assert!(b.take_at(1.0, now + secs(2)));
--- a/tests/scheduler/worker_distribution.rs
+++ b/tests/scheduler/worker_distribution.rs
@@ -1,7 +1,8 @@
 //! How workers are distributed over the nodes that take their heartbeats.
 
 use crate::common::*;
-use cypressgap::runtime::worker_distribution::Workers;
+use cypressgap::node::peer_table::LivePeer;
+use cypressgap::runtime::worker_distribution::{Neighbours, WorkerDistribution};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
@@ -31,28 +32,38 @@
         ("few in all", 6, Some("b"), [0, 0], None),
     ];
     for (name, here, leader, there, expected) in cases {
-        let w = Workers::new(secs(3));
+        let w = WorkerDistribution::new(secs(3));
         for n in 0..here {
-            w.saw(ip(n), start);
+            w.record(ip(n), start);
         }
-        let peers = [("b".to_owned(), there[0]), ("c".to_owned(), there[1])];
-        let to = w.elsewhere(ip(0), ("a", leader), &peers, start);
+        let live = |member: &str, workers| LivePeer {
+            member: member.to_owned(),
+            workers,
+        };
+        let peers = [live("b", there[0]), live("c", there[1])];
+        let neighbours = Neighbours {
+            own: "a",
+            leader: leader.unwrap_or("a"),
+            peers: &peers,
+        };
+        let to = w.redirect_target(ip(0), &neighbours, start);
         assert_eq!(to.as_deref(), expected, "{name}");
         // Back at once: it could not reach the other. Another one goes in its place.
         let soon = start + secs(1);
-        w.saw(ip(0), soon);
+        w.record(ip(0), soon);
+        assert_eq!(w.redirect_target(ip(0), &neighbours, soon), None, "{name}");
         assert_eq!(
-            w.elsewhere(ip(0), ("a", leader), &peers, soon),
-            None,
-            "{name}"
-        );
-        assert_eq!(
-            w.elsewhere(ip(1), ("a", leader), &peers, soon).is_some(),
+            w.redirect_target(ip(1), &neighbours, soon).is_some(),
             to.is_some()
         );
     }
-    let w = Workers::new(secs(3));
-    w.saw(ip(1), start);
-    assert_eq!(w.elsewhere(ip(1), ("a", None), &[], start), None, "no peer");
+    let w = WorkerDistribution::new(secs(3));
+    w.record(ip(1), start);
+    let alone = Neighbours {
+        own: "a",
+        leader: "a",
+        peers: &[],
+    };
+    assert_eq!(w.redirect_target(ip(1), &alone, start), None, "no peer");
     assert_eq!(w.count(start + secs(60)), 0, "gone since");
 }
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -4,7 +4,7 @@
 use crate::values::*;
 use cypressgap::common::metrics::LatencyMeter;
 use cypressgap::common::rate_limit::RequestClass;
-use cypressgap::common::stop_signal::Stop;
+use cypressgap::common::stop_signal::StopSignal;
 use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::job_status_reads::Records;
@@ -201,7 +201,7 @@
         assert_eq!(outcome, Ok(Some(cancelled)));
     }),
     ("verdicts", &[200], |s| {
-        let stop = Stop::new();
+        let stop = StopSignal::new();
         let page = BudgetedReader::new(s, &stop, ReadPurpose::StatusQuery, Instant::now() + LIMIT)
             .outcomes("j/wk-0");
         let expected = vec![("j/wk-000412".to_owned(), JobOutcome::Done)];
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::golden::{read, Golden};
 use crate::values::*;
-use cypressgap::api::server;
+use cypressgap::api::responses::ApiResponse;
 use cypressgap::core::model::*;
 use cypressgap::net::agent;
 use cypressgap::net::peer::{read_frame, write_frame, HelloExtension, PeerRequest, PeerResponse};
@@ -95,7 +95,7 @@
     let written = [
         ("state", state(Some(5), Some(16))),
         ("state without counts", state(None, None)),
-        ("problem", server::problem(404, "no such job").1),
+        ("problem", ApiResponse::problem(404, "no such job").body),
         (
             "heartbeat answer",
             encode(&HeartbeatResponse {
