--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -23,12 +23,12 @@
 }
 
 fn paced(fleet: f64, segment: f64) -> SchedulerConfig {
-    let mut p = tight_config();
-    p.lease = secs(LEASE);
-    p.recovery.orders_per_second = Some(fleet);
-    p.recovery.segment_orders_per_second = Some(segment);
-    p.recovery.prefixes.v4 = 28;
-    p
+    let mut scheduler_config = tight_config();
+    scheduler_config.lease = secs(LEASE);
+    scheduler_config.recovery.orders_per_second = Some(fleet);
+    scheduler_config.recovery.segment_orders_per_second = Some(segment);
+    scheduler_config.recovery.prefixes.v4 = 28;
+    scheduler_config
 }
 
 /// Plays so long, and returns what broke.
@@ -74,22 +74,22 @@
         for back in returns {
             for fault_rates in [FaultRates::none(), FaultRates::frequent()] {
                 seed += 1;
-                let mut s = Simulation::with(seed, 24, fault_rates, paced(600.0, 600.0));
-                let mut broken = play(&mut s, secs(30));
-                s.crash_all_controllers(outage);
+                let mut simulation = Simulation::with(seed, 24, fault_rates, paced(600.0, 600.0));
+                let mut broken = play(&mut simulation, secs(30));
+                simulation.crash_all_controllers(outage);
                 if let Return::Dying(after) = back {
                     for _ in 0..3 {
-                        broken.extend(play(&mut s, outage));
-                        broken.extend(play_for(&mut s, after));
-                        s.crash_all_controllers(ms(300));
+                        broken.extend(play(&mut simulation, outage));
+                        broken.extend(play_for(&mut simulation, after));
+                        simulation.crash_all_controllers(ms(300));
                     }
                 }
-                broken.extend(play(&mut s, outage + secs(40)));
+                broken.extend(play(&mut simulation, outage + secs(40)));
                 assert!(
                     broken.is_empty(),
                     "seed {seed} {outage:?} {back:?}: {broken:?}"
                 );
-                assert!(s.tasks_done() > 0);
+                assert!(simulation.tasks_done() > 0);
             }
         }
     }
@@ -131,27 +131,29 @@
     const FLEET: f64 = 60.0;
     const SEGMENT: f64 = 25.0;
     for (seed, outage) in [(1, secs(5)), (2, secs(60))] {
-        let mut p = paced(FLEET, SEGMENT);
-        p.teams = vec![team("red", 2000.0, 2000.0)];
-        p.tuning.max_machines = 100;
-        let mut s = Simulation::with(seed, 100, FaultRates::none(), p);
-        s.submits_jobs = false;
-        s.fixed_run_time = Some(secs(12));
-        s.submit_jobs(150, "red", 40, 1.0);
-        assert_eq!(play(&mut s, secs(25)), Vec::<String>::new());
-        s.crash_all_controllers(outage);
-        assert_eq!(play(&mut s, outage), Vec::<String>::new());
-        let back = s.now;
-        assert_eq!(play(&mut s, secs(4)), Vec::<String>::new());
-        s.crash_all_controllers(ms(500));
+        let mut scheduler_config = paced(FLEET, SEGMENT);
+        scheduler_config.teams = vec![team("red", 2000.0, 2000.0)];
+        scheduler_config.tuning.max_machines = 100;
+        let mut simulation = Simulation::with(seed, 100, FaultRates::none(), scheduler_config);
+        simulation.submits_jobs = false;
+        simulation.fixed_run_time = Some(secs(12));
+        simulation.submit_jobs(150, "red", 40, 1.0);
+        assert_eq!(play(&mut simulation, secs(25)), Vec::<String>::new());
+        simulation.crash_all_controllers(outage);
+        assert_eq!(play(&mut simulation, outage), Vec::<String>::new());
+        let back = simulation.now;
+        assert_eq!(play(&mut simulation, secs(4)), Vec::<String>::new());
+        simulation.crash_all_controllers(ms(500));
         let mut over = None;
         for _ in 0..120 * STEPS_A_SECOND {
-            assert_eq!(s.step(), Vec::<String>::new());
-            let is_over = s.leader_state().is_some_and(|c| c.takeover.is_over());
-            over = over.or(is_over.then_some(s.now));
+            assert_eq!(simulation.step(), Vec::<String>::new());
+            let is_over = simulation
+                .leader_state()
+                .is_some_and(|c| c.takeover.is_over());
+            over = over.or(is_over.then_some(simulation.now));
         }
         let over = over.expect("the takeover is over before long");
-        let (fleet, segment) = peaks(&s, back..over);
+        let (fleet, segment) = peaks(&simulation, back..over);
         assert!(fleet as f64 <= FLEET, "{outage:?}: {fleet}");
         assert!(segment as f64 <= SEGMENT, "{outage:?}: {segment}");
         assert!(fleet > 20, "{outage:?}: {fleet}, orders were given");
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -1,13 +1,13 @@
-//! The state service's keys, as the core's transactions change them.
+//! The store's keys, as the core's transactions change them.
 
-use super::World;
+use super::ClusterFixture;
 use cypressgap::core::model::JobSpec;
 use cypressgap::core::persistence::keys::{dependents_key, live_job_key};
 use cypressgap::core::persistence::write_batch::{WriteOp, WriteOutcome};
 use cypressgap::core::state::cluster_state::Action;
 use std::collections::BTreeSet;
 
-/// The keys that the state service holds of jobs, as the leader's transactions change them.
+/// The keys that the store holds of jobs, as the leader's transactions change them.
 #[derive(Default)]
 pub struct Keys {
     pub all: BTreeSet<String>,
@@ -15,20 +15,20 @@
 }
 
 impl Keys {
-    pub fn accept(&mut self, w: &mut World, spec: JobSpec) {
+    pub fn accept(&mut self, fixture: &mut ClusterFixture, spec: JobSpec) {
         self.all.insert(live_job_key(&spec.job_id));
         if spec.listed {
             self.all
                 .extend(spec.dependencies.iter().map(dependents_key));
         }
-        w.job(spec);
+        fixture.job(spec);
     }
 
     /// Lets a tick's transaction have so many changes, and carries it out.
-    pub fn tick(&mut self, w: &mut World, changes: usize) -> Vec<WriteOp> {
-        w.c.set_write_allowance(changes);
+    pub fn tick(&mut self, fixture: &mut ClusterFixture, changes: usize) -> Vec<WriteOp> {
+        fixture.cluster.set_write_allowance(changes);
         let mut written = Vec::new();
-        for action in w.c.tick(w.now) {
+        for action in fixture.cluster.tick(fixture.now) {
             let Action::Store(batch) = action else {
                 continue;
             };
@@ -40,9 +40,11 @@
                 };
             }
             written.extend(batch.ops);
-            w.revision += 1;
-            let revision = w.revision;
-            w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
+            fixture.revision += 1;
+            let revision = fixture.revision;
+            fixture
+                .cluster
+                .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
         }
         written
     }
--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// The first step of a cancellation is durable, and then the state service is out for longer than
+/// The first step of a cancellation is durable, and then the store is out for longer than
 /// `cancel_s`; the node that began may have ended. Whoever asks first afterwards finds no dependent
 /// called queued whose dependency is called cancelled.
 #[test]
@@ -308,7 +308,7 @@
     }
 }
 
-/// The state service allows fewer changes a transaction than the settings say, from one moment on: in
+/// The store allows fewer changes a transaction than the settings say, from one moment on: in
 /// the middle of a cascade, inside an outage, or while another leader loads. Nothing is lost, and what
 /// was refused goes on in parts.
 #[test]
@@ -340,7 +340,7 @@
                 }
                 cluster.store.max_changes.store(3, Ordering::SeqCst);
                 // It may be told to come back while the rate of changes is used up. Once its own
-                // verdict is durable, nobody asks again: the rest is the nodes' to finish.
+                // outcome is durable, nobody asks again: the rest is the nodes' to finish.
                 until("the cancellation is durable", || {
                     cancel(other, "wk-000750");
                     let outcomes = cluster.store.keys("j/wk-000750").len();
--- a/tests/end_to_end/failover.rs
+++ b/tests/end_to_end/failover.rs
@@ -40,7 +40,7 @@
     submit(cluster.members[0].1, "wk-000007", 2);
     until("started", || (worker.running() == 2).then_some(()));
     let term = until("it leads", || leads(&early));
-    // The early life hangs, cut off: its lease is still good, and it believes that it leads.
+    // The earlier process hangs, cut off: its lease is still good, and it believes that it leads.
     let hanging = cluster.store_links[0].clone();
     hanging.partition();
     cluster.store_links[0] = Link::to(cluster.store.address);
@@ -49,7 +49,7 @@
     let late = cluster.start(0);
     let next = until("the next life leads", || leads(&late));
     assert!(next > term, "a term of its own");
-    // What the early life still had to write fails on the stamp, and it notices.
+    // What the earlier process still had to write fails on the revision, and it notices.
     hanging.heal();
     until("the early life gives up", || {
         leads(&early).is_none().then_some(())
@@ -91,8 +91,8 @@
     second.stop();
 }
 
-/// Guards against nodes that do nothing but refuse reports while the next leader tries to load its
-/// picture: reports wait a little for it, and what it has read it keeps.
+/// Guards against nodes that do nothing but refuse heartbeats while the next leader tries to load its
+/// state: heartbeats wait a little for it, and what it has read it keeps.
 #[test]
 fn heartbeats_wait_for_a_leader_and_failed_page_reads_are_retried() {
     let cluster = TestCluster::new(1);
--- a/tests/end_to_end/heartbeat_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -1,4 +1,4 @@
-//! A large fleet reports all at once to a node that has just come back.
+//! A large fleet sends its heartbeats all at once to a node that has just come back.
 
 use super::fakes::process::NodeProcess;
 use super::fakes::test_cluster::*;
@@ -31,7 +31,7 @@
     ])
 }
 
-/// Each machine reports until it is answered, a second after each refusal. Returns how many reports it took.
+/// Each machine sends heartbeats until it is answered, a second after each refusal. Returns how many it took.
 fn heartbeat_until_answered(node: std::net::SocketAddr, machine: usize) -> usize {
     for tries in 1..=60 {
         let body = heartbeat(machine, tries as u64);
@@ -43,7 +43,7 @@
     panic!("machine {machine} is never answered");
 }
 
-/// All machines report in two seconds at most: each is answered before long, and memory stays bounded.
+/// All machines send heartbeats within two seconds at most: each is answered before long, and memory stays bounded.
 fn flood(machines: usize) -> (Duration, usize, u64) {
     let cluster = TestCluster::new(1);
     let node = cluster.members[0].1;
@@ -79,7 +79,7 @@
     assert!(memory < 136 * 1024, "{memory} KiB");
 }
 
-/// `cargo test --release --test end_to_end measure_report_flood -- --ignored --nocapture`.
+/// `cargo test --release --test end_to_end measure_heartbeat_flood -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn measure_heartbeat_flood() {
--- a/tests/end_to_end/jobs.rs
+++ b/tests/end_to_end/jobs.rs
@@ -59,7 +59,7 @@
     });
     until("gone", || (worker.running() == 0).then_some(()));
     assert_eq!(phase(address, "wk-000003").as_deref(), Some("withdrawn"));
-    // An outage of the state service takes nothing back: it is answered from memory or refused.
+    // An outage of the store takes nothing back: it is answered from memory or refused.
     cluster
         .store
         .unavailable
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -14,7 +14,7 @@
     until("one leads", || nodes.iter().find_map(leads));
     let old = nodes.iter().position(|n| leads(n).is_some());
     let old = old.expect("one leads");
-    // The worker reports to the leader itself: by way of the other node, the old leader would hear
+    // The worker sends its heartbeats to the leader itself: by way of the other node, the old leader would hear
     // nothing more of it, and nothing of the next term.
     let mut leader_first = cluster.members.clone();
     leader_first.rotate_left(old);
@@ -42,7 +42,7 @@
     until("the worker knows the next term", || {
         (FencingToken(worker.token()).term() > term).then_some(())
     });
-    // Its next report there ends the old leadership. It may report to the other node by now, so one
+    // Its next heartbeat there ends the old leadership. It may send them to the other node by now, so one
     // is sent to the old leader.
     until("the old leader gives up", || {
         worker.heartbeat_to(cut_off);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Guards against users who are kept from true answers by the one node that the state service refuses,
+/// Guards against users who are kept from true answers by the one node that the store refuses,
 /// while its peers could ask.
 #[test]
 fn a_node_without_the_store_reads_and_writes_through_a_peer() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Guards against two nodes, both without the state service and their peers, that send workers to each
+/// Guards against two nodes, both without the store and their peers, that send workers to each
 /// other for good, while the third one leads.
 #[test]
 fn a_node_with_stale_knowledge_names_no_leader() {
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -118,7 +118,7 @@
 
 #[test]
 fn status_reads_are_monotonic_across_nodes() {
-    // Whether the state service refuses one node, whose peer asks in its place.
+    // Whether the store refuses one node, whose peer asks in its place.
     for refused in [false, true] {
         let cluster = TestCluster::new(2);
         let nodes = [cluster.start(0), cluster.start(1)];
@@ -132,7 +132,7 @@
         if refused {
             let follower = nodes.iter().position(|n| leads(n).is_none());
             cluster.store_links[follower.expect("a follower")].partition();
-            // Until it knows that the state service does not answer it.
+            // Until it knows that the store does not answer it.
             std::thread::sleep(Duration::from_secs(4));
         }
         let jobs: Vec<Told> = (901..913)
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// The gap between two troubles: the state service refuses the leader alone, another node confirms a
+/// The gap between two failures: the store refuses the leader alone, another node confirms a
 /// cancellation, and then it is out for everybody for longer than `cancel_s`, while the workers go on
 /// reporting to the old leader. The tasks are gone within `cancel_s` all the same, and a plain outage
 /// costs nothing.
@@ -187,7 +187,7 @@
     let cluster = TestCluster::new(2);
     let edit = |s: &mut Settings| {
         (s.config.lease, s.config.cancel) = (lease, cancel);
-        // Nobody takes over between the two troubles.
+        // Nobody takes over between the two failures.
         s.operations.leader_lease = Duration::from_secs(30);
     };
     let mut nodes = [0, 1].map(|n| Some(cluster.start_with(n, edit)));
@@ -241,7 +241,7 @@
         !case.other_tasks_survive,
         "{name}"
     );
-    // The state service is back: the other job runs, this one is cancelled and starts no more.
+    // The store is back: the other job runs, this one is cancelled and starts no more.
     cluster.store.unavailable.store(false, Ordering::SeqCst);
     let links = cluster.store_links.iter().chain(&cluster.peer_links);
     links.for_each(|l| l.heal());
--- a/tests/end_to_end/team_limits.rs
+++ b/tests/end_to_end/team_limits.rs
@@ -64,7 +64,7 @@
     for worker in &workers {
         until("the leader's token", || shown(worker));
     }
-    // Far longer than a report, a round and a write take.
+    // Far longer than a heartbeat, a round and a write take.
     let quiet = Instant::now();
     while quiet.elapsed() < Duration::from_secs(4) {
         let used = used();
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -142,7 +142,7 @@
     assert_eq!(worker.starts().len(), 1, "all but the first wait");
     let leader = earlier.revision("ctl/leader");
     let done = map([("p", text("done"))]);
-    // Late, after the next leader's first write: the leader's stamp is another.
+    // Late, after the next leader's first write: the leader key's revision is another.
     let late = [("ctl/leader", leader - 1), ("j/wk-000820", 0)];
     assert_eq!(earlier.txn(&late, &[("j/wk-000820", done.clone())]), 409);
     assert_eq!(
@@ -150,7 +150,7 @@
         200
     );
     node.stop();
-    // Another life of this version leads next, with the pipeline half done.
+    // Another process of this version leads next, with the pipeline half done.
     let mut cluster = cluster;
     cluster.members[0].1 = free_port();
     cluster.peers[0] = free_port();
--- a/tests/fakes/store.rs
+++ b/tests/fakes/store.rs
@@ -220,11 +220,11 @@
     AnswerLost,
     /// It is carried out only after this time, behind newer ones.
     Late(Duration),
-    /// It is carried out and answered; then the state service is out for everybody.
+    /// It is carried out and answered; then the store is out for everybody.
     UnavailableAfterwards,
 }
 
-/// The state service, with a switch for outages.
+/// The store, with a switch for outages.
 #[derive(Clone)]
 pub struct FakeStore {
     ledger: Arc<(Mutex<StoreState>, Condvar)>,
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -23,19 +23,19 @@
     starts: Vec<(String, u64)>,
     /// When it carried out an order.
     orders: Vec<Instant>,
-    /// Earlier sessions, and when the last answered report was sent.
+    /// Earlier incarnations, and when the last answered heartbeat was sent.
     sessions: u64,
     answered: Option<Instant>,
 }
 
-/// One machine: reports, and runs each task for as long as the test says.
+/// One machine: sends heartbeats, and runs each task for as long as the test says.
 #[derive(Clone)]
 pub struct FakeWorker {
     machine: Arc<Mutex<WorkerState>>,
     serial: Arc<AtomicU64>,
     endpoint: String,
     name: String,
-    /// Between two reports.
+    /// Between two heartbeats.
     pause: Duration,
     /// In milliseconds.
     run: Arc<AtomicU64>,
@@ -49,7 +49,7 @@
         FakeWorker::start_at(Ipv4Addr::LOCALHOST, name, run, pause, nodes)
     }
 
-    /// With an address of its own, and so long between two reports.
+    /// With an address of its own, and so long between two heartbeats.
     pub fn start_at(
         address: Ipv4Addr,
         name: &str,
@@ -92,7 +92,7 @@
         self.run.store(run.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// From now on its tasks end when no answered report was sent for this long.
+    /// From now on its tasks end when no answered heartbeat was sent for this long.
     pub fn set_lease(&self, lease: Duration) {
         self.machine.lock().expect("the machine").answered = Some(Instant::now());
         self.lease.store(lease.as_millis() as u64, Ordering::SeqCst);
@@ -128,7 +128,7 @@
         self.machine.lock().expect("the machine").token
     }
 
-    /// Sends one report to this node, wherever the others go. The answer's status.
+    /// Sends one heartbeat to this node, wherever the others go. The answer's status.
     pub fn heartbeat_to(&self, node: SocketAddr) -> u16 {
         call("POST", node, "/agent/beat", Some(&self.heartbeat())).0
     }
@@ -230,7 +230,7 @@
             let (status, body) = call("POST", nodes[at].1, "/agent/beat", Some(&heartbeat));
             match status {
                 200 => {
-                    // The answer to a report of an earlier session is dropped.
+                    // The answer to a heartbeat of an earlier incarnation is dropped.
                     let session = Value::Int(1 + self.expired_leases());
                     if heartbeat.get("Tenure") == Some(&session) && self.take(&body) {
                         let mut m = self.machine.lock().expect("the machine");
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -30,12 +30,12 @@
 }
 
 fn fleet(machines: usize, enabled: bool) -> SchedulerConfig {
-    let mut p = tight_config();
-    p.teams = vec![team("red", 1e6, 1e6)];
-    p.tuning.max_machines = machines;
-    p.tuning.idle_ordinary = secs(1000);
-    p.recovery.enabled = enabled;
-    p
+    let mut scheduler_config = tight_config();
+    scheduler_config.teams = vec![team("red", 1e6, 1e6)];
+    scheduler_config.tuning.max_machines = machines;
+    scheduler_config.tuning.idle_ordinary = secs(1000);
+    scheduler_config.recovery.enabled = enabled;
+    scheduler_config
 }
 
 /// What one run shows.
@@ -81,30 +81,31 @@
 }
 
 fn run(seed: u64, machines: usize, outage: Duration, enabled: bool) -> Figures {
-    let mut s = Simulation::with(seed, machines, FaultRates::none(), fleet(machines, enabled));
-    s.submits_jobs = false;
-    s.fixed_run_time = Some(secs(150));
+    let mut simulation =
+        Simulation::with(seed, machines, FaultRates::none(), fleet(machines, enabled));
+    simulation.submits_jobs = false;
+    simulation.fixed_run_time = Some(secs(150));
     let jobs = machines as f64 * TASKS_A_MACHINE / f64::from(TASKS_A_JOB);
-    s.submit_jobs(jobs as u64, "red", TASKS_A_JOB, 4.0);
-    let mut broken = play(&mut s, WARM_UP);
-    let recorded = running(&s);
+    simulation.submit_jobs(jobs as u64, "red", TASKS_A_JOB, 4.0);
+    let mut broken = play(&mut simulation, WARM_UP);
+    let recorded = running(&simulation);
     assert!(
         recorded.len() >= machines * 19 / 10,
         "in use: {}",
         recorded.len()
     );
-    s.crash_all_controllers(outage);
-    broken += play(&mut s, outage);
-    let back = s.now;
-    let survived = running(&s);
+    simulation.crash_all_controllers(outage);
+    broken += play(&mut simulation, outage);
+    let back = simulation.now;
+    let survived = running(&simulation);
     let mut most_reconciled = None;
     let mut started_again = BTreeSet::new();
     let (mut first_start, mut last_start) = (None, None);
     let mut before = survived;
     for _ in 0..WATCHED.as_secs() * STEPS_A_SECOND {
-        broken += s.step().len();
-        let since = (s.now - back).as_secs_f64();
-        let now = running(&s);
+        broken += simulation.step().len();
+        let since = (simulation.now - back).as_secs_f64();
+        let now = running(&simulation);
         for task in now.difference(&before) {
             first_start.get_or_insert(since);
             last_start = Some(since);
@@ -113,13 +114,13 @@
             }
         }
         before = now;
-        let reconciled = s.leader_state().map(|c| settled(c, &recorded));
+        let reconciled = simulation.leader_state().map(|c| settled(c, &recorded));
         if reconciled.is_some_and(|n| n * 100 >= recorded.len() * 95) {
             most_reconciled.get_or_insert(since);
         }
     }
     let mut segments: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
-    for w in s.workers.values() {
+    for w in simulation.workers.values() {
         let orders = w.orders.iter().filter(|t| **t >= back);
         segments
             .entry(segment(&endpoint(&w.id)))
--- a/tests/measure_rounds.rs
+++ b/tests/measure_rounds.rs
@@ -4,7 +4,8 @@
 
 mod common;
 
-use common::{config, secs, spec, Fleet};
+use common::fleet::SimulatedFleet;
+use common::{config, secs, spec};
 use cypressgap::core::model::JobId;
 use std::time::Duration;
 
@@ -23,9 +24,9 @@
     text.map_or(default, |t| t.parse().expect("a whole number"))
 }
 
-fn add_job(fleet: &mut Fleet, number: usize) {
+fn add_job(fleet: &mut SimulatedFleet, number: usize) {
     let id = format!("wk-{number:06}");
-    fleet.w.job(spec(&id, TASKS_OF_A_JOB, CPUS_OF_A_TASK));
+    fleet.fixture.job(spec(&id, TASKS_OF_A_JOB, CPUS_OF_A_TASK));
 }
 
 /// Tasks run for 30 to 89 seconds, so that some end in each second.
@@ -40,7 +41,7 @@
     let machines = number("MACHINES", 4000);
     let mut config = config();
     config.teams = vec![common::team("red", 1e6, 1e6)];
-    let mut fleet = Fleet::new(config, machines, CPUS_OF_A_MACHINE);
+    let mut fleet = SimulatedFleet::new(config, machines, CPUS_OF_A_MACHINE);
     let jobs = machines * TASKS_ON_A_MACHINE / TASKS_OF_A_JOB as usize + WAITING_JOBS;
     (0..jobs).for_each(|n| add_job(&mut fleet, n));
     for _ in 0..WARM_UP_SECONDS {
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -13,49 +13,49 @@
         ("fits", |_| {}, Ok(())),
         (
             "unknown team",
-            |s| s.team = "green".into(),
+            |job| job.team = "green".into(),
             Err(Refusal::UnknownTeam),
         ),
         (
             "too large",
-            |s| s.resources = resources(9.0),
+            |job| job.resources = resources(9.0),
             Err(Refusal::NoType),
         ),
         (
             "no such type",
-            |s| s.machine_types = Some(vec!["g8".into()]),
+            |job| job.machine_types = Some(vec!["g8".into()]),
             Err(Refusal::NoType),
         ),
         (
             "no such zone",
-            |s| s.zone = Some("z".into()),
+            |job| job.zone = Some("z".into()),
             Err(Refusal::NoType),
         ),
         (
             "an array over the limit as a whole",
-            |s| s.task_count = 90,
+            |job| job.task_count = 90,
             Ok(()),
         ),
         (
             "a gang over the limit",
-            |s| {
-                s.kind = JobKind::Gang;
-                s.task_count = 9;
+            |job| {
+                job.kind = JobKind::Gang;
+                job.task_count = 9;
             },
             Err(Refusal::OverLimit),
         ),
         (
             "a gang at the limit",
-            |s| {
-                s.kind = JobKind::Gang;
-                s.task_count = 8;
+            |job| {
+                job.kind = JobKind::Gang;
+                job.task_count = 8;
             },
             Ok(()),
         ),
     ];
     for (name, edit, expected) in cases {
-        let mut s = spec("wk-000001", 2, 4.0);
-        edit(&mut s);
-        assert_eq!(check(&s, &config().teams, &types), expected, "{name}");
+        let mut job = spec("wk-000001", 2, 4.0);
+        edit(&mut job);
+        assert_eq!(check(&job, &config().teams, &types), expected, "{name}");
     }
 }
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -10,14 +10,19 @@
 use cypressgap::core::state::cluster_state::CancelSource;
 use std::time::{Duration, SystemTime};
 
-fn queue_read(w: &mut World) {
+fn queue_read(fixture: &mut ClusterFixture) {
     let day = SystemTime::UNIX_EPOCH;
-    w.c.leadership
-        .on_cancellations_read(ClockReading { steady: w.now, day });
+    fixture
+        .cluster
+        .leadership
+        .on_cancellations_read(ClockReading {
+            steady: fixture.now,
+            day,
+        });
 }
 
 /// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
-/// a burst of other work: it takes the verdicts' number over its share, and the records that show a
+/// a burst of other work: it takes the outcomes' number over its share, and the records that show a
 /// cascade to be unfinished go only after it.
 #[test]
 fn a_thousand_dependents_are_cancelled_within_the_bound() {
@@ -25,28 +30,28 @@
     const CHANGES_A_SECOND: u32 = 36;
     // Whether they form one chain or a fan.
     for chain in [true, false] {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
-        w.heartbeat("i-1", 1, vec![]);
-        keys.accept(&mut w, job_depending_on(0, &[]));
+        fixture.heartbeat("i-1", 1, vec![]);
+        keys.accept(&mut fixture, job_depending_on(0, &[]));
         for n in 1..=DEPENDENTS {
             let dependencies = if chain { [n - 1] } else { [0] };
-            keys.accept(&mut w, job_depending_on(n, &dependencies));
+            keys.accept(&mut fixture, job_depending_on(n, &dependencies));
         }
         for n in 0..40 {
-            keys.accept(&mut w, spec(&job_id(5000 + n).0, 3, 1.0));
+            keys.accept(&mut fixture, spec(&job_id(5000 + n).0, 3, 1.0));
         }
         keys.all.insert(cancel_mark_key(&job_id(0)));
-        w.c.on_cancel_marked(w.now, &job_id(0));
-        let start = w.now;
+        fixture.cluster.on_cancel_marked(fixture.now, &job_id(0));
+        let start = fixture.now;
         let mut outcomes = 0;
         let mut allowed = 0.0;
         while outcomes < DEPENDENTS {
-            w.pass(Duration::from_millis(150));
+            fixture.pass(Duration::from_millis(150));
             allowed += f64::from(CHANGES_A_SECOND) * 0.15;
             let before = keys.changes;
             let root_indexed = keys.all.contains(&live_job_key(&job_id(0)));
-            for op in keys.tick(&mut w, allowed as usize) {
+            for op in keys.tick(&mut fixture, allowed as usize) {
                 if matches!(
                     op,
                     WriteOp::Put(_, RecordValue::JobOutcome(JobOutcome::Cancelled))
@@ -56,16 +61,20 @@
             }
             allowed -= (keys.changes - before) as f64;
             assert!(root_indexed, "chain {chain}: {outcomes} are cancelled");
-            assert!(w.now - start < secs(60), "chain {chain}: {outcomes}");
+            assert!(fixture.now - start < secs(60), "chain {chain}: {outcomes}");
         }
         // Its share, the grace for the node that confirms, and what else was written meanwhile.
         let bound = secs(u64::from(DEPENDENTS / CHANGES_A_SECOND) + 5);
-        assert!(w.now - start < bound, "chain {chain}: {:?}", w.now - start);
-        queue_read(&mut w);
+        assert!(
+            fixture.now - start < bound,
+            "chain {chain}: {:?}",
+            fixture.now - start
+        );
+        queue_read(&mut fixture);
         for _ in 0..2000 {
-            w.pass(secs(1));
-            queue_read(&mut w);
-            keys.tick(&mut w, 24);
+            fixture.pass(secs(1));
+            queue_read(&mut fixture);
+            keys.tick(&mut fixture, 24);
         }
         let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
         let left: Vec<&String> = keys.all.iter().filter(left).collect();
@@ -76,7 +85,10 @@
                     && k.starts_with("q/")),
             "chain {chain}: {left:?}"
         );
-        assert!(!w.c.jobs.contains(&job_id(0)) && !w.c.jobs.contains(&job_id(DEPENDENTS)));
+        assert!(
+            !fixture.cluster.jobs.contains(&job_id(0))
+                && !fixture.cluster.jobs.contains(&job_id(DEPENDENTS))
+        );
     }
 }
 
@@ -92,48 +104,52 @@
         (CancelSource::JobOutcome, false),
     ];
     for (source, at_once) in cases {
-        let mut w = World::new();
-        w.heartbeat("i-1", 1, vec![]);
-        w.job(job_depending_on(1, &[]));
-        queue_read(&mut w);
-        w.pass(secs(1));
-        w.c.on_cancelled(w.now, &job_id(1), source);
-        w.settle();
-        assert_eq!(w.c.jobs.is_empty(), at_once, "{source:?}");
+        let mut fixture = ClusterFixture::new();
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.job(job_depending_on(1, &[]));
+        queue_read(&mut fixture);
+        fixture.pass(secs(1));
+        fixture
+            .cluster
+            .on_cancelled(fixture.now, &job_id(1), source);
+        fixture.settle();
+        assert_eq!(fixture.cluster.jobs.is_empty(), at_once, "{source:?}");
         // A dependent that was accepted before, heard of only now.
-        w.job(job_depending_on(2, &[1]));
-        queue_read(&mut w);
-        w.settle();
-        queue_read(&mut w);
-        w.settle();
-        assert!(w.c.jobs.is_empty(), "{source:?}");
+        fixture.job(job_depending_on(2, &[1]));
+        queue_read(&mut fixture);
+        fixture.settle();
+        queue_read(&mut fixture);
+        fixture.settle();
+        assert!(fixture.cluster.jobs.is_empty(), "{source:?}");
     }
-    // Told that a dependent is cancelled already, it writes no verdict.
+    // Told that a dependent is cancelled already, it writes no outcome.
     for told in [true, false] {
-        let mut w = World::new();
-        w.job(job_depending_on(1, &[]));
-        w.job(job_depending_on(2, &[1]));
-        w.c.on_cancel_marked(w.now, &job_id(1));
+        let mut fixture = ClusterFixture::new();
+        fixture.job(job_depending_on(1, &[]));
+        fixture.job(job_depending_on(2, &[1]));
+        fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         let mut written = Vec::new();
         let mut keys = Keys::default();
         for step in 0..20 {
-            w.pass(Duration::from_millis(150));
+            fixture.pass(Duration::from_millis(150));
             if told && step == 2 {
-                w.c.on_cancelled(w.now, &job_id(2), CancelSource::Peer);
+                fixture
+                    .cluster
+                    .on_cancelled(fixture.now, &job_id(2), CancelSource::Peer);
             }
-            written.extend(keys.tick(&mut w, 24));
+            written.extend(keys.tick(&mut fixture, 24));
         }
         let outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
         assert_eq!(written.iter().any(outcome), !told, "told {told}");
     }
 }
 
-/// Thousands of chains pass: what is left of them is their verdicts, and nothing in the picture.
+/// Thousands of chains pass: what is left of them is their outcomes, and nothing in the cluster state.
 #[test]
 fn chains_leave_only_their_outcomes() {
     // With lists of dependents, as earlier versions keep them, or without.
     for listed in [false, true] {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
         let mut most = 0;
         for chain in 0..2000u32 {
@@ -144,35 +160,41 @@
                     job.dependencies = job_ids(&[n - 1]);
                     job.listed = listed;
                 }
-                keys.accept(&mut w, job);
+                keys.accept(&mut fixture, job);
             }
             if chain % 2 == 0 {
                 keys.all.insert(cancel_mark_key(&job_id(first)));
-                w.c.on_cancel_marked(w.now, &job_id(first));
+                fixture
+                    .cluster
+                    .on_cancel_marked(fixture.now, &job_id(first));
             } else {
                 // Their ends were found by the next leader.
                 (first..first + 3).for_each(|n| {
-                    w.c.on_cancelled(w.now, &job_id(n), CancelSource::JobOutcome)
+                    fixture
+                        .cluster
+                        .on_cancelled(fixture.now, &job_id(n), CancelSource::JobOutcome)
                 });
             }
             for _ in 0..4 {
-                w.pass(Duration::from_millis(600));
-                queue_read(&mut w);
-                keys.tick(&mut w, 24);
+                fixture.pass(Duration::from_millis(600));
+                queue_read(&mut fixture);
+                keys.tick(&mut fixture, 24);
             }
             let live = keys.all.iter().filter(|k| !k.starts_with("j/")).count();
             most = most.max(live);
         }
         for _ in 0..100 {
-            w.pass(secs(1));
-            queue_read(&mut w);
-            keys.tick(&mut w, 24);
+            fixture.pass(secs(1));
+            queue_read(&mut fixture);
+            keys.tick(&mut fixture, 24);
         }
         let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
         let left: Vec<&String> = keys.all.iter().filter(left).collect();
         assert_eq!(left, Vec::<&String>::new(), "listed {listed}");
         assert!(most < 60, "listed {listed}: {most}");
-        assert!(w.c.jobs.is_empty() && w.c.unresolved_dependencies().is_empty());
+        assert!(
+            fixture.cluster.jobs.is_empty() && fixture.cluster.unresolved_dependencies().is_empty()
+        );
     }
 }
 
@@ -180,22 +202,22 @@
 #[test]
 fn dependents_lists_found_at_failover_are_removed() {
     for live in [true, false] {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
         keys.all.insert(dependents_key(&job_id(1)));
         if live {
-            w.job(job_depending_on(1, &[]));
+            fixture.job(job_depending_on(1, &[]));
         }
-        w.c.load_dependents_list(&job_id(1));
+        fixture.cluster.load_dependents_list(&job_id(1));
         for _ in 0..10 {
-            w.pass(secs(1));
-            keys.tick(&mut w, 24);
+            fixture.pass(secs(1));
+            keys.tick(&mut fixture, 24);
         }
         assert_eq!(keys.all.contains(&dependents_key(&job_id(1))), live);
-        w.c.on_cancel_marked(w.now, &job_id(1));
+        fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         for _ in 0..10 {
-            w.pass(secs(1));
-            keys.tick(&mut w, 24);
+            fixture.pass(secs(1));
+            keys.tick(&mut fixture, 24);
         }
         assert!(!keys.all.contains(&dependents_key(&job_id(1))), "{live}");
     }
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -138,97 +138,104 @@
     let start = ClockReading::now();
     let at = |s: u64| start.at(start.steady + secs(s));
     for (name, peers, happens, expected) in cases {
-        let mut w = Watermark::new(at(0), peers.iter().map(|p| p.to_string()));
-        for h in happens {
-            match *h {
-                Read(asked) => w.record_read(at(asked)),
+        let mut fixture = Watermark::new(at(0), peers.iter().map(|p| p.to_string()));
+        for machine in happens {
+            match *machine {
+                Read(asked) => fixture.record_read(at(asked)),
                 Told(peer, asked, came, continues) => {
                     let report = CancellationReport {
                         asked_at: at(asked),
                         received_at: at(came),
                         is_continuous: continues,
                     };
-                    w.record_report(peer, report);
+                    fixture.record_report(peer, report);
                 }
             }
         }
-        assert_eq!(w.age(at(100)), secs(100 - expected), "{name}");
-        assert!(w.is_fresh(at(expected + 9), secs(10)), "{name}");
-        assert!(!w.is_fresh(at(expected + 10), secs(10)), "{name}");
+        assert_eq!(fixture.age(at(100)), secs(100 - expected), "{name}");
+        assert!(fixture.is_fresh(at(expected + 9), secs(10)), "{name}");
+        assert!(!fixture.is_fresh(at(expected + 10), secs(10)), "{name}");
     }
     // Whoever has no peers confirms everything itself.
     assert!(Watermark::new(at(0), []).is_fresh(at(1000), secs(10)));
 }
 
-/// Guards against a process that stood still, whose steady clock stood with it.
+/// Guards against a process that was paused, whose steady clock stood with it.
 #[test]
 fn the_clock_that_advanced_further_counts() {
     let start = ClockReading::now();
-    let w = Watermark::new(start, ["b".to_owned()]);
+    let fixture = Watermark::new(start, ["b".to_owned()]);
     let later = |steady: u64, day: u64| ClockReading {
         steady: start.steady + secs(steady),
         day: start.day + secs(day),
     };
-    assert!(w.is_fresh(later(9, 9), secs(10)));
-    assert!(!w.is_fresh(later(2, 10), secs(10)));
-    assert!(!w.is_fresh(later(10, 2), secs(10)));
+    assert!(fixture.is_fresh(later(9, 9), secs(10)));
+    assert!(!fixture.is_fresh(later(2, 10), secs(10)));
+    assert!(!fixture.is_fresh(later(10, 2), secs(10)));
     // A time of day set back says nothing.
     let back = ClockReading {
         steady: start.steady + secs(9),
         day: start.day - secs(50),
     };
-    assert!(w.is_fresh(back, secs(10)));
+    assert!(fixture.is_fresh(back, secs(10)));
 }
 
 /// A running task on a machine of a leader with one peer.
-fn in_doubt() -> (World, AttemptId) {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    let attempt = launches(&w.settle())[0].2;
+fn in_doubt() -> (ClusterFixture, AttemptId) {
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let attempt = launches(&fixture.settle())[0].2;
     let read = ClockReading {
-        steady: w.now,
+        steady: fixture.now,
         day: SystemTime::now(),
     };
-    w.c.leadership.set_clocks(read);
-    w.c.leadership.set_peers(["b".to_owned()], read);
-    (w, attempt)
+    fixture.cluster.leadership.set_clocks(read);
+    fixture.cluster.leadership.set_peers(["b".to_owned()], read);
+    (fixture, attempt)
 }
 
-/// The gap: without the state service and its peers' word a leader answers only while a lease
+/// The gap: without the store and its peers' word a leader answers only while a lease
 /// renewed then ends in time. What reports show is taken, and kills go out by themselves.
 #[test]
 fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
-    let (mut w, attempt) = in_doubt();
+    let (mut fixture, attempt) = in_doubt();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let bound = WatermarkBound::new(w.c.config.lease, w.c.config.cancel);
-    w.heartbeat("i-1", 2, tasks());
+    let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
+    fixture.heartbeat("i-1", 2, tasks());
     // The process runs all the while.
-    w.run(bound.max_age.as_secs() - 1);
-    w.heartbeat("i-1", 3, tasks());
-    let answered = w.c.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
-    w.run(2);
-    let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
-    let heartbeat = World::heartbeat_from("i-1", 1, 4, token, tasks());
+    fixture.run(bound.max_age.as_secs() - 1);
+    fixture.heartbeat("i-1", 3, tasks());
+    let answered = fixture.cluster.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
+    fixture.run(2);
+    let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
+        .token
+        .0;
+    let heartbeat = heartbeat_from("i-1", 1, 4, token, tasks());
     assert_eq!(
-        w.c.on_heartbeat(w.now, heartbeat),
+        fixture.cluster.on_heartbeat(fixture.now, heartbeat),
         HeartbeatDecision::Withheld
     );
-    let h = &w.c.fleet.machines[&MachineId::from("i-1")];
+    let machine = &fixture.cluster.fleet.machines[&MachineId::from("i-1")];
     assert_eq!(
-        h.lease_renewed_at, answered,
+        machine.lease_renewed_at, answered,
         "no lease is renewed in the books"
     );
     assert_eq!(
-        (h.serial, h.last_heartbeat_at),
-        (4, w.now),
+        (machine.serial, machine.last_heartbeat_at),
+        (4, fixture.now),
         "yet it was heard"
     );
     // A late copy's answer would renew a lease too.
-    let copy = World::heartbeat_from("i-1", 1, 2, token, tasks());
-    assert_eq!(w.c.on_heartbeat(w.now, copy), HeartbeatDecision::Withheld);
+    let copy = heartbeat_from("i-1", 1, 2, token, tasks());
+    assert_eq!(
+        fixture.cluster.on_heartbeat(fixture.now, copy),
+        HeartbeatDecision::Withheld
+    );
     // A peer's word about the job: the kill goes straight to the machine.
-    w.c.on_cancel_marked(w.now, &"wk-000001".into());
+    fixture
+        .cluster
+        .on_cancel_marked(fixture.now, &"wk-000001".into());
     let kills = |actions: &[Action]| {
         actions.iter().any(|a| match a {
             Action::Send { commands, .. } => commands
@@ -237,53 +244,56 @@
             _ => false,
         })
     };
-    assert!(kills(&w.c.tick(w.now)));
+    assert!(kills(&fixture.cluster.tick(fixture.now)));
     // The lease runs out, and with it what was there.
-    w.run(31);
-    assert_eq!(w.active("wk-000001", 0), None);
-    // The state service is back: reports are answered again.
+    fixture.run(31);
+    assert_eq!(fixture.active("wk-000001", 0), None);
+    // The store is back: reports are answered again.
     let read = ClockReading {
-        steady: w.now,
+        steady: fixture.now,
         day: SystemTime::now(),
     };
-    w.c.leadership.set_clocks(read);
-    w.c.leadership.on_cancellations_read(read);
-    w.heartbeat("i-1", 9, vec![]);
+    fixture.cluster.leadership.set_clocks(read);
+    fixture.cluster.leadership.on_cancellations_read(read);
+    fixture.heartbeat("i-1", 9, vec![]);
 }
 
-/// A leader without the state service launches nothing, not even what was durable before: the job
+/// A leader without the store launches nothing, not even what was durable before: the job
 /// may have been cancelled since. It is launched as soon as the leadership is certain again.
 #[test]
 fn launches_wait_for_a_confirmed_leadership() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.c.set_leadership_confirmed(false);
-    w.job(spec("wk-000001", 1, 4.0));
-    assert_eq!(launches(&w.settle()), vec![]);
-    let (_, in_answer) = w.heartbeat("i-1", 2, vec![]);
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.cluster.set_leadership_confirmed(false);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    assert_eq!(launches(&fixture.settle()), vec![]);
+    let (_, in_answer) = fixture.heartbeat("i-1", 2, vec![]);
     assert_eq!(in_answer, vec![]);
-    assert!(w.active("wk-000001", 0).is_some(), "its intent is durable");
-    w.c.set_leadership_confirmed(true);
-    assert_eq!(launches(&w.c.flush(w.now)).len(), 1);
+    assert!(
+        fixture.active("wk-000001", 0).is_some(),
+        "its intent is durable"
+    );
+    fixture.cluster.set_leadership_confirmed(true);
+    assert_eq!(launches(&fixture.cluster.flush(fixture.now)).len(), 1);
 }
 
 #[test]
 fn a_nodes_cancellations_are_read_by_position() {
-    let v = NodeView::new(Instant::now());
+    let view = NodeView::new(Instant::now());
     let job_id = |n: u32| JobId::from(format!("wk-{n:06}").as_str());
     let learn = |from: u32, to: u32| {
         for n in from..to {
-            v.remember_outcome(&job_id(n), JobOutcome::Cancelled);
+            view.remember_outcome(&job_id(n), JobOutcome::Cancelled);
         }
     };
     learn(0, 3);
     // The first look covers nothing; it tells where to begin.
-    let first = v.cancellations(None);
+    let first = view.cancellations(None);
     assert_eq!((first.continues, first.job_ids.len()), (false, 0));
     assert!(!first.more);
     learn(0, 5);
-    v.remember_outcome(&job_id(900), JobOutcome::Done);
-    let page = v.cancellations(Some((first.incarnation, first.next)));
+    view.remember_outcome(&job_id(900), JobOutcome::Done);
+    let page = view.cancellations(Some((first.incarnation, first.next)));
     assert_eq!(
         page.job_ids,
         vec![job_id(3), job_id(4)],
@@ -291,18 +301,23 @@
     );
     assert!(page.continues && !page.more);
     // Another life's position, and one that is not kept any more or not reached yet.
-    assert!(!v.cancellations(Some((first.incarnation ^ 1, 0))).continues);
-    assert!(!v.cancellations(Some((first.incarnation, 99))).continues);
+    assert!(
+        !view
+            .cancellations(Some((first.incarnation ^ 1, 0)))
+            .continues
+    );
+    assert!(!view.cancellations(Some((first.incarnation, 99))).continues);
     learn(1_000, 31_000);
     assert!(
-        !v.cancellations(Some((first.incarnation, page.next)))
+        !view
+            .cancellations(Some((first.incarnation, page.next)))
             .continues
     );
     // Many come in parts, with nothing left out.
-    let mut at = v.cancellations(None).next - 12_000;
+    let mut at = view.cancellations(None).next - 12_000;
     let mut got = Vec::new();
     loop {
-        let p = v.cancellations(Some((first.incarnation, at)));
+        let p = view.cancellations(Some((first.incarnation, at)));
         assert!(p.continues);
         got.extend(p.job_ids);
         at = p.next;
@@ -314,7 +329,7 @@
     assert_eq!(got, expected);
 }
 
-/// What leases alone guarantee, for pairs of settings: how old the watermark may be for a report to be
+/// What leases alone guarantee, for pairs of settings: how old the watermark may be for a heartbeat to be
 /// answered, and by how much a cancelled task may then outlast the bound.
 #[test]
 fn cancellation_bounds_of_each_pair_of_settings() {
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -20,56 +20,62 @@
 }
 
 /// A leader whose machines are all known: none.
-fn renting() -> World {
-    let mut w = World::new();
-    w.pass(secs(10));
-    w
+fn renting() -> ClusterFixture {
+    let mut fixture = ClusterFixture::new();
+    fixture.pass(secs(10));
+    fixture
 }
 
 #[test]
 fn machines_are_rented_once_for_pending_work() {
-    let mut w = renting();
-    w.job(spec("wk-000001", 3, 4.0));
-    let first = rentals(&w.settle());
+    let mut fixture = renting();
+    fixture.job(spec("wk-000001", 3, 4.0));
+    let first = rentals(&fixture.settle());
     let number: u32 = first.iter().map(|r| r.2).sum();
     assert_eq!(number, 2, "three tasks of half a machine each");
     assert!(first.iter().all(|r| r.1), "spot is cheaper and allowed");
     assert!(first.iter().all(|r| r.0.starts_with("t3-")), "{first:?}");
-    assert_eq!(rentals(&w.settle()), vec![], "asked for already");
+    assert_eq!(rentals(&fixture.settle()), vec![], "asked for already");
     let names: Vec<MachineId> = vec!["i-8".into(), "i-9".into()];
     let mut left = names.clone();
     for (idempotency_key, _, n) in &first {
         let given = left.split_off(left.len() - *n as usize);
-        w.c.on_rented(w.now, idempotency_key, RentalOutcome::Machines(given));
+        fixture
+            .cluster
+            .on_rented(fixture.now, idempotency_key, RentalOutcome::Machines(given));
     }
-    assert_eq!(rentals(&w.settle()), vec![], "coming up");
+    assert_eq!(rentals(&fixture.settle()), vec![], "coming up");
 }
 
 /// Guards against ordinary machines at several times the price for work that is meant to run when idle.
 #[test]
 fn ordinary_machines_are_not_rented_for_idle_priority() {
     for (priority, expensive) in [(Priority::Idle, false), (Priority::Standard, true)] {
-        let mut w = renting();
-        w.heartbeat("i-1", 1, vec![]);
+        let mut fixture = renting();
+        fixture.heartbeat("i-1", 1, vec![]);
         let mut long = spec("wk-000001", 1, 8.0);
         long.expected = secs(3000);
-        w.job(long);
-        let first = w.settle();
+        fixture.job(long);
+        let first = fixture.settle();
         let (_, t, a) = launches(&first)[0].clone();
         // Asked for while the machine had not reported: the cloud has none.
         for (idempotency_key, ..) in rentals(&first) {
-            w.c.on_rented(w.now, &idempotency_key, RentalOutcome::NoCapacity);
+            fixture
+                .cluster
+                .on_rented(fixture.now, &idempotency_key, RentalOutcome::NoCapacity);
         }
         let mut waits = spec("wk-000002", 1, 8.0);
         waits.priority = priority;
-        w.job(waits);
+        fixture.job(waits);
         let mut asked = Vec::new();
         for n in 0..80 {
             let running = shown(&t.job_id.0, t.index, a, TaskPhase::Running);
-            w.heartbeat("i-1", n + 2, vec![running]);
-            for (idempotency_key, spot, _) in rentals(&w.settle()) {
+            fixture.heartbeat("i-1", n + 2, vec![running]);
+            for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
                 asked.push(spot);
-                w.c.on_rented(w.now, &idempotency_key, RentalOutcome::NoCapacity);
+                fixture
+                    .cluster
+                    .on_rented(fixture.now, &idempotency_key, RentalOutcome::NoCapacity);
             }
         }
         assert!(
@@ -82,14 +88,18 @@
 
 #[test]
 fn a_rental_of_unknown_outcome_is_repeated_under_its_idempotency_key_and_a_refused_one_is_not() {
-    let mut w = renting();
-    w.job(spec("wk-000001", 1, 4.0));
-    let first = rentals(&w.settle());
-    w.c.on_rented(w.now, &first[0].0, RentalOutcome::Unknown);
-    w.pass(secs(3));
-    assert_eq!(rentals(&w.settle()), first);
-    w.c.on_rented(w.now, &first[0].0, RentalOutcome::NoCapacity);
-    let other = rentals(&w.settle());
+    let mut fixture = renting();
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let first = rentals(&fixture.settle());
+    fixture
+        .cluster
+        .on_rented(fixture.now, &first[0].0, RentalOutcome::Unknown);
+    fixture.pass(secs(3));
+    assert_eq!(rentals(&fixture.settle()), first);
+    fixture
+        .cluster
+        .on_rented(fixture.now, &first[0].0, RentalOutcome::NoCapacity);
+    let other = rentals(&fixture.settle());
     assert_ne!(other[0].0, first[0].0, "another kind, another claim");
 }
 
@@ -109,60 +119,68 @@
             class: Some("quick".into()),
             within,
         };
-        let mut p = config();
-        p.slos = start
+        let mut scheduler_config = config();
+        scheduler_config.slos = start
             .map(|s| aim("wait", Some(secs(s))))
             .into_iter()
             .collect();
         if deadline {
-            p.slos.push(aim("deadline", None));
+            scheduler_config.slos.push(aim("deadline", None));
         }
-        // No stand-in is looked for where ordinary machines cost no more.
+        // No replacement is looked for where ordinary machines cost no more.
         let mut t = machine_type("m8", 8.0);
         t.hourly = t.low_price;
-        let mut w = World::with(p, vec![t]);
-        w.pass(secs(10));
-        w.heartbeat("i-1", 1, vec![]);
+        let mut fixture = ClusterFixture::with(scheduler_config, vec![t]);
+        fixture.pass(secs(10));
+        fixture.heartbeat("i-1", 1, vec![]);
         // It takes the whole of the only machine.
         let mut job = spec("wk-000001", 1, 8.0);
         job.class = "quick".into();
-        w.job(job);
-        let rented = rentals(&w.settle());
+        fixture.job(job);
+        let rented = rentals(&fixture.settle());
         assert_eq!(!rented.is_empty(), kept, "{start:?}, deadline {deadline}");
     }
 }
 
 #[test]
 fn silent_machines_are_returned_unless_all_fall_silent() {
-    // Spot jobs aside: one host with a given history among others that report.
-    let mut w = renting();
-    for h in ["i-1", "i-2", "i-3"] {
-        w.heartbeat(h, 1, vec![]);
+    // Spot jobs aside: one machine with a given history among others that send heartbeats.
+    let mut fixture = renting();
+    for machine in ["i-1", "i-2", "i-3"] {
+        fixture.heartbeat(machine, 1, vec![]);
     }
     // All three fall silent together: the fault is on our side.
-    w.pass(secs(25));
-    let returned = |w: &World| w.c.fleet.machines.values().filter(|h| h.returning).count();
-    for h in w.c.fleet.machines.values_mut() {
-        h.idle_since = None;
+    fixture.pass(secs(25));
+    let returned = |fixture: &ClusterFixture| {
+        fixture
+            .cluster
+            .fleet
+            .machines
+            .values()
+            .filter(|machine| machine.returning)
+            .count()
+    };
+    for machine in fixture.cluster.fleet.machines.values_mut() {
+        machine.idle_since = None;
     }
-    w.settle();
-    assert_eq!(returned(&w), 0);
+    fixture.settle();
+    assert_eq!(returned(&fixture), 0);
     // One alone is returned.
-    for h in ["i-2", "i-3"] {
-        w.heartbeat(h, 2, vec![]);
+    for machine in ["i-2", "i-3"] {
+        fixture.heartbeat(machine, 2, vec![]);
     }
-    for h in w.c.fleet.machines.values_mut() {
-        h.idle_since = None;
+    for machine in fixture.cluster.fleet.machines.values_mut() {
+        machine.idle_since = None;
     }
-    w.pass(Duration::from_millis(1100));
-    w.settle();
-    assert!(w.c.fleet.machines[&MachineId::from("i-1")].returning);
-    assert_eq!(returned(&w), 1);
+    fixture.pass(Duration::from_millis(1100));
+    fixture.settle();
+    assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].returning);
+    assert_eq!(returned(&fixture), 1);
 }
 
 #[test]
 fn a_listed_machine_is_adopted_and_a_failed_one_returned() {
-    let mut w = renting();
+    let mut fixture = renting();
     let listed = |id: &str, phase| CloudMachine {
         id: id.into(),
         endpoint: "127.0.0.1:9".into(),
@@ -177,19 +195,19 @@
         listed("i-2", CloudMachinePhase::Running),
         listed("i-3", CloudMachinePhase::Failed),
     ];
-    w.c.on_list(w.now, &list);
-    assert!(w.c.fleet.machines[&MachineId::from("i-1")]
+    fixture.cluster.on_list(fixture.now, &list);
+    assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .booting_since
         .is_some());
-    assert!(w.c.fleet.machines[&MachineId::from("i-3")].returning);
-    let actions = w.settle();
+    assert!(fixture.cluster.fleet.machines[&MachineId::from("i-3")].returning);
+    let actions = fixture.settle();
     let probes =
         |a: &&Action| matches!(a, Action::Probe { machine, .. } if machine == &"i-2".into());
     assert_eq!(actions.iter().filter(probes).count(), 1);
-    w.c.on_returned(w.now, &["i-3".into()]);
+    fixture.cluster.on_returned(fixture.now, &["i-3".into()]);
     // The list lags: what was returned does not come back.
-    w.c.on_list(w.now, &list);
-    assert!(!w.c.fleet.machines.contains_key(&"i-3".into()));
+    fixture.cluster.on_list(fixture.now, &list);
+    assert!(!fixture.cluster.fleet.machines.contains_key(&"i-3".into()));
 }
 
 /// Guards against a new leader that rents a second fleet before it has heard the first one.
@@ -197,20 +215,20 @@
 fn nothing_is_rented_while_most_machines_are_silent() {
     for (quiet, rents) in [(2, true), (6, false)] {
         let types = vec![machine_type("m8", 8.0), machine_type("large", 8.0)];
-        let mut w = World::with(config(), types);
+        let mut fixture = ClusterFixture::with(config(), types);
         let names: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for n in &names {
-            w.heartbeat(n, 1, vec![]);
+            fixture.heartbeat(n, 1, vec![]);
         }
-        w.pass(secs(8));
+        fixture.pass(secs(8));
         for n in &names[quiet..] {
-            w.heartbeat(n, 2, vec![]);
+            fixture.heartbeat(n, 2, vec![]);
         }
         // None of the eight would do.
         let mut job = spec("wk-000001", 2, 8.0);
         job.machine_types = Some(vec!["large".into()]);
-        w.job(job);
-        let rented = w.settle();
+        fixture.job(job);
+        let rented = fixture.settle();
         let rented = rented.iter().any(|a| matches!(a, Action::Rent { .. }));
         assert_eq!(rented, rents, "{quiet} of 8 quiet");
     }
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -1,5 +1,6 @@
 //! Failures that coincide with cancellations, task ends and a change of leader.
 
+use crate::common::fleet::SimulatedFleet;
 use crate::common::keys::Keys;
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -9,13 +10,15 @@
 };
 use cypressgap::core::state::cluster_state::Action;
 
-fn loaded(w: &mut World, job_id: &str, done: u64, active: &[(u32, &str)]) {
+fn loaded(fixture: &mut ClusterFixture, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
         .iter()
         .map(|(i, h)| Intent::new(*i, AttemptId(100 + u64::from(*i)), MachineId::from(*h)))
         .collect();
     let value = ChunkValue { done, active };
-    w.c.load_chunk(w.now, &job_id.into(), 0, value, 90);
+    fixture
+        .cluster
+        .load_chunk(fixture.now, &job_id.into(), 0, value, 90);
 }
 
 fn running(job_id: &str, index: u32) -> TaskStatus {
@@ -37,38 +40,43 @@
         AnswersAndEnds,
     }
     for goes in [Goes::Returned, Goes::NewSession, Goes::AnswersAndEnds] {
-        let mut w = World::with(
+        let mut fixture = ClusterFixture::with(
             config(),
             vec![machine_type("m8", 8.0), machine_type("m32", 32.0)],
         );
-        // Red may use 32: four tasks of eight, on machines that this leader has not heard.
-        w.job(spec("wk-000001", 4, 8.0));
+        // Red may use 32: four tasks of eight, on machines that this leader has not known yet.
+        fixture.job(spec("wk-000001", 4, 8.0));
         let on = [(0, "i-1"), (1, "i-2"), (2, "i-3"), (3, "i-4")];
-        loaded(&mut w, "wk-000001", 0, &on);
-        w.c.on_cancel_marked(w.now, &"wk-000001".into());
-        w.job(spec("wk-000002", 1, 8.0));
-        w.heartbeat("i-9", 1, vec![]);
-        w.heartbeat("i-9", 2, vec![]);
-        assert_eq!(launches(&w.settle()), vec![], "the limit is full");
+        loaded(&mut fixture, "wk-000001", 0, &on);
+        fixture
+            .cluster
+            .on_cancel_marked(fixture.now, &"wk-000001".into());
+        fixture.job(spec("wk-000002", 1, 8.0));
+        fixture.heartbeat("i-9", 1, vec![]);
+        fixture.heartbeat("i-9", 2, vec![]);
+        assert_eq!(launches(&fixture.settle()), vec![], "the limit is full");
         match goes {
-            Goes::Returned => w.c.on_returned(w.now, &["i-1".into()]),
+            Goes::Returned => fixture.cluster.on_returned(fixture.now, &["i-1".into()]),
             Goes::NewSession | Goes::AnswersAndEnds => {
-                // A copy from before, then the machine itself.
+                // A duplicate from before, then the machine itself.
                 let old = FencingToken::first(Term(TERM.0 - 1)).0;
-                let copy = World::heartbeat_from("i-1", 1, 3, old, vec![]);
-                w.c.on_heartbeat(w.now, copy);
-                assert_eq!(launches(&w.settle()), vec![], "a copy is no proof");
+                let copy = heartbeat_from("i-1", 1, 3, old, vec![]);
+                fixture.cluster.on_heartbeat(fixture.now, copy);
+                assert_eq!(launches(&fixture.settle()), vec![], "a copy is no proof");
                 let incarnation = if matches!(goes, Goes::NewSession) {
                     2
                 } else {
                     1
                 };
-                let token = w.c.fleet.machines[&MachineId::from("i-1")].token.next().0;
-                let live = World::heartbeat_from("i-1", incarnation, 9, token, vec![]);
-                w.c.on_heartbeat(w.now, live);
+                let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
+                    .token
+                    .next()
+                    .0;
+                let live = heartbeat_from("i-1", incarnation, 9, token, vec![]);
+                fixture.cluster.on_heartbeat(fixture.now, live);
             }
         }
-        let sent = launches(&w.settle());
+        let sent = launches(&fixture.settle());
         assert_eq!(sent.len(), 1, "room for one");
         assert_eq!(sent[0].1.job_id, "wk-000002".into());
     }
@@ -78,12 +86,12 @@
 /// and none is run again.
 #[test]
 fn task_ends_survive_a_failover() {
-    let mut w = World::new();
-    w.job(spec("wk-000001", 3, 2.0));
+    let mut fixture = ClusterFixture::new();
+    fixture.job(spec("wk-000001", 3, 2.0));
     // One ended under the leader before, one runs, one was never sent.
-    loaded(&mut w, "wk-000001", 0b001, &[(1, "i-1")]);
-    w.heartbeat("i-1", 1, vec![running("wk-000001", 1)]);
-    let sent = launches(&w.settle());
+    loaded(&mut fixture, "wk-000001", 0b001, &[(1, "i-1")]);
+    fixture.heartbeat("i-1", 1, vec![running("wk-000001", 1)]);
+    let sent = launches(&fixture.settle());
     let started: Vec<u32> = sent.iter().map(|l| l.1.index).collect();
     assert_eq!(started, vec![2]);
     let last = sent[0].2;
@@ -99,7 +107,7 @@
         })
     };
     let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
-    w.heartbeat(
+    fixture.heartbeat(
         "i-1",
         2,
         vec![
@@ -108,46 +116,46 @@
         ],
     );
     for second in 0..60 {
-        w.pass(secs(1));
+        fixture.pass(secs(1));
         let left = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
-        w.heartbeat("i-1", 10 + second, left);
-        let actions = w.c.tick(w.now);
+        fixture.heartbeat("i-1", 10 + second, left);
+        let actions = fixture.cluster.tick(fixture.now);
         assert!(!done(&actions), "one task still runs");
         for a in actions {
             if let Action::Store(_) = a {
-                w.revision += 1;
-                let revision = w.revision;
+                fixture.revision += 1;
+                let revision = fixture.revision;
                 let applied = WriteOutcome::Applied { revision };
-                w.c.on_write_outcome(w.now, applied);
+                fixture.cluster.on_write_outcome(fixture.now, applied);
             }
         }
     }
-    w.heartbeat("i-1", 90, vec![ended(2, last)]);
-    let written = w.batch().expect("the verdict");
+    fixture.heartbeat("i-1", 90, vec![ended(2, last)]);
+    let written = fixture.batch().expect("the verdict");
     assert!(done(&[Action::Store(written)]));
 }
 
-/// The end of a job's last task meets its cancellation: whichever verdict is written first stands, and the
+/// The end of a job's last task meets its cancellation: whichever outcome is written first stands, and the
 /// other one is not written over it.
 #[test]
 fn completion_and_cancellation_exclude_each_other() {
-    // Whether the cancellation's verdict was there when done was to be written.
+    // Whether the cancellation's outcome was there when done was to be written.
     for withdrawn_first in [false, true] {
-        let mut w = World::new();
-        w.heartbeat("i-1", 1, vec![]);
-        w.job(spec("wk-000001", 1, 2.0));
-        let a = launches(&w.settle())[0].2;
-        w.heartbeat(
+        let mut fixture = ClusterFixture::new();
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.job(spec("wk-000001", 1, 2.0));
+        let attempt = launches(&fixture.settle())[0].2;
+        fixture.heartbeat(
             "i-1",
             2,
             vec![shown(
                 "wk-000001",
                 0,
-                a,
+                attempt,
                 TaskPhase::Ended(ExitReason::Completed),
             )],
         );
-        let batch = w.batch().expect("the verdict");
+        let batch = fixture.batch().expect("the verdict");
         assert!(batch
             .conditions
             .contains(&KeyCondition::absent("j/wk-000001")));
@@ -161,48 +169,55 @@
         } else {
             WriteOutcome::Applied { revision: 777 }
         };
-        w.c.on_write_outcome(w.now, outcome);
-        // What comes later of the other verdict changes nothing.
-        w.c.on_cancel_marked(w.now, &"wk-000001".into());
-        for a in w.settle() {
-            let Action::Store(b) = a else { continue };
+        fixture.cluster.on_write_outcome(fixture.now, outcome);
+        // What comes later of the other outcome changes nothing.
+        fixture
+            .cluster
+            .on_cancel_marked(fixture.now, &"wk-000001".into());
+        for attempt in fixture.settle() {
+            let Action::Store(b) = attempt else { continue };
             let again = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
             assert!(!b.ops.iter().any(again), "{withdrawn_first}");
         }
-        assert!(w.c.jobs.is_empty(), "{withdrawn_first}: nothing is left");
+        assert!(
+            fixture.cluster.jobs.is_empty(),
+            "{withdrawn_first}: nothing is left"
+        );
     }
 }
 
 /// A leader that has just taken over, with machines that cannot be reached: what was cancelled there
-/// costs the machine well before the time is over, also when its reports come and nothing reaches it.
+/// costs the machine well before the time is over, also when its heartbeats come and nothing reaches it.
 #[test]
 fn unreachable_machines_with_cancelled_tasks_are_returned_in_time() {
     for heartbeats in [false, true] {
-        let mut w = World::new();
-        w.job(spec("wk-000001", 1, 8.0));
-        loaded(&mut w, "wk-000001", 0, &[(0, "i-1")]);
-        w.c.on_cancel_marked(w.now, &"wk-000001".into());
-        let cancel = w.c.config.cancel.as_secs();
+        let mut fixture = ClusterFixture::new();
+        fixture.job(spec("wk-000001", 1, 8.0));
+        loaded(&mut fixture, "wk-000001", 0, &[(0, "i-1")]);
+        fixture
+            .cluster
+            .on_cancel_marked(fixture.now, &"wk-000001".into());
+        let cancel = fixture.cluster.config.cancel.as_secs();
         let old = FencingToken::first(Term(TERM.0 - 1)).0;
         let mut returned = None;
         for second in 1..cancel {
-            w.pass(secs(1));
+            fixture.pass(secs(1));
             if heartbeats && second % 3 == 0 {
                 let tasks = vec![running("wk-000001", 0)];
-                let r = World::heartbeat_from("i-1", 1, 10 + second, old, tasks);
-                w.c.on_heartbeat(w.now, r);
+                let heartbeat = heartbeat_from("i-1", 1, 10 + second, old, tasks);
+                fixture.cluster.on_heartbeat(fixture.now, heartbeat);
             }
-            w.heartbeat("i-8", second, vec![]);
-            w.heartbeat("i-9", second, vec![]);
+            fixture.heartbeat("i-8", second, vec![]);
+            fixture.heartbeat("i-9", second, vec![]);
             let back = |a: &Action| matches!(a, Action::Return { machines } if machines.contains(&"i-1".into()));
-            if returned.is_none() && w.c.tick(w.now).iter().any(back) {
+            if returned.is_none() && fixture.cluster.tick(fixture.now).iter().any(back) {
                 returned = Some(second);
             }
         }
         let at = returned.unwrap_or_else(|| panic!("{heartbeats}: never given back"));
         assert!(at <= cancel / 2, "{heartbeats}: only after {at} s");
         assert!(
-            w.active("wk-000001", 0).is_some(),
+            fixture.active("wk-000001", 0).is_some(),
             "not gone before the word"
         );
     }
@@ -214,9 +229,9 @@
 fn a_stream_of_small_jobs_leaves_nothing_behind() {
     const SECONDS: u64 = 240;
     const A_SECOND: u64 = 4;
-    let mut p = config();
-    p.teams[0].cpus_max = None;
-    let mut f = Fleet::new(p, 12, 8.0);
+    let mut scheduler_config = config();
+    scheduler_config.teams[0].cpus_max = None;
+    let mut fleet = SimulatedFleet::new(scheduler_config, 12, 8.0);
     let mut keys = Keys::default();
     let mut cancelled = Vec::new();
     let mut most_jobs = 0;
@@ -224,33 +239,40 @@
         for n in 0..A_SECOND {
             let number = second * A_SECOND + n;
             let job_id = format!("wk-{number:06}");
-            f.w.job(spec(&job_id, 1, 1.0));
+            fleet.fixture.job(spec(&job_id, 1, 1.0));
             // Now one that has just come, now one that may be running.
             let victim = number.saturating_sub(if number % 8 == 0 { 0 } else { 12 });
             if number % 4 == 0 && victim % 4 == 0 {
                 let victim = JobId::from(format!("wk-{victim:06}").as_str());
-                let starts = f.launched.get(&victim).copied().unwrap_or_default();
-                f.w.c.on_cancel_marked(f.w.now, &victim);
+                let starts = fleet.launched.get(&victim).copied().unwrap_or_default();
+                fleet
+                    .fixture
+                    .cluster
+                    .on_cancel_marked(fleet.fixture.now, &victim);
                 cancelled.push((victim, starts));
             }
         }
-        f.second(|_| secs(6));
-        most_jobs = most_jobs.max(f.w.c.jobs.len());
+        fleet.second(|_| secs(6));
+        most_jobs = most_jobs.max(fleet.fixture.cluster.jobs.len());
     }
     for _ in 0..60 {
-        f.second(|_| secs(6));
-        keys.tick(&mut f.w, 24);
+        fleet.second(|_| secs(6));
+        keys.tick(&mut fleet.fixture, 24);
     }
-    assert!(f.w.c.jobs.is_empty(), "{} are left", f.w.c.jobs.len());
+    assert!(
+        fleet.fixture.cluster.jobs.is_empty(),
+        "{} are left",
+        fleet.fixture.cluster.jobs.len()
+    );
     assert!(most_jobs < 150, "{most_jobs} at a time");
     assert!(cancelled.len() > 100, "{}", cancelled.len());
     for (job_id, starts) in &cancelled {
-        let now = f.launched.get(job_id).copied().unwrap_or_default();
+        let now = fleet.launched.get(job_id).copied().unwrap_or_default();
         assert_eq!(now, *starts, "{job_id} started after its cancellation");
     }
     for number in 0..SECONDS * A_SECOND {
         let job_id = JobId::from(format!("wk-{number:06}").as_str());
-        let over = cancelled.iter().any(|c| c.0 == job_id) || f.done.get(&job_id) == Some(&1);
+        let over = cancelled.iter().any(|c| c.0 == job_id) || fleet.done.get(&job_id) == Some(&1);
         assert!(over, "{job_id} was lost");
     }
 }
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -1,15 +1,16 @@
 //! Jobs that fail everywhere (crash loops), machines that fail every job (quarantine), and telling the two
 //! apart.
 
+use crate::common::fleet::SimulatedFleet;
 use crate::common::*;
 use cypressgap::core::model::*;
 
 fn roomy() -> SchedulerConfig {
-    let mut p = config();
-    for t in &mut p.teams {
+    let mut scheduler_config = config();
+    for t in &mut scheduler_config.teams {
         t.cpus_max = None;
     }
-    p
+    scheduler_config
 }
 
 /// Guards against broken jobs that were launched whole again and again, and against machines that were
@@ -27,117 +28,127 @@
         ("both", 3, 8, 12, 5),
     ];
     for (name, broken, faulty, most, found) in cases {
-        let mut f = Fleet::new(roomy(), 40, 8.0);
-        f.faulty = (0..faulty)
+        let mut fleet = SimulatedFleet::new(roomy(), 40, 8.0);
+        fleet.faulty = (0..faulty)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
-        let all = f.on.len();
+        let all = fleet.on.len();
         for n in 0..12 {
             let job_id = format!("wk-{n:06}");
             if n % 2 == 1 && n / 2 < broken {
-                f.broken.push(JobId(job_id.clone()));
+                fleet.broken.push(JobId(job_id.clone()));
             }
-            f.w.job(spec(&job_id, 80, 1.0));
+            fleet.fixture.job(spec(&job_id, 80, 1.0));
         }
         for _ in 0..150 {
-            f.second(|_| secs(12));
+            fleet.second(|_| secs(12));
         }
         for n in 0..12 {
             let job_id = JobId(format!("wk-{n:06}"));
-            if f.broken.contains(&job_id) {
-                let launched = f.launched.get(&job_id).copied().unwrap_or(0);
+            if fleet.broken.contains(&job_id) {
+                let launched = fleet.launched.get(&job_id).copied().unwrap_or(0);
                 assert!(
                     launched <= 80 + most,
                     "{name}: {job_id} launched {launched}"
                 );
                 assert!(launched >= 3, "{name}: {job_id} was given up");
-                assert!(f.w.c.jobs.contains(&job_id), "{name}: known all along");
+                assert!(
+                    fleet.fixture.cluster.jobs.contains(&job_id),
+                    "{name}: known all along"
+                );
             } else {
-                assert_eq!(f.done.get(&job_id), Some(&80), "{name}: {job_id}");
+                assert_eq!(fleet.done.get(&job_id), Some(&80), "{name}: {job_id}");
             }
         }
-        let gone: Vec<_> = f.faulty.iter().filter(|h| !f.on.contains_key(h)).collect();
+        let gone: Vec<_> = fleet
+            .faulty
+            .iter()
+            .filter(|h| !fleet.on.contains_key(h))
+            .collect();
         assert!(gone.len() >= found, "{name}: {} found", gone.len());
         assert_eq!(
-            f.on.len() + gone.len(),
+            fleet.on.len() + gone.len(),
             all,
             "{name}: no sound machine went"
         );
         // Withdrawn, a broken job ends at once.
-        for job_id in f.broken.clone() {
-            f.w.c.on_cancel_marked(f.w.now, &job_id);
+        for job_id in fleet.broken.clone() {
+            fleet
+                .fixture
+                .cluster
+                .on_cancel_marked(fleet.fixture.now, &job_id);
         }
-        f.second(|_| secs(12));
-        f.second(|_| secs(12));
-        f.second(|_| secs(12));
-        assert!(f.w.c.jobs.is_empty(), "{name}");
+        fleet.second(|_| secs(12));
+        fleet.second(|_| secs(12));
+        fleet.second(|_| secs(12));
+        assert!(fleet.fixture.cluster.jobs.is_empty(), "{name}");
     }
 }
 
 #[test]
 fn a_sound_job_is_not_slowed_by_faulty_machines() {
     // All of its first machines but one fail everything: what runs on the last clears it.
-    let mut f = Fleet::new(roomy(), 12, 8.0);
-    f.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
-    f.w.job(spec("wk-000001", 96, 1.0));
+    let mut fleet = SimulatedFleet::new(roomy(), 12, 8.0);
+    fleet.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
+    fleet.fixture.job(spec("wk-000001", 96, 1.0));
     let mut cleared = None;
     for second in 0..60 {
-        f.second(|_| secs(30));
-        let job = f.w.c.jobs.get(&"wk-000001".into());
+        fleet.second(|_| secs(30));
+        let job = fleet.fixture.cluster.jobs.get(&"wk-000001".into());
         if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.crash_loop.is_suspected()) {
             cleared = Some(second);
         }
     }
     assert!(cleared.is_some_and(|s| s < 15), "{cleared:?}");
-    assert!(f.done.get(&"wk-000001".into()).copied().unwrap_or(0) >= 24);
+    assert!(fleet.done.get(&"wk-000001".into()).copied().unwrap_or(0) >= 24);
 }
 
 #[test]
 fn nothing_is_rented_or_preempted_for_a_job_in_a_crash_loop() {
-    let mut f = Fleet::new(roomy(), 4, 8.0);
-    f.broken.push("wk-000001".into());
+    let mut fleet = SimulatedFleet::new(roomy(), 4, 8.0);
+    fleet.broken.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
     urgent.priority = Priority::Production;
-    f.w.job(urgent);
+    fleet.fixture.job(urgent);
     for _ in 0..4 {
-        f.second(|_| secs(500));
+        fleet.second(|_| secs(500));
     }
-    assert!(f.w.c.jobs[&JobId::from("wk-000001")]
+    assert!(fleet.fixture.cluster.jobs[&JobId::from("wk-000001")]
         .crash_loop
         .is_suspected());
-    let before = f.rented;
+    let before = fleet.rented;
     // The machines fill up with other work, and the urgent one's tries find no room.
-    f.w.job(spec("wk-000002", 32, 1.0));
-    f.w.c.config.tuning.max_machines = 1000;
+    fleet.fixture.job(spec("wk-000002", 32, 1.0));
+    fleet.fixture.cluster.config.tuning.max_machines = 1000;
     for _ in 0..60 {
-        f.second(|_| secs(500));
+        fleet.second(|_| secs(500));
     }
-    assert_eq!(f.rented, before);
-    let other = &f.w.c.jobs[&JobId::from("wk-000002")];
+    assert_eq!(fleet.rented, before);
+    let other = &fleet.fixture.cluster.jobs[&JobId::from("wk-000002")];
     assert!(other.active.len() >= 31, "{}", other.active.len());
     assert!(other.active.values().all(|a| a.kill_request.is_none()));
 }
 
 #[test]
 fn a_machine_that_fails_two_jobs_is_quarantined_and_a_job_that_fails_everywhere_waits() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    w.job(spec("wk-000002", 1, 4.0));
-    let sent = launches(&w.settle());
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    fixture.job(spec("wk-000002", 1, 4.0));
+    let sent = launches(&fixture.settle());
     assert_eq!(sent.len(), 2);
     let ends = sent
         .iter()
         .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
-    w.heartbeat("i-1", 5, ends);
-    assert!(w.c.fleet.machines[&MachineId::from("i-1")].is_quarantined());
+    fixture.heartbeat("i-1", 5, ends);
+    assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].is_quarantined());
 
-    let mut w = World::new();
-    w.job(spec("wk-000001", 1, 4.0));
+    let mut fixture = ClusterFixture::new();
+    fixture.job(spec("wk-000001", 1, 4.0));
     for (n, machine) in ["i-1", "i-2", "i-3"].iter().enumerate() {
-        w.heartbeat(machine, 1, vec![]);
-        let sent = launches(&w.settle());
+        fixture.heartbeat(machine, 1, vec![]);
+        let sent = launches(&fixture.settle());
         assert_eq!(sent.len(), 1, "{machine}");
         assert_eq!(&sent[0].0 .0, machine, "not where it failed before");
         let end = shown(
@@ -146,8 +157,8 @@
             sent[0].2,
             TaskPhase::Ended(ExitReason::Failed),
         );
-        w.heartbeat(machine, 5, vec![end]);
-        let held = w.c.jobs[&JobId::from("wk-000001")]
+        fixture.heartbeat(machine, 5, vec![end]);
+        let held = fixture.cluster.jobs[&JobId::from("wk-000001")]
             .crash_loop
             .backoff_until
             .is_some();
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -114,21 +114,21 @@
     )]
 }
 
-/// Started only after the durable `done`, not on the report that shows the last task's end.
+/// Started only after the durable `done`, not on the heartbeat that shows the last task's end.
 #[test]
 fn a_blocked_job_starts_only_after_the_durable_end_of_its_dependencies() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(job_depending_on(1, &[]));
-    w.job(job_depending_on(2, &[1]));
-    let sent = launches(&w.settle());
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(job_depending_on(1, &[]));
+    fixture.job(job_depending_on(2, &[1]));
+    let sent = launches(&fixture.settle());
     assert_eq!(sent.len(), 1, "only the first");
     assert_eq!(sent[0].1.job_id, job_id(1));
-    let blocked = &w.c.jobs[&job_id(2)];
+    let blocked = &fixture.cluster.jobs[&job_id(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
-    w.heartbeat("i-1", 2, ended(1, sent[0].2));
-    // The verdict's transaction gets no answer for a while.
-    let outcome = w.batch().expect("the verdict");
+    fixture.heartbeat("i-1", 2, ended(1, sent[0].2));
+    // The outcome's transaction gets no answer for a while.
+    let outcome = fixture.batch().expect("the verdict");
     let done = |o: &WriteOp| {
         matches!(
             o,
@@ -137,20 +137,24 @@
     };
     assert!(outcome.ops.iter().any(done));
     for _ in 0..12 {
-        w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
-        w.pass(secs(1));
-        let actions = w.c.tick(w.now);
+        fixture
+            .cluster
+            .on_write_outcome(fixture.now, WriteOutcome::Unknown);
+        fixture.pass(secs(1));
+        let actions = fixture.cluster.tick(fixture.now);
         assert_eq!(launches(&actions), vec![], "not durable yet");
-        w.heartbeat("i-1", 100 + w.revision, vec![]);
-        w.revision += 1;
+        fixture.heartbeat("i-1", 100 + fixture.revision, vec![]);
+        fixture.revision += 1;
     }
-    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
-    let before = w.now;
-    let sent = launches(&w.settle());
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Unknown);
+    let before = fixture.now;
+    let sent = launches(&fixture.settle());
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].1.job_id, job_id(2));
     assert!(
-        w.c.jobs[&job_id(2)].arrived >= before,
+        fixture.cluster.jobs[&job_id(2)].arrived >= before,
         "it waits from now on"
     );
 }
@@ -158,7 +162,7 @@
 /// A new leader knows of what is needed only what it finds: live, done, cancelled, or nothing yet.
 #[test]
 fn a_new_leader_blocks_what_it_does_not_know_to_be_done() {
-    // How the needed job is found -> whether the other starts, and whether its verdict is written.
+    // How the needed job is found -> whether the other starts, and whether its outcome is written.
     let cases = [
         (None, false, false),
         (Some(JobOutcome::Done), true, false),
@@ -166,24 +170,24 @@
     ];
     for (found, starts, cancelled) in cases {
         for told_first in [false, true] {
-            let mut w = World::new();
-            w.heartbeat("i-1", 1, vec![]);
+            let mut fixture = ClusterFixture::new();
+            fixture.heartbeat("i-1", 1, vec![]);
             if let (Some(v), true) = (found, told_first) {
-                w.c.on_past_outcome(w.now, &job_id(1), v);
+                fixture.cluster.on_past_outcome(fixture.now, &job_id(1), v);
             }
-            w.job(job_depending_on(2, &[1]));
-            w.job(job_depending_on(3, &[2]));
+            fixture.job(job_depending_on(2, &[1]));
+            fixture.job(job_depending_on(3, &[2]));
             if !told_first {
-                assert_eq!(w.c.unresolved_dependencies(), job_ids(&[1]));
+                assert_eq!(fixture.cluster.unresolved_dependencies(), job_ids(&[1]));
             }
             if let (Some(v), false) = (found, told_first) {
-                w.c.on_past_outcome(w.now, &job_id(1), v);
+                fixture.cluster.on_past_outcome(fixture.now, &job_id(1), v);
             }
             let mut written = Vec::new();
             let mut sent = Vec::new();
             for _ in 0..20 {
-                w.pass(secs(1));
-                for a in w.c.tick(w.now) {
+                fixture.pass(secs(1));
+                for a in fixture.cluster.tick(fixture.now) {
                     if let Action::Store(b) = &a {
                         for o in &b.ops {
                             if let WriteOp::Put(key, RecordValue::JobOutcome(v)) = o {
@@ -191,15 +195,17 @@
                                 assert!(b.conditions.contains(&KeyCondition::absent(key)));
                             }
                         }
-                        w.revision += 1;
-                        let revision = w.revision;
-                        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
+                        fixture.revision += 1;
+                        let revision = fixture.revision;
+                        fixture
+                            .cluster
+                            .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
                     } else {
                         sent.extend(launches(&[a]));
                     }
                 }
-                let serial = 10 + w.revision;
-                w.heartbeat("i-1", serial, vec![]);
+                let serial = 10 + fixture.revision;
+                fixture.heartbeat("i-1", serial, vec![]);
             }
             let begun = sent.iter().any(|l| l.1.job_id == job_id(2));
             assert_eq!(begun, starts, "{found:?} {told_first}");
@@ -241,7 +247,7 @@
 #[test]
 fn unresolved_dependencies_are_queried_with_backoff() {
     let mut backoff = Backoff::default();
-    let start = World::new().now;
+    let start = ClusterFixture::new().now;
     let mut asked = 0;
     for tenth in 0..6000 {
         let due = backoff.due(&job_ids(&[1]), start + Duration::from_millis(100 * tenth));
--- a/tests/scheduler/execution_history.rs
+++ b/tests/scheduler/execution_history.rs
@@ -6,19 +6,19 @@
 
 #[test]
 fn run_time_estimates_move_from_the_owners_to_measured_ones() {
-    let mut h = History::default();
+    let mut history = History::default();
     let t = MachineTypeName::from("m8");
     let s = spec("wk-000001", 1, 4.0);
-    assert_eq!(h.run_time(&s, &t), secs(60), "the owner's word");
-    h.record_run(&s, &t, secs(30));
-    assert_eq!(h.run_time(&s, &t), secs(30), "siblings measured");
+    assert_eq!(history.run_time(&s, &t), secs(60), "the owner's word");
+    history.record_run(&s, &t, secs(30));
+    assert_eq!(history.run_time(&s, &t), secs(30), "siblings measured");
     let mut other = s.clone();
     other.expected = secs(100);
-    let est = h.run_time(&other, &t).as_secs_f64();
+    let est = history.run_time(&other, &t).as_secs_f64();
     assert!((est - 50.0).abs() < 0.1, "owners were off by half: {est}");
     // A new leader starts from the summary.
-    let summary = h.summary(100).expect("something is new");
-    assert_eq!(h.summary(100), None);
+    let summary = history.summary(100).expect("something is new");
+    assert_eq!(history.summary(100), None);
     let mut next = History::default();
     next.load(&summary);
     assert_eq!(next.run_time(&s, &t), secs(30));
@@ -26,12 +26,12 @@
     for n in 0..500 {
         let mut kind = s.clone();
         kind.class = format!("class-{n}");
-        h.record_run(&kind, &MachineTypeName(format!("type-{n}")), secs(30));
-        h.record_fetch(&MachineTypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
+        history.record_run(&kind, &MachineTypeName(format!("type-{n}")), secs(30));
+        history.record_fetch(&MachineTypeName(format!("type-{n}")), 1.0, 4.0, secs(8));
     }
-    let kept = h.summary(60).expect("something is new");
+    let kept = history.summary(60).expect("something is new");
     assert_eq!(kept.runs.len() + kept.bias.len() + kept.fetch.len(), 60);
-    let mut h = next;
-    h.record_fetch(&t, 1.0, 4.0, secs(8));
-    assert_eq!(h.fetch_time(&t, 1.0, 2.0), secs(4));
+    let mut history = next;
+    history.record_fetch(&t, 1.0, 4.0, secs(8));
+    assert_eq!(history.fetch_time(&t, 1.0, 2.0), secs(4));
 }
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -25,7 +25,7 @@
 }
 
 /// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
-fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> World {
+fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> ClusterFixture {
     let active = (0..on_record).map(|n| Intent::new(n, EARLIER, MachineId(format!("i-{n}"))));
     let chunk = StoredIntents {
         job_id: job_id(),
@@ -36,7 +36,7 @@
         },
         revision: 90,
     };
-    let mut w = World::with(config, vec![machine_type("m8", 8.0)]);
+    let mut fixture = ClusterFixture::with(config, vec![machine_type("m8", 8.0)]);
     let jobs = jobs
         .into_iter()
         .map(|spec| StoredLiveJob { spec, revision: 50 });
@@ -45,12 +45,12 @@
         chunks: vec![chunk],
         ..StoredSnapshot::default()
     };
-    w.c.take_over(w.now, picture);
-    w
+    fixture.cluster.take_over(fixture.now, picture);
+    fixture
 }
 
-fn red(w: &World) -> f64 {
-    w.c.quota_usage.of(&"red".into()).cpus
+fn red(fixture: &ClusterFixture) -> f64 {
+    fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
 fn launched_index(d: &TaskCommand) -> Option<u32> {
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -13,45 +13,57 @@
 #[test]
 fn launches_after_a_cold_restart_keep_to_the_rate_limit() {
     const MACHINES: u32 = 60;
-    let mut p = config();
-    p.teams = vec![team("red", 1000.0, 1000.0)];
-    p.recovery.orders_per_second = Some(20.0);
-    p.recovery.segment_orders_per_second = Some(10.0);
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![team("red", 1000.0, 1000.0)];
+    scheduler_config.recovery.orders_per_second = Some(20.0);
+    scheduler_config.recovery.segment_orders_per_second = Some(10.0);
     let rack = parse_segment("10.0.1.0/24").expect("a network");
-    p.recovery.segments.push(NamedSegment {
+    scheduler_config.recovery.segments.push(NamedSegment {
         name: "rack".to_owned(),
         net: rack,
     });
-    let mut w = taken_over(p, vec![spec("wk-000001", MACHINES, 4.0)], MACHINES);
+    let mut fixture = taken_over(
+        scheduler_config,
+        vec![spec("wk-000001", MACHINES, 4.0)],
+        MACHINES,
+    );
     let mut by_second: Vec<usize> = Vec::new();
     let mut sent = std::collections::BTreeSet::new();
     for step in 0..100u64 {
-        w.pass(Duration::from_millis(100));
+        fixture.pass(Duration::from_millis(100));
         if step % 10 == 0 {
             by_second.push(0);
         }
         let mut launched: Vec<u32> = Vec::new();
-        for action in w.c.tick(w.now) {
+        for action in fixture.cluster.tick(fixture.now) {
             match action {
                 Action::Store(_) => {
                     let revision = 1000 + step;
-                    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
+                    fixture
+                        .cluster
+                        .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
                 }
                 Action::Send {
                     machine, commands, ..
                 } => {
                     launched.extend(commands.iter().filter_map(launched_index));
-                    w.c.on_command_response(w.now, &machine, None);
+                    fixture
+                        .cluster
+                        .on_command_response(fixture.now, &machine, None);
                 }
                 _ => {}
             }
         }
         for n in 0..MACHINES {
-            let token = w.c.fleet.machines[&MachineId(format!("i-{n}"))].token.0;
+            let token = fixture.cluster.fleet.machines[&MachineId(format!("i-{n}"))]
+                .token
+                .0;
             let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
-            let mut r = World::heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
-            r.endpoint = format!("10.0.{}.{n}:9", n % 2);
-            if let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) {
+            let mut heartbeat = heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
+            heartbeat.endpoint = format!("10.0.{}.{n}:9", n % 2);
+            if let HeartbeatDecision::Accept { commands, .. } =
+                fixture.cluster.on_heartbeat(fixture.now, heartbeat)
+            {
                 launched.extend(commands.iter().filter_map(launched_index));
             }
         }
@@ -68,30 +80,34 @@
 #[test]
 fn kills_of_a_cancelled_job_go_out_in_time_whatever_the_rate_limit() {
     const MACHINES: u32 = 40;
-    let mut p = config();
-    p.teams = vec![team("red", 1000.0, 1000.0)];
-    p.recovery.orders_per_second = Some(1.0);
-    p.recovery.segment_orders_per_second = Some(1.0);
-    let mut w = taken_over(p, vec![spec("wk-000001", MACHINES, 4.0)], MACHINES);
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![team("red", 1000.0, 1000.0)];
+    scheduler_config.recovery.orders_per_second = Some(1.0);
+    scheduler_config.recovery.segment_orders_per_second = Some(1.0);
+    let mut fixture = taken_over(
+        scheduler_config,
+        vec![spec("wk-000001", MACHINES, 4.0)],
+        MACHINES,
+    );
     let mut killed = std::collections::BTreeSet::new();
-    let mut heartbeat_all = |w: &mut World, serial: u64| {
+    let mut heartbeat_all = |fixture: &mut ClusterFixture, serial: u64| {
         for n in 0..MACHINES {
             // One machine stays unheard, so the takeover goes on.
             let machine = format!("i-{n}");
             if n + 1 < MACHINES {
-                let (_, d) = w.heartbeat(&machine, serial, vec![running(n)]);
+                let (_, d) = fixture.heartbeat(&machine, serial, vec![running(n)]);
                 killed.extend(d.iter().any(is_kill).then_some(n));
             }
         }
         killed.len()
     };
-    heartbeat_all(&mut w, 1);
-    w.c.on_cancel_marked(w.now, &job_id());
-    w.pass(secs(2));
-    assert!(heartbeat_all(&mut w, 2) < 10, "at the pace");
-    w.pass(secs(14));
+    heartbeat_all(&mut fixture, 1);
+    fixture.cluster.on_cancel_marked(fixture.now, &job_id());
+    fixture.pass(secs(2));
+    assert!(heartbeat_all(&mut fixture, 2) < 10, "at the pace");
+    fixture.pass(secs(14));
     assert_eq!(
-        heartbeat_all(&mut w, 3),
+        heartbeat_all(&mut fixture, 3),
         MACHINES as usize - 1,
         "at 0.3 of cancel_s"
     );
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -5,30 +5,31 @@
 use cypressgap::core::model::*;
 use cypressgap::core::state::cluster_state::Action;
 
-/// Twenty machines that report every three seconds. From then on those for which `silent` holds are
+/// Twenty machines that send heartbeats every three seconds. From then on those for which `silent` holds are
 /// silent for so long. Returns the world, and which machines went back meanwhile.
 fn after_silence(
-    p: SchedulerConfig,
+    scheduler_config: SchedulerConfig,
     jobs: Vec<JobSpec>,
     silent: fn(u32) -> bool,
     time: u64,
-) -> (World, Vec<MachineId>, u32) {
-    let mut w = taken_over(p, jobs, 0);
+) -> (ClusterFixture, Vec<MachineId>, u32) {
+    let mut fixture = taken_over(scheduler_config, jobs, 0);
     let (mut returned, mut rented) = (Vec::new(), 0);
     for second in 0..=time {
         for n in (0..20).filter(|n| second == 0 || (second % 3 == 0 && !silent(*n))) {
             let machine = format!("i-{n}");
-            let token =
-                w.c.fleet
-                    .machines
-                    .get(&MachineId::from(machine.as_str()))
-                    .map_or(FencingToken::first(TERM), |h| h.token);
-            let mut r = World::heartbeat_from(&machine, 1, second + 1, token.0, vec![]);
-            r.endpoint = format!("10.0.{}.{n}:9", n / 8);
-            w.c.on_heartbeat(w.now, r);
+            let token = fixture
+                .cluster
+                .fleet
+                .machines
+                .get(&MachineId::from(machine.as_str()))
+                .map_or(FencingToken::first(TERM), |h| h.token);
+            let mut heartbeat = heartbeat_from(&machine, 1, second + 1, token.0, vec![]);
+            heartbeat.endpoint = format!("10.0.{}.{n}:9", n / 8);
+            fixture.cluster.on_heartbeat(fixture.now, heartbeat);
         }
-        w.pass(secs(1));
-        for action in w.c.tick(w.now) {
+        fixture.pass(secs(1));
+        for action in fixture.cluster.tick(fixture.now) {
             match action {
                 Action::Return { machines } => returned.extend(machines),
                 Action::Rent { number, .. } => rented += number,
@@ -36,7 +37,7 @@
             }
         }
     }
-    (w, returned, rented)
+    (fixture, returned, rented)
 }
 
 /// One machine, a whole segment, one in each segment; for how long -> how many go back. Silence is noticed
@@ -53,10 +54,10 @@
         ("nearly all", |n| n > 1, 26, true, 0),
     ];
     for (name, silent, time, enabled, expected) in cases {
-        let mut p = config();
-        p.tuning.idle_ordinary = secs(1000);
-        p.recovery.enabled = enabled;
-        let (_, returned, _) = after_silence(p, vec![], silent, time);
+        let mut scheduler_config = config();
+        scheduler_config.tuning.idle_ordinary = secs(1000);
+        scheduler_config.recovery.enabled = enabled;
+        let (_, returned, _) = after_silence(scheduler_config, vec![], silent, time);
         assert_eq!(returned.len(), expected, "{name}: {returned:?}");
     }
 }
@@ -64,16 +65,16 @@
 #[test]
 fn replacements_for_a_silent_segment_are_rented_at_a_limited_rate() {
     let rented = |silent: fn(u32) -> bool, pace: f64| {
-        let mut p = config();
-        p.teams = vec![team("red", 1000.0, 4000.0)];
-        p.tuning.idle_ordinary = secs(1000);
-        p.recovery.replacements_per_second = pace;
-        let (mut w, _, _) = after_silence(p, vec![], silent, 24);
-        w.job(spec("wk-000001", 400, 8.0));
+        let mut scheduler_config = config();
+        scheduler_config.teams = vec![team("red", 1000.0, 4000.0)];
+        scheduler_config.tuning.idle_ordinary = secs(1000);
+        scheduler_config.recovery.replacements_per_second = pace;
+        let (mut fixture, _, _) = after_silence(scheduler_config, vec![], silent, 24);
+        fixture.job(spec("wk-000001", 400, 8.0));
         let mut rented = 0;
         for _ in 0..4 {
-            w.pass(secs(1));
-            for action in w.c.tick(w.now) {
+            fixture.pass(secs(1));
+            for action in fixture.cluster.tick(fixture.now) {
                 if let Action::Rent { number, .. } = action {
                     rented += number;
                 }
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -36,19 +36,19 @@
     }
 }
 
-fn tight() -> World {
-    let mut p = config();
-    p.teams = vec![team("red", 8.0, 8.0), team("grey", 0.0, 32.0)];
-    World::with(p, vec![machine_type("m8", 8.0)])
+fn tight() -> ClusterFixture {
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![team("red", 8.0, 8.0), team("grey", 0.0, 32.0)];
+    ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)])
 }
 
-fn world(picture: StoredSnapshot) -> World {
-    let mut w = tight();
-    w.c.take_over(w.now, picture);
-    w
+fn world(picture: StoredSnapshot) -> ClusterFixture {
+    let mut fixture = tight();
+    fixture.cluster.take_over(fixture.now, picture);
+    fixture
 }
 
-/// The tasks that a machine's report is answered with launches of.
+/// The tasks that a machine's heartbeat is answered with launches of.
 fn launched(commands: &[TaskCommand]) -> Vec<TaskId> {
     let launch = |d: &TaskCommand| match d {
         TaskCommand::Launch { task, .. } => Some(task.clone()),
@@ -61,8 +61,8 @@
     shown(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
-fn red(w: &World) -> f64 {
-    w.c.quota_usage.of(&"red".into()).cpus
+fn red(fixture: &ClusterFixture) -> f64 {
+    fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
 #[test]
@@ -89,7 +89,7 @@
         ),
     ];
     for (name, on_first, used) in cases {
-        let mut w = world(StoredSnapshot {
+        let mut fixture = world(StoredSnapshot {
             jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
             chunks: vec![
                 sent("wk-000001", &[0, 1], "i-1"),
@@ -97,20 +97,20 @@
             ],
             ..StoredSnapshot::default()
         });
-        assert_eq!(red(&w), 16.0, "{name}: all that is on record counts");
-        let (_, commands) = w.heartbeat("i-1", 1, on_first);
+        assert_eq!(red(&fixture), 16.0, "{name}: all that is on record counts");
+        let (_, commands) = fixture.heartbeat("i-1", 1, on_first);
         assert_eq!(launched(&commands), vec![], "{name}");
         let on_second = vec![running("wk-000002", 0), running("wk-000002", 1)];
-        let (_, commands) = w.heartbeat("i-2", 1, on_second);
+        let (_, commands) = fixture.heartbeat("i-2", 1, on_second);
         assert_eq!(launched(&commands), vec![], "{name}");
-        assert_eq!(red(&w), used, "{name}: what is proved absent leaves");
-        assert_eq!(launches(&w.settle()), vec![], "{name}");
+        assert_eq!(red(&fixture), used, "{name}: what is proved absent leaves");
+        assert_eq!(launches(&fixture.settle()), vec![], "{name}");
     }
 }
 
 #[test]
 fn what_was_not_launched_beyond_the_limit_starts_once_there_is_room() {
-    let mut w = world(StoredSnapshot {
+    let mut fixture = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 1), job("wk-000002", 2)],
         chunks: vec![
             sent("wk-000001", &[0], "i-1"),
@@ -118,8 +118,8 @@
         ],
         ..StoredSnapshot::default()
     });
-    w.heartbeat("i-1", 1, vec![]);
-    w.heartbeat(
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.heartbeat(
         "i-2",
         1,
         vec![running("wk-000002", 0), running("wk-000002", 1)],
@@ -130,8 +130,8 @@
         ATTEMPT,
         TaskPhase::Ended(ExitReason::Completed),
     );
-    w.heartbeat("i-2", 2, vec![ended, running("wk-000002", 1)]);
-    let sent = launches(&w.settle());
+    fixture.heartbeat("i-2", 2, vec![ended, running("wk-000002", 1)]);
+    let sent = launches(&fixture.settle());
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].1, task("wk-000001", 0));
     assert_ne!(sent[0].2, ATTEMPT, "as a new attempt");
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_heartbeat_that_may_be_a_duplicate_frees_nothing() {
-    let mut w = world(StoredSnapshot {
+    let mut fixture = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
         chunks: vec![
             sent("wk-000001", &[0, 1], "i-1"),
@@ -148,21 +148,21 @@
         ..StoredSnapshot::default()
     });
     // It shows no token of this term: what was sent before the term may still come.
-    let before = FencingToken::first(w.c.term).0 - 1;
-    let r = World::heartbeat_from("i-1", 1, 1, before, vec![]);
-    let answer = w.c.on_heartbeat(w.now, r);
+    let before = FencingToken::first(fixture.cluster.term).0 - 1;
+    let heartbeat = heartbeat_from("i-1", 1, 1, before, vec![]);
+    let answer = fixture.cluster.on_heartbeat(fixture.now, heartbeat);
     assert!(matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty()));
-    assert_eq!(red(&w), 16.0);
+    assert_eq!(red(&fixture), 16.0);
 }
 
 #[test]
 fn a_stored_intent_within_the_limit_is_launched_again() {
-    let mut w = world(StoredSnapshot {
+    let mut fixture = world(StoredSnapshot {
         jobs: vec![job("wk-000001", 2)],
         chunks: vec![sent("wk-000001", &[0, 1], "i-1")],
         ..StoredSnapshot::default()
     });
-    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+    let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
     let both = vec![task("wk-000001", 0), task("wk-000001", 1)];
     assert_eq!(launched(&commands), both);
 }
@@ -185,7 +185,7 @@
         over_two_chunks.spec.same_place = same_place;
         over_two_chunks.spec.spread = spread;
         let others: Vec<u32> = (0..33).collect();
-        let mut w = world(StoredSnapshot {
+        let mut fixture = world(StoredSnapshot {
             jobs: vec![over_two_chunks],
             chunks: vec![
                 sent("wk-000001", &others, "i-2"),
@@ -193,15 +193,17 @@
             ],
             ..StoredSnapshot::default()
         });
-        let token = w.c.fleet.machines[&MachineId::from("i-2")].token.0;
+        let token = fixture.cluster.fleet.machines[&MachineId::from("i-2")]
+            .token
+            .0;
         let tasks = others.iter().map(|i| running("wk-000001", *i)).collect();
-        let mut r = World::heartbeat_from("i-2", 1, 1, token, tasks);
-        r.zone = zone.into();
-        w.c.on_heartbeat(w.now, r);
-        let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+        let mut heartbeat = heartbeat_from("i-2", 1, 1, token, tasks);
+        heartbeat.zone = zone.into();
+        fixture.cluster.on_heartbeat(fixture.now, heartbeat);
+        let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
         let launch = !launched(&commands).is_empty();
         assert_eq!(launch, allowed, "{same_place} {spread} {zone}");
-        let held = w.active("wk-000001", 64).is_some();
+        let held = fixture.active("wk-000001", 64).is_some();
         assert_eq!(held, allowed, "{same_place} {spread} {zone}");
     }
 }
@@ -210,7 +212,7 @@
 fn an_unknown_zone_holds_a_launch_back() {
     let mut bound = job("wk-000001", 2);
     bound.spec.same_place = true;
-    let mut w = world(StoredSnapshot {
+    let mut fixture = world(StoredSnapshot {
         jobs: vec![bound],
         chunks: vec![StoredIntents {
             value: ChunkValue {
@@ -224,40 +226,43 @@
         }],
         ..StoredSnapshot::default()
     });
-    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+    let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
     assert_eq!(launched(&commands), vec![]);
-    assert!(w.active("wk-000001", 0).is_some(), "it keeps its place");
-    w.heartbeat("i-2", 1, vec![running("wk-000001", 1)]);
-    let (_, commands) = w.heartbeat("i-1", 2, vec![]);
+    assert!(
+        fixture.active("wk-000001", 0).is_some(),
+        "it keeps its place"
+    );
+    fixture.heartbeat("i-2", 1, vec![running("wk-000001", 1)]);
+    let (_, commands) = fixture.heartbeat("i-1", 2, vec![]);
     assert_eq!(launched(&commands), vec![task("wk-000001", 0)]);
 }
 
 #[test]
 fn members_of_a_gang_that_is_done_count_until_they_are_proved_gone() {
-    // The first member's end marks all done. Its verdict is durable, or not yet.
+    // The first member's end marks all done. Its outcome is durable, or not yet.
     for durable in [false, true] {
         let mut gang = job("wk-000001", 2);
         gang.spec.kind = JobKind::Gang;
         let mut members = sent("wk-000001", &[1], "i-1");
         members.value.done = 0b11;
         let over = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
-        let mut w = world(StoredSnapshot {
+        let mut fixture = world(StoredSnapshot {
             jobs: vec![gang, job("wk-000002", 2)],
             outcomes: over.into_iter().collect(),
             chunks: vec![members],
             ..StoredSnapshot::default()
         });
-        assert_eq!(red(&w), 4.0);
-        w.heartbeat("i-2", 1, vec![]);
-        let sent = launches(&w.settle());
+        assert_eq!(red(&fixture), 4.0);
+        fixture.heartbeat("i-2", 1, vec![]);
+        let sent = launches(&fixture.settle());
         assert_eq!(sent.len(), 1, "room for one beside the member");
         let first = shown("wk-000002", sent[0].1.index, sent[0].2, TaskPhase::Running);
-        w.heartbeat("i-2", 2, vec![first]);
-        let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+        fixture.heartbeat("i-2", 2, vec![first]);
+        let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
         assert_eq!(launched(&commands), vec![], "it is not started again");
-        assert_eq!(red(&w), 4.0, "proved gone");
-        assert_eq!(launches(&w.settle()).len(), 1);
-        assert!(!w.c.jobs.contains(&JobId::from("wk-000001")));
+        assert_eq!(red(&fixture), 4.0, "proved gone");
+        assert_eq!(launches(&fixture.settle()).len(), 1);
+        assert!(!fixture.cluster.jobs.contains(&JobId::from("wk-000001")));
     }
 }
 
@@ -265,25 +270,25 @@
 fn an_unrecorded_task_counts_while_it_is_reported() {
     // Of an array it is adopted, of a gang it is killed.
     for adopted in [true, false] {
-        let mut w = tight();
-        w.heartbeat("i-1", 1, vec![running("wk-000001", 0)]);
-        assert_eq!(red(&w), 0.0, "nothing is known of its job");
+        let mut fixture = tight();
+        fixture.heartbeat("i-1", 1, vec![running("wk-000001", 0)]);
+        assert_eq!(red(&fixture), 0.0, "nothing is known of its job");
         let mut late = spec("wk-000001", 1, 4.0);
         if !adopted {
             late.kind = JobKind::Gang;
         }
-        w.job(late);
-        let (_, commands) = w.heartbeat("i-1", 2, vec![running("wk-000001", 0)]);
+        fixture.job(late);
+        let (_, commands) = fixture.heartbeat("i-1", 2, vec![running("wk-000001", 0)]);
         let killed = matches!(commands[..], [TaskCommand::Kill { .. }]);
         assert_eq!(killed, !adopted, "{commands:?}");
         assert_eq!(commands.is_empty(), adopted, "{commands:?}");
-        assert_eq!(w.active("wk-000001", 0).is_some(), adopted);
-        assert_eq!(red(&w), 4.0);
-        w.job(spec("wk-000002", 2, 4.0));
-        w.heartbeat("i-2", 1, vec![]);
-        assert_eq!(launches(&w.settle()).len(), 1, "room for one more");
-        w.heartbeat("i-1", 3, vec![]);
-        assert_eq!(red(&w), 4.0);
+        assert_eq!(fixture.active("wk-000001", 0).is_some(), adopted);
+        assert_eq!(red(&fixture), 4.0);
+        fixture.job(spec("wk-000002", 2, 4.0));
+        fixture.heartbeat("i-2", 1, vec![]);
+        assert_eq!(launches(&fixture.settle()).len(), 1, "room for one more");
+        fixture.heartbeat("i-1", 3, vec![]);
+        assert_eq!(red(&fixture), 4.0);
     }
 }
 
@@ -291,7 +296,7 @@
 fn a_team_without_settings_or_above_its_limit_starts_nothing_and_hinders_nobody() {
     let mut unknown = job("wk-000001", 2);
     unknown.spec.team = "gone".into();
-    let mut w = world(StoredSnapshot {
+    let mut fixture = world(StoredSnapshot {
         jobs: vec![unknown, job("wk-000002", 4), job("wk-000003", 1)],
         chunks: vec![
             sent("wk-000001", &[0], "i-1"),
@@ -302,14 +307,17 @@
     });
     let mut other = spec("wk-000004", 1, 4.0);
     other.team = "grey".into();
-    w.job(other);
-    let (_, commands) = w.heartbeat("i-1", 1, vec![]);
+    fixture.job(other);
+    let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
     assert_eq!(launched(&commands), vec![]);
     let running = [0, 1, 2].map(|i| running("wk-000002", i)).to_vec();
-    w.heartbeat("i-2", 1, running);
-    let started: Vec<TaskId> = launches(&w.settle()).into_iter().map(|l| l.1).collect();
+    fixture.heartbeat("i-2", 1, running);
+    let started: Vec<TaskId> = launches(&fixture.settle())
+        .into_iter()
+        .map(|l| l.1)
+        .collect();
     assert_eq!(started, vec![task("wk-000004", 0)]);
-    assert_eq!(red(&w), 12.0);
+    assert_eq!(red(&fixture), 12.0);
 }
 
 #[test]
@@ -317,7 +325,7 @@
     // Its machines are known from its intents, or they cannot be read either.
     for intents_readable in [true, false] {
         let job_id = JobId::from("wk-000001");
-        let mut w = world(StoredSnapshot {
+        let mut fixture = world(StoredSnapshot {
             jobs: vec![job("wk-000002", 1)],
             chunks: intents_readable
                 .then(|| sent("wk-000001", &[0], "i-1"))
@@ -327,45 +335,46 @@
             unreadable_intents: (!intents_readable).then_some(job_id).into_iter().collect(),
             ..StoredSnapshot::default()
         });
-        w.heartbeat("i-2", 1, vec![]);
-        let actions = w.settle();
+        fixture.heartbeat("i-2", 1, vec![]);
+        let actions = fixture.settle();
         assert_eq!(launches(&actions), vec![], "the team is not known");
         let returned = actions.iter().any(|a| {
             let machines = vec![MachineId::from("i-1")];
             *a == cypressgap::core::state::cluster_state::Action::Return { machines }
         });
         assert_eq!(returned, intents_readable);
-        w.c.on_returned(w.now, &["i-1".into()]);
-        w.heartbeat("i-2", 2, vec![]);
-        let started = launches(&w.settle()).len();
+        fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
+        fixture.heartbeat("i-2", 2, vec![]);
+        let started = launches(&fixture.settle()).len();
         assert_eq!(started, usize::from(intents_readable));
     }
 }
 
 #[test]
 fn a_restarted_machine_takes_no_command_from_before_its_restart() {
-    let mut w = tight();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    let launch = launches(&w.settle());
+    let mut fixture = tight();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let launch = launches(&fixture.settle());
     let attempt = launch[0].2;
-    let given = w.c.fleet.machines[&MachineId::from("i-1")].token;
+    let given = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
     let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
-    w.heartbeat("i-1", 2, vec![run]);
-    // Restarted within a report's interval, it counts from the beginning and has seen no token. A copy
-    // of the launch would find the same session, and the attempt forgotten.
-    w.pass(secs(1));
-    let answer =
-        w.c.on_heartbeat(w.now, World::heartbeat_from("i-1", 1, 1, 0, vec![]));
+    fixture.heartbeat("i-1", 2, vec![run]);
+    // Restarted within a heartbeat's interval, it counts from the beginning and has seen no token. A copy
+    // of the launch would find the same incarnation, and the attempt forgotten.
+    fixture.pass(secs(1));
+    let answer = fixture
+        .cluster
+        .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]));
     let HeartbeatDecision::Accept { token, commands } = answer else {
         panic!("refused: {answer:?}");
     };
     assert!(token > given, "{token:?} shuts out {given:?}");
     assert_eq!(commands, vec![]);
-    // Its next report shows that token, so it is believed although it counts below the last one.
-    let r = World::heartbeat_from("i-1", 1, 2, token.0, vec![]);
-    w.c.on_heartbeat(w.now, r);
-    let held = w.active("wk-000001", 0);
+    // Its next heartbeat shows that token, so it is believed although it counts below the last one.
+    let heartbeat = heartbeat_from("i-1", 1, 2, token.0, vec![]);
+    fixture.cluster.on_heartbeat(fixture.now, heartbeat);
+    let held = fixture.active("wk-000001", 0);
     assert_ne!(
         held.map(|(_, a)| a),
         Some(attempt),
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -13,35 +13,35 @@
 /// until a proof: a machine that was never answered in this term may have had its lease renewed by another.
 #[test]
 fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
-    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
-    w.heartbeat("i-0", 1, vec![running(0)]);
-    let state = |w: &World, n: u32| {
+    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
+    fixture.heartbeat("i-0", 1, vec![running(0)]);
+    let state = |fixture: &ClusterFixture, n: u32| {
         let machine = MachineId(format!("i-{n}"));
         let task = task("wk-000001", n);
-        w.c.takeover.state(&machine, &task, EARLIER)
+        fixture.cluster.takeover.state(&machine, &task, EARLIER)
     };
-    assert_eq!(state(&w, 0), Some(AttemptState::Confirmed));
-    assert_eq!(state(&w, 1), Some(AttemptState::Unreported));
+    assert_eq!(state(&fixture, 0), Some(AttemptState::Confirmed));
+    assert_eq!(state(&fixture, 1), Some(AttemptState::Unreported));
     for _ in 0..8 {
-        w.pass(secs(3));
-        w.c.tick(w.now);
+        fixture.pass(secs(3));
+        fixture.cluster.tick(fixture.now);
     }
-    assert_eq!(state(&w, 0), Some(AttemptState::Silent));
-    assert_eq!(state(&w, 1), Some(AttemptState::Silent));
-    assert_eq!(red(&w), 8.0, "silence proves nothing");
+    assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
+    assert_eq!(state(&fixture, 1), Some(AttemptState::Silent));
+    assert_eq!(red(&fixture), 8.0, "silence proves nothing");
     // The lease of the one that was answered runs out after 30 s and the drift; the other is not fenced.
     for _ in 0..4 {
-        w.pass(secs(3));
-        w.c.tick(w.now);
+        fixture.pass(secs(3));
+        fixture.cluster.tick(fixture.now);
     }
-    assert_eq!((state(&w, 0), red(&w)), (None, 4.0));
-    assert!(w.active("wk-000001", 1).is_some());
-    // Back with its earlier life's report, and then with one of its new session.
-    let late = World::heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
-    w.c.on_heartbeat(w.now, late);
-    assert!(w.active("wk-000001", 1).is_some(), "a late copy");
-    w.c.on_returned(w.now, &["i-1".into()]);
-    assert_eq!(red(&w), 0.0, "the cloud's word is a proof");
+    assert_eq!((state(&fixture, 0), red(&fixture)), (None, 4.0));
+    assert!(fixture.active("wk-000001", 1).is_some());
+    // Back with its earlier boot's report, and then with one of its new incarnation.
+    let late = heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
+    fixture.cluster.on_heartbeat(fixture.now, late);
+    assert!(fixture.active("wk-000001", 1).is_some(), "a late copy");
+    fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
+    assert_eq!(red(&fixture), 0.0, "the cloud's word is a proof");
 }
 
 /// Of a gang that was heard of by half, the rest is neither launched again nor given away.
@@ -49,13 +49,13 @@
 fn a_gang_confirmed_by_half_waits_for_the_other_half() {
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
-    let mut w = taken_over(config(), vec![gang], 2);
+    let mut fixture = taken_over(config(), vec![gang], 2);
     let waiting = shown("wk-000001", 0, EARLIER, TaskPhase::WaitingForGang);
-    w.heartbeat("i-0", 1, vec![waiting]);
-    w.heartbeat("i-9", 1, vec![]);
-    assert_eq!(launches(&w.settle()), vec![]);
-    assert_eq!(red(&w), 8.0);
-    let (_, d) = w.heartbeat("i-1", 1, vec![]);
+    fixture.heartbeat("i-0", 1, vec![waiting]);
+    fixture.heartbeat("i-9", 1, vec![]);
+    assert_eq!(launches(&fixture.settle()), vec![]);
+    assert_eq!(red(&fixture), 8.0);
+    let (_, d) = fixture.heartbeat("i-1", 1, vec![]);
     let again = TaskCommand::Launch {
         task: task("wk-000001", 1),
         attempt: EARLIER,
@@ -65,16 +65,16 @@
 
 #[test]
 fn a_team_at_its_limit_with_all_attempts_unconfirmed_starts_nothing() {
-    let mut p = config();
-    p.teams = vec![team("red", 8.0, 8.0)];
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![team("red", 8.0, 8.0)];
     let jobs = vec![spec("wk-000001", 2, 4.0), spec("wk-000002", 2, 4.0)];
-    let mut w = taken_over(p, jobs, 2);
-    w.heartbeat("i-9", 1, vec![]);
-    assert_eq!(launches(&w.settle()), vec![]);
+    let mut fixture = taken_over(scheduler_config, jobs, 2);
+    fixture.heartbeat("i-9", 1, vec![]);
+    assert_eq!(launches(&fixture.settle()), vec![]);
     // One proves to be gone: its own launch comes first, as the same attempt.
-    let (_, d) = w.heartbeat("i-0", 1, vec![]);
+    let (_, d) = fixture.heartbeat("i-0", 1, vec![]);
     assert_eq!(d.iter().filter_map(launched_index).collect::<Vec<_>>(), [0]);
-    assert_eq!(red(&w), 8.0);
+    assert_eq!(red(&fixture), 8.0);
 }
 
 /// What ended while nobody listened -> whether the job that waited for it starts.
@@ -87,7 +87,7 @@
     ] {
         let mut dependent = spec("wk-000002", 1, 4.0);
         dependent.dependencies = vec!["wk-000099".into()];
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let picture = StoredSnapshot {
             jobs: vec![StoredLiveJob {
                 spec: dependent,
@@ -96,18 +96,18 @@
             dependency_outcomes: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
             ..StoredSnapshot::default()
         };
-        w.c.take_over(w.now, picture);
-        w.heartbeat("i-9", 1, vec![]);
-        assert_eq!(launches(&w.settle()).len(), starts, "{end:?}");
+        fixture.cluster.take_over(fixture.now, picture);
+        fixture.heartbeat("i-9", 1, vec![]);
+        assert_eq!(launches(&fixture.settle()).len(), starts, "{end:?}");
     }
 }
 
-/// Confirmed in the last second before the fault, by its verdict or by its mark: what runs is killed with the
-/// first report, what does not is never launched again.
+/// Confirmed in the last second before the fault, by its outcome or by its mark: what runs is killed with the
+/// first heartbeat, what does not is never launched again.
 #[test]
 fn a_cancellation_confirmed_just_before_the_failover_holds() {
     for marked in [true, false] {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let active = vec![
             Intent::new(0, EARLIER, "i-0".into()),
             Intent::new(1, EARLIER, "i-1".into()),
@@ -130,11 +130,11 @@
             }],
             ..StoredSnapshot::default()
         };
-        w.c.take_over(w.now, picture);
-        let (_, d) = w.heartbeat("i-0", 1, vec![running(0)]);
+        fixture.cluster.take_over(fixture.now, picture);
+        let (_, d) = fixture.heartbeat("i-0", 1, vec![running(0)]);
         assert!(d.iter().any(is_kill), "{d:?}");
-        let (_, d) = w.heartbeat("i-1", 1, vec![]);
+        let (_, d) = fixture.heartbeat("i-1", 1, vec![]);
         assert_eq!(d, vec![]);
-        assert_eq!(launches(&w.settle()), vec![]);
+        assert_eq!(launches(&fixture.settle()), vec![]);
     }
 }
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -38,35 +38,36 @@
     ];
     for (name, edit, adopted) in cases {
         let mut job = spec("wk-000001", 2, 4.0);
-        let mut r =
-            World::heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
+        let mut r = heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
         edit(&mut job, &mut r);
         let cpus = job.resources.cpus;
-        let mut w = taken_over(config(), vec![job], 0);
-        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) else {
+        let mut fixture = taken_over(config(), vec![job], 0);
+        let HeartbeatDecision::Accept { commands, .. } =
+            fixture.cluster.on_heartbeat(fixture.now, r)
+        else {
             panic!("{name}: refused");
         };
         assert_eq!(commands.iter().any(is_kill), !adopted, "{name}");
-        assert_eq!(w.active("wk-000001", 1).is_some(), adopted, "{name}");
-        assert_eq!(red(&w), cpus, "{name}: it counts either way");
+        assert_eq!(fixture.active("wk-000001", 1).is_some(), adopted, "{name}");
+        assert_eq!(red(&fixture), cpus, "{name}: it counts either way");
     }
 }
 
 #[test]
 fn an_adopted_task_is_on_record_before_long_and_ends_like_any_other() {
-    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    w.heartbeat("i-9", 1, vec![running(1)]);
-    let started = launches(&w.settle());
+    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+    fixture.heartbeat("i-9", 1, vec![running(1)]);
+    let started = launches(&fixture.settle());
     assert!(started.iter().all(|l| l.1.index == 0), "{started:?}");
-    assert!(w.c.jobs[&job_id()].active[&1].durable);
+    assert!(fixture.cluster.jobs[&job_id()].active[&1].durable);
     // Cancelled, it is killed where it is.
-    w.c.on_cancel_marked(w.now, &job_id());
-    let (_, d) = w.heartbeat("i-9", 2, vec![running(1)]);
+    fixture.cluster.on_cancel_marked(fixture.now, &job_id());
+    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(1)]);
     assert!(d.iter().any(is_kill));
-    assert_eq!(red(&w), 4.0 + 4.0 * started.len() as f64);
+    assert_eq!(red(&fixture), 4.0 + 4.0 * started.len() as f64);
 }
 
-/// Late copies adopt nothing, nor does what this term itself gave up; a record elsewhere goes first.
+/// Late duplicates adopt nothing, nor does what this term itself gave up; a record elsewhere goes first.
 #[test]
 fn what_is_not_adopted_is_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
@@ -78,95 +79,110 @@
         ("on record elsewhere", first_token, running(0)),
         ("no such task", first_token, running(2)),
     ] {
-        let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 1);
-        let r = World::heartbeat_from("i-9", 1, 1, token, vec![task]);
-        let HeartbeatDecision::Accept { commands, .. } = w.c.on_heartbeat(w.now, r) else {
+        let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 1);
+        let heartbeat = heartbeat_from("i-9", 1, 1, token, vec![task]);
+        let HeartbeatDecision::Accept { commands, .. } =
+            fixture.cluster.on_heartbeat(fixture.now, heartbeat)
+        else {
             panic!("{name}: refused");
         };
         assert!(commands.iter().any(is_kill), "{name}");
-        assert!(w.active("wk-000001", 1).is_none(), "{name}");
+        assert!(fixture.active("wk-000001", 1).is_none(), "{name}");
     }
 }
 
-/// The state service was put back: a job that it does not know runs. No team with a limit starts
+/// The store was put back: a job that it does not know runs. No team with a limit starts
 /// anything, the machine takes nothing, and only two answers and a while later it is killed.
 #[test]
 fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
-    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     let lost = || shown("wk-000077", 0, EARLIER, TaskPhase::Running);
     let lost_job_id = JobId::from("wk-000077");
-    let (_, d) = w.heartbeat("i-9", 1, vec![lost()]);
-    w.heartbeat("i-8", 1, vec![]);
+    let (_, d) = fixture.heartbeat("i-9", 1, vec![lost()]);
+    fixture.heartbeat("i-8", 1, vec![]);
     assert!(d.is_empty());
-    assert_eq!(launches(&w.settle()), vec![], "its team is not known");
+    assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
-        w.pass(secs(after));
-        w.c.on_job_statuses(w.now, &[(lost_job_id.clone(), None)]);
-        let (_, d) = w.heartbeat("i-9", serial, vec![lost()]);
+        fixture.pass(secs(after));
+        fixture
+            .cluster
+            .on_job_statuses(fixture.now, &[(lost_job_id.clone(), None)]);
+        let (_, d) = fixture.heartbeat("i-9", serial, vec![lost()]);
         assert_eq!(d.iter().any(is_kill), killed, "{serial}");
-        assert!(w.c.takeover.holds_machine(&"i-9".into()));
+        assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
     }
-    w.heartbeat("i-9", 5, vec![]);
-    w.heartbeat("i-8", 2, vec![]);
-    assert!(!w.c.takeover.holds_machine(&"i-9".into()));
-    assert_eq!(launches(&w.settle()).len(), 2, "nothing unknown is left");
+    fixture.heartbeat("i-9", 5, vec![]);
+    fixture.heartbeat("i-8", 2, vec![]);
+    assert!(!fixture.cluster.takeover.holds_machine(&"i-9".into()));
+    assert_eq!(
+        launches(&fixture.settle()).len(),
+        2,
+        "nothing unknown is left"
+    );
 }
 
 /// The acceptance is heard of late, after a machine has shown the job's task.
 #[test]
 fn a_job_learned_of_late_keeps_its_tasks() {
-    let mut w = taken_over(config(), vec![], 0);
-    let (_, d) = w.heartbeat("i-9", 1, vec![running(0)]);
+    let mut fixture = taken_over(config(), vec![], 0);
+    let (_, d) = fixture.heartbeat("i-9", 1, vec![running(0)]);
     assert!(d.is_empty());
-    w.c.on_job_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
-    w.job(spec("wk-000001", 1, 4.0));
-    let (_, d) = w.heartbeat("i-9", 2, vec![running(0)]);
+    fixture
+        .cluster
+        .on_job_statuses(fixture.now, &[(job_id(), Some(JobOutcome::Live))]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(0)]);
     assert_eq!(d, []);
-    assert_eq!(launches(&w.settle()), []);
-    assert_eq!((w.active("wk-000001", 0).is_some(), red(&w)), (true, 4.0));
+    assert_eq!(launches(&fixture.settle()), []);
+    assert_eq!(
+        (fixture.active("wk-000001", 0).is_some(), red(&fixture)),
+        (true, 4.0)
+    );
 }
 
 /// A machine takes nothing while it holds work of unknown size, whatever the team.
 #[test]
 fn a_machine_with_work_of_unknown_size_takes_nothing() {
-    let mut p = config();
-    p.teams = vec![Team {
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![Team {
         cpus_max: None,
         ..team("red", 8.0, 8.0)
     }];
-    let mut w = taken_over(p, vec![spec("wk-000001", 1, 4.0)], 0);
+    let mut fixture = taken_over(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
     let lost = shown("wk-000077", 0, EARLIER, TaskPhase::Running);
-    w.heartbeat("i-9", 1, vec![lost]);
-    assert_eq!(launches(&w.settle()), vec![]);
-    w.heartbeat("i-9", 2, vec![]);
-    assert_eq!(launches(&w.settle()).len(), 1);
+    fixture.heartbeat("i-9", 1, vec![lost]);
+    assert_eq!(launches(&fixture.settle()), vec![]);
+    fixture.heartbeat("i-9", 2, vec![]);
+    assert_eq!(launches(&fixture.settle()).len(), 1);
 }
 
 #[test]
 fn an_adopted_task_is_killed_though_its_record_is_not_durable_yet() {
-    let mut w = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    w.heartbeat("i-9", 1, vec![running(1)]);
-    assert!(!w.c.jobs[&job_id()].active[&1].durable);
-    w.c.on_cancel_marked(w.now, &job_id());
-    assert_eq!(red(&w), 4.0, "it may be there");
-    let (_, d) = w.heartbeat("i-9", 2, vec![running(1)]);
+    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+    fixture.heartbeat("i-9", 1, vec![running(1)]);
+    assert!(!fixture.cluster.jobs[&job_id()].active[&1].durable);
+    fixture.cluster.on_cancel_marked(fixture.now, &job_id());
+    assert_eq!(red(&fixture), 4.0, "it may be there");
+    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(1)]);
     assert!(d.iter().any(is_kill));
 }
 
-/// Its record cannot be read, and the state service says that it is live: nothing is known against it.
+/// Its record cannot be read, and the store says that it is live: nothing is known against it.
 #[test]
 fn work_of_a_job_whose_record_cannot_be_read_is_held() {
-    let mut w = World::new();
+    let mut fixture = ClusterFixture::new();
     let picture = StoredSnapshot {
         unreadable_jobs: vec![job_id()],
         ..StoredSnapshot::default()
     };
-    w.c.take_over(w.now, picture);
+    fixture.cluster.take_over(fixture.now, picture);
     for serial in 1..20 {
-        let (_, d) = w.heartbeat("i-9", serial, vec![running(0)]);
+        let (_, d) = fixture.heartbeat("i-9", serial, vec![running(0)]);
         assert_eq!(d, vec![], "{serial}");
-        w.c.on_job_statuses(w.now, &[(job_id(), Some(JobOutcome::Live))]);
-        w.pass(secs(10));
+        fixture
+            .cluster
+            .on_job_statuses(fixture.now, &[(job_id(), Some(JobOutcome::Live))]);
+        fixture.pass(secs(10));
     }
-    assert!(w.c.takeover.holds_machine(&"i-9".into()));
+    assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
 }
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -20,41 +20,48 @@
 
 #[test]
 fn nothing_is_launched_before_its_intent_is_durable() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    let batch = w.batch().expect("an intent is written");
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let batch = fixture.batch().expect("an intent is written");
     let keys: Vec<&str> = batch.conditions.iter().map(|c| c.key.as_str()).collect();
     let job_id = JobId::from("wk-000001");
-    // On the term, the intent's own stamp, and the job's not being cancelled.
+    // On the term, the intent's own revision, and the job's not being cancelled.
     assert!(keys.contains(&LEADER_KEY));
     assert!(keys.contains(&chunk_key(&job_id, 0).as_str()));
     assert!(keys.contains(&outcome_key(&job_id).as_str()));
-    let (_, commands) = w.heartbeat("i-1", 2, vec![]);
+    let (_, commands) = fixture.heartbeat("i-1", 2, vec![]);
     assert_eq!(commands, vec![]);
-    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
-    let (_, commands) = w.heartbeat("i-1", 3, vec![]);
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Unknown);
+    let (_, commands) = fixture.heartbeat("i-1", 3, vec![]);
     assert_eq!(commands, vec![], "an unknown outcome allows nothing");
-    w.batch().expect("the write is repeated");
-    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 200 });
-    let (_, commands) = w.heartbeat("i-1", 4, vec![]);
+    fixture.batch().expect("the write is repeated");
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 200 });
+    let (_, commands) = fixture.heartbeat("i-1", 4, vec![]);
     assert!(matches!(commands[..], [TaskCommand::Launch { .. }]));
 }
 
 #[test]
 fn a_write_of_unknown_outcome_that_was_applied_is_repeated_on_its_revision() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    w.batch().unwrap();
-    w.c.on_write_outcome(w.now, WriteOutcome::Unknown);
-    w.batch().unwrap();
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    fixture.batch().unwrap();
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Unknown);
+    fixture.batch().unwrap();
     let key = chunk_key(&"wk-000001".into(), 0);
     let conflicts = vec![conflict(&key, 170, None)];
-    let status =
-        w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
+    let status = fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Failed { conflicts });
     assert_eq!(status, LeaderKeyStatus::Held);
-    let again = w.batch().unwrap();
+    let again = fixture.batch().unwrap();
     assert!(again
         .conditions
         .contains(&KeyCondition::at_revision(key, 170)));
@@ -62,27 +69,30 @@
 
 #[test]
 fn a_write_that_meets_a_newer_leader_ends_the_term() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    w.batch().unwrap();
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    fixture.batch().unwrap();
     let conflicts = vec![conflict(LEADER_KEY, REVISION + 9, None)];
-    let status =
-        w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
+    let status = fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Failed { conflicts });
     assert_eq!(status, LeaderKeyStatus::Lost);
 }
 
 #[test]
 fn a_job_found_cancelled_by_its_intents_write_is_never_launched() {
-    let mut w = World::new();
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 2, 4.0));
-    w.batch().unwrap();
+    let mut fixture = ClusterFixture::new();
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 2, 4.0));
+    fixture.batch().unwrap();
     let key = outcome_key(&"wk-000001".into());
     let conflicts = vec![conflict(&key, 180, Some(JobOutcome::Cancelled))];
-    w.c.on_write_outcome(w.now, WriteOutcome::Failed { conflicts });
-    assert_eq!(launches(&w.settle()), vec![]);
-    assert_eq!(w.active("wk-000001", 0), None);
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Failed { conflicts });
+    assert_eq!(launches(&fixture.settle()), vec![]);
+    assert_eq!(fixture.active("wk-000001", 0), None);
 }
 
 #[test]
@@ -91,8 +101,8 @@
     for term in 1..4 {
         let now = std::time::Instant::now();
         let types = vec![machine_type("m8", 8.0)];
-        let mut w = World {
-            c: ClusterState::new(
+        let mut fixture = ClusterFixture {
+            cluster: ClusterState::new(
                 config(),
                 TermStart {
                     term: Term(term),
@@ -105,9 +115,9 @@
             now,
             revision: 100,
         };
-        w.heartbeat("i-1", 1, vec![]);
-        w.job(spec("wk-000001", 2, 2.0));
-        for (_, _, attempt) in launches(&w.settle()) {
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.job(spec("wk-000001", 2, 2.0));
+        for (_, _, attempt) in launches(&fixture.settle()) {
             assert!(seen.insert(attempt));
         }
     }
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -35,8 +35,8 @@
         ),
     ];
     for (name, key, step) in cases {
-        let mut l = Leadership::new("m0", renew);
-        assert_eq!(l.on_leader_key(now, key), step, "{name}");
+        let mut leadership = Leadership::new("m0", renew);
+        assert_eq!(leadership.on_leader_key(now, key), step, "{name}");
     }
     // What a leader of term 4 makes of what it sees.
     let cases: [(&str, Option<LeaderRecord>, Step); 4] = [
@@ -46,29 +46,35 @@
         ("its key gone", None, Step::StepDown),
     ];
     for (name, key, step) in cases {
-        let mut l = Leadership::new("m0", renew);
-        l.on_campaign_won(now, Term(4), 40);
-        assert_eq!(l.on_leader_key(now, key), step, "{name}");
+        let mut leadership = Leadership::new("m0", renew);
+        leadership.on_campaign_won(now, Term(4), 40);
+        assert_eq!(leadership.on_leader_key(now, key), step, "{name}");
     }
-    let mut l = Leadership::new("m0", renew);
-    l.on_campaign_won(now, Term(4), 40);
-    assert_eq!(l.on_term(Term(4)), Step::Wait);
-    assert_eq!(l.next_step(now + secs(2)), Step::Renew);
-    // Renewals that fail leave it leading: the state service may be out for all.
-    assert!(matches!(l.role(), Role::Leader { .. }));
-    assert_eq!(l.on_term(Term(5)), Step::StepDown);
-    let mut l = Leadership::new("m0", renew);
-    l.on_leader_key(now, None);
-    l.on_campaign_lost(now, secs(1));
-    assert_eq!(l.next_step(now), Step::Wait);
-    assert_eq!(l.next_step(now + secs(2)), Step::Campaign { revision: 0 });
+    let mut leadership = Leadership::new("m0", renew);
+    leadership.on_campaign_won(now, Term(4), 40);
+    assert_eq!(leadership.on_term(Term(4)), Step::Wait);
+    assert_eq!(leadership.next_step(now + secs(2)), Step::Renew);
+    // Renewals that fail leave it leading: the store may be out for all.
+    assert!(matches!(leadership.role(), Role::Leader { .. }));
+    assert_eq!(leadership.on_term(Term(5)), Step::StepDown);
+    let mut leadership = Leadership::new("m0", renew);
+    leadership.on_leader_key(now, None);
+    leadership.on_campaign_lost(now, secs(1));
+    assert_eq!(leadership.next_step(now), Step::Wait);
+    assert_eq!(
+        leadership.next_step(now + secs(2)),
+        Step::Campaign { revision: 0 }
+    );
     // Given up, a term is left to others for a while; a word about an earlier term changes nothing.
-    let mut l = Leadership::new("m0", renew);
-    l.on_campaign_won(now, Term(4), 40);
-    assert_eq!(l.resign(now, Term(3), secs(9)), Step::Wait);
-    assert_eq!(l.resign(now, Term(4), secs(9)), Step::StepDown);
-    assert_eq!(l.on_leader_key(now, None), Step::Wait);
-    assert_eq!(l.next_step(now + secs(10)), Step::Campaign { revision: 0 });
+    let mut leadership = Leadership::new("m0", renew);
+    leadership.on_campaign_won(now, Term(4), 40);
+    assert_eq!(leadership.resign(now, Term(3), secs(9)), Step::Wait);
+    assert_eq!(leadership.resign(now, Term(4), secs(9)), Step::StepDown);
+    assert_eq!(leadership.on_leader_key(now, None), Step::Wait);
+    assert_eq!(
+        leadership.next_step(now + secs(10)),
+        Step::Campaign { revision: 0 }
+    );
 }
 
 #[test]
@@ -99,30 +105,32 @@
 #[test]
 fn an_unconfirmed_leader_returns_only_machines_with_cancelled_tasks() {
     for cancelled in [false, true] {
-        let mut w = World::new();
-        w.heartbeat("i-1", 1, vec![]);
-        w.heartbeat("i-2", 1, vec![]);
-        w.job(spec("wk-000001", 1, 8.0));
-        let l = launches(&w.settle());
+        let mut fixture = ClusterFixture::new();
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.heartbeat("i-2", 1, vec![]);
+        fixture.job(spec("wk-000001", 1, 8.0));
+        let l = launches(&fixture.settle());
         let (on, a) = (l[0].0.clone(), l[0].2);
         let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.heartbeat(&on.0, 2, tasks);
-        w.c.set_leadership_confirmed(false);
+        fixture.heartbeat(&on.0, 2, tasks);
+        fixture.cluster.set_leadership_confirmed(false);
         if cancelled {
-            w.c.on_cancel_marked(w.now, &"wk-000001".into());
+            fixture
+                .cluster
+                .on_cancel_marked(fixture.now, &"wk-000001".into());
         }
         let gone: Vec<MachineId> = (0..13)
-            .flat_map(|_| returned_machines(&w.settle()))
+            .flat_map(|_| returned_machines(&fixture.settle()))
             .collect();
         let expected = if cancelled { vec![on] } else { vec![] };
         assert_eq!(gone, expected, "cancelled {cancelled}");
         // Once it is the leader for certain, what is still silent goes.
-        w.c.set_leadership_confirmed(true);
-        assert_eq!(returned_machines(&w.settle()).len(), 2 - gone.len());
+        fixture.cluster.set_leadership_confirmed(true);
+        assert_eq!(returned_machines(&fixture.settle()).len(), 2 - gone.len());
     }
 }
 
-/// Guards against a leader that keeps the leadership while no report comes through to it.
+/// Guards against a leader that keeps the leadership while no heartbeat comes through to it.
 #[test]
 fn a_leader_without_heartbeats_is_detected() {
     // Whether a machine reported, whether there is one, and from when on it is missed.
@@ -132,18 +140,24 @@
         ("no machines", false, false, 0..=0),
     ];
     for (name, heard, any, from) in cases {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         if heard {
-            w.heartbeat("i-1", 1, vec![]);
+            fixture.heartbeat("i-1", 1, vec![]);
         } else if any {
-            w.job(spec("wk-000001", 1, 4.0));
+            fixture.job(spec("wk-000001", 1, 4.0));
             let value = ChunkValue {
                 done: 0,
                 active: vec![Intent::new(0, AttemptId(7), first_machine())],
             };
-            w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
+            fixture
+                .cluster
+                .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
         }
-        let first = (0..60).find(|s| w.c.is_without_heartbeats(w.now + secs(*s)));
+        let first = (0..60).find(|s| {
+            fixture
+                .cluster
+                .is_without_heartbeats(fixture.now + secs(*s))
+        });
         assert_eq!(first, any.then_some(*from.start()), "{name}");
     }
 }
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_node_is_unhealthy_only_when_a_peer_can_do_better() {
-    // Seconds that the state service has failed us, what a peer says and how long ago.
+    // Seconds that the store has failed us, what a peer says and how long ago.
     let cases = [
         ("all well", None, None, true),
         ("a moment's trouble", Some(1), Some((true, 0)), true),
--- a/tests/scheduler/priority_inheritance.rs
+++ b/tests/scheduler/priority_inheritance.rs
@@ -4,12 +4,12 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 
-/// What is needed takes the urgency of what needs it, and a deadline from which that one's run is
+/// What is needed takes the priority of what needs it, and a deadline from which that one's run is
 /// taken off, in whichever order they are heard of.
 #[test]
 fn priority_and_deadlines_go_up_the_chain() {
     for last_first in [false, true] {
-        let mut w = World::new();
+        let mut fixture = ClusterFixture::new();
         let mut last = job_depending_on(3, &[2]);
         last.priority = Priority::High;
         last.due = Some(secs(300));
@@ -21,11 +21,19 @@
         if last_first {
             all.reverse();
         }
-        all.into_iter().for_each(|s| w.job(s));
-        w.settle();
-        let due = |n: u32| w.c.jobs[&job_id(n)].deadline.expect("a deadline");
+        all.into_iter().for_each(|s| fixture.job(s));
+        fixture.settle();
+        let due = |n: u32| {
+            fixture.cluster.jobs[&job_id(n)]
+                .deadline
+                .expect("a deadline")
+        };
         for n in 1..=3 {
-            assert_eq!(w.c.jobs[&job_id(n)].spec.priority, Priority::High, "{n}");
+            assert_eq!(
+                fixture.cluster.jobs[&job_id(n)].spec.priority,
+                Priority::High,
+                "{n}"
+            );
         }
         // Each is expected to run for 60 s.
         assert_eq!(due(3) - due(2), secs(60));
@@ -38,7 +46,7 @@
 fn inherited_priorities_and_deadlines_follow_the_ends_of_dependency_chains() {
     use Priority::*;
     type Jobs = &'static [(u32, &'static [u32], Priority, Option<u64>)];
-    // The jobs with what they need, their own urgency and deadline; which are cancelled then; and the
+    // The jobs with what they need, their own priority and deadline; which are cancelled then; and the
     // ranks before and after that.
     type Ranks = &'static [(u32, Priority, Option<u64>)];
     struct Case {
@@ -122,7 +130,7 @@
     for case in cases {
         // In the order of submission, and as a new leader may read them.
         for reversed in [false, true] {
-            let mut w = World::new();
+            let mut fixture = ClusterFixture::new();
             let mut jobs = case.jobs.to_vec();
             if reversed {
                 jobs.reverse();
@@ -131,23 +139,23 @@
                 let mut job = job_depending_on(n, dependencies);
                 job.priority = priority;
                 job.due = due.map(secs);
-                w.job(job);
+                fixture.job(job);
             }
-            let ranks = |w: &World, expected: Ranks, when: &str| {
+            let ranks = |fixture: &ClusterFixture, expected: Ranks, when: &str| {
                 for (n, priority, due) in expected {
-                    let job = &w.c.jobs[&job_id(*n)];
+                    let job = &fixture.cluster.jobs[&job_id(*n)];
                     let why = format!("{} ({when}, reversed {reversed}): {n}", case.name);
                     assert_eq!(job.spec.priority, *priority, "{why}");
                     assert_eq!(job.deadline, due.map(|d| job.arrived + secs(d)), "{why}");
                 }
             };
-            w.settle();
-            ranks(&w, case.before, "before");
+            fixture.settle();
+            ranks(&fixture, case.before, "before");
             for n in case.cancelled {
-                w.c.on_cancel_marked(w.now, &job_id(*n));
+                fixture.cluster.on_cancel_marked(fixture.now, &job_id(*n));
             }
-            w.settle();
-            ranks(&w, case.after, "after");
+            fixture.settle();
+            ranks(&fixture, case.after, "after");
         }
     }
 }
@@ -158,29 +166,35 @@
 fn the_cost_of_priority_inheritance_is_bounded() {
     const CHAIN: u32 = 1000;
     const FAN: u32 = 10_000;
-    let mut w = World::new();
+    let mut fixture = ClusterFixture::new();
     for n in (0..CHAIN).rev() {
         let mut job = job_depending_on(n, &if n > 0 { vec![n - 1] } else { vec![] });
         // Each end asks for more than the one before it: the worst that can come.
         job.due = Some(secs(u64::from(100_000 - n)));
-        w.job(job);
+        fixture.job(job);
     }
-    w.settle();
+    fixture.settle();
     assert_eq!(
-        w.c.jobs.priorities_computed,
+        fixture.cluster.jobs.priorities_computed,
         u64::from(CHAIN),
         "a chain, from its end"
     );
-    let mut w = World::new();
-    w.job(job_depending_on(0, &[]));
-    (1..=FAN).for_each(|n| w.job(job_depending_on(n, &[0])));
-    w.settle();
-    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 1, "a fan");
+    let mut fixture = ClusterFixture::new();
+    fixture.job(job_depending_on(0, &[]));
+    (1..=FAN).for_each(|n| fixture.job(job_depending_on(n, &[0])));
+    fixture.settle();
+    assert_eq!(
+        fixture.cluster.jobs.priorities_computed,
+        u64::from(FAN) + 1,
+        "a fan"
+    );
     // One more, and one less: the one that they all need, and the one itself.
-    w.job(job_depending_on(FAN + 1, &[0]));
-    w.settle();
-    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 3);
-    w.c.on_cancel_marked(w.now, &job_id(FAN + 1));
-    w.settle();
-    assert_eq!(w.c.jobs.priorities_computed, u64::from(FAN) + 4);
+    fixture.job(job_depending_on(FAN + 1, &[0]));
+    fixture.settle();
+    assert_eq!(fixture.cluster.jobs.priorities_computed, u64::from(FAN) + 3);
+    fixture
+        .cluster
+        .on_cancel_marked(fixture.now, &job_id(FAN + 1));
+    fixture.settle();
+    assert_eq!(fixture.cluster.jobs.priorities_computed, u64::from(FAN) + 4);
 }
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -7,30 +7,30 @@
 use cypressgap::node::pause_detector::PauseDetector;
 use std::time::Duration;
 
-/// Guards against a process that stood still and takes its own silence for the machines'.
+/// Guards against a process that was paused and takes its own silence for the machines'.
 #[test]
 fn a_paused_process_does_not_take_machines_for_silent() {
     for still in [false, true] {
-        let mut w = World::new();
-        w.heartbeat("i-1", 1, vec![]);
-        w.job(spec("wk-000001", 1, 8.0));
-        let a = launches(&w.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.heartbeat("i-1", 2, tasks);
+        let mut fixture = ClusterFixture::new();
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.job(spec("wk-000001", 1, 8.0));
+        let attempt = launches(&fixture.settle())[0].2;
+        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        fixture.heartbeat("i-1", 2, tasks);
         let mut gone = Vec::new();
         for _ in 0..12 {
-            w.pass(secs(2));
+            fixture.pass(secs(2));
             if !still {
-                gone.extend(returned_machines(&w.settle()));
+                gone.extend(returned_machines(&fixture.settle()));
             }
         }
-        gone.extend(returned_machines(&w.settle()));
+        gone.extend(returned_machines(&fixture.settle()));
         assert_eq!(gone.is_empty(), still, "stood still: {still}");
-        assert!(!still || !w.c.is_without_heartbeats(w.now));
+        assert!(!still || !fixture.cluster.is_without_heartbeats(fixture.now));
     }
 }
 
-/// Guards against a process that takes what waited while it stood still for news of now.
+/// Guards against a process that takes what waited while it was paused for news of now.
 #[test]
 fn process_pauses_are_detected() {
     // Seconds that passed by the steady clock and by the time of day since the last look.
@@ -72,48 +72,48 @@
 #[test]
 fn a_paused_process_expires_no_lease_that_it_could_not_renew() {
     for woke in [false, true] {
-        let mut w = World::new();
-        w.heartbeat("i-1", 1, vec![]);
-        w.job(spec("wk-000001", 1, 8.0));
-        let a = launches(&w.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        w.heartbeat("i-1", 2, tasks.clone());
+        let mut fixture = ClusterFixture::new();
+        fixture.heartbeat("i-1", 1, vec![]);
+        fixture.job(spec("wk-000001", 1, 8.0));
+        let attempt = launches(&fixture.settle())[0].2;
+        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        fixture.heartbeat("i-1", 2, tasks.clone());
         // An order to stop with some grace has not gone out yet.
-        let job = w.c.jobs.get_mut(&"wk-000001".into()).unwrap();
+        let job = fixture.cluster.jobs.get_mut(&"wk-000001".into()).unwrap();
         job.active.get_mut(&0).unwrap().kill_request = Some(KillRequest {
             grace_period: secs(6),
-            since: w.now,
+            since: fixture.now,
         });
-        w.pass(secs(45));
+        fixture.pass(secs(45));
         if woke {
-            w.c.on_process_resumed(w.now);
+            fixture.cluster.on_process_resumed(fixture.now);
         } else {
             // As if it had run and ticked all the time.
             for _ in 0..20 {
-                w.settle();
+                fixture.settle();
             }
         }
-        w.settle();
-        let still = w.active("wk-000001", 0).is_some();
+        fixture.settle();
+        let still = fixture.active("wk-000001", 0).is_some();
         assert_eq!(still, woke, "its lease is over only for who could answer");
         if woke {
-            let kill = w.c.jobs[&JobId::from("wk-000001")].active[&0]
+            let kill = fixture.cluster.jobs[&JobId::from("wk-000001")].active[&0]
                 .kill_request
                 .clone();
             assert_eq!(kill.unwrap().grace_period, secs(6));
-            // Its next report is heard as if nothing had been.
-            let (_, commands) = w.heartbeat("i-1", 3, tasks);
+            // Its next heartbeat is heard as if nothing had been.
+            let (_, commands) = fixture.heartbeat("i-1", 3, tasks);
             let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
             assert!(commands.iter().any(graceful), "{commands:?}");
-            assert!(w.c.fleet.machines[&first_machine()]
+            assert!(fixture.cluster.fleet.machines[&first_machine()]
                 .required_token
                 .is_none());
             // In the end the lease counts again.
-            w.pass(secs(1));
+            fixture.pass(secs(1));
             for _ in 0..20 {
-                w.settle();
+                fixture.settle();
             }
-            assert!(w.active("wk-000001", 0).is_none());
+            assert!(fixture.active("wk-000001", 0).is_none());
         }
     }
 }
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -1,5 +1,6 @@
 //! The order in which jobs get machines: priority, guarantees, deadlines, and that no job starves.
 
+use crate::common::fleet::SimulatedFleet;
 use crate::common::*;
 use cypressgap::core::model::*;
 
@@ -10,33 +11,33 @@
     // Two jobs compete for one place; the second to arrive wins only with the stated edge.
     let cases: [(&str, Edit, Edit, bool); 4] = [
         ("arrival", |_| {}, |_| {}, false),
-        ("urgency", |_| {}, |s| s.priority = Priority::High, true),
+        ("urgency", |_| {}, |job| job.priority = Priority::High, true),
         (
             "a guarantee",
-            |s| s.task_count = 3,
-            |s| s.team = "blue".into(),
+            |job| job.task_count = 3,
+            |job| job.team = "blue".into(),
             true,
         ),
         (
             "the other is late beyond help",
-            |s| {
-                s.task_count = 3;
-                s.due = Some(secs(30));
+            |job| {
+                job.task_count = 3;
+                job.due = Some(secs(30));
             },
-            |s| s.due = Some(secs(500)),
+            |job| job.due = Some(secs(500)),
             true,
         ),
     ];
     for (name, first, second, wins) in cases {
-        let mut w = World::new();
-        let mut s = spec("wk-000001", 1, 8.0);
-        first(&mut s);
-        w.job(s);
-        let mut s = spec("wk-000002", 1, 8.0);
-        second(&mut s);
-        w.job(s);
-        w.heartbeat("i-1", 1, vec![]);
-        let sent = launches(&w.settle());
+        let mut fixture = ClusterFixture::new();
+        let mut job = spec("wk-000001", 1, 8.0);
+        first(&mut job);
+        fixture.job(job);
+        let mut job = spec("wk-000002", 1, 8.0);
+        second(&mut job);
+        fixture.job(job);
+        fixture.heartbeat("i-1", 1, vec![]);
+        let sent = launches(&fixture.settle());
         assert_eq!(sent.len(), 1, "{name}");
         assert_eq!(sent[0].1.job_id == "wk-000002".into(), wins, "{name}");
     }
@@ -46,18 +47,18 @@
 fn work_within_the_guarantee_goes_before_borrowed_work_however_long_that_waited() {
     // It may stop borrowed work: if that were placed first, one would be stopped for the other in
     // every round. Of the borrowed job only its turn, an eighth, goes first.
-    let mut w = World::new();
-    let mut s = spec("wk-000001", 8, 8.0);
-    s.team = "grey".into();
-    w.job(s);
-    w.pass(secs(200));
-    let mut s = spec("wk-000002", 1, 8.0);
-    s.team = "blue".into();
-    s.accepted_ms = 200_000;
-    w.job(s);
-    w.heartbeat("i-1", 1, vec![]);
-    w.heartbeat("i-2", 1, vec![]);
-    let sent = launches(&w.settle());
+    let mut fixture = ClusterFixture::new();
+    let mut job = spec("wk-000001", 8, 8.0);
+    job.team = "grey".into();
+    fixture.job(job);
+    fixture.pass(secs(200));
+    let mut job = spec("wk-000002", 1, 8.0);
+    job.team = "blue".into();
+    job.accepted_ms = 200_000;
+    fixture.job(job);
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.heartbeat("i-2", 1, vec![]);
+    let sent = launches(&fixture.settle());
     let of = |job_id: &str| sent.iter().filter(|l| l.1.job_id == job_id.into()).count();
     assert_eq!((of("wk-000001"), of("wk-000002")), (1, 1));
 }
@@ -66,25 +67,25 @@
 fn small_jobs_go_first_while_jobs_with_deadlines_are_late() {
     // Whether the late job has a deadline of its own -> the small one of two overtakes.
     for (deadline, overtakes) in [(true, true), (false, false)] {
-        let mut p = config();
-        p.slos.push(Slo {
+        let mut scheduler_config = config();
+        scheduler_config.slos.push(Slo {
             kind: "finished".into(),
             class: Some("slow".into()),
             within: Some(secs(30)),
         });
-        let mut w = World::with(p, vec![machine_type("m8", 8.0)]);
+        let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
         let mut late = spec("wk-000001", 3, 8.0);
         late.class = "slow".into();
         late.due = deadline.then_some(secs(30));
-        w.job(late);
+        fixture.job(late);
         for (job_id, expected) in [("wk-000002", 100), ("wk-000003", 10)] {
-            let mut s = spec(job_id, 1, 8.0);
-            s.expected = secs(expected);
-            s.due = Some(secs(900));
-            w.job(s);
+            let mut job = spec(job_id, 1, 8.0);
+            job.expected = secs(expected);
+            job.due = Some(secs(900));
+            fixture.job(job);
         }
-        w.heartbeat("i-1", 1, vec![]);
-        let sent = launches(&w.settle());
+        fixture.heartbeat("i-1", 1, vec![]);
+        let sent = launches(&fixture.settle());
         let first = if overtakes { "wk-000003" } else { "wk-000002" };
         assert_eq!(sent[0].1.job_id, first.into(), "deadline {deadline}");
     }
@@ -95,53 +96,53 @@
     type Edit = fn(&mut JobSpec);
     // What the endless small jobs are, what the large one is.
     let cases: [(&str, Edit, Edit); 4] = [
-        ("more urgent", |s| s.priority = Priority::High, |_| {}),
+        ("more urgent", |job| job.priority = Priority::High, |_| {}),
         (
             "punctual, while the large one is late",
-            |s| s.due = Some(secs(100_000)),
-            |s| s.due = Some(secs(1)),
+            |job| job.due = Some(secs(100_000)),
+            |job| job.due = Some(secs(1)),
         ),
         (
             "within their team's guarantee",
-            |s| s.team = "blue".into(),
-            |s| s.team = "grey".into(),
+            |job| job.team = "blue".into(),
+            |job| job.team = "grey".into(),
         ),
         (
             "more urgent, the large one's tasks fill a machine",
-            |s| s.priority = Priority::High,
-            |s| {
-                s.task_count = 16;
-                s.resources = resources(8.0);
+            |job| job.priority = Priority::High,
+            |job| {
+                job.task_count = 16;
+                job.resources = resources(8.0);
             },
         ),
     ];
     for (name, small, large) in cases {
-        let mut p = config();
-        for t in &mut p.teams {
+        let mut scheduler_config = config();
+        for t in &mut scheduler_config.teams {
             t.cpus_max = None;
         }
-        let mut f = Fleet::new(p, 8, 8.0);
-        let mut s = spec("wk-900000", 60, 4.0);
-        s.expected = secs(20);
-        s.class = "large".into();
-        large(&mut s);
-        let tasks = s.task_count;
-        let start = f.w.now;
+        let mut fleet = SimulatedFleet::new(scheduler_config, 8, 8.0);
+        let mut job = spec("wk-900000", 60, 4.0);
+        job.expected = secs(20);
+        job.class = "large".into();
+        large(&mut job);
+        let tasks = job.task_count;
+        let start = fleet.fixture.now;
         for second in 0..600u32 {
             // Always twice of what the machines can take.
             for n in 0..2 {
-                let mut s = spec(&format!("wk-{:06}", second * 2 + n), 2, 2.0);
-                s.expected = secs(8);
-                s.class = "small".into();
-                s.accepted_ms = u64::from(second) * 1000;
-                small(&mut s);
-                f.w.job(s);
+                let mut job = spec(&format!("wk-{:06}", second * 2 + n), 2, 2.0);
+                job.expected = secs(8);
+                job.class = "small".into();
+                job.accepted_ms = u64::from(second) * 1000;
+                small(&mut job);
+                fleet.fixture.job(job);
             }
             if second == 10 {
-                s.accepted_ms = 10_000;
-                f.w.job(s.clone());
+                job.accepted_ms = 10_000;
+                fleet.fixture.job(job.clone());
             }
-            f.second(|u| {
+            fleet.second(|u| {
                 if u.0 == "wk-900000" {
                     secs(20)
                 } else {
@@ -150,14 +151,19 @@
             });
         }
         let job_id = JobId::from("wk-900000");
-        let begun = f.begun.get(&job_id).map(|t| t.duration_since(start));
+        let begun = fleet.begun.get(&job_id).map(|t| t.duration_since(start));
         assert!(
             begun.is_some_and(|t| t < secs(240 + 10)),
             "{name}: begun after {begun:?}"
         );
-        let done = f.done.get(&job_id).copied().unwrap_or(0);
+        let done = fleet.done.get(&job_id).copied().unwrap_or(0);
         assert!(done * 2 >= tasks, "{name}: {done} of {tasks} done");
-        let smalls: u32 = f.done.iter().filter(|d| d.0 != &job_id).map(|d| d.1).sum();
+        let smalls: u32 = fleet
+            .done
+            .iter()
+            .filter(|d| d.0 != &job_id)
+            .map(|d| d.1)
+            .sum();
         assert!(smalls > 400, "{name}: the others go on too: {smalls}");
     }
 }
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -15,37 +15,40 @@
         requests: 100.0,
         changes: 40.0,
     };
-    let taken =
-        |b: &StoreBudget, rank, writes| (0..100).filter(|_| b.try_take(rank, writes, now)).count();
-    let b = StoreBudget::new(rates, 2, now);
-    let users = taken(&b, RequestClass::User, 2);
+    let taken = |budget: &StoreBudget, rank, writes| {
+        (0..100)
+            .filter(|_| budget.try_take(rank, writes, now))
+            .count()
+    };
+    let budget = StoreBudget::new(rates, 2, now);
+    let users = taken(&budget, RequestClass::User, 2);
     assert_eq!(users, 3, "of 8 changes a second, a second's burst");
     // What users have used up leaves the leader its part, and the reverse.
-    let leader = taken(&b, RequestClass::Leader, 2);
+    let leader = taken(&budget, RequestClass::Leader, 2);
     assert!(leader > 2 * users, "{leader}");
-    let b = StoreBudget::new(rates, 2, now);
-    taken(&b, RequestClass::Leader, 2);
-    assert_eq!(taken(&b, RequestClass::User, 2), users);
+    let budget = StoreBudget::new(rates, 2, now);
+    taken(&budget, RequestClass::Leader, 2);
+    assert_eq!(taken(&budget, RequestClass::User, 2), users);
     // All nodes together stay within the rates, one of them leading.
     let (mut requests, mut changes) = (0, 0);
     for leads in [true, false] {
-        let b = StoreBudget::new(rates, 2, now);
-        changes += taken(&b, RequestClass::User, 1);
-        let b = StoreBudget::new(rates, 2, now);
-        requests += taken(&b, RequestClass::User, 0);
+        let budget = StoreBudget::new(rates, 2, now);
+        changes += taken(&budget, RequestClass::User, 1);
+        let budget = StoreBudget::new(rates, 2, now);
+        requests += taken(&budget, RequestClass::User, 0);
         if leads {
-            changes += taken(&b, RequestClass::Leader, 1);
-            let b = StoreBudget::new(rates, 2, now);
-            requests += taken(&b, RequestClass::Leader, 0);
+            changes += taken(&budget, RequestClass::Leader, 1);
+            let budget = StoreBudget::new(rates, 2, now);
+            requests += taken(&budget, RequestClass::Leader, 0);
         }
     }
     assert!((80..=100).contains(&requests), "{requests}");
     assert!((30..=40).contains(&changes), "{changes}");
     // More than a bucket holds goes through when it is full, and is paid back.
-    let b = TokenBucket::new(10.0, 1.0, now);
-    assert!(b.take_at(25.0, now));
-    assert!(!b.take_at(1.0, now + secs(1)));
-    assert!(b.take_at(1.0, now + secs(2)));
+    let budget = TokenBucket::new(10.0, 1.0, now);
+    assert!(budget.take_at(25.0, now));
+    assert!(!budget.take_at(1.0, now + secs(1)));
+    assert!(budget.take_at(1.0, now + secs(2)));
 }
 
 /// Rates that were announced hold once the service refuses several calls in a short while, and stay. A
@@ -63,7 +66,7 @@
     ];
     for (apart, refusals, announced, holds) in cases {
         let start = Instant::now();
-        let b = StoreBudget::new(
+        let budget = StoreBudget::new(
             StoreRates {
                 requests: 200.0,
                 changes: 60.0,
@@ -71,24 +74,28 @@
             3,
             start,
         );
-        let b = b.with_reduced_rates(announced.then_some(StoreRates {
+        let budget = budget.with_reduced_rates(announced.then_some(StoreRates {
             requests: 200.0,
             changes: 42.0,
         }));
         for n in 0..refusals {
-            b.record_refusal(start + Duration::from_millis(apart * n));
+            budget.record_refusal(start + Duration::from_millis(apart * n));
         }
-        assert_eq!(b.rates_reduced(), holds, "{apart} {refusals} {announced}");
+        assert_eq!(
+            budget.rates_reduced(),
+            holds,
+            "{apart} {refusals} {announced}"
+        );
         // A minute of calls, as fast as they are let through.
         let begin = start + Duration::from_secs(100);
         let mut made = 0;
         for step in 0..6_000 {
             let now = begin + Duration::from_millis(step * 10);
             if step % 50 == 0 {
-                b.rebalance(&[None, None], now);
+                budget.rebalance(&[None, None], now);
             }
             for rank in [RequestClass::Leader, RequestClass::User] {
-                made += u32::from(b.try_take(rank, 1, now));
+                made += u32::from(budget.try_take(rank, 1, now));
             }
         }
         let most = if holds { 42 * 61 } else { 60 * 61 };
@@ -96,7 +103,7 @@
         assert!(made > most / 2, "{made} changes: most of them are used");
     }
     // A peer's word suffices.
-    let b = StoreBudget::new(
+    let budget = StoreBudget::new(
         StoreRates {
             requests: 200.0,
             changes: 60.0,
@@ -108,14 +115,14 @@
         requests: 200.0,
         changes: 42.0,
     }));
-    b.reduce_rates(Instant::now());
-    assert!(b.rates_reduced());
+    budget.reduce_rates(Instant::now());
+    assert!(budget.rates_reduced());
 }
 
 #[test]
 fn a_flood_of_status_queries_leaves_submissions_their_requests() {
     let now = Instant::now();
-    let b = StoreBudget::new(
+    let budget = StoreBudget::new(
         StoreRates {
             requests: 150.0,
             changes: 60.0,
@@ -123,13 +130,13 @@
         3,
         now,
     );
-    while b.try_take_status_query(now) {}
+    while budget.try_take_status_query(now) {}
     let rest = (0..100)
-        .filter(|_| b.try_take(RequestClass::User, 1, now))
+        .filter(|_| budget.try_take(RequestClass::User, 1, now))
         .count();
     assert!(rest >= 5, "{rest}");
     // And they go on by turns.
-    assert!(b.try_take_status_query(now + secs(1)));
+    assert!(budget.try_take_status_query(now + secs(1)));
 }
 
 #[test]
@@ -195,7 +202,7 @@
     }
     // Within some looks a node under a flood has what nobody else uses, and later gives it back.
     let start = Instant::now();
-    let b = StoreBudget::new(
+    let budget = StoreBudget::new(
         StoreRates {
             requests: 400.0,
             changes: 60.0,
@@ -207,11 +214,11 @@
         let mut taken = 0;
         for step in 0..100 {
             let now = start + secs(n) + Duration::from_millis(step * 10);
-            if step % (100 / of) == 0 && b.try_take(RequestClass::User, 1, now) {
+            if step % (100 / of) == 0 && budget.try_take(RequestClass::User, 1, now) {
                 taken += 1;
             }
             if step % 50 == 0 {
-                b.rebalance(&[quiet, quiet], now);
+                budget.rebalance(&[quiet, quiet], now);
             }
         }
         taken
@@ -219,11 +226,11 @@
     let first = second(0, 50);
     let fifth = (1..6).fold(0, |_, n| second(n, 50));
     assert!(first < 40 && fifth >= 45, "{first} then {fifth}");
-    assert!(b.demand().users > 40.0);
+    assert!(budget.demand().users > 40.0);
     (6..16).for_each(|n| {
         second(n, 1);
     });
-    assert!(b.demand().users < 5.0);
+    assert!(budget.demand().users < 5.0);
 }
 
 #[test]
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -93,7 +93,7 @@
 
 #[test]
 fn many_status_queries_cost_few_calls_and_are_answered_correctly() {
-    // Name, jobs asked about, how many of them are known as accepted, keys named at a time, verdicts
+    // Name, jobs asked about, how many of them are known as accepted, keys named at a time, outcomes
     // on a page, calls at most.
     type Case = (&'static str, Vec<u32>, u32, usize, usize, usize);
     let cases: [Case; 9] = [
@@ -131,7 +131,7 @@
     }
 }
 
-/// Guards against an answer where the state service gave none: what could not be asked is left out.
+/// Guards against an answer where the store gave none: what could not be asked is left out.
 #[test]
 fn statuses_that_could_not_be_read_are_left_out() {
     for out_after in 0..4 {
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -14,61 +14,69 @@
 fn large_jobs_are_written_in_chunks_within_a_transactions_limits() {
     let mut big = config();
     big.teams[0].cpus_max = None;
-    let mut w = World::with(big, vec![machine_type("m8", 10_000.0)]);
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 100_000, 1.0));
+    let mut fixture = ClusterFixture::with(big, vec![machine_type("m8", 10_000.0)]);
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 100_000, 1.0));
     for _ in 0..20 {
-        w.pass(secs(1));
-        let serial = w.revision;
-        w.heartbeat("i-1", serial, vec![]);
-        if let Some(b) = w.batch() {
+        fixture.pass(secs(1));
+        let serial = fixture.revision;
+        fixture.heartbeat("i-1", serial, vec![]);
+        if let Some(b) = fixture.batch() {
             assert!(b.ops.len() <= 24 && b.conditions.len() <= 4 * 24);
-            w.revision += 1;
-            let revision = w.revision;
-            w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
+            fixture.revision += 1;
+            let revision = fixture.revision;
+            fixture
+                .cluster
+                .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
         }
     }
-    assert!(w.c.jobs[&JobId::from("wk-000001")].active.len() > 1000);
+    assert!(fixture.cluster.jobs[&JobId::from("wk-000001")].active.len() > 1000);
 }
 
 #[test]
 fn keys_of_finished_jobs_are_removed_a_few_at_a_time() {
-    let mut w = World::with(config(), vec![machine_type("m8", 64.0)]);
+    let mut fixture = ClusterFixture::with(config(), vec![machine_type("m8", 64.0)]);
     let job_id = JobId::from("wk-000001");
-    w.job(spec("wk-000001", 64 * 20, 1.0));
+    fixture.job(spec("wk-000001", 64 * 20, 1.0));
     for index in 0..20 {
         let done = ChunkValue {
             done: u64::MAX,
             active: vec![],
         };
-        w.c.load_chunk(w.now, &job_id, index, done, 90);
+        fixture
+            .cluster
+            .load_chunk(fixture.now, &job_id, index, done, 90);
     }
-    let first = w.batch().expect("the end is recorded");
+    let first = fixture.batch().expect("the end is recorded");
     assert_eq!(first.ops.len(), 1, "the verdict at once");
-    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 200 });
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 200 });
     let mut removed = 0;
-    let start = w.now;
+    let start = fixture.now;
     // With the place in the index.
     while removed < 21 {
-        w.c.set_write_allowance(8);
-        let batch = w.batch().expect("the rest follows");
+        fixture.cluster.set_write_allowance(8);
+        let batch = fixture.batch().expect("the rest follows");
         assert!(batch.ops.len() <= 4);
         removed += batch.ops.len();
-        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 201 });
+        fixture
+            .cluster
+            .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 201 });
     }
-    assert!(w.now - start >= std::time::Duration::from_secs(3));
+    assert!(fixture.now - start >= std::time::Duration::from_secs(3));
 }
 
 #[test]
 fn a_transaction_is_no_larger_than_the_rate_has_room_for_and_intents_go_first() {
-    let mut p = config();
-    p.teams[0].cpus_max = None;
-    let mut w = World::with(p, vec![machine_type("m8", 64.0)]);
-    w.heartbeat("i-1", 1, vec![]);
-    w.job(spec("wk-000001", 1, 4.0));
-    let ended = launches(&w.settle())[0].2;
+    let mut scheduler_config = config();
+    scheduler_config.teams[0].cpus_max = None;
+    let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 64.0)]);
+    fixture.heartbeat("i-1", 1, vec![]);
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let ended = launches(&fixture.settle())[0].2;
     // An ending of the older job is unwritten; four others have intents.
-    w.heartbeat(
+    fixture.heartbeat(
         "i-1",
         2,
         vec![shown(
@@ -78,31 +86,35 @@
             TaskPhase::Ended(ExitReason::UnknownTask),
         )],
     );
-    w.c.jobs
+    fixture
+        .cluster
+        .jobs
         .get_mut(&JobId::from("wk-000001"))
         .unwrap()
         .crash_loop
-        .backoff_until = Some(w.now + secs(60));
+        .backoff_until = Some(fixture.now + secs(60));
     for n in 2..6 {
-        let mut s = spec(&format!("wk-00000{n}"), 1, 4.0);
-        s.class = "other".into();
-        w.job(s);
+        let mut job = spec(&format!("wk-00000{n}"), 1, 4.0);
+        job.class = "other".into();
+        fixture.job(job);
     }
-    w.pass(secs(5));
-    w.heartbeat("i-1", 3, vec![]);
-    w.c.set_write_allowance(0);
-    assert_eq!(w.batch(), None);
-    w.c.set_write_allowance(3);
-    let first = w.batch().expect("what there is room for");
+    fixture.pass(secs(5));
+    fixture.heartbeat("i-1", 3, vec![]);
+    fixture.cluster.set_write_allowance(0);
+    assert_eq!(fixture.batch(), None);
+    fixture.cluster.set_write_allowance(3);
+    let first = fixture.batch().expect("what there is room for");
     assert_eq!(first.ops.len(), 3);
     let old = chunk_key(&"wk-000001".into(), 0);
     assert!(
         !first.conditions.iter().any(|c| c.key == old),
         "endings wait"
     );
-    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 400 });
-    w.c.set_write_allowance(24);
-    let rest = w.batch().expect("the rest");
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 400 });
+    fixture.cluster.set_write_allowance(24);
+    let rest = fixture.batch().expect("the rest");
     assert!(rest.conditions.iter().any(|c| c.key == old));
 }
 
@@ -111,42 +123,42 @@
     for (bytes, room) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
         assert_eq!(attempts_per_chunk(bytes), room, "{bytes}");
     }
-    let mut p = config();
-    p.value_bytes = 2048;
-    p.teams[0].cpus_max = None;
-    let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
-    let r = |serial| {
-        let mut r = World::heartbeat_from("i-1", 1, serial, FencingToken::first(TERM).0, vec![]);
-        r.machine_type = "m99".into();
-        r
+    let mut scheduler_config = config();
+    scheduler_config.value_bytes = 2048;
+    scheduler_config.teams[0].cpus_max = None;
+    let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m99", 500.0)]);
+    let heartbeat = |serial| {
+        let mut heartbeat = heartbeat_from("i-1", 1, serial, FencingToken::first(TERM).0, vec![]);
+        heartbeat.machine_type = "m99".into();
+        heartbeat
     };
-    w.c.on_heartbeat(w.now, r(1));
-    w.job(spec("wk-000001", 200, 1.0));
-    w.settle();
-    let value = w.c.jobs[&job_id(1)].chunk_value(0);
+    fixture.cluster.on_heartbeat(fixture.now, heartbeat(1));
+    fixture.job(spec("wk-000001", 200, 1.0));
+    fixture.settle();
+    let value = fixture.cluster.jobs[&job_id(1)].chunk_value(0);
     assert_eq!(value.active.len(), 62);
 }
 
-/// What the state service refuses for its size is not sent again as it was, and nothing of it is lost.
+/// What the store refuses for its size is not sent again as it was, and nothing of it is lost.
 #[test]
 fn a_refused_transaction_is_sent_in_parts() {
     // The limits that hold, unannounced: changes a transaction, and attempts a value.
     for (most_ops, most_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
-        let mut p = config();
-        p.teams[0].cpus_max = None;
-        let mut w = World::with(p, vec![machine_type("m99", 500.0)]);
-        let mut r = World::heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
-        r.machine_type = "m99".into();
-        w.c.on_heartbeat(w.now, r);
-        w.job(spec("wk-000001", 100, 1.0));
-        (2..30).for_each(|n| w.job(spec(&job_id(n).0, 1, 1.0)));
-        w.job(job_depending_on(40, &[1]));
-        w.c.on_cancel_marked(w.now, &job_id(29));
+        let mut scheduler_config = config();
+        scheduler_config.teams[0].cpus_max = None;
+        let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m99", 500.0)]);
+        let mut heartbeat = heartbeat_from("i-1", 1, 1, FencingToken::first(TERM).0, vec![]);
+        heartbeat.machine_type = "m99".into();
+        fixture.cluster.on_heartbeat(fixture.now, heartbeat);
+        fixture.job(spec("wk-000001", 100, 1.0));
+        (2..30).for_each(|n| fixture.job(spec(&job_id(n).0, 1, 1.0)));
+        fixture.job(job_depending_on(40, &[1]));
+        fixture.cluster.on_cancel_marked(fixture.now, &job_id(29));
         let mut refused = Vec::new();
         let mut launched = BTreeSet::new();
         for _ in 0..400 {
-            w.pass(Duration::from_millis(150));
-            for action in w.c.tick(w.now) {
+            fixture.pass(Duration::from_millis(150));
+            for action in fixture.cluster.tick(fixture.now) {
                 launched.extend(
                     launches(std::slice::from_ref(&action))
                         .into_iter()
@@ -154,7 +166,9 @@
                 );
                 match action {
                     Action::Send { machine, .. } => {
-                        w.c.on_command_response(w.now, &machine, None);
+                        fixture
+                            .cluster
+                            .on_command_response(fixture.now, &machine, None);
                     }
                     Action::Store(batch) => {
                         let too_long = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::Chunk(c)) if c.active.len() > most_attempts);
@@ -167,12 +181,12 @@
                                 refused.push(batch.ops);
                                 WriteOutcome::Refused
                             } else {
-                                w.revision += 1;
+                                fixture.revision += 1;
                                 WriteOutcome::Applied {
-                                    revision: w.revision,
+                                    revision: fixture.revision,
                                 }
                             };
-                        w.c.on_write_outcome(w.now, outcome);
+                        fixture.cluster.on_write_outcome(fixture.now, outcome);
                     }
                     _ => {}
                 }
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn what_proves_a_cancelled_task_gone() {
-    // Tenure, serial, token relative to the host's, task listed -> still held to be there.
+    // Incarnation, serial, token relative to the host's, task listed -> still held to be there.
     let cases = [
         ("an older report", 1, 1, 0, false, true),
         (
@@ -25,108 +25,139 @@
         ("a later tenure", 2, 1, -2, false, false),
     ];
     for (name, incarnation, serial, token_offset, listed, held) in cases {
-        let (mut w, attempt) = launched_task();
-        w.c.on_command_response(w.now, &"i-1".into(), None);
-        w.c.on_cancel_marked(w.now, &"wk-000001".into());
-        // The kill goes out with a raised token, so that no copy of the launch comes after it.
-        w.settle();
-        let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0 as i64 + token_offset;
+        let (mut fixture, attempt) = launched_task();
+        fixture
+            .cluster
+            .on_command_response(fixture.now, &"i-1".into(), None);
+        fixture
+            .cluster
+            .on_cancel_marked(fixture.now, &"wk-000001".into());
+        // The kill goes out with a raised token, so that no duplicate of the launch comes after it.
+        fixture.settle();
+        let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
+            .token
+            .0 as i64
+            + token_offset;
         let tasks = if listed {
             vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
-        let r = World::heartbeat_from("i-1", incarnation, serial, token as u64, tasks);
-        w.c.on_heartbeat(w.now, r);
-        assert_eq!(w.active("wk-000001", 0).is_some(), held, "{name}");
+        let heartbeat = heartbeat_from("i-1", incarnation, serial, token as u64, tasks);
+        fixture.cluster.on_heartbeat(fixture.now, heartbeat);
+        assert_eq!(fixture.active("wk-000001", 0).is_some(), held, "{name}");
     }
 }
 
 #[test]
 fn a_task_stays_with_a_silent_machine_until_its_lease_has_certainly_run_out() {
     for (fenced, gone) in [(true, true), (false, false)] {
-        let (mut w, _) = launched_task();
-        w.heartbeat("i-1", 5, vec![]);
+        let (mut fixture, _) = launched_task();
+        fixture.heartbeat("i-1", 5, vec![]);
         // Fenced: it has shown this term's token, and from then on only we renew its lease.
-        for h in w.c.fleet.machines.values_mut() {
-            h.fenced = fenced;
-            h.returning = true;
+        for machine in fixture.cluster.fleet.machines.values_mut() {
+            machine.fenced = fenced;
+            machine.returning = true;
         }
-        // Ticking all the while: who stood still could not have answered either.
-        w.run(30);
-        assert!(w.active("wk-000001", 0).is_some(), "fenced {fenced}");
-        w.pass(secs(2));
-        w.c.tick(w.now);
-        assert_eq!(w.active("wk-000001", 0).is_none(), gone, "fenced {fenced}");
+        // Ticking all the while: who was paused could not have answered either.
+        fixture.run(30);
+        assert!(fixture.active("wk-000001", 0).is_some(), "fenced {fenced}");
+        fixture.pass(secs(2));
+        fixture.cluster.tick(fixture.now);
+        assert_eq!(
+            fixture.active("wk-000001", 0).is_none(),
+            gone,
+            "fenced {fenced}"
+        );
     }
 }
 
 #[test]
 fn a_new_incarnations_lease_is_not_counted_from_the_old_ones_last_answer() {
-    let (mut w, _) = launched_task();
-    w.heartbeat("i-1", 5, vec![]);
+    let (mut fixture, _) = launched_task();
+    fixture.heartbeat("i-1", 5, vec![]);
     let machine = MachineId::from("i-1");
     let lease = config().lease;
-    // Its answers were lost: the worker began a new session, of which a direct answer tells.
-    w.pass(lease);
-    let token = w.c.fleet.machines[&machine].token.0;
-    let fresh = World::heartbeat_from("i-1", 2, 1, token, vec![]);
-    w.c.on_command_response(w.now, &machine, Some(fresh));
-    assert_eq!(launches(&w.settle()), vec![], "does anything reach it?");
-    let token = w.c.fleet.machines[&machine].token.0;
-    let shows = World::heartbeat_from("i-1", 2, 2, token, vec![]);
-    w.c.on_command_response(w.now, &machine, Some(shows));
-    let sent = launches(&w.settle());
+    // Its answers were lost: the worker began a new incarnation, of which a direct answer tells.
+    fixture.pass(lease);
+    let token = fixture.cluster.fleet.machines[&machine].token.0;
+    let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
+    fixture
+        .cluster
+        .on_command_response(fixture.now, &machine, Some(fresh));
+    assert_eq!(
+        launches(&fixture.settle()),
+        vec![],
+        "does anything reach it?"
+    );
+    let token = fixture.cluster.fleet.machines[&machine].token.0;
+    let shows = heartbeat_from("i-1", 2, 2, token, vec![]);
+    fixture
+        .cluster
+        .on_command_response(fixture.now, &machine, Some(shows));
+    let sent = launches(&fixture.settle());
     assert_eq!(sent.len(), 1, "the old session's task starts anew");
     let (_, task, attempt) = sent[0].clone();
-    w.pass(secs(5));
-    w.c.tick(w.now);
-    let (on, still) = w.active(&task.job_id.0, task.index).expect("it runs there");
+    fixture.pass(secs(5));
+    fixture.cluster.tick(fixture.now);
+    let (on, still) = fixture
+        .active(&task.job_id.0, task.index)
+        .expect("it runs there");
     assert_eq!((on, still), (machine, attempt));
 }
 
 #[test]
 fn a_returned_machine_is_gone_for_good() {
-    let (mut w, _) = launched_task();
-    w.c.on_returned(w.now, &["i-1".into()]);
-    assert_eq!(w.active("wk-000001", 0), None);
-    assert_eq!(w.c.jobs[&JobId::from("wk-000001")].pending(9), vec![0]);
-    let late = World::heartbeat_from("i-1", 1, 99, 0, vec![]);
-    assert_eq!(w.c.on_heartbeat(w.now, late), HeartbeatDecision::Ignore);
-    assert!(w.c.fleet.machines.is_empty());
+    let (mut fixture, _) = launched_task();
+    fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
+    assert_eq!(fixture.active("wk-000001", 0), None);
+    assert_eq!(
+        fixture.cluster.jobs[&JobId::from("wk-000001")].pending(9),
+        vec![0]
+    );
+    let late = heartbeat_from("i-1", 1, 99, 0, vec![]);
+    assert_eq!(
+        fixture.cluster.on_heartbeat(fixture.now, late),
+        HeartbeatDecision::Ignore
+    );
+    assert!(fixture.cluster.fleet.machines.is_empty());
 }
 
 #[test]
 fn a_heartbeat_of_a_higher_term_supersedes_the_leader() {
-    let mut w = World::new();
+    let mut fixture = ClusterFixture::new();
     let higher = FencingToken::first(Term(TERM.0 + 1));
-    let r = World::heartbeat_from("i-1", 1, 1, higher.0, vec![]);
+    let heartbeat = heartbeat_from("i-1", 1, 1, higher.0, vec![]);
     assert_eq!(
-        w.c.on_heartbeat(w.now, r),
+        fixture.cluster.on_heartbeat(fixture.now, heartbeat),
         HeartbeatDecision::Superseded(Term(TERM.0 + 1))
     );
 }
 
 #[test]
 fn a_heartbeat_overtaken_by_a_direct_answer_still_renews_the_lease() {
-    let (mut w, attempt) = launched_task();
-    let token = w.c.fleet.machines[&MachineId::from("i-1")].token.0;
+    let (mut fixture, attempt) = launched_task();
+    let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
+        .token
+        .0;
     let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let direct = World::heartbeat_from("i-1", 1, 8, token, running);
-    w.c.on_command_response(w.now, &"i-1".into(), Some(direct));
+    let direct = heartbeat_from("i-1", 1, 8, token, running);
+    fixture
+        .cluster
+        .on_command_response(fixture.now, &"i-1".into(), Some(direct));
     // Sent before the command, arriving after it: its list without the task proves nothing.
-    let (_, commands) = w.heartbeat("i-1", 7, vec![]);
+    let (_, commands) = fixture.heartbeat("i-1", 7, vec![]);
     assert_eq!(commands, vec![]);
-    assert!(w.active("wk-000001", 0).is_some());
+    assert!(fixture.active("wk-000001", 0).is_some());
     assert_eq!(
-        w.c.fleet.machines[&MachineId::from("i-1")].lease_renewed_at,
-        Some(w.now)
+        fixture.cluster.fleet.machines[&MachineId::from("i-1")].lease_renewed_at,
+        Some(fixture.now)
     );
 }
 
 #[test]
 fn a_task_is_forgotten_only_once_its_end_is_durable_and_then_with_a_raised_token() {
-    let (mut w, attempt) = launched_task();
+    let (mut fixture, attempt) = launched_task();
     let done = || {
         vec![shown(
             "wk-000001",
@@ -135,10 +166,10 @@
             TaskPhase::Ended(ExitReason::Completed),
         )]
     };
-    let (before, commands) = w.heartbeat("i-1", 5, done());
+    let (before, commands) = fixture.heartbeat("i-1", 5, done());
     assert_eq!(commands, vec![], "not written yet");
-    w.settle();
-    let (after, commands) = w.heartbeat("i-1", 6, done());
+    fixture.settle();
+    let (after, commands) = fixture.heartbeat("i-1", 6, done());
     let forget = TaskCommand::Forget {
         task: task("wk-000001", 0),
         attempt,
@@ -161,24 +192,24 @@
         (ExitReason::UnknownTask, false, true, false, true),
     ];
     for (exit, done, waits, avoided, held_back) in cases {
-        let (mut w, attempt) = launched_task();
-        w.heartbeat(
+        let (mut fixture, attempt) = launched_task();
+        fixture.heartbeat(
             "i-1",
             5,
             vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
         );
-        let j = &w.c.jobs[&JobId::from("wk-000001")];
+        let j = &fixture.cluster.jobs[&JobId::from("wk-000001")];
         assert_eq!(j.done_count == 1, done, "{exit:?}");
         assert_eq!(j.pending(9) == vec![0], waits, "{exit:?}");
         assert_eq!(j.crash_loop.backoff_until.is_some(), held_back, "{exit:?}");
-        let h = &w.c.fleet.machines[&MachineId::from("i-1")];
-        assert_eq!(h.avoid_until.is_some(), avoided, "{exit:?}");
+        let machine = &fixture.cluster.fleet.machines[&MachineId::from("i-1")];
+        assert_eq!(machine.avoid_until.is_some(), avoided, "{exit:?}");
     }
 }
 
 #[test]
 fn an_unknown_task_is_killed_once_its_job_is_known_to_be_over_and_an_unknown_end_forgotten() {
-    let mut w = World::new();
+    let mut fixture = ClusterFixture::new();
     let job_id = JobId::from("wk-000009");
     let running = || shown("wk-000009", 0, AttemptId(3), TaskPhase::Running);
     let ended = shown(
@@ -187,43 +218,49 @@
         AttemptId(3),
         TaskPhase::Ended(ExitReason::Completed),
     );
-    w.pass(secs(2));
-    let (before, d) = w.heartbeat("i-1", 1, vec![running(), ended]);
+    fixture.pass(secs(2));
+    let (before, d) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
     assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
-    assert!(w.c.jobs_to_look_up().contains(&job_id));
-    w.c.on_job_statuses(w.now, &[(job_id, Some(JobOutcome::Done))]);
-    let (token, d) = w.heartbeat("i-1", 2, vec![running()]);
+    assert!(fixture.cluster.jobs_to_look_up().contains(&job_id));
+    fixture
+        .cluster
+        .on_job_statuses(fixture.now, &[(job_id, Some(JobOutcome::Done))]);
+    let (token, d) = fixture.heartbeat("i-1", 2, vec![running()]);
     assert!(matches!(d[..], [TaskCommand::Kill { .. }]), "{d:?}");
     assert!(token > before, "no late command starts it again");
 }
 
 #[test]
 fn a_machine_with_an_overdue_cancellation_is_returned() {
-    let (mut w, attempt) = launched_task();
-    w.c.on_cancel_marked(w.now, &"wk-000001".into());
+    let (mut fixture, attempt) = launched_task();
+    fixture
+        .cluster
+        .on_cancel_marked(fixture.now, &"wk-000001".into());
     for serial in 10..30 {
-        w.pass(secs(1));
+        fixture.pass(secs(1));
         let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-        w.heartbeat("i-1", serial, running);
-        w.settle();
+        fixture.heartbeat("i-1", serial, running);
+        fixture.settle();
     }
-    assert!(w.c.fleet.machines[&MachineId::from("i-1")].returning);
+    assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].returning);
 }
 
 #[test]
 fn a_done_job_is_recorded_only_while_it_has_no_outcome() {
-    let (mut w, attempt) = launched_task();
+    let (mut fixture, attempt) = launched_task();
     let done = shown(
         "wk-000001",
         0,
         attempt,
         TaskPhase::Ended(ExitReason::Completed),
     );
-    w.heartbeat("i-1", 5, vec![done]);
-    let batch = w.batch().unwrap();
+    fixture.heartbeat("i-1", 5, vec![done]);
+    let batch = fixture.batch().unwrap();
     let condition = KeyCondition::absent(outcome_key(&"wk-000001".into()));
     assert!(batch.conditions.contains(&condition));
     assert_eq!(batch.ops.len(), 1, "its place in the index goes later");
-    w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision: 300 });
-    assert!(w.c.jobs.is_empty());
+    fixture
+        .cluster
+        .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 300 });
+    assert!(fixture.cluster.jobs.is_empty());
 }
