--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -1,13 +1,14 @@
 //! Teams without a guarantee beside others: what they get, and what they must not take; and the limit on
 //! ordinary starts while the controllers lag.
 
+use crate::common::fleet::SimulatedFleet;
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::placement::start_limiter::StartLimiter;
 
 /// Two teams without a guarantee or limit, `red` and `grey`, and `blue` with a guarantee.
 fn teams() -> SchedulerConfig {
-    let mut p = config();
+    let mut scheduler_config = config();
     let blank = |name: &str, cpus| Team {
         name: name.into(),
         cpus,
@@ -15,21 +16,21 @@
         gpus: None,
         gpus_max: None,
     };
-    p.teams = vec![
+    scheduler_config.teams = vec![
         blank("red", None),
         blank("grey", None),
         blank("blue", Some(16.0)),
     ];
-    p
+    scheduler_config
 }
 
 fn owned(job_id: &str, team: &str, task_count: u32, cpus: f64, priority: Priority) -> JobSpec {
-    let mut s = spec(job_id, task_count, cpus);
-    s.team = team.into();
-    s.priority = priority;
-    s.checkpoint_interval = secs(0);
-    s.checkpoint_duration = secs(0);
-    s
+    let mut job = spec(job_id, task_count, cpus);
+    job.team = team.into();
+    job.priority = priority;
+    job.checkpoint_interval = secs(0);
+    job.checkpoint_duration = secs(0);
+    job
 }
 
 /// Guards against one huge job of small tasks that fills every gap: tasks that need a whole machine
@@ -41,24 +42,28 @@
         ("blue", Priority::Standard),
         ("red", Priority::High),
     ] {
-        let mut f = Fleet::new(teams(), 10, 8.0);
-        f.w.job(owned("wk-000001", "grey", 6000, 1.0, Priority::Standard));
+        let mut fleet = SimulatedFleet::new(teams(), 10, 8.0);
+        fleet
+            .fixture
+            .job(owned("wk-000001", "grey", 6000, 1.0, Priority::Standard));
         for _ in 0..20 {
-            f.second(|_| secs(7));
+            fleet.second(|_| secs(7));
         }
-        f.w.job(owned("wk-000002", team, 10, 8.0, priority));
-        let (before, came) = (f.done[&"wk-000001".into()], f.w.now);
+        fleet
+            .fixture
+            .job(owned("wk-000002", team, 10, 8.0, priority));
+        let (before, came) = (fleet.done[&"wk-000001".into()], fleet.fixture.now);
         let mut all = None;
         for _ in 0..90 {
-            f.second(|u| {
+            fleet.second(|u| {
                 if u.0 == "wk-000001" {
                     secs(7)
                 } else {
                     secs(20)
                 }
             });
-            if f.launched.get(&"wk-000002".into()) >= Some(&10) {
-                all.get_or_insert(f.w.now - came);
+            if fleet.launched.get(&"wk-000002".into()) >= Some(&10) {
+                all.get_or_insert(fleet.fixture.now - came);
             }
         }
         let name = format!("{team} {priority:?}");
@@ -66,25 +71,29 @@
             all.is_some_and(|d| d < secs(75)),
             "{name}: all begun after {all:?}"
         );
-        let guest = f.done[&"wk-000001".into()] - before;
+        let guest = fleet.done[&"wk-000001".into()] - before;
         assert!(guest > 200, "{name}: the guest goes on, {guest} done");
     }
 }
 
 /// Guards against idle work that is never begun, or stopped again and again, beside endless work of
-/// higher urgency.
+/// higher priority.
 #[test]
 fn idle_priority_work_without_a_guarantee_begins_and_is_not_preempted_needlessly() {
-    let mut p = teams();
-    p.teams[0].cpus = Some(1000.0);
-    let mut f = Fleet::new(p, 10, 8.0);
-    f.w.job(owned("wk-000001", "grey", 40, 1.0, Priority::Idle));
+    let mut scheduler_config = teams();
+    scheduler_config.teams[0].cpus = Some(1000.0);
+    let mut fleet = SimulatedFleet::new(scheduler_config, 10, 8.0);
+    fleet
+        .fixture
+        .job(owned("wk-000001", "grey", 40, 1.0, Priority::Idle));
     for n in 0..300 {
         if n % 3 == 0 {
             let job_id = format!("wk-1{n:05}");
-            f.w.job(owned(&job_id, "red", 40, 1.0, Priority::High));
+            fleet
+                .fixture
+                .job(owned(&job_id, "red", 40, 1.0, Priority::High));
         }
-        f.second(|u| {
+        fleet.second(|u| {
             if u.0 == "wk-000001" {
                 secs(60)
             } else {
@@ -93,9 +102,12 @@
         });
     }
     let guest = &JobId::from("wk-000001");
-    let begun = f.begun.get(guest).copied().expect("it begins");
-    assert!(begun < f.w.now - secs(60));
-    let (launched, done) = (f.launched[guest], f.done.get(guest).copied().unwrap_or(0));
+    let begun = fleet.begun.get(guest).copied().expect("it begins");
+    assert!(begun < fleet.fixture.now - secs(60));
+    let (launched, done) = (
+        fleet.launched[guest],
+        fleet.done.get(guest).copied().unwrap_or(0),
+    );
     assert!(
         done >= 5 && launched <= 60,
         "{launched} launched, {done} done"
@@ -164,20 +176,34 @@
 
 #[test]
 fn high_priority_and_guaranteed_work_is_not_held_by_the_start_limit() {
-    let mut f = Fleet::new(teams(), 10, 8.0);
-    f.w.job(owned("wk-000001", "grey", 500, 1.0, Priority::Standard));
-    f.w.job(owned("wk-000002", "red", 30, 1.0, Priority::High));
-    f.w.job(owned("wk-000003", "blue", 14, 1.0, Priority::Standard));
+    let mut fleet = SimulatedFleet::new(teams(), 10, 8.0);
+    fleet
+        .fixture
+        .job(owned("wk-000001", "grey", 500, 1.0, Priority::Standard));
+    fleet
+        .fixture
+        .job(owned("wk-000002", "red", 30, 1.0, Priority::High));
+    fleet
+        .fixture
+        .job(owned("wk-000003", "blue", 14, 1.0, Priority::Standard));
     // Late all the time: the controllers cannot follow.
     for _ in 0..3 {
         for _ in 0..10 {
-            f.w.now += std::time::Duration::from_millis(100);
-            f.w.c.start_limiter.observe_timer_lag(f.w.now, secs(2));
+            fleet.fixture.now += std::time::Duration::from_millis(100);
+            fleet
+                .fixture
+                .cluster
+                .start_limiter
+                .observe_timer_lag(fleet.fixture.now, secs(2));
         }
-        f.second(|_| secs(500));
+        fleet.second(|_| secs(500));
     }
-    assert_eq!(f.launched.get(&"wk-000002".into()), Some(&30));
-    assert_eq!(f.launched.get(&"wk-000003".into()), Some(&14));
-    let ordinary = f.launched.get(&"wk-000001".into()).copied().unwrap_or(0);
+    assert_eq!(fleet.launched.get(&"wk-000002".into()), Some(&30));
+    assert_eq!(fleet.launched.get(&"wk-000003".into()), Some(&14));
+    let ordinary = fleet
+        .launched
+        .get(&"wk-000001".into())
+        .copied()
+        .unwrap_or(0);
     assert!(ordinary < 80 - 44, "{ordinary}");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -68,7 +68,7 @@
     StoreRates { requests, changes }
 }
 
-/// Limits that the state service will have from some moment on: sizes keep to the smaller of both from
+/// Limits that the store will have from some moment on: sizes keep to the smaller of both from
 /// the start, rates to the present ones.
 #[test]
 fn announced_limits_of_the_state_service() {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -67,17 +67,17 @@
 
 /// A deployment with limits that are soon reached.
 pub fn tight_config() -> SchedulerConfig {
-    let mut p = config();
-    p.teams = vec![
+    let mut scheduler_config = config();
+    scheduler_config.teams = vec![
         team("red", 8.0, 24.0),
         team("blue", 8.0, 20.0),
         team("grey", 0.0, 16.0),
     ];
-    p.lease = secs(20);
-    p.gang_wait = secs(15);
-    p.tuning.max_machines = 30;
-    p.tuning.idle_ordinary = secs(60);
-    p
+    scheduler_config.lease = secs(20);
+    scheduler_config.gang_wait = secs(15);
+    scheduler_config.tuning.max_machines = 30;
+    scheduler_config.tuning.idle_ordinary = secs(60);
+    scheduler_config
 }
 
 impl Simulation {
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service, the cloud and workers, and what is read of the answers.
+//! Requests to the store, the cloud and workers, and what is read of the answers.
 
 use crate::golden::Golden;
 use crate::values::*;
--- a/tests/stored_formats/main.rs
+++ b/tests/stored_formats/main.rs
@@ -1,4 +1,4 @@
-//! What is stored and sent, byte for byte: records and keys of the state service, frames between the
+//! What is stored and sent, byte for byte: records and keys of the store, frames between the
 //! controllers, bodies of requests and answers, and the settings files.
 //!
 //! Names of types and fields may change, these bytes may not. They stand in the `.txt` files here, a row for
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -1,6 +1,6 @@
-//! Records and keys of the state service.
+//! Records and keys of the store.
 
-use crate::common::{spec, World};
+use crate::common::{spec, ClusterFixture};
 use crate::golden::{read, Golden};
 use crate::values::*;
 use cypressgap::core::model::*;
@@ -134,7 +134,7 @@
     assert_eq!(loaded.run_time(&other, &"g8".into()), secs(60.0));
     assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
     // A rental's claim, which the cloud keeps.
-    let mut world = World::new();
+    let mut world = ClusterFixture::new();
     world.pass(secs(10.0));
     world.job(spec("wk-000001", 1, 4.0));
     let idempotency_keys = world
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// What a follower says that the state service does not answer.
+/// What a follower says that the store does not answer.
 pub fn hello() -> Hello {
     Hello {
         member: "worker-2".into(),
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -54,7 +54,7 @@
 fn submissions_are_validated() {
     let spec = read(&submission()).unwrap();
     assert_eq!((spec.task_count, spec.kind), (16, JobKind::Gang));
-    // What the state service gives back is the same job.
+    // What the store gives back is the same job.
     let stored: StoredJob = decode(&encode(&StoredJob::from(&spec))).unwrap();
     assert_eq!(JobSpec::try_from(stored), Ok(spec));
 
@@ -249,7 +249,7 @@
     }
 }
 
-/// Guards against a job that is taken for an outage of the state service because its value is refused.
+/// Guards against a job that is taken for an outage of the store because its value is refused.
 #[test]
 fn a_job_spec_too_long_for_a_stored_value_is_refused() {
     let long = |n: usize, c: char| {
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-fn two_zones(cpus: f64) -> World {
-    let mut p = config();
-    p.teams[0].cpus_max = None;
+fn two_zones(cpus: f64) -> ClusterFixture {
+    let mut scheduler_config = config();
+    scheduler_config.teams[0].cpus_max = None;
     let mut kind = machine_type("m32", cpus);
     kind.zones = vec!["a".into(), "b".into()];
-    World::with(p, vec![kind])
+    ClusterFixture::with(scheduler_config, vec![kind])
 }
 
 fn zone_of(machine: &str) -> &'static str {
@@ -31,24 +31,28 @@
 
 /// A report at the host's token, as a heartbeat: its directives.
 fn heartbeat_of(
-    w: &mut World,
+    fixture: &mut ClusterFixture,
     machine: &str,
     incarnation: u64,
     serial: u64,
     tasks: Vec<TaskStatus>,
 ) {
-    let known = w.c.fleet.machines.get(&MachineId::from(machine));
-    let token = known.map_or(FencingToken::first(w.c.term).0, |h| h.token.0);
-    let mut r = World::heartbeat_from(machine, incarnation, serial, token, tasks);
-    r.machine_type = "m32".into();
-    r.zone = zone_of(machine).into();
-    w.c.on_heartbeat(w.now, r);
+    let known = fixture
+        .cluster
+        .fleet
+        .machines
+        .get(&MachineId::from(machine));
+    let token = known.map_or(FencingToken::first(fixture.cluster.term).0, |h| h.token.0);
+    let mut heartbeat = heartbeat_from(machine, incarnation, serial, token, tasks);
+    heartbeat.machine_type = "m32".into();
+    heartbeat.zone = zone_of(machine).into();
+    fixture.cluster.on_heartbeat(fixture.now, heartbeat);
 }
 
 fn tied(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
-    let mut s = spec(job_id, task_count, 8.0);
-    (s.same_place, s.spread) = (same_place, !same_place);
-    s
+    let mut job = spec(job_id, task_count, 8.0);
+    (job.same_place, job.spread) = (same_place, !same_place);
+    job
 }
 
 #[test]
@@ -79,15 +83,15 @@
         ),
     ];
     for (same_place, spread, task_count, starts, allowed) in cases {
-        let mut s = spec("wk-000001", task_count, 1.0);
-        (s.same_place, s.spread) = (same_place, spread);
+        let mut job = spec("wk-000001", task_count, 1.0);
+        (job.same_place, job.spread) = (same_place, spread);
         let mut zones = ZoneUse::default();
         for (zone, changes) in starts {
             let why = format!("{same_place} {spread} {starts:?}");
-            assert_eq!(zones.add_task(&s, &Zone::from(*zone)), *changes, "{why}");
+            assert_eq!(zones.add_task(&job, &Zone::from(*zone)), *changes, "{why}");
         }
         for zone in ["a", "b"] {
-            let may = permits(&s, &zones, &"m32".into(), &zone.into(), true);
+            let may = permits(&job, &zones, &"m32".into(), &zone.into(), true);
             assert_eq!(may, allowed.contains(&zone), "{starts:?} {zone}");
         }
     }
@@ -96,7 +100,7 @@
 /// How the machines of the zone in use are lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// They hang, and go on in their session.
+    /// They hang, and go on in their incarnation.
     Hang,
     /// They hear nobody: they report on until their lease runs out.
     NoHeartbeats,
@@ -116,12 +120,12 @@
         Loss::Restarted,
         Loss::Returned,
     ] {
-        let mut w = two_zones(16.0);
+        let mut fixture = two_zones(16.0);
         let machines: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for h in &machines {
-            heartbeat_of(&mut w, h, 1, 1, vec![]);
+            heartbeat_of(&mut fixture, h, 1, 1, vec![]);
         }
-        w.job(tied("wk-000001", 8, true));
+        fixture.job(tied("wk-000001", 8, true));
         // What is on each machine, the truth of the matter.
         let mut on: BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>> = BTreeMap::new();
         let mut done: BTreeSet<u32> = BTreeSet::new();
@@ -129,12 +133,12 @@
             machines.iter().map(|h| (h.clone(), 1)).collect();
         let mut serial = 10;
         let mut lost: BTreeSet<String> = BTreeSet::new();
-        let (run, lease) = (secs(20), w.c.config.lease);
-        let start = w.now;
-        while !w.c.jobs.is_empty() && w.now - start < secs(400) {
-            w.pass(secs(1));
+        let (run, lease) = (secs(20), fixture.cluster.config.lease);
+        let start = fixture.now;
+        while !fixture.cluster.jobs.is_empty() && fixture.now - start < secs(400) {
+            fixture.pass(secs(1));
             serial += 1;
-            let second = (w.now - start).as_secs();
+            let second = (fixture.now - start).as_secs();
             if second == 8 {
                 // Half of the machines in use.
                 let used = on.iter().filter(|(_, tasks)| !tasks.is_empty());
@@ -146,7 +150,7 @@
                             lost.iter().map(|h| MachineId(h.clone())).collect();
                         lost.iter()
                             .for_each(|h| on.entry(h.clone()).or_default().clear());
-                        w.c.on_returned(w.now, &gone);
+                        fixture.cluster.on_returned(fixture.now, &gone);
                     }
                     Loss::Restarted => {
                         lost.iter()
@@ -155,8 +159,8 @@
                     Loss::Hang | Loss::NoHeartbeats => {}
                 }
             }
-            if !lost.is_empty() && w.now - start == secs(8) + lease {
-                // Their leases have run out: a new session, with nothing on it.
+            if !lost.is_empty() && fixture.now - start == secs(8) + lease {
+                // Their leases have run out: a new incarnation, with nothing on it.
                 if !matches!(loss, Loss::Returned) {
                     for h in std::mem::take(&mut lost) {
                         on.entry(h.clone()).or_default().clear();
@@ -171,7 +175,7 @@
                 }
                 let mut listed = Vec::new();
                 for (index, (attempt, began)) in on.entry(h.clone()).or_default() {
-                    let over = w.now - *began >= run;
+                    let over = fixture.now - *began >= run;
                     let phase = if over {
                         done.insert(*index);
                         TaskPhase::Ended(ExitReason::Completed)
@@ -180,44 +184,48 @@
                     };
                     listed.push(shown("wk-000001", *index, *attempt, phase));
                 }
-                heartbeat_of(&mut w, h, incarnation[h], serial, listed);
+                heartbeat_of(&mut fixture, h, incarnation[h], serial, listed);
             }
-            let actions = w.c.tick(w.now);
+            let actions = fixture.cluster.tick(fixture.now);
             for a in actions {
                 match a {
                     Action::Store(_) => {
-                        w.revision += 1;
-                        let revision = w.revision;
-                        w.c.on_write_outcome(w.now, WriteOutcome::Applied { revision });
+                        fixture.revision += 1;
+                        let revision = fixture.revision;
+                        fixture
+                            .cluster
+                            .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
                     }
                     Action::Send {
                         machine, commands, ..
                     } => {
-                        w.c.on_command_response(w.now, &machine, None);
+                        fixture
+                            .cluster
+                            .on_command_response(fixture.now, &machine, None);
                         if lost.contains(&machine.0) {
                             continue;
                         }
                         for d in commands {
-                            carry_out(&w, &mut on, &machine.0, d, loss);
+                            carry_out(&fixture, &mut on, &machine.0, d, loss);
                         }
                     }
                     Action::Return { machines } => {
                         for h in &machines {
                             on.entry(h.0.clone()).or_default().clear();
                         }
-                        w.c.on_returned(w.now, &machines);
+                        fixture.cluster.on_returned(fixture.now, &machines);
                     }
                     _ => {}
                 }
             }
         }
         assert_eq!(done.len(), 8, "{loss:?}: all tasks ended");
-        assert!(w.c.jobs.is_empty(), "{loss:?}: the job is over");
+        assert!(fixture.cluster.jobs.is_empty(), "{loss:?}: the job is over");
     }
 }
 
 fn carry_out(
-    w: &World,
+    fixture: &ClusterFixture,
     on: &mut BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>>,
     machine: &str,
     d: TaskCommand,
@@ -235,7 +243,7 @@
                 assert!(!elsewhere, "{loss:?}: {task} in another zone than on {h}");
             }
             let tasks = on.entry(machine.to_owned()).or_default();
-            tasks.entry(task.index).or_insert((attempt, w.now));
+            tasks.entry(task.index).or_insert((attempt, fixture.now));
         }
         TaskCommand::Kill { task, .. } | TaskCommand::Forget { task, .. } => {
             on.entry(machine.to_owned())
@@ -247,20 +255,20 @@
 
 /// How long the rounds take that place a job of 700 tasks on 900 machines.
 fn rounds(job: JobSpec) -> (Duration, usize) {
-    let mut w = two_zones(32.0);
+    let mut fixture = two_zones(32.0);
     for n in 0..900 {
-        heartbeat_of(&mut w, &format!("i-{n}"), 1, 1, vec![]);
+        heartbeat_of(&mut fixture, &format!("i-{n}"), 1, 1, vec![]);
     }
-    w.c.tick(w.now);
-    w.job(job);
+    fixture.cluster.tick(fixture.now);
+    fixture.job(job);
     let mut took = Duration::ZERO;
     for _ in 0..4 {
-        w.pass(secs(2));
+        fixture.pass(secs(2));
         let began = Instant::now();
-        w.c.tick(w.now);
+        fixture.cluster.tick(fixture.now);
         took += began.elapsed();
     }
-    let job = &w.c.jobs[&JobId::from("wk-000001")];
+    let job = &fixture.cluster.jobs[&JobId::from("wk-000001")];
     let zones: BTreeSet<&str> = job.active.values().map(|a| zone_of(&a.machine.0)).collect();
     if job.spec.same_place {
         assert_eq!(zones.len(), 1, "one zone");
@@ -287,38 +295,44 @@
     }
 }
 
-/// A new leader knows of a task on a machine that it has not heard, whose zone could be any: until it
+/// A new leader knows of a task on a machine that it has not known yet, whose zone could be any: until it
 /// knows, none of the job's tasks starts, and then only where the job may.
 #[test]
 fn tasks_in_zones_not_known_yet_keep_their_siblings_back() {
     for same_place in [true, false] {
-        let mut w = two_zones(32.0);
-        w.job(tied("wk-000001", 3, same_place));
+        let mut fixture = two_zones(32.0);
+        fixture.job(tied("wk-000001", 3, same_place));
         let active = vec![
             Intent::new(0, AttemptId(100), MachineId::from("i-9")),
             Intent::new(1, AttemptId(101), MachineId::from("i-9")),
         ];
         let value = ChunkValue { done: 0, active };
-        w.c.load_chunk(w.now, &"wk-000001".into(), 0, value, 90);
-        for h in ["i-2", "i-3"] {
-            heartbeat_of(&mut w, h, 1, 1, vec![]);
+        fixture
+            .cluster
+            .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
+        for machine in ["i-2", "i-3"] {
+            heartbeat_of(&mut fixture, machine, 1, 1, vec![]);
         }
         let started = |actions: &[Action]| {
             let launched = launches(actions).into_iter().map(|l| (l.0, l.1.index));
             launched.filter(|l| l.1 == 2).collect::<Vec<_>>()
         };
-        assert_eq!(started(&w.settle()), vec![], "same place {same_place}");
+        assert_eq!(
+            started(&fixture.settle()),
+            vec![],
+            "same place {same_place}"
+        );
         let listed = [0, 1].map(|i| {
             let attempt = AttemptId(100 + u64::from(i));
             shown("wk-000001", i, attempt, TaskPhase::Running)
         });
-        heartbeat_of(&mut w, "i-9", 1, 1, listed.to_vec());
-        for h in ["i-2", "i-3"] {
-            heartbeat_of(&mut w, h, 1, 2, vec![]);
+        heartbeat_of(&mut fixture, "i-9", 1, 1, listed.to_vec());
+        for machine in ["i-2", "i-3"] {
+            heartbeat_of(&mut fixture, machine, 1, 2, vec![]);
         }
         // Two of three run in zone b: the third belongs there, or must go to the other one.
         let zone = if same_place { "b" } else { "a" };
-        let zones: Vec<&str> = started(&w.settle())
+        let zones: Vec<&str> = started(&fixture.settle())
             .iter()
             .map(|l| zone_of(&l.0 .0))
             .collect();
