--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -5,7 +5,7 @@
 
 use crate::api::live_index::LiveIndex;
 use crate::api::responses::ApiResponse;
-use crate::common::rate_limit::SubmissionFairness;
+use crate::api::submission_fairness::SubmissionFairness;
 use crate::common::stop_signal::StopSignal;
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::model::{JobId, Team};
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -13,4 +13,5 @@
 pub mod server;
 pub mod status_queries;
 pub mod submission;
+pub mod submission_fairness;
 pub mod user_requests;
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -124,10 +124,11 @@
         lease: None,
     }];
     // A team that floods the node leaves the others a part of the rate.
-    let floor = context.fairness.floor(&spec.team, Instant::now());
-    let result = context
-        .store
-        .transaction_with_reserve(floor, &conditions, changes, ACCEPT_LIMIT);
+    let reserve = context.fairness.reserve_for(&spec.team, Instant::now());
+    let result =
+        context
+            .store
+            .transaction_with_reserve(reserve, &conditions, changes, ACCEPT_LIMIT);
     context.record_store_result(&result);
     match result {
         Ok(TransactionOutcome::Applied { .. }) => Ok(Attempt::Answered(accepted(context, &spec))),
--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -1,17 +1,37 @@
-//! Meters whose percentiles the periodic summary names.
+//! Meters whose values the periodic summary logs.
 
 use hdrhistogram::Histogram;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// An hour. Anything longer counts as an hour.
+/// An hour, in microseconds. Anything longer counts as an hour.
 const MAX_US: u64 = 3_600_000_000;
+/// Significant digits of a histogram.
+const PRECISION: u8 = 2;
+/// Microseconds in a millisecond.
+const US_PER_MS: f64 = 1000.0;
+/// The weight of the last timer in the average.
+const LAST_TIMER_WEIGHT: f64 = 0.15;
+/// A paused process is not an overloaded one: one such timer must not count for many.
+const MAX_TIMER_LAG: Duration = Duration::from_secs(2);
 
-/// Durations of one kind since the last summary, in microseconds.
+/// Durations of one kind since the last summary.
 pub struct LatencyMeter {
+    /// In microseconds.
     histogram: Mutex<Histogram<u64>>,
 }
 
+/// The durations that a meter recorded.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LatencySummary {
+    /// How many they were.
+    pub count: u64,
+    /// Their median, in milliseconds.
+    pub p50_ms: f64,
+    /// Their 95th percentile, in milliseconds.
+    pub p95_ms: f64,
+}
+
 impl Default for LatencyMeter {
     fn default() -> Self {
         LatencyMeter::new()
@@ -22,56 +42,64 @@
     /// An empty meter.
     pub fn new() -> LatencyMeter {
         // Fixed bounds: a histogram that grows by itself clamps saturating records to its first size.
-        let histogram = Histogram::new_with_bounds(1, MAX_US, 2).expect("the bounds are in order");
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_US, PRECISION).expect("the bounds are in order");
         LatencyMeter {
             histogram: Mutex::new(histogram),
         }
     }
 
+    fn lock(&self) -> MutexGuard<'_, Histogram<u64>> {
+        self.histogram.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
     /// Records one duration.
-    pub fn record(&self, d: Duration) {
-        let mut h = self.histogram.lock().unwrap_or_else(|e| e.into_inner());
-        h.saturating_record(d.as_micros().min(u128::from(u64::MAX)) as u64);
+    pub fn record(&self, duration: Duration) {
+        let us = duration.as_micros().min(u128::from(u64::MAX)) as u64;
+        self.lock().saturating_record(us);
     }
 
-    /// Count, 50th and 95th percentile in milliseconds, since the last call.
-    pub fn take(&self) -> (u64, f64, f64) {
-        let mut h = self.histogram.lock().unwrap_or_else(|e| e.into_inner());
-        let ms = |q| h.value_at_quantile(q) as f64 / 1000.0;
-        let found = (h.len(), ms(0.5), ms(0.95));
-        h.reset();
-        found
+    /// The durations since the last call.
+    pub fn take(&self) -> LatencySummary {
+        let mut histogram = self.lock();
+        let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS;
+        let summary = LatencySummary {
+            count: histogram.len(),
+            p50_ms: ms(0.5),
+            p95_ms: ms(0.95),
+        };
+        histogram.reset();
+        summary
     }
 
-    /// The same as facts of a log line, under `name`.
+    /// The durations since the last call, as fields of a log line under `name`.
     pub fn take_fields(&self, name: &str) -> String {
-        let (n, p50, p95) = self.take();
-        format!("{name}={n} {name}_ms_p50={p50:.1} {name}_ms_p95={p95:.1}")
+        let LatencySummary {
+            count,
+            p50_ms,
+            p95_ms,
+        } = self.take();
+        format!("{name}={count} {name}_ms_p50={p50_ms:.1} {name}_ms_p95={p95_ms:.1}")
     }
 }
 
-/// How late this node's own timers fire, on average over the last few: in a process that runs out of its
+/// How late this node's own timers fire, averaged over the last few: in a process that runs out of its
 /// share of the processor, everything is late.
 #[derive(Default)]
 pub struct TimerLag {
-    late: Mutex<Duration>,
+    average: Mutex<Duration>,
 }
 
-/// Of the last timer in the average.
-const LAST_PART: f64 = 0.15;
-
 impl TimerLag {
-    /// A timer fired this much too late.
-    pub fn record(&self, late: Duration) {
-        let mut mean = self.late.lock().unwrap_or_else(|e| e.into_inner());
-        *mean = mean.mul_f64(1.0 - LAST_PART) + late.min(MAX_LATE).mul_f64(LAST_PART);
+    /// Records how late a timer fired.
+    pub fn record(&self, lag: Duration) {
+        let mut average = self.average.lock().unwrap_or_else(|e| e.into_inner());
+        let lag = lag.min(MAX_TIMER_LAG);
+        *average = average.mul_f64(1.0 - LAST_TIMER_WEIGHT) + lag.mul_f64(LAST_TIMER_WEIGHT);
     }
 
-    /// How late timers fire of late.
+    /// The average over the last few timers.
     pub fn average(&self) -> Duration {
-        *self.late.lock().unwrap_or_else(|e| e.into_inner())
+        *self.average.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
-
-/// A standstill is no strain: one such timer must not count for many.
-const MAX_LATE: Duration = Duration::from_secs(2);
--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -1,11 +1,12 @@
-//! Token buckets for the rates that the state service and the cloud allow.
+//! Token buckets for the rates that the key-value store and the cloud allow.
 
-use crate::core::model::TeamName;
-use std::collections::HashMap;
-use std::sync::Mutex;
-use std::time::{Duration, Instant};
+use std::sync::{Mutex, MutexGuard};
+use std::time::Instant;
 
-/// Who asks: what the leader needs to keep leading and launching, or a user's request.
+/// Tolerance for sums of floating-point numbers.
+const EPSILON: f64 = 1e-9;
+
+/// On whose behalf a request is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
     /// What the leader needs to lead and to launch.
@@ -14,7 +15,7 @@
     User,
 }
 
-/// A token bucket.
+/// A token bucket. It fills at a steady rate up to its size, and is full at first.
 pub struct TokenBucket {
     state: Mutex<State>,
 }
@@ -22,153 +23,92 @@
 struct State {
     size: f64,
     rate: f64,
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl State {
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.left = (self.left + passed * self.rate).min(self.size);
-        self.at = self.at.max(now);
+        let passed = now.saturating_duration_since(self.refilled_at);
+        self.tokens = (self.tokens + passed.as_secs_f64() * self.rate).min(self.size);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    fn is_full(&self) -> bool {
+        self.tokens >= self.size - EPSILON
     }
 }
 
+fn size(rate: f64, burst_s: f64) -> f64 {
+    (rate * burst_s).max(1.0)
+}
+
 impl TokenBucket {
-    /// `rate` a second, with bursts worth `burst_s` seconds.
+    /// A bucket for `rate` tokens a second, with bursts worth `burst_s` seconds.
     pub fn new(rate: f64, burst_s: f64, now: Instant) -> TokenBucket {
-        let size = (rate * burst_s).max(1.0);
+        let size = size(rate, burst_s);
         TokenBucket {
             state: Mutex::new(State {
                 size,
                 rate,
-                left: size,
-                at: now,
+                tokens: size,
+                refilled_at: now,
             }),
         }
     }
 
-    /// From now on it fills at this rate. Bursts stay as large as they were.
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    /// Changes the rate. Bursts stay as large as they were.
     pub fn set_rate(&self, rate: f64, now: Instant) {
-        let mut s = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        s.refill(now);
-        s.rate = rate;
+        let mut state = self.lock();
+        state.refill(now);
+        state.rate = rate;
     }
 
-    /// From now on bursts are no larger than at this rate, worth so many seconds.
-    pub fn resize(&self, rate: f64, burst_s: f64) {
-        let mut s = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        s.size = (rate * burst_s).max(1.0);
+    /// Limits bursts to `burst_s` seconds' worth of `rate`.
+    pub fn set_burst(&self, rate: f64, burst_s: f64) {
+        self.lock().size = size(rate, burst_s);
     }
 
     /// Tokens a second.
     pub fn rate(&self) -> f64 {
-        self.state.lock().unwrap_or_else(|e| e.into_inner()).rate
+        self.lock().rate
     }
 
-    /// Takes so many tokens now. False: there are too few.
-    pub fn take(&self, n: f64) -> bool {
-        self.take_at(n, Instant::now())
+    /// The tokens at this time.
+    pub fn available_at(&self, now: Instant) -> f64 {
+        let mut state = self.lock();
+        state.refill(now);
+        state.tokens
     }
 
-    /// Takes so many tokens at this time. False: there are too few.
-    pub fn take_at(&self, n: f64, now: Instant) -> bool {
-        self.take_above(n, 0.0, now)
+    /// Takes tokens now. False: there are too few, and none was taken.
+    #[must_use]
+    pub fn try_take(&self, tokens: f64) -> bool {
+        self.try_take_at(tokens, Instant::now())
     }
 
-    /// Tokens left at this time.
-    pub fn left_at(&self, now: Instant) -> f64 {
-        let mut s = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        s.refill(now);
-        s.left
+    /// Takes tokens at this time. False: there are too few, and none was taken.
+    #[must_use]
+    pub fn try_take_at(&self, tokens: f64, now: Instant) -> bool {
+        self.try_take_above(tokens, 0.0, now)
     }
 
-    /// Takes `n` only when this part of the bucket is left.
-    pub fn take_above(&self, n: f64, floor: f64, now: Instant) -> bool {
-        let mut s = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        s.refill(now);
+    /// Takes tokens if `reserve`, a part of the bucket's size, is left. False: none was taken.
+    #[must_use]
+    pub fn try_take_above(&self, tokens: f64, reserve: f64, now: Instant) -> bool {
+        let mut state = self.lock();
+        state.refill(now);
+        let reserved = state.size * reserve;
         // A request larger than the bucket goes through when the bucket is full.
-        let left = s.size * floor;
-        if s.left - n >= left || (n > s.size - left && s.left >= s.size - 1e-9) {
-            s.left -= n;
-            true
-        } else {
-            false
-        }
-    }
-}
-
-/// Changes a second that were asked for of late: by a node's users, and by its duties as leader.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Demand {
-    /// For users.
-    pub users: f64,
-    /// For duties of the leader.
-    pub leader: f64,
-}
-
-/// The leader's part of all changes when everybody wants more than there is. The rest is the users'.
-pub const LEADER_CHANGES: f64 = 0.6;
-/// What is lent leaves the lender this much more than it asked for of late, and this part of all.
-const LENT_MARGIN: f64 = 1.25;
-const LENT_SPARE: f64 = 0.05;
-/// A node's users keep this share of their even part whatever the others ask for.
-const KEPT: f64 = 0.5;
-
-/// The changes a second of a node's users, and those of the leader should this node lead. Each has its
-/// part, and what one does not use the others may: a flood of submissions needs far more than the
-/// users' part, and the leader more than its own when nobody submits. Of a peer that is not heard of
-/// (`None`) the whole part is left alone: it may be at work out of our hearing.
-pub fn shares(total: f64, own: Demand, peers: &[Option<Demand>]) -> (f64, f64) {
-    let nodes = peers.len() as f64 + 1.0;
-    let (leaders, users) = (total * LEADER_CHANGES, total * (1.0 - LEADER_CHANGES));
-    let even = users / nodes;
-    let of_users: f64 = own.users
-        + peers
-            .iter()
-            .map(|p| p.map_or(even, |d| d.users))
-            .sum::<f64>();
-    let of_leader = peers
-        .iter()
-        .map(|p| p.map_or(leaders, |d| d.leader))
-        .fold(own.leader, f64::max);
-    let kept = |asked: f64, most: f64| (asked * LENT_MARGIN + total * LENT_SPARE).min(most);
-    let pool = total - kept(of_leader, leaders);
-    // Each node by what its users ask for, and a little for those who ask for nothing yet.
-    let little = even * LENT_SPARE;
-    let mine = pool * (own.users + little) / (of_users + little * nodes);
-    (mine.max(even * KEPT), total - kept(of_users, users))
-}
-
-/// Whose submissions leave a part of the rate to other teams: a team that sends most of them.
-#[derive(Default)]
-pub struct SubmissionFairness {
-    recent: Mutex<HashMap<TeamName, (f64, Instant)>>,
-}
-
-/// Submissions count for about this long.
-const RECENT: Duration = Duration::from_secs(5);
-const CROWD_LEAVES: f64 = 0.4;
-
-impl SubmissionFairness {
-    /// Counts one submission, and tells which part of the rate it must leave.
-    pub fn floor(&self, team: &TeamName, now: Instant) -> f64 {
-        let mut recent = self.recent.lock().unwrap_or_else(|e| e.into_inner());
-        let faded = |(n, at): (f64, Instant)| {
-            let age = now.saturating_duration_since(at);
-            n * (-age.as_secs_f64() / RECENT.as_secs_f64()).exp()
-        };
-        let own = recent.get(team).map_or(0.0, |r| faded(*r)) + 1.0;
-        recent.insert(team.clone(), (own, now));
-        let all: f64 = recent.values().map(|r| faded(*r)).sum();
-        // A few submissions are no flood.
-        if own > all / 2.0 && own > FLOOD && recent.len() > 1 {
-            CROWD_LEAVES
-        } else {
-            0.0
+        let never_fits = tokens > state.size - reserved;
+        let granted = state.tokens - tokens >= reserved || (never_fits && state.is_full());
+        if granted {
+            state.tokens -= tokens;
         }
+        granted
     }
 }
-
-/// So many of late are a flood.
-const FLOOD: f64 = 20.0;
--- a/src/common/stop_signal.rs
+++ b/src/common/stop_signal.rs
@@ -1,12 +1,24 @@
-//! Orderly cancellation: one token that many routines wait on.
+//! A signal to end that many threads can wait for.
 
-use std::sync::{Arc, Condvar, Mutex};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A signal to end, shared by threads.
+#[derive(Default)]
+struct State {
+    stopped: Mutex<bool>,
+    changed: Condvar,
+}
+
+impl State {
+    fn lock(&self) -> MutexGuard<'_, bool> {
+        self.stopped.lock().unwrap_or_else(|e| e.into_inner())
+    }
+}
+
+/// A signal to end. Its clones are one signal; once given, it stays given.
 #[derive(Clone, Default)]
 pub struct StopSignal {
-    inner: Arc<(Mutex<bool>, Condvar)>,
+    state: Arc<State>,
 }
 
 impl StopSignal {
@@ -17,27 +29,26 @@
 
     /// Gives the signal.
     pub fn stop(&self) {
-        let mut stopped = self.inner.0.lock().unwrap_or_else(|e| e.into_inner());
-        *stopped = true;
-        self.inner.1.notify_all();
+        *self.state.lock() = true;
+        self.state.changed.notify_all();
     }
 
     /// Whether the signal was given.
-    pub fn stopped(&self) -> bool {
-        *self.inner.0.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn is_stopped(&self) -> bool {
+        *self.state.lock()
     }
 
-    /// Sleeps for `time` or until stopped. True: stopped.
+    /// Sleeps for `time` or until the signal is given, and returns whether it was.
     pub fn wait(&self, time: Duration) -> bool {
         let until = Instant::now() + time;
-        let mut stopped = self.inner.0.lock().unwrap_or_else(|e| e.into_inner());
+        let mut stopped = self.state.lock();
         while !*stopped {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
             }
-            stopped = match self.inner.1.wait_timeout(stopped, left) {
-                Ok((s, _)) => s,
+            stopped = match self.state.changed.wait_timeout(stopped, left) {
+                Ok((stopped, _)) => stopped,
                 Err(e) => e.into_inner().0,
             };
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
 //! Cypressgap, a cluster scheduler.
 //!
-//! `core` decides and performs no input or output; `net` speaks to users, workers, the cloud, the
-//! state service and the other controllers; `runtime` joins the two with threads and channels.
+//! `core` decides and performs no input or output. `net` speaks to users, workers, the cloud, the
+//! key-value store and the other controllers. `node` is what a node knows at any moment. `api` answers
+//! users and workers. `runtime` joins them all with threads and channels. Imports run one way: from `runtime`
+//! to `api` to `node` to `net` to `core`; `common` and `settings` import none of these but `core`.
 
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,10 +2,14 @@
 
 use clap::Parser;
 use cypressgap::runtime::service::Service;
-use cypressgap::settings::Settings;
+use cypressgap::settings::{Settings, SettingsError};
+use log::LevelFilter;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// The exit code for settings that are invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+
 /// A cluster scheduler: one controller node.
 #[derive(Parser)]
 #[command(version, about)]
@@ -23,47 +27,64 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
+    start_logging();
+    let settings = match load_settings(&arguments) {
+        Ok(settings) => settings,
+        Err(e) => {
+            eprintln!("cypressgap: {e}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
+        }
+    };
+    if arguments.check {
+        print_settings(&settings);
+        return ExitCode::SUCCESS;
+    }
+    serve(settings)
+}
+
+/// Logs this program's lines from the level in `LOG_LEVEL`, and other crates' errors.
+fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => log::LevelFilter::Debug,
-        Ok("error") => log::LevelFilter::Error,
-        _ => log::LevelFilter::Info,
+        Ok("debug") => LevelFilter::Debug,
+        Ok("error") => LevelFilter::Error,
+        _ => LevelFilter::Info,
     };
     env_logger::Builder::new()
-        .filter_level(log::LevelFilter::Error)
+        .filter_level(LevelFilter::Error)
         .filter_module("cypressgap", level)
         .format_timestamp_millis()
         .init();
-    let settings = Settings::load(&arguments.config).and_then(|mut s| {
-        if let Some(path) = &arguments.operators {
-            s.load_operators(path)?;
-        }
-        Ok(s)
-    });
-    let settings = match settings {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("cypressgap: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    if arguments.check {
-        for warning in settings.warnings() {
-            eprintln!("cypressgap: warning: {warning}");
-        }
-        println!("settings are valid: member {}", settings.member);
-        let p = &settings.config;
+}
+
+fn load_settings(arguments: &Arguments) -> Result<Settings, SettingsError> {
+    let mut settings = Settings::load(&arguments.config)?;
+    if let Some(path) = &arguments.operators {
+        settings.load_operators(path)?;
+    }
+    Ok(settings)
+}
+
+/// Prints what the settings come to, for `--check`.
+fn print_settings(settings: &Settings) {
+    for warning in settings.warnings() {
+        eprintln!("cypressgap: warning: {warning}");
+    }
+    println!("settings are valid: member {}", settings.member);
+    let config = &settings.config;
+    println!(
+        "state service: values of {} bytes, {} changes a transaction",
+        config.value_bytes, config.txn_ops
+    );
+    if let Some(next) = settings.next_store_rates {
         println!(
-            "state service: values of {} bytes, {} changes a transaction",
-            p.value_bytes, p.txn_ops
+            "state service, once it refuses more: {} requests, {} changes a second",
+            next.requests, next.changes
         );
-        if let Some(next) = settings.next_store_rates {
-            println!(
-                "state service, once it refuses more: {} requests, {} changes a second",
-                next.requests, next.changes
-            );
-        }
-        return ExitCode::SUCCESS;
     }
+}
+
+/// Serves until the process is ended.
+fn serve(settings: Settings) -> ExitCode {
     match Service::start(settings) {
         Ok(service) => {
             service.wait();
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -59,7 +59,7 @@
     /// Serves until stopped. `handle` gets the requests that came together.
     pub fn run(mut self, stop: &StopSignal, mut handle: impl FnMut(Vec<Request>)) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
-        while !stop.stopped() {
+        while !stop.is_stopped() {
             if let Err(e) = self.poll.poll(&mut events, Some(self.time_to_wait())) {
                 if e.kind() != ErrorKind::Interrupted {
                     log::warn!("poll for connections failed why=\"{e}\"");
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -3,7 +3,8 @@
 //! Users' requests and the leader's work have buckets of their own, so that neither takes what the other
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
-use crate::common::rate_limit::{shares, Demand, RequestClass, TokenBucket, LEADER_CHANGES};
+use crate::common::rate_limit::{RequestClass, TokenBucket};
+use crate::common::rate_sharing::{Demand, RateShares, LEADER_PART};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -59,7 +60,7 @@
     fn reduce(&self, rates: StoreRates, now: Instant) {
         self.requests.set_rate(rates.requests, now);
         self.changes.set_rate(rates.changes, now);
-        self.changes.resize(rates.changes, BURST_S);
+        self.changes.set_burst(rates.changes, BURST_S);
     }
 }
 
@@ -154,9 +155,9 @@
         }
         let demand = usage.update_demand(elapsed, changes, now);
         drop(usage);
-        let (users, leader) = shares(changes, demand, peers);
-        self.users.changes.set_rate(users, now);
-        self.leader.changes.set_rate(leader, now);
+        let shares = RateShares::new(changes, demand, peers);
+        self.users.changes.set_rate(shares.users, now);
+        self.leader.changes.set_rate(shares.leader, now);
     }
 
     /// Takes one request for status queries. They leave a part of the bucket to submissions and
@@ -165,7 +166,7 @@
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
             .requests
-            .take_above(1.0, STATUS_QUERY_RESERVE, now)
+            .try_take_above(1.0, STATUS_QUERY_RESERVE, now)
     }
 
     /// When a user whose change was refused for the rate should come back: by then the recent demand
@@ -180,7 +181,7 @@
     /// Changes that the leader could make now.
     #[must_use]
     pub fn leader_changes_left(&self, now: Instant) -> usize {
-        self.leader.changes.left_at(now) as usize
+        self.leader.changes.available_at(now) as usize
     }
 
     /// Takes a request with this many changes. False: the rate is used up for the moment.
@@ -208,8 +209,8 @@
         };
         // What is refused for its changes must not use up requests.
         let changes_granted =
-            changes == 0 || buckets.changes.take_above(changes as f64, reserve, now);
-        changes_granted && buckets.requests.take_at(1.0, now)
+            changes == 0 || buckets.changes.try_take_above(changes as f64, reserve, now);
+        changes_granted && buckets.requests.try_take_at(1.0, now)
     }
 }
 
@@ -217,7 +218,7 @@
 fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
     StoreRates {
         requests: rates.requests * (1.0 - LEADER_REQUESTS) / controller_count,
-        changes: rates.changes * (1.0 - LEADER_CHANGES) / controller_count,
+        changes: rates.changes * (1.0 - LEADER_PART) / controller_count,
     }
 }
 
@@ -225,6 +226,6 @@
 fn leader_rates(rates: StoreRates) -> StoreRates {
     StoreRates {
         requests: rates.requests * LEADER_REQUESTS,
-        changes: rates.changes * LEADER_CHANGES,
+        changes: rates.changes * LEADER_PART,
     }
 }
--- a/src/net/store/budget/usage.rs
+++ b/src/net/store/budget/usage.rs
@@ -1,6 +1,7 @@
 //! Changes that this node asks the key-value store for, measured.
 
-use crate::common::rate_limit::{Demand, RequestClass};
+use crate::common::rate_limit::RequestClass;
+use crate::common::rate_sharing::Demand;
 use std::time::Instant;
 
 /// Changes asked for since the last rebalancing, and the demand a second before that.
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -5,6 +5,7 @@
 //! begins anew: a reader that asks for one is told so and counts nothing as covered.
 
 use crate::core::model::JobId;
+use crate::net::peer::CancellationPosition;
 use std::collections::VecDeque;
 
 /// Cancellations kept for readers. A reader that falls further behind begins anew.
@@ -53,14 +54,15 @@
         }
     }
 
-    /// The page from a position (incarnation, index). Without one, or with one that is not kept any
+    /// The page from a position. Without one, or with one that is not kept any
     /// more, it is empty and tells where a reader may begin.
-    pub(super) fn page(&self, from: Option<(u64, u64)>) -> CancellationsPage {
+    pub(super) fn page(&self, from: Option<CancellationPosition>) -> CancellationsPage {
         let end = self.first + self.entries.len() as u64;
-        let from = from.filter(|(incarnation, index)| {
-            *incarnation == self.incarnation && (self.first..=end).contains(index)
+        let from = from.filter(|position| {
+            position.incarnation == self.incarnation
+                && (self.first..=end).contains(&position.offset)
         });
-        let start = from.map_or(end, |(_, index)| index);
+        let start = from.map_or(end, |position| position.offset);
         let skipped = (start - self.first) as usize;
         let page = self.entries.iter().skip(skipped).take(MAX_PAGE);
         let job_ids: Vec<JobId> = page.cloned().collect();
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -7,6 +7,7 @@
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
+use crate::net::peer::CancellationPosition;
 use crate::node::cancellation_log::{CancellationLog, CancellationsPage};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -68,7 +69,7 @@
         job_ids.filter(|id| self.is_accepted(id)).cloned().collect()
     }
 
-    pub(super) fn cancellations(&self, from: Option<(u64, u64)>) -> CancellationsPage {
+    pub(super) fn cancellations(&self, from: Option<CancellationPosition>) -> CancellationsPage {
         self.cancellations.page(from)
     }
 
--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -3,7 +3,7 @@
 //! A report counts only for `REPORT_LIFETIME`: a peer that has been silent for longer is treated as
 //! out of reach.
 
-use crate::common::rate_limit::Demand;
+use crate::common::rate_sharing::Demand;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -4,12 +4,13 @@
 //! through methods that name them. A lease counts from when it was asked for, by both clocks: of the two
 //! ends, the earlier one is binding.
 
-use crate::common::rate_limit::Demand;
+use crate::common::rate_sharing::Demand;
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::{JobId, MachineType, Term};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
+use crate::net::peer::CancellationPosition;
 use crate::node::cancellation_log::CancellationsPage;
 use crate::node::job_cache::{JobCache, TaskCounts};
 use crate::node::peer_table::{LivePeer, PeerStatus, PeerTable};
@@ -255,8 +256,8 @@
         }
     }
 
-    /// A page of the cancellations known here, from a position (incarnation, index) on.
-    pub fn cancellations(&self, from: Option<(u64, u64)>) -> CancellationsPage {
+    /// A page of the cancellations known here, from a position on.
+    pub fn cancellations(&self, from: Option<CancellationPosition>) -> CancellationsPage {
         self.read().jobs.cancellations(from)
     }
 }
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -112,7 +112,7 @@
             return;
         };
         let mut has_more = true;
-        while has_more && !context.stop.stopped() {
+        while has_more && !context.stop.is_stopped() {
             let Some(page) = self.read_page(peer) else {
                 return;
             };
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -35,7 +35,7 @@
     orders: &Receiver<CloudOrder>,
 ) {
     while let Ok(order) = orders.recv() {
-        while !rate.take(1.0) {
+        while !rate.try_take(1.0) {
             if context.stop.wait(RATE_PAUSE) {
                 return;
             }
@@ -91,7 +91,7 @@
 pub(super) fn read_cloud(context: &NodeContext, rate: &TokenBucket, wakeup: &Receiver<()>) {
     let mut next_types = Instant::now();
     let mut next_list = Instant::now();
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         // Woken at the begin of a term.
         let _ = wakeup.recv_timeout(READ_CHECK_INTERVAL);
         let Some(term) = context.view.read().leading_term() else {
@@ -100,11 +100,11 @@
             continue;
         };
         let now = Instant::now();
-        if now >= next_list && rate.take(1.0) {
+        if now >= next_list && rate.try_take(1.0) {
             next_list = now + LIST_INTERVAL;
             read_machines(context, term, rate);
         }
-        if now >= next_types && rate.take(1.0) {
+        if now >= next_types && rate.try_take(1.0) {
             let answered = read_types(context, term);
             next_types = now
                 + if answered {
@@ -125,7 +125,7 @@
         }
         let at_end = !page.has_next || page.machines.is_empty();
         machines.extend(page.machines);
-        if at_end || !rate.take(1.0) {
+        if at_end || !rate.try_take(1.0) {
             break;
         }
     }
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -46,7 +46,7 @@
 
 /// Follows the control keys until the service ends.
 pub(super) fn run(context: &NodeContext) {
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         if let Err(e) = watch(context) {
             log::debug!("control watch ended error=\"{e}\"");
             let answered = e == StoreError::RevisionTooOld;
@@ -60,7 +60,7 @@
 /// Reads the control keys, then follows their changes until a call fails.
 fn watch(context: &NodeContext) -> Result<(), StoreError> {
     let mut revision = read_all(context)?;
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         let changes = context
             .store
             .watch::<ControlValue>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -26,7 +26,7 @@
 /// Serves the core until the service ends.
 pub(super) fn run(context: &NodeContext, events: &Receiver<Event>, channels: &ActionChannels) {
     let mut core = CoreLoop::new(context, channels);
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         core.turn(events);
     }
 }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -52,7 +52,7 @@
 /// Serves the leadership until the service ends.
 pub(super) fn run(context: &Arc<NodeContext>, events: &Receiver<ElectorEvent>) {
     let mut elector = Elector::new(context.clone());
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         let event = events.recv_timeout(CHECK_INTERVAL);
         elector.advance(event);
     }
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -44,7 +44,7 @@
 
 /// Loads the cluster state, hands it to the core, then feeds the core the queue's changes.
 pub(super) fn serve_term(context: &NodeContext, won: WonTerm, stop: &StopSignal) {
-    while !stop.stopped() {
+    while !stop.is_stopped() {
         match load(context, won, stop) {
             Ok((cluster, revision)) => {
                 let event = Event::Lead(Box::new(cluster));
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -29,7 +29,7 @@
 pub(super) fn run(context: &Arc<NodeContext>, api: &Arc<ApiContext>, listener: &TcpListener) {
     let max_connections = context.settings.socket_budget().peers;
     let open = Arc::new(AtomicUsize::new(0));
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         match listener.accept() {
             Ok((stream, _)) => {
                 if open.fetch_add(1, Ordering::Relaxed) >= max_connections {
@@ -70,7 +70,7 @@
     let _ = stream.set_nodelay(true);
     let _ = stream.set_read_timeout(Some(READ_LIMIT));
     let _ = stream.set_write_timeout(Some(WRITE_LIMIT));
-    while !context.stop.stopped() {
+    while !context.stop.is_stopped() {
         let Ok(request) = peer::read_frame::<PeerRequest>(&mut stream) else {
             return;
         };
@@ -99,9 +99,7 @@
             PeerResponse::JobStatuses(status_queries::answer_peer(api, &names))
         }
         PeerRequest::Cancellations { from } => {
-            let page = context
-                .view
-                .cancellations(from.map(|p| (p.incarnation, p.offset)));
+            let page = context.view.cancellations(from);
             PeerResponse::Cancellations {
                 incarnation: page.incarnation,
                 continues: page.continues,
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -57,7 +57,7 @@
     let config = &context.settings.config;
     let bound = WatermarkBound::new(config.lease, config.cancel);
     let block = MAX_WATCH_BLOCK.min(bound.max_age / ANSWERS_PER_MAX_AGE);
-    while !stop.stopped() {
+    while !stop.is_stopped() {
         feed.resolve_dependencies();
         feed.sweep_lists_if_due();
         feed.follow(block);
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -7,6 +7,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap::net::peer::CancellationPosition;
 use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -287,13 +288,19 @@
         }
     };
     learn(0, 3);
+    let position = |incarnation, offset| {
+        Some(CancellationPosition {
+            incarnation,
+            offset,
+        })
+    };
     // The first look covers nothing; it tells where to begin.
     let first = view.cancellations(None);
     assert_eq!((first.continues, first.job_ids.len()), (false, 0));
     assert!(!first.more);
     learn(0, 5);
     view.remember_outcome(&job_id(900), JobOutcome::Done);
-    let page = view.cancellations(Some((first.incarnation, first.next)));
+    let page = view.cancellations(position(first.incarnation, first.next));
     assert_eq!(
         page.job_ids,
         vec![job_id(3), job_id(4)],
@@ -303,21 +310,25 @@
     // Another life's position, and one that is not kept any more or not reached yet.
     assert!(
         !view
-            .cancellations(Some((first.incarnation ^ 1, 0)))
+            .cancellations(position(first.incarnation ^ 1, 0))
+            .continues
+    );
+    assert!(
+        !view
+            .cancellations(position(first.incarnation, 99))
             .continues
     );
-    assert!(!view.cancellations(Some((first.incarnation, 99))).continues);
     learn(1_000, 31_000);
     assert!(
         !view
-            .cancellations(Some((first.incarnation, page.next)))
+            .cancellations(position(first.incarnation, page.next))
             .continues
     );
     // Many come in parts, with nothing left out.
     let mut at = view.cancellations(None).next - 12_000;
     let mut got = Vec::new();
     loop {
-        let p = view.cancellations(Some((first.incarnation, at)));
+        let p = view.cancellations(position(first.incarnation, at));
         assert!(p.continues);
         got.extend(p.job_ids);
         at = p.next;
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use cypressgap::common::metrics::LatencyMeter;
-use cypressgap::common::rate_limit::Demand;
+use cypressgap::common::rate_sharing::Demand;
 use cypressgap::node::peer_table::PeerStatus;
 use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant};
@@ -50,9 +50,9 @@
     for ms in 1..=100 {
         m.record(Duration::from_millis(ms));
     }
-    let (n, p50, p95) = m.take();
-    assert_eq!(n, 100);
-    assert!((49.0..52.0).contains(&p50) && (94.0..97.0).contains(&p95));
+    let summary = m.take();
+    assert_eq!(summary.count, 100);
+    assert!((49.0..52.0).contains(&summary.p50_ms) && (94.0..97.0).contains(&summary.p95_ms));
     assert_eq!(
         m.take_fields("calls"),
         "calls=0 calls_ms_p50=0.0 calls_ms_p95=0.0"
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -1,9 +1,9 @@
 //! Rate limits of the key-value store, and how nodes, teams and kinds of requests share them.
 
 use crate::common::*;
-use cypressgap::common::rate_limit::{
-    shares, Demand, RequestClass, SubmissionFairness, TokenBucket,
-};
+use cypressgap::api::submission_fairness::SubmissionFairness;
+use cypressgap::common::rate_limit::{RequestClass, TokenBucket};
+use cypressgap::common::rate_sharing::{Demand, RateShares};
 use cypressgap::net::store::StoreBudget;
 use cypressgap::settings::StoreRates;
 use std::time::{Duration, Instant};
@@ -46,9 +46,9 @@
     assert!((30..=40).contains(&changes), "{changes}");
     // More than a bucket holds goes through when it is full, and is paid back.
     let budget = TokenBucket::new(10.0, 1.0, now);
-    assert!(budget.take_at(25.0, now));
-    assert!(!budget.take_at(1.0, now + secs(1)));
-    assert!(budget.take_at(1.0, now + secs(2)));
+    assert!(budget.try_take_at(25.0, now));
+    assert!(!budget.try_take_at(1.0, now + secs(1)));
+    assert!(budget.try_take_at(1.0, now + secs(2)));
 }
 
 /// Rates that were announced hold once the service refuses several calls in a short while, and stay. A
@@ -196,7 +196,8 @@
         ),
     ];
     for (name, (users, leader), peers, of_users, of_leader) in cases {
-        let (u, l) = shares(60.0, Demand { users, leader }, &peers);
+        let shares = RateShares::new(60.0, Demand { users, leader }, &peers);
+        let (u, l) = (shares.users, shares.leader);
         assert!(of_users[0] <= u && u <= of_users[1], "{name}: users {u}");
         assert!(of_leader[0] <= l && l <= of_leader[1], "{name}: leader {l}");
     }
@@ -239,13 +240,15 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let crowd = SubmissionFairness::default();
     let (guest, desk) = ("guest".into(), "desk".into());
-    assert_eq!(crowd.floor(&desk, at(0)), 0.0);
-    let floods: Vec<f64> = (0..100).map(|n| crowd.floor(&guest, at(n * 20))).collect();
+    assert_eq!(crowd.reserve_for(&desk, at(0)), 0.0);
+    let floods: Vec<f64> = (0..100)
+        .map(|n| crowd.reserve_for(&guest, at(n * 20)))
+        .collect();
     assert_eq!(floods[0], 0.0, "one is no flood");
     assert!(floods[99] > 0.0);
-    assert_eq!(crowd.floor(&desk, at(2000)), 0.0);
-    assert_eq!(crowd.floor(&guest, at(60_000)), 0.0, "it is over");
+    assert_eq!(crowd.reserve_for(&desk, at(2000)), 0.0);
+    assert_eq!(crowd.reserve_for(&guest, at(60_000)), 0.0, "it is over");
     // Alone, a team may have all of it.
     let crowd = SubmissionFairness::default();
-    assert!((0..100).all(|n| crowd.floor(&guest, at(n * 20)) == 0.0));
+    assert!((0..100).all(|n| crowd.reserve_for(&guest, at(n * 20)) == 0.0));
 }
