--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -252,15 +252,7 @@
         let machine_type = &self.fleet.types[slot.type_index];
         let fetch_rate = input.fetch_rates[slot.type_index];
         let fetch = slot.fetch_delay(input.now, fetch_rate, claimant.job);
-        let run_time = self.history.run_time(spec, &machine_type.name);
-        // Only where the claimant would then go: if the machine that it waits for stays the better one,
-        // others fill the room, and are stopped again in the next round.
-        let end =
-            fetch + run_time.mul_f64(slot.slowdown) + Duration::from_secs_f64(SCORE_RESOLUTION_S);
-        if claimant
-            .earliest_end
-            .is_some_and(|earliest| end > earliest + TURNAROUND)
-        {
+        if self.would_go_elsewhere(claimant, slot, fetch) {
             return None;
         }
         // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
@@ -287,6 +279,25 @@
         })
     }
 
+    /// Whether the claimant's task would still wait for another machine, since it would end sooner there:
+    /// others would then fill the room, and be stopped again in the next round. `fetch`: how long its
+    /// image takes on this slot.
+    fn would_go_elsewhere(
+        &self,
+        claimant: &Claimant<'_>,
+        slot: &Slot<'_>,
+        fetch: Duration,
+    ) -> bool {
+        let Some(earliest_end) = claimant.earliest_end else {
+            return false;
+        };
+        let type_name = &self.fleet.types[slot.type_index].name;
+        let run_time = self.history.run_time(&claimant.job.spec, type_name);
+        let score_step = Duration::from_secs_f64(SCORE_RESOLUTION_S);
+        let end = fetch + run_time.mul_f64(slot.slowdown) + score_step;
+        end > earliest_end + TURNAROUND
+    }
+
     /// Whether the victim has a lower priority, or borrows what the claimant's team is guaranteed.
     fn may_preempt(
         &self,
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -137,7 +137,7 @@
 /// The scoring rule read plainly: each task is scored on every machine, the least sum wins.
 #[test]
 fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
-    let (mut started, mut booked, mut tied) = (0, 0, 0);
+    let (mut started, mut reserved, mut tied) = (0, 0, 0);
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
@@ -202,12 +202,12 @@
                     started += 1;
                     tied += usize::from(s.same_place || s.spread);
                 } else {
-                    booked += 1;
+                    reserved += 1;
                 }
             }
         }
     }
-    assert!(started > 1000 && booked > 1000, "{started} {booked}");
+    assert!(started > 1000 && reserved > 1000, "{started} {reserved}");
     assert!(tied > 300, "{tied}");
 }
 
