--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -1,38 +1,40 @@
-//! What a term knows of one attempt: a state machine from the record to the proof.
+//! What a leader knows about one attempt of an earlier term: a state machine from the record to the proof.
 //!
-//! The table of transitions stands in `docs/recovery.md` as well, and a test compares the two.
+//! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat from this term leads there;
+//! [`AttemptState::Expired`] is final; silence and heartbeats that may be late copies settle nothing. The
+//! table of transitions stands in `docs/recovery.md` as well, and a test compares the two.
 
 use std::fmt;
 
-/// What is known of an attempt.
+/// What is known about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AttemptState {
-    /// On record, and its machine has told nothing about it yet.
+    /// On record, and no heartbeat of its machine has decided about it yet. Printed as `unheard`.
     Unreported,
-    /// On record, and its machine shows it.
+    /// On record, and listed by a heartbeat of its machine.
     Confirmed,
     /// On record, and proved not to be on its machine.
     Absent,
-    /// On record, and its machine has missed its reports. Proves nothing.
+    /// On record, and its machine has missed heartbeats. Proves nothing.
     Silent,
-    /// Its machine's lease has certainly run out, or the machine is gone.
+    /// Its machine's lease has certainly expired, or the machine is gone.
     Expired,
-    /// Shown by a machine, and no record names it.
+    /// Listed by a heartbeat, and no record names it.
     Unrecorded,
 }
 
-/// What was learned of an attempt.
+/// What was learned about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// Its machine's report lists it.
+    /// A heartbeat of its machine lists it.
     Reported,
-    /// A report without it that shows this term's token: it was sent after the term began.
+    /// A heartbeat without it that shows this term's fencing token: it was sent after the term began.
     NotReported,
-    /// A report without it that shows an earlier token: it may be a late copy.
+    /// A heartbeat without it that shows an earlier token: it may be a late copy.
     NotReportedPossiblyEarlier,
-    /// Its machine has missed its reports.
+    /// Its machine has missed heartbeats.
     MachineSilent,
-    /// Its machine's lease has certainly run out, or the machine is gone.
+    /// Its machine's lease has certainly expired, or the machine is gone.
     LeaseExpired,
     /// A record of it was written.
     Recorded,
@@ -59,10 +61,11 @@
     ];
 
     /// The state after a piece of evidence.
+    #[must_use]
     pub fn after(self, evidence: Evidence) -> AttemptState {
         use AttemptState::{Absent, Confirmed, Expired, Silent, Unrecorded, Unreported};
         match (self, evidence) {
-            // The lease's end is final: what is shown afterwards was sent before.
+            // Lease expiry is final: a heartbeat that lists it afterwards was sent before.
             (Expired, _) | (_, Evidence::LeaseExpired) => Expired,
             (Unrecorded, Evidence::Recorded) => Confirmed,
             (Unrecorded, Evidence::NotReported) => Expired,
@@ -72,24 +75,25 @@
             (_, Evidence::NotReported) => Absent,
             (Silent, Evidence::NotReportedPossiblyEarlier) => Unreported,
             (state, Evidence::NotReportedPossiblyEarlier) => state,
-            // No order was sent since the proof, so silence takes nothing from it.
+            // No command was sent since the proof, so silence does not weaken it.
             (Absent, Evidence::MachineSilent) => Absent,
             (_, Evidence::MachineSilent) => Silent,
         }
     }
 
     /// Whether the attempt may be launched on its machine.
+    #[must_use]
     pub fn allows_launch(self) -> bool {
         self == AttemptState::Absent
     }
 
-    /// Whether something is certain: that it runs there, or that it does not.
+    /// Whether it is certain that the attempt runs on its machine, or that it does not.
     pub fn is_settled(self) -> bool {
         use AttemptState::{Absent, Confirmed, Expired};
         matches!(self, Confirmed | Absent | Expired)
     }
 
-    /// Its name in tables and log lines.
+    /// Its name in the table of transitions and in log lines.
     pub fn name(self) -> &'static str {
         match self {
             AttemptState::Unreported => "unheard",
--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -1,4 +1,12 @@
-//! Orders that went out and that no report has acknowledged, and machines whose orders wait for the pace.
+//! Pacing of commands: which may be sent now, which machines wait, and which commands are unacknowledged.
+//!
+//! Invariants:
+//!
+//! - A launch or forget that no heartbeat has acknowledged is repeated only after its retry time, which
+//!   doubles with each repeat. Kills are repeated as often as their grace period needs it.
+//! - Machines that wait are served first come first served: an ordinary command to another machine does not
+//!   overtake them.
+//! - Each command counts once among the unacknowledged ones, however often it is repeated.
 
 use crate::rate_limits::{CommandRateLimiter, PacingClass};
 use crate::segments::Segment;
@@ -9,147 +17,148 @@
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// An order that was not acknowledged may be repeated after this long, and twice as long each time.
-const RETRY_AFTER: Duration = Duration::from_secs(2);
+/// The time after which an unacknowledged command may be repeated. It doubles with each repeat.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// The number of repeats after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 3;
-/// Times of retries differ by up to this part, so that machines do not come in step.
+/// The delay varies by this share in both directions, so that retries of many machines spread out.
 const RETRY_JITTER: f64 = 0.25;
 
-/// What is ordered.
+/// The kind of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CommandKind {
     /// Start an attempt.
     Launch,
     /// Stop an attempt.
     Kill,
-    /// Leave an ended attempt out of later reports.
+    /// Omit an ended attempt from later heartbeats.
     Forget,
 }
 
-/// An order to a machine.
+/// A command to the agent of a machine, as far as pacing is concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PacedCommand {
-    /// What is ordered.
+    /// Its kind.
     pub kind: CommandKind,
-    /// Of which task.
+    /// The task that it concerns.
     pub task: TaskId,
-    /// Of which attempt.
+    /// The attempt that it concerns.
     pub attempt: AttemptId,
 }
 
-/// An order that went out.
+/// A command that was sent and is not acknowledged.
 #[derive(Clone, Debug)]
 struct SentCommand {
-    order: PacedCommand,
+    command: PacedCommand,
     /// It may be repeated from then on.
     retry_at: Instant,
     repeats: u32,
 }
 
-/// What went to one machine.
+/// The unacknowledged commands of one machine.
 #[derive(Clone, Debug)]
 struct UnacknowledgedCommands {
     segment: Segment,
     sent: Vec<SentCommand>,
 }
 
-/// Paces orders, by machine.
+/// Decides when commands are sent, and tracks their acknowledgement by machine.
 #[derive(Clone, Debug)]
 pub struct CommandPacer {
-    pace: CommandRateLimiter,
+    limiter: CommandRateLimiter,
     machines: HashMap<MachineId, UnacknowledgedCommands>,
-    /// Machines with orders that wait, first come first served.
+    /// Machines with deferred commands, first come first served.
     waiting: VecDeque<MachineId>,
+    /// The same machines, for membership tests.
     is_waiting: BTreeSet<MachineId>,
-    /// Machines whose turn it is.
+    /// Machines that were taken from the queue and may use the rate now.
     in_turn: BTreeSet<MachineId>,
-    last_deferral: Option<Instant>,
-    /// Orders given out and orders put off so far.
-    given: u64,
-    deferred: u64,
+    last_deferred_at: Option<Instant>,
+    sent_count: u64,
+    deferred_count: u64,
 }
 
 impl CommandPacer {
-    /// Nothing was sent yet, and all buckets are empty.
+    /// Creates a pacer that has sent nothing, with nearly empty buckets.
     pub fn new(command_rates: CommandRates, now: Instant) -> CommandPacer {
         CommandPacer {
-            pace: CommandRateLimiter::new(command_rates, now),
+            limiter: CommandRateLimiter::new(command_rates, now),
             machines: HashMap::new(),
             waiting: VecDeque::new(),
             is_waiting: BTreeSet::new(),
             in_turn: BTreeSet::new(),
-            last_deferral: None,
-            given: 0,
-            deferred: 0,
+            last_deferred_at: None,
+            sent_count: 0,
+            deferred_count: 0,
         }
     }
 
-    /// Whether an order may go out now; it is charged then. Otherwise its machine waits for the pace.
+    /// Whether a command may be sent now. If so it is charged and counts as sent. If the rate is used up, its
+    /// machine waits, unless the command is a background one.
+    #[must_use]
     pub fn admit(
         &mut self,
         now: Instant,
         machine: &MachineId,
         segment: &Segment,
-        order: PacedCommand,
+        command: PacedCommand,
         class: PacingClass,
     ) -> bool {
-        let repeats = match self.sent(machine, &order) {
-            // Kills are pressed as often as their wind-down asks for it.
-            Some(sent) if order.kind != CommandKind::Kill && now < sent.retry_at => return false,
+        let repeats = match self.find_sent(machine, &command) {
+            // Kills are repeated as often as their grace period needs it.
+            Some(sent) if command.kind != CommandKind::Kill && now < sent.retry_at => return false,
             Some(sent) => sent.repeats + 1,
             None => 0,
         };
-        // Machines that wait go before those whose report just came.
-        let queued = class == PacingClass::Ordinary
+        // Machines that wait go before those whose heartbeat just came.
+        let is_behind_others = class == PacingClass::Ordinary
             && !self.waiting.is_empty()
             && !self.in_turn.contains(machine);
-        if queued || !self.pace.admit(now, segment, class) {
+        if is_behind_others || !self.limiter.admit(now, segment, class) {
             self.defer(now, machine, class);
             return false;
         }
-        self.given += 1;
-        self.note_sent(now, machine, segment, order, repeats);
+        self.sent_count += 1;
+        self.record_sent(now, machine, segment, command, repeats);
         true
     }
 
-    fn sent(&self, machine: &MachineId, order: &PacedCommand) -> Option<&SentCommand> {
-        let orders = self.machines.get(machine)?;
-        orders.sent.iter().find(|sent| sent.order == *order)
+    fn find_sent(&self, machine: &MachineId, command: &PacedCommand) -> Option<&SentCommand> {
+        let commands = self.machines.get(machine)?;
+        commands.sent.iter().find(|sent| sent.command == *command)
     }
 
-    fn note_sent(
+    fn record_sent(
         &mut self,
         now: Instant,
         machine: &MachineId,
         segment: &Segment,
-        order: PacedCommand,
+        command: PacedCommand,
         repeats: u32,
     ) {
-        let retry_at = now + retry_after(machine, &order, repeats);
-        let orders =
-            self.machines
-                .entry(machine.clone())
-                .or_insert_with(|| UnacknowledgedCommands {
-                    segment: segment.clone(),
-                    sent: Vec::new(),
-                });
-        let before = orders.sent.len();
-        orders.sent.retain(|sent| sent.order != order);
-        let repeated = before - orders.sent.len();
-        orders.sent.push(SentCommand {
-            order,
+        let retry_at = now + retry_delay(machine, &command, repeats);
+        let commands = self.machines.entry(machine.clone());
+        let commands = commands.or_insert_with(|| UnacknowledgedCommands {
+            segment: segment.clone(),
+            sent: Vec::new(),
+        });
+        let count_before = commands.sent.len();
+        commands.sent.retain(|sent| sent.command != command);
+        let repeated = count_before - commands.sent.len();
+        commands.sent.push(SentCommand {
+            command,
             retry_at,
             repeats,
         });
-        // The repeated order counts once.
-        self.pace.acknowledged(segment, repeated);
+        // A repeated command counts once.
+        self.limiter.acknowledge(segment, repeated);
     }
 
     fn defer(&mut self, now: Instant, machine: &MachineId, class: PacingClass) {
-        self.deferred += 1;
-        self.last_deferral = Some(now);
+        self.deferred_count += 1;
+        self.last_deferred_at = Some(now);
         if class == PacingClass::Background {
-            // The next report brings it up again.
+            // The next heartbeat raises it again.
             return;
         }
         self.in_turn.remove(machine);
@@ -158,26 +167,26 @@
         }
     }
 
-    /// A message of a machine shows what became of its orders.
+    /// Drops the commands of a machine that its newest heartbeat shows as carried out.
     pub fn acknowledge(
         &mut self,
         machine: &MachineId,
-        carried_out: impl Fn(&PacedCommand) -> bool,
+        is_carried_out: impl Fn(&PacedCommand) -> bool,
     ) {
-        let Some(orders) = self.machines.get_mut(machine) else {
+        let Some(commands) = self.machines.get_mut(machine) else {
             return;
         };
-        let before = orders.sent.len();
-        orders.sent.retain(|sent| !carried_out(&sent.order));
-        let acknowledged = before - orders.sent.len();
-        self.pace.acknowledged(&orders.segment, acknowledged);
-        if orders.sent.is_empty() {
+        let count_before = commands.sent.len();
+        commands.sent.retain(|sent| !is_carried_out(&sent.command));
+        let acknowledged = count_before - commands.sent.len();
+        self.limiter.acknowledge(&commands.segment, acknowledged);
+        if commands.sent.is_empty() {
             self.machines.remove(machine);
         }
     }
 
-    /// Nothing more is expected from a machine.
-    pub fn machine_gone(&mut self, machine: &MachineId) {
+    /// Drops everything about a machine whose lease has expired, or that is gone.
+    pub fn remove_machine(&mut self, machine: &MachineId) {
         self.in_turn.remove(machine);
         if self.is_waiting.remove(machine) {
             self.waiting.retain(|waiting| waiting != machine);
@@ -185,13 +194,14 @@
         self.acknowledge(machine, |_| true);
     }
 
-    /// Machines whose turn it is now: as many as the pace has room for.
+    /// Takes the machines whose turn it is from the queue: as many as the fleet's rate has room for.
+    #[must_use]
     pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        let most = self.pace.left(now).min(self.waiting.len());
-        let taken: Vec<MachineId> = self.waiting.drain(..most).collect();
+        let count = self.limiter.available(now).min(self.waiting.len());
+        let taken: Vec<MachineId> = self.waiting.drain(..count).collect();
         for machine in &taken {
             self.is_waiting.remove(machine);
         }
@@ -199,29 +209,29 @@
         taken
     }
 
-    /// Whether an order was put off within this time, or machines still wait.
-    pub fn is_busy(&self, now: Instant, quiet: Duration) -> bool {
-        let lately = |t: Instant| now.saturating_duration_since(t) < quiet;
-        !self.waiting.is_empty() || self.last_deferral.is_some_and(lately)
+    /// Whether machines wait, or a command was deferred within the last `quiet_period`.
+    pub fn is_busy(&self, now: Instant, quiet_period: Duration) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < quiet_period;
+        !self.waiting.is_empty() || self.last_deferred_at.is_some_and(is_recent)
     }
 
-    /// Orders given out so far.
-    pub fn given(&self) -> u64 {
-        self.given
+    /// The number of commands sent so far, repeats included.
+    pub fn sent_count(&self) -> u64 {
+        self.sent_count
     }
 
-    /// Orders put off so far.
-    pub fn deferred(&self) -> u64 {
-        self.deferred
+    /// The number of times that a command was deferred so far.
+    pub fn deferred_count(&self) -> u64 {
+        self.deferred_count
     }
 }
 
-/// When an order may be repeated. The same machine and order always give the same jitter.
-fn retry_after(machine: &MachineId, order: &PacedCommand, repeats: u32) -> Duration {
+/// The time until a command may be repeated. The jitter is a hash, so that a run can be reproduced.
+fn retry_delay(machine: &MachineId, command: &PacedCommand, repeats: u32) -> Duration {
     let mut hasher = FnvHasher::default();
-    (machine, order, repeats).hash(&mut hasher);
-    let part = hasher.finish() as f64 / u64::MAX as f64;
-    let jitter = 1.0 + RETRY_JITTER * (2.0 * part - 1.0);
-    let doubled = RETRY_AFTER * (1 << repeats.min(MAX_DOUBLINGS));
-    doubled.mul_f64(jitter)
+    (machine, command, repeats).hash(&mut hasher);
+    let fraction = hasher.finish() as f64 / u64::MAX as f64;
+    let jitter = 1.0 + RETRY_JITTER * (2.0 * fraction - 1.0);
+    let delay = INITIAL_RETRY_DELAY * (1 << repeats.min(MAX_DOUBLINGS));
+    delay.mul_f64(jitter)
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,17 +1,18 @@
-//! How a new leader takes over a fleet.
+//! Failover: how a new leader takes over a fleet.
 //!
-//! A leader that begins knows two things: what the state service holds, and what workers report. This
-//! package matches the two before any order is issued, and spreads the orders that follow over time. It
-//! performs no input or output and reads no clock: `now` is an argument throughout.
+//! A new leader knows two things: the records in the key-value store, and the heartbeats of agents. This
+//! package reconciles the two before any command is sent, and paces the commands that follow. It performs no
+//! input or output and reads no clock: `now` is an argument throughout.
 //!
-//! - [`attempt_state`]: what is known of one attempt, as a state machine;
+//! - [`attempt_state`]: what is known about one attempt, as a state machine;
 //! - [`reconciliation`]: the states of all attempts that were on record when the term began;
-//! - [`unrecorded`]: what becomes of work that no record names;
-//! - [`segments`] and [`silence`]: machines by network segment, and which of them fall silent together;
-//! - [`pacing`] and [`orders`]: token buckets for the fleet and its segments, and what was not acknowledged;
+//! - [`unrecorded`]: tasks that no record names, of unknown jobs;
+//! - [`segments`] and [`silence`]: network segments of machines, and outages of whole segments;
+//! - [`rate_limits`] and [`command_pacing`]: token buckets of the fleet and its segments, and unacknowledged
+//!   commands;
 //! - [`progress`]: phases, counts and times of a takeover;
-//! - [`settings`]: the operators' settings of all this;
-//! - [`takeover`]: the parts joined, as the scheduler's core uses them.
+//! - [`settings`]: the operators' settings;
+//! - [`takeover`]: all of these together, as the scheduler's core uses them.
 
 #![warn(missing_docs)]
 
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,25 +1,32 @@
-//! Phases, counts and times of a takeover, for operators.
+//! Phases, counts and times of a takeover, for the log.
+//!
+//! Invariants: a takeover is over only when nothing on record is unsettled, no unknown job has tasks on a
+//! machine and no command waits; nothing in here decides about a task. The words that are printed stand in
+//! the operators' tables.
 
 use crate::reconciliation::StateCounts;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Significant digits of the histograms.
+/// The precision of the histogram of settling times.
 const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 2;
-/// The share of attempts after which most are reconciled.
+/// The share of settled attempts from which on most count as reconciled.
 const MOSTLY_RECONCILED_SHARE: f64 = 0.95;
 
-/// How far a takeover is.
+/// Printed in place of a time that is not known.
+const UNKNOWN_SECONDS: f64 = -1.0;
+
+/// The phase of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakeoverPhase {
-    /// Records were read; no machine has told anything about them.
+    /// Records were read; no attempt is settled yet.
     Listening,
-    /// Some attempts on record are certain.
+    /// Some attempts on record are settled.
     Reconciling,
-    /// All are certain, and orders still wait for the pace.
+    /// All are settled, and commands still wait for the rate limits.
     Pacing,
-    /// Nothing is left to be done.
+    /// Nothing remains to be done.
     Over,
 }
 
@@ -34,53 +41,53 @@
     }
 }
 
-/// What a takeover still has to do.
+/// What remains to be done in a takeover.
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
     /// Attempts on record, by state.
     pub counts: StateCounts,
-    /// Jobs of which machines show work that no record names.
+    /// The number of unknown jobs of which machines list tasks.
     pub unrecorded_jobs: usize,
-    /// Orders wait for the pace, or did until just now, and it still holds.
-    pub orders_wait: bool,
+    /// Whether commands wait for the rate limits, or did until recently, and the limits still apply.
+    pub commands_waiting: bool,
 }
 
-/// Times of a takeover, each from the term's beginning.
+/// The progress of a takeover. Times are counted from the beginning of the term.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    began: Instant,
+    began_at: Instant,
     phase: TakeoverPhase,
     recorded: usize,
     settled: usize,
-    confirmations: Histogram<u64>,
+    settling_times: Histogram<u64>,
     most_reconciled: Option<Duration>,
-    first_order: Option<Duration>,
-    last_order: Option<Duration>,
-    orders: u64,
+    first_command: Option<Duration>,
+    last_command: Option<Duration>,
+    commands: u64,
     adopted: u64,
     killed: u64,
 }
 
 impl Progress {
-    /// A term begins.
-    pub fn new(began: Instant) -> Progress {
+    /// Creates the progress of a term that began at `began_at`, with nothing on record.
+    pub fn new(began_at: Instant) -> Progress {
         Progress {
-            began,
+            began_at,
             phase: TakeoverPhase::Over,
             recorded: 0,
             settled: 0,
-            confirmations: Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
+            settling_times: Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
                 .expect("the number of digits is allowed"),
             most_reconciled: None,
-            first_order: None,
-            last_order: None,
-            orders: 0,
+            first_command: None,
+            last_command: None,
+            commands: 0,
             adopted: 0,
             killed: 0,
         }
     }
 
-    /// So many attempts were found on record: the takeover begins.
+    /// Begins the takeover with this number of attempts on record.
     pub fn begin(&mut self, recorded: usize) {
         self.recorded = recorded;
         if recorded > 0 {
@@ -88,66 +95,66 @@
         }
     }
 
-    /// Work that no record names makes a takeover that had nothing to do, or was over, go on.
+    /// Resumes a takeover that had nothing to do, or was over, because of unrecorded tasks.
     pub fn reopen(&mut self) {
         if self.phase == TakeoverPhase::Over {
             self.phase = TakeoverPhase::Reconciling;
         }
     }
 
-    /// Attempts that were on record.
+    /// The number of attempts that were on record.
     pub fn recorded(&self) -> u64 {
         self.recorded as u64
     }
 
-    /// The phase.
+    /// The current phase.
     pub fn phase(&self) -> TakeoverPhase {
         self.phase
     }
 
-    /// So many attempts on record became certain.
-    pub fn settled(&mut self, now: Instant, attempts: usize) {
+    /// Counts attempts on record that became settled.
+    pub fn record_settled(&mut self, now: Instant, attempts: usize) {
         if attempts == 0 {
             return;
         }
-        let after = now.saturating_duration_since(self.began);
+        let after = now.saturating_duration_since(self.began_at);
         self.settled += attempts;
-        // Values are bounded by the term's length; a histogram that resizes itself takes all.
+        // A histogram that resizes itself takes every value.
         let _ = self
-            .confirmations
+            .settling_times
             .record_n(after.as_millis() as u64, attempts as u64);
-        let most = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE).ceil() as usize;
-        if self.settled >= most && self.most_reconciled.is_none() {
+        let needed = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE).ceil() as usize;
+        if self.settled >= needed && self.most_reconciled.is_none() {
             self.most_reconciled = Some(after);
         }
     }
 
-    /// An order went out.
-    pub fn ordered(&mut self, now: Instant) {
-        let after = now.saturating_duration_since(self.began);
-        self.orders += 1;
-        self.first_order.get_or_insert(after);
-        self.last_order = Some(after);
+    /// Counts a command that was sent.
+    pub fn record_command(&mut self, now: Instant) {
+        let after = now.saturating_duration_since(self.began_at);
+        self.commands += 1;
+        self.first_command.get_or_insert(after);
+        self.last_command = Some(after);
     }
 
-    /// Work that no record named was adopted.
-    pub fn adopted(&mut self) {
+    /// Counts an unrecorded task that was adopted.
+    pub fn record_adopted(&mut self) {
         self.adopted += 1;
     }
 
-    /// Work that no record names was killed.
-    pub fn killed(&mut self) {
+    /// Counts an unrecorded task that was killed.
+    pub fn record_killed(&mut self) {
         self.killed += 1;
     }
 
-    /// Moves on to the phase that fits what remains. Returns it if it is another.
+    /// Moves on to the phase that fits what remains, and returns it if it is a new one.
     pub fn advance(&mut self, remaining: &Remaining) -> Option<TakeoverPhase> {
         if self.phase == TakeoverPhase::Over {
             return None;
         }
         let counts = &remaining.counts;
         let unsettled = counts.unsettled() + remaining.unrecorded_jobs;
-        let phase = match (unsettled, remaining.orders_wait) {
+        let phase = match (unsettled, remaining.commands_waiting) {
             (0, false) => TakeoverPhase::Over,
             (0, true) => TakeoverPhase::Pacing,
             _ if self.settled == 0 && remaining.unrecorded_jobs == 0 => TakeoverPhase::Listening,
@@ -156,56 +163,57 @@
         (phase != std::mem::replace(&mut self.phase, phase)).then_some(phase)
     }
 
-    /// What operators read of it.
+    /// The counts and times so far.
     pub fn summary(&self, now: Instant) -> TakeoverSummary {
-        let percentile = |p: f64| Duration::from_millis(self.confirmations.value_at_quantile(p));
-        let known = !self.confirmations.is_empty();
+        let percentile = |p: f64| Duration::from_millis(self.settling_times.value_at_quantile(p));
+        let known = !self.settling_times.is_empty();
         TakeoverSummary {
-            took: now.saturating_duration_since(self.began),
+            took: now.saturating_duration_since(self.began_at),
             recorded: self.recorded,
             settled: self.settled,
             settled_p50: known.then(|| percentile(0.5)),
             settled_p95: known.then(|| percentile(0.95)),
             most_reconciled: self.most_reconciled,
-            first_order: self.first_order,
-            last_order: self.last_order,
-            orders: self.orders,
+            first_command: self.first_command,
+            last_command: self.last_command,
+            commands: self.commands,
             adopted: self.adopted,
             killed: self.killed,
         }
     }
 }
 
-/// A takeover in figures.
+/// Counts and times of a takeover.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TakeoverSummary {
-    /// How long it has taken.
+    /// The time since the term began.
     pub took: Duration,
-    /// Attempts that were on record.
+    /// The number of attempts that were on record.
     pub recorded: usize,
-    /// Those that became certain.
+    /// The number of those that became settled.
     pub settled: usize,
-    /// Within what time half of them did.
+    /// The median time until they were settled.
     pub settled_p50: Option<Duration>,
-    /// Within what time 95% of them did.
+    /// The time within which 95% of the settled ones were settled.
     pub settled_p95: Option<Duration>,
-    /// When 95% of all on record were certain.
+    /// The time after which 95% of all attempts on record were settled.
     pub most_reconciled: Option<Duration>,
-    /// When the first order went out.
-    pub first_order: Option<Duration>,
-    /// When the last order went out.
-    pub last_order: Option<Duration>,
-    /// How many orders went out.
-    pub orders: u64,
-    /// Attempts that no record named and that were adopted.
+    /// The time of the first command.
+    pub first_command: Option<Duration>,
+    /// The time of the last command.
+    pub last_command: Option<Duration>,
+    /// The number of commands that were sent.
+    pub commands: u64,
+    /// The number of unrecorded tasks that were adopted.
     pub adopted: u64,
-    /// Attempts that no record named and that were killed.
+    /// The number of unrecorded tasks that were killed.
     pub killed: u64,
 }
 
 impl fmt::Display for TakeoverSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = |d: Option<Duration>| d.map_or(-1.0, |d| d.as_secs_f64());
+        let seconds =
+            |time: Option<Duration>| time.map_or(UNKNOWN_SECONDS, |time| time.as_secs_f64());
         write!(
             f,
             "took_s={:.1} recorded={} settled={} settled_p50_s={:.1} settled_p95_s={:.1} \
@@ -216,9 +224,9 @@
             seconds(self.settled_p50),
             seconds(self.settled_p95),
             seconds(self.most_reconciled),
-            seconds(self.first_order),
-            seconds(self.last_order),
-            self.orders,
+            seconds(self.first_command),
+            seconds(self.last_command),
+            self.commands,
             self.adopted,
             self.killed
         )
--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -1,198 +1,207 @@
-//! Token buckets: how many orders go out in a second, to the fleet and to each of its segments.
+//! Token buckets: how many commands are sent in a second, to the fleet and to each of its segments.
 //!
-//! A limit of `L` holds for any second, not only on average: a bucket refills by a part of `L` a second
-//! and keeps a smaller part of it, and the two with the reserve come to `L`. A bucket starts nearly empty,
-//! so that leaders that follow each other do not each start with a burst. It refills more slowly while orders that went
-//! out are not acknowledged.
+//! Invariants:
+//!
+//! - A limit `L` holds for any second, not only on average: a bucket refills by a share of `L` a second and
+//!   holds a smaller share of it, and the two and the reserve add up to `L`.
+//! - A bucket starts nearly empty, so that leaders that follow each other do not each start with a burst.
+//! - A bucket refills more slowly while commands are not acknowledged, but never stops.
+//! - Immediate commands are never refused, and are charged all the same.
 
 use crate::segments::Segment;
 use crate::settings::{CommandRates, RESERVED_SHARE};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Parts of a limit: what is refilled in a second and what is kept. With the reserve they come to 1.
+/// The share of a limit that is refilled in a second.
 const REFILL_SHARE: f64 = 0.7;
+/// The share of a limit that a bucket holds at most. With the refill and the reserve it adds up to 1.
 const CAPACITY_SHARE: f64 = 1.0 - RESERVED_SHARE - REFILL_SHARE;
-/// What a bucket holds at the start: a few orders, so that a small fleet need not wait.
+/// The share of a limit that a bucket holds at the start, so that a small fleet need not wait.
 const INITIAL_SHARE: f64 = 0.01;
-/// However few orders are acknowledged, some go out: the next ones may reach machines that answer.
+/// The slowest refill, however few commands are acknowledged: the next ones may reach other machines.
 const MIN_REFILL_FACTOR: f64 = 0.1;
-/// Refilling slows down once so many seconds' worth of orders are not acknowledged.
+/// Refilling slows down from half of so many seconds' worth of unacknowledged commands on.
 const MAX_UNACKNOWLEDGED_SECONDS: f64 = 4.0;
 
-/// How long an order may wait.
+/// How long a command may wait for the rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[must_use]
 pub enum PacingClass {
-    /// For the pace, and behind all others: forgets, which nobody waits for.
+    /// Until the buckets are half full: forgets, which nothing depends on.
     Background,
-    /// For the pace.
+    /// Until there is a token.
     Ordinary,
-    /// For the pace, but it may use what is reserved: cancellations, stops with a time limit, urgent work.
+    /// Until there is a token, with the reserve: cancellations, stops with a time limit, urgent work.
     Prompt,
-    /// Not at all: it ends what breaks a rule. It is charged all the same.
+    /// Not at all: it ends what violates an invariant.
     Immediate,
 }
 
-/// A bucket of one limit.
+/// A token bucket of one limit.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     limit: f64,
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A nearly empty bucket. `limit`: most that it gives out in any second, immediate orders aside.
+    /// Creates a nearly empty bucket. `limit`: the most commands in any second, immediate ones aside.
     pub fn new(limit: f64, now: Instant) -> TokenBucket {
         TokenBucket {
             limit,
             tokens: limit * INITIAL_SHARE,
-            refilled: now,
+            refilled_at: now,
         }
     }
 
-    /// Refills it for the time that has passed, at this part of its rate.
-    pub fn refill(&mut self, now: Instant, part: f64) {
-        let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
-        self.refilled = now;
-        let fresh = passed * self.limit * REFILL_SHARE * part;
-        self.tokens = (self.tokens + fresh).min(self.kept());
+    /// Refills the bucket for the time since the last refill, at its rate times `factor`.
+    pub fn refill(&mut self, now: Instant, factor: f64) {
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        self.refilled_at = now;
+        let added = elapsed.as_secs_f64() * self.limit * REFILL_SHARE * factor;
+        self.tokens = (self.tokens + added).min(self.capacity());
     }
 
-    /// What it holds at most. With less than one token nothing would ever go out.
-    fn kept(&self) -> f64 {
+    /// The most tokens that it holds. With less than one no command would ever be sent.
+    fn capacity(&self) -> f64 {
         (self.limit * CAPACITY_SHARE).max(1.0)
     }
 
-    /// Whether an order of this class may go out now.
+    /// Whether a command of this class may be sent now.
+    #[must_use]
     pub fn admits(&self, class: PacingClass) -> bool {
         match class {
-            PacingClass::Background => self.tokens >= (self.kept() / 2.0).max(1.0),
+            PacingClass::Background => self.tokens >= (self.capacity() / 2.0).max(1.0),
             PacingClass::Ordinary => self.tokens >= 1.0,
             PacingClass::Prompt => self.tokens >= 1.0 - self.limit * RESERVED_SHARE,
             PacingClass::Immediate => true,
         }
     }
 
-    /// Charges an order. What was given out beyond the limit is owed, for a second at most.
-    pub fn take(&mut self) {
+    /// Charges a command. The debt of commands beyond the limit is one second's worth at most.
+    pub fn charge(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-self.limit);
     }
 
-    /// Whole tokens for ordinary orders.
-    pub fn left(&self) -> usize {
+    /// The number of ordinary commands that may be sent now.
+    pub fn available(&self) -> usize {
         self.tokens.max(0.0) as usize
     }
 }
 
-/// A bucket with the orders that went out and were not acknowledged.
+/// A bucket that refills more slowly while its commands are not acknowledged.
 #[derive(Clone, Debug)]
-struct LimitedLane {
+struct FeedbackBucket {
     bucket: TokenBucket,
     unacknowledged: usize,
 }
 
-impl LimitedLane {
-    fn new(limit: f64, now: Instant) -> LimitedLane {
-        LimitedLane {
+impl FeedbackBucket {
+    fn new(limit: f64, now: Instant) -> FeedbackBucket {
+        FeedbackBucket {
             bucket: TokenBucket::new(limit, now),
             unacknowledged: 0,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        let capacity = self.bucket.limit * MAX_UNACKNOWLEDGED_SECONDS;
-        let free = 1.0 - self.unacknowledged as f64 / capacity;
-        // In full as long as half of the capacity is free.
-        self.bucket
-            .refill(now, (free * 2.0).clamp(MIN_REFILL_FACTOR, 1.0));
+        let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_SECONDS;
+        let free_share = 1.0 - self.unacknowledged as f64 / max_unacknowledged;
+        // At the full rate as long as half of that is free.
+        let factor = (free_share * 2.0).clamp(MIN_REFILL_FACTOR, 1.0);
+        self.bucket.refill(now, factor);
     }
 
-    fn take(&mut self) {
-        self.bucket.take();
+    fn charge(&mut self) {
+        self.bucket.charge();
         self.unacknowledged += 1;
     }
 }
 
-/// The pace of orders to the fleet and to each segment.
+/// Limits the rate of commands to the fleet and to each segment.
 #[derive(Clone, Debug)]
 pub struct CommandRateLimiter {
     segment_limit: f64,
-    fleet: LimitedLane,
-    segments: HashMap<Segment, LimitedLane>,
-    started: Instant,
+    fleet: FeedbackBucket,
+    segments: HashMap<Segment, FeedbackBucket>,
+    created_at: Instant,
 }
 
 impl CommandRateLimiter {
-    /// All buckets nearly empty.
+    /// Creates a limiter whose buckets are nearly empty.
     pub fn new(command_rates: CommandRates, now: Instant) -> CommandRateLimiter {
         CommandRateLimiter {
             segment_limit: command_rates.segment,
-            fleet: LimitedLane::new(command_rates.fleet, now),
+            fleet: FeedbackBucket::new(command_rates.fleet, now),
             segments: HashMap::new(),
-            started: now,
+            created_at: now,
         }
     }
 
-    /// Charges an order if it may go out now.
+    /// Whether a command to a machine of this segment may be sent now. If so, both buckets are charged.
+    #[must_use]
     pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
-            // A segment that is first heard of has been filling up with the fleet's bucket.
-            let lane = LimitedLane::new(self.segment_limit, self.started);
-            self.segments.insert(segment.clone(), lane);
+            // The bucket of a new segment has been filling up since the fleet's bucket began.
+            let bucket = FeedbackBucket::new(self.segment_limit, self.created_at);
+            self.segments.insert(segment.clone(), bucket);
         }
-        let Some(lane) = self.segments.get_mut(segment) else {
+        let Some(segment) = self.segments.get_mut(segment) else {
             return false;
         };
-        lane.refill(now);
+        segment.refill(now);
         self.fleet.refill(now);
-        let admitted = lane.bucket.admits(class) && self.fleet.bucket.admits(class);
-        if admitted {
-            lane.take();
-            self.fleet.take();
+        let is_admitted = segment.bucket.admits(class) && self.fleet.bucket.admits(class);
+        if is_admitted {
+            segment.charge();
+            self.fleet.charge();
         }
-        admitted
+        is_admitted
     }
 
-    /// Orders were acknowledged, or given up.
-    pub fn acknowledged(&mut self, segment: &Segment, orders: usize) {
-        let lane = self.segments.get_mut(segment);
-        for lane in lane.into_iter().chain([&mut self.fleet]) {
-            lane.unacknowledged = lane.unacknowledged.saturating_sub(orders);
+    /// Counts commands as acknowledged, or as no longer expected to be.
+    pub fn acknowledge(&mut self, segment: &Segment, commands: usize) {
+        let segment = self.segments.get_mut(segment);
+        for bucket in segment.into_iter().chain([&mut self.fleet]) {
+            bucket.unacknowledged = bucket.unacknowledged.saturating_sub(commands);
         }
     }
 
-    /// Ordinary orders that the fleet's bucket has room for.
-    pub fn left(&mut self, now: Instant) -> usize {
+    /// The number of ordinary commands that the fleet's bucket has tokens for.
+    pub fn available(&mut self, now: Instant) -> usize {
         self.fleet.refill(now);
-        self.fleet.bucket.left()
+        self.fleet.bucket.available()
     }
 }
 
-/// How many machines are rented in a second while most of a segment or site is silent.
+/// Limits the rate of rentals while most machines of a segment or zone are silent.
 #[derive(Clone, Debug)]
 pub struct RentalRateLimiter {
     per_second: f64,
     tokens: f64,
-    refilled: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl RentalRateLimiter {
-    /// A full second's worth to begin with.
+    /// Creates a limiter that holds one second's worth of rentals.
     pub fn new(per_second: f64) -> RentalRateLimiter {
         RentalRateLimiter {
             per_second,
             tokens: per_second.max(1.0),
-            refilled: None,
+            refilled_at: None,
         }
     }
 
-    /// How many of these machines may be rented now. They are charged.
+    /// Charges as many of the wanted machines as may be rented now, and returns their number.
+    #[must_use]
     pub fn take(&mut self, now: Instant, wanted: u32) -> u32 {
-        let since = self.refilled.replace(now);
-        let passed = since.map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
-        let most = self.per_second.max(1.0);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.per_second).min(most);
+        let refilled_at = self.refilled_at.replace(now);
+        let elapsed = refilled_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let capacity = self.per_second.max(1.0);
+        let refilled = self.tokens + elapsed.as_secs_f64() * self.per_second;
+        self.tokens = refilled.min(capacity);
         let granted = wanted.min(self.tokens as u32);
         self.tokens -= f64::from(granted);
         granted
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,43 +1,44 @@
 //! The states of the attempts that were on record when a term began.
 //!
-//! An attempt enters with its record and leaves once the term has an order or a proof of its own for it:
-//! it was launched again, it ended, or it was proved gone. Attempts that the term itself decides on never
-//! enter.
+//! An attempt enters with its record and leaves once this term has launched it again, or it has ended or was
+//! proved gone. Attempts that this term itself decides on never enter.
+//!
+//! Invariants: a task has one attempt on record on a machine, and the counts by state agree with the attempts.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use cypressgap_model::{AttemptId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
-/// How many attempts are in each state.
+/// The number of attempts in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateCounts {
     counts: [usize; AttemptState::ALL.len()],
 }
 
 impl StateCounts {
-    fn slot(&mut self, state: AttemptState) -> &mut usize {
+    fn count_mut(&mut self, state: AttemptState) -> &mut usize {
         &mut self.counts[state as usize]
     }
 
-    /// Attempts in this state.
+    /// The number of attempts in this state.
     pub fn of(&self, state: AttemptState) -> usize {
         self.counts[state as usize]
     }
 
-    /// Attempts of which nothing is certain yet.
+    /// The number of attempts that may or may not be running.
     pub fn unsettled(&self) -> usize {
         let states = AttemptState::ALL.into_iter();
         let unsettled = states.filter(|state| !state.is_settled());
         unsettled.map(|state| self.of(state)).sum()
     }
 
-    /// Attempts in all states.
+    /// The number of attempts in all states.
     pub fn total(&self) -> usize {
         self.counts.iter().sum()
     }
 }
 
-/// One attempt on record.
+/// An attempt on record, and what is known about it.
 #[derive(Clone, Copy, Debug)]
 struct Recorded {
     attempt: AttemptId,
@@ -52,7 +53,7 @@
 }
 
 impl Reconciliation {
-    /// An attempt found on record.
+    /// Enters an attempt that was found on record.
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         let state = AttemptState::Unreported;
         let recorded = Recorded { attempt, state };
@@ -62,12 +63,12 @@
             .or_default()
             .insert(task, recorded);
         if let Some(before) = before {
-            *self.counts.slot(before.state) -= 1;
+            *self.counts.count_mut(before.state) -= 1;
         }
-        *self.counts.slot(state) += 1;
+        *self.counts.count_mut(state) += 1;
     }
 
-    /// The state of an attempt; None: it is this term's own, or settled for good.
+    /// The state of an attempt; `None` if it is this term's own, or has left.
     pub fn state(
         &self,
         machine: &MachineId,
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Evidence that concerns all attempts on a machine. Returns how many became certain by it.
+    /// Applies evidence that concerns all attempts on a machine. Returns how many were settled by it.
     pub fn observe_machine(&mut self, machine: &MachineId, evidence: Evidence) -> usize {
         self.observe(machine, |_, _| evidence)
     }
@@ -110,14 +111,14 @@
         for (task, recorded) in attempts.iter_mut() {
             let before = recorded.state;
             recorded.state = before.after(evidence(task, recorded.attempt));
-            *self.counts.slot(before) -= 1;
-            *self.counts.slot(recorded.state) += 1;
+            *self.counts.count_mut(before) -= 1;
+            *self.counts.count_mut(recorded.state) += 1;
             settled += usize::from(!before.is_settled() && recorded.state.is_settled());
         }
         settled
     }
 
-    /// An attempt leaves: it was launched by this term, ended, or was proved gone. Returns the state that
+    /// Removes an attempt that this term launched, or that ended or was proved gone. Returns the state that
     /// it was in.
     pub fn remove(&mut self, machine: &MachineId, task: &TaskId) -> Option<AttemptState> {
         let attempts = self.machines.get_mut(machine)?;
@@ -125,21 +126,21 @@
         if attempts.is_empty() {
             self.machines.remove(machine);
         }
-        *self.counts.slot(removed.state) -= 1;
+        *self.counts.count_mut(removed.state) -= 1;
         Some(removed.state)
     }
 
-    /// Machines that hold attempts on record.
+    /// The machines with attempts on record.
     pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.keys()
     }
 
-    /// How many attempts are in each state.
+    /// The number of attempts in each state.
     pub fn counts(&self) -> StateCounts {
         self.counts
     }
 
-    /// Nothing is left to be reconciled.
+    /// Whether nothing is left to be reconciled.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
--- a/crates/recovery/src/segments.rs
+++ b/crates/recovery/src/segments.rs
@@ -1,7 +1,7 @@
-//! Network segments: which machines share a rack's switch or a site's uplink.
+//! Network segments: which machines share a rack's switch or a zone's uplink.
 //!
 //! Operators name segments in the settings; machines outside of all of them are grouped by the prefix of
-//! their address.
+//! their address. Invariant: an address belongs to exactly one segment, since named ones do not overlap.
 
 use ipnet::IpNet;
 use std::fmt;
@@ -11,20 +11,20 @@
 /// A segment that the operators named.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedSegment {
-    /// Its name.
+    /// Its name in the settings and in log lines.
     pub name: String,
-    /// Its addresses.
+    /// The network that its addresses belong to.
     pub net: IpNet,
 }
 
 /// The segment of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Segment {
-    /// Named in the settings.
+    /// Named by the operators.
     Named(Arc<str>),
-    /// Derived from the machine's address.
+    /// Derived from the prefix of the machine's address.
     Derived(IpNet),
-    /// The machine's address is not known.
+    /// The machine's address is unknown.
     Unknown,
 }
 
@@ -38,26 +38,36 @@
     }
 }
 
-/// Prefix lengths by which segments are derived.
+/// Prefix lengths of derived segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DerivedPrefixes {
-    /// Of IPv4 addresses.
+    /// For IPv4 addresses.
     pub v4: u8,
-    /// Of IPv6 addresses.
+    /// For IPv6 addresses.
     pub v6: u8,
 }
 
+/// A named segment whose name is shared by all machines of it.
+#[derive(Clone, Debug)]
+struct SharedSegment {
+    name: Arc<str>,
+    net: IpNet,
+}
+
 /// Finds the segment of an address.
 #[derive(Clone, Debug)]
 pub struct SegmentMap {
-    named: Vec<(IpNet, Arc<str>)>,
+    named: Vec<SharedSegment>,
     prefixes: DerivedPrefixes,
 }
 
 impl SegmentMap {
-    /// Named segments must not overlap; `settings` checks that.
+    /// Creates a map. Named segments must not overlap; [`crate::settings`] checks that.
     pub fn new(named: &[NamedSegment], prefixes: DerivedPrefixes) -> SegmentMap {
-        let named = named.iter().map(|s| (s.net, Arc::from(s.name.as_str())));
+        let named = named.iter().map(|segment| SharedSegment {
+            name: Arc::from(segment.name.as_str()),
+            net: segment.net,
+        });
         SegmentMap {
             named: named.collect(),
             prefixes,
@@ -67,22 +77,22 @@
     /// The segment of an endpoint, `ADDRESS:PORT`.
     pub fn of_endpoint(&self, endpoint: &str) -> Segment {
         match endpoint.parse::<SocketAddr>() {
-            Ok(address) => self.of(address.ip()),
+            Ok(address) => self.of_address(address.ip()),
             Err(_) => Segment::Unknown,
         }
     }
 
     /// The segment of an address.
-    pub fn of(&self, address: IpAddr) -> Segment {
-        let named = self.named.iter().find(|(net, _)| net.contains(&address));
-        if let Some((_, name)) = named {
-            return Segment::Named(name.clone());
+    pub fn of_address(&self, address: IpAddr) -> Segment {
+        let mut named = self.named.iter();
+        if let Some(segment) = named.find(|segment| segment.net.contains(&address)) {
+            return Segment::Named(segment.name.clone());
         }
-        let length = match address {
+        let prefix_length = match address {
             IpAddr::V4(_) => self.prefixes.v4,
             IpAddr::V6(_) => self.prefixes.v6,
         };
-        match IpNet::new(address, length) {
+        match IpNet::new(address, prefix_length) {
             Ok(net) => Segment::Derived(net.trunc()),
             Err(_) => Segment::Unknown,
         }
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -1,36 +1,41 @@
-//! The operators' settings of a takeover, and what makes them unusable.
+//! The operators' settings of a takeover, and the checks that reject unusable ones.
+//!
+//! Invariant of valid settings: at the configured rates the kills of cancelled jobs reach every machine within
+//! [`CANCELLATION_SHARE`] of the cancellation deadline, and segments do not overlap.
 
 use crate::segments::{DerivedPrefixes, NamedSegment};
 use ipnet::IpNet;
 use std::time::Duration;
 
-/// Part of the pace that is left for cancellations, and for what must not wait at all.
+/// The share of a rate that is reserved for prompt commands, and for those that must not wait at all.
 pub const RESERVED_SHARE: f64 = 0.2;
-/// Within this part of `cancel_s` the kills of cancelled jobs go out at the pace; what is late then goes
-/// out at once. Their machines are given back at 0.4 of it.
+/// For this share of the cancellation deadline the kills of cancelled jobs are paced; later ones are sent at
+/// once. Machines on which such a job still runs are returned at 0.4 of the deadline.
 pub const CANCELLATION_SHARE: f64 = 0.3;
 
-/// Paces where operators set none and the deployment asks for no more.
+/// Commands a second to the fleet, where operators set none and its size needs no more.
 const DEFAULT_FLEET_RATE: f64 = 1200.0;
+/// Commands a second to a segment, where operators set none and its size needs no more.
 const DEFAULT_SEGMENT_RATE: f64 = 600.0;
 
-/// What operators may set.
+/// The operators' settings of a takeover.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoverySettings {
-    /// Orders are paced, and machines of a silent segment are kept for a while. Reconciliation is not
-    /// optional.
+    /// Whether commands are paced, and machines of a silent segment are kept for a while. Reconciliation is
+    /// not optional.
     pub enabled: bool,
-    /// Most orders to all machines in any second of a takeover. None: as the fleet's size asks for.
+    /// The most commands to all machines in any second of a takeover. `None`: as the size of the fleet needs.
     pub orders_per_second: Option<f64>,
-    /// Most orders to the machines of one segment in any second of a takeover. None: as its size asks for.
+    /// The most commands to the machines of one segment in any second of a takeover. `None`: as the largest
+    /// segment needs.
     pub segment_orders_per_second: Option<f64>,
-    /// How segments are derived outside of the named ones.
+    /// The prefix lengths of segments outside of the named ones.
     pub prefixes: DerivedPrefixes,
-    /// Segments that operators name.
+    /// The segments that operators name.
     pub segments: Vec<NamedSegment>,
-    /// Most machines rented in a second while most of a segment or site is silent.
+    /// The most machines rented in a second while most machines of a segment or zone are silent.
     pub replacements_per_second: f64,
-    /// How long work is left alone whose job, by the state service, was never accepted.
+    /// How long tasks are held whose job, according to the key-value store, was never accepted.
     pub unrecorded_hold: Duration,
 }
 
@@ -48,16 +53,16 @@
     }
 }
 
-/// The deployment that settings are used with.
+/// The properties of a deployment that the settings are checked against.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deployment {
-    /// Within what time of its confirmation a cancellation has taken effect.
-    pub cancel: Duration,
-    /// Most machines at a time.
-    pub machines: usize,
+    /// The time within which a confirmed cancellation takes effect.
+    pub cancellation_deadline: Duration,
+    /// The most machines at a time.
+    pub max_machines: usize,
 }
 
-/// Most orders in any second of a takeover.
+/// The most commands in any second of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandRates {
     /// To all machines.
@@ -66,14 +71,14 @@
     pub segment: f64,
 }
 
-/// The setting that a problem lies in, by its name in the operators' file.
+/// A setting of the operators' file that a problem concerns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SettingName {
-    /// The pace of the fleet.
+    /// `orders-per-s`.
     OrdersPerSecond,
-    /// The pace of a segment.
+    /// `segment-orders-per-s`.
     SegmentOrdersPerSecond,
-    /// A named segment.
+    /// The segment of this name.
     Segment(String),
 }
 
@@ -85,80 +90,95 @@
         "{rate} orders a second cannot reach {machines} machines within {within:.1} s, {part} of cancel_s"
     )]
     TooSlow {
-        /// The pace.
+        /// The configured rate, in commands a second.
         rate: f64,
-        /// How many machines there may be.
+        /// The number of machines that it must reach.
         machines: usize,
-        /// Within what time they must be reached, in seconds.
+        /// The time within which it must reach them, in seconds.
         within: f64,
-        /// Which part of `cancel_s` that is.
+        /// The share of `cancel_s` that this is.
         part: f64,
     },
-    /// A segment's pace is above the fleet's.
+    /// The rate of a segment exceeds that of the fleet.
     #[error("{segment} is above orders-per-s, {fleet}")]
     AboveFleet {
-        /// The segment's pace.
+        /// The rate of the segment.
         segment: f64,
-        /// The fleet's pace.
+        /// The rate of the fleet.
         fleet: f64,
     },
     /// Two segments share addresses.
     #[error("{net} overlaps with {other_net} of segment {other}")]
     Overlap {
-        /// The segment's addresses.
+        /// The network of the segment.
         net: IpNet,
-        /// The other segment.
+        /// The name of the other segment.
         other: String,
-        /// Its addresses.
+        /// The network of the other segment.
         other_net: IpNet,
     },
-    /// Two segments have one name.
+    /// Two segments have the same name.
     #[error("two segments are named {0}")]
     SameName(String),
 }
 
-/// A problem, and the setting that it lies in.
+/// A problem, and the setting that it concerns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidSettings {
-    /// The setting.
+    /// The setting to change.
     pub setting: SettingName,
     /// What is wrong with it.
     pub problem: SettingsProblem,
 }
 
-/// Reads the addresses of a segment: `10.1.0.0/16`.
-pub fn parse_segment(text: &str) -> Result<IpNet, String> {
+/// Why a text is not the network of a segment.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParseSegmentError {
+    /// It is not an address with a prefix length.
+    #[error("'{0}' is not a network such as 10.1.0.0/16")]
+    NotANetwork(String),
+    /// The address has bits set beyond the prefix.
+    #[error("'{text}' has bits set beyond its prefix; {network} is meant?")]
+    HostBitsSet {
+        /// The text.
+        text: String,
+        /// The network without those bits.
+        network: IpNet,
+    },
+}
+
+/// Parses the network of a segment, such as `10.1.0.0/16`.
+pub fn parse_segment(text: &str) -> Result<IpNet, ParseSegmentError> {
     let net: IpNet = text
         .parse()
-        .map_err(|_| format!("'{text}' is not a network such as 10.1.0.0/16"))?;
+        .map_err(|_| ParseSegmentError::NotANetwork(text.to_owned()))?;
     if net.trunc() != net {
-        return Err(format!(
-            "'{text}' has bits set beyond its prefix; {} is meant?",
-            net.trunc()
-        ));
+        return Err(ParseSegmentError::HostBitsSet {
+            text: text.to_owned(),
+            network: net.trunc(),
+        });
     }
     Ok(net)
 }
 
 impl RecoverySettings {
-    /// The paces that hold for a deployment. Those that are not set are raised where the default would not
-    /// reach all machines in time for a cancellation.
+    /// The rates for a deployment. Rates that are not set are raised where the default would not reach all
+    /// machines in time for a cancellation.
     pub fn command_rates(&self, deployment: Deployment) -> CommandRates {
-        let cancel = deployment.cancel;
+        let deadline = deployment.cancellation_deadline;
         let fleet = self
             .orders_per_second
-            .unwrap_or(DEFAULT_FLEET_RATE.max(min_rate(cancel, deployment.machines)));
-        let largest = self.largest_segment().min(deployment.machines);
+            .unwrap_or(DEFAULT_FLEET_RATE.max(min_rate(deadline, deployment.max_machines)));
+        let largest = self.largest_segment().min(deployment.max_machines);
         let segment = self.segment_orders_per_second.unwrap_or(
             DEFAULT_SEGMENT_RATE
-                .max(min_rate(cancel, largest))
+                .max(min_rate(deadline, largest))
                 .min(fleet),
         );
         CommandRates { fleet, segment }
     }
 
-    /// Whether these settings can be used with a deployment: a pace must reach all machines in time for a
-    /// cancellation, and segments must not overlap.
+    /// Checks the settings against each other and against a deployment. The first problem is returned.
     pub fn validate(&self, deployment: Deployment) -> Result<(), InvalidSettings> {
         self.validate_segments()?;
         if !self.enabled {
@@ -174,21 +194,24 @@
                 },
             });
         }
-        let Deployment { cancel, machines } = deployment;
+        let Deployment {
+            cancellation_deadline: deadline,
+            max_machines,
+        } = deployment;
         check_rate(
             SettingName::OrdersPerSecond,
             command_rates.fleet,
-            cancel,
-            machines,
+            deadline,
+            max_machines,
         )?;
-        let largest = self.largest_segment().min(machines);
+        let largest = self.largest_segment().min(max_machines);
         let segment = SettingName::SegmentOrdersPerSecond;
-        check_rate(segment, command_rates.segment, cancel, largest)
+        check_rate(segment, command_rates.segment, deadline, largest)
     }
 
-    /// How many machines a segment may have, by its addresses.
+    /// The number of machines that the largest segment may have, by its addresses.
     fn largest_segment(&self) -> usize {
-        let named = self.segments.iter().map(|s| match s.net {
+        let named = self.segments.iter().map(|segment| match segment.net {
             IpNet::V4(net) => 32 - u32::from(net.prefix_len()),
             IpNet::V6(net) => 128 - u32::from(net.prefix_len()),
         });
@@ -198,8 +221,8 @@
     }
 
     fn validate_segments(&self) -> Result<(), InvalidSettings> {
-        for (i, segment) in self.segments.iter().enumerate() {
-            for other in &self.segments[..i] {
+        for (index, segment) in self.segments.iter().enumerate() {
+            for other in &self.segments[..index] {
                 let problem = if segment.name == other.name {
                     SettingsProblem::SameName(segment.name.clone())
                 } else if segment.net.contains(&other.net) || other.net.contains(&segment.net) {
@@ -219,19 +242,19 @@
     }
 }
 
-/// The least pace that reaches so many machines in time for a cancellation.
-fn min_rate(cancel: Duration, machines: usize) -> f64 {
-    let within = cancel.as_secs_f64() * CANCELLATION_SHARE;
+/// The lowest rate that reaches this number of machines in time for a cancellation.
+fn min_rate(cancellation_deadline: Duration, machines: usize) -> f64 {
+    let within = cancellation_deadline.as_secs_f64() * CANCELLATION_SHARE;
     (machines as f64 / (within * (1.0 - RESERVED_SHARE))).ceil()
 }
 
 fn check_rate(
     setting: SettingName,
     rate: f64,
-    cancel: Duration,
+    cancellation_deadline: Duration,
     machines: usize,
 ) -> Result<(), InvalidSettings> {
-    if rate >= min_rate(cancel, machines) {
+    if rate >= min_rate(cancellation_deadline, machines) {
         return Ok(());
     }
     Err(InvalidSettings {
@@ -239,7 +262,7 @@
         problem: SettingsProblem::TooSlow {
             rate,
             machines,
-            within: cancel.as_secs_f64() * CANCELLATION_SHARE,
+            within: cancellation_deadline.as_secs_f64() * CANCELLATION_SHARE,
             part: CANCELLATION_SHARE,
         },
     })
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -1,30 +1,33 @@
 //! Which machines fall silent together.
 //!
-//! One silent machine, a silent rack and a silent site are different failures. A single machine is likely
-//! broken and is given back. When most of a segment or site is silent, the fault is more likely in the
-//! network, and its machines with their work are likely to come back together.
+//! One silent machine, a silent rack and a silent zone are different failures. A single machine is likely
+//! broken and is returned to the cloud. When most machines of a segment or zone are silent, the fault is more
+//! likely in the network, and the machines with their tasks are likely to come back together.
+//!
+//! Invariants: the widest group that is mostly silent counts, and fewer than [`MIN_SILENT_MACHINES`] never
+//! do. Silence is no proof that a task ended; it only decides whether machines are kept and replaced.
 
 use crate::segments::Segment;
 use cypressgap_model::Zone;
 use std::collections::HashMap;
 
-/// This many silent machines are no accident of each one's own.
+/// Fewer silent machines than this are taken for independent failures.
 pub const MIN_SILENT_MACHINES: usize = 3;
 
-/// How far a silence reaches.
+/// The extent of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SilenceScope {
     /// Single machines.
     Machine,
     /// Most machines of a network segment.
     Segment,
-    /// Most machines of a site.
+    /// Most machines of a zone.
     Zone,
-    /// Most machines of all.
+    /// Most machines of the fleet.
     Fleet,
 }
 
-/// Machines of a group, and how many of them are silent.
+/// The number of machines of a group, and of the silent ones among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct MachineTally {
     machines: usize,
@@ -37,12 +40,12 @@
         self.silent += usize::from(silent);
     }
 
-    fn mostly_silent(&self) -> bool {
+    fn is_mostly_silent(&self) -> bool {
         self.silent >= MIN_SILENT_MACHINES && self.silent * 2 > self.machines
     }
 }
 
-/// Silent machines by segment and site, counted at one time.
+/// Counts of silent machines by segment and by zone, taken at one time.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceSurvey {
     segments: HashMap<Segment, MachineTally>,
@@ -51,7 +54,7 @@
 }
 
 impl SilenceSurvey {
-    /// Counts a machine.
+    /// Counts a machine, silent or not.
     pub fn add(&mut self, segment: &Segment, zone: &Zone, silent: bool) {
         if !self.segments.contains_key(segment) {
             self.segments
@@ -68,30 +71,31 @@
         self.fleet.add(silent);
     }
 
-    /// How far the silence reaches that a silent machine of this segment and site is part of.
+    /// The extent of the outage that a silent machine of this segment and zone is part of.
     pub fn scope(&self, segment: &Segment, zone: &Zone) -> SilenceScope {
-        let most = |tally: Option<&MachineTally>| tally.is_some_and(MachineTally::mostly_silent);
-        if self.fleet.mostly_silent() {
+        let is_silent =
+            |tally: Option<&MachineTally>| tally.is_some_and(MachineTally::is_mostly_silent);
+        if self.fleet.is_mostly_silent() {
             SilenceScope::Fleet
-        } else if most(self.zones.get(zone)) {
+        } else if is_silent(self.zones.get(zone)) {
             SilenceScope::Zone
-        } else if *segment != Segment::Unknown && most(self.segments.get(segment)) {
+        } else if *segment != Segment::Unknown && is_silent(self.segments.get(segment)) {
             SilenceScope::Segment
         } else {
             SilenceScope::Machine
         }
     }
 
-    /// The widest silence that there is.
+    /// The extent of the widest outage.
     pub fn widest(&self) -> SilenceScope {
-        let known = |(segment, tally): (&Segment, &MachineTally)| {
-            *segment != Segment::Unknown && tally.mostly_silent()
+        let is_silent = |(segment, tally): (&Segment, &MachineTally)| {
+            *segment != Segment::Unknown && tally.is_mostly_silent()
         };
-        if self.fleet.mostly_silent() {
+        if self.fleet.is_mostly_silent() {
             SilenceScope::Fleet
-        } else if self.zones.values().any(MachineTally::mostly_silent) {
+        } else if self.zones.values().any(MachineTally::is_mostly_silent) {
             SilenceScope::Zone
-        } else if self.segments.iter().any(known) {
+        } else if self.segments.iter().any(is_silent) {
             SilenceScope::Segment
         } else {
             SilenceScope::Machine
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -1,6 +1,14 @@
-//! A takeover as the scheduler's core sees it: evidence in, leave to order out.
+//! The takeover of a fleet by a new leader, as the scheduler's core uses it.
 //!
-//! With nothing to reconcile it is over from the beginning, and every question is answered at once.
+//! Heartbeats, records and lookups go in; decisions on launches, kills and rentals come out. With nothing to
+//! reconcile the takeover is over from the beginning, and admits every command at once.
+//!
+//! Invariants:
+//!
+//! - An attempt on record is launched again only once it is proved absent.
+//! - Pacing delays commands and never drops them: a machine that waits is returned again, and its next
+//!   heartbeat raises its forgets again.
+//! - Reconciliation cannot be turned off; only the pacing and the tolerance of outages can.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use crate::command_pacing::{CommandKind, CommandPacer, PacedCommand};
@@ -10,16 +18,15 @@
 use crate::segments::{Segment, SegmentMap};
 use crate::settings::{Deployment, RecoverySettings, CANCELLATION_SHARE};
 use crate::silence::{SilenceScope, SilenceSurvey};
-use crate::unrecorded::{Disposition, StoredJobStatus, UnrecordedWork};
+use crate::unrecorded::{Disposition, ListedJobs, StoredJobStatus, UnrecordedTasks};
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
-use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Orders are paced for this long after the last one that had to wait.
+/// Commands are paced for this long after the last one that was deferred.
 const PACING_QUIET_PERIOD: Duration = Duration::from_secs(5);
-/// And, once everything on record is settled, for no more than so many orders for each attempt on record: to
-/// start it, to end it, and to start what comes next. A pace below what the fleet's daily work asks for would
-/// hold that up for good.
+/// Once everything on record is settled, pacing ends after so many commands for each attempt on record: to
+/// start it, to end it, and to start its successor. Otherwise a rate below the fleet's ordinary load would
+/// delay that load for good.
 const MAX_COMMANDS_PER_RECORDED_ATTEMPT: u64 = 3;
 
 /// A change of phase, for the log.
@@ -29,53 +36,62 @@
     pub phase: TakeoverPhase,
     /// Attempts on record, by state.
     pub counts: StateCounts,
-    /// Jobs of which machines show work that no record names.
+    /// The number of unknown jobs of which machines list tasks.
     pub unrecorded_jobs: usize,
-    /// Orders that were put off so far.
+    /// The number of times that a command was deferred so far.
     pub deferred: u64,
-    /// The takeover in figures.
+    /// Counts and times so far.
     pub summary: TakeoverSummary,
 }
 
-/// One term's takeover.
+/// Whether a task must be stopped within a given time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KillDeadline {
+    /// Nothing depends on when it stops.
+    Unbounded,
+    /// It must stop soon: its machine is about to be evicted, or its gang ends together.
+    Bounded,
+}
+
+/// The takeover of one term.
 #[derive(Debug)]
 pub struct Takeover {
-    enabled: bool,
+    is_paced: bool,
     segments: SegmentMap,
     reconciliation: Reconciliation,
-    unrecorded: UnrecordedWork,
-    orders: CommandPacer,
+    unrecorded: UnrecordedTasks,
+    commands: CommandPacer,
     rentals: RentalRateLimiter,
     silence: SilenceSurvey,
     progress: Progress,
 }
 
 impl Takeover {
-    /// A term begins; nothing is on record yet.
+    /// Creates the takeover of a term that begins now, with nothing on record yet.
     pub fn new(settings: &RecoverySettings, deployment: Deployment, now: Instant) -> Takeover {
         Takeover {
-            enabled: settings.enabled,
+            is_paced: settings.enabled,
             segments: SegmentMap::new(&settings.segments, settings.prefixes),
             reconciliation: Reconciliation::default(),
-            unrecorded: UnrecordedWork::new(settings.unrecorded_hold),
-            orders: CommandPacer::new(settings.command_rates(deployment), now),
+            unrecorded: UnrecordedTasks::new(settings.unrecorded_hold),
+            commands: CommandPacer::new(settings.command_rates(deployment), now),
             rentals: RentalRateLimiter::new(settings.replacements_per_second),
             silence: SilenceSurvey::default(),
             progress: Progress::new(now),
         }
     }
 
-    /// An attempt found on record.
+    /// Enters an attempt that was found on record.
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         self.reconciliation.record(machine, task, attempt);
     }
 
-    /// All records are read.
+    /// Begins the takeover, once all records are read.
     pub fn begin(&mut self) {
         self.progress.begin(self.reconciliation.counts().total());
     }
 
-    /// Whether it is over: everything on record is settled and no order waits.
+    /// Whether the takeover is over: everything on record is settled and no command waits.
     pub fn is_over(&self) -> bool {
         self.progress.phase() == TakeoverPhase::Over
     }
@@ -96,38 +112,38 @@
         let settled = self
             .reconciliation
             .observe_heartbeat(machine, origin, lists);
-        self.progress.settled(now, settled);
+        self.progress.record_settled(now, settled);
     }
 
-    /// A machine has missed its reports.
+    /// Notes that a machine has missed heartbeats.
     pub fn on_silence(&mut self, machine: &MachineId) {
         self.reconciliation
             .observe_machine(machine, Evidence::MachineSilent);
     }
 
-    /// A machine's lease has certainly run out, or it is gone.
+    /// Notes that a machine's lease has certainly expired, or that the machine is gone.
     pub fn on_lease_expired(&mut self, now: Instant, machine: &MachineId) {
         let evidence = Evidence::LeaseExpired;
         let settled = self.reconciliation.observe_machine(machine, evidence);
-        self.progress.settled(now, settled);
+        self.progress.record_settled(now, settled);
         self.unrecorded.remove_machine(machine);
-        self.orders.machine_gone(machine);
+        self.commands.remove_machine(machine);
     }
 
-    /// An attempt ended, or is proved gone.
+    /// Notes that an attempt ended, or was proved gone.
     pub fn on_attempt_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
         let state = self.reconciliation.remove(machine, task);
         if state.is_some_and(|state| !state.is_settled()) {
-            self.progress.settled(now, 1);
+            self.progress.record_settled(now, 1);
         }
     }
 
-    /// Machines that hold attempts on record.
+    /// The machines with attempts on record.
     pub fn recorded_machines(&self) -> impl Iterator<Item = &MachineId> {
         self.reconciliation.machines()
     }
 
-    /// The state of an attempt on record; None: it is this term's own.
+    /// The state of an attempt on record; `None` if it is this term's own.
     pub fn state(
         &self,
         machine: &MachineId,
@@ -137,161 +153,164 @@
         self.reconciliation.state(machine, task, attempt)
     }
 
-    // --- work that no record names ---
+    // --- unrecorded tasks ---
 
-    /// The jobs unknown to the leader of which a machine shows tasks. Returns those that are new.
+    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists. Returns those that no
+    /// machine had listed before.
     pub fn on_unknown_jobs(
         &mut self,
         now: Instant,
         machine: &MachineId,
-        origin: HeartbeatOrigin,
-        jobs: BTreeSet<JobId>,
+        listed: ListedJobs,
     ) -> Vec<JobId> {
-        if jobs.is_empty() && self.unrecorded.is_empty() {
+        if listed.jobs.is_empty() && self.unrecorded.is_empty() {
             return Vec::new();
         }
-        let new = self.unrecorded.shown(now, machine, origin, jobs);
+        let new = self.unrecorded.replace(now, machine, listed);
         if !new.is_empty() {
             self.progress.reopen();
         }
         new
     }
 
-    /// What becomes of the tasks of an unknown job.
+    /// The decision on the tasks of an unknown job.
     pub fn disposition(&self, now: Instant, job_id: &JobId) -> Disposition {
         self.unrecorded.disposition(now, job_id)
     }
 
-    /// Jobs whose status is to be read from the key-value store.
+    /// The jobs whose status is to be read from the key-value store.
     pub fn jobs_to_look_up(&self) -> Vec<JobId> {
-        self.unrecorded.to_ask().cloned().collect()
+        self.unrecorded.jobs_to_look_up().cloned().collect()
     }
 
-    /// The state service's answer about a job.
-    pub fn on_stored_job_status(&mut self, now: Instant, job_id: &JobId, answer: StoredJobStatus) {
-        self.unrecorded.answered(now, job_id, answer);
+    /// Records the result of a job's lookup.
+    pub fn on_stored_job_status(&mut self, now: Instant, job_id: &JobId, status: StoredJobStatus) {
+        self.unrecorded.record_status(now, job_id, status);
     }
 
-    /// Whether a machine holds tasks whose size is not known.
+    /// Whether a machine is occupied by tasks whose size is unknown.
+    #[must_use]
     pub fn holds_machine(&self, machine: &MachineId) -> bool {
         self.unrecorded.holds_machine(machine)
     }
 
-    /// Whether tasks whose team is not known may be on machines.
+    /// Whether tasks whose team is unknown may be running.
+    #[must_use]
     pub fn may_use_any_team(&self) -> bool {
         !self.unrecorded.is_empty() && self.unrecorded.may_use_any_team()
     }
 
-    /// A task that no record named was adopted.
+    /// Counts an unrecorded task that was adopted, and resumes the takeover.
     pub fn on_unrecorded_adopted(&mut self) {
-        self.progress.adopted();
+        self.progress.record_adopted();
         self.progress.reopen();
     }
 
-    // --- orders ---
+    // --- commands ---
 
-    /// Whether an attempt may be launched as far as this term knows what became of it before.
+    /// Whether an attempt may be launched: it is this term's own, or proved absent.
+    #[must_use]
     pub fn allows_launch(&self, machine: &MachineId, task: &TaskId, attempt: AttemptId) -> bool {
         let state = self.reconciliation.state(machine, task, attempt);
         state.is_none_or(AttemptState::allows_launch)
     }
 
-    /// How long a kill may wait. `cancelled_for`: how long ago its job was cancelled, of `cancel` that
-    /// its end may take.
+    /// How long a kill may wait. `cancelled_for`: the time since its job was cancelled, if it was;
+    /// `cancellation_deadline`: the time that a cancellation may take.
     pub fn kill_class(
         cancelled_for: Option<Duration>,
-        cancel: Duration,
-        has_time_limit: bool,
+        cancellation_deadline: Duration,
+        kill_deadline: KillDeadline,
     ) -> PacingClass {
-        match cancelled_for {
-            Some(passed) if passed >= cancel.mul_f64(CANCELLATION_SHARE) => PacingClass::Immediate,
-            Some(_) => PacingClass::Prompt,
-            None if has_time_limit => PacingClass::Prompt,
-            None => PacingClass::Ordinary,
+        match (cancelled_for, kill_deadline) {
+            (Some(elapsed), _) if elapsed >= cancellation_deadline.mul_f64(CANCELLATION_SHARE) => {
+                PacingClass::Immediate
+            }
+            (Some(_), _) | (None, KillDeadline::Bounded) => PacingClass::Prompt,
+            (None, KillDeadline::Unbounded) => PacingClass::Ordinary,
         }
     }
 
-    /// Whether an order may go out now. If it may not, its machine is among those that
-    /// [`Takeover::take_waiting_machines`] names later.
+    /// Whether a command may be sent now. If not, its machine is among those that
+    /// [`Takeover::take_waiting_machines`] returns later.
+    #[must_use]
     pub fn admit(
         &mut self,
         now: Instant,
         machine: &MachineId,
         endpoint: &str,
-        order: PacedCommand,
+        command: PacedCommand,
         class: PacingClass,
     ) -> bool {
         if self.is_over() {
             return true;
         }
-        if self.enabled {
+        if self.is_paced {
             let segment = self.segments.of_endpoint(endpoint);
-            let launch = (order.kind == CommandKind::Launch).then(|| order.task.clone());
-            if !self.orders.admit(now, machine, &segment, order, class) {
+            let launched = (command.kind == CommandKind::Launch).then(|| command.task.clone());
+            if !self.commands.admit(now, machine, &segment, command, class) {
                 return false;
             }
-            self.launched(machine, launch);
-        } else if order.kind == CommandKind::Launch {
-            self.launched(machine, Some(order.task));
+            if let Some(task) = launched {
+                self.reconciliation.remove(machine, &task);
+            }
+        } else if command.kind == CommandKind::Launch {
+            self.reconciliation.remove(machine, &command.task);
         }
-        self.progress.ordered(now);
+        self.progress.record_command(now);
         true
     }
 
-    /// From its launch on an attempt is this term's own.
-    fn launched(&mut self, machine: &MachineId, task: Option<TaskId>) {
-        if let Some(task) = task {
-            self.reconciliation.remove(machine, &task);
-        }
-    }
-
-    /// Work that no record names was told to end.
+    /// Counts an unrecorded task that was killed.
     pub fn on_unrecorded_killed(&mut self) {
-        self.progress.killed();
+        self.progress.record_killed();
     }
 
-    /// A message of a machine shows what became of its orders.
+    /// Drops the commands of a machine that its newest heartbeat shows as carried out.
     pub fn acknowledge(
         &mut self,
         machine: &MachineId,
-        carried_out: impl Fn(&PacedCommand) -> bool,
+        is_carried_out: impl Fn(&PacedCommand) -> bool,
     ) {
         if !self.is_over() {
-            self.orders.acknowledge(machine, carried_out);
+            self.commands.acknowledge(machine, is_carried_out);
         }
     }
 
-    /// Machines whose orders waited and may be tried again now.
+    /// Takes the machines whose deferred commands may be tried again now.
+    #[must_use]
     pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
-        self.orders.take_waiting_machines(now)
+        self.commands.take_waiting_machines(now)
     }
 
     // --- silence ---
 
-    /// The segment of a machine.
+    /// The segment of a machine, by its endpoint.
     pub fn segment_of(&self, endpoint: &str) -> Segment {
         self.segments.of_endpoint(endpoint)
     }
 
-    /// Which machines are silent, counted anew.
-    pub fn survey(&mut self, silence: SilenceSurvey) {
+    /// Replaces the counts of silent machines.
+    pub fn set_silence(&mut self, silence: SilenceSurvey) {
         self.silence = silence;
     }
 
-    /// How far the silence reaches that a silent machine is part of.
+    /// The extent of the outage that a silent machine is part of.
+    #[must_use]
     pub fn silence_scope(&self, endpoint: &str, zone: &Zone) -> SilenceScope {
         let scope = self.silence.scope(&self.segment_of(endpoint), zone);
-        if self.enabled || scope == SilenceScope::Fleet {
+        if self.is_paced || scope == SilenceScope::Fleet {
             scope
         } else {
             SilenceScope::Machine
         }
     }
 
-    /// How many of these machines may be rented now. Paced while most of a segment or site is silent:
-    /// its machines are likely to come back.
+    /// Charges and returns how many of the wanted machines may be rented now. Rentals are paced while most
+    /// machines of a segment or zone are silent, since they are likely to come back.
+    #[must_use]
     pub fn rentals_allowed(&mut self, now: Instant, wanted: u32) -> u32 {
-        if !self.enabled || self.silence.widest() == SilenceScope::Machine {
+        if !self.is_paced || self.silence.widest() == SilenceScope::Machine {
             return wanted;
         }
         self.rentals.take(now, wanted)
@@ -299,33 +318,33 @@
 
     // --- progress ---
 
-    /// Moves on to the phase that fits. Returns it if it is another.
+    /// Moves on to the phase that fits what remains, and returns the change if there is one.
     pub fn advance(&mut self, now: Instant) -> Option<PhaseChange> {
         if self.is_over() {
             return None;
         }
         let counts = self.reconciliation.counts();
         let unrecorded_jobs = self.unrecorded.len();
-        let spread =
-            self.orders.given() >= MAX_COMMANDS_PER_RECORDED_ATTEMPT * self.progress.recorded();
-        let waits =
-            counts.of(AttemptState::Absent) > 0 || self.orders.is_busy(now, PACING_QUIET_PERIOD);
+        let max_commands = MAX_COMMANDS_PER_RECORDED_ATTEMPT * self.progress.recorded();
+        let is_pacing_exhausted = self.commands.sent_count() >= max_commands;
+        let has_waiting =
+            counts.of(AttemptState::Absent) > 0 || self.commands.is_busy(now, PACING_QUIET_PERIOD);
         let remaining = Remaining {
             counts,
             unrecorded_jobs,
-            orders_wait: waits && !spread,
+            commands_waiting: has_waiting && !is_pacing_exhausted,
         };
         let phase = self.progress.advance(&remaining)?;
         Some(PhaseChange {
             phase,
             counts: remaining.counts,
             unrecorded_jobs: remaining.unrecorded_jobs,
-            deferred: self.orders.deferred(),
+            deferred: self.commands.deferred_count(),
             summary: self.progress.summary(now),
         })
     }
 
-    /// The takeover in figures.
+    /// Counts and times so far.
     pub fn summary(&self, now: Instant) -> TakeoverSummary {
         self.progress.summary(now)
     }
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -1,203 +1,219 @@
-//! Work that a worker shows and that no record names, of a job that the leader does not know.
+//! Unrecorded tasks: tasks that a machine lists, that no record names, and whose job is unknown to the leader.
 //!
-//! Such work may belong to a job whose acceptance the leader has not heard of yet, to one that is over
-//! and long forgotten, to one whose record cannot be read, or to one that the state service lost when it
-//! was put back to an earlier state. So the state service is asked, by a linearizable read, before
-//! anything is done about it, and a read that failed decides nothing. Until the work is proved gone it
-//! holds its machine, and counts as work of any team, since its team is not known.
+//! Such a task may belong to a job whose acceptance has not reached this leader yet, to a job that ended long
+//! ago, to a job whose record cannot be read, or to a job that the key-value store lost when it was restored
+//! from a backup.
+//!
+//! Invariants:
+//!
+//! - The key-value store is read, linearizably, before anything is done about such a task; a failed read
+//!   decides nothing.
+//! - Tasks are killed only if their job is over, or if the store has denied it [`MIN_DENIALS`] times,
+//!   [`MIN_DENIAL_INTERVAL`] apart, and the hold time has passed.
+//! - Until a task is proved gone its machine takes no other task, and it counts against the quota of every
+//!   team, because its size and its team are unknown.
 
 use crate::attempt_state::HeartbeatOrigin;
 use cypressgap_model::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Two answers that a job was never accepted must lie this far apart to count as two.
+/// Two reads that found no trace of a job count as two only if they are this far apart.
 pub const MIN_DENIAL_INTERVAL: Duration = Duration::from_secs(2);
-/// So many of them are needed before work is killed.
+/// The number of such reads that are needed before tasks of the job are killed.
 pub const MIN_DENIALS: u32 = 2;
 
-/// What the state service says of a job.
+/// The status of a job according to the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredJobStatus {
-    /// It is accepted and not over: its record is on its way here, or cannot be read.
+    /// Accepted and not over: its record has not reached this leader yet, or cannot be read.
     Live,
-    /// Its verdict is durable, so all of its tasks were proved ended or gone before.
+    /// Its terminal state is durable, so all of its tasks were proved ended or gone before.
     Over,
-    /// It was never accepted, or the state service was put back to an earlier state.
+    /// Never accepted, or the store was restored to a state from before the acceptance.
     NeverAccepted,
 }
 
-/// What becomes of the work.
+/// The decision on the tasks of an unknown job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use]
 pub enum Disposition {
-    /// It stays, counted as taken, until more is known.
+    /// They go on, and occupy their machine, until more is known.
     Hold,
-    /// It is killed under a raised token.
+    /// They are killed under a raised fencing token.
     Kill,
 }
 
-/// What is known of one job.
+/// The unknown jobs of which one heartbeat lists tasks.
+#[derive(Debug)]
+pub struct ListedJobs {
+    /// Whether the heartbeat was certainly sent in this term.
+    pub origin: HeartbeatOrigin,
+    /// The jobs.
+    pub jobs: BTreeSet<JobId>,
+}
+
+impl ListedJobs {
+    fn is_from_this_term(&self) -> bool {
+        self.origin == HeartbeatOrigin::ThisTerm
+    }
+}
+
+/// One unknown job, and the results of its lookups so far.
 #[derive(Clone, Copy, Debug)]
 struct UnknownJob {
-    first_shown: Instant,
-    answer: Option<StoredJobStatus>,
+    first_listed_at: Instant,
+    status: Option<StoredJobStatus>,
     denials: u32,
-    last_denial: Option<Instant>,
-    /// Machines that show work of it.
+    last_denied_at: Option<Instant>,
+    /// The number of machines that list tasks of it.
     machines: usize,
 }
 
 impl UnknownJob {
     fn new(now: Instant) -> UnknownJob {
         UnknownJob {
-            first_shown: now,
-            machines: 0,
-            answer: None,
+            first_listed_at: now,
+            status: None,
             denials: 0,
-            last_denial: None,
+            last_denied_at: None,
+            machines: 0,
         }
     }
 
-    fn answered(&mut self, now: Instant, answer: StoredJobStatus) {
-        self.answer = Some(answer);
-        if answer != StoredJobStatus::NeverAccepted {
+    fn record_status(&mut self, now: Instant, status: StoredJobStatus) {
+        self.status = Some(status);
+        if status != StoredJobStatus::NeverAccepted {
             self.denials = 0;
-            self.last_denial = None;
+            self.last_denied_at = None;
             return;
         }
-        let apart = |t: Instant| now.saturating_duration_since(t) >= MIN_DENIAL_INTERVAL;
-        if self.last_denial.is_none_or(apart) {
+        let is_separate = |denied_at: Instant| {
+            let elapsed = now.saturating_duration_since(denied_at);
+            elapsed >= MIN_DENIAL_INTERVAL
+        };
+        if self.last_denied_at.is_none_or(is_separate) {
             self.denials += 1;
-            self.last_denial = Some(now);
+            self.last_denied_at = Some(now);
         }
     }
 
-    fn disposition(&self, now: Instant, hold: Duration) -> Disposition {
-        let held = now.saturating_duration_since(self.first_shown);
-        match self.answer {
+    fn disposition(&self, now: Instant, hold_time: Duration) -> Disposition {
+        let held_for = now.saturating_duration_since(self.first_listed_at);
+        let is_denied = self.denials >= MIN_DENIALS && held_for >= hold_time;
+        match self.status {
             Some(StoredJobStatus::Over) => Disposition::Kill,
-            Some(StoredJobStatus::NeverAccepted) if self.denials >= MIN_DENIALS && held >= hold => {
-                Disposition::Kill
-            }
+            Some(StoredJobStatus::NeverAccepted) if is_denied => Disposition::Kill,
             _ => Disposition::Hold,
         }
     }
 }
 
-/// What one machine shows of such jobs.
-#[derive(Debug)]
-struct ShownWork {
-    jobs: BTreeSet<JobId>,
-    /// Of the heartbeat that listed them.
-    origin: HeartbeatOrigin,
-}
-
-/// All such work.
+/// The unrecorded tasks of unknown jobs, by job and by machine.
 #[derive(Debug)]
-pub struct UnrecordedWork {
-    hold: Duration,
+pub struct UnrecordedTasks {
+    hold_time: Duration,
     jobs: BTreeMap<JobId, UnknownJob>,
-    machines: BTreeMap<MachineId, ShownWork>,
-    /// Machines whose newest report is no late copy.
-    current_machines: usize,
+    machines: BTreeMap<MachineId, ListedJobs>,
+    /// The number of `machines` whose newest heartbeat is from this term.
+    machines_of_this_term: usize,
 }
 
-impl UnrecordedWork {
-    /// `hold`: how long work of a job that was never accepted is left alone.
-    pub fn new(hold: Duration) -> UnrecordedWork {
-        UnrecordedWork {
-            hold,
+impl UnrecordedTasks {
+    /// Creates an empty collection. Tasks of a job that was never accepted are held for `hold_time`.
+    pub fn new(hold_time: Duration) -> UnrecordedTasks {
+        UnrecordedTasks {
+            hold_time,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            current_machines: 0,
+            machines_of_this_term: 0,
         }
     }
 
-    /// What a machine's report shows, in place of what it showed before. Returns jobs that are new here.
-    pub fn shown(
-        &mut self,
-        now: Instant,
-        machine: &MachineId,
-        origin: HeartbeatOrigin,
-        jobs: BTreeSet<JobId>,
-    ) -> Vec<JobId> {
+    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists. Returns the jobs that
+    /// no machine had listed before.
+    pub fn replace(&mut self, now: Instant, machine: &MachineId, listed: ListedJobs) -> Vec<JobId> {
         let mut new = Vec::new();
-        for job_id in &jobs {
-            let inquiry = self.jobs.entry(job_id.clone()).or_insert_with(|| {
+        for job_id in &listed.jobs {
+            let job = self.jobs.entry(job_id.clone()).or_insert_with(|| {
                 new.push(job_id.clone());
                 UnknownJob::new(now)
             });
-            inquiry.machines += 1;
+            job.machines += 1;
         }
+        // After the new count, so that a job that is listed again keeps its lookups.
         self.remove_machine(machine);
-        if !jobs.is_empty() {
-            self.current_machines += usize::from(origin == HeartbeatOrigin::ThisTerm);
-            self.machines
-                .insert(machine.clone(), ShownWork { jobs, origin });
+        if !listed.jobs.is_empty() {
+            self.machines_of_this_term += usize::from(listed.is_from_this_term());
+            self.machines.insert(machine.clone(), listed);
         }
         new
     }
 
-    /// Nothing of the kind is on a machine any more, or the machine is gone.
+    /// Forgets a machine that has no such task any more, or is gone.
     pub fn remove_machine(&mut self, machine: &MachineId) {
-        let Some(work) = self.machines.remove(machine) else {
+        let Some(listed) = self.machines.remove(machine) else {
             return;
         };
-        self.current_machines -= usize::from(work.origin == HeartbeatOrigin::ThisTerm);
-        for job_id in work.jobs {
-            self.machine_left_job(&job_id);
+        self.machines_of_this_term -= usize::from(listed.is_from_this_term());
+        for job_id in listed.jobs {
+            self.release_job(&job_id);
         }
     }
 
-    /// A job that no machine shows any more needs no answer.
-    fn machine_left_job(&mut self, job_id: &JobId) {
-        let Some(inquiry) = self.jobs.get_mut(job_id) else {
+    /// One machine fewer lists a job. A job that no machine lists needs no lookup.
+    fn release_job(&mut self, job_id: &JobId) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        inquiry.machines -= 1;
-        if inquiry.machines == 0 {
+        job.machines -= 1;
+        if job.machines == 0 {
             self.jobs.remove(job_id);
         }
     }
 
-    /// The state service's answer about a job.
-    pub fn answered(&mut self, now: Instant, job_id: &JobId, answer: StoredJobStatus) {
-        if let Some(inquiry) = self.jobs.get_mut(job_id) {
-            inquiry.answered(now, answer);
+    /// Records the result of a job's lookup.
+    pub fn record_status(&mut self, now: Instant, job_id: &JobId, status: StoredJobStatus) {
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            job.record_status(now, status);
         }
     }
 
-    /// What becomes of a job's work.
+    /// The decision on a job's tasks.
     pub fn disposition(&self, now: Instant, job_id: &JobId) -> Disposition {
-        let inquiry = self.jobs.get(job_id);
-        inquiry.map_or(Disposition::Hold, |i| i.disposition(now, self.hold))
+        let job = self.jobs.get(job_id);
+        job.map_or(Disposition::Hold, |job| {
+            job.disposition(now, self.hold_time)
+        })
     }
 
-    /// Jobs to ask the state service about.
-    pub fn to_ask(&self) -> impl Iterator<Item = &JobId> {
-        let open = self.jobs.iter();
-        open.filter(|(_, inquiry)| inquiry.answer != Some(StoredJobStatus::Over))
+    /// The jobs whose status is to be read from the key-value store. `Over` is final.
+    pub fn jobs_to_look_up(&self) -> impl Iterator<Item = &JobId> {
+        let jobs = self.jobs.iter();
+        jobs.filter(|(_, job)| job.status != Some(StoredJobStatus::Over))
             .map(|(job_id, _)| job_id)
     }
 
-    /// Whether a machine holds work whose size is not known.
+    /// Whether a machine is occupied by tasks whose size is unknown.
+    #[must_use]
     pub fn holds_machine(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
-    /// Whether tasks of a team that is not known may be on machines. A job whose verdict is durable had
-    /// nothing on machines then, so only a report that is no late copy can show work of it.
+    /// Whether tasks whose team is unknown may be running. A job whose terminal state is durable had no task
+    /// on any machine then, so only a heartbeat from this term can show one.
+    #[must_use]
     pub fn may_use_any_team(&self) -> bool {
-        let over = |inquiry: &UnknownJob| inquiry.answer == Some(StoredJobStatus::Over);
-        self.current_machines > 0 || !self.jobs.values().all(over)
+        let is_over = |job: &UnknownJob| job.status == Some(StoredJobStatus::Over);
+        self.machines_of_this_term > 0 || !self.jobs.values().all(is_over)
     }
 
-    /// How many jobs there are.
+    /// The number of unknown jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// There is no such work.
+    /// Whether no machine lists such tasks.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
--- a/crates/recovery/tests/pacing.rs
+++ b/crates/recovery/tests/pacing.rs
@@ -1,23 +1,24 @@
-//! Orders by the second, for the fleet and each segment, whatever comes in whatever order.
+//! Rates of commands, to the fleet and to each segment, whatever is asked for and in whatever sequence.
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::command_pacing::{CommandKind, CommandPacer, PacedCommand};
 use cypressgap_recovery::rate_limits::{PacingClass, RentalRateLimiter, TokenBucket};
 use cypressgap_recovery::segments::{Segment, SegmentMap};
 use cypressgap_recovery::settings::{Deployment, RecoverySettings};
+use cypressgap_recovery::takeover::KillDeadline;
 use cypressgap_recovery::Takeover;
 use std::time::{Duration, Instant};
 
 const DEPLOYMENT: Deployment = Deployment {
-    cancel: Duration::from_secs(50),
-    machines: 100,
+    cancellation_deadline: Duration::from_secs(50),
+    max_machines: 100,
 };
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn order(kind: CommandKind, index: u32) -> PacedCommand {
+fn command(kind: CommandKind, index: u32) -> PacedCommand {
     PacedCommand {
         kind,
         task: TaskId {
@@ -62,8 +63,8 @@
                 let machine = MachineId(format!("i-{}", n % 3));
                 let segment = map.of_endpoint(&format!("10.0.{}.7:9000", n % 3));
                 let class = [PacingClass::Ordinary, PacingClass::Prompt][(n / 3) as usize];
-                let order = order(CommandKind::Kill, (step * 6 + n) as u32);
-                if pacer.admit(now, &machine, &segment, order, class) {
+                let command = command(CommandKind::Kill, (step * 6 + n) as u32);
+                if pacer.admit(now, &machine, &segment, command, class) {
                     sent.push((segment, now));
                 }
                 if acknowledged {
@@ -96,14 +97,14 @@
         "no burst at the start"
     );
     assert!(
-        TokenBucket::new(500.0, start).left() <= 5,
+        TokenBucket::new(500.0, start).available() <= 5,
         "nor of a large one"
     );
     assert!(!bucket.admits(PacingClass::Background));
     assert!(bucket.admits(PacingClass::Prompt), "what is reserved");
     assert!(bucket.admits(PacingClass::Immediate));
     for _ in 0..50 {
-        bucket.take();
+        bucket.charge();
     }
     assert!(bucket.admits(PacingClass::Immediate));
     // Owed for a second at most, so that others go on soon.
@@ -118,11 +119,11 @@
     bucket.refill(start + Duration::from_secs(2), 1.0);
     let mut forgets = 0;
     while bucket.admits(PacingClass::Background) {
-        bucket.take();
+        bucket.charge();
         forgets += 1;
     }
     assert_eq!(forgets, 51, "half of what the bucket keeps");
-    assert!(bucket.left() >= 49 && bucket.admits(PacingClass::Ordinary));
+    assert!(bucket.available() >= 49 && bucket.admits(PacingClass::Ordinary));
 }
 
 #[test]
@@ -139,8 +140,8 @@
         );
         let machine = MachineId(format!("i-{n}"));
         let launch = |pacer: &mut CommandPacer, at| {
-            let order = order(CommandKind::Launch, 0);
-            pacer.admit(at, &machine, &segment, order, PacingClass::Ordinary)
+            let command = command(CommandKind::Launch, 0);
+            pacer.admit(at, &machine, &segment, command, PacingClass::Ordinary)
         };
         assert!(launch(&mut pacer, start));
         let again = (1..5000)
@@ -172,12 +173,12 @@
     let mut pacer = CommandPacer::new(settings.command_rates(DEPLOYMENT), start);
     for n in 0..1000u32 {
         let machine = MachineId(format!("i-{n}"));
-        let order = order(CommandKind::Launch, n);
+        let command = command(CommandKind::Launch, n);
         assert!(!pacer.admit(
             start,
             &machine,
             &Segment::Unknown,
-            order,
+            command,
             PacingClass::Ordinary
         ));
     }
@@ -186,7 +187,7 @@
     let named = pacer.take_waiting_machines(now);
     assert!((1..=5).contains(&named.len()), "{}", named.len());
     assert!(pacer.is_busy(now, Duration::from_secs(5)));
-    assert_eq!((pacer.given(), pacer.deferred()), (0, 1000));
+    assert_eq!((pacer.sent_count(), pacer.deferred_count()), (0, 1000));
 }
 
 /// A kill's class by the time since its job's cancellation, of 50 s that its end may take.
@@ -194,15 +195,15 @@
 fn a_cancellation_never_waits_for_long() {
     let cancel = Duration::from_secs(50);
     let cases = [
-        (None, false, PacingClass::Ordinary),
-        (None, true, PacingClass::Prompt),
-        (Some(0), false, PacingClass::Prompt),
-        (Some(14), false, PacingClass::Prompt),
-        (Some(15), true, PacingClass::Immediate),
+        (None, KillDeadline::Unbounded, PacingClass::Ordinary),
+        (None, KillDeadline::Bounded, PacingClass::Prompt),
+        (Some(0), KillDeadline::Unbounded, PacingClass::Prompt),
+        (Some(14), KillDeadline::Unbounded, PacingClass::Prompt),
+        (Some(15), KillDeadline::Bounded, PacingClass::Immediate),
     ];
-    for (passed, has_time_limit, class) in cases {
+    for (passed, kill_deadline, class) in cases {
         let passed = passed.map(Duration::from_secs);
-        let found = Takeover::kill_class(passed, cancel, has_time_limit);
+        let found = Takeover::kill_class(passed, cancel, kill_deadline);
         assert_eq!(found, class, "{passed:?}");
     }
 }
@@ -230,12 +231,12 @@
     let mut pacer = CommandPacer::new(command_rates, start - Duration::from_secs(10));
     let (busy, first) = (MachineId::from("busy"), MachineId::from("first"));
     let admit = |pacer: &mut CommandPacer, machine: &MachineId, index: u32, now: Instant| {
-        let order = order(CommandKind::Launch, index);
+        let command = command(CommandKind::Launch, index);
         pacer.admit(
             now,
             machine,
             &Segment::Unknown,
-            order,
+            command,
             PacingClass::Ordinary,
         )
     };
--- a/crates/recovery/tests/segments.rs
+++ b/crates/recovery/tests/segments.rs
@@ -41,13 +41,13 @@
 /// machine of the first.
 #[test]
 fn silence_is_told_apart_by_its_reach() {
-    use SilenceScope::{Fleet, Machine, Segment, Zone as WholeSite};
+    use SilenceScope::{Fleet, Machine, Segment, Zone as WholeZone};
     let cases = [
         ([(10, 1), (10, 0), (40, 0)], Machine),
         ([(10, 5), (10, 0), (40, 0)], Machine),
         ([(2, 2), (10, 0), (40, 0)], Machine),
         ([(10, 6), (10, 0), (40, 0)], Segment),
-        ([(10, 9), (10, 8), (40, 0)], WholeSite),
+        ([(10, 9), (10, 8), (40, 0)], WholeZone),
         ([(10, 9), (10, 9), (40, 30)], Fleet),
     ];
     let settings = RecoverySettings::default();
@@ -76,7 +76,7 @@
         ("rack", "is not a network"),
     ] {
         let error = parse_segment(text).expect_err(text);
-        assert!(error.contains(problem), "{error}");
+        assert!(error.to_string().contains(problem), "{error}");
     }
 }
 
@@ -103,8 +103,8 @@
         (with_segments(large), None),
     ];
     let deployment = Deployment {
-        cancel: Duration::from_secs(50),
-        machines: 5000,
+        cancellation_deadline: Duration::from_secs(50),
+        max_machines: 5000,
     };
     for (settings, problem) in cases {
         let found = settings.validate(deployment);
@@ -123,8 +123,8 @@
     assert!(off.validate(deployment).is_ok());
     // What is not set follows the deployment's size.
     let huge = Deployment {
-        cancel: Duration::from_secs(20),
-        machines: 100_000,
+        cancellation_deadline: Duration::from_secs(20),
+        max_machines: 100_000,
     };
     let command_rates = RecoverySettings::default().command_rates(huge);
     assert!(
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -2,10 +2,10 @@
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::attempt_state::HeartbeatOrigin::{PossiblyEarlier, ThisTerm};
-use cypressgap_recovery::attempt_state::{AttemptState, Evidence};
+use cypressgap_recovery::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use cypressgap_recovery::reconciliation::Reconciliation;
 use cypressgap_recovery::unrecorded::{
-    Disposition, StoredJobStatus, UnrecordedWork, MIN_DENIAL_INTERVAL,
+    Disposition, ListedJobs, StoredJobStatus, UnrecordedTasks, MIN_DENIAL_INTERVAL,
 };
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -23,6 +23,10 @@
     AttemptId::of(Term(2), number)
 }
 
+fn listed(origin: HeartbeatOrigin, jobs: BTreeSet<JobId>) -> ListedJobs {
+    ListedJobs { origin, jobs }
+}
+
 /// The table in the design note, row by row, against the code.
 #[test]
 fn transitions_are_those_of_the_design_note() {
@@ -61,38 +65,49 @@
 #[test]
 fn heartbeats_settle_the_attempts_of_their_machine() {
     let machine = MachineId::from("i-1");
-    let mut r = Reconciliation::default();
+    let mut reconciliation = Reconciliation::default();
     for index in 0..3 {
-        r.record(machine.clone(), task(index), attempt(7));
+        reconciliation.record(machine.clone(), task(index), attempt(7));
     }
-    r.record("i-2".into(), task(3), attempt(7));
-    let state = |r: &Reconciliation, index| r.state(&machine, &task(index), attempt(7));
+    reconciliation.record("i-2".into(), task(3), attempt(7));
+    let state = |reconciliation: &Reconciliation, index| {
+        reconciliation.state(&machine, &task(index), attempt(7))
+    };
     // A report from before the term settles what it shows, and nothing else.
     assert_eq!(
-        r.observe_heartbeat(&machine, PossiblyEarlier, |t, _| t.index == 0),
+        reconciliation.observe_heartbeat(&machine, PossiblyEarlier, |t, _| t.index == 0),
         1
     );
-    assert_eq!(state(&r, 0), Some(AttemptState::Confirmed));
-    assert_eq!(state(&r, 1), Some(AttemptState::Unreported));
+    assert_eq!(state(&reconciliation, 0), Some(AttemptState::Confirmed));
+    assert_eq!(state(&reconciliation, 1), Some(AttemptState::Unreported));
     // A machine that shows another attempt of the task does not show this one.
     let other = |t: &TaskId, a: AttemptId| t.index <= 1 && a == attempt(8);
-    assert_eq!(r.observe_heartbeat(&machine, ThisTerm, other), 2);
-    assert_eq!(state(&r, 0), Some(AttemptState::Absent));
-    assert_eq!(state(&r, 1), Some(AttemptState::Absent));
     assert_eq!(
-        r.state(&machine, &task(1), attempt(8)),
+        reconciliation.observe_heartbeat(&machine, ThisTerm, other),
+        2
+    );
+    assert_eq!(state(&reconciliation, 0), Some(AttemptState::Absent));
+    assert_eq!(state(&reconciliation, 1), Some(AttemptState::Absent));
+    assert_eq!(
+        reconciliation.state(&machine, &task(1), attempt(8)),
         None,
         "not on record"
     );
-    assert_eq!(r.counts().unsettled(), 1);
-    r.observe_machine(&"i-2".into(), Evidence::MachineSilent);
-    assert_eq!(r.counts().of(AttemptState::Silent), 1);
-    assert_eq!(r.observe_machine(&"i-2".into(), Evidence::LeaseExpired), 1);
+    assert_eq!(reconciliation.counts().unsettled(), 1);
+    reconciliation.observe_machine(&"i-2".into(), Evidence::MachineSilent);
+    assert_eq!(reconciliation.counts().of(AttemptState::Silent), 1);
+    assert_eq!(
+        reconciliation.observe_machine(&"i-2".into(), Evidence::LeaseExpired),
+        1
+    );
     for index in 0..3 {
-        assert_eq!(r.remove(&machine, &task(index)), Some(AttemptState::Absent));
+        assert_eq!(
+            reconciliation.remove(&machine, &task(index)),
+            Some(AttemptState::Absent)
+        );
     }
-    r.remove(&"i-2".into(), &task(3));
-    assert!(r.is_empty() && r.counts().total() == 0);
+    reconciliation.remove(&"i-2".into(), &task(3));
+    assert!(reconciliation.is_empty() && reconciliation.counts().total() == 0);
 }
 
 /// What the state service says of a job, after how many seconds, and what becomes of its work.
@@ -139,15 +154,20 @@
     for (name, answers, at, expected) in cases {
         let start = Instant::now();
         let job_id = JobId::from("wk-000009");
-        let mut work = UnrecordedWork::new(Duration::from_secs(60));
+        let mut unrecorded = UnrecordedTasks::new(Duration::from_secs(60));
         let jobs = BTreeSet::from([job_id.clone()]);
-        assert_eq!(work.shown(start, &"i-1".into(), ThisTerm, jobs).len(), 1);
+        assert_eq!(
+            unrecorded
+                .replace(start, &"i-1".into(), listed(ThisTerm, jobs))
+                .len(),
+            1
+        );
         for (after, answer) in answers {
-            work.answered(start + Duration::from_secs(*after), &job_id, *answer);
+            unrecorded.record_status(start + Duration::from_secs(*after), &job_id, *answer);
         }
         let now = start + Duration::from_secs(at);
-        assert_eq!(work.disposition(now, &job_id), expected, "{name}");
-        assert!(work.holds_machine(&"i-1".into()) && work.may_use_any_team());
+        assert_eq!(unrecorded.disposition(now, &job_id), expected, "{name}");
+        assert!(unrecorded.holds_machine(&"i-1".into()) && unrecorded.may_use_any_team());
     }
     assert!(MIN_DENIAL_INTERVAL > Duration::ZERO);
 }
@@ -158,21 +178,28 @@
     let (first, second) = (MachineId::from("i-1"), MachineId::from("i-2"));
     let job_id = JobId::from("wk-000009");
     let jobs = || BTreeSet::from([job_id.clone()]);
-    let mut work = UnrecordedWork::new(Duration::from_secs(60));
-    assert_eq!(work.shown(now, &first, PossiblyEarlier, jobs()).len(), 1);
+    let mut unrecorded = UnrecordedTasks::new(Duration::from_secs(60));
+    assert_eq!(
+        unrecorded
+            .replace(now, &first, listed(PossiblyEarlier, jobs()))
+            .len(),
+        1
+    );
     assert_eq!(
-        work.shown(now, &second, PossiblyEarlier, jobs()).len(),
+        unrecorded
+            .replace(now, &second, listed(PossiblyEarlier, jobs()))
+            .len(),
         0,
         "known by now"
     );
-    assert_eq!(work.to_ask().count(), 1);
+    assert_eq!(unrecorded.jobs_to_look_up().count(), 1);
     // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
-    work.answered(now, &job_id, StoredJobStatus::Over);
-    assert!(!work.may_use_any_team());
-    work.shown(now, &second, ThisTerm, jobs());
-    assert!(work.may_use_any_team(), "this is no late copy");
-    work.shown(now, &second, ThisTerm, BTreeSet::new());
-    assert!(!work.may_use_any_team() && work.len() == 1);
-    work.remove_machine(&first);
-    assert!(work.is_empty() && work.to_ask().next().is_none());
+    unrecorded.record_status(now, &job_id, StoredJobStatus::Over);
+    assert!(!unrecorded.may_use_any_team());
+    unrecorded.replace(now, &second, listed(ThisTerm, jobs()));
+    assert!(unrecorded.may_use_any_team(), "this is no late copy");
+    unrecorded.replace(now, &second, listed(ThisTerm, BTreeSet::new()));
+    assert!(!unrecorded.may_use_any_team() && unrecorded.len() == 1);
+    unrecorded.remove_machine(&first);
+    assert!(unrecorded.is_empty() && unrecorded.jobs_to_look_up().next().is_none());
 }
--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -106,7 +106,7 @@
     /// Returns machines that are of no more use, as fast as the cloud takes them.
     pub(super) fn scale_in(&mut self, now: Instant) {
         let survey = self.survey_silence(now);
-        self.takeover.survey(survey);
+        self.takeover.set_silence(survey);
         self.mark_returning(self.plan_scale_in(now));
         if let Some(request) = self.plan_return_request(now) {
             self.request_return(now, request);
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -6,6 +6,7 @@
 use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::command_pacing::{CommandKind, PacedCommand};
 use cypressgap_recovery::rate_limits::PacingClass;
+use cypressgap_recovery::takeover::KillDeadline;
 use cypressgap_recovery::Takeover;
 use std::collections::HashMap;
 use std::time::Instant;
@@ -40,8 +41,12 @@
         let attempt = job.active.get(&task.index);
         let machine = attempt.and_then(|attempt| self.fleet.machines.get(&attempt.machine));
         let is_evicted = machine.is_some_and(|machine| machine.eviction_at.is_some());
-        let has_time_limit = is_evicted || job.spec.kind == JobKind::Gang;
-        Takeover::kill_class(cancelled_for, self.config.cancel, has_time_limit)
+        let deadline = if is_evicted || job.spec.kind == JobKind::Gang {
+            KillDeadline::Bounded
+        } else {
+            KillDeadline::Unbounded
+        };
+        Takeover::kill_class(cancelled_for, self.config.cancel, deadline)
     }
 
     /// Takes the commands that a heartbeat shows as carried out off those that are outstanding.
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -11,7 +11,7 @@
 use crate::core::state::attempts::{Assignment, AttemptEnd};
 use crate::core::state::cluster_state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
-use cypressgap_recovery::unrecorded::{Disposition, StoredJobStatus};
+use cypressgap_recovery::unrecorded::{Disposition, ListedJobs, StoredJobStatus};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -117,7 +117,10 @@
         origin: HeartbeatOrigin,
         jobs: BTreeSet<JobId>,
     ) {
-        for job_id in self.takeover.on_unknown_jobs(now, machine, origin, jobs) {
+        for job_id in self
+            .takeover
+            .on_unknown_jobs(now, machine, ListedJobs { origin, jobs })
+        {
             log::warn!("task of an unknown job held until the store is read job={job_id} machine={machine}");
         }
     }
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -107,8 +107,8 @@
         let now = start.started_at;
         let clocks = start.clocks();
         let deployment = Deployment {
-            cancel: config.cancel,
-            machines: config.tuning.max_machines,
+            cancellation_deadline: config.cancel,
+            max_machines: config.tuning.max_machines,
         };
         ClusterState {
             term: start.term,
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -67,8 +67,8 @@
     /// The settings of recovery against each other and against the deployment's.
     fn check_recovery(&self, lines: &SettingLines) -> Result<(), Problem> {
         let deployment = Deployment {
-            cancel: self.config.cancel,
-            machines: self.config.tuning.max_machines,
+            cancellation_deadline: self.config.cancel,
+            max_machines: self.config.tuning.max_machines,
         };
         let Err(unusable) = self.config.recovery.validate(deployment) else {
             return Ok(());
--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -121,7 +121,7 @@
 fn worker_segment(address: std::net::SocketAddr) -> String {
     let config = paced(1.0, 1.0);
     let map = cypressgap_recovery::segments::SegmentMap::new(&[], config.recovery.prefixes);
-    map.of(address.ip()).to_string()
+    map.of_address(address.ip()).to_string()
 }
 
 /// A fleet in full use whose leases all ran out, or did not, and a second leader that follows the first
