--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -13,5 +13,6 @@
 pub mod server;
 pub mod status_queries;
 pub mod submission;
+mod submission_dependencies;
 pub mod submission_fairness;
 pub mod user_requests;
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -81,7 +81,7 @@
     ApiResponse::problem(503, "not now").with_retry_after(retry_after)
 }
 
-/// 503: when to come back depends on how many others are told the same.
+/// 503: when to come back depends on how many others are refused.
 pub(super) fn rate_exhausted(context: &ApiContext) -> ApiResponse {
     let retry_after = context.store.budget().retry_after().as_secs_f64().ceil() as u64;
     ApiResponse::problem(503, "the rate is used up").with_retry_after(retry_after)
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -173,7 +173,7 @@
     ))
 }
 
-/// The refusal of a request that can never succeed, which must not be told to come back.
+/// The refusal of a request that can never succeed, which gets no retry time.
 pub(super) fn final_refusal(request: &Request) -> Option<ApiResponse> {
     match route(&request.method, &request.path) {
         Err(refusal) => Some(refusal),
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Queries that wait for a thread: a storm's worth of a second or so. One more is told to come back.
+/// Queries that wait for a thread: a storm's worth of a second or so. One more is refused with a retry time.
 pub(super) const MAX_WAITING_QUERIES: usize = 512;
 /// Threads for queries: while one batch is under way, the next can be.
 pub const QUERY_THREADS: usize = 3;
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -2,7 +2,7 @@
 //!
 //! A job is accepted by one transaction that writes its record into the index of live jobs. The record
 //! names the dependencies that are not done, and the transaction is conditional on that none of them
-//! has an outcome; one that has is looked up anew.
+//! has an outcome; one that has is looked up again.
 //!
 //! Invariants: a job is durable before its submission is answered with 201. Repeating a submission is
 //! safe: the transaction is also conditional on that the job itself is neither known nor over.
@@ -12,27 +12,22 @@
 use crate::api::dependents_list::{self, DependentsListOutcome};
 use crate::api::job_lookup::known_job;
 use crate::api::responses::{job_state, unavailable, ApiResponse, CountsDetail};
+use crate::api::submission_dependencies::{resolve_dependencies, Dependencies};
 use crate::api::user_requests::STORE_CALL_LIMIT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::admission;
 use crate::core::model::{JobId, JobSpec};
-use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::keys::{live_job_key, outcome_key};
 use crate::core::persistence::records::JobOutcome;
 use crate::core::persistence::write_batch::KeyCondition;
-use crate::net::store::{
-    BudgetedReader, Change, ReadPurpose, StoreError, StoredValue, TransactionOutcome,
-};
+use crate::net::store::{Change, StoreError, StoredValue, TransactionOutcome};
 use crate::net::wire::{self, InvalidField, StoredJob, Submission, SubmissionId};
-use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a submission is tried, anew because a dependency ended meanwhile.
+/// How often a submission is tried, again because a dependency ended meanwhile.
 const MAX_ATTEMPTS: usize = 3;
 /// How long the accepting transaction may take.
 const ACCEPT_LIMIT: Duration = Duration::from_millis(2000);
-/// How long looking up dependencies may wait for the rate and for answers.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(1200);
 /// When a user should come back while there are too many jobs, in seconds.
 const TOO_MANY_JOBS_RETRY_S: u64 = 10;
 /// When a user should come back while the machine types are not known, in seconds.
@@ -75,15 +70,6 @@
     conditions: Vec<KeyCondition>,
 }
 
-/// The statuses of a submission's dependencies, taken together.
-enum Dependencies {
-    /// All were accepted, and these are not over.
-    Open(Vec<JobId>),
-    /// One of them is cancelled.
-    Cancelled,
-    NeverAccepted(JobId),
-}
-
 /// What came of one attempt to accept a submission.
 enum Attempt {
     Answered(ApiResponse),
@@ -271,74 +257,6 @@
     Ok(accept(spec, record, conditions))
 }
 
-/// Looks up the dependencies of a submission.
-fn resolve_dependencies(
-    context: &ApiContext,
-    job_id: &JobId,
-    dependencies: &[JobId],
-) -> Result<Dependencies, StoreError> {
-    if dependencies.contains(job_id) {
-        return Ok(Dependencies::NeverAccepted(job_id.clone()));
-    }
-    let found = statuses(context, dependencies)?;
-    let mut open = Vec::new();
-    let mut cancelled = false;
-    for dependency in dependencies {
-        match found.get(dependency) {
-            Some(Some(JobOutcome::Live)) => open.push(dependency.clone()),
-            Some(Some(JobOutcome::Done)) => {}
-            Some(Some(JobOutcome::Cancelled)) => cancelled = true,
-            Some(None) => return Ok(Dependencies::NeverAccepted(dependency.clone())),
-            None => return Err(StoreError::Unavailable),
-        }
-    }
-    Ok(if cancelled {
-        Dependencies::Cancelled
-    } else {
-        Dependencies::Open(open)
-    })
-}
-
-/// The statuses of these jobs; an error if any of them could not be looked up.
-fn statuses(
-    context: &ApiContext,
-    job_ids: &[JobId],
-) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
-    let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
-    let mut open: Vec<&JobId> = Vec::new();
-    for job_id in job_ids {
-        match context.view.final_outcome(job_id) {
-            Some(outcome) => {
-                found.insert(job_id.clone(), Some(outcome));
-            }
-            None => open.push(job_id),
-        }
-    }
-    let until = Instant::now() + LOOKUP_LIMIT;
-    let reads = BudgetedReader::new(
-        &context.store,
-        &context.stop,
-        ReadPurpose::UserChange,
-        until,
-    );
-    for chunk in open.chunks(context.config.transaction_limits.status_reads()) {
-        let chunk: BTreeSet<JobId> = chunk.iter().map(|job_id| (*job_id).clone()).collect();
-        let mut accepted = context.view.accepted_among(chunk.iter());
-        let (mut read, error) = job_status_reads::statuses(&reads, &chunk, &mut accepted);
-        found.extend(
-            read.iter()
-                .map(|(job_id, status)| (job_id.clone(), *status)),
-        );
-        // Users are told of a cancellation only once it is confirmed.
-        read.retain(|_, status| *status != Some(JobOutcome::Cancelled));
-        context.view.remember_statuses(&read);
-        if let Some(e) = error {
-            return Err(e);
-        }
-    }
-    Ok(found)
-}
-
 /// A job that names a cancelled one is accepted all the same, and is cancelled. No job can depend on
 /// it yet.
 fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -2,13 +2,13 @@
 //!
 //! The leader reads the log of each of its peers by position, and so learns of cancellations that it
 //! cannot read from the key-value store. A position means nothing to another incarnation, whose log
-//! begins anew: a reader that asks for one is told so and counts nothing as covered.
+//! starts empty: a reader that asks for one learns so and counts nothing as covered.
 
 use crate::core::model::JobId;
 use crate::net::peer::CancellationPosition;
 use std::collections::VecDeque;
 
-/// Cancellations kept for readers. A reader that falls further behind begins anew.
+/// Cancellations kept for readers. A reader that falls further behind starts at the end.
 const MAX_ENTRIES: usize = 20_000;
 /// Cancellations in one page.
 const MAX_PAGE: usize = 5_000;
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Remembers how a job ended. From now on users may be told so.
+    /// Remembers how a job ended. From now on users are answered with it.
     pub fn remember_outcome(&self, job_id: &JobId, outcome: JobOutcome) {
         self.write().jobs.insert_outcome(job_id, outcome);
     }
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -1,9 +1,10 @@
 //! Has the core's actions carried out by the other threads.
 //!
-//! Nothing here waits. An action whose channel is full fails at once, and the core is told so; it asks
-//! for it again when it still wants it.
+//! Nothing here waits. An action whose channel is full fails at once, and the core asks for it again
+//! when it still wants it.
 
 use crate::core::capacity::RentalOutcome;
+use crate::core::model::MachineId;
 use crate::core::persistence::write_batch::WriteOutcome;
 use crate::core::state::cluster_state::{Action, ClusterState};
 use crate::net::wire::RentRequest;
@@ -19,93 +20,112 @@
     now: Instant,
     channels: &ActionChannels,
 ) {
+    let mut dispatcher = Dispatcher {
+        cluster,
+        now,
+        channels,
+    };
     for action in actions {
-        perform_one(cluster, action, now, channels);
+        dispatcher.perform(action);
     }
     for job_id in cluster.jobs.take_removed() {
         context.view.remove_progress(&job_id);
     }
 }
 
-fn perform_one(
-    cluster: &mut ClusterState,
-    action: Action,
+struct Dispatcher<'a> {
+    cluster: &'a mut ClusterState,
     now: Instant,
-    channels: &ActionChannels,
-) {
-    let term = cluster.term;
-    match action {
-        Action::Store(batch) => {
-            let transaction = LeaderTransaction { term, batch };
-            if channels.transactions.try_send(transaction).is_err() {
-                cluster.on_write_outcome(now, WriteOutcome::Unknown);
-            }
-        }
-        Action::Send {
-            machine,
-            endpoint,
-            token,
-            incarnation,
-            commands,
-        } => {
-            let delivery = CommandDelivery {
+    channels: &'a ActionChannels,
+}
+
+impl Dispatcher<'_> {
+    fn perform(&mut self, action: Action) {
+        let term = self.cluster.term;
+        match action {
+            Action::Store(batch) => self.write(LeaderTransaction { term, batch }),
+            Action::Send {
+                machine,
+                endpoint,
+                token,
+                incarnation,
+                commands,
+            } => self.send(CommandDelivery {
                 term,
-                machine: machine.clone(),
+                machine,
                 endpoint,
                 token,
                 incarnation,
                 commands,
-            };
-            if channels.commands.try_send(delivery).is_err() {
-                // The answer to the machine's next heartbeat carries them.
-                cluster.on_command_response(now, &machine, None);
-            }
-        }
-        Action::Probe {
-            machine,
-            endpoint,
-            token,
-            incarnation,
-        } => {
-            // Without commands: it shows the term's token and is answered with a heartbeat.
-            let delivery = CommandDelivery {
+            }),
+            Action::Probe {
+                machine,
+                endpoint,
+                token,
+                incarnation,
+            } => self.probe(CommandDelivery {
                 term,
                 machine,
                 endpoint,
                 token,
                 incarnation,
+                // Without commands: it shows the term's token and is answered with a heartbeat.
                 commands: Vec::new(),
-            };
-            // When the senders are busy, the machine's own heartbeat will do.
-            let _ = channels.commands.try_send(delivery);
-        }
-        Action::Rent {
-            idempotency_key,
-            machine_type,
-            zone,
-            spot,
-            number,
-        } => {
-            let request = RentRequest {
-                idempotency_key: idempotency_key.clone(),
+            }),
+            Action::Rent {
+                idempotency_key,
+                machine_type,
+                zone,
+                spot,
+                number,
+            } => self.rent(RentRequest {
+                idempotency_key,
                 machine_type: machine_type.0,
                 zone: zone.0,
                 spot,
                 count: number,
-            };
-            let order = CloudOrder::Rent { term, request };
-            if channels.cloud_orders.try_send(order).is_err() {
-                cluster.on_rented(now, &idempotency_key, RentalOutcome::Unknown);
-            }
+            }),
+            Action::Return { machines } => self.return_machines(machines),
         }
-        Action::Return { machines } => {
-            let order = CloudOrder::Return {
-                term,
-                machines: machines.clone(),
-            };
-            if channels.cloud_orders.try_send(order).is_err() {
-                cluster.on_return_failed(&machines);
-            }
+    }
+
+    fn write(&mut self, transaction: LeaderTransaction) {
+        if self.channels.transactions.try_send(transaction).is_err() {
+            self.cluster
+                .on_write_outcome(self.now, WriteOutcome::Unknown);
+        }
+    }
+
+    fn send(&mut self, delivery: CommandDelivery) {
+        if let Err(e) = self.channels.commands.try_send(delivery) {
+            // The answer to the machine's next heartbeat carries the commands.
+            let machine = e.into_inner().machine;
+            self.cluster.on_command_response(self.now, &machine, None);
+        }
+    }
+
+    fn probe(&self, delivery: CommandDelivery) {
+        // When the senders are busy, the machine's own heartbeat will do.
+        let _ = self.channels.commands.try_send(delivery);
+    }
+
+    fn rent(&mut self, request: RentRequest) {
+        let idempotency_key = request.idempotency_key.clone();
+        let term = self.cluster.term;
+        let order = CloudOrder::Rent { term, request };
+        if self.channels.cloud_orders.try_send(order).is_err() {
+            let outcome = RentalOutcome::Unknown;
+            self.cluster.on_rented(self.now, &idempotency_key, outcome);
+        }
+    }
+
+    fn return_machines(&mut self, machines: Vec<MachineId>) {
+        let order = CloudOrder::Return {
+            term: self.cluster.term,
+            machines: machines.clone(),
+        };
+        if self.channels.cloud_orders.try_send(order).is_err() {
+            self.cluster.on_return_failed(&machines);
         }
     }
 }
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -24,7 +24,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Before loading begins anew.
+/// Before loading is tried again.
 const RELOAD_PAUSE: Duration = Duration::from_millis(400);
 /// How long one page of a list may take.
 const PAGE_LIMIT: Duration = Duration::from_secs(6);
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -29,14 +29,14 @@
     ended: Vec<String>,
 }
 
-/// The progress that a peer was told of.
+/// The progress that a peer has acknowledged.
 #[derive(Default)]
 struct AnnouncedProgress {
     counts: HashMap<JobId, TaskCounts>,
 }
 
 impl AnnouncedProgress {
-    /// What the peer has to be told, if this node leads.
+    /// What has changed since, if this node leads.
     fn update(&mut self, context: &NodeContext) -> ProgressUpdate {
         let mut update = ProgressUpdate::default();
         let state = context.view.read();
