--- a/crates/model/src/heartbeats.rs
+++ b/crates/model/src/heartbeats.rs
@@ -1,107 +1,110 @@
-//! What workers report, and what they are told.
+//! Heartbeats of agents, and the commands that agents receive.
+//!
+//! Invariant: every status and command names its attempt, so that one that arrives late cannot concern a later
+//! attempt of the same task.
 
 use crate::{AttemptId, FencingToken, MachineId, MachineTypeName, TaskId, Zone};
 use std::time::Duration;
 
-/// How a task ended.
+/// Why an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     Completed,
-    /// It was told to stop.
+    /// A kill stopped it.
     Stopped {
-        /// It saved first.
+        /// Whether it saved a checkpoint first.
         stored: bool,
     },
     /// Another member of its gang ended.
     GangMemberEnded,
-    /// Its gang did not assemble in time.
+    /// Its gang was not complete in time.
     GangIncomplete,
     /// It failed by itself.
     Failed,
-    /// The worker had no room for it.
+    /// The machine lacked the resources for it.
     InsufficientResources,
-    /// The worker still had an earlier attempt.
+    /// An earlier attempt of the task was still running there.
     EarlierAttemptRunning,
-    /// The worker refused it: it knows of no such job or task.
+    /// The agent rejected it: it knows no such job or task.
     UnknownTask,
 }
 
-/// How far a task is on its machine.
+/// The phase of an attempt on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
     /// Its image is being fetched.
     Fetching,
-    /// It waits for its gang.
+    /// It waits for the other members of its gang.
     WaitingForGang,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It was told to stop and saves.
+    /// It was killed and saves a checkpoint.
     Checkpointing,
-    /// It is over.
+    /// It ended.
     Ended(ExitReason),
 }
 
-/// One task of a report.
+/// The status of one attempt in a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskStatus {
-    /// The task.
+    /// The task that it is an attempt of.
     pub task: TaskId,
-    /// The attempt that the worker was given.
+    /// The attempt, as the launch named it.
     pub attempt: AttemptId,
-    /// How far it is.
+    /// Its phase.
     pub phase: TaskPhase,
 }
 
-/// A worker's report, or the body of a direct answer.
+/// A heartbeat of an agent, or the body of its response to a direct command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// The machine that the agent runs on.
     pub machine: MachineId,
-    /// Where it takes commands.
+    /// The address at which the agent receives commands.
     pub endpoint: String,
-    /// Its type.
+    /// The type of the machine.
     pub machine_type: MachineTypeName,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: Zone,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot instance, which the cloud may evict.
     pub spot: bool,
-    /// The number of its session. A new one begins when its lease has run out.
+    /// The agent's incarnation. A new one begins when its lease has expired.
     pub incarnation: u64,
-    /// Increases with every message of a session.
+    /// Increases with every message of an incarnation.
     pub serial: u64,
-    /// The highest token that it has seen.
+    /// The highest fencing token that the agent has seen.
     pub token: FencingToken,
-    /// When the cloud will take it, if that is known.
+    /// The time until the cloud evicts the machine, if that is announced.
     pub eviction: Option<Duration>,
-    /// The tasks on it, ended ones too until they may be forgotten.
+    /// The attempts on it, including ended ones that no command has told it to forget.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// A command to an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskCommand {
-    /// Start a task.
+    /// Start an attempt.
     Launch {
-        /// The task.
+        /// The task that it is an attempt of.
         task: TaskId,
-        /// The attempt meant.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Stop a task, with so much time to save.
+    /// Stop an attempt, with time to save a checkpoint.
     Kill {
-        /// The task.
+        /// The task that it is an attempt of.
         task: TaskId,
-        /// The attempt meant.
+        /// The attempt.
         attempt: AttemptId,
-        /// How long it may save.
+        /// The time that it may take to save.
         grace_period: Duration,
     },
-    /// Leave an ended task out of later reports.
+    /// Omit an ended attempt from later heartbeats.
     Forget {
-        /// The task.
+        /// The task that it is an attempt of.
         task: TaskId,
-        /// The attempt meant.
+        /// The attempt.
         attempt: AttemptId,
     },
 }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,6 @@
-//! Names of jobs, tasks, machines, teams, zones and images.
+//! Identifiers of jobs, tasks, machines, teams, zones and images.
+//!
+//! Only `parse` validates a job's or task's id; a [`JobId`] that is made from a string directly is taken as it is.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -14,8 +16,8 @@
             }
         }
         impl From<&str> for $name {
-            fn from(s: &str) -> Self {
-                $name(s.to_owned())
+            fn from(text: &str) -> Self {
+                $name(text.to_owned())
             }
         }
     };
@@ -43,25 +45,26 @@
 );
 
 impl JobId {
-    /// Ids always read `wk-` and digits. Anything else never names a job.
-    pub fn parse(s: &str) -> Option<JobId> {
-        let digits = s.strip_prefix("wk-")?;
-        let fits = (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        fits.then(|| JobId(s.to_owned()))
+    /// Parses an id: `wk-` and 1 to 20 digits. No other text identifies a job.
+    pub fn parse(text: &str) -> Option<JobId> {
+        let digits = text.strip_prefix("wk-")?;
+        let is_valid =
+            (1..=20).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_valid.then(|| JobId(text.to_owned()))
     }
 }
 
-/// An image's name, hashed: what a machine holds is compared for every job and machine of a round.
-/// Two names that meet would only mislead an estimate.
+/// The hash of an image's name, since each round compares images for every job and machine. A collision would
+/// only distort an estimate of fetch time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ImageKey(pub u64);
 
 impl ImageKey {
     /// The key of an image's name.
     pub fn of(name: &str) -> ImageKey {
-        let mut h = fnv::FnvHasher::default();
-        h.write(name.as_bytes());
-        ImageKey(h.finish())
+        let mut hasher = fnv::FnvHasher::default();
+        hasher.write(name.as_bytes());
+        ImageKey(hasher.finish())
     }
 }
 
@@ -70,14 +73,14 @@
 pub struct TaskId {
     /// The task's job.
     pub job_id: JobId,
-    /// Its place in the job, from 0.
+    /// The index of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// From `UID/INDEX`, as workers name it.
-    pub fn parse(s: &str) -> Option<TaskId> {
-        let (job_id, index) = s.rsplit_once('/')?;
+    /// Parses `JOB/INDEX`, the form that agents use.
+    pub fn parse(text: &str) -> Option<TaskId> {
+        let (job_id, index) = text.rsplit_once('/')?;
         Some(TaskId {
             job_id: JobId::parse(job_id)?,
             index: index.parse().ok()?,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,4 +1,7 @@
-//! The types that the packages of cypressgap share: identities, tokens, amounts and reports.
+//! The types that the packages of cypressgap share: identifiers, fencing tokens, resources and heartbeats.
+//!
+//! They hold no behaviour of the scheduler and no wire form: the wire and the stored records map to them at the
+//! edge.
 
 #![warn(missing_docs)]
 
