--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -1,9 +1,11 @@
-//! Amounts of a machine.
+//! Amounts of a machine's resources, and their arithmetic.
+//!
+//! Invariant: comparisons allow for [`RESOURCE_EPSILON`], since sums of decimal fractions are not exact.
 
-/// An amount of a machine.
+/// An amount of each resource of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors, or parts of them.
+    /// Processors; fractions are allowed.
     pub cpus: f64,
     /// Graphics processors.
     pub gpus: f64,
@@ -11,59 +13,71 @@
     pub memory: f64,
 }
 
-/// Sums of decimal amounts drift by rounding; this much is not a shortage.
+/// The rounding error up to which a shortage is ignored.
 pub const RESOURCE_EPSILON: f64 = 1e-6;
 
+/// The count that stands for "any number", for an amount that needs nothing.
+const UNBOUNDED_COUNT: usize = 1000;
+
 impl Resources {
-    /// Whether there is room for it.
+    /// Whether this amount fits into `free`.
+    #[must_use]
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus + RESOURCE_EPSILON
             && self.gpus <= free.gpus + RESOURCE_EPSILON
             && self.memory <= free.memory + RESOURCE_EPSILON
     }
+
     /// Adds another amount.
-    pub fn add(&mut self, o: &Resources) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.memory += o.memory;
+    pub fn add(&mut self, other: &Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory += other.memory;
     }
-    /// Takes another amount away.
-    pub fn sub(&mut self, o: &Resources) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.memory -= o.memory;
+
+    /// Subtracts another amount.
+    pub fn sub(&mut self, other: &Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory -= other.memory;
     }
-    /// So many times this amount.
-    pub fn times(&self, n: f64) -> Resources {
+
+    /// This amount `count` times.
+    #[must_use]
+    pub fn times(&self, count: f64) -> Resources {
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory: self.memory * n,
+            cpus: self.cpus * count,
+            gpus: self.gpus * count,
+            memory: self.memory * count,
         }
     }
-    /// How many of `self` go into `room`.
+
+    /// How many times this amount fits into `room`; 1000 if it needs nothing.
+    #[must_use]
     pub fn count_in(&self, room: &Resources) -> usize {
-        let one = |resources: f64, room: f64| {
-            if resources <= 0.0 {
+        let count_of = |amount: f64, room: f64| {
+            if amount <= 0.0 {
                 f64::INFINITY
             } else {
-                ((room + RESOURCE_EPSILON) / resources).floor().max(0.0)
+                ((room + RESOURCE_EPSILON) / amount).floor().max(0.0)
             }
         };
-        let n = one(self.cpus, room.cpus)
-            .min(one(self.gpus, room.gpus))
-            .min(one(self.memory, room.memory));
-        if n.is_finite() {
-            n as usize
+        let count = count_of(self.cpus, room.cpus)
+            .min(count_of(self.gpus, room.gpus))
+            .min(count_of(self.memory, room.memory));
+        if count.is_finite() {
+            count as usize
         } else {
-            1000
+            UNBOUNDED_COUNT
         }
     }
-    /// The largest share of `whole` that any one resource takes.
+
+    /// The dominant share: the largest share of `whole` that any one resource takes.
+    #[must_use]
     pub fn share_of(&self, whole: &Resources) -> f64 {
-        let one = |resources: f64, whole: f64| if whole > 0.0 { resources / whole } else { 0.0 };
-        one(self.cpus, whole.cpus)
-            .max(one(self.gpus, whole.gpus))
-            .max(one(self.memory, whole.memory))
+        let share = |amount: f64, whole: f64| if whole > 0.0 { amount / whole } else { 0.0 };
+        share(self.cpus, whole.cpus)
+            .max(share(self.gpus, whole.gpus))
+            .max(share(self.memory, whole.memory))
     }
 }
