--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -15,7 +15,7 @@
 use crate::api::user_requests::STORE_CALL_LIMIT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
-use crate::core::persistence::job_status_reads::{self, Records};
+use crate::core::persistence::job_status_reads::{self, JobRecordReader, JobRecordStatus};
 use crate::core::persistence::keys::{cancel_mark_key, live_job_key, outcome_key};
 use crate::core::persistence::records::JobOutcome;
 use crate::core::persistence::write_batch::KeyCondition;
@@ -187,14 +187,14 @@
     while !left.is_empty() {
         let absent = left.keys().take(max_keys).map(KeyCondition::absent);
         let expected: Vec<KeyCondition> = absent.collect();
-        let differing = reads.differing(&expected)?;
-        if differing.is_empty() {
+        let existing = reads.mismatched_keys(&expected)?;
+        if existing.is_empty() {
             for condition in &expected {
                 left.remove(&condition.key);
             }
         }
         // Perhaps not all of them are named: the others are compared again.
-        indexed.extend(differing.iter().filter_map(|key| left.remove(key)));
+        indexed.extend(existing.iter().filter_map(|key| left.remove(key)));
     }
     Ok(indexed)
 }
@@ -287,13 +287,13 @@
         let chunk: BTreeSet<JobId> = chunk.iter().cloned().collect();
         let mut accepted = chunk.clone();
         let reads = outcome_reads(context);
-        let (found, error) = job_status_reads::statuses(&reads, &chunk, &mut accepted);
-        if let Some(e) = error {
+        let read = job_status_reads::read_statuses(&reads, &chunk, &mut accepted);
+        if let Some(e) = read.error {
             return Err(e);
         }
         let before = cancelled.len();
-        let is_cancelled =
-            |job_id: &&JobId| found.get(*job_id) == Some(&Some(JobOutcome::Cancelled));
+        let cancelled_status = JobRecordStatus::Accepted(JobOutcome::Cancelled);
+        let is_cancelled = |job_id: &&JobId| read.statuses.get(*job_id) == Some(&cancelled_status);
         cancelled.extend(chunk.iter().filter(is_cancelled).cloned());
         if cancelled.len() - before < chunk.len() {
             break;
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -92,8 +92,10 @@
 
 fn status_response(context: &ApiContext, job_id: &JobId, status: JobRecordStatus) -> ApiResponse {
     match status {
-        Some(outcome) => job_state(context, 200, job_id, outcome, CountsDetail::Included),
-        None => no_such_job(),
+        JobRecordStatus::Accepted(outcome) => {
+            job_state(context, 200, job_id, outcome, CountsDetail::Included)
+        }
+        JobRecordStatus::NeverAccepted => no_such_job(),
     }
 }
 
@@ -121,7 +123,9 @@
     for job_id in job_ids {
         match context.view.final_outcome(job_id) {
             Some(outcome) => {
-                lookup.found.insert(job_id.clone(), Some(outcome));
+                lookup
+                    .found
+                    .insert(job_id.clone(), JobRecordStatus::Accepted(outcome));
             }
             None => {
                 open.insert(job_id.clone());
@@ -149,7 +153,8 @@
 ) -> Lookup {
     let mut accepted = context.view.accepted_among(open.iter());
     let accepted_before = accepted.len();
-    let (mut found, error) = job_status_reads::statuses(reads, open, &mut accepted);
+    let read = job_status_reads::read_statuses(reads, open, &mut accepted);
+    let (mut found, error) = (read.statuses, read.error);
     if accepted.len() > accepted_before {
         context.view.remember_accepted(accepted.iter());
     }
@@ -168,7 +173,8 @@
     context: &ApiContext,
     found: &mut HashMap<JobId, JobRecordStatus>,
 ) -> Option<StoreError> {
-    let is_cancelled = |status: &JobRecordStatus| *status == Some(JobOutcome::Cancelled);
+    let is_cancelled =
+        |status: &JobRecordStatus| *status == JobRecordStatus::Accepted(JobOutcome::Cancelled);
     let cancelled: BTreeSet<JobId> = found
         .iter()
         .filter(|(_, status)| is_cancelled(status))
@@ -198,10 +204,10 @@
     for (job_id, status) in job_ids.iter().zip(statuses) {
         let status = match status {
             PeerJobStatus::Unknown => continue,
-            PeerJobStatus::NeverAccepted => None,
-            PeerJobStatus::Live => Some(JobOutcome::Live),
-            PeerJobStatus::Done => Some(JobOutcome::Done),
-            PeerJobStatus::Cancelled => Some(JobOutcome::Cancelled),
+            PeerJobStatus::NeverAccepted => JobRecordStatus::NeverAccepted,
+            PeerJobStatus::Live => JobRecordStatus::Accepted(JobOutcome::Live),
+            PeerJobStatus::Done => JobRecordStatus::Accepted(JobOutcome::Done),
+            PeerJobStatus::Cancelled => JobRecordStatus::Accepted(JobOutcome::Cancelled),
         };
         found.insert((*job_id).clone(), status);
     }
@@ -227,10 +233,10 @@
     }
     let status = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|id| found.get(id)) {
         None => PeerJobStatus::Unknown,
-        Some(None) => PeerJobStatus::NeverAccepted,
-        Some(Some(JobOutcome::Live)) => PeerJobStatus::Live,
-        Some(Some(JobOutcome::Done)) => PeerJobStatus::Done,
-        Some(Some(JobOutcome::Cancelled)) => PeerJobStatus::Cancelled,
+        Some(JobRecordStatus::NeverAccepted) => PeerJobStatus::NeverAccepted,
+        Some(JobRecordStatus::Accepted(JobOutcome::Live)) => PeerJobStatus::Live,
+        Some(JobRecordStatus::Accepted(JobOutcome::Done)) => PeerJobStatus::Done,
+        Some(JobRecordStatus::Accepted(JobOutcome::Cancelled)) => PeerJobStatus::Cancelled,
     };
     job_ids.iter().map(status).collect()
 }
--- a/src/api/submission_dependencies.rs
+++ b/src/api/submission_dependencies.rs
@@ -34,10 +34,12 @@
     let mut cancelled = false;
     for dependency in dependencies {
         match found.get(dependency) {
-            Some(Some(JobOutcome::Live)) => open.push(dependency.clone()),
-            Some(Some(JobOutcome::Done)) => {}
-            Some(Some(JobOutcome::Cancelled)) => cancelled = true,
-            Some(None) => return Ok(Dependencies::NeverAccepted(dependency.clone())),
+            Some(JobRecordStatus::Accepted(JobOutcome::Live)) => open.push(dependency.clone()),
+            Some(JobRecordStatus::Accepted(JobOutcome::Done)) => {}
+            Some(JobRecordStatus::Accepted(JobOutcome::Cancelled)) => cancelled = true,
+            Some(JobRecordStatus::NeverAccepted) => {
+                return Ok(Dependencies::NeverAccepted(dependency.clone()))
+            }
             None => return Err(StoreError::Unavailable),
         }
     }
@@ -58,7 +60,7 @@
     for job_id in job_ids {
         match context.view.final_outcome(job_id) {
             Some(outcome) => {
-                found.insert(job_id.clone(), Some(outcome));
+                found.insert(job_id.clone(), JobRecordStatus::Accepted(outcome));
             }
             None => open.push(job_id),
         }
@@ -73,14 +75,16 @@
     for chunk in open.chunks(context.config.transaction_limits.status_reads()) {
         let chunk: BTreeSet<JobId> = chunk.iter().map(|job_id| (*job_id).clone()).collect();
         let mut accepted = context.view.accepted_among(chunk.iter());
-        let (mut read, error) = job_status_reads::statuses(&reads, &chunk, &mut accepted);
+        let read = job_status_reads::read_statuses(&reads, &chunk, &mut accepted);
+        let (mut statuses, error) = (read.statuses, read.error);
         found.extend(
-            read.iter()
+            statuses
+                .iter()
                 .map(|(job_id, status)| (job_id.clone(), *status)),
         );
         // Users are told of a cancellation only once it is confirmed.
-        read.retain(|_, status| *status != Some(JobOutcome::Cancelled));
-        context.view.remember_statuses(&read);
+        statuses.retain(|_, status| *status != JobRecordStatus::Accepted(JobOutcome::Cancelled));
+        context.view.remember_statuses(&statuses);
         if let Some(e) = error {
             return Err(e);
         }
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -133,15 +133,18 @@
     /// Takes in the status of jobs that were looked up. A job whose lookup failed is not among them.
     pub fn on_job_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
         for (job_id, status) in statuses {
-            let answer = match status {
-                None => StoredJobStatus::NeverAccepted,
-                Some(JobOutcome::Live) => StoredJobStatus::Live,
-                Some(JobOutcome::Done | JobOutcome::Cancelled) => StoredJobStatus::Over,
+            let stored_status = match status {
+                JobRecordStatus::NeverAccepted => StoredJobStatus::NeverAccepted,
+                JobRecordStatus::Accepted(JobOutcome::Live) => StoredJobStatus::Live,
+                JobRecordStatus::Accepted(JobOutcome::Done | JobOutcome::Cancelled) => {
+                    StoredJobStatus::Over
+                }
             };
-            if answer == StoredJobStatus::NeverAccepted {
+            if stored_status == StoredJobStatus::NeverAccepted {
                 log::error!("machines report tasks of a job that was never accepted job={job_id}");
             }
-            self.takeover.on_stored_job_status(now, job_id, answer);
+            self.takeover
+                .on_stored_job_status(now, job_id, stored_status);
         }
     }
 }
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -4,7 +4,7 @@
 use super::{Entry, KvStore, StoreError, TransactionOutcome};
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
-use crate::core::persistence::job_status_reads::{Page, Records};
+use crate::core::persistence::job_status_reads::{JobRecordReader, OutcomeEntry, OutcomePage};
 use crate::core::persistence::keys::OUTCOME_PREFIX;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::persistence::write_batch::KeyCondition;
@@ -99,10 +99,10 @@
     }
 }
 
-impl Records for BudgetedReader<'_> {
+impl JobRecordReader for BudgetedReader<'_> {
     type Error = StoreError;
 
-    fn differing(&self, expected: &[KeyCondition]) -> Result<Vec<String>, StoreError> {
+    fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, StoreError> {
         self.take_budget()?;
         let outcome = self
             .store
@@ -113,9 +113,9 @@
         }
     }
 
-    fn outcomes(&self, from: &str) -> Result<Page, StoreError> {
+    fn outcomes_after(&self, key: &str) -> Result<OutcomePage, StoreError> {
         self.take_budget()?;
-        let path = format!("/store?Under={OUTCOME_PREFIX}&From={from}&Most={PAGE_SIZE}");
+        let path = format!("/store?Under={OUTCOME_PREFIX}&From={key}&Most={PAGE_SIZE}");
         let response = self.store.call_without_body("GET", &path, self.timeout())?;
         if response.status != 200 {
             return Err(StoreError::Unavailable);
@@ -123,10 +123,16 @@
         let page: ListResponse<StoredOutcome> = response.decode().ok_or(StoreError::Unavailable)?;
         let outcome = |entry: ListEntry<StoredOutcome>| {
             let outcome = JobOutcome::try_from(&entry.value).ok()?;
-            Some((entry.key, outcome))
+            Some(OutcomeEntry {
+                key: entry.key,
+                outcome,
+            })
         };
-        let outcomes = page.entries.into_iter().filter_map(outcome).collect();
-        Ok((outcomes, page.has_next))
+        let entries = page.entries.into_iter().filter_map(outcome).collect();
+        Ok(OutcomePage {
+            entries,
+            has_next: page.has_next,
+        })
     }
 
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, StoreError> {
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -120,7 +120,7 @@
     ) -> Vec<&'a JobId> {
         let live = found
             .iter()
-            .filter(|(_, status)| **status == Some(JobOutcome::Live));
+            .filter(|(_, status)| **status == JobRecordStatus::Accepted(JobOutcome::Live));
         live.map(|(job_id, _)| job_id)
             .filter(|job_id| !self.is_accepted(job_id))
             .collect()
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -250,7 +250,9 @@
             self.remember_accepted(accepted.into_iter());
         }
         for (job_id, status) in found {
-            if let Some(outcome @ (JobOutcome::Done | JobOutcome::Cancelled)) = status {
+            if let JobRecordStatus::Accepted(outcome @ (JobOutcome::Done | JobOutcome::Cancelled)) =
+                status
+            {
                 self.remember_outcome(job_id, *outcome);
             }
         }
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -210,7 +210,7 @@
     let statuses = status_reads::read_accepted(context, &job_ids, stop)?;
     let outcomes = statuses
         .into_iter()
-        .filter_map(|(job_id, status)| Some((job_id, status?)))
+        .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)))
         .filter(|(_, outcome)| *outcome != JobOutcome::Live);
     Ok(outcomes.collect())
 }
@@ -234,7 +234,7 @@
     let statuses = status_reads::read_accepted(context, &ended, stop)?;
     let outcomes = statuses
         .into_iter()
-        .filter_map(|(job_id, status)| Some((job_id, status?)));
+        .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
     Ok(outcomes.collect())
 }
 
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -90,7 +90,7 @@
         if let Ok(found) = status_reads::read_accepted(self.context, &due, self.stop) {
             let outcomes = found
                 .into_iter()
-                .filter_map(|(job_id, status)| Some((job_id, status?)));
+                .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
             self.send(TermEvent::DependenciesEnded(outcomes.collect()));
         }
     }
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -39,10 +39,10 @@
         loop {
             let until = (Instant::now() + CALL_LIMIT).min(deadline);
             let reads = BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, until);
-            let (found, error) = job_status_reads::statuses(&reads, &left, &mut accepted);
-            left.retain(|job_id| !found.contains_key(job_id));
-            statuses.extend(found);
-            match error {
+            let read = job_status_reads::read_statuses(&reads, &left, &mut accepted);
+            left.retain(|job_id| !read.statuses.contains_key(job_id));
+            statuses.extend(read.statuses);
+            match read.error {
                 None => break,
                 Some(e) if Instant::now() + RETRY_PAUSE >= deadline || stop.wait(RETRY_PAUSE) => {
                     return Err(e)
@@ -83,11 +83,11 @@
             ReadPurpose::LeaderDuty,
             until,
         );
-        let (found, error) = job_status_reads::statuses(&reads, &chunk, &mut BTreeSet::new());
-        if let Some(e) = error {
+        let read = job_status_reads::read_statuses(&reads, &chunk, &mut BTreeSet::new());
+        if let Some(e) = read.error {
             log::info!("statuses of unrecorded jobs not read error=\"{e}\"");
         }
-        let statuses: Vec<(JobId, JobRecordStatus)> = found.into_iter().collect();
+        let statuses: Vec<(JobId, JobRecordStatus)> = read.statuses.into_iter().collect();
         if !statuses.is_empty() {
             let event = TermEvent::StatusesRead(statuses);
             let _ = context.events.send(event.in_term(term));
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -3,6 +3,7 @@
 use super::{is_kill, job_id, red, running, taken_over, EARLIER};
 use crate::common::*;
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::job_status_reads::JobRecordStatus;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::reconciliation::stored_snapshot::StoredSnapshot;
 use cypressgap::core::state::cluster_state::HeartbeatDecision;
@@ -104,9 +105,10 @@
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         fixture.pass(secs(after));
-        fixture
-            .cluster
-            .on_job_statuses(fixture.now, &[(lost_job_id.clone(), None)]);
+        fixture.cluster.on_job_statuses(
+            fixture.now,
+            &[(lost_job_id.clone(), JobRecordStatus::NeverAccepted)],
+        );
         let (_, d) = fixture.heartbeat("i-9", serial, vec![lost()]);
         assert_eq!(d.iter().any(is_kill), killed, "{serial}");
         assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
@@ -127,9 +129,10 @@
     let mut fixture = taken_over(config(), vec![], 0);
     let (_, d) = fixture.heartbeat("i-9", 1, vec![running(0)]);
     assert!(d.is_empty());
-    fixture
-        .cluster
-        .on_job_statuses(fixture.now, &[(job_id(), Some(JobOutcome::Live))]);
+    fixture.cluster.on_job_statuses(
+        fixture.now,
+        &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
+    );
     fixture.job(spec("wk-000001", 1, 4.0));
     let (_, d) = fixture.heartbeat("i-9", 2, vec![running(0)]);
     assert_eq!(d, []);
@@ -179,9 +182,10 @@
     for serial in 1..20 {
         let (_, d) = fixture.heartbeat("i-9", serial, vec![running(0)]);
         assert_eq!(d, vec![], "{serial}");
-        fixture
-            .cluster
-            .on_job_statuses(fixture.now, &[(job_id(), Some(JobOutcome::Live))]);
+        fixture.cluster.on_job_statuses(
+            fixture.now,
+            &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
+        );
         fixture.pass(secs(10));
     }
     assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -2,7 +2,9 @@
 
 use cypressgap::core::model::JobId;
 use cypressgap::core::persistence::job_status_reads;
-use cypressgap::core::persistence::job_status_reads::{JobRecordStatus, Page, Records};
+use cypressgap::core::persistence::job_status_reads::{
+    JobRecordReader, JobRecordStatus, OutcomeEntry, OutcomePage, StatusRead,
+};
 use cypressgap::core::persistence::keys::{live_job_key, outcome_key};
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::persistence::write_batch::KeyCondition;
@@ -28,25 +30,29 @@
     }
 }
 
-impl Records for Shelf {
+impl JobRecordReader for Shelf {
     type Error = &'static str;
-    fn differing(&self, expected: &[KeyCondition]) -> Result<Vec<String>, &'static str> {
+    fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, &'static str> {
         self.called()?;
         let exists = |k: &String| self.live.contains(k) || self.said.contains_key(k);
-        let differing = expected
+        let mismatched = expected
             .iter()
             .filter(|c| exists(&c.key) != (c.revision > 0));
-        Ok(differing.take(self.named).map(|c| c.key.clone()).collect())
+        Ok(mismatched.take(self.named).map(|c| c.key.clone()).collect())
     }
-    fn outcomes(&self, from: &str) -> Result<Page, &'static str> {
+    fn outcomes_after(&self, key: &str) -> Result<OutcomePage, &'static str> {
         self.called()?;
-        let after = self.said.iter().filter(|(k, _)| k.as_str() > from);
+        let after = self.said.iter().filter(|(k, _)| k.as_str() > key);
         let page: Vec<_> = after.clone().take(self.page).collect();
         let more = after.count() > page.len();
-        Ok((
-            page.into_iter().map(|(k, v)| (k.clone(), *v)).collect(),
-            more,
-        ))
+        let entries = page.into_iter().map(|(key, outcome)| OutcomeEntry {
+            key: key.clone(),
+            outcome: *outcome,
+        });
+        Ok(OutcomePage {
+            entries: entries.collect(),
+            has_next: more,
+        })
     }
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
         self.called()?;
@@ -84,10 +90,10 @@
 
 fn truth(n: u32) -> JobRecordStatus {
     match n {
-        0..=99 | 160..=169 => Some(JobOutcome::Live),
-        100..=149 => Some(JobOutcome::Done),
-        150..=159 => Some(JobOutcome::Cancelled),
-        _ => None,
+        0..=99 | 160..=169 => JobRecordStatus::Accepted(JobOutcome::Live),
+        100..=149 => JobRecordStatus::Accepted(JobOutcome::Done),
+        150..=159 => JobRecordStatus::Accepted(JobOutcome::Cancelled),
+        _ => JobRecordStatus::NeverAccepted,
     }
 }
 
@@ -118,11 +124,14 @@
         let s = shelf(named, page);
         let asked: BTreeSet<u32> = asked.into_iter().collect();
         let mut accepted = (0..known)
-            .filter(|n| truth(*n).is_some())
+            .filter(|n| truth(*n) != JobRecordStatus::NeverAccepted)
             .map(job_id)
             .collect();
         let job_ids = asked.iter().map(|n| job_id(*n)).collect();
-        let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut accepted);
+        let StatusRead {
+            statuses: found,
+            error: trouble,
+        } = job_status_reads::read_statuses(&s, &job_ids, &mut accepted);
         assert_eq!(trouble, None, "{name}");
         for n in &asked {
             assert_eq!(found.get(&job_id(*n)), Some(&truth(*n)), "{name}: job {n}");
@@ -139,7 +148,10 @@
             let mut s = shelf(named, 2);
             s.out_after = out_after;
             let job_ids = (0..200).step_by(7).map(job_id).collect();
-            let (found, trouble) = job_status_reads::statuses(&s, &job_ids, &mut BTreeSet::new());
+            let StatusRead {
+                statuses: found,
+                error: trouble,
+            } = job_status_reads::read_statuses(&s, &job_ids, &mut BTreeSet::new());
             assert!(trouble.is_some() || named == 1, "{out_after} {named}");
             for (u, status) in found {
                 let n: u32 = u.0[3..].parse().expect("a number");
@@ -147,7 +159,10 @@
             }
         }
     }
-    assert_eq!(job_status_reads::most_at_once(96, 64 * 1024), 48);
-    assert_eq!(job_status_reads::most_at_once(100_000, 64 * 1024), 512);
-    assert_eq!(job_status_reads::most_at_once(0, 0), 1);
+    assert_eq!(job_status_reads::max_jobs_per_comparison(96, 64 * 1024), 48);
+    assert_eq!(
+        job_status_reads::max_jobs_per_comparison(100_000, 64 * 1024),
+        512
+    );
+    assert_eq!(job_status_reads::max_jobs_per_comparison(0, 0), 1);
 }
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -2,6 +2,7 @@
 
 use crate::common::*;
 use cypressgap::core::model::*;
+use cypressgap::core::persistence::job_status_reads::JobRecordStatus;
 use cypressgap::core::persistence::keys::outcome_key;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOutcome};
@@ -222,9 +223,10 @@
     let (before, d) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
     assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
     assert!(fixture.cluster.jobs_to_look_up().contains(&job_id));
-    fixture
-        .cluster
-        .on_job_statuses(fixture.now, &[(job_id, Some(JobOutcome::Done))]);
+    fixture.cluster.on_job_statuses(
+        fixture.now,
+        &[(job_id, JobRecordStatus::Accepted(JobOutcome::Done))],
+    );
     let (token, d) = fixture.heartbeat("i-1", 2, vec![running()]);
     assert!(matches!(d[..], [TaskCommand::Kill { .. }]), "{d:?}");
     assert!(token > before, "no late command starts it again");
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -7,7 +7,7 @@
 use cypressgap::common::stop_signal::StopSignal;
 use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::model::*;
-use cypressgap::core::persistence::job_status_reads::Records;
+use cypressgap::core::persistence::job_status_reads::{JobRecordReader, OutcomeEntry, OutcomePage};
 use cypressgap::core::persistence::keys;
 use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteBatch, WriteOp};
@@ -203,9 +203,15 @@
     ("verdicts", &[200], |s| {
         let stop = StopSignal::new();
         let page = BudgetedReader::new(s, &stop, ReadPurpose::StatusQuery, Instant::now() + LIMIT)
-            .outcomes("j/wk-0");
-        let expected = vec![("j/wk-000412".to_owned(), JobOutcome::Done)];
-        assert_eq!(page, Ok((expected, true)));
+            .outcomes_after("j/wk-0");
+        let expected = OutcomePage {
+            entries: vec![OutcomeEntry {
+                key: "j/wk-000412".to_owned(),
+                outcome: JobOutcome::Done,
+            }],
+            has_next: true,
+        };
+        assert_eq!(page, Ok(expected));
     }),
 ];
 
