--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,60 +1,65 @@
-//! Which submissions can be taken: the checks behind 422.
+//! Admission control: the checks of a submission that are answered with 422.
 
 use super::model::{JobKind, JobSpec, MachineType, Resources, Team};
 
-/// Why a job can never run.
+/// Why a job is not admitted: it could never run, or not be stored.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum AdmissionError {
     /// The team is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type has room for a task.
+    /// A task fits no machine type that the job allows.
     #[error("a task fits no allowed machine type")]
-    NoType,
-    /// A task needs more than its team's limit.
+    NoSuitableMachineType,
+    /// A task, or the whole gang, needs more than its team's limit.
     #[error("the job needs more than the team's limit")]
-    OverLimit,
-    /// Its record would be too long for a value of the state service.
+    ExceedsTeamLimit,
+    /// Its record would be too long for one value of the key-value store.
     #[error("the job's description takes up to {size} bytes; one value of the state service holds {limit}")]
-    TooLong {
-        /// What it would take, in bytes.
+    RecordTooLong {
+        /// The greatest size of the record in bytes.
         size: usize,
-        /// What a value may take.
+        /// The greatest size of a value in bytes.
         limit: usize,
     },
 }
 
-/// Whether the job's description, of this size at most, fits into one value of the state service. A
-/// job of any number of tasks does: only names and lists make it long.
-pub fn fits_a_value(size: usize, limit: usize) -> Result<(), Refusal> {
+/// Checks that the job's record, of this size at most, fits into one value of the key-value store. The number
+/// of tasks does not matter: only names and lists make a record long.
+pub fn check_record_size(size: usize, limit: usize) -> Result<(), AdmissionError> {
     if size <= limit {
         Ok(())
     } else {
-        Err(Refusal::TooLong { size, limit })
+        Err(AdmissionError::RecordTooLong { size, limit })
     }
 }
 
-/// Checks what the settings and the machine types allow.
-pub fn check(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), Refusal> {
+/// Checks a job against its team's limits and the machine types on offer.
+pub fn check(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
     let team = teams
         .iter()
         .find(|t| t.name == spec.team)
-        .ok_or(Refusal::UnknownTeam)?;
-    let fits = types.iter().any(|t| {
-        spec.allows_type(&t.name)
-            && spec.resources.fits(&t.room)
-            && t.zones.iter().any(|s| spec.allows_zone(s))
-    });
-    if !fits {
-        return Err(Refusal::NoType);
+        .ok_or(AdmissionError::UnknownTeam)?;
+    if !types
+        .iter()
+        .any(|machine_type| can_run_on(spec, machine_type))
+    {
+        return Err(AdmissionError::NoSuitableMachineType);
     }
-    let whole = match spec.kind {
+    let least_usage = match spec.kind {
         JobKind::Batch => spec.resources,
         JobKind::Gang => spec.resources.times(f64::from(spec.task_count)),
     };
-    if team.allows(&Resources::default(), &whole) {
+    if team.allows(&Resources::default(), &least_usage) {
         Ok(())
     } else {
-        Err(Refusal::OverLimit)
+        Err(AdmissionError::ExceedsTeamLimit)
     }
 }
+
+/// Whether a task of the job fits some machine of this type.
+fn can_run_on(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.allows_type(&machine_type.name)
+        && spec.resources.fits(&machine_type.room)
+        && machine_type.zones.iter().any(|zone| spec.allows_zone(zone))
+}
--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -8,7 +8,7 @@
 use crate::core::capacity::scale_out::ScaleOutPlan;
 use crate::core::capacity::spot_replacement::ReplacementDecision;
 use crate::core::model::MachineId;
-use crate::core::state::cluster_state::{Action, ClusterState};
+use crate::core::state::{Action, ClusterState};
 use std::time::Instant;
 
 impl ClusterState {
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -1,9 +1,9 @@
 //! The cloud's list of machines: machines that this term did not rent are adopted, failed ones returned.
 
 use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
-use crate::core::state::cluster_state::{Action, ClusterState, Machine};
-use crate::core::state::machine::MachineIdentity;
 use crate::core::state::outbox::PendingProbe;
+use crate::core::state::MachineIdentity;
+use crate::core::state::{Action, ClusterState, Machine};
 use std::time::Instant;
 
 /// Machines asked for their heartbeats in one tick.
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -5,7 +5,7 @@
 
 use crate::core::capacity::headroom::{are_all_covered, HeadroomDemand};
 use crate::core::model::{JobKind, MachineId, Resources, TaskId};
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job, Machine};
+use crate::core::state::{ActiveAttempt, ClusterState, Job, Machine};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -4,7 +4,7 @@
 use crate::core::model::MachineId;
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use crate::core::placement::{RoundOutcome, WaitingTasks};
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::fmt;
 use std::time::Duration;
 
--- a/src/core/capacity/free_room.rs
+++ b/src/core/capacity/free_room.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::Resources;
 use crate::core::placement::price_per_cpu;
-use crate::core::state::cluster_state::{ClusterState, Machine};
+use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
 /// Room of a machine that missed its heartbeats for so many intervals does not count.
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -4,7 +4,7 @@
 use crate::core::capacity::packing::{PackingPlan, RentalCandidate};
 use crate::core::model::{MachineType, MachineTypeName, Resources, Slo};
 use crate::core::placement::{is_wanted_by_larger_tasks, RoundOutcome};
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// Some machines take much longer to boot than most: a start promised within so many boots counts as
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -34,7 +34,7 @@
 use crate::core::capacity::spot_replacement::SpotReplacements;
 use crate::core::model::{JobSpec, MachineType, MachineTypeName};
 use crate::core::placement::RoundOutcome;
-use crate::core::state::cluster_state::{ClusterState, Machine};
+use crate::core::state::{ClusterState, Machine};
 use std::time::{Duration, Instant};
 
 /// A machine that costs this much more by the CPU than the cheapest allowed one is expensive.
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -5,8 +5,8 @@
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::model::{MachineId, Term};
-use crate::core::state::cluster_state::{Action, ClusterState, Machine};
-use crate::core::state::machine::MachineIdentity;
+use crate::core::state::MachineIdentity;
+use crate::core::state::{Action, ClusterState, Machine};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -7,8 +7,8 @@
 
 use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
-use crate::core::state::cluster_state::{ClusterState, Machine};
 use crate::core::state::failure_attribution::QUARANTINE_PATIENCE;
+use crate::core::state::{ClusterState, Machine};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -6,7 +6,7 @@
 use crate::core::model::{JobId, JobSpec, MachineType, Priority, Resources, Zone};
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use crate::core::placement::{price_per_cpu, RoundOutcome, WaitingTasks};
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -1,6 +1,6 @@
 //! Machines that are silent or cannot be reached, and whether the fault is likely theirs.
 
-use crate::core::state::cluster_state::{ClusterState, Machine};
+use crate::core::state::{ClusterState, Machine};
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MIN_SILENT_MACHINES};
 use std::time::{Duration, Instant};
 
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -9,7 +9,7 @@
 use crate::core::capacity::rentals::MAX_MACHINES_PER_RENTAL;
 use crate::core::capacity::EXPENSIVE_FACTOR;
 use crate::core::model::{MachineId, MachineType, MachineTypeName, Resources, TaskId};
-use crate::core::state::cluster_state::{ClusterState, Machine};
+use crate::core::state::{ClusterState, Machine};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The deciding part: deterministic, without sockets, files, threads or clocks of its own.
 //!
-//! Events go in through the methods of [`state::cluster_state::ClusterState`], and what has to be done
-//! comes back as [`state::cluster_state::Action`]s.
+//! Events go in through the methods of [`state::ClusterState`], and what has to be done
+//! comes back as [`state::Action`]s.
 
 pub mod admission;
 pub mod capacity;
--- /dev/null
+++ b/src/core/model/team.rs
@@ -0,0 +1,38 @@
+//! Teams and their quotas.
+
+use super::{Resources, TeamName, RESOURCE_EPSILON};
+
+/// A team with its quota: guaranteed resources and limits.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Team {
+    /// The team's name.
+    pub name: TeamName,
+    /// Guaranteed CPUs. None: no guarantee.
+    pub cpus: Option<f64>,
+    /// The limit of CPUs. None: no limit.
+    pub cpus_max: Option<f64>,
+    /// Guaranteed GPUs. None: no guarantee.
+    pub gpus: Option<f64>,
+    /// The limit of GPUs. None: no limit.
+    pub gpus_max: Option<f64>,
+}
+
+impl Team {
+    /// Whether `used` plus `more` stays within the limits.
+    #[must_use]
+    pub fn allows(&self, used: &Resources, more: &Resources) -> bool {
+        let within = |limit: Option<f64>, used: f64, more: f64| {
+            limit.is_none_or(|limit| used + more <= limit + RESOURCE_EPSILON)
+        };
+        within(self.cpus_max, used.cpus, more.cpus) && within(self.gpus_max, used.gpus, more.gpus)
+    }
+
+    /// Whether `used` stays within the guarantee.
+    #[must_use]
+    pub fn guarantees(&self, used: &Resources) -> bool {
+        let within = |guaranteed: Option<f64>, used: f64| {
+            used <= guaranteed.unwrap_or(0.0) + RESOURCE_EPSILON
+        };
+        within(self.cpus, used.cpus) && within(self.gpus, used.gpus)
+    }
+}
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -7,7 +7,7 @@
 use crate::core::persistence::records::{ChunkValue, JobOutcome, RecordValue};
 use crate::core::persistence::write_batch::{KeyCondition, WriteBatch, WriteOp};
 use crate::core::placement::history::HistorySummary;
-use crate::core::state::cluster_state::Job;
+use crate::core::state::Job;
 use std::time::{Duration, Instant};
 
 /// What the values of a transaction may amount to, below the protocol's 64 KiB.
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -3,7 +3,7 @@
 use crate::core::model::{JobId, Priority};
 use crate::core::persistence::batch_builder::{BatchBuilder, RecordRemoval, Room};
 use crate::core::persistence::write_batch::WriteBatch;
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::cmp::Reverse;
 use std::time::Instant;
 
--- a/src/core/persistence/job_completion.rs
+++ b/src/core/persistence/job_completion.rs
@@ -2,8 +2,8 @@
 
 use crate::core::model::JobId;
 use crate::core::persistence::keys::{chunk_key, dependents_key, live_job_key};
-use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::task_chunk::TaskChunk;
+use crate::core::state::ClusterState;
+use crate::core::state::TaskChunk;
 use std::time::{Duration, Instant};
 
 impl ClusterState {
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -8,7 +8,7 @@
 };
 use crate::core::persistence::write_batch::{ConflictingKey, LeaderKeyStatus, WriteOutcome};
 use crate::core::state::attempts::AttemptEnd;
-use crate::core::state::cluster_state::{CancelSource, ClusterState};
+use crate::core::state::{CancelSource, ClusterState};
 use std::time::Instant;
 
 impl ClusterState {
--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -4,7 +4,7 @@
 use crate::core::placement::plan::{RoundOutcome, RoundPlan, StartKind, TaskStart, WaitingTasks};
 use crate::core::placement::preemption::Preemption;
 use crate::core::state::attempts::Assignment;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// A job none of whose tasks was placed for this long is starved. Every job is to begin within four
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -6,7 +6,7 @@
 use crate::core::placement::round::{is_ordinary, PlacementRound};
 use crate::core::placement::scoring::{ScoredSlot, TaskGroup};
 use crate::core::placement::zone_constraints::ZoneUse;
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
--- a/src/core/placement/deadlines.rs
+++ b/src/core/placement/deadlines.rs
@@ -1,6 +1,6 @@
 //! When jobs should be finished, by their deadlines and by the objectives of their class.
 
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::time::{Duration, Instant};
 
 impl ClusterState {
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -2,7 +2,7 @@
 //! than a fair share.
 
 use crate::core::model::{JobId, Resources, Team, TeamName};
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
 fn may_run(job: &Job) -> bool {
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -6,7 +6,7 @@
 use crate::core::placement::round::{PlacementRound, MAX_TASKS_PER_ROUND};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::{JobId, JobSpec, Slo};
 use crate::core::placement::preemption::{StartProtection, MIN_PREEMPTION_WAIT};
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job};
+use crate::core::state::{ActiveAttempt, ClusterState, Job};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -9,7 +9,7 @@
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::placement::WaitingTasks;
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::Duration;
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -17,7 +17,7 @@
 use crate::core::model::{JobId, TaskId};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::WaitingTasks;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::collections::HashSet;
 use std::fmt;
 use std::time::{Duration, Instant};
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -5,7 +5,7 @@
 use crate::core::placement::preemption::{
     Preemption, PreemptionInput, PreemptionReason, MAX_PREEMPTIONS_PER_ROUND,
 };
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
 /// A running task that might be stopped for another job of its team.
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -6,8 +6,8 @@
 //! of the graph that the changes reach.
 
 use crate::core::model::{JobId, Priority};
-use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::cluster_state::Job;
+use crate::core::state::ClusterState;
+use crate::core::state::Job;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Instant;
 
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -1,7 +1,7 @@
 //! The order in which a placement round looks at waiting jobs.
 
 use crate::core::model::{JobId, JobSpec, Priority, TeamName};
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::cmp::Reverse;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -7,7 +7,7 @@
 use crate::core::placement::plan::{RoundPlan, SpareRoom};
 use crate::core::placement::preemption::PreemptionInput;
 use crate::core::placement::slots::Slot;
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -8,7 +8,7 @@
 use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
-use crate::core::state::cluster_state::{ClusterState, Job};
+use crate::core::state::{ClusterState, Job};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -3,7 +3,7 @@
 use crate::core::model::{ImageKey, MachineType, Resources};
 use crate::core::placement::history::fetch_time_at;
 use crate::core::placement::prices::{price_per_cpu, price_step};
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Job, Machine};
+use crate::core::state::{ActiveAttempt, ClusterState, Job, Machine};
 use std::time::{Duration, Instant};
 
 /// A machine that missed its heartbeats for so many intervals gets no tasks.
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -7,7 +7,7 @@
 //! Invariant: while the zone of one of its tasks is unknown, a constrained job starts nothing.
 
 use crate::core::model::{JobSpec, MachineId, MachineTypeName, Zone};
-use crate::core::state::cluster_state::Job;
+use crate::core::state::Job;
 use std::collections::BTreeMap;
 
 /// How many tasks of a job are in each zone. Counted only for jobs with a constraint.
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -8,7 +8,7 @@
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
 use crate::core::state::attempts::AttemptEnd;
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, Machine};
+use crate::core::state::{ActiveAttempt, ClusterState, Machine};
 use std::time::Instant;
 
 /// What follows from a heartbeat's not listing an attempt.
--- a/src/core/reconciliation/acknowledgements.rs
+++ b/src/core/reconciliation/acknowledgements.rs
@@ -5,7 +5,7 @@
 
 use crate::core::model::{Heartbeat, TaskId, TaskPhase};
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState};
+use crate::core::state::{ActiveAttempt, ClusterState};
 use std::time::{Duration, Instant};
 
 /// A command shows in the heartbeats of its machine within one interval, but is given at least this long.
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -8,7 +8,7 @@
 use crate::core::model::{FencingToken, MachineId, Priority, TaskCommand, TaskId, TaskPhase};
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
-use crate::core::state::cluster_state::{ActiveAttempt, ClusterState, KillRequest, Machine};
+use crate::core::state::{ActiveAttempt, ClusterState, KillRequest, Machine};
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::{Duration, Instant};
 
--- a/src/core/reconciliation/direct_commands.rs
+++ b/src/core/reconciliation/direct_commands.rs
@@ -5,7 +5,7 @@
 
 use crate::core::model::{Heartbeat, MachineId, TaskCommand, Term};
 use crate::core::reconciliation::heartbeats::StatusSource;
-use crate::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision};
+use crate::core::state::{Action, ClusterState, HeartbeatDecision};
 use std::time::Instant;
 
 /// A machine that misses this many heartbeats is sent nothing: it would only hold a sender up, and the
--- a/src/core/reconciliation/failover_progress.rs
+++ b/src/core/reconciliation/failover_progress.rs
@@ -1,7 +1,7 @@
 //! How far the failover to this leader is: silent machines, and its phases in the log.
 
 use crate::core::model::MachineId;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use cypressgap_recovery::attempt_state::AttemptState;
 use cypressgap_recovery::takeover::PhaseChange;
 use std::time::Instant;
--- a/src/core/reconciliation/heartbeat_order.rs
+++ b/src/core/reconciliation/heartbeat_order.rs
@@ -6,8 +6,8 @@
 
 use crate::core::model::{FencingToken, Heartbeat};
 use crate::core::reconciliation::heartbeats::StatusSource;
-use crate::core::state::cluster_state::{ClusterState, Machine};
-use crate::core::state::machine::MachineIdentity;
+use crate::core::state::MachineIdentity;
+use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
 /// A machine that misses this many heartbeats may have been restarted under its name.
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::core::reconciliation::commands::MAX_COMMANDS;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
 use crate::core::reconciliation::reported_tasks::ReportedTasks;
-use crate::core::state::cluster_state::{ClusterState, HeartbeatDecision};
+use crate::core::state::{ClusterState, HeartbeatDecision};
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::Instant;
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -7,8 +7,8 @@
 //! is proved not to be on its machine is no longer counted and waits to be placed anew.
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
-use crate::core::state::cluster_state::ClusterState;
-use crate::core::state::cluster_state::Job;
+use crate::core::state::ClusterState;
+use crate::core::state::Job;
 
 /// What may become of an attempt that its machine does not show.
 #[must_use]
--- a/src/core/reconciliation/machine_status.rs
+++ b/src/core/reconciliation/machine_status.rs
@@ -1,7 +1,7 @@
 //! What a heartbeat says about its machine: incarnation, fencing token, address and announced eviction.
 
 use crate::core::model::{Heartbeat, Term};
-use crate::core::state::cluster_state::{ClusterState, Machine};
+use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
 /// What a heartbeat changed about its machine.
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -3,7 +3,7 @@
 use crate::core::model::{
     AttemptId, Heartbeat, JobKind, MachineId, TaskCommand, TaskId, TaskPhase,
 };
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use cypressgap_recovery::command_pacing::{CommandKind, PacedCommand};
 use cypressgap_recovery::rate_limits::PacingClass;
 use cypressgap_recovery::takeover::KillDeadline;
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -4,7 +4,7 @@
     Heartbeat, JobId, Resources, TaskCommand, TaskPhase, TaskStatus, TeamName,
 };
 use crate::core::reconciliation::unrecorded_tasks::UnrecordedTask;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -7,8 +7,8 @@
 use crate::core::persistence::keys;
 use crate::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use crate::core::reconciliation::stored_snapshot::{StoredLiveJob, StoredSnapshot};
-use crate::core::state::cluster_state::{ActiveAttempt, CancelSource, ClusterState, Job, Machine};
-use crate::core::state::machine::MachineIdentity;
+use crate::core::state::MachineIdentity;
+use crate::core::state::{ActiveAttempt, CancelSource, ClusterState, Job, Machine};
 use std::collections::HashMap;
 use std::time::Instant;
 
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -9,7 +9,7 @@
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::state::attempts::{Assignment, AttemptEnd};
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use cypressgap_recovery::unrecorded::{Disposition, ListedJobs, StoredJobStatus};
 use std::collections::BTreeSet;
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -5,7 +5,7 @@
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
 use crate::core::state::attempt::{ActiveAttempt, KillRequest};
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// The decision to run a task on a machine.
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -7,9 +7,9 @@
 //! shows that it can run, they count again. A machine on which several jobs failed is quarantined.
 
 use crate::core::model::{JobId, MachineId};
-use crate::core::state::cluster_state::ClusterState;
 use crate::core::state::crash_loop::{FailureAttribution, TaskFailure};
 use crate::core::state::job::Job;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// So many jobs that fail on a machine, with no success there between, put it into quarantine.
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -10,7 +10,7 @@
 use crate::core::state::attempts::AttemptEnd;
 use crate::core::state::cancellation::Cancellation;
 use crate::core::state::crash_loop::CrashLoop;
-use crate::core::state::task_chunk::TaskChunk;
+use crate::core::state::TaskChunk;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -7,9 +7,9 @@
 use crate::core::persistence::keys;
 use crate::core::persistence::records::{attempts_per_chunk, JobOutcome};
 use crate::core::state::cancellation::CancelSource;
-use crate::core::state::cluster_state::ClusterState;
 use crate::core::state::dependencies::DependencyState;
 use crate::core::state::job::Job;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 impl ClusterState {
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -1,27 +1,36 @@
 //! The state of the cluster as the leader knows it.
 //!
-//! Each component owns its fields and keeps its own invariants; [`cluster_state::ClusterState`] joins them
+//! Each component owns its fields and keeps its own invariants; [`ClusterState`] joins them
 //! and holds the steps that need several of them.
 
-pub mod actions;
-pub mod attempt;
+mod actions;
+mod attempt;
 pub(crate) mod attempts;
-pub mod cancellation;
-pub mod cluster_state;
-pub mod crash_loop;
+mod cancellation;
+mod cluster_state;
+mod crash_loop;
 pub mod dependencies;
 pub(crate) mod failure_attribution;
 pub mod fleet;
 pub mod image_cache;
-pub mod job;
+mod job;
 pub(crate) mod job_events;
 pub mod job_table;
 pub mod liveness;
-pub mod machine;
+mod machine;
 pub mod outbox;
 pub mod quota_usage;
 pub mod recent_usage;
 pub mod round_schedule;
-pub mod task_chunk;
+mod task_chunk;
 pub(crate) mod task_states;
 pub(crate) mod termination;
+
+pub use actions::{Action, HeartbeatDecision};
+pub use attempt::{ActiveAttempt, KillRequest};
+pub use cancellation::{CancelSource, Cancellation};
+pub use cluster_state::{ClusterState, TermStart};
+pub use crash_loop::CrashLoop;
+pub use job::Job;
+pub use machine::{Machine, MachineIdentity, RequiredToken};
+pub use task_chunk::{HeldAttempt, TaskChunk};
--- a/src/core/state/outbox.rs
+++ b/src/core/state/outbox.rs
@@ -1,7 +1,7 @@
 //! What is to be sent, gathered until the current event has been handled.
 
 use crate::core::model::MachineId;
-use crate::core::state::cluster_state::Action;
+use crate::core::state::Action;
 use std::collections::{BTreeSet, VecDeque};
 
 /// A machine whose heartbeat is to be requested.
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -3,7 +3,7 @@
 use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
 use crate::core::state::attempt::ActiveAttempt;
 use crate::core::state::attempts::AttemptEnd;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
 /// A machine that refused a start is given nothing for this long.
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -5,9 +5,9 @@
 
 use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
 use crate::core::state::attempts::AttemptEnd;
-use crate::core::state::cluster_state::ClusterState;
 use crate::core::state::job::Job;
 use crate::core::state::machine::Machine;
+use crate::core::state::ClusterState;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -6,7 +6,7 @@
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::MachineId;
 use crate::core::persistence::write_batch::WriteOutcome;
-use crate::core::state::cluster_state::{Action, ClusterState};
+use crate::core::state::{Action, ClusterState};
 use crate::net::wire::RentRequest;
 use crate::runtime::context::NodeContext;
 use crate::runtime::events::{ActionChannels, CloudOrder, CommandDelivery, LeaderTransaction};
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::Heartbeat;
 use crate::core::persistence::write_batch::LeaderKeyStatus;
-use crate::core::state::cluster_state::{CancelSource, ClusterState, HeartbeatDecision};
+use crate::core::state::{CancelSource, ClusterState, HeartbeatDecision};
 use crate::runtime::elector::ElectorEvent;
 use crate::runtime::events::{AcceptedJob, HeartbeatReply, ReturnOutcome, TermEvent};
 use crossbeam::channel::Sender;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -4,7 +4,7 @@
 //! another one: a channel that is full is reported to the core as an action that failed.
 
 use crate::core::leadership::cancellation_watermark::ClockReading;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use crate::runtime::context::NodeContext;
 use crate::runtime::core_actions::perform;
 use crate::runtime::core_events::{answer_heartbeats, apply, refuse_heartbeats};
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -1,7 +1,7 @@
 //! What the leader's core shows to the other threads and in the log.
 
 use crate::core::model::JobId;
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use crate::node::job_cache::TaskCounts;
 use crate::node::view::NodeView;
 use crate::runtime::context::NodeContext;
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -9,7 +9,7 @@
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::persistence::write_batch::{WriteBatch, WriteOutcome};
-use crate::core::state::cluster_state::ClusterState;
+use crate::core::state::ClusterState;
 use crate::net::wire::RentRequest;
 use crate::runtime::elector::ElectorEvent;
 use crossbeam::channel::Sender;
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -12,7 +12,7 @@
 use crate::core::persistence::records::JobOutcome;
 use crate::core::placement::history::HistorySummary;
 use crate::core::reconciliation::stored_snapshot::{StoredIntents, StoredLiveJob, StoredSnapshot};
-use crate::core::state::cluster_state::{ClusterState, TermStart};
+use crate::core::state::{ClusterState, TermStart};
 use crate::net::store::{ListEntry, ListOptions, Listing, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
 use crate::runtime::context::NodeContext;
--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -3,7 +3,7 @@
 use super::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::{WriteBatch, WriteOutcome};
-use cypressgap::core::state::cluster_state::{Action, ClusterState, HeartbeatDecision, TermStart};
+use cypressgap::core::state::{Action, ClusterState, HeartbeatDecision, TermStart};
 use std::time::{Duration, Instant};
 
 /// A cluster with a simulated clock and of machines that the test plays.
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -3,7 +3,7 @@
 use super::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::WriteOutcome;
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -4,7 +4,7 @@
 use cypressgap::core::model::JobSpec;
 use cypressgap::core::persistence::keys::{dependents_key, live_job_key};
 use cypressgap::core::persistence::write_batch::{WriteOp, WriteOutcome};
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use std::collections::BTreeSet;
 
 /// The keys that the store holds of jobs, as the leader's transactions change them.
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -8,7 +8,7 @@
 use common::peaks::peak;
 use common::{secs, team};
 use cypressgap::core::model::{JobId, SchedulerConfig, TaskPhase};
-use cypressgap::core::state::cluster_state::ClusterState;
+use cypressgap::core::state::ClusterState;
 use simulation::faults::FaultRates;
 use simulation::worker::endpoint;
 use simulation::{tight_config, Simulation};
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: a job is accepted only when it could run on some machine type and within its team's limit.
 
 use crate::common::*;
-use cypressgap::core::admission::{check, Refusal};
+use cypressgap::core::admission::{check, AdmissionError};
 use cypressgap::core::model::*;
 
 type Edit = fn(&mut JobSpec);
@@ -9,27 +9,27 @@
 #[test]
 fn admission_cases() {
     let types = [machine_type("m8", 8.0)];
-    let cases: [(&str, Edit, Result<(), Refusal>); 8] = [
+    let cases: [(&str, Edit, Result<(), AdmissionError>); 8] = [
         ("fits", |_| {}, Ok(())),
         (
             "unknown team",
             |job| job.team = "green".into(),
-            Err(Refusal::UnknownTeam),
+            Err(AdmissionError::UnknownTeam),
         ),
         (
             "too large",
             |job| job.resources = resources(9.0),
-            Err(Refusal::NoType),
+            Err(AdmissionError::NoSuitableMachineType),
         ),
         (
             "no such type",
             |job| job.machine_types = Some(vec!["g8".into()]),
-            Err(Refusal::NoType),
+            Err(AdmissionError::NoSuitableMachineType),
         ),
         (
             "no such zone",
             |job| job.zone = Some("z".into()),
-            Err(Refusal::NoType),
+            Err(AdmissionError::NoSuitableMachineType),
         ),
         (
             "an array over the limit as a whole",
@@ -42,7 +42,7 @@
                 job.kind = JobKind::Gang;
                 job.task_count = 9;
             },
-            Err(Refusal::OverLimit),
+            Err(AdmissionError::ExceedsTeamLimit),
         ),
         (
             "a gang at the limit",
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -7,7 +7,7 @@
 use cypressgap::core::persistence::keys::{cancel_mark_key, dependents_key, live_job_key};
 use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
 use cypressgap::core::persistence::write_batch::WriteOp;
-use cypressgap::core::state::cluster_state::CancelSource;
+use cypressgap::core::state::CancelSource;
 use std::time::{Duration, SystemTime};
 
 fn queue_read(fixture: &mut ClusterFixture) {
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -6,7 +6,7 @@
 };
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::JobOutcome;
-use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap::core::state::{Action, HeartbeatDecision};
 use cypressgap::net::peer::CancellationPosition;
 use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant, SystemTime};
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::core::capacity::RentalOutcome;
 use cypressgap::core::model::*;
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use std::time::Duration;
 
 fn rentals(actions: &[Action]) -> Vec<(String, bool, u32)> {
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -8,7 +8,7 @@
 use cypressgap::core::persistence::write_batch::{
     ConflictingKey, KeyCondition, WriteOp, WriteOutcome,
 };
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 
 fn loaded(fixture: &mut ClusterFixture, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -6,8 +6,8 @@
 use cypressgap::core::persistence::backoff::Backoff;
 use cypressgap::core::persistence::records::{JobOutcome, RecordValue};
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOp, WriteOutcome};
-use cypressgap::core::state::cluster_state::Action;
 use cypressgap::core::state::dependencies::{Dependencies, DependencyState, DependentsIndex};
+use cypressgap::core::state::Action;
 use std::time::Duration;
 
 #[test]
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::HeartbeatDecision;
 
 #[test]
 fn a_late_duplicate_heartbeat_changes_nothing() {
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -4,7 +4,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::persistence::write_batch::WriteOutcome;
-use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap::core::state::{Action, HeartbeatDecision};
 
 /// A new leader that loaded one intent for `i-1`.
 fn taken_over() -> (ClusterFixture, AttemptId) {
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -4,7 +4,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::WriteOutcome;
-use cypressgap::core::state::cluster_state::{Action, HeartbeatDecision};
+use cypressgap::core::state::{Action, HeartbeatDecision};
 use cypressgap_recovery::segments::NamedSegment;
 use cypressgap_recovery::settings::parse_segment;
 use std::time::Duration;
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -3,7 +3,7 @@
 use super::taken_over;
 use crate::common::*;
 use cypressgap::core::model::*;
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 
 /// Twenty machines that send heartbeats every three seconds. From then on those for which `silent` holds are
 /// silent for so long. Returns the world, and which machines went back meanwhile.
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -7,8 +7,8 @@
 use cypressgap::core::reconciliation::stored_snapshot::{
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
 use cypressgap::core::state::quota_usage::QuotaUsage;
+use cypressgap::core::state::HeartbeatDecision;
 
 const ATTEMPT: AttemptId = AttemptId(7);
 
@@ -340,7 +340,7 @@
         assert_eq!(launches(&actions), vec![], "the team is not known");
         let returned = actions.iter().any(|a| {
             let machines = vec![MachineId::from("i-1")];
-            *a == cypressgap::core::state::cluster_state::Action::Return { machines }
+            *a == cypressgap::core::state::Action::Return { machines }
         });
         assert_eq!(returned, intents_readable);
         fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::persistence::job_status_reads::JobRecordStatus;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::reconciliation::stored_snapshot::StoredSnapshot;
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::HeartbeatDecision;
 
 /// A task runs though no record names it. What the job or the machine is like -> adopted.
 #[test]
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -1,7 +1,7 @@
 //! Machines whose heartbeats arrive while no answer or command reaches them.
 
 use crate::common::*;
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 
 fn returned(actions: &[Action]) -> bool {
     returned_machines(actions).contains(&first_machine())
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -7,8 +7,8 @@
 use cypressgap::core::persistence::write_batch::{
     ConflictingKey, KeyCondition, LeaderKeyStatus, WriteOutcome,
 };
-use cypressgap::core::state::cluster_state::ClusterState;
-use cypressgap::core::state::cluster_state::TermStart;
+use cypressgap::core::state::ClusterState;
+use cypressgap::core::state::TermStart;
 
 fn conflict(key: &str, revision: u64, outcome: Option<JobOutcome>) -> ConflictingKey {
     ConflictingKey {
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
-use cypressgap::core::state::cluster_state::KillRequest;
+use cypressgap::core::state::KillRequest;
 use cypressgap::node::pause_detector::PauseDetector;
 use std::time::Duration;
 
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::persistence::keys::chunk_key;
 use cypressgap::core::persistence::records::{attempts_per_chunk, ChunkValue, RecordValue};
 use cypressgap::core::persistence::write_batch::{WriteOp, WriteOutcome};
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -6,7 +6,7 @@
 use cypressgap::core::persistence::keys::outcome_key;
 use cypressgap::core::persistence::records::JobOutcome;
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOutcome};
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::HeartbeatDecision;
 
 #[test]
 fn what_proves_a_cancelled_task_gone() {
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::{WriteBatch, WriteOutcome};
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::HeartbeatDecision;
 use std::time::{Duration, Instant};
 
 /// A message between two parties. Leaders are named by their number.
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::worker::{is_active, Worker};
 use super::Simulation;
 use cypressgap::core::model::*;
-use cypressgap::core::state::cluster_state::HeartbeatDecision;
+use cypressgap::core::state::HeartbeatDecision;
 use rand::Rng;
 use std::time::Instant;
 
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -7,8 +7,8 @@
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::{LeaderKeyStatus, WriteBatch, WriteOutcome};
-use cypressgap::core::state::cluster_state::TermStart;
-use cypressgap::core::state::cluster_state::{Action, CancelSource, ClusterState};
+use cypressgap::core::state::TermStart;
+use cypressgap::core::state::{Action, CancelSource, ClusterState};
 use rand::Rng;
 use std::time::{Duration, Instant, SystemTime};
 
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -9,7 +9,7 @@
     ChunkValue, JobOutcome, RecordValue, TASKS_PER_CHUNK,
 };
 use cypressgap::core::placement::history::{History, HistorySummary};
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use cypressgap::net::store::StoredValue;
 use cypressgap::net::wire::*;
 
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,6 +1,6 @@
 //! Bodies from outside, well-formed and not.
 
-use cypressgap::core::admission::fits_a_value;
+use cypressgap::core::admission::check_record_size;
 use cypressgap::core::model::*;
 use cypressgap::net::peer::{read_frame, write_frame, Hello, JobProgress, PeerRequest};
 use cypressgap::net::wire::{decode, encode, InvalidField, StoredJob, Submission, WireHeartbeat};
@@ -271,6 +271,10 @@
         let size = StoredJob::from(&s).size_bound();
         // The bound holds: this form is shorter than the one that sizes are measured in.
         assert!(size > encode(&StoredJob::from(&s)).len(), "{name}");
-        assert_eq!(fits_a_value(size, 8 * 1024).is_ok(), fits, "{name}: {size}");
+        assert_eq!(
+            check_record_size(size, 8 * 1024).is_ok(),
+            fits,
+            "{name}: {size}"
+        );
     }
 }
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -8,7 +8,7 @@
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::persistence::write_batch::WriteOutcome;
 use cypressgap::core::placement::zone_constraints::{permits, ZoneUse};
-use cypressgap::core::state::cluster_state::Action;
+use cypressgap::core::state::Action;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
