--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -69,7 +69,7 @@
         let r = heartbeat_from(machine, 1, serial, token, tasks);
         match self.cluster.on_heartbeat(self.now, r) {
             HeartbeatDecision::Accept { token, commands } => (token, commands),
-            other => panic!("report refused: {other:?}"),
+            other => panic!("heartbeat refused: {other:?}"),
         }
     }
 
--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-fn await_on(node: SocketAddr, job_id: &str, dependencies: &[&str]) {
+fn submit_depending_on(node: SocketAddr, job_id: &str, dependencies: &[&str]) {
     let body = submission_depending_on(job_id, dependencies);
     until("accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
@@ -23,9 +23,9 @@
 
 /// Asks about a job and then about a dependent, again and again: once the first is called cancelled,
 /// the second may be called nothing else.
-fn never_orphaned(nodes: &[SocketAddr], root: &str, dependents: &[&str], why: &str) {
+fn assert_never_orphaned(nodes: &[SocketAddr], root: &str, dependents: &[&str], why: &str) {
     let start = Instant::now();
-    let mut told = false;
+    let mut root_cancelled = false;
     let mut unsettled = vec![String::new()];
     while !unsettled.is_empty() {
         assert!(
@@ -34,20 +34,20 @@
         );
         unsettled.clear();
         for node in nodes {
-            told |= phase(*node, root).as_deref() == Some("withdrawn");
+            root_cancelled |= phase(*node, root).as_deref() == Some("withdrawn");
             for dependent in dependents {
-                let said = phase(*node, dependent);
-                let cancelled = said.as_deref() == Some("withdrawn");
+                let answered = phase(*node, dependent);
+                let cancelled = answered.as_deref() == Some("withdrawn");
                 assert!(
-                    !told || cancelled || said.is_none(),
-                    "{why}: {dependent} {said:?}"
+                    !root_cancelled || cancelled || answered.is_none(),
+                    "{why}: {dependent} {answered:?}"
                 );
                 if !cancelled {
-                    unsettled.push(format!("{dependent} {said:?}"));
+                    unsettled.push(format!("{dependent} {answered:?}"));
                 }
             }
         }
-        if !told {
+        if !root_cancelled {
             unsettled.push(format!("{root}, never called cancelled"));
         }
     }
@@ -91,8 +91,8 @@
         cluster.members[1 - confirming].1,
     ];
     submit(a, "wk-000400", 1);
-    await_on(b, "wk-000401", &["wk-000400"]);
-    await_on(a, "wk-000402", &["wk-000401"]);
+    submit_depending_on(b, "wk-000401", &["wk-000400"]);
+    submit_depending_on(a, "wk-000402", &["wk-000401"]);
     cluster
         .store
         .inject_fault(key, Fault::UnavailableAfterwards);
@@ -112,7 +112,7 @@
     std::thread::sleep(cancel_bound);
     cluster.store.unavailable.store(false, Ordering::SeqCst);
     let asked: Vec<SocketAddr> = if ends { vec![b] } else { vec![b, a] };
-    never_orphaned(&asked, "wk-000400", &["wk-000401", "wk-000402"], &why);
+    assert_never_orphaned(&asked, "wk-000400", &["wk-000401", "wk-000402"], &why);
     until("confirmed", || {
         (cancel(b, "wk-000400") == 200).then_some(())
     });
@@ -121,7 +121,7 @@
     }
 }
 
-fn index_is_cleared(cluster: &TestCluster, why: &str) {
+fn wait_until_index_is_cleared(cluster: &TestCluster, why: &str) {
     let start = Instant::now();
     loop {
         let mut left = cluster.store.keys("q/");
@@ -144,19 +144,19 @@
     until("one leads", || leads(&node));
     submit(address, "wk-000600", 1);
     cluster.store.queue_watch_held.store(true, Ordering::SeqCst);
-    await_on(address, "wk-000601", &["wk-000600"]);
+    submit_depending_on(address, "wk-000601", &["wk-000600"]);
     submit(address, "wk-000602", 1);
     for job_id in ["wk-000600", "wk-000602"] {
         until("confirmed", || {
             (cancel(address, job_id) == 200).then_some(())
         });
     }
-    never_orphaned(&[address], "wk-000600", &["wk-000601"], "a late watch");
+    assert_never_orphaned(&[address], "wk-000600", &["wk-000601"], "a late watch");
     cluster
         .store
         .queue_watch_held
         .store(false, Ordering::SeqCst);
-    index_is_cleared(&cluster, "a late watch");
+    wait_until_index_is_cleared(&cluster, "a late watch");
     node.stop();
 }
 
@@ -176,7 +176,7 @@
     until("confirmed", || {
         (cancel(address, "wk-000620") == 200).then_some(())
     });
-    index_is_cleared(&cluster, "a list without a dependent");
+    wait_until_index_is_cleared(&cluster, "a list without a dependent");
     node.stop();
 }
 
@@ -200,12 +200,12 @@
     ];
     std::thread::scope(|s| {
         for (why, faults) in cases {
-            s.spawn(move || race(why, faults));
+            s.spawn(move || race_submissions_with_cancellation(why, faults));
         }
     });
 }
 
-fn race(why: &str, faults: &[(&'static str, Fault)]) {
+fn race_submissions_with_cancellation(why: &str, faults: &[(&'static str, Fault)]) {
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
@@ -247,8 +247,8 @@
     });
     assert!(dependents.len() > 6, "{why}: {dependents:?}");
     let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
-    never_orphaned(&[a, b], "wk-000500", &names, why);
-    index_is_cleared(&cluster, why);
+    assert_never_orphaned(&[a, b], "wk-000500", &names, why);
+    wait_until_index_is_cleared(&cluster, why);
     for node in nodes {
         node.stop();
     }
@@ -260,12 +260,12 @@
 fn any_number_of_jobs_may_depend_on_one() {
     const DEPENDENTS: u32 = 60;
     // Two nodes that know each other's version, and one that has never heard its peer.
-    for heard in [true, false] {
+    for versions_known in [true, false] {
         let cluster = TestCluster::new(2);
         // Lists with room for a few names only.
         let small = |s: &mut cypressgap::settings::Settings| s.config.value_bytes = 700;
         let mut nodes = vec![cluster.start_with(0, small)];
-        if heard {
+        if versions_known {
             nodes.push(cluster.start_with(1, small));
             until("they know each other", || {
                 let knows = |n: &cypressgap::runtime::service::Service| {
@@ -277,12 +277,12 @@
         let node = cluster.members[0].1;
         submit(node, "wk-000600", 1);
         for n in 0..DEPENDENTS {
-            await_on(node, &format!("wk-{:06}", 700 + n), &["wk-000600"]);
+            submit_depending_on(node, &format!("wk-{:06}", 700 + n), &["wk-000600"]);
         }
         let lists = cluster.store.keys("d/").len();
         assert_eq!(
             lists == 0,
-            heard,
+            versions_known,
             "lists are kept for earlier versions only"
         );
         until("confirmed", || match cancel(node, "wk-000600") {
@@ -295,8 +295,8 @@
         });
         for n in 0..DEPENDENTS {
             let job_id = format!("wk-{:06}", 700 + n);
-            let said = until("told", || phase(node, &job_id));
-            assert_eq!(said, "withdrawn", "{job_id}");
+            let answered = until("told", || phase(node, &job_id));
+            assert_eq!(answered, "withdrawn", "{job_id}");
         }
         until("lists and index are cleared", || {
             let left = cluster.store.keys("q/").len() + cluster.store.keys("d/").len();
@@ -314,13 +314,17 @@
 #[test]
 fn store_limits_fall_in_the_middle_of_a_cascade() {
     #[derive(Clone, Copy, Debug)]
-    enum Meets {
+    enum Coincidence {
         Nothing,
         AnOutage,
         ANewLeader,
     }
     std::thread::scope(|s| {
-        for meets in [Meets::Nothing, Meets::AnOutage, Meets::ANewLeader] {
+        for coincidence in [
+            Coincidence::Nothing,
+            Coincidence::AnOutage,
+            Coincidence::ANewLeader,
+        ] {
             s.spawn(move || {
                 let cluster = TestCluster::new(2);
                 let mut nodes = [Some(cluster.start(0)), Some(cluster.start(1))];
@@ -336,7 +340,7 @@
                 submit(other, "wk-000750", 1);
                 let dependents: Vec<String> = (751..766).map(|n| format!("wk-{n:06}")).collect();
                 for job_id in &dependents {
-                    await_on(other, job_id, &["wk-000750"]);
+                    submit_depending_on(other, job_id, &["wk-000750"]);
                 }
                 cluster.store.max_changes.store(3, Ordering::SeqCst);
                 // It may be told to come back while the rate of changes is used up. Once its own
@@ -346,21 +350,21 @@
                     let outcomes = cluster.store.keys("j/wk-000750").len();
                     (outcomes == 1).then_some(())
                 });
-                match meets {
-                    Meets::Nothing => {}
-                    Meets::AnOutage => {
+                match coincidence {
+                    Coincidence::Nothing => {}
+                    Coincidence::AnOutage => {
                         cluster.store.unavailable.store(true, Ordering::SeqCst);
                         std::thread::sleep(Duration::from_secs(3));
                         cluster.store.unavailable.store(false, Ordering::SeqCst);
                     }
-                    Meets::ANewLeader => {
+                    Coincidence::ANewLeader => {
                         if let Some(node) = nodes[leading].take() {
                             node.stop();
                         }
                     }
                 }
                 let names: Vec<&str> = dependents.iter().map(String::as_str).collect();
-                never_orphaned(&[other], "wk-000750", &names, &format!("{meets:?}"));
+                assert_never_orphaned(&[other], "wk-000750", &names, &format!("{coincidence:?}"));
                 // What comes afterwards is served as well.
                 worker.set_run_time(Duration::from_millis(300));
                 submit(other, "wk-000790", 2);
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 /// What a user was told of a job, in the order in which it may be told.
-const NOTHING: u8 = 0;
+const UNKNOWN: u8 = 0;
 const ACCEPTED: u8 = 1;
 const OVER: u8 = 2;
 
 /// A job, and the furthest that any user was told of it.
-struct Told {
+struct ObservedJob {
     job_id: String,
     stage: AtomicU8,
     /// What it ended as: 0 as long as nobody was told.
@@ -21,36 +21,36 @@
     cancelled: AtomicBool,
 }
 
-impl Told {
-    fn new(job_id: &str) -> Told {
-        Told {
+impl ObservedJob {
+    fn new(job_id: &str) -> ObservedJob {
+        ObservedJob {
             job_id: job_id.to_owned(),
-            stage: AtomicU8::new(NOTHING),
+            stage: AtomicU8::new(UNKNOWN),
             done: AtomicBool::new(false),
             cancelled: AtomicBool::new(false),
         }
     }
 
-    fn hears(&self, stage: u8) {
+    fn observe(&self, stage: u8) {
         self.stage.fetch_max(stage, Ordering::SeqCst);
     }
 
-    fn hears_phase(&self, phase: &str) {
+    fn observe_phase(&self, phase: &str) {
         match phase {
             "done" => self.done.store(true, Ordering::SeqCst),
             "withdrawn" => self.cancelled.store(true, Ordering::SeqCst),
             _ => {
-                self.hears(ACCEPTED);
+                self.observe(ACCEPTED);
                 return;
             }
         }
-        self.hears(OVER);
+        self.observe(OVER);
         let both = self.done.load(Ordering::SeqCst) && self.cancelled.load(Ordering::SeqCst);
         assert!(!both, "{}: done and withdrawn", self.job_id);
     }
 
     /// Asks a node. What was known before the question went out is the least that it may answer.
-    fn ask(&self, node: SocketAddr) {
+    fn query(&self, node: SocketAddr) {
         let before = self.stage.load(Ordering::SeqCst);
         let (status, body) = call("GET", node, &format!("/api/jobs/{}", self.job_id), None);
         let phase = body.text("Phase");
@@ -62,10 +62,10 @@
                     "{}: {phase} after its end",
                     self.job_id
                 );
-                self.hears_phase(&phase);
+                self.observe_phase(&phase);
             }
             404 => assert_eq!(
-                before, NOTHING,
+                before, UNKNOWN,
                 "{}: unknown after it was told",
                 self.job_id
             ),
@@ -80,8 +80,8 @@
         let (status, body) = call("POST", node, "/api/jobs", Some(&body));
         match status {
             201 => {
-                assert_eq!(before, NOTHING, "{}: accepted twice", self.job_id);
-                self.hears(ACCEPTED);
+                assert_eq!(before, UNKNOWN, "{}: accepted twice", self.job_id);
+                self.observe(ACCEPTED);
             }
             200 => {
                 let phase = body.text("Phase");
@@ -91,7 +91,7 @@
                     "{}: {phase} after its end",
                     self.job_id
                 );
-                self.hears_phase(&phase);
+                self.observe_phase(&phase);
             }
             400 | 422 => panic!("{}: refused with {status}", self.job_id),
             _ => {}
@@ -102,15 +102,15 @@
         let path = format!("/api/jobs/{}/withdraw", self.job_id);
         let (status, body) = call("POST", node, &path, None);
         if status == 200 {
-            self.hears_phase(&body.text("Phase"));
+            self.observe_phase(&body.text("Phase"));
         }
     }
 }
 
 /// Ends the askers, also when an assertion fails meanwhile: the scope waits for them.
-struct StopAtEnd<'a>(&'a AtomicBool);
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for StopAtEnd<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -135,19 +135,19 @@
             // Until it knows that the store does not answer it.
             std::thread::sleep(Duration::from_secs(4));
         }
-        let jobs: Vec<Told> = (901..913)
-            .map(|n| Told::new(&format!("wk-{n:06}")))
+        let jobs: Vec<ObservedJob> = (901..913)
+            .map(|n| ObservedJob::new(&format!("wk-{n:06}")))
             .collect();
         let stop = AtomicBool::new(false);
         let (jobs_seen, stopped) = (&jobs, &stop);
         std::thread::scope(|s| {
-            let _askers_end = StopAtEnd(&stop);
+            let _askers_end = StopOnDrop(&stop);
             for node in addresses {
                 for _ in 0..4 {
                     s.spawn(move || {
                         while !stopped.load(Ordering::SeqCst) {
                             for job in jobs_seen {
-                                job.ask(node);
+                                job.query(node);
                             }
                         }
                     });
@@ -172,9 +172,9 @@
                 }
             }
             until("all are over", || {
-                let over = |j: &Told| j.stage.load(Ordering::SeqCst) == OVER;
+                let over = |j: &ObservedJob| j.stage.load(Ordering::SeqCst) == OVER;
                 for job in jobs.iter().filter(|j| !over(j)) {
-                    job.ask(addresses[0]);
+                    job.query(addresses[0]);
                 }
                 jobs.iter().all(over).then_some(())
             });
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -93,7 +93,7 @@
         store: &cluster.store,
     };
     until("it leads", || leads(&node));
-    let told = |job_id: &str, expected: &str| {
+    let wait_for_phase = |job_id: &str, expected: &str| {
         until(job_id, || {
             (phase(address, job_id)? == expected).then_some(())
         });
@@ -110,10 +110,10 @@
     // The earlier one accepts, this one cancels.
     earlier.accepts("wk-000801", "wk-000800");
     accepts(address, "wk-000802", &["wk-000801"]);
-    told("wk-000801", "queued");
+    wait_for_phase("wk-000801", "queued");
     cancel("wk-000801");
-    told("wk-000802", "withdrawn");
-    told("wk-000801", "withdrawn");
+    wait_for_phase("wk-000802", "withdrawn");
+    wait_for_phase("wk-000801", "withdrawn");
 
     // This one accepts while the earlier one, which read the list before, cancels: the transaction
     // fails, and its repetition finds the dependent.
@@ -129,11 +129,11 @@
     let dependents = ["wk-000811", "wk-000812"];
     assert_eq!(earlier.cancels("wk-000810", read_now, &dependents), 200);
     for job_id in ["wk-000810", "wk-000811", "wk-000812"] {
-        told(job_id, "withdrawn");
+        wait_for_phase(job_id, "withdrawn");
     }
     // And one that is submitted after it.
     accepts(address, "wk-000813", &["wk-000810", "wk-000800"]);
-    told("wk-000813", "withdrawn");
+    wait_for_phase("wk-000813", "withdrawn");
 
     // The earlier one, leading, made a `done` durable: what needs it starts here, and not before.
     accepts(address, "wk-000820", &["wk-000800"]);
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -13,7 +13,7 @@
 struct RunningTask {
     attempt: u64,
     started: Instant,
-    why: Option<&'static str>,
+    exit_reason: Option<&'static str>,
 }
 
 #[derive(Default)]
@@ -24,14 +24,14 @@
     /// When it carried out an order.
     orders: Vec<Instant>,
     /// Earlier incarnations, and when the last answered heartbeat was sent.
-    sessions: u64,
-    answered: Option<Instant>,
+    expired_leases: u64,
+    last_answered: Option<Instant>,
 }
 
 /// One machine: sends heartbeats, and runs each task for as long as the test says.
 #[derive(Clone)]
 pub struct FakeWorker {
-    machine: Arc<Mutex<WorkerState>>,
+    state: Arc<Mutex<WorkerState>>,
     serial: Arc<AtomicU64>,
     endpoint: String,
     name: String,
@@ -57,10 +57,10 @@
         pause: Duration,
         nodes: Vec<(String, SocketAddr)>,
     ) -> FakeWorker {
-        let machine: Arc<Mutex<WorkerState>> = Arc::default();
+        let state: Arc<Mutex<WorkerState>> = Arc::default();
         let serial = Arc::new(AtomicU64::new(1));
         let mut worker = FakeWorker {
-            machine,
+            state,
             serial,
             endpoint: String::new(),
             name: name.to_owned(),
@@ -71,7 +71,7 @@
         let w = worker.clone();
         let address = serve_at(address, move |method, url, body| {
             if method == &Method::Post && url == "/commands" {
-                let executed = w.take(&body);
+                let executed = w.execute(&body);
                 let status = if executed { 200 } else { 409 };
                 return (status, w.heartbeat());
             }
@@ -94,38 +94,42 @@
 
     /// From now on its tasks end when no answered heartbeat was sent for this long.
     pub fn set_lease(&self, lease: Duration) {
-        self.machine.lock().expect("the machine").answered = Some(Instant::now());
+        self.state.lock().expect("the machine").last_answered = Some(Instant::now());
         self.lease.store(lease.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Tasks started so far, with their attempts.
     pub fn starts(&self) -> Vec<(String, u64)> {
-        self.machine.lock().expect("the machine").starts.clone()
+        self.state.lock().expect("the machine").starts.clone()
     }
 
     /// When it carried out orders.
     pub fn orders(&self) -> Vec<Instant> {
-        self.machine.lock().expect("the machine").orders.clone()
+        self.state.lock().expect("the machine").orders.clone()
     }
 
     /// Tasks on the machine that have not ended.
     pub fn running(&self) -> usize {
-        let mut m = self.machine.lock().expect("the machine");
-        self.expire(&mut m);
-        m.tasks.values().filter(|h| h.why.is_none()).count()
+        let mut state = self.state.lock().expect("the machine");
+        self.expire(&mut state);
+        state
+            .tasks
+            .values()
+            .filter(|h| h.exit_reason.is_none())
+            .count()
     }
 
     /// The tasks on the machine that have not ended.
     pub fn running_tasks(&self) -> Vec<String> {
-        let mut m = self.machine.lock().expect("the machine");
-        self.expire(&mut m);
-        let running = m.tasks.iter().filter(|(_, h)| h.why.is_none());
+        let mut state = self.state.lock().expect("the machine");
+        self.expire(&mut state);
+        let running = state.tasks.iter().filter(|(_, h)| h.exit_reason.is_none());
         running.map(|(shard, _)| shard.clone()).collect()
     }
 
     /// The highest token that a controller showed it.
     pub fn token(&self) -> u64 {
-        self.machine.lock().expect("the machine").token
+        self.state.lock().expect("the machine").token
     }
 
     /// Sends one heartbeat to this node, wherever the others go. The answer's status.
@@ -135,46 +139,52 @@
 
     /// Sessions that ended because the lease ran out.
     pub fn expired_leases(&self) -> u64 {
-        self.machine.lock().expect("the machine").sessions
+        self.state.lock().expect("the machine").expired_leases
     }
 
-    fn expire(&self, m: &mut WorkerState) {
+    fn expire(&self, state: &mut WorkerState) {
         let lease = Duration::from_millis(self.lease.load(Ordering::SeqCst));
         let spent = |t: Instant| !lease.is_zero() && t.elapsed() > lease;
-        if m.answered.is_some_and(spent) {
-            m.tasks.clear();
-            m.sessions += 1;
-            m.answered = Some(Instant::now());
+        if state.last_answered.is_some_and(spent) {
+            state.tasks.clear();
+            state.expired_leases += 1;
+            state.last_answered = Some(Instant::now());
         }
     }
 
-    fn take(&self, body: &Value) -> bool {
-        let mut m = self.machine.lock().expect("the machine");
-        self.expire(&mut m);
-        if body.int("Epoch") < m.token {
+    fn execute(&self, body: &Value) -> bool {
+        let mut state = self.state.lock().expect("the machine");
+        self.expire(&mut state);
+        if body.int("Epoch") < state.token {
             return false;
         }
-        m.token = body.int("Epoch");
-        for d in body.list("Directives") {
-            let (shard, attempt) = (d.text("Shard"), d.int("Try"));
-            m.orders.push(Instant::now());
-            match d.text("Verb").as_str() {
-                "launch" if !m.tasks.contains_key(&shard) => {
-                    m.starts.push((shard.clone(), attempt));
-                    let held = RunningTask {
+        state.token = body.int("Epoch");
+        for command in body.list("Directives") {
+            let (shard, attempt) = (command.text("Shard"), command.int("Try"));
+            state.orders.push(Instant::now());
+            match command.text("Verb").as_str() {
+                "launch" if !state.tasks.contains_key(&shard) => {
+                    state.starts.push((shard.clone(), attempt));
+                    let task = RunningTask {
                         attempt,
                         started: Instant::now(),
-                        why: None,
+                        exit_reason: None,
                     };
-                    m.tasks.insert(shard, held);
+                    state.tasks.insert(shard, task);
                 }
                 "kill" => {
-                    if let Some(h) = m.tasks.get_mut(&shard).filter(|h| h.why.is_none()) {
-                        h.why = Some("stopped");
+                    if let Some(task) = state
+                        .tasks
+                        .get_mut(&shard)
+                        .filter(|h| h.exit_reason.is_none())
+                    {
+                        task.exit_reason = Some("stopped");
                     }
                 }
                 "forget" => {
-                    m.tasks.retain(|s, h| s != &shard || h.attempt != attempt);
+                    state
+                        .tasks
+                        .retain(|s, h| s != &shard || h.attempt != attempt);
                 }
                 _ => {}
             }
@@ -183,26 +193,30 @@
     }
 
     fn heartbeat(&self) -> Value {
-        let mut m = self.machine.lock().expect("the machine");
-        self.expire(&mut m);
+        let mut state = self.state.lock().expect("the machine");
+        self.expire(&mut state);
         let run = Duration::from_millis(self.run.load(Ordering::SeqCst));
-        for h in m.tasks.values_mut() {
-            if h.why.is_none() && h.started.elapsed() >= run {
-                h.why = Some("done");
+        for task in state.tasks.values_mut() {
+            if task.exit_reason.is_none() && task.started.elapsed() >= run {
+                task.exit_reason = Some("done");
             }
         }
-        let tasks = m
+        let tasks = state
             .tasks
             .iter()
             .map(|(s, h)| {
-                let phase = if h.why.is_some() { "ended" } else { "running" };
+                let phase = if h.exit_reason.is_some() {
+                    "ended"
+                } else {
+                    "running"
+                };
                 let mut task = BTreeMap::from([
                     ("Shard".to_owned(), text(s)),
                     ("Try".to_owned(), Value::Int(h.attempt)),
                     ("Phase".to_owned(), text(phase)),
                 ]);
-                if let Some(why) = h.why {
-                    task.insert("ExitReason".to_owned(), text(why));
+                if let Some(exit_reason) = h.exit_reason {
+                    task.insert("ExitReason".to_owned(), text(exit_reason));
                 }
                 Value::Map(task)
             })
@@ -213,12 +227,12 @@
             ("HostType", text("m8")),
             ("Site", text("hall-a")),
             ("Preemptible", Value::Bool(false)),
-            ("Tenure", Value::Int(1 + m.sessions)),
+            ("Tenure", Value::Int(1 + state.expired_leases)),
             (
                 "Serial",
                 Value::Int(self.serial.fetch_add(1, Ordering::SeqCst)),
             ),
-            ("Epoch", Value::Int(m.token)),
+            ("Epoch", Value::Int(state.token)),
             ("Shards", Value::List(tasks)),
         ])
     }
@@ -231,10 +245,10 @@
             match status {
                 200 => {
                     // The answer to a heartbeat of an earlier incarnation is dropped.
-                    let session = Value::Int(1 + self.expired_leases());
-                    if heartbeat.get("Tenure") == Some(&session) && self.take(&body) {
-                        let mut m = self.machine.lock().expect("the machine");
-                        m.answered = Some(sent);
+                    let incarnation = Value::Int(1 + self.expired_leases());
+                    if heartbeat.get("Tenure") == Some(&incarnation) && self.execute(&body) {
+                        let mut state = self.state.lock().expect("the machine");
+                        state.last_answered = Some(sent);
                     }
                 }
                 421 => {
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -123,7 +123,7 @@
         assert!(fixture.cluster.jobs.is_empty(), "{source:?}");
     }
     // Told that a dependent is cancelled already, it writes no outcome.
-    for told in [true, false] {
+    for is_told in [true, false] {
         let mut fixture = ClusterFixture::new();
         fixture.job(job_depending_on(1, &[]));
         fixture.job(job_depending_on(2, &[1]));
@@ -132,7 +132,7 @@
         let mut keys = Keys::default();
         for step in 0..20 {
             fixture.pass(Duration::from_millis(150));
-            if told && step == 2 {
+            if is_told && step == 2 {
                 fixture
                     .cluster
                     .on_cancelled(fixture.now, &job_id(2), CancelSource::Peer);
@@ -140,7 +140,7 @@
             written.extend(keys.tick(&mut fixture, 24));
         }
         let outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
-        assert_eq!(written.iter().any(outcome), !told, "told {told}");
+        assert_eq!(written.iter().any(outcome), !is_told, "told {is_told}");
     }
 }
 
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -24,7 +24,7 @@
         (60.0, 20.0, 6, false),
     ];
     for (lease, cancel, whole, keeps) in cases {
-        let (lease, cancel) = (secs_f(lease), secs_f(cancel));
+        let (lease, cancel) = (fractional_secs(lease), fractional_secs(cancel));
         let bound = WatermarkBound::new(lease, cancel);
         let found = (bound.max_age.as_secs(), bound.ends_tasks_in_time);
         assert_eq!(found, (whole, keeps), "{lease:?} {cancel:?}");
@@ -36,13 +36,13 @@
     }
 }
 
-fn secs_f(s: f64) -> Duration {
+fn fractional_secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
 /// What happens at which second of a term that began with a read at second 0.
 #[derive(Clone, Copy)]
-enum Happens {
+enum Event {
     Read(u64),
     /// A peer's word: asked, came, and whether it goes on from the one before.
     Told(&'static str, u64, u64, bool),
@@ -50,8 +50,8 @@
 
 #[test]
 fn the_watermark_is_the_time_up_to_which_all_cancellations_are_known() {
-    use Happens::*;
-    let cases: [(&str, &[&str], &[Happens], u64); 11] = [
+    use Event::*;
+    let cases: [(&str, &[&str], &[Event], u64); 11] = [
         ("nothing is heard", &["b", "c"], &[], 0),
         (
             "reads count from their asking",
@@ -182,7 +182,7 @@
 }
 
 /// A running task on a machine of a leader with one peer.
-fn in_doubt() -> (ClusterFixture, AttemptId) {
+fn fixture_past_the_watermark() -> (ClusterFixture, AttemptId) {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -200,7 +200,7 @@
 /// renewed then ends in time. What reports show is taken, and kills go out by themselves.
 #[test]
 fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
-    let (mut fixture, attempt) = in_doubt();
+    let (mut fixture, attempt) = fixture_past_the_watermark();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
     fixture.heartbeat("i-1", 2, tasks());
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -100,7 +100,7 @@
         .cluster
         .on_rented(fixture.now, &first[0].0, RentalOutcome::NoCapacity);
     let other = rentals(&fixture.settle());
-    assert_ne!(other[0].0, first[0].0, "another kind, another claim");
+    assert_ne!(other[0].0, first[0].0, "another kind, another key");
 }
 
 /// Guards against whole machines kept idle for jobs that can wait for a boot.
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -10,7 +10,7 @@
 };
 use cypressgap::core::state::Action;
 
-fn loaded(fixture: &mut ClusterFixture, job_id: &str, done: u64, active: &[(u32, &str)]) {
+fn load_intents(fixture: &mut ClusterFixture, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
         .iter()
         .map(|(i, h)| Intent::new(*i, AttemptId(100 + u64::from(*i)), MachineId::from(*h)))
@@ -34,12 +34,16 @@
 /// may still be there counts for the limit until it is proved gone, however it goes.
 #[test]
 fn cancelled_tasks_on_silent_machines_count_for_the_teams_limit_until_proved_gone() {
-    enum Goes {
+    enum Proof {
         Returned,
-        NewSession,
+        NewIncarnation,
         AnswersAndEnds,
     }
-    for goes in [Goes::Returned, Goes::NewSession, Goes::AnswersAndEnds] {
+    for proof in [
+        Proof::Returned,
+        Proof::NewIncarnation,
+        Proof::AnswersAndEnds,
+    ] {
         let mut fixture = ClusterFixture::with(
             config(),
             vec![machine_type("m8", 8.0), machine_type("m32", 32.0)],
@@ -47,7 +51,7 @@
         // Red may use 32: four tasks of eight, on machines that this leader has not known yet.
         fixture.job(spec("wk-000001", 4, 8.0));
         let on = [(0, "i-1"), (1, "i-2"), (2, "i-3"), (3, "i-4")];
-        loaded(&mut fixture, "wk-000001", 0, &on);
+        load_intents(&mut fixture, "wk-000001", 0, &on);
         fixture
             .cluster
             .on_cancel_marked(fixture.now, &"wk-000001".into());
@@ -55,15 +59,19 @@
         fixture.heartbeat("i-9", 1, vec![]);
         fixture.heartbeat("i-9", 2, vec![]);
         assert_eq!(launches(&fixture.settle()), vec![], "the limit is full");
-        match goes {
-            Goes::Returned => fixture.cluster.on_returned(fixture.now, &["i-1".into()]),
-            Goes::NewSession | Goes::AnswersAndEnds => {
+        match proof {
+            Proof::Returned => fixture.cluster.on_returned(fixture.now, &["i-1".into()]),
+            Proof::NewIncarnation | Proof::AnswersAndEnds => {
                 // A duplicate from before, then the machine itself.
                 let old = FencingToken::first(Term(TERM.0 - 1)).0;
                 let copy = heartbeat_from("i-1", 1, 3, old, vec![]);
                 fixture.cluster.on_heartbeat(fixture.now, copy);
-                assert_eq!(launches(&fixture.settle()), vec![], "a copy is no proof");
-                let incarnation = if matches!(goes, Goes::NewSession) {
+                assert_eq!(
+                    launches(&fixture.settle()),
+                    vec![],
+                    "a duplicate is no proof"
+                );
+                let incarnation = if matches!(proof, Proof::NewIncarnation) {
                     2
                 } else {
                     1
@@ -76,9 +84,9 @@
                 fixture.cluster.on_heartbeat(fixture.now, live);
             }
         }
-        let sent = launches(&fixture.settle());
-        assert_eq!(sent.len(), 1, "room for one");
-        assert_eq!(sent[0].1.job_id, "wk-000002".into());
+        let launched = launches(&fixture.settle());
+        assert_eq!(launched.len(), 1, "room for one");
+        assert_eq!(launched[0].1.job_id, "wk-000002".into());
     }
 }
 
@@ -89,12 +97,12 @@
     let mut fixture = ClusterFixture::new();
     fixture.job(spec("wk-000001", 3, 2.0));
     // One ended under the leader before, one runs, one was never sent.
-    loaded(&mut fixture, "wk-000001", 0b001, &[(1, "i-1")]);
+    load_intents(&mut fixture, "wk-000001", 0b001, &[(1, "i-1")]);
     fixture.heartbeat("i-1", 1, vec![running("wk-000001", 1)]);
-    let sent = launches(&fixture.settle());
-    let started: Vec<u32> = sent.iter().map(|l| l.1.index).collect();
+    let launched = launches(&fixture.settle());
+    let started: Vec<u32> = launched.iter().map(|l| l.1.index).collect();
     assert_eq!(started, vec![2]);
-    let last = sent[0].2;
+    let last = launched[0].2;
     let done = |a: &[Action]| {
         a.iter().any(|a| match a {
             Action::Store(b) => b.ops.iter().any(|o| {
@@ -131,7 +139,7 @@
         }
     }
     fixture.heartbeat("i-1", 90, vec![ended(2, last)]);
-    let written = fixture.batch().expect("the verdict");
+    let written = fixture.batch().expect("the outcome");
     assert!(done(&[Action::Store(written)]));
 }
 
@@ -140,7 +148,7 @@
 #[test]
 fn completion_and_cancellation_exclude_each_other() {
     // Whether the cancellation's outcome was there when done was to be written.
-    for withdrawn_first in [false, true] {
+    for cancelled_first in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 2.0));
@@ -155,11 +163,11 @@
                 TaskPhase::Ended(ExitReason::Completed),
             )],
         );
-        let batch = fixture.batch().expect("the verdict");
+        let batch = fixture.batch().expect("the outcome");
         assert!(batch
             .conditions
             .contains(&KeyCondition::absent("j/wk-000001")));
-        let outcome = if withdrawn_first {
+        let outcome = if cancelled_first {
             let conflicts = vec![ConflictingKey {
                 key: "j/wk-000001".to_owned(),
                 revision: 777,
@@ -177,11 +185,11 @@
         for attempt in fixture.settle() {
             let Action::Store(b) = attempt else { continue };
             let again = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
-            assert!(!b.ops.iter().any(again), "{withdrawn_first}");
+            assert!(!b.ops.iter().any(again), "{cancelled_first}");
         }
         assert!(
             fixture.cluster.jobs.is_empty(),
-            "{withdrawn_first}: nothing is left"
+            "{cancelled_first}: nothing is left"
         );
     }
 }
@@ -193,7 +201,7 @@
     for heartbeats in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.job(spec("wk-000001", 1, 8.0));
-        loaded(&mut fixture, "wk-000001", 0, &[(0, "i-1")]);
+        load_intents(&mut fixture, "wk-000001", 0, &[(0, "i-1")]);
         fixture
             .cluster
             .on_cancel_marked(fixture.now, &"wk-000001".into());
@@ -214,11 +222,11 @@
                 returned = Some(second);
             }
         }
-        let at = returned.unwrap_or_else(|| panic!("{heartbeats}: never given back"));
+        let at = returned.unwrap_or_else(|| panic!("{heartbeats}: never returned"));
         assert!(at <= cancel / 2, "{heartbeats}: only after {at} s");
         assert!(
             fixture.active("wk-000001", 0).is_some(),
-            "not gone before the word"
+            "not gone before the answer"
         );
     }
 }
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 
-fn roomy() -> SchedulerConfig {
+fn config_without_limits() -> SchedulerConfig {
     let mut scheduler_config = config();
     for t in &mut scheduler_config.teams {
         t.cpus_max = None;
@@ -28,7 +28,7 @@
         ("both", 3, 8, 12, 5),
     ];
     for (name, broken, faulty, most, found) in cases {
-        let mut fleet = SimulatedFleet::new(roomy(), 40, 8.0);
+        let mut fleet = SimulatedFleet::new(config_without_limits(), 40, 8.0);
         fleet.faulty = (0..faulty)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
@@ -88,7 +88,7 @@
 #[test]
 fn a_sound_job_is_not_slowed_by_faulty_machines() {
     // All of its first machines but one fail everything: what runs on the last clears it.
-    let mut fleet = SimulatedFleet::new(roomy(), 12, 8.0);
+    let mut fleet = SimulatedFleet::new(config_without_limits(), 12, 8.0);
     fleet.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
     fleet.fixture.job(spec("wk-000001", 96, 1.0));
     let mut cleared = None;
@@ -105,7 +105,7 @@
 
 #[test]
 fn nothing_is_rented_or_preempted_for_a_job_in_a_crash_loop() {
-    let mut fleet = SimulatedFleet::new(roomy(), 4, 8.0);
+    let mut fleet = SimulatedFleet::new(config_without_limits(), 4, 8.0);
     fleet.broken.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
     urgent.priority = Priority::Production;
@@ -135,9 +135,9 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
     fixture.job(spec("wk-000002", 1, 4.0));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 2);
-    let ends = sent
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 2);
+    let ends = launched
         .iter()
         .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
@@ -148,13 +148,13 @@
     fixture.job(spec("wk-000001", 1, 4.0));
     for (n, machine) in ["i-1", "i-2", "i-3"].iter().enumerate() {
         fixture.heartbeat(machine, 1, vec![]);
-        let sent = launches(&fixture.settle());
-        assert_eq!(sent.len(), 1, "{machine}");
-        assert_eq!(&sent[0].0 .0, machine, "not where it failed before");
+        let launched = launches(&fixture.settle());
+        assert_eq!(launched.len(), 1, "{machine}");
+        assert_eq!(&launched[0].0 .0, machine, "not where it failed before");
         let end = shown(
             "wk-000001",
             0,
-            sent[0].2,
+            launched[0].2,
             TaskPhase::Ended(ExitReason::Failed),
         );
         fixture.heartbeat(machine, 5, vec![end]);
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -12,14 +12,14 @@
 
 #[test]
 fn dependency_graph_cases() {
-    enum E {
+    enum Event {
         Add(u32, &'static [u32], DependencyState),
         Done(u32, &'static [u32]),
         Cancelled(u32, &'static [u32]),
     }
     use DependencyState::*;
-    use E::*;
-    let cases: [(&str, &[E]); 8] = [
+    use Event::*;
+    let cases: [(&str, &[Event]); 8] = [
         ("no needs", &[Add(1, &[], Ready)]),
         (
             "a chain",
@@ -36,7 +36,7 @@
             &[Add(3, &[1, 2], Blocked), Done(2, &[]), Done(1, &[3])],
         ),
         (
-            "what ended before it was heard of",
+            "what ended before it was known",
             &[
                 Done(1, &[]),
                 Add(2, &[1], Ready),
@@ -45,7 +45,7 @@
             ],
         ),
         (
-            "a withdrawal takes all behind it, once each",
+            "a cancellation takes all behind it, once each",
             &[
                 Add(2, &[1], Blocked),
                 Add(3, &[1], Blocked),
@@ -57,7 +57,7 @@
             ],
         ),
         (
-            "a link of the chain is withdrawn, what it needs is not",
+            "a link of the chain is cancelled, what it needs is not",
             &[
                 Add(2, &[1], Blocked),
                 Add(3, &[2], Blocked),
@@ -66,43 +66,43 @@
             ],
         ),
         (
-            "one need withdrawn, the other done later",
+            "one need cancelled, the other done later",
             &[Add(3, &[1, 2], Blocked), Cancelled(1, &[3]), Done(2, &[])],
         ),
         (
-            "dependents are heard of before what they need",
+            "dependents are known before what they need",
             &[Add(3, &[2], Blocked), Add(2, &[1], Blocked), Done(1, &[2])],
         ),
     ];
     for (name, events) in cases {
-        let mut d = Dependencies::default();
-        for e in events {
-            match e {
+        let mut graph = Dependencies::default();
+        for event in events {
+            match event {
                 Add(n, dependencies, status) => {
                     assert_eq!(
-                        d.add(&job_id(*n), &job_ids(dependencies), false),
+                        graph.add(&job_id(*n), &job_ids(dependencies), false),
                         *status,
                         "{name}: {n}"
                     );
                 }
                 Done(n, ready) => {
                     assert_eq!(
-                        d.record_done(&job_id(*n)),
+                        graph.record_done(&job_id(*n)),
                         job_ids(ready),
                         "{name}: {n} done"
                     )
                 }
                 Cancelled(n, orphans) => {
-                    let mut all = d.record_cancelled(&job_id(*n));
+                    let mut all = graph.record_cancelled(&job_id(*n));
                     all.sort();
-                    assert_eq!(all, job_ids(orphans), "{name}: {n} withdrawn");
+                    assert_eq!(all, job_ids(orphans), "{name}: {n} cancelled");
                 }
             }
         }
     }
-    let mut d = Dependencies::default();
-    d.add(&job_id(3), &job_ids(&[1, 2]), false);
-    assert_eq!(d.unresolved(|n| *n == job_id(1)), job_ids(&[2]));
+    let mut graph = Dependencies::default();
+    graph.add(&job_id(3), &job_ids(&[1, 2]), false);
+    assert_eq!(graph.unresolved(|n| *n == job_id(1)), job_ids(&[2]));
 }
 
 fn ended(n: u32, a: AttemptId) -> Vec<TaskStatus> {
@@ -121,14 +121,14 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(job_depending_on(1, &[]));
     fixture.job(job_depending_on(2, &[1]));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 1, "only the first");
-    assert_eq!(sent[0].1.job_id, job_id(1));
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 1, "only the first");
+    assert_eq!(launched[0].1.job_id, job_id(1));
     let blocked = &fixture.cluster.jobs[&job_id(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
-    fixture.heartbeat("i-1", 2, ended(1, sent[0].2));
+    fixture.heartbeat("i-1", 2, ended(1, launched[0].2));
     // The outcome's transaction gets no answer for a while.
-    let outcome = fixture.batch().expect("the verdict");
+    let outcome = fixture.batch().expect("the outcome");
     let done = |o: &WriteOp| {
         matches!(
             o,
@@ -150,9 +150,9 @@
         .cluster
         .on_write_outcome(fixture.now, WriteOutcome::Unknown);
     let before = fixture.now;
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 1);
-    assert_eq!(sent[0].1.job_id, job_id(2));
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 1);
+    assert_eq!(launched[0].1.job_id, job_id(2));
     assert!(
         fixture.cluster.jobs[&job_id(2)].arrived >= before,
         "it waits from now on"
@@ -169,22 +169,22 @@
         (Some(JobOutcome::Cancelled), false, true),
     ];
     for (found, starts, cancelled) in cases {
-        for told_first in [false, true] {
+        for known_before in [false, true] {
             let mut fixture = ClusterFixture::new();
             fixture.heartbeat("i-1", 1, vec![]);
-            if let (Some(v), true) = (found, told_first) {
+            if let (Some(v), true) = (found, known_before) {
                 fixture.cluster.on_past_outcome(fixture.now, &job_id(1), v);
             }
             fixture.job(job_depending_on(2, &[1]));
             fixture.job(job_depending_on(3, &[2]));
-            if !told_first {
+            if !known_before {
                 assert_eq!(fixture.cluster.unresolved_dependencies(), job_ids(&[1]));
             }
-            if let (Some(v), false) = (found, told_first) {
+            if let (Some(v), false) = (found, known_before) {
                 fixture.cluster.on_past_outcome(fixture.now, &job_id(1), v);
             }
             let mut written = Vec::new();
-            let mut sent = Vec::new();
+            let mut launched = Vec::new();
             for _ in 0..20 {
                 fixture.pass(secs(1));
                 for a in fixture.cluster.tick(fixture.now) {
@@ -201,17 +201,20 @@
                             .cluster
                             .on_write_outcome(fixture.now, WriteOutcome::Applied { revision });
                     } else {
-                        sent.extend(launches(&[a]));
+                        launched.extend(launches(&[a]));
                     }
                 }
                 let serial = 10 + fixture.revision;
                 fixture.heartbeat("i-1", serial, vec![]);
             }
-            let begun = sent.iter().any(|l| l.1.job_id == job_id(2));
-            assert_eq!(begun, starts, "{found:?} {told_first}");
-            assert!(!sent.iter().any(|l| l.1.job_id == job_id(3)), "{found:?}");
+            let begun = launched.iter().any(|l| l.1.job_id == job_id(2));
+            assert_eq!(begun, starts, "{found:?} {known_before}");
+            assert!(
+                !launched.iter().any(|l| l.1.job_id == job_id(3)),
+                "{found:?}"
+            );
             let both = written.len() == 2 && written.iter().all(|v| v.1 == JobOutcome::Cancelled);
-            assert_eq!(both, cancelled, "{found:?} {told_first}: {written:?}");
+            assert_eq!(both, cancelled, "{found:?} {known_before}: {written:?}");
         }
     }
 }
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -9,7 +9,7 @@
 fn a_late_duplicate_heartbeat_changes_nothing() {
     // The duplicate's incarnation, serial, and whether it lists the task.
     let cases = [
-        ("the last report again", 1, 5, true),
+        ("the last heartbeat again", 1, 5, true),
         ("one from before the launch", 1, 1, false),
         ("an early one of the session", 1, 2, false),
     ];
@@ -28,8 +28,8 @@
         for late in [2, 10, 19] {
             fixture.run(late);
             let old = if listed { tasks() } else { vec![] };
-            let copy = heartbeat_from("i-1", incarnation, serial, token.0, old);
-            let answer = fixture.cluster.on_heartbeat(fixture.now, copy);
+            let duplicate = heartbeat_from("i-1", incarnation, serial, token.0, old);
+            let answer = fixture.cluster.on_heartbeat(fixture.now, duplicate);
             let none =
                 matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
             assert!(none, "{name}: nothing is ordered on its word");
@@ -72,8 +72,8 @@
             vec![]
         };
         let before = FencingToken::first(Term(TERM.0 - 1)).0;
-        let copy = heartbeat_from("i-1", 1, 40, before, tasks);
-        fixture.cluster.on_heartbeat(fixture.now, copy);
+        let duplicate = heartbeat_from("i-1", 1, 40, before, tasks);
+        fixture.cluster.on_heartbeat(fixture.now, duplicate);
         // A machine that was returned in an earlier term seems to report too.
         fixture
             .cluster
@@ -122,8 +122,8 @@
     let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let ended = |exit| vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
     // The duplicates in the order of their coming: incarnation, serial, tasks.
-    type Copies = Vec<(u64, u64, Vec<TaskStatus>)>;
-    let cases: [(&str, Copies); 4] = [
+    type Duplicates = Vec<(u64, u64, Vec<TaskStatus>)>;
+    let cases: [(&str, Duplicates); 4] = [
         (
             "empty ones of two sessions",
             vec![(1, 40, vec![]), (2, 1, vec![])],
@@ -141,7 +141,7 @@
             vec![(1, 40, ended(ExitReason::Failed))],
         ),
     ];
-    for (name, copies) in cases {
+    for (name, duplicates) in cases {
         let mut fixture = ClusterFixture::new();
         fixture.job(spec("wk-000001", 1, 4.0));
         let value = ChunkValue {
@@ -153,9 +153,9 @@
             .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
         fixture.heartbeat("i-2", 1, vec![]);
         let before = FencingToken::first(Term(TERM.0 - 1)).0;
-        for (incarnation, serial, tasks) in copies {
-            let copy = heartbeat_from("i-1", incarnation, serial, before, tasks);
-            fixture.cluster.on_heartbeat(fixture.now, copy);
+        for (incarnation, serial, tasks) in duplicates {
+            let duplicate = heartbeat_from("i-1", incarnation, serial, before, tasks);
+            fixture.cluster.on_heartbeat(fixture.now, duplicate);
             fixture.settle();
             assert_eq!(
                 fixture.active("wk-000001", 0),
@@ -185,9 +185,9 @@
     fixture.cluster.on_returned(fixture.now, &[first_machine()]);
     for late in [1, 30, 300] {
         fixture.pass(secs(late));
-        let copy = heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
+        let duplicate = heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
         assert_eq!(
-            fixture.cluster.on_heartbeat(fixture.now, copy),
+            fixture.cluster.on_heartbeat(fixture.now, duplicate),
             HeartbeatDecision::Ignore
         );
         assert!(fixture.cluster.fleet.machines.is_empty());
@@ -223,7 +223,7 @@
     assert_eq!(
         fixture.cluster.fleet.machines[&first_machine()].serial,
         2,
-        "heard again"
+        "accepted again"
     );
     let now_on = fixture.active("wk-000001", 0);
     assert!(
@@ -231,13 +231,13 @@
         "its old task is gone"
     );
     // A duplicate of the predecessor's counts higher and yet says nothing.
-    let copy = heartbeat_from(
+    let duplicate = heartbeat_from(
         "i-1",
         1,
         95,
         old,
         vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
     );
-    fixture.cluster.on_heartbeat(fixture.now, copy);
+    fixture.cluster.on_heartbeat(fixture.now, duplicate);
     assert_eq!(fixture.cluster.fleet.machines[&first_machine()].serial, 2);
 }
--- a/tests/scheduler/execution_history.rs
+++ b/tests/scheduler/execution_history.rs
@@ -9,7 +9,7 @@
     let mut history = History::default();
     let t = MachineTypeName::from("m8");
     let s = spec("wk-000001", 1, 4.0);
-    assert_eq!(history.run_time(&s, &t), secs(60), "the owner's word");
+    assert_eq!(history.run_time(&s, &t), secs(60), "the owner's estimate");
     history.record_run(&s, &t, secs(30));
     assert_eq!(history.run_time(&s, &t), secs(30), "siblings measured");
     let mut other = s.clone();
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -14,19 +14,20 @@
     StoredIntents, StoredLiveJob, StoredSnapshot,
 };
 
-const EARLIER: AttemptId = AttemptId(7);
+const EARLIER_ATTEMPT: AttemptId = AttemptId(7);
 
 fn job_id() -> JobId {
     "wk-000001".into()
 }
 
 fn running(index: u32) -> TaskStatus {
-    shown("wk-000001", index, EARLIER, TaskPhase::Running)
+    shown("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
 }
 
 /// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
 fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> ClusterFixture {
-    let active = (0..on_record).map(|n| Intent::new(n, EARLIER, MachineId(format!("i-{n}"))));
+    let active =
+        (0..on_record).map(|n| Intent::new(n, EARLIER_ATTEMPT, MachineId(format!("i-{n}"))));
     let chunk = StoredIntents {
         job_id: job_id(),
         index: 0,
@@ -40,16 +41,16 @@
     let jobs = jobs
         .into_iter()
         .map(|spec| StoredLiveJob { spec, revision: 50 });
-    let picture = StoredSnapshot {
+    let snapshot = StoredSnapshot {
         jobs: jobs.collect(),
         chunks: vec![chunk],
         ..StoredSnapshot::default()
     };
-    fixture.cluster.take_over(fixture.now, picture);
+    fixture.cluster.take_over(fixture.now, snapshot);
     fixture
 }
 
-fn red(fixture: &ClusterFixture) -> f64 {
+fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -28,7 +28,7 @@
         MACHINES,
     );
     let mut by_second: Vec<usize> = Vec::new();
-    let mut sent = std::collections::BTreeSet::new();
+    let mut started = std::collections::BTreeSet::new();
     for step in 0..100u64 {
         fixture.pass(Duration::from_millis(100));
         if step % 10 == 0 {
@@ -58,7 +58,11 @@
             let token = fixture.cluster.fleet.machines[&MachineId(format!("i-{n}"))]
                 .token
                 .0;
-            let tasks = sent.contains(&n).then(|| running(n)).into_iter().collect();
+            let tasks = started
+                .contains(&n)
+                .then(|| running(n))
+                .into_iter()
+                .collect();
             let mut heartbeat = heartbeat_from(&format!("i-{n}"), 1, step + 1, token, tasks);
             heartbeat.endpoint = format!("10.0.{}.{n}:9", n % 2);
             if let HeartbeatDecision::Accept { commands, .. } =
@@ -68,10 +72,10 @@
             }
         }
         *by_second.last_mut().expect("a second") += launched.len();
-        sent.extend(launched);
+        started.extend(launched);
     }
     assert!(by_second.iter().all(|n| *n <= 20), "{by_second:?}");
-    assert_eq!(sent.len(), MACHINES as usize, "{by_second:?}");
+    assert_eq!(started.len(), MACHINES as usize, "{by_second:?}");
     let total: usize = by_second.iter().sum();
     assert_eq!(total, MACHINES as usize, "each is launched once");
 }
@@ -95,8 +99,8 @@
             // One machine stays unheard, so the takeover goes on.
             let machine = format!("i-{n}");
             if n + 1 < MACHINES {
-                let (_, d) = fixture.heartbeat(&machine, serial, vec![running(n)]);
-                killed.extend(d.iter().any(is_kill).then_some(n));
+                let (_, commands) = fixture.heartbeat(&machine, serial, vec![running(n)]);
+                killed.extend(commands.iter().any(is_kill).then_some(n));
             }
         }
         killed.len()
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -13,7 +13,7 @@
 const ATTEMPT: AttemptId = AttemptId(7);
 
 /// Tasks on record as sent to a machine.
-fn sent(job_id: &str, tasks: &[u32], machine: &str) -> StoredIntents {
+fn stored_intents(job_id: &str, tasks: &[u32], machine: &str) -> StoredIntents {
     let active = tasks
         .iter()
         .map(|i| Intent::new(*i, ATTEMPT, machine.into()));
@@ -29,27 +29,27 @@
 }
 
 /// A job of so many tasks of 4 processors for the team "red", whose limit is 8.
-fn job(job_id: &str, task_count: u32) -> StoredLiveJob {
+fn stored_job(job_id: &str, task_count: u32) -> StoredLiveJob {
     StoredLiveJob {
         spec: spec(job_id, task_count, 4.0),
         revision: job_id.bytes().map(u64::from).sum(),
     }
 }
 
-fn tight() -> ClusterFixture {
+fn limited_fixture() -> ClusterFixture {
     let mut scheduler_config = config();
     scheduler_config.teams = vec![team("red", 8.0, 8.0), team("grey", 0.0, 32.0)];
     ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)])
 }
 
-fn world(picture: StoredSnapshot) -> ClusterFixture {
-    let mut fixture = tight();
-    fixture.cluster.take_over(fixture.now, picture);
+fn fixture_after_failover(snapshot: StoredSnapshot) -> ClusterFixture {
+    let mut fixture = limited_fixture();
+    fixture.cluster.take_over(fixture.now, snapshot);
     fixture
 }
 
 /// The tasks that a machine's heartbeat is answered with launches of.
-fn launched(commands: &[TaskCommand]) -> Vec<TaskId> {
+fn launched_tasks(commands: &[TaskCommand]) -> Vec<TaskId> {
     let launch = |d: &TaskCommand| match d {
         TaskCommand::Launch { task, .. } => Some(task.clone()),
         _ => None,
@@ -61,7 +61,7 @@
     shown(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
-fn red(fixture: &ClusterFixture) -> f64 {
+fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
@@ -89,32 +89,40 @@
         ),
     ];
     for (name, on_first, used) in cases {
-        let mut fixture = world(StoredSnapshot {
-            jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
+        let mut fixture = fixture_after_failover(StoredSnapshot {
+            jobs: vec![stored_job("wk-000001", 2), stored_job("wk-000002", 2)],
             chunks: vec![
-                sent("wk-000001", &[0, 1], "i-1"),
-                sent("wk-000002", &[0, 1], "i-2"),
+                stored_intents("wk-000001", &[0, 1], "i-1"),
+                stored_intents("wk-000002", &[0, 1], "i-2"),
             ],
             ..StoredSnapshot::default()
         });
-        assert_eq!(red(&fixture), 16.0, "{name}: all that is on record counts");
+        assert_eq!(
+            usage_of_red(&fixture),
+            16.0,
+            "{name}: all that is on record counts"
+        );
         let (_, commands) = fixture.heartbeat("i-1", 1, on_first);
-        assert_eq!(launched(&commands), vec![], "{name}");
+        assert_eq!(launched_tasks(&commands), vec![], "{name}");
         let on_second = vec![running("wk-000002", 0), running("wk-000002", 1)];
         let (_, commands) = fixture.heartbeat("i-2", 1, on_second);
-        assert_eq!(launched(&commands), vec![], "{name}");
-        assert_eq!(red(&fixture), used, "{name}: what is proved absent leaves");
+        assert_eq!(launched_tasks(&commands), vec![], "{name}");
+        assert_eq!(
+            usage_of_red(&fixture),
+            used,
+            "{name}: what is proved absent leaves"
+        );
         assert_eq!(launches(&fixture.settle()), vec![], "{name}");
     }
 }
 
 #[test]
 fn what_was_not_launched_beyond_the_limit_starts_once_there_is_room() {
-    let mut fixture = world(StoredSnapshot {
-        jobs: vec![job("wk-000001", 1), job("wk-000002", 2)],
+    let mut fixture = fixture_after_failover(StoredSnapshot {
+        jobs: vec![stored_job("wk-000001", 1), stored_job("wk-000002", 2)],
         chunks: vec![
-            sent("wk-000001", &[0], "i-1"),
-            sent("wk-000002", &[0, 1], "i-2"),
+            stored_intents("wk-000001", &[0], "i-1"),
+            stored_intents("wk-000002", &[0, 1], "i-2"),
         ],
         ..StoredSnapshot::default()
     });
@@ -131,19 +139,19 @@
         TaskPhase::Ended(ExitReason::Completed),
     );
     fixture.heartbeat("i-2", 2, vec![ended, running("wk-000002", 1)]);
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 1);
-    assert_eq!(sent[0].1, task("wk-000001", 0));
-    assert_ne!(sent[0].2, ATTEMPT, "as a new attempt");
+    let stored_intents = launches(&fixture.settle());
+    assert_eq!(stored_intents.len(), 1);
+    assert_eq!(stored_intents[0].1, task("wk-000001", 0));
+    assert_ne!(stored_intents[0].2, ATTEMPT, "as a new attempt");
 }
 
 #[test]
 fn a_heartbeat_that_may_be_a_duplicate_frees_nothing() {
-    let mut fixture = world(StoredSnapshot {
-        jobs: vec![job("wk-000001", 2), job("wk-000002", 2)],
+    let mut fixture = fixture_after_failover(StoredSnapshot {
+        jobs: vec![stored_job("wk-000001", 2), stored_job("wk-000002", 2)],
         chunks: vec![
-            sent("wk-000001", &[0, 1], "i-1"),
-            sent("wk-000002", &[0, 1], "i-2"),
+            stored_intents("wk-000001", &[0, 1], "i-1"),
+            stored_intents("wk-000002", &[0, 1], "i-2"),
         ],
         ..StoredSnapshot::default()
     });
@@ -152,19 +160,19 @@
     let heartbeat = heartbeat_from("i-1", 1, 1, before, vec![]);
     let answer = fixture.cluster.on_heartbeat(fixture.now, heartbeat);
     assert!(matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty()));
-    assert_eq!(red(&fixture), 16.0);
+    assert_eq!(usage_of_red(&fixture), 16.0);
 }
 
 #[test]
 fn a_stored_intent_within_the_limit_is_launched_again() {
-    let mut fixture = world(StoredSnapshot {
-        jobs: vec![job("wk-000001", 2)],
-        chunks: vec![sent("wk-000001", &[0, 1], "i-1")],
+    let mut fixture = fixture_after_failover(StoredSnapshot {
+        jobs: vec![stored_job("wk-000001", 2)],
+        chunks: vec![stored_intents("wk-000001", &[0, 1], "i-1")],
         ..StoredSnapshot::default()
     });
     let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
     let both = vec![task("wk-000001", 0), task("wk-000001", 1)];
-    assert_eq!(launched(&commands), both);
+    assert_eq!(launched_tasks(&commands), both);
 }
 
 #[test]
@@ -179,17 +187,17 @@
         (false, true, "b", true),
     ];
     for (same_place, spread, zone, allowed) in cases {
-        let mut over_two_chunks = job("wk-000001", 66);
+        let mut over_two_chunks = stored_job("wk-000001", 66);
         over_two_chunks.spec.team = "grey".into();
         over_two_chunks.spec.resources = resources(0.1);
         over_two_chunks.spec.same_place = same_place;
         over_two_chunks.spec.spread = spread;
         let others: Vec<u32> = (0..33).collect();
-        let mut fixture = world(StoredSnapshot {
+        let mut fixture = fixture_after_failover(StoredSnapshot {
             jobs: vec![over_two_chunks],
             chunks: vec![
-                sent("wk-000001", &others, "i-2"),
-                sent("wk-000001", &[64], "i-1"),
+                stored_intents("wk-000001", &others, "i-2"),
+                stored_intents("wk-000001", &[64], "i-1"),
             ],
             ..StoredSnapshot::default()
         });
@@ -201,7 +209,7 @@
         heartbeat.zone = zone.into();
         fixture.cluster.on_heartbeat(fixture.now, heartbeat);
         let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-        let launch = !launched(&commands).is_empty();
+        let launch = !launched_tasks(&commands).is_empty();
         assert_eq!(launch, allowed, "{same_place} {spread} {zone}");
         let held = fixture.active("wk-000001", 64).is_some();
         assert_eq!(held, allowed, "{same_place} {spread} {zone}");
@@ -210,9 +218,9 @@
 
 #[test]
 fn an_unknown_zone_holds_a_launch_back() {
-    let mut bound = job("wk-000001", 2);
+    let mut bound = stored_job("wk-000001", 2);
     bound.spec.same_place = true;
-    let mut fixture = world(StoredSnapshot {
+    let mut fixture = fixture_after_failover(StoredSnapshot {
         jobs: vec![bound],
         chunks: vec![StoredIntents {
             value: ChunkValue {
@@ -222,45 +230,50 @@
                     Intent::new(1, ATTEMPT, "i-2".into()),
                 ],
             },
-            ..sent("wk-000001", &[0], "i-1")
+            ..stored_intents("wk-000001", &[0], "i-1")
         }],
         ..StoredSnapshot::default()
     });
     let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-    assert_eq!(launched(&commands), vec![]);
+    assert_eq!(launched_tasks(&commands), vec![]);
     assert!(
         fixture.active("wk-000001", 0).is_some(),
         "it keeps its place"
     );
     fixture.heartbeat("i-2", 1, vec![running("wk-000001", 1)]);
     let (_, commands) = fixture.heartbeat("i-1", 2, vec![]);
-    assert_eq!(launched(&commands), vec![task("wk-000001", 0)]);
+    assert_eq!(launched_tasks(&commands), vec![task("wk-000001", 0)]);
 }
 
 #[test]
 fn members_of_a_gang_that_is_done_count_until_they_are_proved_gone() {
     // The first member's end marks all done. Its outcome is durable, or not yet.
     for durable in [false, true] {
-        let mut gang = job("wk-000001", 2);
+        let mut gang = stored_job("wk-000001", 2);
         gang.spec.kind = JobKind::Gang;
-        let mut members = sent("wk-000001", &[1], "i-1");
+        let mut members = stored_intents("wk-000001", &[1], "i-1");
         members.value.done = 0b11;
         let over = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
-        let mut fixture = world(StoredSnapshot {
-            jobs: vec![gang, job("wk-000002", 2)],
+        let mut fixture = fixture_after_failover(StoredSnapshot {
+            jobs: vec![gang, stored_job("wk-000002", 2)],
             outcomes: over.into_iter().collect(),
             chunks: vec![members],
             ..StoredSnapshot::default()
         });
-        assert_eq!(red(&fixture), 4.0);
+        assert_eq!(usage_of_red(&fixture), 4.0);
         fixture.heartbeat("i-2", 1, vec![]);
-        let sent = launches(&fixture.settle());
-        assert_eq!(sent.len(), 1, "room for one beside the member");
-        let first = shown("wk-000002", sent[0].1.index, sent[0].2, TaskPhase::Running);
+        let stored_intents = launches(&fixture.settle());
+        assert_eq!(stored_intents.len(), 1, "room for one beside the member");
+        let first = shown(
+            "wk-000002",
+            stored_intents[0].1.index,
+            stored_intents[0].2,
+            TaskPhase::Running,
+        );
         fixture.heartbeat("i-2", 2, vec![first]);
         let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-        assert_eq!(launched(&commands), vec![], "it is not started again");
-        assert_eq!(red(&fixture), 4.0, "proved gone");
+        assert_eq!(launched_tasks(&commands), vec![], "it is not started again");
+        assert_eq!(usage_of_red(&fixture), 4.0, "proved gone");
         assert_eq!(launches(&fixture.settle()).len(), 1);
         assert!(!fixture.cluster.jobs.contains(&JobId::from("wk-000001")));
     }
@@ -270,9 +283,9 @@
 fn an_unrecorded_task_counts_while_it_is_reported() {
     // Of an array it is adopted, of a gang it is killed.
     for adopted in [true, false] {
-        let mut fixture = tight();
+        let mut fixture = limited_fixture();
         fixture.heartbeat("i-1", 1, vec![running("wk-000001", 0)]);
-        assert_eq!(red(&fixture), 0.0, "nothing is known of its job");
+        assert_eq!(usage_of_red(&fixture), 0.0, "nothing is known of its job");
         let mut late = spec("wk-000001", 1, 4.0);
         if !adopted {
             late.kind = JobKind::Gang;
@@ -283,25 +296,29 @@
         assert_eq!(killed, !adopted, "{commands:?}");
         assert_eq!(commands.is_empty(), adopted, "{commands:?}");
         assert_eq!(fixture.active("wk-000001", 0).is_some(), adopted);
-        assert_eq!(red(&fixture), 4.0);
+        assert_eq!(usage_of_red(&fixture), 4.0);
         fixture.job(spec("wk-000002", 2, 4.0));
         fixture.heartbeat("i-2", 1, vec![]);
         assert_eq!(launches(&fixture.settle()).len(), 1, "room for one more");
         fixture.heartbeat("i-1", 3, vec![]);
-        assert_eq!(red(&fixture), 4.0);
+        assert_eq!(usage_of_red(&fixture), 4.0);
     }
 }
 
 #[test]
 fn a_team_without_settings_or_above_its_limit_starts_nothing_and_hinders_nobody() {
-    let mut unknown = job("wk-000001", 2);
+    let mut unknown = stored_job("wk-000001", 2);
     unknown.spec.team = "gone".into();
-    let mut fixture = world(StoredSnapshot {
-        jobs: vec![unknown, job("wk-000002", 4), job("wk-000003", 1)],
+    let mut fixture = fixture_after_failover(StoredSnapshot {
+        jobs: vec![
+            unknown,
+            stored_job("wk-000002", 4),
+            stored_job("wk-000003", 1),
+        ],
         chunks: vec![
-            sent("wk-000001", &[0], "i-1"),
+            stored_intents("wk-000001", &[0], "i-1"),
             // The limit was 16 when these were started.
-            sent("wk-000002", &[0, 1, 2], "i-2"),
+            stored_intents("wk-000002", &[0, 1, 2], "i-2"),
         ],
         ..StoredSnapshot::default()
     });
@@ -309,7 +326,7 @@
     other.team = "grey".into();
     fixture.job(other);
     let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-    assert_eq!(launched(&commands), vec![]);
+    assert_eq!(launched_tasks(&commands), vec![]);
     let running = [0, 1, 2].map(|i| running("wk-000002", i)).to_vec();
     fixture.heartbeat("i-2", 1, running);
     let started: Vec<TaskId> = launches(&fixture.settle())
@@ -317,7 +334,7 @@
         .map(|l| l.1)
         .collect();
     assert_eq!(started, vec![task("wk-000004", 0)]);
-    assert_eq!(red(&fixture), 12.0);
+    assert_eq!(usage_of_red(&fixture), 12.0);
 }
 
 #[test]
@@ -325,10 +342,10 @@
     // Its machines are known from its intents, or they cannot be read either.
     for intents_readable in [true, false] {
         let job_id = JobId::from("wk-000001");
-        let mut fixture = world(StoredSnapshot {
-            jobs: vec![job("wk-000002", 1)],
+        let mut fixture = fixture_after_failover(StoredSnapshot {
+            jobs: vec![stored_job("wk-000002", 1)],
             chunks: intents_readable
-                .then(|| sent("wk-000001", &[0], "i-1"))
+                .then(|| stored_intents("wk-000001", &[0], "i-1"))
                 .into_iter()
                 .collect(),
             unreadable_jobs: vec![job_id.clone()],
@@ -352,7 +369,7 @@
 
 #[test]
 fn a_restarted_machine_takes_no_command_from_before_its_restart() {
-    let mut fixture = tight();
+    let mut fixture = limited_fixture();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let launch = launches(&fixture.settle());
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts on record that no heartbeat has confirmed: they hold their place and their team's room.
 
-use super::{is_kill, job_id, launched_index, red, running, taken_over, EARLIER};
+use super::{is_kill, job_id, launched_index, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
@@ -18,7 +18,10 @@
     let state = |fixture: &ClusterFixture, n: u32| {
         let machine = MachineId(format!("i-{n}"));
         let task = task("wk-000001", n);
-        fixture.cluster.takeover.state(&machine, &task, EARLIER)
+        fixture
+            .cluster
+            .takeover
+            .state(&machine, &task, EARLIER_ATTEMPT)
     };
     assert_eq!(state(&fixture, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Unreported));
@@ -28,20 +31,20 @@
     }
     assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Silent));
-    assert_eq!(red(&fixture), 8.0, "silence proves nothing");
+    assert_eq!(usage_of_red(&fixture), 8.0, "silence proves nothing");
     // The lease of the one that was answered runs out after 30 s and the drift; the other is not fenced.
     for _ in 0..4 {
         fixture.pass(secs(3));
         fixture.cluster.tick(fixture.now);
     }
-    assert_eq!((state(&fixture, 0), red(&fixture)), (None, 4.0));
+    assert_eq!((state(&fixture, 0), usage_of_red(&fixture)), (None, 4.0));
     assert!(fixture.active("wk-000001", 1).is_some());
     // Back with its earlier boot's report, and then with one of its new incarnation.
     let late = heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
     fixture.cluster.on_heartbeat(fixture.now, late);
-    assert!(fixture.active("wk-000001", 1).is_some(), "a late copy");
+    assert!(fixture.active("wk-000001", 1).is_some(), "a late duplicate");
     fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
-    assert_eq!(red(&fixture), 0.0, "the cloud's word is a proof");
+    assert_eq!(usage_of_red(&fixture), 0.0, "the cloud's word is a proof");
 }
 
 /// Of a gang that was heard of by half, the rest is neither launched again nor given away.
@@ -50,17 +53,17 @@
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
     let mut fixture = taken_over(config(), vec![gang], 2);
-    let waiting = shown("wk-000001", 0, EARLIER, TaskPhase::WaitingForGang);
+    let waiting = shown("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
     fixture.heartbeat("i-0", 1, vec![waiting]);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
-    assert_eq!(red(&fixture), 8.0);
-    let (_, d) = fixture.heartbeat("i-1", 1, vec![]);
+    assert_eq!(usage_of_red(&fixture), 8.0);
+    let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
     let again = TaskCommand::Launch {
         task: task("wk-000001", 1),
-        attempt: EARLIER,
+        attempt: EARLIER_ATTEMPT,
     };
-    assert_eq!(d, [again], "the same attempt completes the gang");
+    assert_eq!(commands, [again], "the same attempt completes the gang");
 }
 
 #[test]
@@ -72,9 +75,15 @@
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     // One proves to be gone: its own launch comes first, as the same attempt.
-    let (_, d) = fixture.heartbeat("i-0", 1, vec![]);
-    assert_eq!(d.iter().filter_map(launched_index).collect::<Vec<_>>(), [0]);
-    assert_eq!(red(&fixture), 8.0);
+    let (_, commands) = fixture.heartbeat("i-0", 1, vec![]);
+    assert_eq!(
+        commands
+            .iter()
+            .filter_map(launched_index)
+            .collect::<Vec<_>>(),
+        [0]
+    );
+    assert_eq!(usage_of_red(&fixture), 8.0);
 }
 
 /// What ended while nobody listened -> whether the job that waited for it starts.
@@ -88,7 +97,7 @@
         let mut dependent = spec("wk-000002", 1, 4.0);
         dependent.dependencies = vec!["wk-000099".into()];
         let mut fixture = ClusterFixture::new();
-        let picture = StoredSnapshot {
+        let snapshot = StoredSnapshot {
             jobs: vec![StoredLiveJob {
                 spec: dependent,
                 revision: 50,
@@ -96,7 +105,7 @@
             dependency_outcomes: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
             ..StoredSnapshot::default()
         };
-        fixture.cluster.take_over(fixture.now, picture);
+        fixture.cluster.take_over(fixture.now, snapshot);
         fixture.heartbeat("i-9", 1, vec![]);
         assert_eq!(launches(&fixture.settle()).len(), starts, "{end:?}");
     }
@@ -109,10 +118,10 @@
     for marked in [true, false] {
         let mut fixture = ClusterFixture::new();
         let active = vec![
-            Intent::new(0, EARLIER, "i-0".into()),
-            Intent::new(1, EARLIER, "i-1".into()),
+            Intent::new(0, EARLIER_ATTEMPT, "i-0".into()),
+            Intent::new(1, EARLIER_ATTEMPT, "i-1".into()),
         ];
-        let picture = StoredSnapshot {
+        let snapshot = StoredSnapshot {
             jobs: vec![StoredLiveJob {
                 spec: spec("wk-000001", 2, 4.0),
                 revision: 50,
@@ -130,11 +139,11 @@
             }],
             ..StoredSnapshot::default()
         };
-        fixture.cluster.take_over(fixture.now, picture);
-        let (_, d) = fixture.heartbeat("i-0", 1, vec![running(0)]);
-        assert!(d.iter().any(is_kill), "{d:?}");
-        let (_, d) = fixture.heartbeat("i-1", 1, vec![]);
-        assert_eq!(d, vec![]);
+        fixture.cluster.take_over(fixture.now, snapshot);
+        let (_, commands) = fixture.heartbeat("i-0", 1, vec![running(0)]);
+        assert!(commands.iter().any(is_kill), "{commands:?}");
+        let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
+        assert_eq!(commands, vec![]);
         assert_eq!(launches(&fixture.settle()), vec![]);
     }
 }
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -1,6 +1,6 @@
 //! Tasks that run though no record names them: adopted, killed, or held until their job is known.
 
-use super::{is_kill, job_id, red, running, taken_over, EARLIER};
+use super::{is_kill, job_id, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::job_status_reads::JobRecordStatus;
@@ -50,7 +50,7 @@
         };
         assert_eq!(commands.iter().any(is_kill), !adopted, "{name}");
         assert_eq!(fixture.active("wk-000001", 1).is_some(), adopted, "{name}");
-        assert_eq!(red(&fixture), cpus, "{name}: it counts either way");
+        assert_eq!(usage_of_red(&fixture), cpus, "{name}: it counts either way");
     }
 }
 
@@ -63,9 +63,9 @@
     assert!(fixture.cluster.jobs[&job_id()].active[&1].durable);
     // Cancelled, it is killed where it is.
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
-    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(1)]);
-    assert!(d.iter().any(is_kill));
-    assert_eq!(red(&fixture), 4.0 + 4.0 * started.len() as f64);
+    let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(1)]);
+    assert!(commands.iter().any(is_kill));
+    assert_eq!(usage_of_red(&fixture), 4.0 + 4.0 * started.len() as f64);
 }
 
 /// Late duplicates adopt nothing, nor does what this term itself gave up; a record elsewhere goes first.
@@ -75,7 +75,7 @@
     let own = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
     let first_token = FencingToken::first(TERM).0;
     for (name, token, task) in [
-        ("a late copy", old_token, running(1)),
+        ("a late duplicate", old_token, running(1)),
         ("this term's attempt", first_token, own),
         ("on record elsewhere", first_token, running(0)),
         ("no such task", first_token, running(2)),
@@ -97,11 +97,11 @@
 #[test]
 fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
     let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    let lost = || shown("wk-000077", 0, EARLIER, TaskPhase::Running);
+    let lost = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     let lost_job_id = JobId::from("wk-000077");
-    let (_, d) = fixture.heartbeat("i-9", 1, vec![lost()]);
+    let (_, commands) = fixture.heartbeat("i-9", 1, vec![lost()]);
     fixture.heartbeat("i-8", 1, vec![]);
-    assert!(d.is_empty());
+    assert!(commands.is_empty());
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         fixture.pass(secs(after));
@@ -109,8 +109,8 @@
             fixture.now,
             &[(lost_job_id.clone(), JobRecordStatus::NeverAccepted)],
         );
-        let (_, d) = fixture.heartbeat("i-9", serial, vec![lost()]);
-        assert_eq!(d.iter().any(is_kill), killed, "{serial}");
+        let (_, commands) = fixture.heartbeat("i-9", serial, vec![lost()]);
+        assert_eq!(commands.iter().any(is_kill), killed, "{serial}");
         assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
     }
     fixture.heartbeat("i-9", 5, vec![]);
@@ -127,18 +127,21 @@
 #[test]
 fn a_job_learned_of_late_keeps_its_tasks() {
     let mut fixture = taken_over(config(), vec![], 0);
-    let (_, d) = fixture.heartbeat("i-9", 1, vec![running(0)]);
-    assert!(d.is_empty());
+    let (_, commands) = fixture.heartbeat("i-9", 1, vec![running(0)]);
+    assert!(commands.is_empty());
     fixture.cluster.on_job_statuses(
         fixture.now,
         &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
     );
     fixture.job(spec("wk-000001", 1, 4.0));
-    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(0)]);
-    assert_eq!(d, []);
+    let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(0)]);
+    assert_eq!(commands, []);
     assert_eq!(launches(&fixture.settle()), []);
     assert_eq!(
-        (fixture.active("wk-000001", 0).is_some(), red(&fixture)),
+        (
+            fixture.active("wk-000001", 0).is_some(),
+            usage_of_red(&fixture)
+        ),
         (true, 4.0)
     );
 }
@@ -152,7 +155,7 @@
         ..team("red", 8.0, 8.0)
     }];
     let mut fixture = taken_over(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
-    let lost = shown("wk-000077", 0, EARLIER, TaskPhase::Running);
+    let lost = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     fixture.heartbeat("i-9", 1, vec![lost]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     fixture.heartbeat("i-9", 2, vec![]);
@@ -165,23 +168,23 @@
     fixture.heartbeat("i-9", 1, vec![running(1)]);
     assert!(!fixture.cluster.jobs[&job_id()].active[&1].durable);
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
-    assert_eq!(red(&fixture), 4.0, "it may be there");
-    let (_, d) = fixture.heartbeat("i-9", 2, vec![running(1)]);
-    assert!(d.iter().any(is_kill));
+    assert_eq!(usage_of_red(&fixture), 4.0, "it may be there");
+    let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(1)]);
+    assert!(commands.iter().any(is_kill));
 }
 
 /// Its record cannot be read, and the store says that it is live: nothing is known against it.
 #[test]
 fn work_of_a_job_whose_record_cannot_be_read_is_held() {
     let mut fixture = ClusterFixture::new();
-    let picture = StoredSnapshot {
+    let snapshot = StoredSnapshot {
         unreadable_jobs: vec![job_id()],
         ..StoredSnapshot::default()
     };
-    fixture.cluster.take_over(fixture.now, picture);
+    fixture.cluster.take_over(fixture.now, snapshot);
     for serial in 1..20 {
-        let (_, d) = fixture.heartbeat("i-9", serial, vec![running(0)]);
-        assert_eq!(d, vec![], "{serial}");
+        let (_, commands) = fixture.heartbeat("i-9", serial, vec![running(0)]);
+        assert_eq!(commands, vec![], "{serial}");
         fixture.cluster.on_job_statuses(
             fixture.now,
             &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -8,7 +8,7 @@
 }
 
 /// Heartbeats that arrive at their interval while no answer or command reaches the worker.
-fn deaf_for(
+fn heartbeats_without_answers(
     fixture: &mut ClusterFixture,
     seconds: u64,
     incarnation: u64,
@@ -30,7 +30,7 @@
 }
 
 /// A deployment with one free machine, which takes the first task, and two that are taken.
-fn one_free() -> ClusterFixture {
+fn one_free_machine() -> ClusterFixture {
     let mut scheduler_config = config();
     scheduler_config.tuning.idle_ordinary = secs(1000);
     let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
@@ -38,23 +38,23 @@
         fixture.heartbeat(machine, 1, vec![]);
         fixture.job(spec(&format!("wk-00090{n}"), 1, 8.0));
     }
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 2);
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 2);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture
 }
 
 #[test]
 fn a_machine_behind_an_inbound_partition_gets_no_more_work_and_is_returned() {
-    let mut fixture = one_free();
+    let mut fixture = one_free_machine();
     let token = fixture.cluster.fleet.machines[&first_machine()].token.0;
     fixture.job(spec("wk-000001", 1, 4.0));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent[0].0, first_machine());
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched[0].0, first_machine());
     // Its heartbeats go on without the task, with the token of before.
-    let first = deaf_for(&mut fixture, 6, 1, 10, token);
+    let first = heartbeats_without_answers(&mut fixture, 6, 1, 10, token);
     fixture.job(spec("wk-000002", 1, 4.0));
-    let more = deaf_for(&mut fixture, 4, 1, 20, token);
+    let more = heartbeats_without_answers(&mut fixture, 4, 1, 20, token);
     assert!(!launches(&more)
         .iter()
         .any(|l| l.1.job_id == "wk-000002".into()));
@@ -65,8 +65,8 @@
     );
     let mut all = first;
     all.extend(more);
-    all.extend(deaf_for(&mut fixture, 24, 1, 40, token));
-    assert!(returned(&all), "given up well before two leases");
+    all.extend(heartbeats_without_answers(&mut fixture, 24, 1, 40, token));
+    assert!(returned(&all), "returned well before two leases");
     assert_eq!(
         fixture.active("wk-000001", 0).unwrap().0,
         first_machine(),
@@ -79,8 +79,8 @@
 #[test]
 fn a_new_incarnation_behind_an_inbound_partition_frees_its_tasks_but_gets_no_new_ones() {
     // Whether the new incarnation shows the token that was raised for it -> whether it gets work.
-    for hears in [false, true] {
-        let mut fixture = one_free();
+    for is_reached in [false, true] {
+        let mut fixture = one_free_machine();
         fixture.job(spec("wk-000001", 1, 4.0));
         let (_, _, old) = launches(&fixture.settle())[0].clone();
         let token = fixture.cluster.fleet.machines[&first_machine()].token.0;
@@ -89,7 +89,7 @@
         let moved = fixture.active("wk-000001", 0).is_none_or(|a| a.1 != old);
         assert!(moved, "the later session proves the task gone");
         assert_eq!(launches(&fixture.settle()), vec![]);
-        let shown = if hears {
+        let shown = if is_reached {
             fixture.cluster.fleet.machines[&first_machine()].token.0
         } else {
             token
@@ -97,6 +97,6 @@
         fixture
             .cluster
             .on_heartbeat(fixture.now, heartbeat_from("i-1", 2, 2, shown, vec![]));
-        assert_eq!(launches(&fixture.settle()).len(), usize::from(hears));
+        assert_eq!(launches(&fixture.settle()).len(), usize::from(is_reached));
     }
 }
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -135,13 +135,13 @@
 fn a_leader_without_heartbeats_is_detected() {
     // Whether a machine reported, whether there is one, and from when on it is missed.
     let cases = [
-        ("heard once", true, true, 9..=9),
-        ("never heard", false, true, 34..=34),
+        ("sent heartbeats once", true, true, 9..=9),
+        ("never sent any", false, true, 34..=34),
         ("no machines", false, false, 0..=0),
     ];
-    for (name, heard, any, from) in cases {
+    for (name, sends_heartbeats, any, from) in cases {
         let mut fixture = ClusterFixture::new();
-        if heard {
+        if sends_heartbeats {
             fixture.heartbeat("i-1", 1, vec![]);
         } else if any {
             fixture.job(spec("wk-000001", 1, 4.0));
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -16,8 +16,8 @@
         ("lost to us alone", Some(5), Some((true, 1)), false),
         ("lost to all", Some(5), Some((false, 1)), true),
         // It is then most likely the one that is cut off, and would keep its users from the others.
-        ("no word of late", Some(5), Some((true, 30)), false),
-        ("no word ever", Some(5), None, false),
+        ("no recent status", Some(5), Some((true, 30)), false),
+        ("no status ever", Some(5), None, false),
     ];
     for (name, failing, peer, healthy) in cases {
         let start = Instant::now();
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -47,13 +47,13 @@
         job.allows_spot = allows_spot;
         job.same_place = same_place;
         fixture.job(job);
-        let sent = launches(&fixture.settle());
+        let launched = launches(&fixture.settle());
         if same_place {
-            assert!(sent.windows(2).all(|p| p[0].0 == p[1].0));
+            assert!(launched.windows(2).all(|p| p[0].0 == p[1].0));
         } else {
-            let ordinary = sent.iter().filter(|l| l.0 == "i-1".into()).count();
-            assert_eq!(sent.len() - ordinary > 0, allows_spot);
-            assert!(sent.len() >= expected.min(2), "{}", sent.len());
+            let ordinary = launched.iter().filter(|l| l.0 == "i-1".into()).count();
+            assert_eq!(launched.len() - ordinary > 0, allows_spot);
+            assert!(launched.len() >= expected.min(2), "{}", launched.len());
         }
     }
 }
@@ -72,7 +72,7 @@
     assert_eq!(
         launches(&fixture.settle()),
         vec![],
-        "the withdrawn may still run"
+        "the cancelled may still run"
     );
     fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
     fixture.heartbeat("i-2", 1, vec![]);
@@ -90,12 +90,16 @@
     fixture.heartbeat("i-1", 2, running());
     fixture.heartbeat("i-2", 1, vec![]);
     fixture.job(spec("wk-000002", 1, 4.0));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent[0].0, "i-1".into(), "the image is cached there");
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched[0].0, "i-1".into(), "the image is cached there");
     fixture.heartbeat("i-1", 3, running());
     fixture.job(spec("wk-000003", 1, 4.0));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent[0].0, "i-2".into(), "a fetch is shorter than the wait");
+    let launched = launches(&fixture.settle());
+    assert_eq!(
+        launched[0].0,
+        "i-2".into(),
+        "a fetch is shorter than the wait"
+    );
 }
 
 #[test]
@@ -133,9 +137,9 @@
             size_gb: 2.0,
         });
         fixture.job(spec("wk-000002", 1, 4.0));
-        let sent = launches(&fixture.settle());
-        assert_eq!(sent.is_empty(), waits, "{rest} {slowness}");
-        assert_eq!(sent[0].0, "i-2".into());
+        let launched = launches(&fixture.settle());
+        assert_eq!(launched.is_empty(), waits, "{rest} {slowness}");
+        assert_eq!(launched[0].0, "i-2".into());
     }
 }
 
@@ -175,10 +179,15 @@
         "two of three have room"
     );
     fixture.heartbeat("i-2", 1, vec![]);
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 3);
-    assert!(sent.iter().all(|l| l.2 == sent[0].2));
-    let on = |h: &str| sent.iter().filter(|l| l.0 == h.into()).collect::<Vec<_>>();
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 3);
+    assert!(launched.iter().all(|l| l.2 == launched[0].2));
+    let on = |h: &str| {
+        launched
+            .iter()
+            .filter(|l| l.0 == h.into())
+            .collect::<Vec<_>>()
+    };
     let ended = |exit| {
         move |l: &&(MachineId, TaskId, AttemptId)| {
             shown("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
@@ -205,7 +214,7 @@
     );
     let again = launches(&fixture.settle());
     assert_eq!(again.len(), 3);
-    assert_ne!(again[0].2, sent[0].2);
+    assert_ne!(again[0].2, launched[0].2);
     // All are done when one is, counted once each.
     let done: Vec<_> = again.iter().filter(|l| l.0 == "i-1".into()).collect();
     fixture.heartbeat(
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -53,8 +53,8 @@
     let high: Edit = |job| job.priority = Priority::High;
     let blue: Edit = |job| job.team = "blue".into();
     let cases: [(&str, u64, Edit, Edit, bool); 6] = [
-        ("higher urgency", 40, |_| {}, high, true),
-        ("same urgency", 40, |_| {}, |_| {}, false),
+        ("higher priority", 40, |_| {}, high, true),
+        ("same priority", 40, |_| {}, |_| {}, false),
         (
             "a start still promised",
             10,
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -10,7 +10,7 @@
 /// Guards against a process that was paused and takes its own silence for the machines'.
 #[test]
 fn a_paused_process_does_not_take_machines_for_silent() {
-    for still in [false, true] {
+    for paused in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
@@ -20,13 +20,13 @@
         let mut gone = Vec::new();
         for _ in 0..12 {
             fixture.pass(secs(2));
-            if !still {
+            if !paused {
                 gone.extend(returned_machines(&fixture.settle()));
             }
         }
         gone.extend(returned_machines(&fixture.settle()));
-        assert_eq!(gone.is_empty(), still, "stood still: {still}");
-        assert!(!still || !fixture.cluster.is_without_heartbeats(fixture.now));
+        assert_eq!(gone.is_empty(), paused, "paused: {paused}");
+        assert!(!paused || !fixture.cluster.is_without_heartbeats(fixture.now));
     }
 }
 
@@ -38,12 +38,12 @@
         ("a usual look", 0.5, 0.5, false),
         ("a busy processor", 3.0, 3.0, false),
         ("both clocks went on", 20.0, 20.0, true),
-        ("the steady clock stood still too", 0.1, 20.0, true),
+        ("the steady clock paused too", 0.1, 20.0, true),
         ("only the steady clock went on", 20.0, 0.1, true),
         ("the time of day wandered", 0.5, 0.8, false),
         ("the time of day was set back", 0.5, -60.0, true),
     ];
-    for (name, steady, day, stood) in cases {
+    for (name, steady, day, is_pause) in cases {
         let start = ClockReading::now();
         let detector = PauseDetector::new(Duration::from_millis(100), start);
         let moved = Duration::from_secs_f64(day.abs());
@@ -55,15 +55,19 @@
                 start.day + moved
             },
         };
-        assert_eq!(detector.just_resumed(now), stood, "{name}");
-        assert_eq!(detector.check(now), stood.then_some(now.steady), "{name}");
+        assert_eq!(detector.just_resumed(now), is_pause, "{name}");
+        assert_eq!(
+            detector.check(now),
+            is_pause.then_some(now.steady),
+            "{name}"
+        );
         let later = ClockReading {
             steady: now.steady + secs(1),
             day: now.day + secs(1),
         };
         assert!(!detector.just_resumed(later), "{name}, a second later");
         // A thread that read its clock before another one looked changes nothing.
-        assert_eq!(detector.check(start).is_some(), stood, "{name}");
+        assert_eq!(detector.check(start).is_some(), is_pause, "{name}");
     }
 }
 
@@ -71,7 +75,7 @@
 /// moved while it ran. And against kills whose grace was over before they were sent.
 #[test]
 fn a_paused_process_expires_no_lease_that_it_could_not_renew() {
-    for woke in [false, true] {
+    for resumed in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
@@ -85,7 +89,7 @@
             since: fixture.now,
         });
         fixture.pass(secs(45));
-        if woke {
+        if resumed {
             fixture.cluster.on_process_resumed(fixture.now);
         } else {
             // As if it had run and ticked all the time.
@@ -94,9 +98,12 @@
             }
         }
         fixture.settle();
-        let still = fixture.active("wk-000001", 0).is_some();
-        assert_eq!(still, woke, "its lease is over only for who could answer");
-        if woke {
+        let paused = fixture.active("wk-000001", 0).is_some();
+        assert_eq!(
+            paused, resumed,
+            "its lease is over only for who could answer"
+        );
+        if resumed {
             let kill = fixture.cluster.jobs[&JobId::from("wk-000001")].active[&0]
                 .kill_request
                 .clone();
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -11,7 +11,12 @@
     // Two jobs compete for one place; the second to arrive wins only with the stated edge.
     let cases: [(&str, Edit, Edit, bool); 4] = [
         ("arrival", |_| {}, |_| {}, false),
-        ("urgency", |_| {}, |job| job.priority = Priority::High, true),
+        (
+            "priority",
+            |_| {},
+            |job| job.priority = Priority::High,
+            true,
+        ),
         (
             "a guarantee",
             |job| job.task_count = 3,
@@ -37,9 +42,9 @@
         second(&mut job);
         fixture.job(job);
         fixture.heartbeat("i-1", 1, vec![]);
-        let sent = launches(&fixture.settle());
-        assert_eq!(sent.len(), 1, "{name}");
-        assert_eq!(sent[0].1.job_id == "wk-000002".into(), wins, "{name}");
+        let launched = launches(&fixture.settle());
+        assert_eq!(launched.len(), 1, "{name}");
+        assert_eq!(launched[0].1.job_id == "wk-000002".into(), wins, "{name}");
     }
 }
 
@@ -58,8 +63,13 @@
     fixture.job(job);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.heartbeat("i-2", 1, vec![]);
-    let sent = launches(&fixture.settle());
-    let of = |job_id: &str| sent.iter().filter(|l| l.1.job_id == job_id.into()).count();
+    let launched = launches(&fixture.settle());
+    let of = |job_id: &str| {
+        launched
+            .iter()
+            .filter(|l| l.1.job_id == job_id.into())
+            .count()
+    };
     assert_eq!((of("wk-000001"), of("wk-000002")), (1, 1));
 }
 
@@ -85,9 +95,9 @@
             fixture.job(job);
         }
         fixture.heartbeat("i-1", 1, vec![]);
-        let sent = launches(&fixture.settle());
+        let launched = launches(&fixture.settle());
         let first = if overtakes { "wk-000003" } else { "wk-000002" };
-        assert_eq!(sent[0].1.job_id, first.into(), "deadline {deadline}");
+        assert_eq!(launched[0].1.job_id, first.into(), "deadline {deadline}");
     }
 }
 
@@ -96,7 +106,11 @@
     type Edit = fn(&mut JobSpec);
     // What the endless small jobs are, what the large one is.
     let cases: [(&str, Edit, Edit); 4] = [
-        ("more urgent", |job| job.priority = Priority::High, |_| {}),
+        (
+            "of higher priority",
+            |job| job.priority = Priority::High,
+            |_| {},
+        ),
         (
             "punctual, while the large one is late",
             |job| job.due = Some(secs(100_000)),
@@ -108,7 +122,7 @@
             |job| job.team = "grey".into(),
         ),
         (
-            "more urgent, the large one's tasks fill a machine",
+            "of higher priority, the large one's tasks fill a machine",
             |job| job.priority = Priority::High,
             |job| {
                 job.task_count = 16;
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -88,19 +88,19 @@
         );
         // A minute of calls, as fast as they are let through.
         let begin = start + Duration::from_secs(100);
-        let mut made = 0;
+        let mut sent = 0;
         for step in 0..6_000 {
             let now = begin + Duration::from_millis(step * 10);
             if step % 50 == 0 {
                 budget.rebalance(&[None, None], now);
             }
             for rank in [RequestClass::Leader, RequestClass::User] {
-                made += u32::from(budget.try_take(rank, 1, now));
+                sent += u32::from(budget.try_take(rank, 1, now));
             }
         }
         let most = if holds { 42 * 61 } else { 60 * 61 };
-        assert!(made <= most, "{made} changes");
-        assert!(made > most / 2, "{made} changes: most of them are used");
+        assert!(sent <= most, "{sent} changes");
+        assert!(sent > most / 2, "{sent} changes: most of them are used");
     }
     // A peer's word suffices.
     let budget = StoreBudget::new(
@@ -238,17 +238,21 @@
 fn a_flooding_team_does_not_starve_the_submissions_of_others() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let crowd = SubmissionFairness::default();
-    let (guest, desk) = ("guest".into(), "desk".into());
-    assert_eq!(crowd.reserve_for(&desk, at(0)), 0.0);
-    let floods: Vec<f64> = (0..100)
-        .map(|n| crowd.reserve_for(&guest, at(n * 20)))
+    let fairness = SubmissionFairness::default();
+    let (flooding_team, other_team) = ("guest".into(), "desk".into());
+    assert_eq!(fairness.reserve_for(&other_team, at(0)), 0.0);
+    let reserves: Vec<f64> = (0..100)
+        .map(|n| fairness.reserve_for(&flooding_team, at(n * 20)))
         .collect();
-    assert_eq!(floods[0], 0.0, "one is no flood");
-    assert!(floods[99] > 0.0);
-    assert_eq!(crowd.reserve_for(&desk, at(2000)), 0.0);
-    assert_eq!(crowd.reserve_for(&guest, at(60_000)), 0.0, "it is over");
+    assert_eq!(reserves[0], 0.0, "one is no flood");
+    assert!(reserves[99] > 0.0);
+    assert_eq!(fairness.reserve_for(&other_team, at(2000)), 0.0);
+    assert_eq!(
+        fairness.reserve_for(&flooding_team, at(60_000)),
+        0.0,
+        "it is over"
+    );
     // Alone, a team may have all of it.
-    let crowd = SubmissionFairness::default();
-    assert!((0..100).all(|n| crowd.reserve_for(&guest, at(n * 20)) == 0.0));
+    let fairness = SubmissionFairness::default();
+    assert!((0..100).all(|n| fairness.reserve_for(&flooding_team, at(n * 20)) == 0.0));
 }
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -11,17 +11,17 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A state service as questions see it. `named`: how many differing keys it names at a time.
-struct Shelf {
+/// A store as status queries see it. `keys_per_answer`: how many differing keys it names at a time.
+struct FakeRecords {
     live: BTreeSet<String>,
-    said: BTreeMap<String, JobOutcome>,
-    named: usize,
+    outcomes_by_key: BTreeMap<String, JobOutcome>,
+    keys_per_answer: usize,
     page: usize,
     calls: Cell<usize>,
     out_after: usize,
 }
 
-impl Shelf {
+impl FakeRecords {
     fn called(&self) -> Result<(), &'static str> {
         self.calls.set(self.calls.get() + 1);
         (self.calls.get() <= self.out_after)
@@ -30,19 +30,25 @@
     }
 }
 
-impl JobRecordReader for Shelf {
+impl JobRecordReader for FakeRecords {
     type Error = &'static str;
     fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, &'static str> {
         self.called()?;
-        let exists = |k: &String| self.live.contains(k) || self.said.contains_key(k);
+        let exists = |k: &String| self.live.contains(k) || self.outcomes_by_key.contains_key(k);
         let mismatched = expected
             .iter()
             .filter(|c| exists(&c.key) != (c.revision > 0));
-        Ok(mismatched.take(self.named).map(|c| c.key.clone()).collect())
+        Ok(mismatched
+            .take(self.keys_per_answer)
+            .map(|c| c.key.clone())
+            .collect())
     }
     fn outcomes_after(&self, key: &str) -> Result<OutcomePage, &'static str> {
         self.called()?;
-        let after = self.said.iter().filter(|(k, _)| k.as_str() > key);
+        let after = self
+            .outcomes_by_key
+            .iter()
+            .filter(|(k, _)| k.as_str() > key);
         let page: Vec<_> = after.clone().take(self.page).collect();
         let more = after.count() > page.len();
         let entries = page.into_iter().map(|(key, outcome)| OutcomeEntry {
@@ -56,7 +62,7 @@
     }
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
         self.called()?;
-        Ok(self.said.get(key).copied())
+        Ok(self.outcomes_by_key.get(key).copied())
     }
 }
 
@@ -66,29 +72,29 @@
 
 /// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
 /// recorded as live by earlier versions; others were never accepted.
-fn shelf(named: usize, page: usize) -> Shelf {
+fn fake_records(keys_per_answer: usize, page: usize) -> FakeRecords {
     let outcome = |n: u32| match n {
         100..=149 => Some(JobOutcome::Done),
         150..=159 => Some(JobOutcome::Cancelled),
         160..=169 => Some(JobOutcome::Live),
         _ => None,
     };
-    Shelf {
+    FakeRecords {
         live: (0..100)
             .chain(150..170)
             .map(|n| live_job_key(&job_id(n)))
             .collect(),
-        said: (0..200)
+        outcomes_by_key: (0..200)
             .filter_map(|n| Some((outcome_key(&job_id(n)), outcome(n)?)))
             .collect(),
-        named,
+        keys_per_answer,
         page,
         calls: Cell::new(0),
         out_after: usize::MAX,
     }
 }
 
-fn truth(n: u32) -> JobRecordStatus {
+fn expected_status(n: u32) -> JobRecordStatus {
     match n {
         0..=99 | 160..=169 => JobRecordStatus::Accepted(JobOutcome::Live),
         100..=149 => JobRecordStatus::Accepted(JobOutcome::Done),
@@ -120,23 +126,31 @@
         ),
         ("one key named at a time", vec![1, 101, 155], 200, 1, 99, 5),
     ];
-    for (name, asked, known, named, page, calls) in cases {
-        let s = shelf(named, page);
-        let asked: BTreeSet<u32> = asked.into_iter().collect();
+    for (name, queried, known, keys_per_answer, page, calls) in cases {
+        let records = fake_records(keys_per_answer, page);
+        let queried: BTreeSet<u32> = queried.into_iter().collect();
         let mut accepted = (0..known)
-            .filter(|n| truth(*n) != JobRecordStatus::NeverAccepted)
+            .filter(|n| expected_status(*n) != JobRecordStatus::NeverAccepted)
             .map(job_id)
             .collect();
-        let job_ids = asked.iter().map(|n| job_id(*n)).collect();
+        let job_ids = queried.iter().map(|n| job_id(*n)).collect();
         let StatusRead {
             statuses: found,
             error: trouble,
-        } = job_status_reads::read_statuses(&s, &job_ids, &mut accepted);
+        } = job_status_reads::read_statuses(&records, &job_ids, &mut accepted);
         assert_eq!(trouble, None, "{name}");
-        for n in &asked {
-            assert_eq!(found.get(&job_id(*n)), Some(&truth(*n)), "{name}: job {n}");
+        for n in &queried {
+            assert_eq!(
+                found.get(&job_id(*n)),
+                Some(&expected_status(*n)),
+                "{name}: job {n}"
+            );
         }
-        assert!(s.calls.get() <= calls, "{name}: {} calls", s.calls.get());
+        assert!(
+            records.calls.get() <= calls,
+            "{name}: {} calls",
+            records.calls.get()
+        );
     }
 }
 
@@ -144,18 +158,25 @@
 #[test]
 fn statuses_that_could_not_be_read_are_left_out() {
     for out_after in 0..4 {
-        for named in [1, 999] {
-            let mut s = shelf(named, 2);
-            s.out_after = out_after;
+        for keys_per_answer in [1, 999] {
+            let mut records = fake_records(keys_per_answer, 2);
+            records.out_after = out_after;
             let job_ids = (0..200).step_by(7).map(job_id).collect();
             let StatusRead {
                 statuses: found,
                 error: trouble,
-            } = job_status_reads::read_statuses(&s, &job_ids, &mut BTreeSet::new());
-            assert!(trouble.is_some() || named == 1, "{out_after} {named}");
+            } = job_status_reads::read_statuses(&records, &job_ids, &mut BTreeSet::new());
+            assert!(
+                trouble.is_some() || keys_per_answer == 1,
+                "{out_after} {keys_per_answer}"
+            );
             for (u, status) in found {
                 let n: u32 = u.0[3..].parse().expect("a number");
-                assert_eq!(status, truth(n), "job {n} after {out_after} calls");
+                assert_eq!(
+                    status,
+                    expected_status(n),
+                    "job {n} after {out_after} calls"
+                );
             }
         }
     }
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -48,7 +48,7 @@
             .load_chunk(fixture.now, &job_id, index, done, 90);
     }
     let first = fixture.batch().expect("the end is recorded");
-    assert_eq!(first.ops.len(), 1, "the verdict at once");
+    assert_eq!(first.ops.len(), 1, "the outcome at once");
     fixture
         .cluster
         .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 200 });
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -12,7 +12,7 @@
 fn what_proves_a_cancelled_task_gone() {
     // Incarnation, serial, token relative to the host's, task listed -> still held to be there.
     let cases = [
-        ("an older report", 1, 1, 0, false, true),
+        ("an older heartbeat", 1, 1, 0, false, true),
         (
             "a newer one, token not past the launch",
             1,
@@ -23,7 +23,7 @@
         ),
         ("token past the launch, task listed", 1, 9, 0, true, true),
         ("token past the launch, task absent", 1, 9, 0, false, false),
-        ("a later tenure", 2, 1, -2, false, false),
+        ("a later incarnation", 2, 1, -2, false, false),
     ];
     for (name, incarnation, serial, token_offset, listed, held) in cases {
         let (mut fixture, attempt) = launched_task();
@@ -96,9 +96,9 @@
     fixture
         .cluster
         .on_command_response(fixture.now, &machine, Some(shows));
-    let sent = launches(&fixture.settle());
-    assert_eq!(sent.len(), 1, "the old session's task starts anew");
-    let (_, task, attempt) = sent[0].clone();
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 1, "the old session's task starts anew");
+    let (_, task, attempt) = launched[0].clone();
     fixture.pass(secs(5));
     fixture.cluster.tick(fixture.now);
     let (on, still) = fixture
--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -7,7 +7,7 @@
 use cypressgap::core::placement::start_limiter::StartLimiter;
 
 /// Two teams without a guarantee or limit, `red` and `grey`, and `blue` with a guarantee.
-fn teams() -> SchedulerConfig {
+fn teams_config() -> SchedulerConfig {
     let mut scheduler_config = config();
     let blank = |name: &str, cpus| Team {
         name: name.into(),
@@ -24,7 +24,13 @@
     scheduler_config
 }
 
-fn owned(job_id: &str, team: &str, task_count: u32, cpus: f64, priority: Priority) -> JobSpec {
+fn job_of_team(
+    job_id: &str,
+    team: &str,
+    task_count: u32,
+    cpus: f64,
+    priority: Priority,
+) -> JobSpec {
     let mut job = spec(job_id, task_count, cpus);
     job.team = team.into();
     job.priority = priority;
@@ -42,16 +48,20 @@
         ("blue", Priority::Standard),
         ("red", Priority::High),
     ] {
-        let mut fleet = SimulatedFleet::new(teams(), 10, 8.0);
-        fleet
-            .fixture
-            .job(owned("wk-000001", "grey", 6000, 1.0, Priority::Standard));
+        let mut fleet = SimulatedFleet::new(teams_config(), 10, 8.0);
+        fleet.fixture.job(job_of_team(
+            "wk-000001",
+            "grey",
+            6000,
+            1.0,
+            Priority::Standard,
+        ));
         for _ in 0..20 {
             fleet.second(|_| secs(7));
         }
         fleet
             .fixture
-            .job(owned("wk-000002", team, 10, 8.0, priority));
+            .job(job_of_team("wk-000002", team, 10, 8.0, priority));
         let (before, came) = (fleet.done[&"wk-000001".into()], fleet.fixture.now);
         let mut all = None;
         for _ in 0..90 {
@@ -72,7 +82,7 @@
             "{name}: all begun after {all:?}"
         );
         let guest = fleet.done[&"wk-000001".into()] - before;
-        assert!(guest > 200, "{name}: the guest goes on, {guest} done");
+        assert!(guest > 200, "{name}: the other team goes on, {guest} done");
     }
 }
 
@@ -80,18 +90,18 @@
 /// higher priority.
 #[test]
 fn idle_priority_work_without_a_guarantee_begins_and_is_not_preempted_needlessly() {
-    let mut scheduler_config = teams();
+    let mut scheduler_config = teams_config();
     scheduler_config.teams[0].cpus = Some(1000.0);
     let mut fleet = SimulatedFleet::new(scheduler_config, 10, 8.0);
     fleet
         .fixture
-        .job(owned("wk-000001", "grey", 40, 1.0, Priority::Idle));
+        .job(job_of_team("wk-000001", "grey", 40, 1.0, Priority::Idle));
     for n in 0..300 {
         if n % 3 == 0 {
             let job_id = format!("wk-1{n:05}");
             fleet
                 .fixture
-                .job(owned(&job_id, "red", 40, 1.0, Priority::High));
+                .job(job_of_team(&job_id, "red", 40, 1.0, Priority::High));
         }
         fleet.second(|u| {
             if u.0 == "wk-000001" {
@@ -176,16 +186,24 @@
 
 #[test]
 fn high_priority_and_guaranteed_work_is_not_held_by_the_start_limit() {
-    let mut fleet = SimulatedFleet::new(teams(), 10, 8.0);
-    fleet
-        .fixture
-        .job(owned("wk-000001", "grey", 500, 1.0, Priority::Standard));
-    fleet
-        .fixture
-        .job(owned("wk-000002", "red", 30, 1.0, Priority::High));
+    let mut fleet = SimulatedFleet::new(teams_config(), 10, 8.0);
+    fleet.fixture.job(job_of_team(
+        "wk-000001",
+        "grey",
+        500,
+        1.0,
+        Priority::Standard,
+    ));
     fleet
         .fixture
-        .job(owned("wk-000003", "blue", 14, 1.0, Priority::Standard));
+        .job(job_of_team("wk-000002", "red", 30, 1.0, Priority::High));
+    fleet.fixture.job(job_of_team(
+        "wk-000003",
+        "blue",
+        14,
+        1.0,
+        Priority::Standard,
+    ));
     // Late all the time: the controllers cannot follow.
     for _ in 0..3 {
         for _ in 0..10 {
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -30,7 +30,7 @@
 }
 
 /// A report at the host's token, as a heartbeat: its directives.
-fn heartbeat_of(
+fn heartbeat_in_zone(
     fixture: &mut ClusterFixture,
     machine: &str,
     incarnation: u64,
@@ -49,7 +49,7 @@
     fixture.cluster.on_heartbeat(fixture.now, heartbeat);
 }
 
-fn tied(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
+fn zone_bound_job(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
     let mut job = spec(job_id, task_count, 8.0);
     (job.same_place, job.spread) = (same_place, !same_place);
     job
@@ -123,9 +123,9 @@
         let mut fixture = two_zones(16.0);
         let machines: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
         for h in &machines {
-            heartbeat_of(&mut fixture, h, 1, 1, vec![]);
+            heartbeat_in_zone(&mut fixture, h, 1, 1, vec![]);
         }
-        fixture.job(tied("wk-000001", 8, true));
+        fixture.job(zone_bound_job("wk-000001", 8, true));
         // What is on each machine, the truth of the matter.
         let mut on: BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>> = BTreeMap::new();
         let mut done: BTreeSet<u32> = BTreeSet::new();
@@ -184,7 +184,7 @@
                     };
                     listed.push(shown("wk-000001", *index, *attempt, phase));
                 }
-                heartbeat_of(&mut fixture, h, incarnation[h], serial, listed);
+                heartbeat_in_zone(&mut fixture, h, incarnation[h], serial, listed);
             }
             let actions = fixture.cluster.tick(fixture.now);
             for a in actions {
@@ -254,10 +254,10 @@
 }
 
 /// How long the rounds take that place a job of 700 tasks on 900 machines.
-fn rounds(job: JobSpec) -> (Duration, usize) {
+fn time_rounds(job: JobSpec) -> (Duration, usize) {
     let mut fixture = two_zones(32.0);
     for n in 0..900 {
-        heartbeat_of(&mut fixture, &format!("i-{n}"), 1, 1, vec![]);
+        heartbeat_in_zone(&mut fixture, &format!("i-{n}"), 1, 1, vec![]);
     }
     fixture.cluster.tick(fixture.now);
     fixture.job(job);
@@ -281,16 +281,16 @@
 #[test]
 fn a_round_with_a_zone_bound_job_costs_little_more_than_one_without() {
     const TASKS: u32 = 700;
-    let (plain, placed) = rounds(spec("wk-000001", TASKS, 8.0));
+    let (plain, placed) = time_rounds(spec("wk-000001", TASKS, 8.0));
     assert_eq!(placed, TASKS as usize);
     for same_place in [true, false] {
-        let (tied, placed) = rounds(tied("wk-000001", TASKS, same_place));
+        let (zone_bound_job, placed) = time_rounds(zone_bound_job("wk-000001", TASKS, same_place));
         assert_eq!(placed, TASKS as usize, "same place {same_place}");
-        println!("same_place={same_place} untied={plain:?} tied={tied:?}");
+        println!("same_place={same_place} untied={plain:?} tied={zone_bound_job:?}");
         // It was some hundred times as much.
         assert!(
-            tied < plain * 12,
-            "same place {same_place}: {tied:?}, untied {plain:?}"
+            zone_bound_job < plain * 12,
+            "same place {same_place}: {zone_bound_job:?}, untied {plain:?}"
         );
     }
 }
@@ -301,7 +301,7 @@
 fn tasks_in_zones_not_known_yet_keep_their_siblings_back() {
     for same_place in [true, false] {
         let mut fixture = two_zones(32.0);
-        fixture.job(tied("wk-000001", 3, same_place));
+        fixture.job(zone_bound_job("wk-000001", 3, same_place));
         let active = vec![
             Intent::new(0, AttemptId(100), MachineId::from("i-9")),
             Intent::new(1, AttemptId(101), MachineId::from("i-9")),
@@ -311,7 +311,7 @@
             .cluster
             .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
         for machine in ["i-2", "i-3"] {
-            heartbeat_of(&mut fixture, machine, 1, 1, vec![]);
+            heartbeat_in_zone(&mut fixture, machine, 1, 1, vec![]);
         }
         let started = |actions: &[Action]| {
             let launched = launches(actions).into_iter().map(|l| (l.0, l.1.index));
@@ -326,9 +326,9 @@
             let attempt = AttemptId(100 + u64::from(i));
             shown("wk-000001", i, attempt, TaskPhase::Running)
         });
-        heartbeat_of(&mut fixture, "i-9", 1, 1, listed.to_vec());
+        heartbeat_in_zone(&mut fixture, "i-9", 1, 1, listed.to_vec());
         for machine in ["i-2", "i-3"] {
-            heartbeat_of(&mut fixture, machine, 1, 2, vec![]);
+            heartbeat_in_zone(&mut fixture, machine, 1, 2, vec![]);
         }
         // Two of three run in zone b: the third belongs there, or must go to the other one.
         let zone = if same_place { "b" } else { "a" };
