--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -52,8 +52,8 @@
     pub crash_loop: CrashLoop,
     /// Run time that stopped tasks have saved in checkpoints.
     pub saved_progress: HashMap<u32, Duration>,
-    /// When its user was told that it is accepted.
-    /// For a job with dependencies: when the last of them was known to be done.
+    /// When it was accepted, from which its waiting counts; for a job with dependencies, when the last of
+    /// them was known to be done.
     pub arrived: Instant,
     /// Its priority and deadline without those of its dependents.
     pub own_rank: SchedulingRank,
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 impl ClusterState {
-    /// Adds a live job, from the index at takeover or from the watch. Known ones are left as they are.
+    /// Adds a live job, from the index at a failover or from the watch. Known ones are left as they are.
     pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
         if self.jobs.contains(&spec.job_id) || spec.task_count == 0 {
             return;
