--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,6 +4,7 @@
 //! edge.
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
 
 mod heartbeats;
 mod ids;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -15,6 +15,7 @@
 //! - [`takeover`]: all of these together, as the scheduler's core uses them.
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
 
 pub mod attempt_state;
 pub mod command_pacing;
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -59,7 +59,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<IndexRead>> {
-        self.last.lock().unwrap_or_else(|e| e.into_inner())
+        self.last
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
--- a/src/api/submission_fairness.rs
+++ b/src/api/submission_fairness.rs
@@ -38,7 +38,10 @@
     /// Counts one submission, and returns the part of the rate that it must leave to others.
     #[must_use]
     pub fn reserve_for(&self, team: &TeamName, now: Instant) -> f64 {
-        let mut recent = self.recent.lock().unwrap_or_else(|e| e.into_inner());
+        let mut recent = self
+            .recent
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let own = recent.get(team).map_or(0.0, |count| count.at(now)) + 1.0;
         let counted = DecayingCount {
             count: own,
--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -50,7 +50,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Histogram<u64>> {
-        self.histogram.lock().unwrap_or_else(|e| e.into_inner())
+        self.histogram
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Records one duration.
@@ -93,13 +95,19 @@
 impl TimerLag {
     /// Records how late a timer fired.
     pub fn record(&self, lag: Duration) {
-        let mut average = self.average.lock().unwrap_or_else(|e| e.into_inner());
+        let mut average = self
+            .average
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let lag = lag.min(MAX_TIMER_LAG);
         *average = average.mul_f64(1.0 - LAST_TIMER_WEIGHT) + lag.mul_f64(LAST_TIMER_WEIGHT);
     }
 
     /// The average over the last few timers.
     pub fn average(&self) -> Duration {
-        *self.average.lock().unwrap_or_else(|e| e.into_inner())
+        *self
+            .average
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -58,7 +58,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Changes the rate. Bursts stay as large as they were.
--- a/src/common/stop_signal.rs
+++ b/src/common/stop_signal.rs
@@ -11,7 +11,9 @@
 
 impl State {
     fn lock(&self) -> MutexGuard<'_, bool> {
-        self.stopped.lock().unwrap_or_else(|e| e.into_inner())
+        self.stopped
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -46,7 +46,7 @@
             match self.absence(heartbeat, machine, task, attempt) {
                 Absence::Proved => absent.push(task.clone()),
                 Absence::NeedsRaisedToken => {
-                    must_raise_token |= machine.token <= attempt.launch_token
+                    must_raise_token |= machine.token <= attempt.launch_token;
                 }
                 Absence::Unproved => {}
             }
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -49,7 +49,7 @@
                 phase if is_recorded => self.on_task_phase(now, heartbeat, &status.task, phase),
                 phase => match self.decide_unrecorded(now, heartbeat, status, origin) {
                     UnrecordedTask::Adopted => {
-                        self.on_task_phase(now, heartbeat, &status.task, phase)
+                        self.on_task_phase(now, heartbeat, &status.task, phase);
                     }
                     decision => self.note_unexpected(status, decision, &mut reported),
                 },
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -118,7 +118,7 @@
                 attempt.kill_request = Some(KillRequest {
                     grace_period,
                     since: now,
-                })
+                });
             }
         }
         self.outbox.urgent_machines.insert(attempt.machine.clone());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 //! to `api` to `node` to `net` to `core`; `common` and `settings` import none of these but `core`.
 
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
 
 pub mod api;
 pub mod common;
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -69,7 +69,7 @@
             }
             let now = Instant::now();
             let mut requests = Vec::new();
-            for event in events.iter() {
+            for event in &events {
                 self.handle_event(event, now, &mut requests);
             }
             if self.accept_again_at.is_some_and(|t| now >= t) {
--- a/src/net/http_server/socket.rs
+++ b/src/net/http_server/socket.rs
@@ -85,7 +85,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Output> {
-        self.output.lock().unwrap_or_else(|e| e.into_inner())
+        self.output
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Sends what the socket takes now. The event loop sends the rest when it takes more: the lock is
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -95,7 +95,9 @@
     }
 
     fn refusals(&self) -> MutexGuard<'_, Refusals> {
-        self.refusals.lock().unwrap_or_else(|e| e.into_inner())
+        self.refusals
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Whether the reduced rates are in force.
@@ -135,7 +137,9 @@
     }
 
     fn usage(&self) -> MutexGuard<'_, Usage> {
-        self.usage.lock().unwrap_or_else(|e| e.into_inner())
+        self.usage
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Changes a second that this node asks for, to be sent to its peers.
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -141,7 +141,7 @@
             verb,
             task: task.to_string(),
             attempt: attempt.0,
-            grace_period_s: grace_period.map(|d| d.as_secs_f64()),
+            grace_period_s: grace_period.map(std::time::Duration::as_secs_f64),
         }
     }
 }
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -40,7 +40,10 @@
 
     /// Checks the clocks, and returns when the process last resumed from a pause.
     pub fn check(&self, now: ClockReading) -> Option<Instant> {
-        let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
+        let mut state = self
+            .state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let last = state.last_check;
         if now.steady < last.steady {
             // Another thread has checked since this one read its clock.
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -111,11 +111,15 @@
 
     /// Reads several facts together.
     pub fn read(&self) -> RwLockReadGuard<'_, NodeState> {
-        self.state.read().unwrap_or_else(|e| e.into_inner())
+        self.state
+            .read()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn write(&self) -> RwLockWriteGuard<'_, NodeState> {
-        self.state.write().unwrap_or_else(|e| e.into_inner())
+        self.state
+            .write()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -83,10 +83,10 @@
     for entry in listing.entries {
         match entry.value {
             ControlValue::Leader(stored) if entry.key == LEADER_KEY => {
-                leader = Some(leader_record(stored, entry.revision))
+                leader = Some(leader_record(stored, entry.revision));
             }
             ControlValue::Types(listed) if entry.key == MACHINE_TYPES_KEY => {
-                apply_types(context, &listed)
+                apply_types(context, &listed);
             }
             _ => {}
         }
@@ -104,7 +104,7 @@
             report_leader(context, Some(leader_record(stored, revision)));
         }
         (Some(MACHINE_TYPES_KEY), Some(ControlValue::Types(listed)), _) => {
-            apply_types(context, &listed)
+            apply_types(context, &listed);
         }
         _ => {}
     }
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -1,7 +1,7 @@
 //! What the leader's core shows to the other threads and in the log.
 
 use crate::core::model::JobId;
-use crate::core::state::ClusterState;
+use crate::core::state::{ClusterState, Job};
 use crate::node::job_cache::TaskCounts;
 use crate::node::view::NodeView;
 use crate::runtime::context::NodeContext;
@@ -52,7 +52,7 @@
     for wait in cluster.start_waits.drain(..) {
         meters.starts.record(wait);
     }
-    let queued: u32 = cluster.jobs.values().map(|job| job.waiting_count()).sum();
+    let queued: u32 = cluster.jobs.values().map(Job::waiting_count).sum();
     let active: usize = cluster.jobs.values().map(|job| job.active.len()).sum();
     let start_limit = cluster.start_limiter.limit();
     log::info!(
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -230,12 +230,12 @@
     threads.spawn("core", move || core_loop::run(&node, &events, &channels))?;
     let (node, transactions) = (context.clone(), queues.transactions.clone());
     threads.spawn("store-writer", move || {
-        store_writer::run(&node, &transactions)
+        store_writer::run(&node, &transactions);
     })?;
     for _ in 0..context.settings.operations.command_threads {
         let (node, commands) = (context.clone(), queues.commands.clone());
         threads.spawn("command-sender", move || {
-            command_sender::run(&node, &commands)
+            command_sender::run(&node, &commands);
         })?;
     }
     let node = context.clone();
@@ -253,11 +253,11 @@
     let (node, orders) = (context.clone(), queues.cloud_orders.clone());
     let order_rate = rate.clone();
     threads.spawn("cloud-orders", move || {
-        cloud_workers::carry_out_orders(&node, &order_rate, &orders)
+        cloud_workers::carry_out_orders(&node, &order_rate, &orders);
     })?;
     let (node, wakeup) = (context.clone(), queues.cloud_wakeup.clone());
     threads.spawn("cloud-reader", move || {
-        cloud_workers::read_cloud(&node, &rate, &wakeup)
+        cloud_workers::read_cloud(&node, &rate, &wakeup);
     })
 }
 
@@ -283,11 +283,11 @@
     for peer in context.peers.clone() {
         let node = context.clone();
         threads.spawn("peer-status", move || {
-            peer_status_exchange::run(&node, &peer)
+            peer_status_exchange::run(&node, &peer);
         })?;
     }
     let (node, api) = (context.clone(), api.clone());
     threads.spawn("peer-server", move || {
-        peer_server::run(&node, &api, &listener)
+        peer_server::run(&node, &api, &listener);
     })
 }
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -89,7 +89,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn fresh(&self) -> Duration {
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -150,7 +150,7 @@
     match number.name.as_str() {
         "orders-per-s" => recovery.orders_per_second = Some(number.within(1.0, 1e6)?),
         "segment-orders-per-s" => {
-            recovery.segment_orders_per_second = Some(number.within(1.0, 1e6)?)
+            recovery.segment_orders_per_second = Some(number.within(1.0, 1e6)?);
         }
         "segment-prefix" => recovery.prefixes.v4 = number.integer(8.0, 32.0)? as u8,
         "segment-prefix-v6" => recovery.prefixes.v6 = number.integer(16.0, 128.0)? as u8,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -75,7 +75,7 @@
                         tasks.push((task, attempt, now));
                     }
                     TaskCommand::Kill { task, attempt, .. } => {
-                        tasks.retain(|t| (&t.0, t.1) != (&task, attempt))
+                        tasks.retain(|t| (&t.0, t.1) != (&task, attempt));
                     }
                     TaskCommand::Forget { task, attempt } => {
                         if !self.broken.contains(&task.job_id) && !self.faulty.contains(h) {
--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -285,13 +285,13 @@
             versions_known,
             "lists are kept for earlier versions only"
         );
-        until("confirmed", || match cancel(node, "wk-000600") {
-            200 => Some(()),
-            _ => {
-                // As its Retry-After says.
-                std::thread::sleep(Duration::from_secs(1));
-                None
+        until("confirmed", || {
+            if cancel(node, "wk-000600") == 200 {
+                return Some(());
             }
+            // As its Retry-After says.
+            std::thread::sleep(Duration::from_secs(1));
+            None
         });
         for n in 0..DEPENDENTS {
             let job_id = format!("wk-{:06}", 700 + n);
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -244,7 +244,7 @@
     // The store is back: the other job runs, this one is cancelled and starts no more.
     cluster.store.unavailable.store(false, Ordering::SeqCst);
     let links = cluster.store_links.iter().chain(&cluster.peer_links);
-    links.for_each(|l| l.heal());
+    links.for_each(Link::heal);
     if !case.confirming_node_ends {
         until("told", || {
             (phase(confirmer, "wk-000001")? == "withdrawn").then_some(())
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -172,7 +172,7 @@
                 (first..first + 3).for_each(|n| {
                     fixture
                         .cluster
-                        .on_cancelled(fixture.now, &job_id(n), CancelSource::JobOutcome)
+                        .on_cancelled(fixture.now, &job_id(n), CancelSource::JobOutcome);
                 });
             }
             for _ in 0..4 {
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -139,7 +139,7 @@
     let start = ClockReading::now();
     let at = |s: u64| start.at(start.steady + secs(s));
     for (name, peers, happens, expected) in cases {
-        let mut fixture = Watermark::new(at(0), peers.iter().map(|p| p.to_string()));
+        let mut fixture = Watermark::new(at(0), peers.iter().map(std::string::ToString::to_string));
         for machine in happens {
             match *machine {
                 Read(asked) => fixture.record_read(at(asked)),
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -90,7 +90,7 @@
                         graph.record_done(&job_id(*n)),
                         job_ids(ready),
                         "{name}: {n} done"
-                    )
+                    );
                 }
                 Cancelled(n, orphans) => {
                     let mut all = graph.record_cancelled(&job_id(*n));
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -419,7 +419,8 @@
             0 | 1 => account.enter(task, team, resources),
             2 | 3 => account.leave(&task),
             _ => {
-                account.set_unexpected(&machine, &vec![(team.clone(), resources); draw(3) as usize])
+                account
+                    .set_unexpected(&machine, &vec![(team.clone(), resources); draw(3) as usize]);
             }
         }
     }
--- a/tests/stored_formats/calls.rs
+++ b/tests/stored_formats/calls.rs
@@ -174,13 +174,13 @@
         );
     }),
     ("lease", &[200], |s| {
-        assert_eq!(s.grant_lease(secs(4.0), LIMIT), Ok(9))
+        assert_eq!(s.grant_lease(secs(4.0), LIMIT), Ok(9));
     }),
     ("extension", &[200], |s| {
-        assert_eq!(s.renew_lease(9, LIMIT), Ok(()))
+        assert_eq!(s.renew_lease(9, LIMIT), Ok(()));
     }),
     ("end of a lease", &[200], |s| {
-        assert_eq!(s.revoke_lease(9, LIMIT), Ok(()))
+        assert_eq!(s.revoke_lease(9, LIMIT), Ok(()));
     }),
     ("watch", &[200], |s| {
         let changes = s.watch::<u64>("q/", 60, secs(5.0)).expect("read");
@@ -228,7 +228,7 @@
         assert_eq!(c.rent(&rental()), RentalOutcome::Machines(machines));
     }),
     ("rental refused", &[503], |c| {
-        assert_eq!(c.rent(&rental()), RentalOutcome::NoCapacity)
+        assert_eq!(c.rent(&rental()), RentalOutcome::NoCapacity);
     }),
     ("return", &[200], |c| {
         assert!(c.return_machines(&["i-000231".into(), "i-000232".into()]));
@@ -259,7 +259,7 @@
             machines: vec![],
             has_next: false,
         };
-        assert_eq!(c.list_machines(""), Some(page))
+        assert_eq!(c.list_machines(""), Some(page));
     }),
 ];
 
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -317,7 +317,7 @@
         (&["frames many"], 1),
     ];
     for (over, known) in cases {
-        let over: Vec<String> = over.iter().map(|o| o.to_string()).collect();
+        let over: Vec<String> = over.iter().map(std::string::ToString::to_string).collect();
         assert_eq!(
             HelloExtension::decode(&over).protocol_version,
             known,
