--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -1,10 +1,10 @@
 //! Capacity: which machines are rented, drained and returned.
 //!
-//! After a placement round, [`ClusterState::manage_capacity`] compares what waits with what is free. Each
-//! module plans one kind of change from the cluster state as it stands: [`scale_out`] rents machines for
-//! waiting work and for [`headroom`], [`scale_in`] returns machines, [`spot_replacement`] and
-//! [`consolidation`] drain them. [`apply`] is the only place where these plans change the state.
-//! [`rentals`] and [`cloud_list`] take in what the cloud answers.
+//! After a placement round, `ClusterState::manage_capacity` compares what waits with what is free. Each
+//! module plans one kind of change from the cluster state as it stands: `scale_out` rents machines for
+//! waiting work and for `headroom`, `scale_in` returns machines, `spot_replacement` and
+//! `consolidation` drain them. `apply` is the only place where these plans change the state.
+//! `rentals` and `cloud_list` take in what the cloud answers.
 //!
 //! Invariants: a rental is repeated under its idempotency key until its outcome is known, so no machine
 //! is rented twice; there are never more machines, rentals under way included, than the settings allow;
