--- /dev/null
+++ b/src/core/capacity/capacity_manager.rs
@@ -0,0 +1,38 @@
+//! The order in which capacity is managed after a placement round.
+
+use crate::core::placement::RoundOutcome;
+use crate::core::state::{ClusterState, Machine};
+use std::time::Instant;
+
+/// Machines have had time to report after so many heartbeat intervals.
+const HEARTBEATS_TO_REPORT: f64 = 1.3;
+
+impl ClusterState {
+    /// Rents, drains and returns machines, by what a placement round has left.
+    pub(in crate::core) fn manage_capacity(&mut self, now: Instant, round: &RoundOutcome) {
+        self.cancel_drains(self.plan_drain_cancellations(round));
+        self.scale_in(now);
+        self.order_rentals(now, self.plan_scale_out(now, round));
+        let is_idle = round.waiting.is_empty();
+        if is_idle {
+            self.apply_replacement(now, self.plan_spot_replacement(now));
+            self.drain_machines(self.plan_superfluous_drains(now));
+        }
+        self.drain_replaced(self.plan_replaced_drains());
+        if is_idle {
+            self.apply_consolidation(now, self.plan_consolidation(now));
+        }
+        self.send_rentals(now);
+    }
+
+    /// Whether this term knows what machines there are: the cloud listed them and all of them have
+    /// reported, or they have had time to.
+    pub(super) fn knows_fleet(&self, now: Instant) -> bool {
+        let has_not_reported =
+            |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
+        let all_reported =
+            self.capacity.list_was_read && !self.fleet.machines.values().any(has_not_reported);
+        let time_to_report = self.config.heartbeat.mul_f64(HEARTBEATS_TO_REPORT);
+        all_reported || now.saturating_duration_since(self.liveness.started) >= time_to_report
+    }
+}
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -5,8 +5,6 @@
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::model::{MachineId, Term};
-use crate::core::state::MachineIdentity;
-use crate::core::state::{Action, ClusterState, Machine};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
@@ -16,7 +14,7 @@
 /// that were missing when it was asked for.
 const MAX_RENTALS_UNDER_WAY: usize = 3;
 /// A rental without an answer is sent again after this long.
-const RETRY_DELAY: Duration = Duration::from_secs(2);
+pub(super) const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// After a refusal, the same offer is not asked for again for this long, times the refusals in a row.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(12);
 const MAX_COUNTED_REFUSALS: u32 = 3;
@@ -37,19 +35,19 @@
 pub(super) struct Rental {
     pub(super) offer: MachineOffer,
     pub(super) number: u32,
-    sent: bool,
-    retry_at: Option<Instant>,
+    pub(super) sent: bool,
+    pub(super) retry_at: Option<Instant>,
 }
 
 impl Rental {
-    fn is_due(&self, now: Instant) -> bool {
+    pub(super) fn is_due(&self, now: Instant) -> bool {
         !self.sent && self.retry_at.is_none_or(|at| now >= at)
     }
 }
 
 /// The cloud has no machines of a kind.
 #[derive(Clone, Copy, Debug)]
-struct Refusal {
+pub(super) struct Refusal {
     until: Instant,
     /// How often in a row.
     count: u32,
@@ -58,10 +56,10 @@
 /// The rentals under way, by idempotency key, and what the cloud refused.
 #[derive(Debug, Default)]
 pub(super) struct Rentals {
-    under_way: BTreeMap<String, Rental>,
+    pub(super) under_way: BTreeMap<String, Rental>,
     /// How many rentals this term has ordered.
     ordered: u64,
-    refusals: HashMap<MachineOffer, Refusal>,
+    pub(super) refusals: HashMap<MachineOffer, Refusal>,
 }
 
 impl Rentals {
@@ -104,7 +102,7 @@
         refusal.is_some_and(|refusal| now < refusal.until)
     }
 
-    fn refuse(&mut self, now: Instant, offer: MachineOffer) {
+    pub(super) fn refuse(&mut self, now: Instant, offer: MachineOffer) {
         let refusal = self.refusals.entry(offer).or_insert(Refusal {
             until: now,
             count: 0,
@@ -113,89 +111,3 @@
         refusal.until = now + REFUSAL_PAUSE * refusal.count;
     }
 }
-
-impl ClusterState {
-    /// Sends rentals that are new or to be repeated.
-    pub(super) fn send_rentals(&mut self, now: Instant) {
-        let rentals = self.capacity.rentals.under_way.iter_mut();
-        for (idempotency_key, rental) in rentals.filter(|(_, rental)| rental.is_due(now)) {
-            rental.sent = true;
-            self.outbox.push(Action::Rent {
-                idempotency_key: idempotency_key.clone(),
-                machine_type: rental.offer.machine_type.clone(),
-                zone: rental.offer.zone.clone(),
-                spot: rental.offer.spot,
-                number: rental.number,
-            });
-        }
-    }
-
-    /// Takes in how a rental ended.
-    pub fn on_rented(&mut self, now: Instant, idempotency_key: &str, outcome: RentalOutcome) {
-        let under_way = &mut self.capacity.rentals.under_way;
-        match outcome {
-            RentalOutcome::Unknown => {
-                if let Some(rental) = under_way.get_mut(idempotency_key) {
-                    rental.sent = false;
-                    rental.retry_at = Some(now + RETRY_DELAY);
-                }
-            }
-            RentalOutcome::NoCapacity => {
-                if let Some(rental) = under_way.remove(idempotency_key) {
-                    self.refuse_offer(now, rental.offer);
-                }
-            }
-            RentalOutcome::Machines(ids) => {
-                let Some(rental) = under_way.remove(idempotency_key) else {
-                    return;
-                };
-                log::info!(
-                    "rented idempotency_key={idempotency_key} machines={}",
-                    ids.len()
-                );
-                self.add_rented(now, rental, ids);
-            }
-        }
-        self.schedule.request_round();
-    }
-
-    fn add_rented(&mut self, now: Instant, rental: Rental, ids: Vec<MachineId>) {
-        let offer = rental.offer;
-        if (ids.len() as u32) < rental.number {
-            self.refuse_offer(now, offer.clone());
-        } else {
-            self.capacity.rentals.refusals.remove(&offer);
-        }
-        let term = self.term;
-        for id in ids {
-            if self.fleet.is_tombstone(&id) {
-                continue;
-            }
-            self.fleet.machines.entry(id.clone()).or_insert_with(|| {
-                let MachineOffer {
-                    machine_type,
-                    zone,
-                    spot,
-                } = offer.clone();
-                let identity = MachineIdentity {
-                    id,
-                    machine_type,
-                    zone,
-                    spot,
-                };
-                let mut machine = Machine::new(identity, term, now);
-                machine.booting_since = Some(now);
-                machine.rented_this_term = true;
-                machine
-            });
-        }
-    }
-
-    fn refuse_offer(&mut self, now: Instant, offer: MachineOffer) {
-        if offer.spot {
-            let replacements = &mut self.capacity.replacements;
-            replacements.replacement_refused(now, &offer.machine_type);
-        }
-        self.capacity.rentals.refuse(now, offer);
-    }
-}
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -7,7 +7,7 @@
     attempts_per_chunk, JobOutcome, FULL_CHUNK_VALUE_BYTES, MIN_VALUE_BYTES,
 };
 use crate::core::persistence::write_batch::{ConflictingKey, LeaderKeyStatus, WriteOutcome};
-use crate::core::state::attempts::AttemptEnd;
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::{CancelSource, ClusterState};
 use std::time::Instant;
 
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -5,35 +5,11 @@
 //! upstream of a change is looked at once, after its dependents, so that the cost is bounded by the part
 //! of the graph that the changes reach.
 
-use crate::core::model::{JobId, Priority};
+use crate::core::model::JobId;
+use crate::core::state::scheduling_rank::SchedulingRank;
 use crate::core::state::ClusterState;
 use crate::core::state::Job;
 use std::collections::{BTreeSet, HashMap};
-use std::time::Instant;
-
-/// What orders a job in the queue.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SchedulingRank {
-    /// The higher goes first.
-    pub priority: Priority,
-    /// Among jobs of one priority, the earlier goes first.
-    pub deadline: Option<Instant>,
-}
-
-impl SchedulingRank {
-    /// The higher priority and the earlier deadline of both.
-    #[must_use]
-    pub fn max(self, other: SchedulingRank) -> SchedulingRank {
-        let deadline = match (self.deadline, other.deadline) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
-        };
-        SchedulingRank {
-            priority: self.priority.max(other.priority),
-            deadline,
-        }
-    }
-}
 
 impl ClusterState {
     /// Brings the ranks up to date with all jobs that came, or were cancelled, since the last time.
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -7,7 +7,7 @@
 use crate::core::model::{FencingToken, Heartbeat, TaskId};
 use crate::core::reconciliation::launch_check::LaunchCheck;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
-use crate::core::state::attempts::AttemptEnd;
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::{ActiveAttempt, ClusterState, Machine};
 use std::time::Instant;
 
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -8,7 +8,8 @@
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
 use crate::core::persistence::records::JobOutcome;
-use crate::core::state::attempts::{Assignment, AttemptEnd};
+use crate::core::state::attempt::AttemptEnd;
+use crate::core::state::attempts::Assignment;
 use crate::core::state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use cypressgap_recovery::unrecorded::{Disposition, ListedJobs, StoredJobStatus};
--- a/src/core/state/attempt.rs
+++ b/src/core/state/attempt.rs
@@ -90,3 +90,12 @@
         )
     }
 }
+
+/// Whether an attempt that is gone completed its task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum AttemptEnd {
+    /// The task is done.
+    Completed,
+    /// The task has to run again, unless its job is over.
+    Incomplete,
+}
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -4,6 +4,7 @@
 //! its team's quota from its assignment until the proof that it is off its machine; a gang ends as a whole.
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::attempt::{ActiveAttempt, KillRequest};
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
@@ -22,15 +23,6 @@
     pub(in crate::core) estimated_run_time: Duration,
 }
 
-/// Whether an attempt that is gone completed its task.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::core) enum AttemptEnd {
-    /// The task is done.
-    Completed,
-    /// The task has to run again, unless its job is over.
-    Incomplete,
-}
-
 impl ClusterState {
     /// The id of the next attempt, unique over all terms.
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -5,11 +5,11 @@
 
 use crate::core::model::{AttemptId, ImageKey, JobKind, JobSpec, TaskId};
 use crate::core::persistence::records::{ChunkValue, Intent, TASKS_PER_CHUNK};
-use crate::core::placement::priority_inheritance::SchedulingRank;
 use crate::core::state::attempt::ActiveAttempt;
-use crate::core::state::attempts::AttemptEnd;
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::cancellation::Cancellation;
 use crate::core::state::crash_loop::CrashLoop;
+use crate::core::state::scheduling_rank::SchedulingRank;
 use crate::core::state::TaskChunk;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -4,7 +4,7 @@
 //! steps that need several of them.
 
 mod actions;
-mod attempt;
+pub(crate) mod attempt;
 pub(crate) mod attempts;
 mod cancellation;
 mod cluster_state;
@@ -22,6 +22,7 @@
 pub mod quota_usage;
 pub mod recent_usage;
 pub mod round_schedule;
+pub mod scheduling_rank;
 mod task_chunk;
 pub(crate) mod task_states;
 pub(crate) mod termination;
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
 use crate::core::state::attempt::ActiveAttempt;
-use crate::core::state::attempts::AttemptEnd;
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -4,7 +4,7 @@
 //! the machine is gone or a lease that has certainly expired.
 
 use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
-use crate::core::state::attempts::AttemptEnd;
+use crate::core::state::attempt::AttemptEnd;
 use crate::core::state::job::Job;
 use crate::core::state::machine::Machine;
 use crate::core::state::ClusterState;
