--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -20,7 +20,9 @@
     cache_gb: f64,
     #[serde(default)]
     fetch_gb_per_s: f64,
+    #[serde(rename = "Hourly")]
     hourly: f64,
+    #[serde(rename = "LowPrice")]
     low_price: f64,
     boot_s: f64,
     #[serde(rename = "Sites")]
