--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -39,7 +39,7 @@
 
 /// Whether an ordinary machine of this type costs much more than a spot one.
 fn is_expensive(machine_type: &MachineType) -> bool {
-    machine_type.hourly > machine_type.low_price * EXPENSIVE_FACTOR
+    machine_type.on_demand_price_per_hour > machine_type.low_price * EXPENSIVE_FACTOR
 }
 
 impl ClusterState {
@@ -172,7 +172,7 @@
             .filter(|m| !m.placed_tasks.is_empty())
             .filter_map(|machine| {
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
-                is_expensive(machine_type).then_some((machine_type.hourly, machine))
+                is_expensive(machine_type).then_some((machine_type.on_demand_price_per_hour, machine))
             })
             .collect();
         expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -15,7 +15,7 @@
     /// The rate at which a machine fetches an image.
     pub fetch_gb_per_s: f64,
     /// The price of an on-demand machine for an hour.
-    pub hourly: f64,
+    pub on_demand_price_per_hour: f64,
     /// The price of a spot machine for an hour.
     pub low_price: f64,
     /// How long a machine takes to boot.
@@ -31,7 +31,7 @@
         if spot {
             self.low_price
         } else {
-            self.hourly
+            self.on_demand_price_per_hour
         }
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -28,13 +28,13 @@
 fn cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
     let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
-        .map(|(name, cpus, hourly)| MachineType {
+        .map(|(name, cpus, on_demand_price_per_hour)| MachineType {
             name: name.into(),
             room: resources(cpus),
             cache_gb: 20.0,
             fetch_gb_per_s: 0.3,
-            hourly,
-            low_price: hourly / 4.0,
+            on_demand_price_per_hour,
+            low_price: on_demand_price_per_hour / 4.0,
             boot: Duration::from_secs(30),
             zones: vec!["a".into()],
         })
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -21,7 +21,7 @@
     #[serde(default)]
     fetch_gb_per_s: f64,
     #[serde(rename = "Hourly")]
-    hourly: f64,
+    on_demand_price_per_hour: f64,
     #[serde(rename = "LowPrice")]
     low_price: f64,
     boot_s: f64,
@@ -42,7 +42,7 @@
             },
             cache_gb: wire.cache_gb,
             fetch_gb_per_s: wire.fetch_gb_per_s,
-            hourly: wire.hourly,
+            on_demand_price_per_hour: wire.on_demand_price_per_hour,
             low_price: wire.low_price,
             boot: duration(wire.boot_s, "BootS")?,
             zones: wire.zones.iter().cloned().map(Zone).collect(),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -35,7 +35,7 @@
         room: resources(cpus),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        hourly: 4.0,
+        on_demand_price_per_hour: 4.0,
         low_price: 1.0,
         boot: secs(30),
         zones: vec!["a".into(), "b".into()],
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -120,7 +120,7 @@
         },
         cache_gb,
         fetch_gb_per_s,
-        hourly: 4.5,
+        on_demand_price_per_hour: 4.5,
         low_price: 1.25,
         boot: secs(30.0),
         zones: vec!["hall-a".into(), "hall-b".into()],
