--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -39,7 +39,7 @@
 
 /// Whether an ordinary machine of this type costs much more than a spot one.
 fn is_expensive(machine_type: &MachineType) -> bool {
-    machine_type.on_demand_price_per_hour > machine_type.low_price * EXPENSIVE_FACTOR
+    machine_type.on_demand_price_per_hour > machine_type.spot_price_per_hour * EXPENSIVE_FACTOR
 }
 
 impl ClusterState {
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -17,7 +17,7 @@
     /// The price of an on-demand machine for an hour.
     pub on_demand_price_per_hour: f64,
     /// The price of a spot machine for an hour.
-    pub low_price: f64,
+    pub spot_price_per_hour: f64,
     /// How long a machine takes to boot.
     pub boot: Duration,
     /// The zones where it is offered.
@@ -29,7 +29,7 @@
     #[must_use]
     pub fn price(&self, spot: bool) -> f64 {
         if spot {
-            self.low_price
+            self.spot_price_per_hour
         } else {
             self.on_demand_price_per_hour
         }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -34,7 +34,7 @@
             cache_gb: 20.0,
             fetch_gb_per_s: 0.3,
             on_demand_price_per_hour,
-            low_price: on_demand_price_per_hour / 4.0,
+            spot_price_per_hour: on_demand_price_per_hour / 4.0,
             boot: Duration::from_secs(30),
             zones: vec!["a".into()],
         })
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -23,7 +23,7 @@
     #[serde(rename = "Hourly")]
     on_demand_price_per_hour: f64,
     #[serde(rename = "LowPrice")]
-    low_price: f64,
+    spot_price_per_hour: f64,
     boot_s: f64,
     #[serde(rename = "Sites")]
     zones: Vec<String>,
@@ -43,7 +43,7 @@
             cache_gb: wire.cache_gb,
             fetch_gb_per_s: wire.fetch_gb_per_s,
             on_demand_price_per_hour: wire.on_demand_price_per_hour,
-            low_price: wire.low_price,
+            spot_price_per_hour: wire.spot_price_per_hour,
             boot: duration(wire.boot_s, "BootS")?,
             zones: wire.zones.iter().cloned().map(Zone).collect(),
         })
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -129,7 +129,7 @@
         }
         // No replacement is looked for where ordinary machines cost no more.
         let mut t = machine_type("m8", 8.0);
-        t.on_demand_price_per_hour = t.low_price;
+        t.on_demand_price_per_hour = t.spot_price_per_hour;
         let mut fixture = ClusterFixture::with(scheduler_config, vec![t]);
         fixture.pass(secs(10));
         fixture.heartbeat("i-1", 1, vec![]);
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -121,7 +121,7 @@
         cache_gb,
         fetch_gb_per_s,
         on_demand_price_per_hour: 4.5,
-        low_price: 1.25,
+        spot_price_per_hour: 1.25,
         boot: secs(30.0),
         zones: vec!["hall-a".into(), "hall-b".into()],
     }
