--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -10,7 +10,7 @@
     /// Graphics processors.
     pub gpus: f64,
     /// Memory in GB.
-    pub memory: f64,
+    pub memory_gb: f64,
 }
 
 /// The rounding error up to which a shortage is ignored.
@@ -25,21 +25,21 @@
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus + RESOURCE_EPSILON
             && self.gpus <= free.gpus + RESOURCE_EPSILON
-            && self.memory <= free.memory + RESOURCE_EPSILON
+            && self.memory_gb <= free.memory_gb + RESOURCE_EPSILON
     }
 
     /// Adds another amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
-        self.memory += other.memory;
+        self.memory_gb += other.memory_gb;
     }
 
     /// Subtracts another amount.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
-        self.memory -= other.memory;
+        self.memory_gb -= other.memory_gb;
     }
 
     /// This amount `count` times.
@@ -48,7 +48,7 @@
         Resources {
             cpus: self.cpus * count,
             gpus: self.gpus * count,
-            memory: self.memory * count,
+            memory_gb: self.memory_gb * count,
         }
     }
 
@@ -64,7 +64,7 @@
         };
         let count = count_of(self.cpus, room.cpus)
             .min(count_of(self.gpus, room.gpus))
-            .min(count_of(self.memory, room.memory));
+            .min(count_of(self.memory_gb, room.memory_gb));
         if count.is_finite() {
             count as usize
         } else {
@@ -78,6 +78,6 @@
         let share = |amount: f64, whole: f64| if whole > 0.0 { amount / whole } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
-            .max(share(self.memory, whole.memory))
+            .max(share(self.memory_gb, whole.memory_gb))
     }
 }
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -39,7 +39,7 @@
     let smallest = tasks.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
-        memory: a.memory.min(b.memory),
+        memory_gb: a.memory_gb.min(b.memory_gb),
     });
     smallest.unwrap_or_default()
 }
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -82,7 +82,7 @@
         &[
             spec.resources.cpus,
             spec.resources.gpus,
-            spec.resources.memory,
+            spec.resources.memory_gb,
             spec.expected.as_secs_f64(),
         ],
     )
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -20,7 +20,7 @@
     Resources {
         cpus,
         gpus: 0.0,
-        memory: cpus * 3.5,
+        memory_gb: cpus * 3.5,
     }
 }
 
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -38,7 +38,7 @@
             room: Resources {
                 cpus: wire.cpus,
                 gpus: wire.gpus,
-                memory: wire.memory_gb,
+                memory_gb: wire.memory_gb,
             },
             cache_gb: wire.cache_gb,
             fetch_gb_per_s: wire.fetch_gb_per_s,
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -96,7 +96,7 @@
             gang: spec.kind == JobKind::Gang,
             priority: spec.priority as u8,
             task_count: spec.task_count,
-            resources: (resources.cpus, resources.gpus, resources.memory),
+            resources: (resources.cpus, resources.gpus, resources.memory_gb),
             machine_types: machine_types.map(|names| names.iter().map(|t| t.0.clone()).collect()),
             zone: spec.zone.as_ref().map(|zone| zone.0.clone()),
             same_place: spec.same_place,
@@ -119,7 +119,7 @@
 
     fn try_from(stored: StoredJob) -> Result<JobSpec, InvalidField> {
         let machine_types = stored.machine_types;
-        let (cpus, gpus, memory) = stored.resources;
+        let (cpus, gpus, memory_gb) = stored.resources;
         let (image, image_gb) = stored.image;
         let dependencies = stored.dependencies.iter();
         Ok(JobSpec {
@@ -129,7 +129,7 @@
             kind: stored_kind(stored.gang),
             priority: stored_priority(stored.priority),
             task_count: stored.task_count,
-            resources: Resources { cpus, gpus, memory },
+            resources: Resources { cpus, gpus, memory_gb },
             machine_types: machine_types
                 .map(|names| names.into_iter().map(MachineTypeName).collect()),
             zone: stored.zone.map(Zone),
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -149,7 +149,7 @@
         Ok(Resources {
             cpus: amount(self.cpus, "Vcpus")?,
             gpus: amount(self.gpus, "Gpus")?,
-            memory: amount(self.memory_gb, "MemoryGb")?,
+            memory_gb: amount(self.memory_gb, "MemoryGb")?,
         })
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,7 @@
     Resources {
         cpus,
         gpus: 0.0,
-        memory: cpus,
+        memory_gb: cpus,
     }
 }
 
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -46,7 +46,7 @@
         resources: Resources {
             cpus: 8.5,
             gpus: 1.0,
-            memory: 64.0,
+            memory_gb: 64.0,
         },
         machine_types: Some(vec!["g8".into(), "g16".into()]),
         zone: Some("hall-a".into()),
@@ -116,7 +116,7 @@
         room: Resources {
             cpus: 64.0,
             gpus,
-            memory: 256.0,
+            memory_gb: 256.0,
         },
         cache_gb,
         fetch_gb_per_s,
