--- a/src/core/capacity/boot_times.rs
+++ b/src/core/capacity/boot_times.rs
@@ -30,7 +30,7 @@
             Some(average) if average.count >= MIN_MEASURED_BOOTS => {
                 Duration::from_secs_f64(average.mean.clamp(MIN_BOOT_S, MAX_BOOT_S))
             }
-            _ => machine_type.boot,
+            _ => machine_type.advertised_boot_time,
         }
     }
 }
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -128,7 +128,7 @@
     fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let booting = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
-        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.boot);
+        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.advertised_boot_time);
         let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
         let awake = now.saturating_duration_since(self.liveness.awake_since);
         let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PAUSE;
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -19,7 +19,7 @@
     /// The price of a spot machine for an hour.
     pub spot_price_per_hour: f64,
     /// How long a machine takes to boot.
-    pub boot: Duration,
+    pub advertised_boot_time: Duration,
     /// The zones where it is offered.
     pub zones: Vec<Zone>,
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -35,7 +35,7 @@
             fetch_gb_per_s: 0.3,
             on_demand_price_per_hour,
             spot_price_per_hour: on_demand_price_per_hour / 4.0,
-            boot: Duration::from_secs(30),
+            advertised_boot_time: Duration::from_secs(30),
             zones: vec!["a".into()],
         })
         .collect();
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -44,7 +44,7 @@
             fetch_gb_per_s: wire.fetch_gb_per_s,
             on_demand_price_per_hour: wire.on_demand_price_per_hour,
             spot_price_per_hour: wire.spot_price_per_hour,
-            boot: duration(wire.boot_s, "BootS")?,
+            advertised_boot_time: duration(wire.boot_s, "BootS")?,
             zones: wire.zones.iter().cloned().map(Zone).collect(),
         })
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -37,7 +37,7 @@
         fetch_gb_per_s: 1.0,
         on_demand_price_per_hour: 4.0,
         spot_price_per_hour: 1.0,
-        boot: secs(30),
+        advertised_boot_time: secs(30),
         zones: vec!["a".into(), "b".into()],
     }
 }
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -122,7 +122,7 @@
         fetch_gb_per_s,
         on_demand_price_per_hour: 4.5,
         spot_price_per_hour: 1.25,
-        boot: secs(30.0),
+        advertised_boot_time: secs(30.0),
         zones: vec!["hall-a".into(), "hall-b".into()],
     }
 }
