--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// How often the summary of the run time history is written to the key-value store.
-    pub summary_every: Duration,
+    pub summary_interval: Duration,
     /// A machine without heartbeats for this fraction of its lease is returned.
     pub silent_share: f64,
     /// How long an idle spot machine is kept.
@@ -66,7 +66,7 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            summary_every: Duration::from_secs(30),
+            summary_interval: Duration::from_secs(30),
             silent_share: 0.6,
             idle_spot: Duration::from_secs(45),
             idle_ordinary: Duration::from_secs(20),
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -143,7 +143,7 @@
         if !batch.has_room(1) || now < self.writes.next_summary {
             return;
         }
-        self.writes.next_summary = now + self.config.tuning.summary_every;
+        self.writes.next_summary = now + self.config.tuning.summary_interval;
         self.history.trim(MAX_HISTORY_ENTRIES);
         let value_bytes = self.config.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
         let max_entries = (value_bytes / SUMMARY_ENTRY_BYTES).min(MAX_SUMMARY_ENTRIES);
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -120,7 +120,7 @@
             start_limiter: StartLimiter::default(),
             history: History::default(),
             capacity: Capacity::default(),
-            writes: PendingWrites::new(now, config.tuning.summary_every),
+            writes: PendingWrites::new(now, config.tuning.summary_interval),
             schedule: RoundSchedule::default(),
             outbox: Outbox::default(),
             leadership: LeadershipStatus::new(clocks),
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -61,7 +61,7 @@
     let (o, t, r) = (&s.operations, &s.config.tuning, &s.config.recovery);
     let segments = r.segments.iter().map(|s| format!("{} {}", s.name, s.net));
     vec![
-        ("summary-every-s", format!("{:?}", t.summary_every)),
+        ("summary-every-s", format!("{:?}", t.summary_interval)),
         ("silent-share", t.silent_share.to_string()),
         ("idle-spot-s", format!("{:?}", t.idle_spot)),
         ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
