--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -43,7 +43,7 @@
     /// After what time machines count as silent.
     pub(in crate::core) fn silent_after(&self) -> Duration {
         let config = &self.config;
-        let share = config.lease.mul_f64(config.tuning.silent_share);
+        let share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
         share.max(config.heartbeat.mul_f64(SILENT_HEARTBEATS))
     }
 
--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -50,7 +50,7 @@
     /// How often the summary of the run time history is written to the key-value store.
     pub summary_interval: Duration,
     /// A machine without heartbeats for this fraction of its lease is returned.
-    pub silent_share: f64,
+    pub silent_lease_fraction: f64,
     /// How long an idle spot machine is kept.
     pub idle_spot: Duration,
     /// How long an idle on-demand machine is kept.
@@ -67,7 +67,7 @@
     fn default() -> Self {
         Tuning {
             summary_interval: Duration::from_secs(30),
-            silent_share: 0.6,
+            silent_lease_fraction: 0.6,
             idle_spot: Duration::from_secs(45),
             idle_ordinary: Duration::from_secs(20),
             max_live_jobs: 20_000,
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -62,7 +62,7 @@
     let segments = r.segments.iter().map(|s| format!("{} {}", s.name, s.net));
     vec![
         ("summary-every-s", format!("{:?}", t.summary_interval)),
-        ("silent-share", t.silent_share.to_string()),
+        ("silent-share", t.silent_lease_fraction.to_string()),
         ("idle-spot-s", format!("{:?}", t.idle_spot)),
         ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
         ("max-live-jobs", t.max_live_jobs.to_string()),
