--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -169,7 +169,7 @@
         let since = machine.idle_since?;
         let tuning = &self.config.tuning;
         let max_idle = if machine.spot {
-            tuning.idle_spot
+            tuning.spot_idle_timeout
         } else {
             tuning.idle_ordinary
         };
--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -52,7 +52,7 @@
     /// A machine without heartbeats for this fraction of its lease is returned.
     pub silent_lease_fraction: f64,
     /// How long an idle spot machine is kept.
-    pub idle_spot: Duration,
+    pub spot_idle_timeout: Duration,
     /// How long an idle on-demand machine is kept.
     pub idle_ordinary: Duration,
     /// The number of live jobs above which submissions are refused with 429.
@@ -68,7 +68,7 @@
         Tuning {
             summary_interval: Duration::from_secs(30),
             silent_lease_fraction: 0.6,
-            idle_spot: Duration::from_secs(45),
+            spot_idle_timeout: Duration::from_secs(45),
             idle_ordinary: Duration::from_secs(20),
             max_live_jobs: 20_000,
             headroom_jobs: 1.0,
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -92,7 +92,7 @@
     match number.name.as_str() {
         "summary-every-s" => tuning.summary_interval = number.seconds(1.0, 3600.0)?,
         "silent-share" => tuning.silent_lease_fraction = number.within(0.2, 2.0)?,
-        "idle-spot-s" => tuning.idle_spot = number.seconds(0.0, 86_400.0)?,
+        "idle-spot-s" => tuning.spot_idle_timeout = number.seconds(0.0, 86_400.0)?,
         "idle-ordinary-s" => tuning.idle_ordinary = number.seconds(0.0, 86_400.0)?,
         "max-live-jobs" => tuning.max_live_jobs = number.integer(1.0, 1e6)?,
         "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -63,7 +63,7 @@
     vec![
         ("summary-every-s", format!("{:?}", t.summary_interval)),
         ("silent-share", t.silent_lease_fraction.to_string()),
-        ("idle-spot-s", format!("{:?}", t.idle_spot)),
+        ("idle-spot-s", format!("{:?}", t.spot_idle_timeout)),
         ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
         ("max-live-jobs", t.max_live_jobs.to_string()),
         ("headroom-jobs", t.headroom_jobs.to_string()),
