--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -171,7 +171,7 @@
         let max_idle = if machine.spot {
             tuning.spot_idle_timeout
         } else {
-            tuning.idle_ordinary
+            tuning.on_demand_idle_timeout
         };
         let is_idle = now.saturating_duration_since(since) > max_idle;
         if !machine.has_reported
--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -54,7 +54,7 @@
     /// How long an idle spot machine is kept.
     pub spot_idle_timeout: Duration,
     /// How long an idle on-demand machine is kept.
-    pub idle_ordinary: Duration,
+    pub on_demand_idle_timeout: Duration,
     /// The number of live jobs above which submissions are refused with 429.
     pub max_live_jobs: usize,
     /// Capacity kept free for classes whose tasks must start soon, in jobs.
@@ -69,7 +69,7 @@
             summary_interval: Duration::from_secs(30),
             silent_lease_fraction: 0.6,
             spot_idle_timeout: Duration::from_secs(45),
-            idle_ordinary: Duration::from_secs(20),
+            on_demand_idle_timeout: Duration::from_secs(20),
             max_live_jobs: 20_000,
             headroom_jobs: 1.0,
             max_machines: 5000,
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -93,7 +93,7 @@
         "summary-every-s" => tuning.summary_interval = number.seconds(1.0, 3600.0)?,
         "silent-share" => tuning.silent_lease_fraction = number.within(0.2, 2.0)?,
         "idle-spot-s" => tuning.spot_idle_timeout = number.seconds(0.0, 86_400.0)?,
-        "idle-ordinary-s" => tuning.idle_ordinary = number.seconds(0.0, 86_400.0)?,
+        "idle-ordinary-s" => tuning.on_demand_idle_timeout = number.seconds(0.0, 86_400.0)?,
         "max-live-jobs" => tuning.max_live_jobs = number.integer(1.0, 1e6)?,
         "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
         "max-hosts" => tuning.max_machines = number.integer(1.0, 1e5)?,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -25,7 +25,7 @@
     pub fn new(scheduler_config: SchedulerConfig, machines: usize, cpus: f64) -> SimulatedFleet {
         let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", cpus)]);
         fixture.cluster.config.tuning.max_machines = machines;
-        fixture.cluster.config.tuning.idle_ordinary = secs(100_000);
+        fixture.cluster.config.tuning.on_demand_idle_timeout = secs(100_000);
         let on = (0..machines).map(|n| (MachineId(format!("i-{n:02}")), vec![]));
         SimulatedFleet {
             fixture,
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -33,7 +33,7 @@
     let mut scheduler_config = tight_config();
     scheduler_config.teams = vec![team("red", 1e6, 1e6)];
     scheduler_config.tuning.max_machines = machines;
-    scheduler_config.tuning.idle_ordinary = secs(1000);
+    scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
     scheduler_config.recovery.enabled = enabled;
     scheduler_config
 }
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -9,7 +9,7 @@
 /// A new leader that loaded one intent for `i-1`.
 fn taken_over() -> (ClusterFixture, AttemptId) {
     let mut patient = config();
-    patient.tuning.idle_ordinary = secs(1000);
+    patient.tuning.on_demand_idle_timeout = secs(1000);
     let mut fixture = ClusterFixture::with(patient, vec![machine_type("m8", 8.0)]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let attempt = AttemptId(7);
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -55,7 +55,7 @@
     ];
     for (name, silent, time, enabled, expected) in cases {
         let mut scheduler_config = config();
-        scheduler_config.tuning.idle_ordinary = secs(1000);
+        scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
         scheduler_config.recovery.enabled = enabled;
         let (_, returned, _) = after_silence(scheduler_config, vec![], silent, time);
         assert_eq!(returned.len(), expected, "{name}: {returned:?}");
@@ -67,7 +67,7 @@
     let rented = |silent: fn(u32) -> bool, pace: f64| {
         let mut scheduler_config = config();
         scheduler_config.teams = vec![team("red", 1000.0, 4000.0)];
-        scheduler_config.tuning.idle_ordinary = secs(1000);
+        scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
         scheduler_config.recovery.replacements_per_second = pace;
         let (mut fixture, _, _) = after_silence(scheduler_config, vec![], silent, 24);
         fixture.job(spec("wk-000001", 400, 8.0));
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -32,7 +32,7 @@
 /// A deployment with one free machine, which takes the first task, and two that are taken.
 fn one_free_machine() -> ClusterFixture {
     let mut scheduler_config = config();
-    scheduler_config.tuning.idle_ordinary = secs(1000);
+    scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
     let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
     for (n, machine) in ["i-8", "i-9"].iter().enumerate() {
         fixture.heartbeat(machine, 1, vec![]);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -76,7 +76,7 @@
     scheduler_config.lease = secs(20);
     scheduler_config.gang_wait = secs(15);
     scheduler_config.tuning.max_machines = 30;
-    scheduler_config.tuning.idle_ordinary = secs(60);
+    scheduler_config.tuning.on_demand_idle_timeout = secs(60);
     scheduler_config
 }
 
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -64,7 +64,7 @@
         ("summary-every-s", format!("{:?}", t.summary_interval)),
         ("silent-share", t.silent_lease_fraction.to_string()),
         ("idle-spot-s", format!("{:?}", t.spot_idle_timeout)),
-        ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
+        ("idle-ordinary-s", format!("{:?}", t.on_demand_idle_timeout)),
         ("max-live-jobs", t.max_live_jobs.to_string()),
         ("headroom-jobs", t.headroom_jobs.to_string()),
         ("max-hosts", t.max_machines.to_string()),
