--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -27,7 +27,7 @@
     /// The length of a worker's lease: how long it runs its tasks without an answer.
     pub lease: Duration,
     /// How long a gang may take to assemble.
-    pub gang_wait: Duration,
+    pub gang_assembly_timeout: Duration,
     /// Within what time the members of a gang notice that one of them is gone.
     pub gang_peer: Duration,
     /// Within what time of its confirmation a cancellation must have taken effect.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -224,7 +224,7 @@
             slos: deployment.slos.iter().map(Slo::from).collect(),
             heartbeat: seconds("workers.report_s", workers.heartbeat_s)?,
             lease: seconds("workers.lease_s", workers.lease_s)?,
-            gang_wait: seconds("workers.gang_wait_s", workers.gang_wait_s)?,
+            gang_assembly_timeout: seconds("workers.gang_wait_s", workers.gang_wait_s)?,
             gang_peer: seconds("workers.gang_peer_s", workers.gang_peer_s)?,
             cancel: seconds("workers.cancel_s", workers.cancel_s)?,
             txn_ops: sizes.txn_ops,
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -10,7 +10,7 @@
     /// Lets time pass on all machines: evictions, leases, and tasks that go on to their next phase.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease) = (self.now, self.config.lease);
-        let wait = self.config.gang_wait;
+        let wait = self.config.gang_assembly_timeout;
         self.workers
             .retain(|_, w| w.eviction.is_none_or(|at| now < at));
         for worker in self.workers.values_mut() {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -74,7 +74,7 @@
         team("grey", 0.0, 16.0),
     ];
     scheduler_config.lease = secs(20);
-    scheduler_config.gang_wait = secs(15);
+    scheduler_config.gang_assembly_timeout = secs(15);
     scheduler_config.tuning.max_machines = 30;
     scheduler_config.tuning.on_demand_idle_timeout = secs(60);
     scheduler_config
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -303,7 +303,7 @@
     pub fn advance(
         &mut self,
         now: Instant,
-        gang_wait: Duration,
+        gang_assembly_timeout: Duration,
         run: impl Fn(&TaskId) -> Duration,
         uploads: &mut Uploads,
     ) {
@@ -319,7 +319,7 @@
                     if uploads.done.contains(task) {
                         TaskPhase::Ended(ExitReason::Completed)
                     } else if gang {
-                        t.until = now + gang_wait;
+                        t.until = now + gang_assembly_timeout;
                         TaskPhase::WaitingForGang
                     } else {
                         t.until = now + run(task);
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -40,7 +40,7 @@
         ("objectives", slos.collect::<Vec<_>>().join(", ")),
         ("report_s", format!("{:?}", p.heartbeat)),
         ("lease_s", format!("{:?}", p.lease)),
-        ("gang_wait_s", format!("{:?}", p.gang_wait)),
+        ("gang_wait_s", format!("{:?}", p.gang_assembly_timeout)),
         ("gang_peer_s", format!("{:?}", p.gang_peer)),
         ("cancel_s", format!("{:?}", p.cancel)),
         (
