--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -29,7 +29,7 @@
     /// How long a gang may take to assemble.
     pub gang_assembly_timeout: Duration,
     /// Within what time the members of a gang notice that one of them is gone.
-    pub gang_peer: Duration,
+    pub gang_failure_detection_time: Duration,
     /// Within what time of its confirmation a cancellation must have taken effect.
     pub cancel: Duration,
     /// The most changes in one transaction of the key-value store.
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -51,7 +51,7 @@
         heartbeat: Duration::from_secs(3),
         lease: Duration::from_secs(30),
         gang_assembly_timeout: Duration::from_secs(40),
-        gang_peer: Duration::from_secs(5),
+        gang_failure_detection_time: Duration::from_secs(5),
         cancel: Duration::from_secs(50),
         txn_ops: 24,
         value_bytes: 8192,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -225,7 +225,7 @@
             heartbeat: seconds("workers.report_s", workers.heartbeat_s)?,
             lease: seconds("workers.lease_s", workers.lease_s)?,
             gang_assembly_timeout: seconds("workers.gang_wait_s", workers.gang_wait_s)?,
-            gang_peer: seconds("workers.gang_peer_s", workers.gang_peer_s)?,
+            gang_failure_detection_time: seconds("workers.gang_peer_s", workers.gang_peer_s)?,
             cancel: seconds("workers.cancel_s", workers.cancel_s)?,
             txn_ops: sizes.txn_ops,
             value_bytes: (value_kb(sizes.value_kb)? * 1024.0) as usize,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -67,7 +67,7 @@
         heartbeat: secs(3),
         lease: secs(30),
         gang_assembly_timeout: secs(40),
-        gang_peer: secs(5),
+        gang_failure_detection_time: secs(5),
         cancel: secs(50),
         txn_ops: 24,
         value_bytes: 8192,
