--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -37,7 +37,7 @@
     /// The most bytes in one value of the key-value store.
     pub value_bytes: usize,
     /// By how much the cloud's list may be out of date.
-    pub list_lag: Duration,
+    pub max_cloud_list_lag: Duration,
     /// The operators' own settings.
     pub tuning: Tuning,
     /// How a new leader takes over the fleet.
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -55,7 +55,7 @@
         cancel: Duration::from_secs(50),
         txn_ops: 24,
         value_bytes: 8192,
-        list_lag: Duration::from_secs(8),
+        max_cloud_list_lag: Duration::from_secs(8),
         tuning: Tuning::default(),
         recovery: Default::default(),
     };
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -229,7 +229,7 @@
             cancel: seconds("workers.cancel_s", workers.cancel_s)?,
             txn_ops: sizes.txn_ops,
             value_bytes: (value_kb(sizes.value_kb)? * 1024.0) as usize,
-            list_lag: seconds("cloud.list_lag_s", deployment.cloud.list_lag_s)?,
+            max_cloud_list_lag: seconds("cloud.list_lag_s", deployment.cloud.list_lag_s)?,
             tuning: Tuning::default(),
             recovery: RecoverySettings::default(),
         })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -71,7 +71,7 @@
         cancel: secs(50),
         txn_ops: 24,
         value_bytes: 8192,
-        list_lag: secs(8),
+        max_cloud_list_lag: secs(8),
         tuning: Tuning::default(),
         recovery: RecoverySettings::default(),
     }
