--- a/src/core/model/job.rs
+++ b/src/core/model/job.rs
@@ -70,7 +70,7 @@
     /// one does.
     pub listed: bool,
     /// The time of day of its acceptance, in milliseconds since 1970.
-    pub accepted_ms: u64,
+    pub accepted_unix_ms: u64,
 }
 
 impl JobSpec {
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -130,7 +130,7 @@
         checkpoint_interval: Duration::ZERO,
         checkpoint_duration: Duration::ZERO,
         due: None,
-        accepted_ms: 0,
+        accepted_unix_ms: 0,
     }
 }
 
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -19,7 +19,7 @@
             return;
         }
         let job_id = spec.job_id.clone();
-        let arrived = self.liveness.instant_of(spec.accepted_ms);
+        let arrived = self.liveness.instant_of(spec.accepted_unix_ms);
         let dependencies = &mut self.jobs.dependencies;
         let status = dependencies.add(&job_id, &spec.dependencies, spec.listed);
         if status == DependencyState::Ready {
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -47,7 +47,7 @@
     #[serde(rename = "due")]
     due_s: Option<f64>,
     #[serde(rename = "at")]
-    accepted_ms: u64,
+    accepted_unix_ms: u64,
     /// Dependencies that were not over when the job was accepted. Earlier versions know no such field,
     /// and jobs without dependencies are written as they were.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
@@ -107,7 +107,7 @@
             checkpoint_interval_s: spec.checkpoint_interval.as_secs_f64(),
             checkpoint_duration_s: spec.checkpoint_duration.as_secs_f64(),
             due_s: spec.due.map(|due| due.as_secs_f64()),
-            accepted_ms: spec.accepted_ms,
+            accepted_unix_ms: spec.accepted_unix_ms,
             dependencies: spec.dependencies.iter().map(|d| d.0.clone()).collect(),
             unlisted: !spec.dependencies.is_empty() && !spec.listed,
         }
@@ -144,7 +144,7 @@
             due: stored.due_s.and_then(|due| duration(due, "due").ok()),
             dependencies: dependencies.filter_map(|id| JobId::parse(id)).collect(),
             listed: !stored.dependencies.is_empty() && !stored.unlisted,
-            accepted_ms: stored.accepted_ms,
+            accepted_unix_ms: stored.accepted_unix_ms,
         })
     }
 }
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -84,7 +84,7 @@
 
 impl Submission {
     /// The job with its time of acceptance, or the first field that is missing or invalid.
-    pub fn to_spec(&self, accepted_ms: u64) -> Result<JobSpec, InvalidField> {
+    pub fn to_spec(&self, accepted_unix_ms: u64) -> Result<JobSpec, InvalidField> {
         let job_id = self.job_id.as_deref().and_then(JobId::parse);
         let job_id = job_id.ok_or(InvalidField("Uid"))?;
         let kind = self.kind()?;
@@ -114,7 +114,7 @@
             due,
             dependencies: self.dependencies()?,
             listed: false,
-            accepted_ms,
+            accepted_unix_ms,
         })
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -99,6 +99,6 @@
         due: None,
         dependencies: Vec::new(),
         listed: false,
-        accepted_ms: 0,
+        accepted_unix_ms: 0,
     }
 }
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -59,7 +59,7 @@
     fixture.pass(secs(200));
     let mut job = spec("wk-000002", 1, 8.0);
     job.team = "blue".into();
-    job.accepted_ms = 200_000;
+    job.accepted_unix_ms = 200_000;
     fixture.job(job);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.heartbeat("i-2", 1, vec![]);
@@ -148,12 +148,12 @@
                 let mut job = spec(&format!("wk-{:06}", second * 2 + n), 2, 2.0);
                 job.expected = secs(8);
                 job.class = "small".into();
-                job.accepted_ms = u64::from(second) * 1000;
+                job.accepted_unix_ms = u64::from(second) * 1000;
                 small(&mut job);
                 fleet.fixture.job(job);
             }
             if second == 10 {
-                job.accepted_ms = 10_000;
+                job.accepted_unix_ms = 10_000;
                 fleet.fixture.job(job.clone());
             }
             fleet.second(|u| {
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -57,7 +57,7 @@
         if whole * cpus > 16.0 {
             spec.resources = crate::common::resources(16.0 / whole);
         }
-        spec.accepted_ms = (self.now - self.start).as_millis() as u64;
+        spec.accepted_unix_ms = (self.now - self.start).as_millis() as u64;
         if self.jobs > 5 && self.rng.gen_bool(0.2) {
             let needed = self.rng.gen_range(self.jobs - 5..self.jobs);
             let needed = JobId(format!("wk-{needed:06}"));
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -59,7 +59,7 @@
 fn bodies_of_users_workers_and_the_cloud() {
     let mut golden = Golden::of(include_str!("bodies.txt"));
     // What is only read.
-    let accepted = job().accepted_ms;
+    let accepted = job().accepted_unix_ms;
     let submissions = [
         ("submission", job()),
         ("submission of a service", plain_job(Priority::High)),
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -61,7 +61,7 @@
         due: Some(secs(900.0)),
         dependencies: vec!["wk-000398".into(), "wk-000405".into()],
         listed: false,
-        accepted_ms: 1_767_225_600_123,
+        accepted_unix_ms: 1_767_225_600_123,
     }
 }
 
