--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -138,7 +138,7 @@
     let remaining = attempt.estimated_run_time.saturating_sub(ran);
     let worth_moving = spec.checkpoint_duration * 2 + MIN_RUN_AFTER_MOVE;
     !is_bound
-        && spec.saves()
+        && spec.writes_checkpoints()
         && attempt.kill_request.is_none()
         && ran >= MIN_RUN_BEFORE_MOVE
         && remaining >= worth_moving
--- a/src/core/model/job.rs
+++ b/src/core/model/job.rs
@@ -89,7 +89,7 @@
 
     /// Whether its tasks write checkpoints.
     #[must_use]
-    pub fn saves(&self) -> bool {
+    pub fn writes_checkpoints(&self) -> bool {
         !self.checkpoint_interval.is_zero()
     }
 }
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -158,7 +158,7 @@
             return;
         };
         let run_time = attempt.measured_run_time(now);
-        let Some(took) = run_time.filter(|_| job.spec.saves()) else {
+        let Some(took) = run_time.filter(|_| job.spec.writes_checkpoints()) else {
             return;
         };
         let interval = job.spec.checkpoint_interval.as_secs_f64();
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -160,7 +160,7 @@
         let Some(ran) = ran else {
             return Some(Duration::ZERO);
         };
-        if job.spec.saves() {
+        if job.spec.writes_checkpoints() {
             let checkpoint = job.spec.checkpoint_duration;
             let lead = checkpoint.mul_f64(CHECKPOINT_LEAD_FACTOR) + CHECKPOINT_LEAD_MARGIN;
             let grace_period = checkpoint.max(left.saturating_sub(EVICTION_MARGIN));
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -276,8 +276,8 @@
         if t.ended() || (t.phase == TaskPhase::Checkpointing && !grace_period.is_zero()) {
             return;
         }
-        let saves = t.phase == TaskPhase::Running && t.spec.saves();
-        if saves && grace_period >= t.spec.checkpoint_duration {
+        let writes_checkpoints = t.phase == TaskPhase::Running && t.spec.writes_checkpoints();
+        if writes_checkpoints && grace_period >= t.spec.checkpoint_duration {
             t.phase = TaskPhase::Checkpointing;
             t.until = now + t.spec.checkpoint_duration;
         } else {
