--- a/src/core/model/job.rs
+++ b/src/core/model/job.rs
@@ -68,7 +68,7 @@
     pub dependencies: Vec<JobId>,
     /// The key-value store lists it among the dependents of its dependencies, as the version before this
     /// one does.
-    pub listed: bool,
+    pub listed_as_dependent: bool,
     /// The time of day of its acceptance, in milliseconds since 1970.
     pub accepted_unix_ms: u64,
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -116,7 +116,7 @@
         kind: JobKind::Batch,
         priority: Priority::Standard,
         dependencies: Vec::new(),
-        listed: false,
+        listed_as_dependent: false,
         task_count: rng.gen_range(1..60),
         resources: resources(rng.gen_range(1..17) as f64),
         machine_types: None,
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -21,7 +21,7 @@
         let job_id = spec.job_id.clone();
         let arrived = self.liveness.instant_of(spec.accepted_unix_ms);
         let dependencies = &mut self.jobs.dependencies;
-        let status = dependencies.add(&job_id, &spec.dependencies, spec.listed);
+        let status = dependencies.add(&job_id, &spec.dependencies, spec.listed_as_dependent);
         if status == DependencyState::Ready {
             self.capacity.record_arrival(&spec, arrived);
         }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -72,11 +72,11 @@
         NAMES_AND_NUMBERS + texts.map(|text| text_size_bound(text)).sum::<usize>()
     }
 
-    /// Leaves only these dependencies: the others are done. `listed`: the job is in the lists of their
+    /// Leaves only these dependencies: the others are done. `listed_as_dependent`: the job is in the lists of their
     /// dependents.
-    pub fn keep_dependencies(&mut self, open: &[JobId], listed: bool) {
+    pub fn keep_dependencies(&mut self, open: &[JobId], listed_as_dependent: bool) {
         self.dependencies = open.iter().map(|job_id| job_id.0.clone()).collect();
-        self.unlisted = !open.is_empty() && !listed;
+        self.unlisted = !open.is_empty() && !listed_as_dependent;
     }
 
     /// Ids of the jobs that this one depends on.
@@ -109,7 +109,7 @@
             due_s: spec.due.map(|due| due.as_secs_f64()),
             accepted_unix_ms: spec.accepted_unix_ms,
             dependencies: spec.dependencies.iter().map(|d| d.0.clone()).collect(),
-            unlisted: !spec.dependencies.is_empty() && !spec.listed,
+            unlisted: !spec.dependencies.is_empty() && !spec.listed_as_dependent,
         }
     }
 }
@@ -143,7 +143,7 @@
             checkpoint_duration: duration(stored.checkpoint_duration_s, "save")?,
             due: stored.due_s.and_then(|due| duration(due, "due").ok()),
             dependencies: dependencies.filter_map(|id| JobId::parse(id)).collect(),
-            listed: !stored.dependencies.is_empty() && !stored.unlisted,
+            listed_as_dependent: !stored.dependencies.is_empty() && !stored.unlisted,
             accepted_unix_ms: stored.accepted_unix_ms,
         })
     }
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -113,7 +113,7 @@
             checkpoint_duration: seconds(self.checkpoint_duration_s, "SnapshotS")?,
             due,
             dependencies: self.dependencies()?,
-            listed: false,
+            listed_as_dependent: false,
             accepted_unix_ms,
         })
     }
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -17,7 +17,7 @@
 impl Keys {
     pub fn accept(&mut self, fixture: &mut ClusterFixture, spec: JobSpec) {
         self.all.insert(live_job_key(&spec.job_id));
-        if spec.listed {
+        if spec.listed_as_dependent {
             self.all
                 .extend(spec.dependencies.iter().map(dependents_key));
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -98,7 +98,7 @@
         checkpoint_duration: secs(4),
         due: None,
         dependencies: Vec::new(),
-        listed: false,
+        listed_as_dependent: false,
         accepted_unix_ms: 0,
     }
 }
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -148,7 +148,7 @@
 #[test]
 fn chains_leave_only_their_outcomes() {
     // With lists of dependents, as earlier versions keep them, or without.
-    for listed in [false, true] {
+    for listed_as_dependent in [false, true] {
         let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
         let mut most = 0;
@@ -158,7 +158,7 @@
                 let mut job = job_depending_on(n, &[]);
                 if n > first {
                     job.dependencies = job_ids(&[n - 1]);
-                    job.listed = listed;
+                    job.listed_as_dependent = listed_as_dependent;
                 }
                 keys.accept(&mut fixture, job);
             }
@@ -190,8 +190,8 @@
         }
         let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
         let left: Vec<&String> = keys.all.iter().filter(left).collect();
-        assert_eq!(left, Vec::<&String>::new(), "listed {listed}");
-        assert!(most < 60, "listed {listed}: {most}");
+        assert_eq!(left, Vec::<&String>::new(), "listed {listed_as_dependent}");
+        assert!(most < 60, "listed {listed_as_dependent}: {most}");
         assert!(
             fixture.cluster.jobs.is_empty() && fixture.cluster.unresolved_dependencies().is_empty()
         );
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -60,7 +60,7 @@
         checkpoint_duration: secs(4.5),
         due: Some(secs(900.0)),
         dependencies: vec!["wk-000398".into(), "wk-000405".into()],
-        listed: false,
+        listed_as_dependent: false,
         accepted_unix_ms: 1_767_225_600_123,
     }
 }
@@ -69,7 +69,7 @@
 pub fn listed_job() -> JobSpec {
     JobSpec {
         priority: Priority::High,
-        listed: true,
+        listed_as_dependent: true,
         ..job()
     }
 }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -89,21 +89,21 @@
     )]));
     let mut awaits = spec.clone();
     awaits.dependencies = vec!["wk-000398".into()];
-    awaits.listed = true;
-    let Value::Map(mut listed) = job_record() else {
+    awaits.listed_as_dependent = true;
+    let Value::Map(mut listed_as_dependent) = job_record() else {
         panic!("not a map");
     };
-    listed.insert("needs".into(), Value::List(vec![text("wk-000398")]));
-    both::<StoredJob>(Value::Map(listed.clone()));
-    let read: StoredJob = decode(&encode(&Value::Map(listed.clone()))).expect("it is read");
+    listed_as_dependent.insert("needs".into(), Value::List(vec![text("wk-000398")]));
+    both::<StoredJob>(Value::Map(listed_as_dependent.clone()));
+    let read: StoredJob = decode(&encode(&Value::Map(listed_as_dependent.clone()))).expect("it is read");
     assert_eq!(JobSpec::try_from(read).as_ref(), Ok(&awaits));
     let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    assert_eq!(written, Value::Map(listed.clone()));
+    assert_eq!(written, Value::Map(listed_as_dependent.clone()));
     // This version says where it enters none; the versions before pass over that.
-    awaits.listed = false;
+    awaits.listed_as_dependent = false;
     let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    listed.insert("unlisted".into(), Value::Bool(true));
-    assert_eq!(written, Value::Map(listed));
+    listed_as_dependent.insert("unlisted".into(), Value::Bool(true));
+    assert_eq!(written, Value::Map(listed_as_dependent));
 }
 
 /// Bytes of a `borsh` frame, put together field by field.
