--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -74,7 +74,7 @@
 
     /// The dominant share: the largest share of `whole` that any one resource takes.
     #[must_use]
-    pub fn share_of(&self, whole: &Resources) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         let share = |amount: f64, whole: f64| if whole > 0.0 { amount / whole } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -96,7 +96,7 @@
                 Some(MachineLoad {
                     machine,
                     free: room.free,
-                    used_share: machine.used.share_of(&machine_type.room),
+                    used_share: machine.used.dominant_share_of(&machine_type.room),
                 })
             })
             .collect();
