--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -54,7 +54,7 @@
 
     /// How many times this amount fits into `room`; 1000 if it needs nothing.
     #[must_use]
-    pub fn count_in(&self, room: &Resources) -> usize {
+    pub fn count_fitting_in(&self, room: &Resources) -> usize {
         let count_of = |amount: f64, room: f64| {
             if amount <= 0.0 {
                 f64::INFINITY
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -86,7 +86,7 @@
         let mut left = waiting.count;
         draining.retain(|room| {
             let machine = room.machine;
-            let fits = spec.resources.count_in(&room.free);
+            let fits = spec.resources.count_fitting_in(&room.free);
             let is_kept = left > 0
                 && fits > 0
                 && permits(
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -28,7 +28,7 @@
     demands.iter().all(|demand| {
         let fits: usize = free
             .clone()
-            .map(|free| demand.resources.count_in(free))
+            .map(|free| demand.resources.count_fitting_in(free))
             .sum();
         fits >= demand.tasks as usize + more_tasks
     })
@@ -69,7 +69,7 @@
     /// Whether no machine rented now would be up in time for such a start.
     fn starts_too_soon(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
-        let suitable = types.filter(|t| resources.count_in(&t.room) > 0);
+        let suitable = types.filter(|t| resources.count_fitting_in(&t.room) > 0);
         let slowest_boot = suitable.map(|t| self.capacity.boot_time(t)).max();
         slowest_boot.is_none_or(|boot| within < boot * BOOTS_FOR_A_START)
     }
@@ -114,7 +114,7 @@
     /// headroom, where other machines serve.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let counts = |t: &&MachineType| {
-            let fits = resources.count_in(&t.room) > 0;
+            let fits = resources.count_fitting_in(&t.room) > 0;
             fits && !is_wanted_by_larger_tasks(&self.unplaced_resources, resources, t)
         };
         let types: Vec<&MachineType> = self.fleet.types.iter().filter(counts).collect();
@@ -139,8 +139,8 @@
             all_count || machine.is_some_and(|m| counts(&m.machine_type))
         });
         let planned = plan.machines().filter(|m| counts(&m.offer.machine_type));
-        let on_machines: usize = spare.map(|spare| resources.count_in(&spare.free)).sum();
-        let on_planned: usize = planned.map(|m| resources.count_in(&m.free)).sum();
+        let on_machines: usize = spare.map(|spare| resources.count_fitting_in(&spare.free)).sum();
+        let on_planned: usize = planned.map(|m| resources.count_fitting_in(&m.free)).sum();
         on_machines + on_planned
     }
 
@@ -152,7 +152,7 @@
     ) -> Vec<RentalCandidate> {
         let mut candidates = Vec::new();
         for machine_type in types {
-            let tasks_that_fit = resources.count_in(&machine_type.room);
+            let tasks_that_fit = resources.count_fitting_in(&machine_type.room);
             if tasks_that_fit == 0 {
                 continue;
             }
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -94,7 +94,7 @@
                 && fits
                 && permits(spec, zones, &offer.machine_type, &offer.zone, offer.spot)
             {
-                let tasks = spec.resources.count_in(&machine.free).min(left);
+                let tasks = spec.resources.count_fitting_in(&machine.free).min(left);
                 machine.free.sub(&spec.resources.times(tasks as f64));
                 machine.tasks += tasks;
                 left -= tasks;
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -77,7 +77,7 @@
     /// Tasks of a class for which there is room without this machine.
     fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
-        let fits = free.map_or(0, |free| self.demands[class].resources.count_in(free));
+        let fits = free.map_or(0, |free| self.demands[class].resources.count_fitting_in(free));
         self.covered[class].saturating_sub(fits)
     }
 
@@ -194,7 +194,7 @@
         let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
         for room in self.free_room(now) {
             for (covered, demand) in covered.iter_mut().zip(&demands) {
-                *covered += demand.resources.count_in(&room.free);
+                *covered += demand.resources.count_fitting_in(&room.free);
             }
             free_by_machine.insert(&room.machine.id, room.free);
         }
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -150,7 +150,7 @@
         let lowest_price = self.lowest_price_per_cpu(spec);
         let mut candidates = Vec::new();
         for machine_type in &self.fleet.types {
-            let tasks_that_fit = spec.resources.count_in(&machine_type.room);
+            let tasks_that_fit = spec.resources.count_fitting_in(&machine_type.room);
             if tasks_that_fit == 0 {
                 continue;
             }
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -150,7 +150,7 @@
                 break;
             }
             let slot = &mut round.slots[slot_index];
-            missing = missing.saturating_sub(spec.resources.count_in(room_of(slot)));
+            missing = missing.saturating_sub(spec.resources.count_fitting_in(room_of(slot)));
             slot.free = Resources::default();
         }
     }
@@ -199,7 +199,7 @@
             continue;
         }
         let missing = wanted - members.slots.len();
-        let mut count = spec.resources.count_in(&slot.free).min(missing);
+        let mut count = spec.resources.count_fitting_in(&slot.free).min(missing);
         if spec.spread {
             let in_zone = count_by_zone.entry(zone).or_default();
             count = count.min(max_per_zone.saturating_sub(*in_zone));
