--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -52,19 +52,19 @@
         }
     }
 
-    /// How many times this amount fits into `room`; 1000 if it needs nothing.
+    /// How many times this amount fits into `capacity`; 1000 if it needs nothing.
     #[must_use]
-    pub fn count_fitting_in(&self, room: &Resources) -> usize {
-        let count_of = |amount: f64, room: f64| {
+    pub fn count_fitting_in(&self, capacity: &Resources) -> usize {
+        let count_of = |amount: f64, capacity: f64| {
             if amount <= 0.0 {
                 f64::INFINITY
             } else {
-                ((room + RESOURCE_EPSILON) / amount).floor().max(0.0)
+                ((capacity + RESOURCE_EPSILON) / amount).floor().max(0.0)
             }
         };
-        let count = count_of(self.cpus, room.cpus)
-            .min(count_of(self.gpus, room.gpus))
-            .min(count_of(self.memory_gb, room.memory_gb));
+        let count = count_of(self.cpus, capacity.cpus)
+            .min(count_of(self.gpus, capacity.gpus))
+            .min(count_of(self.memory_gb, capacity.memory_gb));
         if count.is_finite() {
             count as usize
         } else {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -60,6 +60,6 @@
 /// Whether a task of the job fits some machine of this type.
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
-        && spec.resources.fits(&machine_type.room)
+        && spec.resources.fits(&machine_type.capacity)
         && machine_type.zones.iter().any(|zone| spec.allows_zone(zone))
 }
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -90,13 +90,13 @@
     fn loads_fullest_first(&self, now: Instant) -> Vec<MachineLoad<'_>> {
         let free_room = self.free_room(now).into_iter();
         let mut loads: Vec<MachineLoad<'_>> = free_room
-            .filter_map(|room| {
-                let machine = room.machine;
+            .filter_map(|capacity| {
+                let machine = capacity.machine;
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
                 Some(MachineLoad {
                     machine,
-                    free: room.free,
-                    used_share: machine.used.dominant_share_of(&machine_type.room),
+                    free: capacity.free,
+                    used_share: machine.used.dominant_share_of(&machine_type.capacity),
                 })
             })
             .collect();
--- a/src/core/capacity/free_room.rs
+++ b/src/core/capacity/free_room.rs
@@ -38,7 +38,7 @@
     /// What is free on a machine. None: its type is unknown.
     pub(super) fn free_room_of<'a>(&self, machine: &'a Machine) -> Option<FreeRoom<'a>> {
         let machine_type = self.fleet.machine_type(&machine.machine_type)?;
-        let mut free = machine_type.room;
+        let mut free = machine_type.capacity;
         free.sub(&machine.used);
         Some(FreeRoom { machine, free })
     }
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -69,7 +69,7 @@
     /// Whether no machine rented now would be up in time for such a start.
     fn starts_too_soon(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
-        let suitable = types.filter(|t| resources.count_fitting_in(&t.room) > 0);
+        let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
         let slowest_boot = suitable.map(|t| self.capacity.boot_time(t)).max();
         slowest_boot.is_none_or(|boot| within < boot * BOOTS_FOR_A_START)
     }
@@ -114,7 +114,7 @@
     /// headroom, where other machines serve.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let counts = |t: &&MachineType| {
-            let fits = resources.count_fitting_in(&t.room) > 0;
+            let fits = resources.count_fitting_in(&t.capacity) > 0;
             fits && !is_wanted_by_larger_tasks(&self.unplaced_resources, resources, t)
         };
         let types: Vec<&MachineType> = self.fleet.types.iter().filter(counts).collect();
@@ -152,7 +152,7 @@
     ) -> Vec<RentalCandidate> {
         let mut candidates = Vec::new();
         for machine_type in types {
-            let tasks_that_fit = resources.count_fitting_in(&machine_type.room);
+            let tasks_that_fit = resources.count_fitting_in(&machine_type.capacity);
             if tasks_that_fit == 0 {
                 continue;
             }
@@ -166,7 +166,7 @@
                     candidates.push(RentalCandidate {
                         price: machine_type.price(true),
                         offer,
-                        room: machine_type.room,
+                        capacity: machine_type.capacity,
                         tasks_that_fit,
                     });
                 }
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -14,7 +14,7 @@
 pub(super) struct PlannedMachine {
     pub(super) offer: MachineOffer,
     /// Its whole room.
-    pub(super) room: Resources,
+    pub(super) capacity: Resources,
     pub(super) free: Resources,
     /// Tasks that it is rented for, or 1 where it is headroom.
     tasks: usize,
@@ -22,11 +22,11 @@
 
 impl PlannedMachine {
     /// A machine without tasks.
-    pub(super) fn empty(offer: MachineOffer, room: Resources) -> PlannedMachine {
+    pub(super) fn empty(offer: MachineOffer, capacity: Resources) -> PlannedMachine {
         PlannedMachine {
             offer,
-            room,
-            free: room,
+            capacity,
+            free: capacity,
             tasks: 0,
         }
     }
@@ -36,7 +36,7 @@
 pub(super) struct RentalCandidate {
     pub(super) price: f64,
     pub(super) offer: MachineOffer,
-    pub(super) room: Resources,
+    pub(super) capacity: Resources,
     /// How many of the job's tasks fit.
     pub(super) tasks_that_fit: usize,
 }
@@ -126,14 +126,14 @@
         task: &Resources,
         tasks: usize,
     ) {
-        let mut free = candidate.room;
+        let mut free = candidate.capacity;
         free.sub(&task.times(tasks as f64));
         self.add(candidate, free, tasks);
     }
 
     /// Adds an empty machine, to be kept as headroom.
     pub(super) fn add_empty(&mut self, candidate: &RentalCandidate) {
-        self.add(candidate, candidate.room, 1);
+        self.add(candidate, candidate.capacity, 1);
     }
 
     fn add(&mut self, candidate: &RentalCandidate, free: Resources, tasks: usize) {
@@ -144,7 +144,7 @@
         }
         self.machines.push(PlannedMachine {
             offer: candidate.offer.clone(),
-            room: candidate.room,
+            capacity: candidate.capacity,
             free,
             tasks,
         });
@@ -154,7 +154,7 @@
     pub(super) fn into_scale_out(self) -> ScaleOutPlan {
         let mut machines: BTreeMap<MachineOffer, u32> = BTreeMap::new();
         let planned = self.machines.into_iter().skip(self.under_way);
-        for machine in planned.filter(|m| m.tasks > 0 && m.room != Resources::default()) {
+        for machine in planned.filter(|m| m.tasks > 0 && m.capacity != Resources::default()) {
             *machines.entry(machine.offer).or_default() += 1;
         }
         ScaleOutPlan { machines }
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -78,7 +78,7 @@
             let Some(machine_type) = self.fleet.machine_type(&offer.machine_type) else {
                 continue;
             };
-            let machine = PlannedMachine::empty(offer.clone(), machine_type.room);
+            let machine = PlannedMachine::empty(offer.clone(), machine_type.capacity);
             under_way.extend((0..rental.number).map(|_| machine.clone()));
         }
         let waiting = round.waiting.iter();
@@ -150,7 +150,7 @@
         let lowest_price = self.lowest_price_per_cpu(spec);
         let mut candidates = Vec::new();
         for machine_type in &self.fleet.types {
-            let tasks_that_fit = spec.resources.count_fitting_in(&machine_type.room);
+            let tasks_that_fit = spec.resources.count_fitting_in(&machine_type.capacity);
             if tasks_that_fit == 0 {
                 continue;
             }
@@ -167,7 +167,7 @@
                     candidates.push(RentalCandidate {
                         price: machine_type.price(offer.spot),
                         offer,
-                        room: machine_type.room,
+                        capacity: machine_type.capacity,
                         tasks_that_fit,
                     });
                 }
@@ -179,7 +179,7 @@
     /// What a CPU costs at least on the machines that a job may run on.
     fn lowest_price_per_cpu(&self, spec: &JobSpec) -> f64 {
         let types = self.fleet.types.iter();
-        let suitable = types.filter(|t| spec.allows_type(&t.name) && spec.resources.fits(&t.room));
+        let suitable = types.filter(|t| spec.allows_type(&t.name) && spec.resources.fits(&t.capacity));
         suitable
             .map(|t| price_per_cpu(t, spec.allows_spot))
             .fold(f64::INFINITY, f64::min)
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -9,7 +9,7 @@
     /// The name of the type.
     pub name: MachineTypeName,
     /// The resources of a machine.
-    pub room: Resources,
+    pub capacity: Resources,
     /// The size of the images that a machine keeps, in GB.
     pub cache_gb: f64,
     /// The rate at which a machine fetches an image.
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -134,7 +134,7 @@
         costs: &[MemberCost],
         round: &mut PlacementRound<'_>,
     ) {
-        let room_of = |slot: &Slot<'_>| &self.fleet.types[slot.type_index].room;
+        let room_of = |slot: &Slot<'_>| &self.fleet.types[slot.type_index].capacity;
         let mut soonest: Vec<(Instant, usize)> = costs
             .iter()
             .filter_map(|member| {
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -198,12 +198,12 @@
         }
         let guaranteed = input.jobs_within_guarantee;
         let cost = self.cost_of_preempting(input.now, job, task.index, attempt, guaranteed)?;
-        let room = &self.fleet.types[slot.type_index].room;
+        let capacity = &self.fleet.types[slot.type_index].capacity;
         Some(Victim {
             task,
             job,
             within_guarantee: guaranteed.contains(&task.job_id),
-            cost: cost * job.spec.resources.dominant_share_of(room),
+            cost: cost * job.spec.resources.dominant_share_of(capacity),
         })
     }
 
@@ -257,7 +257,7 @@
         }
         // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
         // lacks the image then goes before tasks that only just came.
-        let mut cost = fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.room);
+        let mut cost = fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
         let mut free = selection.free[slot_index];
         let mut victims = Vec::new();
         for (index, victim) in selection.victims[slot_index].iter().enumerate() {
--- a/src/core/placement/prices.rs
+++ b/src/core/placement/prices.rs
@@ -7,7 +7,7 @@
 
 /// What a CPU of a machine costs an hour.
 pub(in crate::core) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
-    machine_type.price(spot) / machine_type.room.cpus.max(1.0)
+    machine_type.price(spot) / machine_type.capacity.cpus.max(1.0)
 }
 
 /// A price in steps within which prices count as equal.
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -25,7 +25,7 @@
     machine_type: &MachineType,
 ) -> bool {
     unplaced_sizes.iter().any(|size| {
-        size.cpus >= resources.cpus * MUCH_LARGER_FACTOR && size.fits(&machine_type.room)
+        size.cpus >= resources.cpus * MUCH_LARGER_FACTOR && size.fits(&machine_type.capacity)
     })
 }
 
@@ -123,8 +123,8 @@
             return None;
         }
         let resources = &group.job.spec.resources;
-        let room = &self.fleet.types[slot.type_index].room;
-        let available = slot.availability(now, resources, room)?;
+        let capacity = &self.fleet.types[slot.type_index].capacity;
+        let available = slot.availability(now, resources, capacity)?;
         let estimate = &group.estimates[slot.type_index];
         let run_time = estimate
             .run_time
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -60,9 +60,9 @@
         &self,
         now: Instant,
         resources: &Resources,
-        room: &Resources,
+        capacity: &Resources,
     ) -> Option<Availability> {
-        if !resources.fits(room) {
+        if !resources.fits(capacity) {
             return None;
         }
         if self.ready_at.is_none() && resources.fits(&self.free) {
@@ -152,7 +152,7 @@
             _ if self.accepts_tasks(now, machine) => None,
             _ => return None,
         };
-        let mut free = machine_type.room;
+        let mut free = machine_type.capacity;
         free.sub(&machine.used);
         free.sub(&machine.unexpected_usage);
         let pending_fetch_gb = machine.images.fetching_gb();
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -30,7 +30,7 @@
         .into_iter()
         .map(|(name, cpus, on_demand_price_per_hour)| MachineType {
             name: name.into(),
-            room: resources(cpus),
+            capacity: resources(cpus),
             cache_gb: 20.0,
             fetch_gb_per_s: 0.3,
             on_demand_price_per_hour,
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -35,7 +35,7 @@
     fn try_from(wire: &WireMachineType) -> Result<MachineType, InvalidField> {
         Ok(MachineType {
             name: MachineTypeName(wire.name.clone()),
-            room: Resources {
+            capacity: Resources {
                 cpus: wire.cpus,
                 gpus: wire.gpus,
                 memory_gb: wire.memory_gb,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,7 +32,7 @@
 pub fn machine_type(name: &str, cpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
-        room: resources(cpus),
+        capacity: resources(cpus),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
         on_demand_price_per_hour: 4.0,
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -21,7 +21,7 @@
         let id = MachineId(format!("i-{:04}", self.machines));
         let zone = ZONES[self.machines as usize % ZONES.len()];
         let t = &self.types[0];
-        let kind = (t.name.clone(), t.room);
+        let kind = (t.name.clone(), t.capacity);
         let worker = Worker::new(id.clone(), kind, zone.into(), spot, self.now + boot);
         self.workers.insert(id.clone(), worker);
         id
@@ -29,12 +29,12 @@
 
     /// A leader rents machines, as many as the deployment may have.
     pub(super) fn rent(&mut self, id: u64, idempotency_key: String, spot: bool, number: u32) {
-        let room = self
+        let capacity = self
             .config
             .tuning
             .max_machines
             .saturating_sub(self.workers.len());
-        let number = (number as usize).min(room);
+        let number = (number as usize).min(capacity);
         let mut machines = Vec::new();
         for _ in 0..number {
             let boot = self.delay(500, 25_000);
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -133,7 +133,7 @@
         if self.occurs(rates.machine_restart) {
             let now = self.now;
             if let Some(worker) = self.random_worker() {
-                let kind = (worker.machine_type.clone(), worker.room);
+                let kind = (worker.machine_type.clone(), worker.capacity);
                 let boot_count = worker.boot_count + 1;
                 *worker = Worker::new(
                     worker.id.clone(),
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -50,7 +50,7 @@
 pub struct Worker {
     pub id: MachineId,
     pub machine_type: MachineTypeName,
-    pub room: Resources,
+    pub capacity: Resources,
     pub zone: Zone,
     pub spot: bool,
     /// How often the machine was booted.
@@ -93,7 +93,7 @@
         Worker {
             id,
             machine_type: t.0,
-            room: t.1,
+            capacity: t.1,
             zone,
             spot,
             boot_count: 1,
@@ -254,7 +254,7 @@
         let other = |(k, t): (&(TaskId, AttemptId), &WorkerTask)| &k.0 == task && !t.ended();
         let phase = if self.tasks.iter().any(other) {
             TaskPhase::Ended(ExitReason::EarlierAttemptRunning)
-        } else if !used.fits(&self.room) {
+        } else if !used.fits(&self.capacity) {
             TaskPhase::Ended(ExitReason::InsufficientResources)
         } else {
             TaskPhase::Fetching
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -113,7 +113,7 @@
 pub fn machine_type(gpus: f64, cache_gb: f64, fetch_gb_per_s: f64) -> MachineType {
     MachineType {
         name: "g8".into(),
-        room: Resources {
+        capacity: Resources {
             cpus: 64.0,
             gpus,
             memory_gb: 256.0,
