--- a/crates/model/src/heartbeats.rs
+++ b/crates/model/src/heartbeats.rs
@@ -14,7 +14,7 @@
     /// A kill stopped it.
     Stopped {
         /// Whether it saved a checkpoint first.
-        stored: bool,
+        checkpoint_saved: bool,
     },
     /// Another member of its gang ended.
     GangMemberEnded,
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -103,7 +103,7 @@
         }
         match exit {
             ExitReason::Completed => self.on_task_completed(now, heartbeat, task, &attempt),
-            ExitReason::Stopped { stored } => self.record_checkpoint(now, task, &attempt, stored),
+            ExitReason::Stopped { checkpoint_saved } => self.record_checkpoint(now, task, &attempt, checkpoint_saved),
             ExitReason::Failed => self.on_task_failed(now, machine_id, task, &attempt),
             ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
                 if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
@@ -152,7 +152,7 @@
         now: Instant,
         task: &TaskId,
         attempt: &ActiveAttempt,
-        stored: bool,
+        checkpoint_saved: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
@@ -162,7 +162,7 @@
             return;
         };
         let interval = job.spec.checkpoint_interval.as_secs_f64();
-        let saved = if stored {
+        let saved = if checkpoint_saved {
             took.as_secs_f64()
         } else {
             (took.as_secs_f64() / interval).floor() * interval
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -281,7 +281,7 @@
             t.phase = TaskPhase::Checkpointing;
             t.until = now + t.spec.checkpoint_duration;
         } else {
-            t.phase = TaskPhase::Ended(ExitReason::Stopped { stored: false });
+            t.phase = TaskPhase::Ended(ExitReason::Stopped { checkpoint_saved: false });
         }
         self.schedule_heartbeat(now);
     }
@@ -331,7 +331,7 @@
                     uploads.done.insert(task.clone());
                     TaskPhase::Ended(ExitReason::Completed)
                 }
-                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
+                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { checkpoint_saved: true }),
                 other => other,
             };
             changed |= next != t.phase;
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -147,8 +147,8 @@
 pub fn heartbeat() -> Heartbeat {
     let exits = [
         ExitReason::Completed,
-        ExitReason::Stopped { stored: true },
-        ExitReason::Stopped { stored: false },
+        ExitReason::Stopped { checkpoint_saved: true },
+        ExitReason::Stopped { checkpoint_saved: false },
         ExitReason::GangMemberEnded,
         ExitReason::GangIncomplete,
         ExitReason::InsufficientResources,
