--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -139,7 +139,9 @@
             all_count || machine.is_some_and(|m| counts(&m.machine_type))
         });
         let planned = plan.machines().filter(|m| counts(&m.offer.machine_type));
-        let on_machines: usize = spare.map(|spare| resources.count_fitting_in(&spare.free)).sum();
+        let on_machines: usize = spare
+            .map(|spare| resources.count_fitting_in(&spare.free))
+            .sum();
         let on_planned: usize = planned.map(|m| resources.count_fitting_in(&m.free)).sum();
         on_machines + on_planned
     }
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -77,7 +77,9 @@
     /// Tasks of a class for which there is room without this machine.
     fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
-        let fits = free.map_or(0, |free| self.demands[class].resources.count_fitting_in(free));
+        let fits = free.map_or(0, |free| {
+            self.demands[class].resources.count_fitting_in(free)
+        });
         self.covered[class].saturating_sub(fits)
     }
 
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -179,7 +179,8 @@
     /// What a CPU costs at least on the machines that a job may run on.
     fn lowest_price_per_cpu(&self, spec: &JobSpec) -> f64 {
         let types = self.fleet.types.iter();
-        let suitable = types.filter(|t| spec.allows_type(&t.name) && spec.resources.fits(&t.capacity));
+        let suitable =
+            types.filter(|t| spec.allows_type(&t.name) && spec.resources.fits(&t.capacity));
         suitable
             .map(|t| price_per_cpu(t, spec.allows_spot))
             .fold(f64::INFINITY, f64::min)
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -172,7 +172,8 @@
             .filter(|m| !m.placed_tasks.is_empty())
             .filter_map(|machine| {
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
-                is_expensive(machine_type).then_some((machine_type.on_demand_price_per_hour, machine))
+                is_expensive(machine_type)
+                    .then_some((machine_type.on_demand_price_per_hour, machine))
             })
             .collect();
         expensive.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -257,7 +257,8 @@
         }
         // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
         // lacks the image then goes before tasks that only just came.
-        let mut cost = fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
+        let mut cost =
+            fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
         let mut free = selection.free[slot_index];
         let mut victims = Vec::new();
         for (index, victim) in selection.victims[slot_index].iter().enumerate() {
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -243,7 +243,11 @@
         let mut rng = StdRng::seed_from_u64(1);
         let mut c = cluster(&mut rng, now);
         let mut s = job(&mut rng, 1);
-        s.checkpoint_interval = if writes_checkpoints { secs(20) } else { Duration::ZERO };
+        s.checkpoint_interval = if writes_checkpoints {
+            secs(20)
+        } else {
+            Duration::ZERO
+        };
         c.on_job(s.clone(), 9);
         let a = ActiveAttempt {
             machine: "i-000".into(),
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -103,7 +103,9 @@
         }
         match exit {
             ExitReason::Completed => self.on_task_completed(now, heartbeat, task, &attempt),
-            ExitReason::Stopped { checkpoint_saved } => self.record_checkpoint(now, task, &attempt, checkpoint_saved),
+            ExitReason::Stopped { checkpoint_saved } => {
+                self.record_checkpoint(now, task, &attempt, checkpoint_saved);
+            }
             ExitReason::Failed => self.on_task_failed(now, machine_id, task, &attempt),
             ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
                 if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -129,7 +129,11 @@
             kind: stored_kind(stored.gang),
             priority: stored_priority(stored.priority),
             task_count: stored.task_count,
-            resources: Resources { cpus, gpus, memory_gb },
+            resources: Resources {
+                cpus,
+                gpus,
+                memory_gb,
+            },
             machine_types: machine_types
                 .map(|names| names.into_iter().map(MachineTypeName).collect()),
             zone: stored.zone.map(Zone),
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -41,7 +41,10 @@
         ("report_s", format!("{:?}", p.heartbeat)),
         ("lease_s", format!("{:?}", p.lease)),
         ("gang_wait_s", format!("{:?}", p.gang_assembly_timeout)),
-        ("gang_peer_s", format!("{:?}", p.gang_failure_detection_time)),
+        (
+            "gang_peer_s",
+            format!("{:?}", p.gang_failure_detection_time),
+        ),
         ("cancel_s", format!("{:?}", p.cancel)),
         (
             "state",
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -147,8 +147,12 @@
 pub fn heartbeat() -> Heartbeat {
     let exits = [
         ExitReason::Completed,
-        ExitReason::Stopped { checkpoint_saved: true },
-        ExitReason::Stopped { checkpoint_saved: false },
+        ExitReason::Stopped {
+            checkpoint_saved: true,
+        },
+        ExitReason::Stopped {
+            checkpoint_saved: false,
+        },
         ExitReason::GangMemberEnded,
         ExitReason::GangIncomplete,
         ExitReason::InsufficientResources,
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -95,7 +95,8 @@
     };
     listed_as_dependent.insert("needs".into(), Value::List(vec![text("wk-000398")]));
     both::<StoredJob>(Value::Map(listed_as_dependent.clone()));
-    let read: StoredJob = decode(&encode(&Value::Map(listed_as_dependent.clone()))).expect("it is read");
+    let read: StoredJob =
+        decode(&encode(&Value::Map(listed_as_dependent.clone()))).expect("it is read");
     assert_eq!(JobSpec::try_from(read).as_ref(), Ok(&awaits));
     let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
     assert_eq!(written, Value::Map(listed_as_dependent.clone()));
