--- a/crates/model/src/heartbeats.rs
+++ b/crates/model/src/heartbeats.rs
@@ -1,62 +1,62 @@
-//! Heartbeats of agents, and the commands that agents receive.
+//! Heartbeats that agents send, and commands that agents receive.
 //!
-//! Invariant: every status and command names its attempt, so that one that arrives late cannot concern a later
+//! Invariant: every task status and command carries its attempt id, so a delayed one cannot apply to a later
 //! attempt of the same task.
 
 use crate::{AttemptId, FencingToken, MachineId, MachineTypeName, TaskId, Zone};
 use std::time::Duration;
 
-/// Why an attempt ended.
+/// Why an attempt ended, as the agent reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// The task completed.
+    /// The task finished its work.
     Completed,
-    /// A kill stopped it.
+    /// A kill command stopped the attempt.
     Stopped {
-        /// Whether it saved a checkpoint first.
+        /// Whether the attempt saved a checkpoint before it stopped.
         checkpoint_saved: bool,
     },
-    /// Another member of its gang ended.
+    /// Another member of the gang ended, so this attempt was ended as well.
     GangMemberEnded,
-    /// Its gang was not complete in time.
+    /// The gang did not assemble within the timeout.
     GangIncomplete,
-    /// It failed by itself.
+    /// The task itself failed. Reasons that this version does not know are read as this one.
     Failed,
-    /// The machine lacked the resources for it.
+    /// The machine did not have enough free resources for the attempt.
     InsufficientResources,
-    /// An earlier attempt of the task was still running there.
+    /// An earlier attempt of the same task was still running on the machine.
     EarlierAttemptRunning,
-    /// The agent rejected it: it knows no such job or task.
+    /// The agent rejected the launch because it knows no such job or task.
     UnknownTask,
 }
 
 /// The phase of an attempt on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// Its image is being fetched.
+    /// The machine is fetching the image.
     Fetching,
-    /// It waits for the other members of its gang.
+    /// The attempt has its image and waits for the other members of its gang.
     WaitingForGang,
-    /// It is running.
+    /// The task is running.
     Running,
-    /// It was killed and saves a checkpoint.
+    /// The attempt was killed and is saving a checkpoint.
     Checkpointing,
-    /// It ended.
+    /// The attempt has ended. The agent reports it until it receives [`TaskCommand::Forget`].
     Ended(ExitReason),
 }
 
 /// The status of one attempt in a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskStatus {
-    /// The task that it is an attempt of.
+    /// The task that the attempt belongs to.
     pub task: TaskId,
-    /// The attempt, as the launch named it.
+    /// The attempt id from the launch command.
     pub attempt: AttemptId,
-    /// Its phase.
+    /// The phase when the heartbeat was created.
     pub phase: TaskPhase,
 }
 
-/// A heartbeat of an agent, or the body of its response to a direct command.
+/// A heartbeat from an agent, or the body of its response to a direct command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
     /// The machine that the agent runs on.
@@ -67,44 +67,44 @@
     pub machine_type: MachineTypeName,
     /// The zone of the machine.
     pub zone: Zone,
-    /// Whether it is a spot instance, which the cloud may evict.
+    /// Whether the machine is a spot instance, which the cloud may evict.
     pub spot: bool,
-    /// The agent's incarnation. A new one begins when its lease has expired.
+    /// The agent's incarnation. The agent starts a new one when its lease has expired.
     pub incarnation: u64,
-    /// Increases with every message of an incarnation.
+    /// A serial number that increases with every message of an incarnation.
     pub serial: u64,
-    /// The highest fencing token that the agent has seen.
+    /// The highest fencing token that the agent has received.
     pub token: FencingToken,
-    /// The time until the cloud evicts the machine, if that is announced.
+    /// The time from this heartbeat until the cloud evicts the machine. None: no eviction is announced.
     pub eviction: Option<Duration>,
-    /// The attempts on it, including ended ones that no command has told it to forget.
+    /// The attempts on the machine, including ended ones for which no [`TaskCommand::Forget`] has arrived.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to an agent.
+/// A command to an agent about one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskCommand {
     /// Start an attempt.
     Launch {
-        /// The task that it is an attempt of.
+        /// The task to run.
         task: TaskId,
-        /// The attempt.
+        /// The id of the new attempt, chosen by the leader.
         attempt: AttemptId,
     },
-    /// Stop an attempt, with time to save a checkpoint.
+    /// Stop an attempt and allow it time to save a checkpoint.
     Kill {
-        /// The task that it is an attempt of.
+        /// The task that the attempt belongs to.
         task: TaskId,
-        /// The attempt.
+        /// The attempt to stop.
         attempt: AttemptId,
-        /// The time that it may take to save.
+        /// How long the attempt may take to save a checkpoint. Zero: it is stopped at once.
         grace_period: Duration,
     },
-    /// Omit an ended attempt from later heartbeats.
+    /// Leave an ended attempt out of later heartbeats.
     Forget {
-        /// The task that it is an attempt of.
+        /// The task that the attempt belongs to.
         task: TaskId,
-        /// The attempt.
+        /// The attempt to leave out.
         attempt: AttemptId,
     },
 }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,11 +1,11 @@
 //! Identifiers of jobs, tasks, machines, teams, zones and images.
 //!
-//! Only `parse` validates a job's or task's id; a [`JobId`] that is made from a string directly is taken as it is.
+//! Only `parse` validates the id of a job or task. A [`JobId`] that is constructed directly is not checked.
 
 use std::fmt;
 use std::hash::Hasher;
 
-macro_rules! text_id {
+macro_rules! define_string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -23,29 +23,29 @@
     };
 }
 
-text_id!(
-    /// A job's id, chosen by its user.
+define_string_id!(
+    /// The id of a job, chosen by the user who submits it. The valid form is that of [`JobId::parse`].
     JobId
 );
-text_id!(
-    /// A machine's name, chosen by the cloud.
+define_string_id!(
+    /// The id of a machine, assigned by the cloud.
     MachineId
 );
-text_id!(
-    /// A team, as the settings name it.
+define_string_id!(
+    /// The name of a team in the settings.
     TeamName
 );
-text_id!(
-    /// A zone, as the cloud names it.
+define_string_id!(
+    /// The cloud's name of a zone.
     Zone
 );
-text_id!(
-    /// The name of a machine type.
+define_string_id!(
+    /// The cloud's name of a machine type.
     MachineTypeName
 );
 
 impl JobId {
-    /// Parses an id: `wk-` and 1 to 20 digits. No other text identifies a job.
+    /// Parses a job id: `wk-` followed by 1 to 20 ASCII digits. None: the text is not a valid id.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("wk-")?;
         let is_valid =
@@ -54,13 +54,14 @@
     }
 }
 
-/// The hash of an image's name, since each round compares images for every job and machine. A collision would
-/// only distort an estimate of fetch time.
+/// The hash of an image name. Each placement round compares the images of every job with those of every
+/// machine, and comparing hashes is cheaper than comparing strings. A collision would only distort an
+/// estimate of the fetch time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ImageKey(pub u64);
 
 impl ImageKey {
-    /// The key of an image's name.
+    /// Hashes an image name with FNV. The result is the same in every process.
     pub fn of(name: &str) -> ImageKey {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(name.as_bytes());
@@ -68,17 +69,17 @@
     }
 }
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The task's job.
+    /// The job that the task belongs to.
     pub job_id: JobId,
-    /// The index of the task in its job, from 0.
+    /// The index of the task within its job, counted from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses `JOB/INDEX`, the form that agents use.
+    /// Parses `JOB/INDEX`, the form that agents use. None: the job id or the index is invalid.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job_id, index) = text.rsplit_once('/')?;
         Some(TaskId {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! The types that the packages of cypressgap share: identifiers, fencing tokens, resources and heartbeats.
+//! Types that the packages of cypressgap share: identifiers, fencing tokens, resources and heartbeats.
 //!
-//! They hold no behaviour of the scheduler and no wire form: the wire and the stored records map to them at the
-//! edge.
+//! They contain no scheduling logic and no serialization. The modules for the wire formats and for stored
+//! records convert to and from them.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -1,83 +1,85 @@
-//! Amounts of a machine's resources, and their arithmetic.
+//! Amounts of CPUs, GPUs and memory, and arithmetic on them.
 //!
-//! Invariant: comparisons allow for [`RESOURCE_EPSILON`], since sums of decimal fractions are not exact.
+//! Invariant: comparisons tolerate [`RESOURCE_EPSILON`], since sums of decimal fractions are not exact in
+//! binary floating point.
 
-/// An amount of each resource of a machine.
+/// An amount of each resource: what a task requests, what a machine offers, or what is used or free.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors; fractions are allowed.
+    /// The number of CPUs, which may be a fraction.
     pub cpus: f64,
-    /// Graphics processors.
+    /// The number of GPUs, which may be a fraction.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// The rounding error up to which a shortage is ignored.
+/// A shortage up to this amount counts as a rounding error. It applies to each resource in its own unit.
 pub const RESOURCE_EPSILON: f64 = 1e-6;
 
-/// The count that stands for "any number", for an amount that needs nothing.
-const UNBOUNDED_COUNT: usize = 1000;
+/// The result of [`Resources::count_fitting_in`] for an amount that is zero, of which any number fits.
+const COUNT_FOR_ZERO_AMOUNT: usize = 1000;
 
 impl Resources {
-    /// Whether this amount fits into `free`.
+    /// Whether this amount is at most `available` in every resource.
     #[must_use]
-    pub fn fits(&self, free: &Resources) -> bool {
-        self.cpus <= free.cpus + RESOURCE_EPSILON
-            && self.gpus <= free.gpus + RESOURCE_EPSILON
-            && self.memory_gb <= free.memory_gb + RESOURCE_EPSILON
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + RESOURCE_EPSILON
+            && self.gpus <= available.gpus + RESOURCE_EPSILON
+            && self.memory_gb <= available.memory_gb + RESOURCE_EPSILON
     }
 
-    /// Adds another amount.
+    /// Adds `other` to this amount, resource by resource.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts another amount.
+    /// Subtracts `other` from this amount. The result may be negative.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// This amount `count` times.
+    /// This amount multiplied by `factor`.
     #[must_use]
-    pub fn times(&self, count: f64) -> Resources {
+    pub fn times(&self, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus * count,
-            gpus: self.gpus * count,
-            memory_gb: self.memory_gb * count,
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            memory_gb: self.memory_gb * factor,
         }
     }
 
-    /// How many times this amount fits into `capacity`; 1000 if it needs nothing.
+    /// How many times this amount fits into `available`, rounded down; 1000 if this amount is zero.
     #[must_use]
-    pub fn count_fitting_in(&self, capacity: &Resources) -> usize {
-        let count_of = |amount: f64, capacity: f64| {
+    pub fn count_fitting_in(&self, available: &Resources) -> usize {
+        let count_of = |amount: f64, available: f64| {
             if amount <= 0.0 {
                 f64::INFINITY
             } else {
-                ((capacity + RESOURCE_EPSILON) / amount).floor().max(0.0)
+                ((available + RESOURCE_EPSILON) / amount).floor().max(0.0)
             }
         };
-        let count = count_of(self.cpus, capacity.cpus)
-            .min(count_of(self.gpus, capacity.gpus))
-            .min(count_of(self.memory_gb, capacity.memory_gb));
+        let count = count_of(self.cpus, available.cpus)
+            .min(count_of(self.gpus, available.gpus))
+            .min(count_of(self.memory_gb, available.memory_gb));
         if count.is_finite() {
             count as usize
         } else {
-            UNBOUNDED_COUNT
+            COUNT_FOR_ZERO_AMOUNT
         }
     }
 
-    /// The dominant share: the largest share of `whole` that any one resource takes.
+    /// The dominant share: the largest fraction of `total` that this amount takes of any one resource.
+    /// Resources of which `total` has none do not count.
     #[must_use]
-    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
-        let share = |amount: f64, whole: f64| if whole > 0.0 { amount / whole } else { 0.0 };
-        share(self.cpus, whole.cpus)
-            .max(share(self.gpus, whole.gpus))
-            .max(share(self.memory_gb, whole.memory_gb))
+    pub fn dominant_share_of(&self, total: &Resources) -> f64 {
+        let share = |amount: f64, total: f64| if total > 0.0 { amount / total } else { 0.0 };
+        share(self.cpus, total.cpus)
+            .max(share(self.gpus, total.gpus))
+            .max(share(self.memory_gb, total.memory_gb))
     }
 }
--- a/crates/model/src/tokens.rs
+++ b/crates/model/src/tokens.rs
@@ -1,49 +1,50 @@
-//! Terms, fencing tokens and attempt numbers.
+//! Leadership terms, fencing tokens and attempt ids.
 //!
-//! Invariants: each holds its term in the high bits, so a token or attempt of a later term is greater than any
-//! of an earlier one.
+//! Invariant: tokens and attempt ids hold their term in the high bits, so those of a later term are greater
+//! than all of an earlier term. This requires that the number in the low bits does not overflow, which is not
+//! checked.
 
-/// The number of a leader's term. Each takeover raises it by one.
+/// The number of a leadership term. Each change of leader increments it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Term(pub u64);
 
-/// The fencing token that agents compare: the term in the high bits, a sequence number per machine in the low
-/// ones.
+/// The fencing token by which agents reject messages of earlier leaders. The high bits hold the term, and the
+/// low 24 bits hold a sequence number that is counted per machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken(pub u64);
 
-/// The number of low bits that hold the sequence number of a token.
-const SEQUENCE_BITS: u32 = 24;
+/// The number of low bits in a fencing token that hold the sequence number.
+const TOKEN_SEQUENCE_BITS: u32 = 24;
 
 impl FencingToken {
-    /// The first token of a term.
+    /// The first token of a term, with sequence number 0.
     pub fn first(term: Term) -> FencingToken {
-        FencingToken(term.0 << SEQUENCE_BITS)
+        FencingToken(term.0 << TOKEN_SEQUENCE_BITS)
     }
-    /// The term that issued it.
+    /// The term in which the token was issued.
     pub fn term(self) -> Term {
-        Term(self.0 >> SEQUENCE_BITS)
+        Term(self.0 >> TOKEN_SEQUENCE_BITS)
     }
-    /// The next token of the same term.
+    /// The token with the next sequence number. It is of the same term unless all 24 bits were used up.
     pub fn next(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
 }
 
-/// The number of an attempt, unique across all terms.
+/// The id of an attempt, unique across all terms. The high bits hold the term that created it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
-/// The number of low bits that hold the number of an attempt in its term.
-const ATTEMPT_BITS: u32 = 28;
+/// The number of low bits in an attempt id that hold the attempt's number within its term.
+const ATTEMPT_NUMBER_BITS: u32 = 28;
 
 impl AttemptId {
-    /// Creates the id of an attempt from its term and its number in that term.
+    /// Creates an attempt id from the term and the attempt's number within it, which must fit into 28 bits.
     pub fn of(term: Term, number: u64) -> AttemptId {
-        AttemptId((term.0 << ATTEMPT_BITS) | number)
+        AttemptId((term.0 << ATTEMPT_NUMBER_BITS) | number)
     }
-    /// The term that decided on the attempt.
+    /// The term whose leader created the attempt.
     pub fn term(self) -> Term {
-        Term(self.0 >> ATTEMPT_BITS)
+        Term(self.0 >> ATTEMPT_NUMBER_BITS)
     }
 }
--- a/src/core/model/job.rs
+++ b/src/core/model/job.rs
@@ -1,93 +1,95 @@
-//! A job as its user submitted it.
+//! The specification of a job, as its user submitted it.
 
 use super::{JobId, MachineTypeName, Resources, TeamName, Zone};
 use std::time::Duration;
 
-/// The priority of a job; later ones are higher.
+/// The priority of a job, from lowest to highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Runs on machines that would otherwise be idle.
+    /// Below standard. A task that is expected to get a machine waits for it rather than have an expensive
+    /// one rented, unless its deadline is at risk.
     Idle,
-    /// The usual priority.
+    /// The usual priority of users' jobs.
     Standard,
-    /// Before standard work.
+    /// Above standard.
     High,
-    /// Before all other work.
+    /// Above all other priorities.
     Production,
 }
 
 /// How the tasks of a job are scheduled together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKind {
-    /// A job array: the tasks are independent.
+    /// A job array: tasks start and end independently of each other.
     Batch,
-    /// Gang scheduling: all tasks run at the same time, or none does.
+    /// Gang scheduling: either all tasks of the job run at the same time, or none does.
     Gang,
 }
 
-/// A job, as its user submitted it.
+/// The specification of a job, as its user submitted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSpec {
-    /// The job's id.
+    /// The id that the user chose for the job.
     pub job_id: JobId,
-    /// The job's class, by which service-level objectives and run time history refer to it.
+    /// The class of the job. Service-level objectives apply to classes, and run times are recorded by class.
     pub class: String,
-    /// The team whose quota its tasks use.
+    /// The team whose quota the tasks count towards.
     pub team: TeamName,
-    /// How its tasks are scheduled together.
+    /// Whether the tasks are scheduled independently or as a gang.
     pub kind: JobKind,
-    /// Its priority.
+    /// The priority of all tasks of the job.
     pub priority: Priority,
-    /// The number of its tasks.
+    /// The number of tasks, at least 1 for an accepted job.
     pub task_count: u32,
-    /// The resources that one task takes.
+    /// The resources that each task requests.
     pub resources: Resources,
-    /// The machine types that it may run on. None: all.
+    /// The machine types that the job may run on. None: all.
     pub machine_types: Option<Vec<MachineTypeName>>,
-    /// The zone that it must run in, if any.
+    /// The zone that the job must run in. None: any zone.
     pub zone: Option<Zone>,
-    /// All of its tasks must run in one zone.
+    /// Whether all tasks must run in the same zone.
     pub same_place: bool,
-    /// Its tasks are spread over zones.
+    /// Whether the tasks are spread over zones: at most half of them, rounded up, may start in one zone.
     pub spread: bool,
-    /// It may run on spot machines.
+    /// Whether the job may run on spot machines.
     pub allows_spot: bool,
-    /// The name of its image.
+    /// The name of the image that the tasks run.
     pub image: String,
-    /// The size of its image in GB.
+    /// The size of the image in GB.
     pub image_gb: f64,
-    /// The run time of a task, as its user expects it.
+    /// The run time of one task that the user expects.
     pub expected: Duration,
-    /// How often a running task writes a checkpoint. Zero: never.
+    /// The interval at which a running task writes checkpoints. Zero: it writes none.
     pub checkpoint_interval: Duration,
     /// How long a task takes to write a checkpoint when it is stopped.
     pub checkpoint_duration: Duration,
-    /// Within what time of its submission it should be complete, if any.
+    /// The time from acceptance within which the job should complete. None: the job has no deadline.
     pub due: Option<Duration>,
-    /// Jobs that must be done before any task of this one starts.
+    /// The jobs that must complete before any task of this job starts.
     pub dependencies: Vec<JobId>,
-    /// The key-value store lists it among the dependents of its dependencies, as the version before this
-    /// one does.
+    /// Whether the job is in the lists of dependents that the key-value store holds for its dependencies. The
+    /// previous version enters every job there; this one does so only while a peer may need the lists. A full
+    /// list is not extended.
     pub listed_as_dependent: bool,
-    /// The time of day of its acceptance, in milliseconds since 1970.
+    /// The time of acceptance in milliseconds since the Unix epoch, by the clock of the accepting node.
     pub accepted_unix_ms: u64,
 }
 
 impl JobSpec {
-    /// Whether it may run on this machine type.
+    /// Whether the job may run on this machine type.
     #[must_use]
     pub fn allows_type(&self, machine_type: &MachineTypeName) -> bool {
         let allowed = self.machine_types.as_ref();
         allowed.is_none_or(|types| types.contains(machine_type))
     }
 
-    /// Whether it may run in this zone.
+    /// Whether the job may run in this zone.
     #[must_use]
     pub fn allows_zone(&self, zone: &Zone) -> bool {
         self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    /// Whether its tasks write checkpoints.
+    /// Whether the tasks write checkpoints while they run.
     #[must_use]
     pub fn writes_checkpoints(&self) -> bool {
         !self.checkpoint_interval.is_zero()
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -1,31 +1,31 @@
-//! Machines as the cloud offers and lists them.
+//! Machine types that the cloud offers, and machines in its list.
 
 use super::{MachineId, MachineTypeName, Resources, Zone};
 use std::time::Duration;
 
-/// A machine type, as the cloud offers it.
+/// A machine type that the cloud offers, with the values that the cloud advertises.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// The name of the type.
+    /// The name by which rentals, jobs and heartbeats refer to the type.
     pub name: MachineTypeName,
-    /// The resources of a machine.
+    /// All resources of a machine of this type, whether free or in use.
     pub capacity: Resources,
-    /// The size of the images that a machine keeps, in GB.
+    /// The size of a machine's image cache in GB.
     pub cache_gb: f64,
-    /// The rate at which a machine fetches an image.
+    /// The rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// The price of an on-demand machine for an hour.
+    /// The price of an on-demand machine per hour.
     pub on_demand_price_per_hour: f64,
-    /// The price of a spot machine for an hour.
+    /// The price of a spot machine per hour.
     pub spot_price_per_hour: f64,
-    /// How long a machine takes to boot.
+    /// How long a machine takes to boot according to the cloud. Used until enough boots have been measured.
     pub advertised_boot_time: Duration,
-    /// The zones where it is offered.
+    /// The zones in which machines of this type can be rented.
     pub zones: Vec<Zone>,
 }
 
 impl MachineType {
-    /// The price of a machine for an hour.
+    /// The price of a spot or on-demand machine per hour.
     #[must_use]
     pub fn price(&self, spot: bool) -> f64 {
         if spot {
@@ -36,32 +36,32 @@
     }
 }
 
-/// The phase of a machine in the cloud's list.
+/// The lifecycle phase that the cloud reports for a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloudMachinePhase {
-    /// It is booting.
+    /// The machine is booting and has no endpoint yet.
     Booting,
-    /// It has booted.
+    /// The machine has booted.
     Running,
-    /// It failed to boot and will not run.
+    /// The machine failed to boot and will not run.
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// A rented machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CloudMachine {
-    /// The machine's id.
+    /// The id that the cloud assigned to the machine.
     pub id: MachineId,
-    /// The address at which its agent takes commands; empty while it boots.
+    /// The address at which the machine's agent receives commands. Empty while the machine boots.
     pub endpoint: String,
-    /// Its type.
+    /// The name of the machine's type.
     pub machine_type: MachineTypeName,
-    /// Its zone.
+    /// The zone in which the machine was rented.
     pub zone: Zone,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether it is a spot machine, which the cloud may evict.
     pub spot: bool,
-    /// Its phase.
+    /// The machine's lifecycle phase when the list was created.
     pub phase: CloudMachinePhase,
-    /// How long ago it was rented.
+    /// The time since the machine was rented.
     pub age: Duration,
 }
--- a/src/core/model/mod.rs
+++ b/src/core/model/mod.rs
@@ -1,6 +1,6 @@
-//! The domain types of the scheduler: jobs, machines, teams, and the settings that the core reads.
+//! Domain types of the scheduler: jobs, machines, teams and the settings of the core.
 //!
-//! They know nothing of the wire or of stored records, which are mapped to and from them at the edge.
+//! They do not depend on wire formats or stored records; the `wire` module converts to and from them.
 
 mod config;
 mod job;
--- a/src/core/model/team.rs
+++ b/src/core/model/team.rs
@@ -2,23 +2,23 @@
 
 use super::{Resources, TeamName, RESOURCE_EPSILON};
 
-/// A team with its quota: guaranteed resources and limits.
+/// A team and its quota, which consists of guaranteed resources and limits. Memory has no quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// The team's name.
+    /// The name by which jobs refer to the team.
     pub name: TeamName,
-    /// Guaranteed CPUs. None: no guarantee.
+    /// The number of guaranteed CPUs. None: no guarantee.
     pub cpus: Option<f64>,
-    /// The limit of CPUs. None: no limit.
+    /// The maximum number of CPUs in use at a time. None: no limit.
     pub cpus_max: Option<f64>,
-    /// Guaranteed GPUs. None: no guarantee.
+    /// The number of guaranteed GPUs. None: no guarantee.
     pub gpus: Option<f64>,
-    /// The limit of GPUs. None: no limit.
+    /// The maximum number of GPUs in use at a time. None: no limit.
     pub gpus_max: Option<f64>,
 }
 
 impl Team {
-    /// Whether `used` plus `more` stays within the limits.
+    /// Whether `used` and `more` together stay within the limits.
     #[must_use]
     pub fn allows(&self, used: &Resources, more: &Resources) -> bool {
         let within = |limit: Option<f64>, used: f64, more: f64| {
@@ -27,7 +27,7 @@
         within(self.cpus_max, used.cpus, more.cpus) && within(self.gpus_max, used.gpus, more.gpus)
     }
 
-    /// Whether `used` stays within the guarantee.
+    /// Whether `used` stays within the guarantee. A resource without a guarantee counts as guaranteed 0.
     #[must_use]
     pub fn guarantees(&self, used: &Resources) -> bool {
         let within = |guaranteed: Option<f64>, used: f64| {
