--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -90,13 +90,13 @@
     fn loads_fullest_first(&self, now: Instant) -> Vec<MachineLoad<'_>> {
         let free_room = self.free_room(now).into_iter();
         let mut loads: Vec<MachineLoad<'_>> = free_room
-            .filter_map(|room| {
-                let machine = room.machine;
+            .filter_map(|capacity| {
+                let machine = capacity.machine;
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
                 Some(MachineLoad {
                     machine,
-                    free: room.free,
-                    used_share: machine.used.share_of(&machine_type.room),
+                    free: capacity.free,
+                    used_share: machine.used.dominant_share_of(&machine_type.capacity),
                 })
             })
             .collect();
@@ -138,7 +138,7 @@
     let remaining = attempt.estimated_run_time.saturating_sub(ran);
     let worth_moving = spec.checkpoint_duration * 2 + MIN_RUN_AFTER_MOVE;
     !is_bound
-        && spec.saves()
+        && spec.writes_checkpoints()
         && attempt.kill_request.is_none()
         && ran >= MIN_RUN_BEFORE_MOVE
         && remaining >= worth_moving
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -77,7 +77,9 @@
     /// Tasks of a class for which there is room without this machine.
     fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
-        let fits = free.map_or(0, |free| self.demands[class].resources.count_in(free));
+        let fits = free.map_or(0, |free| {
+            self.demands[class].resources.count_fitting_in(free)
+        });
         self.covered[class].saturating_sub(fits)
     }
 
@@ -128,7 +130,7 @@
     fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let booting = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
-        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.boot);
+        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.advertised_boot_time);
         let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
         let awake = now.saturating_duration_since(self.liveness.awake_since);
         let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PAUSE;
@@ -169,9 +171,9 @@
         let since = machine.idle_since?;
         let tuning = &self.config.tuning;
         let max_idle = if machine.spot {
-            tuning.idle_spot
+            tuning.spot_idle_timeout
         } else {
-            tuning.idle_ordinary
+            tuning.on_demand_idle_timeout
         };
         let is_idle = now.saturating_duration_since(since) > max_idle;
         if !machine.has_reported
@@ -194,7 +196,7 @@
         let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
         for room in self.free_room(now) {
             for (covered, demand) in covered.iter_mut().zip(&demands) {
-                *covered += demand.resources.count_in(&room.free);
+                *covered += demand.resources.count_fitting_in(&room.free);
             }
             free_by_machine.insert(&room.machine.id, room.free);
         }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -20,7 +20,7 @@
     Resources {
         cpus,
         gpus: 0.0,
-        memory: cpus * 3.5,
+        memory_gb: cpus * 3.5,
     }
 }
 
@@ -28,14 +28,14 @@
 fn cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
     let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
-        .map(|(name, cpus, hourly)| MachineType {
+        .map(|(name, cpus, on_demand_price_per_hour)| MachineType {
             name: name.into(),
-            room: resources(cpus),
+            capacity: resources(cpus),
             cache_gb: 20.0,
             fetch_gb_per_s: 0.3,
-            hourly,
-            low_price: hourly / 4.0,
-            boot: Duration::from_secs(30),
+            on_demand_price_per_hour,
+            spot_price_per_hour: on_demand_price_per_hour / 4.0,
+            advertised_boot_time: Duration::from_secs(30),
             zones: vec!["a".into()],
         })
         .collect();
@@ -50,12 +50,12 @@
         slos: Vec::new(),
         heartbeat: Duration::from_secs(3),
         lease: Duration::from_secs(30),
-        gang_wait: Duration::from_secs(40),
-        gang_peer: Duration::from_secs(5),
+        gang_assembly_timeout: Duration::from_secs(40),
+        gang_failure_detection_time: Duration::from_secs(5),
         cancel: Duration::from_secs(50),
         txn_ops: 24,
         value_bytes: 8192,
-        list_lag: Duration::from_secs(8),
+        max_cloud_list_lag: Duration::from_secs(8),
         tuning: Tuning::default(),
         recovery: Default::default(),
     };
@@ -116,7 +116,7 @@
         kind: JobKind::Batch,
         priority: Priority::Standard,
         dependencies: Vec::new(),
-        listed: false,
+        listed_as_dependent: false,
         task_count: rng.gen_range(1..60),
         resources: resources(rng.gen_range(1..17) as f64),
         machine_types: None,
@@ -130,7 +130,7 @@
         checkpoint_interval: Duration::ZERO,
         checkpoint_duration: Duration::ZERO,
         due: None,
-        accepted_ms: 0,
+        accepted_unix_ms: 0,
     }
 }
 
@@ -239,11 +239,15 @@
         ),
         ("about to end", 99, Some(89), true, Unprotected, None),
     ];
-    for (name, placed, ran, saves, protection, work) in cases {
+    for (name, placed, ran, writes_checkpoints, protection, work) in cases {
         let mut rng = StdRng::seed_from_u64(1);
         let mut c = cluster(&mut rng, now);
         let mut s = job(&mut rng, 1);
-        s.checkpoint_interval = if saves { secs(20) } else { Duration::ZERO };
+        s.checkpoint_interval = if writes_checkpoints {
+            secs(20)
+        } else {
+            Duration::ZERO
+        };
         c.on_job(s.clone(), 9);
         let a = ActiveAttempt {
             machine: "i-000".into(),
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -20,8 +20,10 @@
     cache_gb: f64,
     #[serde(default)]
     fetch_gb_per_s: f64,
-    hourly: f64,
-    low_price: f64,
+    #[serde(rename = "Hourly")]
+    on_demand_price_per_hour: f64,
+    #[serde(rename = "LowPrice")]
+    spot_price_per_hour: f64,
     boot_s: f64,
     #[serde(rename = "Sites")]
     zones: Vec<String>,
@@ -33,16 +35,16 @@
     fn try_from(wire: &WireMachineType) -> Result<MachineType, InvalidField> {
         Ok(MachineType {
             name: MachineTypeName(wire.name.clone()),
-            room: Resources {
+            capacity: Resources {
                 cpus: wire.cpus,
                 gpus: wire.gpus,
-                memory: wire.memory_gb,
+                memory_gb: wire.memory_gb,
             },
             cache_gb: wire.cache_gb,
             fetch_gb_per_s: wire.fetch_gb_per_s,
-            hourly: wire.hourly,
-            low_price: wire.low_price,
-            boot: duration(wire.boot_s, "BootS")?,
+            on_demand_price_per_hour: wire.on_demand_price_per_hour,
+            spot_price_per_hour: wire.spot_price_per_hour,
+            advertised_boot_time: duration(wire.boot_s, "BootS")?,
             zones: wire.zones.iter().cloned().map(Zone).collect(),
         })
     }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -47,7 +47,7 @@
     #[serde(rename = "due")]
     due_s: Option<f64>,
     #[serde(rename = "at")]
-    accepted_ms: u64,
+    accepted_unix_ms: u64,
     /// Dependencies that were not over when the job was accepted. Earlier versions know no such field,
     /// and jobs without dependencies are written as they were.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
@@ -72,11 +72,11 @@
         NAMES_AND_NUMBERS + texts.map(|text| text_size_bound(text)).sum::<usize>()
     }
 
-    /// Leaves only these dependencies: the others are done. `listed`: the job is in the lists of their
+    /// Leaves only these dependencies: the others are done. `listed_as_dependent`: the job is in the lists of their
     /// dependents.
-    pub fn keep_dependencies(&mut self, open: &[JobId], listed: bool) {
+    pub fn keep_dependencies(&mut self, open: &[JobId], listed_as_dependent: bool) {
         self.dependencies = open.iter().map(|job_id| job_id.0.clone()).collect();
-        self.unlisted = !open.is_empty() && !listed;
+        self.unlisted = !open.is_empty() && !listed_as_dependent;
     }
 
     /// Ids of the jobs that this one depends on.
@@ -96,7 +96,7 @@
             gang: spec.kind == JobKind::Gang,
             priority: spec.priority as u8,
             task_count: spec.task_count,
-            resources: (resources.cpus, resources.gpus, resources.memory),
+            resources: (resources.cpus, resources.gpus, resources.memory_gb),
             machine_types: machine_types.map(|names| names.iter().map(|t| t.0.clone()).collect()),
             zone: spec.zone.as_ref().map(|zone| zone.0.clone()),
             same_place: spec.same_place,
@@ -107,9 +107,9 @@
             checkpoint_interval_s: spec.checkpoint_interval.as_secs_f64(),
             checkpoint_duration_s: spec.checkpoint_duration.as_secs_f64(),
             due_s: spec.due.map(|due| due.as_secs_f64()),
-            accepted_ms: spec.accepted_ms,
+            accepted_unix_ms: spec.accepted_unix_ms,
             dependencies: spec.dependencies.iter().map(|d| d.0.clone()).collect(),
-            unlisted: !spec.dependencies.is_empty() && !spec.listed,
+            unlisted: !spec.dependencies.is_empty() && !spec.listed_as_dependent,
         }
     }
 }
@@ -119,7 +119,7 @@
 
     fn try_from(stored: StoredJob) -> Result<JobSpec, InvalidField> {
         let machine_types = stored.machine_types;
-        let (cpus, gpus, memory) = stored.resources;
+        let (cpus, gpus, memory_gb) = stored.resources;
         let (image, image_gb) = stored.image;
         let dependencies = stored.dependencies.iter();
         Ok(JobSpec {
@@ -129,7 +129,11 @@
             kind: stored_kind(stored.gang),
             priority: stored_priority(stored.priority),
             task_count: stored.task_count,
-            resources: Resources { cpus, gpus, memory },
+            resources: Resources {
+                cpus,
+                gpus,
+                memory_gb,
+            },
             machine_types: machine_types
                 .map(|names| names.into_iter().map(MachineTypeName).collect()),
             zone: stored.zone.map(Zone),
@@ -143,8 +147,8 @@
             checkpoint_duration: duration(stored.checkpoint_duration_s, "save")?,
             due: stored.due_s.and_then(|due| duration(due, "due").ok()),
             dependencies: dependencies.filter_map(|id| JobId::parse(id)).collect(),
-            listed: !stored.dependencies.is_empty() && !stored.unlisted,
-            accepted_ms: stored.accepted_ms,
+            listed_as_dependent: !stored.dependencies.is_empty() && !stored.unlisted,
+            accepted_unix_ms: stored.accepted_unix_ms,
         })
     }
 }
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -84,7 +84,7 @@
 
 impl Submission {
     /// The job with its time of acceptance, or the first field that is missing or invalid.
-    pub fn to_spec(&self, accepted_ms: u64) -> Result<JobSpec, InvalidField> {
+    pub fn to_spec(&self, accepted_unix_ms: u64) -> Result<JobSpec, InvalidField> {
         let job_id = self.job_id.as_deref().and_then(JobId::parse);
         let job_id = job_id.ok_or(InvalidField("Uid"))?;
         let kind = self.kind()?;
@@ -113,8 +113,8 @@
             checkpoint_duration: seconds(self.checkpoint_duration_s, "SnapshotS")?,
             due,
             dependencies: self.dependencies()?,
-            listed: false,
-            accepted_ms,
+            listed_as_dependent: false,
+            accepted_unix_ms,
         })
     }
 
@@ -149,7 +149,7 @@
         Ok(Resources {
             cpus: amount(self.cpus, "Vcpus")?,
             gpus: amount(self.gpus, "Gpus")?,
-            memory: amount(self.memory_gb, "MemoryGb")?,
+            memory_gb: amount(self.memory_gb, "MemoryGb")?,
         })
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,19 +25,19 @@
     Resources {
         cpus,
         gpus: 0.0,
-        memory: cpus,
+        memory_gb: cpus,
     }
 }
 
 pub fn machine_type(name: &str, cpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
-        room: resources(cpus),
+        capacity: resources(cpus),
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        hourly: 4.0,
-        low_price: 1.0,
-        boot: secs(30),
+        on_demand_price_per_hour: 4.0,
+        spot_price_per_hour: 1.0,
+        advertised_boot_time: secs(30),
         zones: vec!["a".into(), "b".into()],
     }
 }
@@ -66,12 +66,12 @@
         }],
         heartbeat: secs(3),
         lease: secs(30),
-        gang_wait: secs(40),
-        gang_peer: secs(5),
+        gang_assembly_timeout: secs(40),
+        gang_failure_detection_time: secs(5),
         cancel: secs(50),
         txn_ops: 24,
         value_bytes: 8192,
-        list_lag: secs(8),
+        max_cloud_list_lag: secs(8),
         tuning: Tuning::default(),
         recovery: RecoverySettings::default(),
     }
@@ -98,7 +98,7 @@
         checkpoint_duration: secs(4),
         due: None,
         dependencies: Vec::new(),
-        listed: false,
-        accepted_ms: 0,
+        listed_as_dependent: false,
+        accepted_unix_ms: 0,
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -50,7 +50,7 @@
 pub struct Worker {
     pub id: MachineId,
     pub machine_type: MachineTypeName,
-    pub room: Resources,
+    pub capacity: Resources,
     pub zone: Zone,
     pub spot: bool,
     /// How often the machine was booted.
@@ -93,7 +93,7 @@
         Worker {
             id,
             machine_type: t.0,
-            room: t.1,
+            capacity: t.1,
             zone,
             spot,
             boot_count: 1,
@@ -254,7 +254,7 @@
         let other = |(k, t): (&(TaskId, AttemptId), &WorkerTask)| &k.0 == task && !t.ended();
         let phase = if self.tasks.iter().any(other) {
             TaskPhase::Ended(ExitReason::EarlierAttemptRunning)
-        } else if !used.fits(&self.room) {
+        } else if !used.fits(&self.capacity) {
             TaskPhase::Ended(ExitReason::InsufficientResources)
         } else {
             TaskPhase::Fetching
@@ -276,12 +276,14 @@
         if t.ended() || (t.phase == TaskPhase::Checkpointing && !grace_period.is_zero()) {
             return;
         }
-        let saves = t.phase == TaskPhase::Running && t.spec.saves();
-        if saves && grace_period >= t.spec.checkpoint_duration {
+        let writes_checkpoints = t.phase == TaskPhase::Running && t.spec.writes_checkpoints();
+        if writes_checkpoints && grace_period >= t.spec.checkpoint_duration {
             t.phase = TaskPhase::Checkpointing;
             t.until = now + t.spec.checkpoint_duration;
         } else {
-            t.phase = TaskPhase::Ended(ExitReason::Stopped { stored: false });
+            t.phase = TaskPhase::Ended(ExitReason::Stopped {
+                checkpoint_saved: false,
+            });
         }
         self.schedule_heartbeat(now);
     }
@@ -303,7 +305,7 @@
     pub fn advance(
         &mut self,
         now: Instant,
-        gang_wait: Duration,
+        gang_assembly_timeout: Duration,
         run: impl Fn(&TaskId) -> Duration,
         uploads: &mut Uploads,
     ) {
@@ -319,7 +321,7 @@
                     if uploads.done.contains(task) {
                         TaskPhase::Ended(ExitReason::Completed)
                     } else if gang {
-                        t.until = now + gang_wait;
+                        t.until = now + gang_assembly_timeout;
                         TaskPhase::WaitingForGang
                     } else {
                         t.until = now + run(task);
@@ -331,7 +333,9 @@
                     uploads.done.insert(task.clone());
                     TaskPhase::Ended(ExitReason::Completed)
                 }
-                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
+                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped {
+                    checkpoint_saved: true,
+                }),
                 other => other,
             };
             changed |= next != t.phase;
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -40,8 +40,11 @@
         ("objectives", slos.collect::<Vec<_>>().join(", ")),
         ("report_s", format!("{:?}", p.heartbeat)),
         ("lease_s", format!("{:?}", p.lease)),
-        ("gang_wait_s", format!("{:?}", p.gang_wait)),
-        ("gang_peer_s", format!("{:?}", p.gang_peer)),
+        ("gang_wait_s", format!("{:?}", p.gang_assembly_timeout)),
+        (
+            "gang_peer_s",
+            format!("{:?}", p.gang_failure_detection_time),
+        ),
         ("cancel_s", format!("{:?}", p.cancel)),
         (
             "state",
@@ -51,7 +54,7 @@
         ("value_kb", p.value_bytes.to_string()),
         ("txn_ops", p.txn_ops.to_string()),
         ("cloud.rps", s.cloud_rate.to_string()),
-        ("list_lag_s", format!("{:?}", p.list_lag)),
+        ("list_lag_s", format!("{:?}", p.max_cloud_list_lag)),
         ("max_sockets", s.max_sockets.to_string()),
     ]
 }
@@ -61,10 +64,10 @@
     let (o, t, r) = (&s.operations, &s.config.tuning, &s.config.recovery);
     let segments = r.segments.iter().map(|s| format!("{} {}", s.name, s.net));
     vec![
-        ("summary-every-s", format!("{:?}", t.summary_every)),
-        ("silent-share", t.silent_share.to_string()),
-        ("idle-spot-s", format!("{:?}", t.idle_spot)),
-        ("idle-ordinary-s", format!("{:?}", t.idle_ordinary)),
+        ("summary-every-s", format!("{:?}", t.summary_interval)),
+        ("silent-share", t.silent_lease_fraction.to_string()),
+        ("idle-spot-s", format!("{:?}", t.spot_idle_timeout)),
+        ("idle-ordinary-s", format!("{:?}", t.on_demand_idle_timeout)),
         ("max-live-jobs", t.max_live_jobs.to_string()),
         ("headroom-jobs", t.headroom_jobs.to_string()),
         ("max-hosts", t.max_machines.to_string()),
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -46,7 +46,7 @@
         resources: Resources {
             cpus: 8.5,
             gpus: 1.0,
-            memory: 64.0,
+            memory_gb: 64.0,
         },
         machine_types: Some(vec!["g8".into(), "g16".into()]),
         zone: Some("hall-a".into()),
@@ -60,8 +60,8 @@
         checkpoint_duration: secs(4.5),
         due: Some(secs(900.0)),
         dependencies: vec!["wk-000398".into(), "wk-000405".into()],
-        listed: false,
-        accepted_ms: 1_767_225_600_123,
+        listed_as_dependent: false,
+        accepted_unix_ms: 1_767_225_600_123,
     }
 }
 
@@ -69,7 +69,7 @@
 pub fn listed_job() -> JobSpec {
     JobSpec {
         priority: Priority::High,
-        listed: true,
+        listed_as_dependent: true,
         ..job()
     }
 }
@@ -113,16 +113,16 @@
 pub fn machine_type(gpus: f64, cache_gb: f64, fetch_gb_per_s: f64) -> MachineType {
     MachineType {
         name: "g8".into(),
-        room: Resources {
+        capacity: Resources {
             cpus: 64.0,
             gpus,
-            memory: 256.0,
+            memory_gb: 256.0,
         },
         cache_gb,
         fetch_gb_per_s,
-        hourly: 4.5,
-        low_price: 1.25,
-        boot: secs(30.0),
+        on_demand_price_per_hour: 4.5,
+        spot_price_per_hour: 1.25,
+        advertised_boot_time: secs(30.0),
         zones: vec!["hall-a".into(), "hall-b".into()],
     }
 }
@@ -147,8 +147,12 @@
 pub fn heartbeat() -> Heartbeat {
     let exits = [
         ExitReason::Completed,
-        ExitReason::Stopped { stored: true },
-        ExitReason::Stopped { stored: false },
+        ExitReason::Stopped {
+            checkpoint_saved: true,
+        },
+        ExitReason::Stopped {
+            checkpoint_saved: false,
+        },
         ExitReason::GangMemberEnded,
         ExitReason::GangIncomplete,
         ExitReason::InsufficientResources,
