--- a/src/common/rate_sharing.rs
+++ b/src/common/rate_sharing.rs
@@ -6,7 +6,7 @@
 
 /// Changes a second that were asked for recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Demand {
+pub struct ChangeRateDemand {
     /// By the node's users.
     pub users: f64,
     /// By the node's duties as the leader.
@@ -36,7 +36,11 @@
 impl RateShares {
     /// This node's shares of `total` changes a second. `peers` is what each peer asks for; the whole part
     /// of one that is out of reach (`None`) is left alone, since it may be at work all the same.
-    pub fn new(total: f64, own: Demand, peers: &[Option<Demand>]) -> RateShares {
+    pub fn new(
+        total: f64,
+        own: ChangeRateDemand,
+        peers: &[Option<ChangeRateDemand>],
+    ) -> RateShares {
         let nodes = peers.len() as f64 + 1.0;
         let leader_part = total * LEADER_PART;
         let users_part = total * (1.0 - LEADER_PART);
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -4,7 +4,7 @@
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
-use crate::common::rate_sharing::{Demand, RateShares, LEADER_PART};
+use crate::common::rate_sharing::{ChangeRateDemand, RateShares, LEADER_PART};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -144,13 +144,13 @@
 
     /// Changes a second that this node asks for, to be sent to its peers.
     #[must_use]
-    pub fn demand(&self) -> Demand {
+    pub fn demand(&self) -> ChangeRateDemand {
         self.usage().demand
     }
 
     /// Distributes the store's changes by the demand of all nodes. `None` stands for a peer whose demand
     /// is not known.
-    pub fn rebalance(&self, peers: &[Option<Demand>], now: Instant) {
+    pub fn rebalance(&self, peers: &[Option<ChangeRateDemand>], now: Instant) {
         let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGES;
         let mut usage = self.usage();
         let elapsed = now.saturating_duration_since(usage.since).as_secs_f64();
--- a/src/net/store/budget/usage.rs
+++ b/src/net/store/budget/usage.rs
@@ -1,7 +1,7 @@
 //! Changes that this node asks the key-value store for, measured.
 
 use crate::common::rate_limit::RequestClass;
-use crate::common::rate_sharing::Demand;
+use crate::common::rate_sharing::ChangeRateDemand;
 use std::time::Instant;
 
 /// Changes asked for since the last rebalancing, and the demand a second before that.
@@ -9,7 +9,7 @@
     users: usize,
     leader: usize,
     pub since: Instant,
-    pub demand: Demand,
+    pub demand: ChangeRateDemand,
 }
 
 impl Usage {
@@ -18,7 +18,7 @@
             users: 0,
             leader: 0,
             since: now,
-            demand: Demand::default(),
+            demand: ChangeRateDemand::default(),
         }
     }
 
@@ -31,10 +31,15 @@
 
     /// The mean of the demand before and the usage of the last `elapsed` seconds; after a pause only the
     /// latter counts. Starts to count anew.
-    pub fn update_demand(&mut self, elapsed: f64, max_changes: f64, now: Instant) -> Demand {
+    pub fn update_demand(
+        &mut self,
+        elapsed: f64,
+        max_changes: f64,
+        now: Instant,
+    ) -> ChangeRateDemand {
         let weight = (elapsed / 2.0).clamp(0.5, 1.0);
         let mean = |old: f64, count: usize| old + (count as f64 / elapsed - old) * weight;
-        self.demand = Demand {
+        self.demand = ChangeRateDemand {
             users: mean(self.demand.users, self.users).min(max_changes),
             leader: mean(self.demand.leader, self.leader).min(max_changes),
         };
--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -3,7 +3,7 @@
 //! A report counts only for `REPORT_LIFETIME`: a peer that has been silent for longer is treated as
 //! out of reach.
 
-use crate::common::rate_sharing::Demand;
+use crate::common::rate_sharing::ChangeRateDemand;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     /// Worker nodes whose heartbeats the peer receives.
     pub workers: u32,
     /// Changes a second that the peer asks of the key-value store.
-    pub demand: Demand,
+    pub demand: ChangeRateDemand,
     /// How late the peer's timers fire.
     pub timer_lag: Duration,
 }
@@ -62,7 +62,7 @@
         lags.max().unwrap_or_default()
     }
 
-    pub(super) fn demand_of(&self, member: &str, now: Instant) -> Option<Demand> {
+    pub(super) fn demand_of(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
         let status = self.reports.get(member)?;
         status.is_fresh(now).then_some(status.demand)
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -4,7 +4,7 @@
 //! through methods that name them. A lease counts from when it was asked for, by both clocks: of the two
 //! ends, the earlier one is binding.
 
-use crate::common::rate_sharing::Demand;
+use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::leadership::election::LeaderRecord;
 use crate::core::model::{JobId, MachineType, Term};
@@ -303,7 +303,7 @@
     }
 
     /// What a live peer asks of the key-value store.
-    pub fn demand_of(&self, member: &str, now: Instant) -> Option<Demand> {
+    pub fn demand_of(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
         self.read().peers.demand_of(member, now)
     }
 
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -3,7 +3,7 @@
 //! Each node says hello to each peer once a second, and the answer is the peer's own hello. Progress
 //! goes from the leader to the followers, for display only: users may be answered by any node.
 
-use crate::common::rate_sharing::Demand;
+use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::model::{JobId, Term};
 use crate::net::peer::{Hello, HelloExtension, JobProgress, Peer, PeerRequest, PeerResponse};
 use crate::node::job_cache::TaskCounts;
@@ -153,7 +153,7 @@
         received_at: Instant::now(),
         store_ok: hello.store_available,
         workers: hello.worker_count,
-        demand: Demand {
+        demand: ChangeRateDemand {
             users: hello.user_changes_per_s,
             leader: hello.leader_changes_per_s,
         },
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use cypressgap::common::metrics::LatencyMeter;
-use cypressgap::common::rate_sharing::Demand;
+use cypressgap::common::rate_sharing::ChangeRateDemand;
 use cypressgap::node::peer_table::PeerStatus;
 use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
                 received_at: now - secs(ago),
                 store_ok: ok,
                 workers: 0,
-                demand: Demand::default(),
+                demand: ChangeRateDemand::default(),
                 timer_lag: secs(0),
             };
             view.record_peer("worker-1", word);
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::api::submission_fairness::SubmissionFairness;
 use cypressgap::common::rate_limit::{RequestClass, TokenBucket};
-use cypressgap::common::rate_sharing::{Demand, RateShares};
+use cypressgap::common::rate_sharing::{ChangeRateDemand, RateShares};
 use cypressgap::net::store::StoreBudget;
 use cypressgap::settings::StoreRates;
 use std::time::{Duration, Instant};
@@ -141,13 +141,13 @@
 
 #[test]
 fn unused_write_budget_is_lent_to_other_nodes() {
-    let d = |users, leader| Some(Demand { users, leader });
+    let d = |users, leader| Some(ChangeRateDemand { users, leader });
     let quiet = d(0.0, 0.0);
     // Name, own demand, the peers', at least and at most for its users, the same as leader.
     type Case = (
         &'static str,
         (f64, f64),
-        [Option<Demand>; 2],
+        [Option<ChangeRateDemand>; 2],
         [f64; 2],
         [f64; 2],
     );
@@ -196,7 +196,7 @@
         ),
     ];
     for (name, (users, leader), peers, of_users, of_leader) in cases {
-        let shares = RateShares::new(60.0, Demand { users, leader }, &peers);
+        let shares = RateShares::new(60.0, ChangeRateDemand { users, leader }, &peers);
         let (u, l) = (shares.users, shares.leader);
         assert!(of_users[0] <= u && u <= of_users[1], "{name}: users {u}");
         assert!(of_leader[0] <= l && l <= of_leader[1], "{name}: leader {l}");
