--- a/src/common/rate_sharing.rs
+++ b/src/common/rate_sharing.rs
@@ -15,7 +15,7 @@
 
 /// Changes a second that a node may make.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RateShares {
+pub struct ChangeRateShares {
     /// For its users.
     pub users: f64,
     /// For its duties as the leader, should it lead.
@@ -33,14 +33,14 @@
 /// A node's users keep this part of their even share whatever the others ask for.
 const MIN_EVEN_PART: f64 = 0.5;
 
-impl RateShares {
+impl ChangeRateShares {
     /// This node's shares of `total` changes a second. `peers` is what each peer asks for; the whole part
     /// of one that is out of reach (`None`) is left alone, since it may be at work all the same.
     pub fn new(
         total: f64,
         own: ChangeRateDemand,
         peers: &[Option<ChangeRateDemand>],
-    ) -> RateShares {
+    ) -> ChangeRateShares {
         let nodes = peers.len() as f64 + 1.0;
         let leader_part = total * LEADER_PART;
         let users_part = total * (1.0 - LEADER_PART);
@@ -56,7 +56,7 @@
         let for_users = total - kept(leader_demand, leader_part);
         let min_demand = even * MIN_DEMAND_PART;
         let own_users = for_users * (own.users + min_demand) / (users_demand + min_demand * nodes);
-        RateShares {
+        ChangeRateShares {
             users: own_users.max(even * MIN_EVEN_PART),
             leader: total - kept(users_demand, users_part),
         }
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -4,7 +4,7 @@
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
-use crate::common::rate_sharing::{ChangeRateDemand, RateShares, LEADER_PART};
+use crate::common::rate_sharing::{ChangeRateDemand, ChangeRateShares, LEADER_PART};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -159,7 +159,7 @@
         }
         let demand = usage.update_demand(elapsed, changes, now);
         drop(usage);
-        let shares = RateShares::new(changes, demand, peers);
+        let shares = ChangeRateShares::new(changes, demand, peers);
         self.users.changes.set_rate(shares.users, now);
         self.leader.changes.set_rate(shares.leader, now);
     }
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -3,7 +3,7 @@
 use crate::common::*;
 use cypressgap::api::submission_fairness::SubmissionFairness;
 use cypressgap::common::rate_limit::{RequestClass, TokenBucket};
-use cypressgap::common::rate_sharing::{ChangeRateDemand, RateShares};
+use cypressgap::common::rate_sharing::{ChangeRateDemand, ChangeRateShares};
 use cypressgap::net::store::StoreBudget;
 use cypressgap::settings::StoreRates;
 use std::time::{Duration, Instant};
@@ -196,7 +196,7 @@
         ),
     ];
     for (name, (users, leader), peers, of_users, of_leader) in cases {
-        let shares = RateShares::new(60.0, ChangeRateDemand { users, leader }, &peers);
+        let shares = ChangeRateShares::new(60.0, ChangeRateDemand { users, leader }, &peers);
         let (u, l) = (shares.users, shares.leader);
         assert!(of_users[0] <= u && u <= of_users[1], "{name}: users {u}");
         assert!(of_leader[0] <= l && l <= of_leader[1], "{name}: leader {l}");
