--- a/src/common/rate_sharing.rs
+++ b/src/common/rate_sharing.rs
@@ -23,7 +23,7 @@
 }
 
 /// The leader's part of all changes when everybody wants more than there is. The rest is the users'.
-pub const LEADER_PART: f64 = 0.6;
+pub const LEADER_CHANGE_RATE_SHARE: f64 = 0.6;
 /// What is lent leaves the lender this much more than it asked for recently,
 const LENDER_MARGIN: f64 = 1.25;
 /// and this part of all changes.
@@ -42,8 +42,8 @@
         peers: &[Option<ChangeRateDemand>],
     ) -> ChangeRateShares {
         let nodes = peers.len() as f64 + 1.0;
-        let leader_part = total * LEADER_PART;
-        let users_part = total * (1.0 - LEADER_PART);
+        let leader_part = total * LEADER_CHANGE_RATE_SHARE;
+        let users_part = total * (1.0 - LEADER_CHANGE_RATE_SHARE);
         let even = users_part / nodes;
         let users_of_peers = peers.iter().map(|peer| peer.map_or(even, |d| d.users));
         let users_demand = own.users + users_of_peers.sum::<f64>();
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -4,7 +4,7 @@
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
-use crate::common::rate_sharing::{ChangeRateDemand, ChangeRateShares, LEADER_PART};
+use crate::common::rate_sharing::{ChangeRateDemand, ChangeRateShares, LEADER_CHANGE_RATE_SHARE};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -222,7 +222,7 @@
 fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
     StoreRates {
         requests: rates.requests * (1.0 - LEADER_REQUESTS) / controller_count,
-        changes: rates.changes * (1.0 - LEADER_PART) / controller_count,
+        changes: rates.changes * (1.0 - LEADER_CHANGE_RATE_SHARE) / controller_count,
     }
 }
 
@@ -230,6 +230,6 @@
 fn leader_rates(rates: StoreRates) -> StoreRates {
     StoreRates {
         requests: rates.requests * LEADER_REQUESTS,
-        changes: rates.changes * LEADER_PART,
+        changes: rates.changes * LEADER_CHANGE_RATE_SHARE,
     }
 }
