--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -75,7 +75,7 @@
     }
 
     /// The durations since the last call, as fields of a log line under `name`.
-    pub fn take_fields(&self, name: &str) -> String {
+    pub fn take_log_fields(&self, name: &str) -> String {
         let LatencySummary {
             count,
             p50_ms,
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -62,9 +62,9 @@
         context.timer_lag.average().as_millis(),
         start_limit.map_or(UNLIMITED, f64::round),
         cluster.fleet.machines.len(),
-        meters.starts.take_fields("starts"),
-        meters.rounds.take_fields("rounds"),
-        meters.store.take_fields("store_calls"),
-        meters.cloud.take_fields("cloud_calls")
+        meters.starts.take_log_fields("starts"),
+        meters.rounds.take_log_fields("rounds"),
+        meters.store.take_log_fields("store_calls"),
+        meters.cloud.take_log_fields("cloud_calls")
     );
 }
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -54,7 +54,7 @@
     assert_eq!(summary.count, 100);
     assert!((49.0..52.0).contains(&summary.p50_ms) && (94.0..97.0).contains(&summary.p95_ms));
     assert_eq!(
-        m.take_fields("calls"),
+        m.take_log_fields("calls"),
         "calls=0 calls_ms_p50=0.0 calls_ms_p95=0.0"
     );
 }
