--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -62,7 +62,7 @@
     }
 
     /// The durations since the last call.
-    pub fn take(&self) -> LatencySummary {
+    pub fn take_summary(&self) -> LatencySummary {
         let mut histogram = self.lock();
         let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS;
         let summary = LatencySummary {
@@ -80,7 +80,7 @@
             count,
             p50_ms,
             p95_ms,
-        } = self.take();
+        } = self.take_summary();
         format!("{name}={count} {name}_ms_p50={p50_ms:.1} {name}_ms_p95={p95_ms:.1}")
     }
 }
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -50,7 +50,7 @@
     for ms in 1..=100 {
         m.record(Duration::from_millis(ms));
     }
-    let summary = m.take();
+    let summary = m.take_summary();
     assert_eq!(summary.count, 100);
     assert!((49.0..52.0).contains(&summary.p50_ms) && (94.0..97.0).contains(&summary.p95_ms));
     assert_eq!(
