--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -96,12 +96,12 @@
     /// Takes tokens at this time. False: there are too few, and none was taken.
     #[must_use]
     pub fn try_take_at(&self, tokens: f64, now: Instant) -> bool {
-        self.try_take_above(tokens, 0.0, now)
+        self.try_take_above_reserve(tokens, 0.0, now)
     }
 
     /// Takes tokens if `reserve`, a part of the bucket's size, is left. False: none was taken.
     #[must_use]
-    pub fn try_take_above(&self, tokens: f64, reserve: f64, now: Instant) -> bool {
+    pub fn try_take_above_reserve(&self, tokens: f64, reserve: f64, now: Instant) -> bool {
         let mut state = self.lock();
         state.refill(now);
         let reserved = state.size * reserve;
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -170,7 +170,7 @@
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
             .requests
-            .try_take_above(1.0, STATUS_QUERY_RESERVE, now)
+            .try_take_above_reserve(1.0, STATUS_QUERY_RESERVE, now)
     }
 
     /// When a user whose change was refused for the rate should come back: by then the recent demand
@@ -191,13 +191,13 @@
     /// Takes a request with this many changes. False: the rate is used up for the moment.
     #[must_use]
     pub fn try_take(&self, class: RequestClass, changes: usize, now: Instant) -> bool {
-        self.try_take_above(class, changes, 0.0, now)
+        self.try_take_above_reserve(class, changes, 0.0, now)
     }
 
     /// Takes a request with this many changes where `reserve`, a part of the bucket of changes, is left
     /// to others.
     #[must_use]
-    pub fn try_take_above(
+    pub fn try_take_above_reserve(
         &self,
         class: RequestClass,
         changes: usize,
@@ -212,8 +212,10 @@
             RequestClass::Leader => &self.leader,
         };
         // What is refused for its changes must not use up requests.
-        let changes_granted =
-            changes == 0 || buckets.changes.try_take_above(changes as f64, reserve, now);
+        let changes_granted = changes == 0
+            || buckets
+                .changes
+                .try_take_above_reserve(changes as f64, reserve, now);
         changes_granted && buckets.requests.try_take_at(1.0, now)
     }
 }
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -128,7 +128,7 @@
         let (class, count) = (RequestClass::User, changes.len());
         if !self
             .budget
-            .try_take_above(class, count, reserve, Instant::now())
+            .try_take_above_reserve(class, count, reserve, Instant::now())
         {
             return Err(StoreError::RateLimited);
         }
