--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -202,7 +202,7 @@
         let problem = ApiResponse::problem(503, "machine types are not known yet");
         return Some(problem.with_retry_after(NO_MACHINE_TYPES_RETRY_S));
     }
-    if let Err(why) = admission::check(spec, &config.teams, &machine_types) {
+    if let Err(why) = admission::check_job(spec, &config.teams, &machine_types) {
         return Some(ApiResponse::problem(422, &why.to_string()));
     }
     let max_bytes = config.transaction_limits.value_bytes;
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -35,7 +35,11 @@
 }
 
 /// Checks a job against its team's limits and the machine types on offer.
-pub fn check(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
+pub fn check_job(
+    spec: &JobSpec,
+    teams: &[Team],
+    types: &[MachineType],
+) -> Result<(), AdmissionError> {
     let team = teams
         .iter()
         .find(|t| t.name == spec.team)
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: a job is accepted only when it could run on some machine type and within its team's limit.
 
 use crate::common::*;
-use cypressgap::core::admission::{check, AdmissionError};
+use cypressgap::core::admission::{check_job, AdmissionError};
 use cypressgap::core::model::*;
 
 type Edit = fn(&mut JobSpec);
@@ -56,6 +56,6 @@
     for (name, edit, expected) in cases {
         let mut job = spec("wk-000001", 2, 4.0);
         edit(&mut job);
-        assert_eq!(check(&job, &config().teams, &types), expected, "{name}");
+        assert_eq!(check_job(&job, &config().teams, &types), expected, "{name}");
     }
 }
