--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -1,34 +1,34 @@
-//! Meters whose values the periodic summary logs.
+//! Meters for the latency of operations and for the delay of this node's timers.
 
 use hdrhistogram::Histogram;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// An hour, in microseconds. Anything longer counts as an hour.
-const MAX_US: u64 = 3_600_000_000;
-/// Significant digits of a histogram.
-const PRECISION: u8 = 2;
-/// Microseconds in a millisecond.
+/// One hour. Longer durations are recorded as one hour.
+const MAX_DURATION_US: u64 = 3_600_000_000;
+/// Decimal digits to which a histogram keeps a duration.
+const SIGNIFICANT_DIGITS: u8 = 2;
 const US_PER_MS: f64 = 1000.0;
-/// The weight of the last timer in the average.
-const LAST_TIMER_WEIGHT: f64 = 0.15;
-/// A paused process is not an overloaded one: one such timer must not count for many.
+/// Weight of the newest lag in the exponential moving average.
+const NEWEST_LAG_WEIGHT: f64 = 0.15;
+/// Longer lags are recorded as this one. A process that was paused is not overloaded, so the single very late
+/// timer after a pause must not dominate the average.
 const MAX_TIMER_LAG: Duration = Duration::from_secs(2);
 
-/// Durations of one kind since the last summary.
+/// Collects the durations of one kind of operation until they are summarized.
 pub struct LatencyMeter {
-    /// In microseconds.
+    /// Durations in microseconds.
     histogram: Mutex<Histogram<u64>>,
 }
 
-/// The durations that a meter recorded.
+/// A summary of the durations that a meter recorded. The percentiles are 0 if there were none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencySummary {
-    /// How many they were.
+    /// Number of recorded durations.
     pub count: u64,
-    /// Their median, in milliseconds.
+    /// Median in milliseconds.
     pub p50_ms: f64,
-    /// Their 95th percentile, in milliseconds.
+    /// 95th percentile in milliseconds.
     pub p95_ms: f64,
 }
 
@@ -39,11 +39,12 @@
 }
 
 impl LatencyMeter {
-    /// An empty meter.
+    /// Creates a meter without recorded durations.
     pub fn new() -> LatencyMeter {
-        // Fixed bounds: a histogram that grows by itself clamps saturating records to its first size.
-        let histogram =
-            Histogram::new_with_bounds(1, MAX_US, PRECISION).expect("the bounds are in order");
+        // The bounds are fixed because `saturating_record` never resizes a histogram: one that starts small
+        // and resizes itself would clamp durations to its initial range.
+        let histogram = Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
+            .expect("the histogram's bounds and precision are valid");
         LatencyMeter {
             histogram: Mutex::new(histogram),
         }
@@ -55,13 +56,13 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Records one duration.
+    /// Records a duration, rounded down to microseconds. Durations above one hour are recorded as one hour.
     pub fn record(&self, duration: Duration) {
         let us = duration.as_micros().min(u128::from(u64::MAX)) as u64;
         self.lock().saturating_record(us);
     }
 
-    /// The durations since the last call.
+    /// Summarizes the durations recorded since the last summary and resets the meter.
     pub fn take_summary(&self) -> LatencySummary {
         let mut histogram = self.lock();
         let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS;
@@ -74,7 +75,8 @@
         summary
     }
 
-    /// The durations since the last call, as fields of a log line under `name`.
+    /// Like [`LatencyMeter::take_summary`], formatted as fields of a log line: the count as `name`, and the
+    /// percentiles as `name` with the suffixes `_ms_p50` and `_ms_p95`.
     pub fn take_log_fields(&self, name: &str) -> String {
         let LatencySummary {
             count,
@@ -85,25 +87,25 @@
     }
 }
 
-/// How late this node's own timers fire, averaged over the last few: in a process that runs out of its
-/// share of the processor, everything is late.
+/// Moving average of the timer lag: how late this node's own timers fire. It serves as a measure of overload,
+/// because everything in a process that lacks CPU time runs late.
 #[derive(Default)]
 pub struct TimerLag {
     average: Mutex<Duration>,
 }
 
 impl TimerLag {
-    /// Records how late a timer fired.
+    /// Records how late a timer fired. Lags above two seconds are recorded as two seconds.
     pub fn record(&self, lag: Duration) {
         let mut average = self
             .average
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let lag = lag.min(MAX_TIMER_LAG);
-        *average = average.mul_f64(1.0 - LAST_TIMER_WEIGHT) + lag.mul_f64(LAST_TIMER_WEIGHT);
+        *average = average.mul_f64(1.0 - NEWEST_LAG_WEIGHT) + lag.mul_f64(NEWEST_LAG_WEIGHT);
     }
 
-    /// The average over the last few timers.
+    /// The exponential moving average of the recorded lags, zero before the first one.
     pub fn average(&self) -> Duration {
         *self
             .average
--- a/src/common/mod.rs
+++ b/src/common/mod.rs
@@ -1,4 +1,4 @@
-//! Building blocks without knowledge of the domain: rate limits, meters, the stop signal.
+//! Utilities that depend on no other module of this crate: rate limits, meters and the stop signal.
 
 pub mod metrics;
 pub mod rate_limit;
--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -1,57 +1,62 @@
-//! Token buckets for the rates that the key-value store and the cloud allow.
+//! Token buckets that keep a node's requests within the rates that the key-value store and the cloud allow.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
 
-/// Tolerance for sums of floating-point numbers.
-const EPSILON: f64 = 1e-9;
+/// Rounding tolerance for the comparison of a bucket's tokens with its capacity.
+const TOKEN_EPSILON: f64 = 1e-9;
 
-/// On whose behalf a request is made.
+/// On whose behalf a request to the key-value store is made. Each class has a rate limit of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// What the leader needs to lead and to launch.
+    /// Requests for the leader election, for watches, and for the leader's own work, such as recording which
+    /// tasks to launch.
     Leader,
-    /// A user's request.
+    /// Requests that handle submissions, cancellations and status queries of users.
     User,
 }
 
-/// A token bucket. It fills at a steady rate up to its size, and is full at first.
+/// A token bucket: tokens are added at a constant rate up to the bucket's capacity, and each request takes
+/// some of them. A new bucket is full.
 pub struct TokenBucket {
     state: Mutex<State>,
 }
 
 struct State {
-    size: f64,
-    rate: f64,
+    capacity_tokens: f64,
+    tokens_per_s: f64,
     tokens: f64,
     refilled_at: Instant,
 }
 
 impl State {
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.refilled_at);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.rate).min(self.size);
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        self.tokens =
+            (self.tokens + elapsed.as_secs_f64() * self.tokens_per_s).min(self.capacity_tokens);
         self.refilled_at = self.refilled_at.max(now);
     }
 
     fn is_full(&self) -> bool {
-        self.tokens >= self.size - EPSILON
+        self.tokens >= self.capacity_tokens - TOKEN_EPSILON
     }
 }
 
-fn size(rate: f64, burst_s: f64) -> f64 {
-    (rate * burst_s).max(1.0)
+/// The capacity of a bucket that allows bursts of `burst_s` seconds' worth of tokens, at least one token.
+fn capacity_tokens(tokens_per_s: f64, burst_s: f64) -> f64 {
+    (tokens_per_s * burst_s).max(1.0)
 }
 
 impl TokenBucket {
-    /// A bucket for `rate` tokens a second, with bursts worth `burst_s` seconds.
-    pub fn new(rate: f64, burst_s: f64, now: Instant) -> TokenBucket {
-        let size = size(rate, burst_s);
+    /// Creates a full bucket that gains `tokens_per_s` tokens per second. Its capacity is `burst_s` seconds'
+    /// worth of tokens, at least one.
+    pub fn new(tokens_per_s: f64, burst_s: f64, now: Instant) -> TokenBucket {
+        let capacity_tokens = capacity_tokens(tokens_per_s, burst_s);
         TokenBucket {
             state: Mutex::new(State {
-                size,
-                rate,
-                tokens: size,
+                capacity_tokens,
+                tokens_per_s,
+                tokens: capacity_tokens,
                 refilled_at: now,
             }),
         }
@@ -63,51 +68,57 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Changes the rate. Bursts stay as large as they were.
-    pub fn set_rate(&self, rate: f64, now: Instant) {
+    /// Changes the rate from `now` on. The capacity, and so the largest burst, stays the same.
+    pub fn set_rate(&self, tokens_per_s: f64, now: Instant) {
         let mut state = self.lock();
         state.refill(now);
-        state.rate = rate;
+        state.tokens_per_s = tokens_per_s;
     }
 
-    /// Limits bursts to `burst_s` seconds' worth of `rate`.
-    pub fn set_burst(&self, rate: f64, burst_s: f64) {
-        self.lock().size = size(rate, burst_s);
+    /// Sets the capacity to `burst_s` seconds' worth of tokens at the given rate, at least one token. The
+    /// rate at which tokens are added stays the same.
+    pub fn set_burst(&self, tokens_per_s: f64, burst_s: f64) {
+        self.lock().capacity_tokens = capacity_tokens(tokens_per_s, burst_s);
     }
 
-    /// Tokens a second.
+    /// The rate at which tokens are added, in tokens per second.
     pub fn rate(&self) -> f64 {
-        self.lock().rate
+        self.lock().tokens_per_s
     }
 
-    /// The tokens at this time.
+    /// The number of tokens in the bucket at `now`.
     pub fn available_at(&self, now: Instant) -> f64 {
         let mut state = self.lock();
         state.refill(now);
         state.tokens
     }
 
-    /// Takes tokens now. False: there are too few, and none was taken.
+    /// Takes tokens at the current time, like [`TokenBucket::try_take_at`].
     #[must_use]
     pub fn try_take(&self, tokens: f64) -> bool {
         self.try_take_at(tokens, Instant::now())
     }
 
-    /// Takes tokens at this time. False: there are too few, and none was taken.
+    /// Takes `tokens` at `now`. Returns false, and takes none, if the bucket holds fewer. A request for more
+    /// tokens than the capacity is granted when the bucket is full.
     #[must_use]
     pub fn try_take_at(&self, tokens: f64, now: Instant) -> bool {
         self.try_take_above_reserve(tokens, 0.0, now)
     }
 
-    /// Takes tokens if `reserve`, a part of the bucket's size, is left. False: none was taken.
+    /// Takes `tokens` at `now` if at least `reserved_share` of the capacity, a fraction from 0 to 1, remains
+    /// in the bucket. Returns false, and takes none, if less would remain. A request for more tokens than the
+    /// unreserved part of the capacity is granted when the bucket is full.
     #[must_use]
-    pub fn try_take_above_reserve(&self, tokens: f64, reserve: f64, now: Instant) -> bool {
+    pub fn try_take_above_reserve(&self, tokens: f64, reserved_share: f64, now: Instant) -> bool {
         let mut state = self.lock();
         state.refill(now);
-        let reserved = state.size * reserve;
-        // A request larger than the bucket goes through when the bucket is full.
-        let never_fits = tokens > state.size - reserved;
-        let granted = state.tokens - tokens >= reserved || (never_fits && state.is_full());
+        let reserved_tokens = state.capacity_tokens * reserved_share;
+        // Such a request is granted when the bucket is full; otherwise it would never be granted. It leaves
+        // the bucket below the reserve, possibly with a negative number of tokens.
+        let exceeds_capacity = tokens > state.capacity_tokens - reserved_tokens;
+        let granted =
+            state.tokens - tokens >= reserved_tokens || (exceeds_capacity && state.is_full());
         if granted {
             state.tokens -= tokens;
         }
--- a/src/common/rate_sharing.rs
+++ b/src/common/rate_sharing.rs
@@ -1,64 +1,78 @@
-//! How the nodes share the rate of changes that the key-value store allows.
+//! Distributes the rate of changes that the key-value store allows among the nodes. A change writes or
+//! deletes one key.
 //!
-//! Each node's users have a part, and the leader has one. What one of them does not use the others may: a
-//! flood of submissions needs far more than the users' part, and the leader more than its own when nobody
-//! submits. Each node computes its shares by itself, from what the nodes report to each other.
+//! The leader has a share of the rate, and the users of each node have one. What is not used of a share is
+//! lent to the others: a burst of submissions needs far more than the users' share, and the leader needs
+//! more than its own share when there are no submissions. Each node computes its shares by itself from the
+//! demand that the nodes report to each other.
 
-/// Changes a second that were asked for recently.
+/// The rate of changes that a node requested recently, in changes per second, including refused ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChangeRateDemand {
-    /// By the node's users.
+    /// Changes requested for the node's users.
     pub users: f64,
-    /// By the node's duties as the leader.
+    /// Changes requested for the node's work as the leader.
     pub leader: f64,
 }
 
-/// Changes a second that a node may make.
+/// The rate of changes that a node may make, in changes per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeRateShares {
-    /// For its users.
+    /// Limit for the node's users.
     pub users: f64,
-    /// For its duties as the leader, should it lead.
+    /// Limit for the node's work as the leader. It is computed whether or not the node leads, so that a new
+    /// leader can use it at once.
     pub leader: f64,
 }
 
-/// The leader's part of all changes when everybody wants more than there is. The rest is the users'.
+/// The leader's share of the total rate of changes when both the leader and the users request more than their
+/// share. The rest belongs to the users of all nodes.
 pub const LEADER_CHANGE_RATE_SHARE: f64 = 0.6;
-/// What is lent leaves the lender this much more than it asked for recently,
-const LENDER_MARGIN: f64 = 1.25;
-/// and this part of all changes.
-const LENDER_RESERVE: f64 = 0.05;
-/// A node without demand counts with this part of its even share.
-const MIN_DEMAND_PART: f64 = 0.05;
-/// A node's users keep this part of their even share whatever the others ask for.
-const MIN_EVEN_PART: f64 = 0.5;
+/// A lender keeps its recent demand multiplied by this factor, plus [`LENDER_RESERVE_FRACTION`] of the total
+/// rate, but never more than its own share.
+const LENDER_DEMAND_FACTOR: f64 = 1.25;
+/// Fraction of the total rate that a lender keeps in addition to its demand.
+const LENDER_RESERVE_FRACTION: f64 = 0.05;
+/// Fraction of a node's even share of the users' rate that is added to the demand of its users, so that a
+/// node without demand is counted too.
+const ADDED_FRACTION_OF_EVEN_SHARE: f64 = 0.05;
+/// Fraction of a node's even share of the users' rate that its users keep regardless of the demand of others.
+const MIN_FRACTION_OF_EVEN_SHARE: f64 = 0.5;
 
 impl ChangeRateShares {
-    /// This node's shares of `total` changes a second. `peers` is what each peer asks for; the whole part
-    /// of one that is out of reach (`None`) is left alone, since it may be at work all the same.
+    /// Computes this node's shares of `total` changes per second from its own demand and that of each peer.
+    /// A peer that cannot be reached (`None`) is counted as requesting its full shares, because it may still
+    /// be making changes.
     pub fn new(
         total: f64,
         own: ChangeRateDemand,
         peers: &[Option<ChangeRateDemand>],
     ) -> ChangeRateShares {
-        let nodes = peers.len() as f64 + 1.0;
-        let leader_part = total * LEADER_CHANGE_RATE_SHARE;
-        let users_part = total * (1.0 - LEADER_CHANGE_RATE_SHARE);
-        let even = users_part / nodes;
-        let users_of_peers = peers.iter().map(|peer| peer.map_or(even, |d| d.users));
-        let users_demand = own.users + users_of_peers.sum::<f64>();
-        let leaders_of_peers = peers.iter().map(|p| p.map_or(leader_part, |d| d.leader));
-        let leader_demand = leaders_of_peers.fold(own.leader, f64::max);
-        let kept = |demand: f64, part: f64| {
-            let needed = demand * LENDER_MARGIN + total * LENDER_RESERVE;
-            needed.min(part)
+        let node_count = peers.len() as f64 + 1.0;
+        let leader_share = total * LEADER_CHANGE_RATE_SHARE;
+        let users_share = total * (1.0 - LEADER_CHANGE_RATE_SHARE);
+        let even_share = users_share / node_count;
+        let peer_users_demands = peers
+            .iter()
+            .map(|peer| peer.map_or(even_share, |demand| demand.users));
+        let users_demand = own.users + peer_users_demands.sum::<f64>();
+        // Only one node leads, so the highest demand counts rather than the sum.
+        let peer_leader_demands = peers
+            .iter()
+            .map(|peer| peer.map_or(leader_share, |demand| demand.leader));
+        let leader_demand = peer_leader_demands.fold(own.leader, f64::max);
+        // The part of a share that is not lent.
+        let kept = |demand: f64, share: f64| {
+            let needed = demand * LENDER_DEMAND_FACTOR + total * LENDER_RESERVE_FRACTION;
+            needed.min(share)
         };
-        let for_users = total - kept(leader_demand, leader_part);
-        let min_demand = even * MIN_DEMAND_PART;
-        let own_users = for_users * (own.users + min_demand) / (users_demand + min_demand * nodes);
+        let available_to_users = total - kept(leader_demand, leader_share);
+        let added_demand = even_share * ADDED_FRACTION_OF_EVEN_SHARE;
+        let own_users_share = available_to_users * (own.users + added_demand)
+            / (users_demand + added_demand * node_count);
         ChangeRateShares {
-            users: own_users.max(even * MIN_EVEN_PART),
-            leader: total - kept(users_demand, users_part),
+            users: own_users_share.max(even_share * MIN_FRACTION_OF_EVEN_SHARE),
+            leader: total - kept(users_demand, users_share),
         }
     }
 }
--- a/src/common/stop_signal.rs
+++ b/src/common/stop_signal.rs
@@ -1,4 +1,4 @@
-//! A signal to end that many threads can wait for.
+//! A shutdown signal that any number of threads can poll or wait for.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -17,39 +17,40 @@
     }
 }
 
-/// A signal to end. Its clones are one signal; once given, it stays given.
+/// A signal that asks threads to stop. Clones share one state, and a signal that has been given cannot be
+/// withdrawn.
 #[derive(Clone, Default)]
 pub struct StopSignal {
     state: Arc<State>,
 }
 
 impl StopSignal {
-    /// A signal that is not given yet.
+    /// Creates a signal that has not been given yet.
     pub fn new() -> StopSignal {
         StopSignal::default()
     }
 
-    /// Gives the signal.
+    /// Gives the signal and wakes all threads that wait for it.
     pub fn stop(&self) {
         *self.state.lock() = true;
         self.state.changed.notify_all();
     }
 
-    /// Whether the signal was given.
+    /// Whether the signal has been given. Does not block.
     pub fn is_stopped(&self) -> bool {
         *self.state.lock()
     }
 
-    /// Sleeps for `time` or until the signal is given, and returns whether it was.
-    pub fn wait(&self, time: Duration) -> bool {
-        let until = Instant::now() + time;
+    /// Blocks until the signal is given or `timeout` has passed. Returns true if the signal has been given.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut stopped = self.state.lock();
         while !*stopped {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            stopped = match self.state.changed.wait_timeout(stopped, left) {
+            stopped = match self.state.changed.wait_timeout(stopped, remaining) {
                 Ok((stopped, _)) => stopped,
                 Err(e) => e.into_inner().0,
             };
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,67 +1,82 @@
-//! Admission control: the checks of a submission that are answered with 422.
+//! Admission control: rejects jobs that could never run or whose record could not be stored.
+//!
+//! The API answers a rejected submission with the HTTP status 422. Resources that are in use at the moment
+//! count as free: a job that only has to wait for them is admitted.
 
 use super::model::{JobKind, JobSpec, MachineType, Resources, Team};
 
-/// Why a job is not admitted: it could never run, or not be stored.
+/// The reason why a job is rejected. Its text is sent to the user in the response.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// The team is not in the settings.
+    /// The settings contain no team of this name.
     #[error("unknown team")]
     UnknownTeam,
-    /// A task fits no machine type that the job allows.
+    /// No machine type that the job allows is large enough for a task and offered in a zone that it allows.
     #[error("a task fits no allowed machine type")]
     NoSuitableMachineType,
-    /// A task, or the whole gang, needs more than its team's limit.
+    /// A single task of a batch job, or all tasks of a gang together, need more CPUs or GPUs than the team's
+    /// limit.
     #[error("the job needs more than the team's limit")]
     ExceedsTeamLimit,
-    /// Its record would be too long for one value of the key-value store.
-    #[error("the job's description takes up to {size} bytes; one value of the state service holds {limit}")]
+    /// The job's record might exceed the size limit of a value in the key-value store.
+    #[error(
+        "the job's description takes up to {max_record_bytes} bytes; one value of the state service holds \
+         {max_value_bytes}"
+    )]
     RecordTooLong {
-        /// The greatest size of the record in bytes.
-        size: usize,
-        /// The greatest size of a value in bytes.
-        limit: usize,
+        /// Upper bound of the record's size.
+        max_record_bytes: usize,
+        /// Size limit of a value in the key-value store.
+        max_value_bytes: usize,
     },
 }
 
-/// Checks that the job's record, of this size at most, fits into one value of the key-value store. The number
-/// of tasks does not matter: only names and lists make a record long.
-pub fn check_record_size(size: usize, limit: usize) -> Result<(), AdmissionError> {
-    if size <= limit {
+/// Checks that a job's record, given an upper bound of its size, fits into one value of the key-value store.
+/// The size does not depend on the number of tasks: only names and lists make a record long.
+pub fn check_record_size(
+    max_record_bytes: usize,
+    max_value_bytes: usize,
+) -> Result<(), AdmissionError> {
+    if max_record_bytes <= max_value_bytes {
         Ok(())
     } else {
-        Err(AdmissionError::RecordTooLong { size, limit })
+        Err(AdmissionError::RecordTooLong {
+            max_record_bytes,
+            max_value_bytes,
+        })
     }
 }
 
-/// Checks a job against its team's limits and the machine types on offer.
+/// Checks that a job's team exists, that some offered machine type can run a task of the job, and that the
+/// least resources with which the job can run stay within the team's limit.
 pub fn check_job(
     spec: &JobSpec,
     teams: &[Team],
-    types: &[MachineType],
+    machine_types: &[MachineType],
 ) -> Result<(), AdmissionError> {
     let team = teams
         .iter()
         .find(|t| t.name == spec.team)
         .ok_or(AdmissionError::UnknownTeam)?;
-    if !types
+    if !machine_types
         .iter()
         .any(|machine_type| can_run_on(spec, machine_type))
     {
         return Err(AdmissionError::NoSuitableMachineType);
     }
-    let least_usage = match spec.kind {
+    let min_usage = match spec.kind {
         JobKind::Batch => spec.resources,
         JobKind::Gang => spec.resources.times(f64::from(spec.task_count)),
     };
-    if team.allows(&Resources::default(), &least_usage) {
+    if team.allows(&Resources::default(), &min_usage) {
         Ok(())
     } else {
         Err(AdmissionError::ExceedsTeamLimit)
     }
 }
 
-/// Whether a task of the job fits some machine of this type.
+/// Whether the job allows this machine type and one of the zones where it is offered, and a task fits an
+/// empty machine of this type.
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
         && spec.resources.fits(&machine_type.room)
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,8 @@
-//! The deciding part: deterministic, without sockets, files, threads or clocks of its own.
+//! The scheduling logic. It is deterministic and uses no sockets, files or threads.
 //!
-//! Events go in through the methods of [`state::ClusterState`], and what has to be done
-//! comes back as [`state::Action`]s.
+//! Callers report events through the methods of [`state::ClusterState`] and carry out the [`state::Action`]s
+//! that the core produces. They also pass in the current time: only the helper
+//! [`leadership::cancellation_watermark::ClockReading::now`], which callers use for that, reads the clocks.
 
 pub mod admission;
 pub mod capacity;
