--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -4,7 +4,7 @@
 //! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
-use crate::common::rate_sharing::{Demand, RateShares, LEADER_PART};
+use crate::common::rate_sharing::{ChangeRateDemand, ChangeRateShares, LEADER_CHANGE_RATE_SHARE};
 use crate::settings::StoreRates;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -144,13 +144,13 @@
 
     /// Changes a second that this node asks for, to be sent to its peers.
     #[must_use]
-    pub fn demand(&self) -> Demand {
+    pub fn demand(&self) -> ChangeRateDemand {
         self.usage().demand
     }
 
     /// Distributes the store's changes by the demand of all nodes. `None` stands for a peer whose demand
     /// is not known.
-    pub fn rebalance(&self, peers: &[Option<Demand>], now: Instant) {
+    pub fn rebalance(&self, peers: &[Option<ChangeRateDemand>], now: Instant) {
         let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGES;
         let mut usage = self.usage();
         let elapsed = now.saturating_duration_since(usage.since).as_secs_f64();
@@ -159,7 +159,7 @@
         }
         let demand = usage.update_demand(elapsed, changes, now);
         drop(usage);
-        let shares = RateShares::new(changes, demand, peers);
+        let shares = ChangeRateShares::new(changes, demand, peers);
         self.users.changes.set_rate(shares.users, now);
         self.leader.changes.set_rate(shares.leader, now);
     }
@@ -170,7 +170,7 @@
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
             .requests
-            .try_take_above(1.0, STATUS_QUERY_RESERVE, now)
+            .try_take_above_reserve(1.0, STATUS_QUERY_RESERVE, now)
     }
 
     /// When a user whose change was refused for the rate should come back: by then the recent demand
@@ -191,13 +191,13 @@
     /// Takes a request with this many changes. False: the rate is used up for the moment.
     #[must_use]
     pub fn try_take(&self, class: RequestClass, changes: usize, now: Instant) -> bool {
-        self.try_take_above(class, changes, 0.0, now)
+        self.try_take_above_reserve(class, changes, 0.0, now)
     }
 
     /// Takes a request with this many changes where `reserve`, a part of the bucket of changes, is left
     /// to others.
     #[must_use]
-    pub fn try_take_above(
+    pub fn try_take_above_reserve(
         &self,
         class: RequestClass,
         changes: usize,
@@ -212,8 +212,10 @@
             RequestClass::Leader => &self.leader,
         };
         // What is refused for its changes must not use up requests.
-        let changes_granted =
-            changes == 0 || buckets.changes.try_take_above(changes as f64, reserve, now);
+        let changes_granted = changes == 0
+            || buckets
+                .changes
+                .try_take_above_reserve(changes as f64, reserve, now);
         changes_granted && buckets.requests.try_take_at(1.0, now)
     }
 }
@@ -222,7 +224,7 @@
 fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
     StoreRates {
         requests: rates.requests * (1.0 - LEADER_REQUESTS) / controller_count,
-        changes: rates.changes * (1.0 - LEADER_PART) / controller_count,
+        changes: rates.changes * (1.0 - LEADER_CHANGE_RATE_SHARE) / controller_count,
     }
 }
 
@@ -230,6 +232,6 @@
 fn leader_rates(rates: StoreRates) -> StoreRates {
     StoreRates {
         requests: rates.requests * LEADER_REQUESTS,
-        changes: rates.changes * LEADER_PART,
+        changes: rates.changes * LEADER_CHANGE_RATE_SHARE,
     }
 }
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use cypressgap::common::metrics::LatencyMeter;
-use cypressgap::common::rate_sharing::Demand;
+use cypressgap::common::rate_sharing::ChangeRateDemand;
 use cypressgap::node::peer_table::PeerStatus;
 use cypressgap::node::view::NodeView;
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
                 received_at: now - secs(ago),
                 store_ok: ok,
                 workers: 0,
-                demand: Demand::default(),
+                demand: ChangeRateDemand::default(),
                 timer_lag: secs(0),
             };
             view.record_peer("worker-1", word);
@@ -50,11 +50,11 @@
     for ms in 1..=100 {
         m.record(Duration::from_millis(ms));
     }
-    let summary = m.take();
+    let summary = m.take_summary();
     assert_eq!(summary.count, 100);
     assert!((49.0..52.0).contains(&summary.p50_ms) && (94.0..97.0).contains(&summary.p95_ms));
     assert_eq!(
-        m.take_fields("calls"),
+        m.take_log_fields("calls"),
         "calls=0 calls_ms_p50=0.0 calls_ms_p95=0.0"
     );
 }
