--- a/crates/model/src/heartbeats.rs
+++ b/crates/model/src/heartbeats.rs
@@ -14,7 +14,7 @@
     /// A kill command stopped the attempt.
     Stopped {
         /// Whether the attempt saved a checkpoint before it stopped.
-        checkpoint_saved: bool,
+        stored: bool,
     },
     /// Another member of the gang ended, so this attempt was ended as well.
     GangMemberEnded,
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -103,8 +103,8 @@
         }
         match exit {
             ExitReason::Completed => self.on_task_completed(now, heartbeat, task, &attempt),
-            ExitReason::Stopped { checkpoint_saved } => {
-                self.record_checkpoint(now, task, &attempt, checkpoint_saved);
+            ExitReason::Stopped { stored } => {
+                self.record_checkpoint(now, task, &attempt, stored);
             }
             ExitReason::Failed => self.on_task_failed(now, machine_id, task, &attempt),
             ExitReason::InsufficientResources | ExitReason::EarlierAttemptRunning => {
@@ -154,7 +154,7 @@
         now: Instant,
         task: &TaskId,
         attempt: &ActiveAttempt,
-        checkpoint_saved: bool,
+        stored: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
@@ -164,7 +164,7 @@
             return;
         };
         let interval = job.spec.checkpoint_interval.as_secs_f64();
-        let saved = if checkpoint_saved {
+        let saved = if stored {
             took.as_secs_f64()
         } else {
             (took.as_secs_f64() / interval).floor() * interval
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -101,7 +101,7 @@
         Ok(match reason.ok_or(InvalidField("ExitReason"))? {
             "done" => ExitReason::Completed,
             "stopped" => ExitReason::Stopped {
-                checkpoint_saved: self.checkpointed.unwrap_or(false),
+                stored: self.checkpointed.unwrap_or(false),
             },
             "peers" => ExitReason::GangMemberEnded,
             "incomplete" => ExitReason::GangIncomplete,
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -134,13 +134,7 @@
         ),
         (
             "stopped in the first",
-            vec![(
-                1,
-                40,
-                ended(ExitReason::Stopped {
-                    checkpoint_saved: false,
-                }),
-            )],
+            vec![(1, 40, ended(ExitReason::Stopped { stored: false }))],
         ),
         (
             "failed in the first",
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -81,9 +81,7 @@
             "both were stopped",
             [0, 1]
                 .map(|i| {
-                    let stopped = ExitReason::Stopped {
-                        checkpoint_saved: false,
-                    };
+                    let stopped = ExitReason::Stopped { stored: false };
                     shown("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
                 })
                 .to_vec(),
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -182,13 +182,11 @@
 
 #[test]
 fn effects_of_each_exit_reason() {
-    let checkpoint_saved = ExitReason::Stopped {
-        checkpoint_saved: true,
-    };
+    let stored = ExitReason::Stopped { stored: true };
     // End, done, waits again, host avoided for a while, job held back.
     let cases = [
         (ExitReason::Completed, true, false, false, false),
-        (checkpoint_saved, false, true, false, false),
+        (stored, false, true, false, false),
         (ExitReason::Failed, false, true, true, false),
         (ExitReason::InsufficientResources, false, true, true, false),
         (ExitReason::EarlierAttemptRunning, false, true, true, false),
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -281,9 +281,7 @@
             t.phase = TaskPhase::Checkpointing;
             t.until = now + t.spec.checkpoint_duration;
         } else {
-            t.phase = TaskPhase::Ended(ExitReason::Stopped {
-                checkpoint_saved: false,
-            });
+            t.phase = TaskPhase::Ended(ExitReason::Stopped { stored: false });
         }
         self.schedule_heartbeat(now);
     }
@@ -333,9 +331,7 @@
                     uploads.done.insert(task.clone());
                     TaskPhase::Ended(ExitReason::Completed)
                 }
-                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped {
-                    checkpoint_saved: true,
-                }),
+                TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
                 other => other,
             };
             changed |= next != t.phase;
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -147,12 +147,8 @@
 pub fn heartbeat() -> Heartbeat {
     let exits = [
         ExitReason::Completed,
-        ExitReason::Stopped {
-            checkpoint_saved: true,
-        },
-        ExitReason::Stopped {
-            checkpoint_saved: false,
-        },
+        ExitReason::Stopped { stored: true },
+        ExitReason::Stopped { stored: false },
         ExitReason::GangMemberEnded,
         ExitReason::GangIncomplete,
         ExitReason::InsufficientResources,
