--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -1,4 +1,4 @@
-//! Carries a placement round out: the only place where placement and preemption change the state.
+//! Applies the plan of a placement round: the only place where a round's decisions change the state.
 
 use crate::core::model::{AttemptId, JobId};
 use crate::core::placement::plan::{RoundOutcome, RoundPlan, StartKind, TaskStart, WaitingTasks};
@@ -7,22 +7,23 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// A job none of whose tasks was placed for this long is starved. Every job is to begin within four
-/// minutes, so a part of its tasks goes before all others, whatever their priority or size.
+/// A job is starved if none of its tasks was placed for this long. The objective is that every job starts
+/// within four minutes, so some of a starved job's tasks go before all other jobs, whatever their
+/// priority or size.
 const STARVATION_TIME: Duration = Duration::from_secs(100);
-/// That part: one in so many of its tasks.
+/// A starved job gets one in this many of its tasks boosted, rounded up.
 const STARVED_TASKS_DIVISOR: u32 = 8;
-/// Sizes of tasks without room that are remembered for the next round.
+/// The maximum number of distinct sizes of unplaced tasks that are kept for the next round.
 const MAX_UNPLACED_SIZES: usize = 32;
 
-/// The gang whose members are being started.
+/// The gang whose members are being started, with the attempt id that they share.
 struct GangAttempt {
     job_id: JobId,
     attempt: AttemptId,
 }
 
 impl ClusterState {
-    /// One round over the queue. Starts what can start; returns what waits.
+    /// Runs one placement round: starts the tasks that can start and returns those that have to wait.
     pub(in crate::core) fn run_placement_round(&mut self, now: Instant) -> RoundOutcome {
         self.jobs.sort();
         self.recent_usage.update(now, self.quota_usage.by_team());
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Smaller tasks leave machines to these in the next round.
+    /// Records the sizes of tasks that were not placed: in the next round, smaller tasks avoid machines
+    /// that these need.
     fn remember_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
         self.unplaced_resources.clear();
         for tasks in waiting.iter().filter(|w| !w.on_booting_machine) {
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -1,4 +1,4 @@
-//! Places the tasks of job arrays, one after the other.
+//! Places the tasks of job arrays one at a time.
 
 use crate::core::model::Resources;
 use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
@@ -11,30 +11,35 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Saved progress of restarted tasks counts in steps of this, so that they share a scoring too.
+/// Saved progress is rounded down to a multiple of this, so that restarted tasks with similar progress
+/// can share one scoring.
 const PROGRESS_STEP_S: f64 = 5.0;
-/// A starved job keeps machines that it waits for free of others, for one in so many of its tasks.
+/// A starved job reserves busy machines for its exclusive use, one for each this many of its tasks,
+/// rounded up.
 const EXCLUSIVE_TASKS_DIVISOR: u32 = 32;
 
-/// An array while its tasks are placed.
+/// The state of a job array while a round places its tasks.
 struct ArrayPlacement<'a> {
     group: TaskGroup<'a>,
-    /// How many more machines that its tasks wait for are kept free of others.
+    /// How many more busy machines this starved job may reserve for its exclusive use.
     exclusive_machines: u32,
+    /// Tasks of the job by zone, including this round's starts.
     zones: ZoneUse,
-    /// The last start has changed where the other tasks may go: the slots are ranked anew.
+    /// The last start changed the zones in which the next task may start, so the slots have to be ranked
+    /// again.
     zones_changed: bool,
+    /// The usable slots, lowest score first. `None` before the first task.
     ranked: Option<BinaryHeap<Reverse<ScoredSlot>>>,
 }
 
-/// The progress that a restarted task resumes from, in steps.
+/// The saved progress of a task in whole steps of [`PROGRESS_STEP_S`].
 fn progress_steps(job: &Job, index: u32) -> u64 {
     let saved = job.saved_progress.get(&index).copied().unwrap_or_default();
     (saved.as_secs_f64() / PROGRESS_STEP_S) as u64
 }
 
 impl ArrayPlacement<'_> {
-    /// Starts a task on a slot with free room.
+    /// Starts a task on a slot that has enough free resources now.
     fn start(&mut self, index: u32, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
         let job = self.group.job;
         let slot = &mut round.slots[chosen.slot];
@@ -53,18 +58,18 @@
         });
     }
 
-    /// Reserves room for a task on a slot that is busy.
+    /// Reserves resources for a task on a slot that does not have enough of them free now.
     fn reserve(&mut self, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
         let job = self.group.job;
         let slot = &mut round.slots[chosen.slot];
         slot.reserve(chosen.available_at, chosen.occupancy(), &job.spec.resources);
         slot.has_reservation |= !self.group.over_fair_share && slot.ready_at.is_none();
         if chosen.fetch_delay > Duration::ZERO {
-            // The first task brings the image for those behind it.
+            // The first task to start there fetches the image for the tasks behind it.
             slot.reserved_images.push(job.image);
         }
         if self.exclusive_machines > 0 && slot.ready_at.is_none() {
-            // Others would fill each gap before it is large enough.
+            // Smaller tasks would otherwise use every gap before it is large enough for this job.
             self.exclusive_machines -= 1;
             slot.free = Resources::default();
         }
@@ -79,7 +84,7 @@
         });
     }
 
-    /// No machine can take the task.
+    /// Records a task that no machine is expected to have resources for.
     fn wait_for_machine(&self, round: &mut PlacementRound<'_>) {
         let spec = &self.group.job.spec;
         let run_times = self.group.estimates.iter().map(|e| e.run_time);
@@ -94,7 +99,7 @@
 }
 
 impl ClusterState {
-    /// Places the tasks of an array, as many as its team's limit and the start limiter allow.
+    /// Places as many tasks of an array as the team's limit and the start limiter allow.
     pub(super) fn plan_array<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let spec = &entry.job.spec;
         let pending = pending_tasks(entry, round);
@@ -143,7 +148,8 @@
         }
     }
 
-    /// Starts one task where it scores lowest, or reserves room for it there if that machine is busy.
+    /// Starts one task on the machine with the lowest score, or reserves resources there if that machine
+    /// is busy.
     fn plan_task(
         &self,
         index: u32,
@@ -176,7 +182,8 @@
     }
 }
 
-/// The tasks of an array that a round looks at, those with most progress first.
+/// Selects the tasks of an array that the round examines next, those with the most saved progress first,
+/// and counts them as examined.
 fn pending_tasks<'a>(entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) -> Vec<u32> {
     let job = entry.job;
     let before = round.examined_of(job);
@@ -189,7 +196,8 @@
         count = count.min(1);
     }
     if count == 0 {
-        // Beyond what a round looks at: it waits behind all that was looked at.
+        // The round has reached its limit of tasks. These tasks are assumed to wait as long as the
+        // longest wait among the examined ones.
         if waiting > 0 && entry.starved_tasks.is_none() {
             round.plan.add_waiting(WaitingTasks {
                 job_id: job.spec.job_id.clone(),
--- a/src/core/placement/deadlines.rs
+++ b/src/core/placement/deadlines.rs
@@ -1,10 +1,12 @@
-//! When jobs should be finished, by their deadlines and by the objectives of their class.
+//! The times by which jobs should finish, from their deadlines and from the service-level objectives of
+//! their class.
 
 use crate::core::state::{ClusterState, Job};
 use std::time::{Duration, Instant};
 
 impl ClusterState {
-    /// Within what time from its arrival a job's users were promised its end.
+    /// The time from a job's arrival within which it should finish: the shortest of its deadline and the
+    /// service-level objectives of its class. `None` if there is none of either.
     pub(super) fn promised_finish(&self, job: &Job) -> Option<Duration> {
         let slos = self.config.slos.iter();
         let of_class = slos
@@ -16,7 +18,8 @@
             .min()
     }
 
-    /// How long a job can still wait without missing what its users were promised.
+    /// How long a job can still wait to start and finish in time. `None` if it has neither a deadline nor
+    /// an objective.
     pub(in crate::core) fn slack(
         &self,
         now: Instant,
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -1,10 +1,12 @@
-//! Quotas in the order of the queue: which jobs their team's guarantee covers, and which teams use more
-//! than a fair share.
+//! Guarantees and fair shares of teams: which jobs are within their team's guarantee, and which teams use
+//! more than a fair share. The queue is ordered by both.
 
 use crate::core::model::{JobId, Resources, Team, TeamName};
 use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
+/// Whether a job has or can have tasks on machines: it is neither over, nor suspected of a crash loop, nor
+/// blocked by a dependency.
 fn may_run(job: &Job) -> bool {
     !job.is_over() && !job.crash_loop.is_suspected() && !job.blocked
 }
@@ -14,12 +16,13 @@
 }
 
 impl ClusterState {
-    /// A team's quota, if the settings name the team.
+    /// The quota of a team, or `None` if the settings do not name the team.
     pub(super) fn team_config(&self, name: &TeamName) -> Option<&Team> {
         self.config.teams.iter().find(|team| &team.name == name)
     }
 
-    /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
+    /// Jobs whose whole demand fits into their team's guarantee together with that of the team's
+    /// unfinished jobs that arrived earlier.
     pub(super) fn jobs_within_guarantee(&self) -> HashSet<&JobId> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| may_run(job)).collect();
         jobs.sort_by_key(|job| job.revision);
@@ -37,8 +40,9 @@
         within
     }
 
-    /// Teams without a guarantee that use more than an even share of what is in use, while others have
-    /// work: one huge job or a flood of small ones would otherwise take all room for as long as it lasts.
+    /// Teams without a guarantee whose recent usage exceeds an even share of the total, taken over all
+    /// teams that have jobs to run. Without this rule one huge job, or a flood of small ones, would
+    /// occupy the whole cluster for as long as it lasts.
     pub(super) fn teams_over_fair_share(&self) -> HashSet<&TeamName> {
         let mut used_by_team: HashMap<&TeamName, Resources> = HashMap::new();
         for job in self.jobs.values().filter(|job| may_run(job)) {
@@ -62,7 +66,7 @@
             .collect()
     }
 
-    /// Whether a team uses more than it is guaranteed.
+    /// Whether a team uses more than its guarantee; false if the settings do not name the team.
     pub(super) fn is_beyond_guarantee(
         &self,
         team: &TeamName,
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Placing gangs: all members start together, where every one of them has room now.
+//! Places gangs: all members start together, and only if each of them has free resources now.
 
 use crate::core::model::{JobSpec, Resources, Zone};
 use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
@@ -10,27 +10,32 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What one member costs on a slot. The lowest goes first, of equals the first slot.
+/// The cost of one member on a slot. The lowest cost is chosen first; ties are broken by the index of the
+/// slot.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MemberCost {
+    /// Expected run time plus the wait for the image.
     cost: Duration,
+    /// The index of the slot in the round.
     slot: usize,
 }
 
-/// How long a member takes on a slot.
+/// The expected times of one member on a slot.
 struct MemberEstimate {
     run_time: Duration,
     fetch_delay: Duration,
 }
 
-/// A slot for each member, and what the slowest of them costs.
+/// A slot for each member of a gang.
 struct Members {
+    /// The cost of the slowest member.
     slowest: Duration,
+    /// The index of the slot of each member.
     slots: Vec<usize>,
 }
 
 impl ClusterState {
-    /// Looks at a gang once in a round: starts it where all of its members have room now, else lets it
+    /// Examines a gang at most once per round. Starts it if all of its members fit now, otherwise lets it
     /// wait.
     pub(super) fn plan_gang<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let job = entry.job;
@@ -72,7 +77,7 @@
         });
     }
 
-    /// What a member costs on each slot, least first: the same for all of them.
+    /// The cost of a member on each usable slot, lowest first. It is the same for all members.
     fn member_costs(&self, job: &Job, round: &PlacementRound<'_>) -> Vec<MemberCost> {
         let zones = ZoneUse::of(job, &self.zone_of());
         let mut costs: Vec<MemberCost> = round
@@ -126,8 +131,9 @@
         }
     }
 
-    /// Room for all members at once never comes by itself while others fill each gap: the machines
-    /// that can hold the gang soonest take nobody else.
+    /// Keeps the machines that can hold the members of a starved gang soonest free of other tasks for
+    /// this round. Otherwise other tasks would use every gap, and the resources for all members would
+    /// never be free at the same time.
     fn keep_machines_for_gang(
         &self,
         spec: &JobSpec,
@@ -156,7 +162,8 @@
     }
 }
 
-/// The slots whose slowest member is the fastest, in one zone where the job asks for that.
+/// Chooses slots for all members so that the slowest one finishes as early as possible. If the job
+/// requires `same_place`, all slots are in one zone.
 fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<Members> {
     let mut zones: Vec<Option<&Zone>> = vec![None];
     if spec.same_place {
@@ -167,7 +174,7 @@
     let complete = zones
         .into_iter()
         .filter_map(|only| members_in(spec, slots, costs, only));
-    // The first of equals.
+    // Of equally fast choices the first one wins.
     complete.reduce(|best, next| {
         if next.slowest < best.slowest {
             next
@@ -177,8 +184,8 @@
     })
 }
 
-/// A slot for each member, cheapest first, if there is room for all of them. `only`: the one zone to
-/// look at.
+/// Assigns members to the cheapest slots. Returns `None` if there are not enough free resources for all
+/// of them. `only`: the zone to which the choice is restricted, if any.
 fn members_in(
     spec: &JobSpec,
     slots: &[Slot<'_>],
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -1,12 +1,14 @@
-//! Run time estimates from measured run times, and fetch times from measured fetch rates.
+//! Run time estimates from measured run times, and fetch time estimates from measured fetch rates.
 //!
-//! The key is a hash of the parameters that make tasks alike. Tasks of one job share all of them,
-//! including the user's estimate; a class shares only its name and the machine's type. The finest entry
-//! with a measurement decides, then the class's, then the user's estimate, corrected by how far the
-//! class's users have been off so far.
+//! Measured run times are kept under two keys. The task key is a hash of the parameters that make tasks
+//! alike, including the user's estimate; all tasks of one job share it. The class key is a hash of the
+//! class and the machine type only. If the task key has a measurement, its mean is the estimate.
+//! Otherwise the estimate is the user's, corrected by how far the estimates for the class have been off
+//! so far; if the class has enough measurements, the estimate is the geometric mean of this value and the
+//! mean of the class.
 //!
-//! Invariants: the keys are stored, so the hash and its order of fields must not change; the summary
-//! never has more entries than its caller allows.
+//! Invariants: the keys are stored, so neither the hash nor the order of the hashed fields may change; a
+//! summary never has more entries than its caller allows.
 
 use crate::core::model::{JobSpec, MachineTypeName};
 use fnv::FnvHasher;
@@ -14,54 +16,54 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A running average that gives old values a bounded weight.
+/// A running average in which old values lose weight once the count has reached its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Average {
-    /// The mean of the values.
+    /// The weighted mean of the values; 0 if there are none.
     pub mean: f64,
-    /// How many values it was taken from, up to a limit.
+    /// The number of values, up to [`MAX_AVERAGE_COUNT`].
     pub count: u32,
 }
 
-/// Beyond this many values the average forgets old ones.
+/// From this count on, each new value gets the weight 1 / `MAX_AVERAGE_COUNT`, and old values fade out.
 const MAX_AVERAGE_COUNT: u32 = 40;
 
 impl Average {
-    /// Adds a value.
+    /// Includes a value in the average.
     pub fn add(&mut self, value: f64) {
         self.count = (self.count + 1).min(MAX_AVERAGE_COUNT);
         self.mean += (value - self.mean) / f64::from(self.count);
     }
 }
 
-/// Measurements of a class count from this many on.
+/// The mean of a class is used only if it has at least this many measurements.
 const MIN_CLASS_COUNT: u32 = 3;
 /// Bounds of estimated run times, in seconds.
 const MIN_RUN_S: f64 = 0.1;
 const MAX_RUN_S: f64 = 1e6;
-/// The bound of the logarithm of measured over expected run time.
+/// Bound of the absolute natural logarithm of measured over expected run time.
 const MAX_BIAS: f64 = 3.0;
-/// Bounds of a fetch's rate, in GB a second, and time.
+/// Lower bound of a fetch rate in GB per second, and upper bound of an estimated fetch time in seconds.
 const MIN_FETCH_RATE: f64 = 0.01;
 const MAX_FETCH_S: f64 = 1e5;
-/// Shorter fetches are measured too coarsely to count.
+/// Shorter fetches are ignored, since their times are measured too coarsely.
 const MIN_MEASURED_FETCH_S: f64 = 0.5;
-/// Bounds of the measured over the nominal fetch rate.
+/// Bounds of the ratio of measured to nominal fetch rate.
 const MIN_FETCH_RATIO: f64 = 0.05;
 const MAX_FETCH_RATIO: f64 = 3.0;
-/// An entry with at most so many measurements may be dropped to bound the table.
+/// Entries with at most this many measurements are removed when the run time table grows too large.
 const MAX_DROPPED_COUNT: u32 = 8;
 
-/// What was measured of run times and image fetches.
+/// Averages of measured run times and image fetch rates.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Run times in seconds, by the tasks' parameters and by class, on a machine type.
+    /// Run times in seconds, by task key and by class key.
     run_times: HashMap<u64, Average>,
-    /// Logarithm of measured over expected run time, by class.
+    /// Natural logarithm of measured over expected run time, by class.
     estimate_bias: HashMap<u64, Average>,
-    /// Measured fetch rate over nominal, by machine type.
+    /// Ratio of measured to nominal fetch rate, by machine type.
     fetch_ratios: HashMap<u64, Average>,
-    /// Something was measured since the last summary.
+    /// Measurements were added since the last summary.
     dirty: bool,
 }
 
@@ -100,13 +102,13 @@
     key(&[&machine_type.0], &[])
 }
 
-/// How long a fetch of `gb` takes at a rate in GB a second.
+/// The time to fetch `gb` gigabytes at a rate in GB per second. Very low rates are raised to a minimum.
 pub fn fetch_time_at(rate: f64, gb: f64) -> Duration {
     Duration::from_secs_f64((gb / rate.max(MIN_FETCH_RATE)).clamp(0.0, MAX_FETCH_S))
 }
 
 impl History {
-    /// The expected run time of a task on a machine type.
+    /// Estimates the run time of a task on a machine type, without any saved progress.
     pub fn run_time(&self, spec: &JobSpec, machine_type: &MachineTypeName) -> Duration {
         if let Some(measured) = self.run_times.get(&task_key(spec, machine_type)) {
             return Duration::from_secs_f64(measured.mean);
@@ -115,7 +117,7 @@
         let bias = self.estimate_bias.get(&bias_key(spec));
         let corrected = expected * bias.map_or(1.0, |b| b.mean.exp());
         let run_time = match self.run_times.get(&class_key(spec, machine_type)) {
-            // The user's figure is often off by half: the class's mean draws it in.
+            // Users' estimates are often off by half, so the mean of the class is averaged in.
             Some(class) if class.count >= MIN_CLASS_COUNT => {
                 (corrected * class.mean).max(0.0).sqrt()
             }
@@ -124,7 +126,7 @@
         Duration::from_secs_f64(run_time.clamp(MIN_RUN_S, MAX_RUN_S))
     }
 
-    /// Takes in the run time of a task that ran to its end.
+    /// Records the run time of a task that ran to completion.
     pub fn record_run(&mut self, spec: &JobSpec, machine_type: &MachineTypeName, took: Duration) {
         let seconds = took.as_secs_f64();
         for key in [task_key(spec, machine_type), class_key(spec, machine_type)] {
@@ -138,7 +140,8 @@
         self.dirty = true;
     }
 
-    /// Takes in how long the fetch of an image of this size took. `nominal`: the type's rate.
+    /// Records how long the fetch of an image of `gb` gigabytes took. `nominal`: the fetch rate of the
+    /// machine type in GB per second.
     pub fn record_fetch(
         &mut self,
         machine_type: &MachineTypeName,
@@ -158,19 +161,20 @@
         }
     }
 
-    /// The measured over the nominal fetch rate of a machine type.
+    /// The ratio of measured to nominal fetch rate of a machine type; 1 if nothing was measured.
     pub fn fetch_ratio(&self, machine_type: &MachineTypeName) -> f64 {
         let measured = self.fetch_ratios.get(&fetch_key(machine_type));
         measured.map_or(1.0, |average| average.mean)
     }
 
-    /// How long a fetch of `gb` takes, without the queue before it.
+    /// Estimates the time to fetch `gb` gigabytes, not counting fetches queued before it. `nominal`: the
+    /// fetch rate of the machine type in GB per second.
     pub fn fetch_time(&self, machine_type: &MachineTypeName, nominal: f64, gb: f64) -> Duration {
         fetch_time_at(nominal * self.fetch_ratio(machine_type), gb)
     }
 
-    /// The entries to be stored, the most measured first, if anything is new. There are at most
-    /// `max_entries`, however many kinds of task there are.
+    /// Returns the entries to store, or `None` if nothing was measured since the last call. There are at
+    /// most `max_entries` in total; within each table those with the most measurements are kept.
     pub fn summary(&mut self, max_entries: usize) -> Option<HistorySummary> {
         if !std::mem::take(&mut self.dirty) {
             return None;
@@ -186,22 +190,22 @@
             left -= entries.len();
             entries
         };
-        // What is few and general has its place first.
+        // The small tables, which apply to many tasks, get their space first.
         let fetch = most_measured(&self.fetch_ratios);
         let bias = most_measured(&self.estimate_bias);
         let runs = most_measured(&self.run_times);
         Some(HistorySummary { runs, bias, fetch })
     }
 
-    /// Takes in a stored summary.
+    /// Loads a stored summary. Its entries replace those with the same keys.
     pub fn load(&mut self, summary: &HistorySummary) {
         fill(&mut self.run_times, &summary.runs);
         fill(&mut self.estimate_bias, &summary.bias);
         fill(&mut self.fetch_ratios, &summary.fetch);
     }
 
-    /// Bounds the table of run times: if there are more than `max_entries`, those with few measurements,
-    /// mostly of single jobs, go.
+    /// If the run time table has more than `max_entries` entries, removes those with few measurements,
+    /// most of which belong to single jobs. The table can stay larger than `max_entries`.
     pub fn trim(&mut self, max_entries: usize) {
         if self.run_times.len() > max_entries {
             self.run_times.retain(|_, a| a.count > MAX_DROPPED_COUNT);
@@ -209,6 +213,7 @@
     }
 }
 
+/// Copies stored entries into a table, skipping means that are not finite.
 fn fill(averages: &mut HashMap<u64, Average>, entries: &[SummaryEntry]) {
     for (key, mean, count) in entries.iter().filter(|(_, mean, _)| mean.is_finite()) {
         let average = Average {
@@ -219,16 +224,16 @@
     }
 }
 
-/// A stored average: its key, its mean and its count.
+/// A stored average: key, mean and count.
 pub type SummaryEntry = (u64, f64, u32);
 
-/// The history as it is stored.
+/// The history in the form in which it is stored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HistorySummary {
-    /// Run times.
+    /// Run times in seconds, by task key and by class key.
     pub runs: Vec<SummaryEntry>,
-    /// Logarithms of measured over expected run times, by class.
+    /// Natural logarithms of measured over expected run time, by class.
     pub bias: Vec<SummaryEntry>,
-    /// Fetch rates over nominal ones, by machine type.
+    /// Ratios of measured to nominal fetch rate, by machine type.
     pub fetch: Vec<SummaryEntry>,
 }
--- a/src/core/placement/mod.rs
+++ b/src/core/placement/mod.rs
@@ -1,15 +1,16 @@
-//! Placement: which waiting task starts on which machine.
+//! Placement decides which waiting task starts on which machine.
 //!
-//! A round goes over the queue (`queue`) and gives each task the machine with the lowest score: the
-//! time until it has room, plus the expected run time, plus the fetch of the image (`scoring`). A task
-//! starts only where room is free now. Where the best machine is busy, the task gets a reservation there
-//! for this round, which delays the tasks after it, and is scored again in the next round.
+//! A placement round walks the job queue (`queue`) and assigns each task to the machine with the lowest
+//! score: the expected wait for free resources, plus the expected run time, plus the time to fetch the
+//! image, plus some corrections (`scoring`). A task starts only where the resources are free now. If the
+//! best machine is busy, the task gets a reservation there for this round, which delays the tasks after
+//! it; the next round scores the task again. Gangs are placed as a whole (`gang`).
 //!
-//! `round` plans from an unchanged cluster state; `apply` is the only place where a round's
-//! decisions change it.
+//! `round` computes a plan from an unchanged cluster state; `apply` is the only place where the decisions
+//! of a round change that state.
 //!
-//! Invariants: a plan keeps every team's limit, the zones that a job is tied to and what a machine has
-//! room for; the members of a gang start together or not at all.
+//! Invariants: a plan respects every team's limit, the zone constraints of each job and the capacity of
+//! each machine; the members of a gang start together or not at all.
 
 mod apply;
 mod array;
--- a/src/core/placement/plan.rs
+++ b/src/core/placement/plan.rs
@@ -1,24 +1,28 @@
-//! What a placement round decides.
+//! The decisions of a placement round.
 
 use crate::core::model::{JobId, MachineId, Resources};
 use crate::core::placement::preemption::Preemption;
 use std::time::Duration;
 
-/// Tasks of one job that a round did not start.
+/// Tasks of one job that a round did not start and that are expected to wait equally long.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct WaitingTasks {
     pub(in crate::core) job_id: JobId,
+    /// The number of tasks; for a gang at most `MAX_TASKS_PER_ROUND`.
     pub(in crate::core) count: usize,
-    /// How long until the best machine has room. None: no machine is expected to.
+    /// The expected wait until the best machine has enough free resources. `None` if no machine is
+    /// expected to have them, and always for gangs.
     pub(in crate::core) expected_wait: Option<Duration>,
-    /// How long one is expected to run there.
+    /// The expected run time of one task on that machine. If no machine was chosen, it is the shortest
+    /// estimate over the machine types or the user's estimate.
     pub(in crate::core) expected_run: Duration,
-    /// That machine is still booting and will start them as soon as it is up.
+    /// That machine is still booting, and the tasks can start as soon as it is up.
     pub(in crate::core) on_booting_machine: bool,
 }
 
 impl WaitingTasks {
-    /// Whether both are of one job and wait for the same time, to the second.
+    /// Whether both entries belong to the same job and have the same expected wait, compared in whole
+    /// seconds.
     fn waits_like(&self, other: &WaitingTasks) -> bool {
         let wait_s = |w: &WaitingTasks| w.expected_wait.map(|wait| wait.as_secs());
         wait_s(self) == wait_s(other)
@@ -27,34 +31,35 @@
     }
 }
 
-/// A task to be started.
+/// A decision to start a task on a machine.
 #[derive(Clone, Debug)]
 pub(super) struct TaskStart {
     pub(super) job_id: JobId,
     pub(super) index: u32,
     pub(super) machine: MachineId,
     pub(super) expected_run: Duration,
+    /// Expected wait for the image; zero if the machine has it already.
     pub(super) image_fetch: Duration,
     pub(super) kind: StartKind,
 }
 
-/// Whether a task starts by itself.
+/// Whether a task is placed on its own or as a member of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartKind {
     Independent,
-    /// The members of a gang share the number of their attempt.
+    /// All members of a gang get the same attempt id.
     GangMember,
 }
 
-/// Room on a machine that neither running tasks nor reservations take.
+/// Resources of a machine that neither running tasks nor reservations take.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct SpareRoom {
     pub(in crate::core) machine: MachineId,
-    /// Negative where more is reserved than there is.
+    /// A component is negative if more is reserved than is free.
     pub(in crate::core) free: Resources,
 }
 
-/// What a round starts and stops, and what waits.
+/// The complete plan of a round, before it is applied.
 #[must_use]
 #[derive(Default)]
 pub(super) struct RoundPlan {
@@ -62,12 +67,12 @@
     pub(super) preemptions: Vec<Preemption>,
     pub(super) waiting: Vec<WaitingTasks>,
     pub(super) spare: Vec<SpareRoom>,
-    /// Ordinary work waits for the start limiter, not for machines.
+    /// Some tasks were not started because of the start limiter rather than for lack of machines.
     pub(super) rate_limited: bool,
 }
 
 impl RoundPlan {
-    /// Adds tasks that wait, to the last ones where they wait alike.
+    /// Adds waiting tasks, merging them with the last entry if both wait equally long.
     pub(super) fn add_waiting(&mut self, waiting: WaitingTasks) {
         match self.waiting.last_mut() {
             Some(last) if last.waits_like(&waiting) => last.count += waiting.count,
@@ -76,11 +81,11 @@
     }
 }
 
-/// What a round leaves for the scaling of the fleet.
+/// The result of a round that autoscaling needs.
 #[must_use]
 pub(in crate::core) struct RoundOutcome {
-    /// Tasks that were not started.
+    /// Tasks that the round did not start.
     pub(in crate::core) waiting: Vec<WaitingTasks>,
-    /// Room left on machines that are up or booting.
+    /// Free, unreserved resources of machines that are up or booting.
     pub(in crate::core) spare: Vec<SpareRoom>,
 }
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -1,4 +1,4 @@
-//! What stopping a task costs.
+//! The cost of preempting a task.
 
 use crate::core::model::{JobId, JobSpec, Slo};
 use crate::core::placement::preemption::{StartProtection, MIN_PREEMPTION_WAIT};
@@ -6,14 +6,15 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// What it costs a stopped task to be placed and started again.
+/// The cost of placing and starting a preempted task again.
 const RESTART_COST: Duration = Duration::from_secs(5);
-/// A protected task that has run for less is left alone: stopped so early, its start would have been in
-/// vain.
+/// A protected task is not preempted before it has run this long; stopped earlier, its start would have
+/// been useless.
 const MIN_PROTECTED_RUN: Duration = Duration::from_secs(31);
 
-/// What stopping an attempt at once costs, in seconds of its work. None: it must not be stopped, since
-/// it only just started or will end by itself soon. `saved_progress`: what it resumed from.
+/// The cost of stopping an attempt at once, in seconds of lost work. Returns `None` if the attempt must
+/// not be preempted, because its start is protected or because it will soon end by itself.
+/// `saved_progress`: the progress from which the attempt resumed.
 pub(in crate::core) fn preemption_cost(
     now: Instant,
     job: &Job,
@@ -38,12 +39,13 @@
         (_, true) => progress % checkpoint_interval,
         (_, false) => progress,
     };
-    // Whatever it had done, it has to be placed and started again.
+    // Even a task that lost no work has to be placed and started again.
     Some(lost_work + RESTART_COST.as_secs_f64())
 }
 
 impl ClusterState {
-    /// What stopping a job's attempt at a task costs, if it may be stopped at all.
+    /// The cost of preempting an attempt at the task `index` of a job, in seconds of lost work; `None` if
+    /// it must not be preempted.
     pub(super) fn cost_of_preempting(
         &self,
         now: Instant,
@@ -62,7 +64,7 @@
         job: &Job,
         jobs_within_guarantee: &HashSet<&JobId>,
     ) -> StartProtection {
-        // What starved for very long is not stopped right after its start.
+        // A job that was starved once is not preempted right after its start.
         let is_protected = jobs_within_guarantee.contains(&job.spec.job_id)
             || job.was_starved
             || self.has_start_slo(&job.spec);
@@ -73,12 +75,12 @@
         }
     }
 
-    /// Whether the users of the class were promised how soon its tasks start.
+    /// Whether the job's class has a service-level objective for the start of its tasks.
     fn has_start_slo(&self, spec: &JobSpec) -> bool {
         self.start_slos(spec).next().is_some()
     }
 
-    /// The objectives for the start of a job's tasks.
+    /// The service-level objectives for the start of a job's tasks.
     pub(super) fn start_slos<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a Slo> {
         self.config
             .slos
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -1,5 +1,5 @@
-//! Preemption that frees room on machines: victims have a lower priority than the claimant, or borrow
-//! beyond their team's guarantee while the claimant's team lacks its own.
+//! Preemption that frees resources on machines. A victim has a lower priority than the preemptor, or its
+//! team borrows beyond its guarantee while the preemptor's job is within the guarantee of its own team.
 
 use crate::core::model::{JobKind, JobSpec, Priority, Resources, TaskId, TeamName};
 use crate::core::placement::preemption::{
@@ -14,33 +14,39 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::Duration;
 
-/// The part of a promised start that a task may be expected to wait before others are stopped.
+/// The fraction of a start objective that a task may be expected to wait before other tasks are preempted
+/// for it.
 const START_SLO_SHARE: f64 = 0.25;
 
-/// A job whose tasks wait for too long, so that others may be stopped for them.
+/// A job whose tasks wait too long, so that other tasks may be preempted for them.
 struct Claimant<'a> {
     job: &'a Job,
-    /// How many of its tasks wait for too long.
+    /// The number of its tasks that wait too long.
     tasks: usize,
-    /// In how long the first of them is expected to be done if nothing is stopped for it.
+    /// The expected time from now until the first of these tasks ends if nothing is preempted for it.
+    /// `None` if no machine is expected to have resources for them.
     earliest_end: Option<Duration>,
+    /// The job is within its team's guarantee.
     within_guarantee: bool,
 }
 
-/// A running task that might be stopped.
+/// A running task that may be preempted.
 struct Victim<'a> {
     task: &'a TaskId,
     job: &'a Job,
+    /// The job is within its team's guarantee.
     within_guarantee: bool,
-    /// In seconds of the machine, by the share of it that the task takes.
+    /// Seconds of lost work times the dominant share of the machine that the task uses.
     cost: f64,
 }
 
-/// Victims on one slot whose end makes room for one task.
+/// Victims on one slot whose preemption frees enough resources for one task. The least cost is chosen;
+/// ties are broken by the index of the slot.
 struct VictimSet {
+    /// The cost of all victims and of the image fetch, in the unit of [`Victim::cost`].
     cost: f64,
     slot: usize,
-    /// By their index among the slot's victims.
+    /// Indices into the slot's list of victims.
     victims: Vec<usize>,
 }
 
@@ -65,15 +71,16 @@
     }
 }
 
-/// What has been decided so far, and what follows from it.
+/// The preemptions selected so far and the resulting resources and usage.
 struct Selection<'a> {
-    /// Running tasks by slot, the cheapest to stop first.
+    /// Candidate victims by slot, the cheapest first.
     victims: Vec<Vec<Victim<'a>>>,
-    /// Victims that are stopped, by slot.
+    /// Indices of the selected victims by slot.
     taken: Vec<HashSet<usize>>,
-    /// Free room by slot once the victims are gone and their claimants are there.
+    /// Free resources by slot, after the selected victims have ended and the tasks that they were
+    /// preempted for have started.
     free: Vec<Resources>,
-    /// What each team uses without the victims.
+    /// Each team's usage without the selected victims.
     team_usage: HashMap<TeamName, Resources>,
     preemptions: Vec<Preemption>,
 }
@@ -83,7 +90,7 @@
         self.preemptions.len() >= MAX_PREEMPTIONS_PER_ROUND
     }
 
-    /// Stops these victims, and gives their room to a task of the claimant.
+    /// Selects these victims and assigns the freed resources to one task of the preemptor.
     fn take(&mut self, chosen: VictimSet, claimant: &Claimant<'_>) {
         let slot = chosen.slot;
         for index in chosen.victims {
@@ -104,7 +111,7 @@
 }
 
 impl ClusterState {
-    /// Which tasks to stop so that waiting ones find room.
+    /// Selects the tasks to preempt so that waiting tasks get resources.
     pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
         let mut claimants = input
             .waiting
@@ -130,7 +137,8 @@
         selection.preemptions
     }
 
-    /// The claim of a job's waiting tasks, if others may be stopped for them.
+    /// Returns the preemptor for the waiting tasks of one job, or `None` if nothing may be preempted for
+    /// them.
     fn claimant<'a>(
         &'a self,
         waiting: &[WaitingTasks],
@@ -161,8 +169,8 @@
         })
     }
 
-    /// How long a task may be expected to wait before others are stopped for it: a part of what its
-    /// class's users were promised, less where nothing is promised.
+    /// The expected wait above which tasks are preempted for a task: a fraction of the start objective of
+    /// its class, but at least [`MIN_PREEMPTION_WAIT`], which also applies without an objective.
     fn max_wait_before_preemption(&self, spec: &JobSpec) -> Duration {
         let promised = self.start_slos(spec).filter_map(|slo| slo.within).min();
         promised.map_or(MIN_PREEMPTION_WAIT, |within| {
@@ -170,7 +178,7 @@
         })
     }
 
-    /// Running tasks that may be stopped, by slot, the cheapest first.
+    /// Running tasks that may be preempted, by slot, the cheapest first.
     fn victims_by_slot<'a>(&'a self, input: &PreemptionInput<'a>) -> Vec<Vec<Victim<'a>>> {
         let mut victims_by_slot = Vec::with_capacity(input.slots.len());
         for slot in input.slots {
@@ -185,6 +193,7 @@
         victims_by_slot
     }
 
+    /// Returns a running task as a candidate victim, or `None` if it must not be preempted.
     fn victim<'a>(
         &'a self,
         task: &'a TaskId,
@@ -207,7 +216,7 @@
         })
     }
 
-    /// Stops the cheapest victims for as many of the claimant's tasks as wait for too long.
+    /// Selects the cheapest victims for each of the preemptor's tasks that wait too long.
     fn preempt_for(
         &self,
         claimant: &Claimant<'_>,
@@ -238,8 +247,8 @@
         }
     }
 
-    /// Who would have to be stopped on a slot for one task of the claimant. None: there is no way to
-    /// make room there, or the task would not be done any sooner.
+    /// The tasks on a slot that would have to be preempted for one task of the preemptor. Returns `None`
+    /// if that cannot free enough resources, or if the task would still end sooner on another machine.
     fn victims_on(
         &self,
         slot_index: usize,
@@ -255,8 +264,9 @@
         if self.would_go_elsewhere(claimant, slot, fetch) {
             return None;
         }
-        // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
-        // lacks the image then goes before tasks that only just came.
+        // The image fetch is counted in the unit of the victims' cost. A slot with free resources but
+        // without the image is thus preferred to preempting tasks, even those that have only just
+        // started.
         let mut cost =
             fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
         let mut free = selection.free[slot_index];
@@ -280,9 +290,9 @@
         })
     }
 
-    /// Whether the claimant's task would still wait for another machine, since it would end sooner there:
-    /// others would then fill the room, and be stopped again in the next round. `fetch`: how long its
-    /// image takes on this slot.
+    /// Whether the preemptor's task would end sooner on another machine and would therefore still wait
+    /// for that one. Other tasks would then take the freed resources and be preempted again in the next
+    /// round. `fetch`: the wait for its image on this slot.
     fn would_go_elsewhere(
         &self,
         claimant: &Claimant<'_>,
@@ -299,7 +309,8 @@
         end > earliest_end + TURNAROUND
     }
 
-    /// Whether the victim has a lower priority, or borrows what the claimant's team is guaranteed.
+    /// Whether the victim has a lower priority than the preemptor, or borrows beyond its team's guarantee
+    /// while the preemptor is within the guarantee of another team.
     fn may_preempt(
         &self,
         claimant: &Claimant<'_>,
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -1,11 +1,13 @@
-//! Preemption: which running tasks are stopped for waiting ones.
+//! Preemption: decides which running tasks are stopped in favour of waiting ones.
 //!
-//! There are two reasons. [`for_room`] frees room on machines for waiting tasks of a higher priority, or
-//! of a team that lacks its guarantee. [`within_team`] keeps a team's use under its limit while one of
-//! its more important jobs waits. Both prefer the victims that lose the least work.
+//! There are two reasons. [`for_room`] frees resources on machines for waiting tasks of a higher
+//! priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's usage under
+//! its limit when one of its higher-priority jobs waits. Both prefer the victims that lose the least
+//! work.
 //!
-//! Invariants: planning changes nothing; at most [`MAX_PREEMPTIONS_PER_ROUND`] tasks are stopped in a
-//! round; members of a gang are never victims; a task that is stopped already is not stopped again.
+//! Invariants: planning does not change the state; once [`MAX_PREEMPTIONS_PER_ROUND`] tasks are chosen,
+//! no further victims are selected in that round; gang members are never victims; a task that is already
+//! being stopped is not chosen again.
 
 mod cost;
 mod for_room;
@@ -22,17 +24,19 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Tasks stopped for others in one round.
+/// The number of preemptions after which a round selects no more victims. The last set of victims that
+/// makes room for a task may exceed it.
 const MAX_PREEMPTIONS_PER_ROUND: usize = 64;
-/// Waits no longer than this are not worth anybody's work.
+/// Nothing is preempted to save a wait of at most this long, and a task that will end sooner than this is
+/// not preempted.
 const MIN_PREEMPTION_WAIT: Duration = Duration::from_secs(2);
 
-/// Why a task is stopped.
+/// The reason for a preemption, written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum PreemptionReason {
-    /// Others need its room.
+    /// Its resources are needed by tasks with a higher priority or by a team with an unused guarantee.
     Room,
-    /// A more important job of its own team waits for the team's limit.
+    /// A job of the same team with a higher priority is held back by the team's limit.
     TeamLimit,
 }
 
@@ -45,36 +49,37 @@
     }
 }
 
-/// The decision to stop a task.
+/// A decision to stop a running task.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct Preemption {
     pub(in crate::core) task: TaskId,
     pub(in crate::core) reason: PreemptionReason,
 }
 
-/// Whether a short run counts as a start that the task's users were promised. A victim that is protected
-/// is left alone until its run is long enough for its start to have been of use.
+/// Whether the start of a task is protected. A protected task is not preempted until it has run long
+/// enough for its start to have been useful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum StartProtection {
     Protected,
     Unprotected,
 }
 
-/// What preemptions are planned by: the state of a round after its placement.
+/// The input of preemption planning: the state of a round after its placement.
 pub(in crate::core) struct PreemptionInput<'a> {
     pub(in crate::core) now: Instant,
-    /// Tasks that were not started.
+    /// Tasks that the round did not start, grouped by job.
     pub(in crate::core) waiting: &'a [WaitingTasks],
     pub(in crate::core) slots: &'a [Slot<'a>],
-    /// Fetch rates by machine type.
+    /// Expected image fetch rate in GB per second, by the index of the machine type in the fleet.
     pub(in crate::core) fetch_rates: &'a [f64],
     pub(in crate::core) jobs_within_guarantee: &'a HashSet<&'a JobId>,
-    /// Jobs held back by their team's limit.
+    /// Job arrays with waiting tasks that only their team's limit holds back.
     pub(in crate::core) limited_jobs: &'a [&'a JobId],
 }
 
 impl ClusterState {
-    /// Which tasks to stop, for room first.
+    /// Selects the tasks to preempt: first to free resources on machines, then within teams to respect
+    /// their limits.
     #[must_use]
     pub(in crate::core) fn plan_preemptions(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
         let mut preemptions = self.plan_preemptions_for_room(input);
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -1,5 +1,5 @@
-//! Preemption within a team: its own tasks of a lower priority are stopped where only the team's limit
-//! holds back one of its more important jobs.
+//! Preemption within a team: tasks of a lower priority are stopped if only the team's limit holds back a
+//! job of a higher priority.
 
 use crate::core::model::{JobKind, Priority, Resources, TaskId, TeamName};
 use crate::core::placement::preemption::{
@@ -8,24 +8,26 @@
 use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
-/// A running task that might be stopped for another job of its team.
+/// A running task that may be preempted for another job of its team.
 struct Victim<'a> {
     task: TaskId,
     job: &'a Job,
+    /// Seconds of lost work.
     cost: f64,
 }
 
-/// What a team has running.
+/// The usage of one team and its candidate victims.
 #[derive(Default)]
 struct TeamWork<'a> {
-    /// What the team uses without what is being stopped.
+    /// The team's usage without tasks that are being stopped, plus the resources that its preemptors were
+    /// granted.
     used: Resources,
-    /// What may be stopped, the cheapest last.
+    /// Tasks that may be preempted, the cheapest last.
     victims: Vec<Victim<'a>>,
 }
 
 impl<'a> TeamWork<'a> {
-    /// Takes out the cheapest victim of a lower priority.
+    /// Removes and returns the cheapest victim whose priority is lower than `priority`.
     fn take_cheapest_below(&mut self, priority: Priority) -> Option<Victim<'a>> {
         let index = self
             .victims
@@ -38,7 +40,7 @@
 }
 
 impl ClusterState {
-    /// Adds the tasks to stop so that limited jobs of a higher priority fit under their teams' limits.
+    /// Selects tasks to preempt so that higher-priority jobs fit under their teams' limits.
     pub(super) fn plan_preemptions_within_teams(
         &self,
         input: &PreemptionInput<'_>,
@@ -77,7 +79,8 @@
         }
     }
 
-    /// What the claimants' teams have running, beside what is being stopped already.
+    /// The usage and candidate victims of the preemptors' teams, without tasks that are already being
+    /// stopped.
     fn work_of_teams<'a>(
         &'a self,
         claimants: &[&'a Job],
@@ -105,6 +108,7 @@
         work_by_team
     }
 
+    /// Adds the active tasks of one job to its team's candidate victims.
     fn add_running_tasks<'a>(
         &self,
         job: &'a Job,
--- a/src/core/placement/prices.rs
+++ b/src/core/placement/prices.rs
@@ -1,16 +1,19 @@
-//! Comparing machines by price.
+//! Price comparison of machines.
 
 use crate::core::model::MachineType;
 
-/// Prices within this factor count as equal: spot prices move by a third.
+/// The ratio between two price steps. Smaller differences are ignored, because spot prices vary by a
+/// third.
 const PRICE_STEP_FACTOR: f64 = 1.5;
 
-/// What a CPU of a machine costs an hour.
+/// The price of one CPU of a machine per hour. A machine type with less than one CPU counts as having
+/// one.
 pub(in crate::core) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
     machine_type.price(spot) / machine_type.capacity.cpus.max(1.0)
 }
 
-/// A price in steps within which prices count as equal.
+/// The index of a price on a logarithmic scale with the ratio [`PRICE_STEP_FACTOR`]. Prices with the same
+/// index count as equal; a price of zero is below all others.
 pub(super) fn price_step(price: f64) -> f64 {
     if price > 0.0 {
         (price.ln() / PRICE_STEP_FACTOR.ln()).round()
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -1,9 +1,10 @@
-//! Priorities and deadlines along pipelines of jobs: the upward rank of HEFT.
+//! Inheritance of priorities and deadlines along pipelines of dependent jobs, after the upward rank of
+//! the HEFT algorithm.
 //!
-//! A dependency takes the highest priority of its dependents, and a deadline so early that they can still
-//! be on time. Ranks are brought up to date once a round for all changes since the last one: each job
-//! upstream of a change is looked at once, after its dependents, so that the cost is bounded by the part
-//! of the graph that the changes reach.
+//! A dependency inherits the highest priority of its dependents, and a deadline early enough for them to
+//! finish on time. Ranks are updated once per round for all changes since the last update. Each job
+//! upstream of a change is visited once, after its dependents, so the cost is bounded by the part of the
+//! graph that the changes reach.
 
 use crate::core::model::JobId;
 use crate::core::state::scheduling_rank::SchedulingRank;
@@ -12,7 +13,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl ClusterState {
-    /// Brings the ranks up to date with all jobs that came, or were cancelled, since the last time.
+    /// Updates the ranks of all jobs affected by jobs that arrived or were cancelled since the last
+    /// update.
     pub(in crate::core) fn update_ranks(&mut self) {
         let changed = self.jobs.dependencies.take_changed();
         if changed.is_empty() {
@@ -36,7 +38,7 @@
         }
     }
 
-    /// A job's own rank, raised by what its dependents ask of it.
+    /// A job's own rank, raised to what its dependents require of it.
     fn inherited_rank(&self, job_id: &JobId) -> Option<SchedulingRank> {
         let job = self.jobs.get(job_id)?;
         let dependents = self.jobs.dependencies.dependents(job_id);
@@ -47,7 +49,8 @@
         Some(rank)
     }
 
-    /// What a job asks of its dependencies: its priority, and its deadline less its own run.
+    /// The rank that a job requires of its dependencies: its own priority, and its deadline minus its
+    /// shortest expected run time.
     fn rank_for_dependencies(&self, job: &Job) -> SchedulingRank {
         let allowed = self
             .fleet
@@ -62,7 +65,7 @@
         }
     }
 
-    /// These jobs and all that they depend on, directly or through others.
+    /// The given jobs and all their direct and indirect dependencies.
     fn with_dependencies(&self, jobs: BTreeSet<JobId>) -> BTreeSet<JobId> {
         let mut pending: Vec<JobId> = jobs.iter().cloned().collect();
         let mut all = jobs;
@@ -76,7 +79,7 @@
         all
     }
 
-    /// These jobs, each after all of its dependents among them.
+    /// The given jobs in an order that puts each of them after all of its dependents in the set.
     fn dependents_first(&self, jobs: &BTreeSet<JobId>) -> Vec<JobId> {
         let dependents_among = |job_id: &JobId| {
             let dependents = self.jobs.dependencies.dependents(job_id);
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which a placement round looks at waiting jobs.
+//! The order in which a placement round visits the waiting jobs.
 
 use crate::core::model::{JobId, JobSpec, Priority, TeamName};
 use crate::core::state::{ClusterState, Job};
@@ -6,39 +6,50 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// A job that is overdue by this much is no longer put off for those that can be on time.
+/// A job that is overdue by more than this is no longer placed behind jobs that can still finish on time.
 const MAX_LATENESS_PUT_OFF: Duration = Duration::from_secs(600);
-/// What has waited for longer than this goes before the rest of its priority, by arrival: the exceptions
-/// that favour small and punctual work end there. Guaranteed work stays first, since it may stop borrowed
-/// work: were that placed before it, one would be stopped for the other in every round.
+/// A job that has waited longer than this goes, in order of arrival, before the newer jobs of its
+/// priority that have the same standing on guarantee and fair share. The rules that favour small and
+/// punctual jobs no longer apply to it. Jobs within their team's guarantee still go first, because they
+/// may preempt tasks that run on borrowed resources: if a job that borrows were placed before them, one
+/// of its tasks would be preempted in every round.
 const AGING_TIME: Duration = Duration::from_secs(150);
 
-/// A job's place in the queue, least first. The order of the fields is the order of comparison.
+/// The sort key of a job in the queue; the least key goes first. Fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: Reverse<Priority>,
-    /// Its team's guarantee does not cover it.
+    /// The team's guarantee does not cover the job.
     borrows: bool,
     team_over_fair_share: bool,
     has_not_aged: bool,
     is_late: bool,
+    /// The result of `log2_total_work` if the priority is overloaded and the job has not aged, else 0.
     size: i64,
 }
 
-/// A job in the queue.
+/// A position in the queue. A starved job appears twice: first with some of its tasks, then at its
+/// regular position.
 #[derive(Clone, Copy)]
 pub(super) struct QueueEntry<'a> {
     pub(super) job: &'a Job,
-    /// The job is starved: so many of its tasks go before all others. None: its usual place.
+    /// For a starved job at the head of the queue: how many of its tasks go before all other jobs. `None`
+    /// at a regular position.
     pub(super) starved_tasks: Option<u32>,
 }
 
 impl ClusterState {
-    /// The queue: by priority, then arrival, with exceptions. A starved job goes before all others with a
-    /// part of its tasks. Within a priority, what a team's guarantee covers goes before what is borrowed,
-    /// and a team that uses less than its fair share before one that uses more. What can still be on time
-    /// goes before what cannot: in arrival order alone a short overload makes every job after it late.
-    /// And while jobs with deadlines are late, the small ones go first, so that most are on time.
+    /// Returns the jobs that may start tasks, by priority and then by arrival, with these exceptions:
+    ///
+    /// - A starved job goes before all others with some of its tasks.
+    /// - Within a priority, jobs within their team's guarantee go before jobs that borrow.
+    /// - After that, teams that are not over their fair share go before teams that are.
+    /// - Jobs that can still finish on time go before jobs that cannot. In plain order of arrival, a short
+    ///   overload would make every later job late.
+    /// - While jobs with deadlines are late, smaller jobs of that priority go first, so that most jobs
+    ///   finish on time.
+    ///
+    /// The last two exceptions end for a job that has waited longer than [`AGING_TIME`].
     pub(super) fn queue(
         &self,
         now: Instant,
@@ -77,7 +88,8 @@
         starved_first(&jobs).chain(usual).collect()
     }
 
-    /// A job's whole work, in doublings.
+    /// The base-2 logarithm of a job's total work in CPU seconds (or GPU seconds if it uses more GPUs
+    /// than CPUs), rounded down.
     fn size_step(&self, spec: &JobSpec) -> i64 {
         let types = self.fleet.types.iter();
         let run_times = types.map(|t| self.history.run_time(spec, &t.name));
@@ -87,8 +99,8 @@
         work.max(1.0).log2() as i64
     }
 
-    /// Whether a job will miss its time even if it starts now. One that is overdue by far is no longer
-    /// put off.
+    /// Whether a job would miss its completion objective even if it started now. This is false for a job
+    /// that is overdue by [`MAX_LATENESS_PUT_OFF`] or more, so that it is no longer put off.
     fn is_late(&self, now: Instant, job: &Job) -> bool {
         let allowed = self
             .fleet
@@ -109,7 +121,7 @@
 
 /// Whether a round may start tasks of this job.
 fn may_start(now: Instant, job: &Job) -> bool {
-    // Of a suspected job, one task at a time tries.
+    // A job suspected of a crash loop retries one task at a time.
     let is_trying = job.crash_loop.is_suspected() && !job.active.is_empty();
     let backoff_is_over = job
         .crash_loop
@@ -118,7 +130,7 @@
     !job.is_over() && job.waiting_count() > 0 && backoff_is_over && !is_trying
 }
 
-/// Priorities in which jobs with deadlines are late.
+/// The priorities in which at least one job with a deadline is late.
 fn overloaded_priorities(jobs: &[&Job], late: &[bool]) -> HashSet<Priority> {
     jobs.iter()
         .zip(late)
@@ -127,7 +139,7 @@
         .collect()
 }
 
-/// Starved jobs by arrival, with the tasks that go before all others.
+/// Starved jobs in order of arrival, each with the number of tasks that go before all other jobs.
 fn starved_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
     let starved = jobs.iter().copied().filter(|job| job.boosted_tasks > 0);
     let mut starved: Vec<&Job> = starved.collect();
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -1,7 +1,8 @@
-//! Plans a placement round: goes over the queue and collects what to start, what to stop and what waits.
+//! Plans a placement round: walks the queue and collects the tasks to start, the tasks to preempt and the
+//! tasks that keep waiting.
 //!
-//! Tasks are taken in the order of the queue; a task that would pass its team's limit is skipped. The
-//! round works on its own view of the machines, so that the cluster state stays as it is.
+//! Jobs are visited in queue order; a task that would exceed its team's limit is skipped. The round works
+//! on its own copy of each machine's free resources, so the cluster state does not change.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TeamName, Zone};
 use crate::core::placement::plan::{RoundPlan, SpareRoom};
@@ -11,36 +12,44 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// Tasks looked at in one round. A longer queue waits for the rounds to come.
+/// The maximum number of tasks that one round examines. The rest of a longer queue is left to later
+/// rounds.
 pub(super) const MAX_TASKS_PER_ROUND: usize = 4000;
-/// Scores closer than this are equal: heartbeats come no more often than every half second.
+/// Scores are rounded to this resolution, and machines with the same rounded score are compared by price.
+/// Finer differences mean nothing, because a worker sends heartbeats at most every half second.
 pub(super) const SCORE_RESOLUTION_S: f64 = 1.0;
-/// From a task's predicted end to the next one's start in its place. Also, of many predicted ends the
-/// earliest is mostly an error: without this, tasks wait for busy machines while others stand idle.
+/// Added to the score of a machine whose resources are still in use: the time from the predicted end of a
+/// task to the start of its successor. It also compensates for prediction errors: the earliest of many
+/// predicted ends is usually too early, and without this delay tasks wait for busy machines while other
+/// machines are idle.
 pub(super) const TURNAROUND: Duration = Duration::from_millis(2500);
 
-/// A round while it is planned: what it has to go on, and what it has decided so far.
+/// The state of a placement round during planning: its inputs and the decisions made so far.
 pub(super) struct PlacementRound<'a> {
     pub(super) now: Instant,
-    /// Fetch rates by machine type.
+    /// Expected image fetch rate in GB per second, by the index of the machine type in the fleet.
     pub(super) fetch_rates: Vec<f64>,
+    /// All machines that are up or booting, with the starts and reservations of this round.
     pub(super) slots: Vec<Slot<'a>>,
     pub(super) jobs_within_guarantee: HashSet<&'a JobId>,
     pub(super) teams_over_fair_share: HashSet<&'a TeamName>,
-    /// What the teams' tasks use, this round's starts included.
+    /// The resources that each team's active tasks use, plus those of the tasks planned in this round.
+    /// Array tasks are counted whether they start now or have to wait, gangs only if they start.
     pub(super) team_usage: HashMap<TeamName, Resources>,
-    /// Tasks looked at so far, of all jobs and of each.
+    /// The number of tasks examined so far in this round.
     pub(super) examined: usize,
+    /// The same count for each job.
     pub(super) examined_by_job: HashMap<&'a JobId, usize>,
-    /// The longest wait so far that is expected of a task.
+    /// The longest expected wait of any task reserved so far in this round. Tasks beyond
+    /// [`MAX_TASKS_PER_ROUND`] are assumed to wait this long.
     pub(super) longest_wait: Duration,
-    /// Jobs held back by their team's limit.
+    /// Job arrays with waiting tasks that only their team's limit holds back.
     pub(super) limited_jobs: Vec<&'a JobId>,
     pub(super) plan: RoundPlan,
 }
 
 impl ClusterState {
-    /// What to start, what to stop, and what waits.
+    /// Decides which tasks to start, which to preempt and which keep waiting, without changing the state.
     pub(super) fn plan_round(&self, now: Instant) -> RoundPlan {
         let mut round = self.begin_round(now);
         let queue = self.queue(
@@ -89,8 +98,9 @@
             mut plan,
             ..
         } = round;
-        // Nothing is rented, kept or stopped for a job that would only fail there too, or for work that
-        // waits for the start limiter.
+        // Jobs suspected of a crash loop would fail on other machines too, and ordinary jobs that wait
+        // for the start limiter do not lack machines. For neither are machines rented or kept, or tasks
+        // preempted.
         let rate_limited = plan.rate_limited;
         plan.waiting.retain(|waiting| {
             self.jobs.get(&waiting.job_id).is_some_and(|job| {
@@ -121,7 +131,8 @@
         plan
     }
 
-    /// The zones of machines, as far as they are known.
+    /// Returns a function that looks up the zone of a machine. It returns `None` if the machine is
+    /// unknown or its zone is not known.
     pub(in crate::core) fn zone_of(&self) -> impl Fn(&MachineId) -> Option<Zone> + '_ {
         |id| {
             let machine = self.fleet.machines.get(id)?;
@@ -130,31 +141,31 @@
     }
 }
 
-/// Work that may wait while the controllers cannot keep up: neither of a high priority nor within a
-/// guarantee.
+/// Whether the start limiter applies to a job. It does not apply to jobs above standard priority, or to
+/// jobs within their team's guarantee.
 pub(super) fn is_ordinary(spec: &JobSpec, jobs_within_guarantee: &HashSet<&JobId>) -> bool {
     spec.priority <= Priority::Standard && !jobs_within_guarantee.contains(&spec.job_id)
 }
 
 impl<'a> PlacementRound<'a> {
-    /// How many tasks of a job this round has looked at.
+    /// The number of this job's tasks that the round has examined.
     pub(super) fn examined_of(&self, job: &Job) -> usize {
         let examined = self.examined_by_job.get(&job.spec.job_id);
         examined.copied().unwrap_or(0)
     }
 
-    /// This round looks at so many tasks of a job.
+    /// Counts `tasks` tasks of a job as examined.
     pub(super) fn record_examined(&mut self, job: &'a Job, tasks: usize) {
         self.examined += tasks;
         *self.examined_by_job.entry(&job.spec.job_id).or_default() += tasks;
     }
 
-    /// How many more tasks this round may look at.
+    /// The number of tasks that this round may still examine.
     pub(super) fn remaining_tasks(&self) -> usize {
         MAX_TASKS_PER_ROUND.saturating_sub(self.examined)
     }
 
-    /// What a team's tasks use, this round's starts included.
+    /// The resources of a team's active and planned tasks; see [`PlacementRound::team_usage`].
     pub(super) fn usage_of(&self, team: &TeamName) -> Resources {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -1,8 +1,10 @@
-//! The score of a machine for a task: time until it has room + expected run time + image fetch.
+//! The score of a machine for a task: the expected wait for free resources, plus the expected run time,
+//! plus the time to fetch the image. Two corrections are added to that: [`TURNAROUND`] if the machine is
+//! busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need it.
 //!
-//! Tasks of one job are alike. All machines are scored once for them and kept in a heap, in which only
-//! the machine that took the last task is scored anew. The choice is the same as if each task were
-//! scored on every machine; a test compares the two.
+//! The tasks of one job are alike, so all machines are scored once per job and kept in a heap. After each
+//! placement only the machine that took the task is scored again. The choice is the same as if each task
+//! were scored on every machine; a test compares the two.
 
 use crate::core::model::{JobSpec, MachineType, Resources};
 use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
@@ -13,12 +15,14 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// How much larger a waiting task must be for smaller ones to leave its machines to it.
+/// A waiting task must request at least this many times the CPUs of a smaller task for the smaller one to
+/// avoid machines that the larger one needs.
 const MUCH_LARGER_FACTOR: f64 = 4.0;
-/// What smaller tasks add to the score of such a machine.
+/// Added to the score of such a machine for the smaller task.
 const LARGER_TASKS_PENALTY: Duration = Duration::from_secs(3);
 
-/// Whether a machine of this type is wanted by waiting tasks far larger than `resources`.
+/// Whether a waiting task that is much larger than `resources` fits on a machine of this type.
+/// `unplaced_sizes`: the task sizes that the last round could not place.
 pub fn is_wanted_by_larger_tasks(
     unplaced_sizes: &[Resources],
     resources: &Resources,
@@ -29,36 +33,38 @@
     })
 }
 
-/// What a round computes once for all tasks of a job, for one machine type.
+/// Estimates for the tasks of one job on one machine type, computed once per round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TypeEstimate {
     pub(super) run_time: Duration,
-    /// In GB a second.
+    /// In GB per second.
     pub(super) fetch_rate: f64,
     pub(super) wanted_by_larger_tasks: bool,
 }
 
-/// Tasks of one job that are alike, so that they share a scoring.
+/// Tasks of one job that have the same score on every machine.
 pub(super) struct TaskGroup<'a> {
     pub(super) job: &'a Job,
-    /// By machine type.
+    /// By the index of the machine type in the fleet.
     pub(super) estimates: Vec<TypeEstimate>,
-    /// Progress that a restarted task resumes from.
+    /// Run time saved in a checkpoint, from which a restarted task resumes.
     pub(super) saved_progress: Duration,
-    /// Its team uses more than its fair share.
+    /// The job's team uses more than its fair share.
     pub(super) over_fair_share: bool,
 }
 
-/// A slot scored for one task. The lowest wins: by score, then price, then room left, then slot.
+/// The score of a slot for one task. The lowest is chosen; ties are broken by price, then by leftover
+/// CPUs, then by the index of the slot.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScoredSlot {
     /// In units of [`SCORE_RESOLUTION_S`].
     score: i64,
     price_step: f64,
+    /// If the task starts now: the CPUs left free on the machine. Otherwise: the CPUs that are not free yet.
     leftover_cpus: f64,
-    /// The index of the slot.
+    /// The index of the slot in the round.
     pub(super) slot: usize,
-    /// When the task could start there.
+    /// The earliest time at which the task is expected to start there.
     pub(super) available_at: Instant,
     pub(super) free_now: bool,
     pub(super) run_time: Duration,
@@ -66,7 +72,7 @@
 }
 
 impl ScoredSlot {
-    /// For how long the task takes its room.
+    /// How long the task is expected to occupy its resources, including the image fetch.
     pub(super) fn occupancy(&self) -> Duration {
         self.run_time + self.fetch_delay
     }
@@ -94,7 +100,7 @@
 impl Eq for ScoredSlot {}
 
 impl ClusterState {
-    /// Estimates for one job by machine type.
+    /// Estimates for one job on each machine type.
     pub(super) fn type_estimates(&self, spec: &JobSpec, fetch_rates: &[f64]) -> Vec<TypeEstimate> {
         let types = self.fleet.types.iter().zip(fetch_rates);
         types
@@ -110,7 +116,8 @@
             .collect()
     }
 
-    /// The score of one slot. None: the task can never run there.
+    /// Scores one slot for the tasks of a group. Returns `None` if the task never fits there, or if its
+    /// team is over its fair share while a task of a team that is not has a reservation on the slot.
     pub(super) fn score(
         &self,
         now: Instant,
@@ -134,14 +141,16 @@
         let wait = available.at.saturating_duration_since(now);
         let mut score = wait + run_time + fetch_delay;
         if !available.free_now && slot.ready_at.is_none() {
-            // The end of what runs there must be reported, and the next intent written.
+            // The end of the running task has to be reported first, and the intent of the next one
+            // written.
             score += TURNAROUND;
         }
         if estimate.wanted_by_larger_tasks {
             score += LARGER_TASKS_PENALTY;
         }
-        // What starts fills a machine up; what waits does so where most of its room is free already, or
-        // it would change its machine each round and never find it empty enough.
+        // A task that starts now goes to the machine that it fills up most. A task that has to wait goes
+        // to the machine where most of the resources that it needs are free already; otherwise it would
+        // change its machine in every round and never find one that is free enough.
         let leftover_cpus = if available.free_now {
             slot.free.cpus - resources.cpus
         } else {
@@ -159,17 +168,19 @@
         })
     }
 
-    /// Whether the job may use this slot, given the zones of its tasks.
+    /// Whether a job may start a task on this slot, given the zones of its active tasks and the machines
+    /// on which it failed.
     pub(super) fn may_use_slot(&self, job: &Job, slot: &Slot<'_>, zones: &ZoneUse) -> bool {
         let machine = slot.machine;
-        // A suspected job has failed on many machines, and most of them are well.
+        // A job suspected of a crash loop has failed on many machines, and most of those machines are
+        // healthy.
         let has_failed_there =
             !job.crash_loop.is_suspected() && job.crash_loop.has_failed_on(&machine.id);
         let type_name = &self.fleet.types[slot.type_index].name;
         !has_failed_there && permits(&job.spec, zones, type_name, &machine.zone, machine.spot)
     }
 
-    /// The slots that a group may use, lowest score first.
+    /// The slots that a group may use, as a heap with the lowest score on top.
     pub(super) fn ranked_slots(
         &self,
         now: Instant,
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -1,4 +1,5 @@
-//! Machines as a placement round sees them: free room, when more is expected, images.
+//! The view that a placement round has of the machines: free resources, when more are expected to become
+//! free, and images.
 
 use crate::core::model::{ImageKey, MachineType, Resources};
 use crate::core::placement::history::fetch_time_at;
@@ -6,56 +7,60 @@
 use crate::core::state::{ActiveAttempt, ClusterState, Job, Machine};
 use std::time::{Duration, Instant};
 
-/// A machine that missed its heartbeats for so many intervals gets no tasks.
+/// A machine gets no tasks if its last heartbeat is older than this many heartbeat intervals.
 const MAX_HEARTBEAT_AGE: f64 = 2.5;
-/// A machine that is booting is never expected up sooner than this.
+/// The minimum expected time until a booting machine is up.
 const MIN_BOOT_REMAINING: Duration = Duration::from_secs(1);
-/// Past its estimate, a task is taken to need as much again as this part of its run so far.
+/// A task that has exceeded its estimated run time is expected to need this fraction of its run time so
+/// far in addition.
 const OVERRUN_SHARE: f64 = 0.1;
 
-/// Room that is expected to come free.
+/// Resources that are expected to become free at a certain time.
 #[derive(Clone, Copy, Debug)]
 struct ExpectedRelease {
     at: Instant,
     resources: Resources,
 }
 
-/// When a slot has room for a task.
+/// When a slot has enough resources for a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Availability {
     pub(super) at: Instant,
+    /// The machine is up and the resources are free already.
     pub(super) free_now: bool,
 }
 
-/// A machine with the starts and reservations of the round on top.
+/// A machine with the starts and reservations of the current round.
 pub(in crate::core) struct Slot<'a> {
     pub(super) machine: &'a Machine,
-    /// The index of its type in the fleet.
+    /// The index of the machine's type in the fleet.
     pub(super) type_index: usize,
-    /// Room free now; for a machine that is still booting, its whole room later.
+    /// Resources that are free now, less this round's starts. For a booting machine: those that will be
+    /// free when it is up. Zero if a starved job reserved the whole machine.
     pub(super) free: Resources,
-    /// Room once reservations are taken off; may be negative.
+    /// Free resources less this round's starts and reservations; a component may be negative.
     pub(super) free_unreserved: Resources,
-    /// In order of time.
+    /// Ends of running tasks, of this round's starts and of reservations, by time.
     releases: Vec<ExpectedRelease>,
-    /// When the machine will have booted. None: it is up.
+    /// When the machine is expected to have booted. `None` if it is up.
     pub(super) ready_at: Option<Instant>,
-    /// How much longer tasks run here than on other machines of the type.
+    /// The ratio of run times on this machine to the mean of its type.
     pub(super) slowdown: f64,
-    /// The price by the CPU, in steps within which prices count as equal.
+    /// The step of the price per CPU and hour; prices in the same step count as equal.
     pub(super) price_step: f64,
-    /// The size of all images that are being fetched here, this round's included.
+    /// The total size of the images being fetched, including fetches that this round's starts cause.
     pending_fetch_gb: f64,
-    /// Images whose fetch starts with a task of this round.
+    /// Images whose fetch a start of this round causes.
     started_images: Vec<ImageKey>,
-    /// Images that tasks with reservations will bring.
+    /// Images that tasks with reservations will fetch.
     pub(super) reserved_images: Vec<ImageKey>,
-    /// A task waits here for room to come free; teams over their fair share do not fill it up.
+    /// A task waits for resources of this machine. Teams over their fair share place nothing here.
     pub(super) has_reservation: bool,
 }
 
 impl Slot<'_> {
-    /// When the slot has room: now if the task fits, else once reserved tasks free enough.
+    /// When a task fits on the slot: now if the free resources suffice, otherwise once running tasks and
+    /// reservations have ended. Returns `None` if it will never fit.
     pub(super) fn availability(
         &self,
         now: Instant,
@@ -85,7 +90,7 @@
         None
     }
 
-    /// A task takes room from `start` on for so long.
+    /// Reserves resources for a task from `start` on for the duration `occupancy`.
     pub(super) fn reserve(&mut self, start: Instant, occupancy: Duration, resources: &Resources) {
         self.free_unreserved.sub(resources);
         let release = ExpectedRelease {
@@ -96,8 +101,8 @@
         self.releases.insert(index, release);
     }
 
-    /// How long a task waits for its image: not at all where it is cached, else for its fetch behind
-    /// those that are pending.
+    /// How long a task waits for its image. The wait is zero if the image is cached or a task with a
+    /// reservation will have fetched it; otherwise it includes the fetches that are already pending.
     pub(super) fn fetch_delay(&self, now: Instant, fetch_rate: f64, job: &Job) -> Duration {
         let image = job.image;
         if job.spec.image_gb <= 0.0
@@ -116,7 +121,8 @@
         fetch_time_at(fetch_rate, self.pending_fetch_gb + job.spec.image_gb)
     }
 
-    /// A task of this job starts here, and with it the fetch of its image if that is missing.
+    /// Records the image fetch that starting a task of this job causes, unless the image is cached or
+    /// being fetched already.
     pub(super) fn add_fetch(&mut self, job: &Job) {
         if !self.machine.images.contains(job.image)
             && self.machine.images.fetch(job.image).is_none()
@@ -129,7 +135,7 @@
 }
 
 impl ClusterState {
-    /// All machines that are up or booting, with what runs there and when it should end.
+    /// All machines that are up or booting, except those that accept no tasks now.
     pub(super) fn slots(&self, now: Instant, fetch_rates: &[f64]) -> Vec<Slot<'_>> {
         let machines = self.fleet.machines.values();
         let mut slots = Vec::with_capacity(machines.len());
@@ -137,7 +143,7 @@
         slots
     }
 
-    /// None: the machine gets no tasks now.
+    /// Builds the slot of a machine. Returns `None` if the machine accepts no tasks now.
     fn slot<'a>(
         &'a self,
         now: Instant,
@@ -173,7 +179,7 @@
         })
     }
 
-    /// Whether a machine may be given tasks now.
+    /// Whether tasks may be placed on a machine that is up.
     fn accepts_tasks(&self, now: Instant, machine: &Machine) -> bool {
         let max_age = self.config.heartbeat.mul_f64(MAX_HEARTBEAT_AGE);
         machine.has_reported
@@ -187,12 +193,13 @@
             && machine.avoid_until.is_none_or(|until| until <= now)
     }
 
+    /// When a machine that started to boot at `since` is expected to be up.
     fn expected_up(&self, now: Instant, since: Instant, machine_type: &MachineType) -> Instant {
         let up = since + self.capacity.boot_time(machine_type);
         up.max(now + MIN_BOOT_REMAINING)
     }
 
-    /// When the tasks on a machine should end, in order of time.
+    /// The expected ends of the tasks on a machine, by time.
     fn expected_releases(
         &self,
         now: Instant,
@@ -219,7 +226,8 @@
     }
 }
 
-/// How long an attempt still takes its room. `fetch`: how long until its image is there.
+/// How long an attempt is expected to keep its resources. `fetch` returns the remaining time until its
+/// image is fetched.
 fn expected_remaining(
     now: Instant,
     attempt: &ActiveAttempt,
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -1,39 +1,41 @@
-//! Limits how many tasks start a second to what the controllers' processors can follow.
+//! Limits the rate of task starts to what the controllers' CPUs can handle.
 //!
-//! Each start costs heartbeats, commands and writes on every node. With a huge job of short tasks on some
-//! thousand machines, the nodes fall behind: heartbeats are answered late, leases expire, users get no
-//! answer. The signal is how late the nodes' own timers fire. While they are late, the rate of starts of
-//! ordinary work falls; afterwards it rises until it is no longer limited.
+//! Each start costs heartbeats, commands and store writes on every node. With a huge job of short tasks
+//! on several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and
+//! users get no response. The overload signal is how late the nodes' own timers fire. While they are
+//! late, the start rate of ordinary jobs is reduced; afterwards it is raised until it is no longer
+//! limited.
 
 use std::time::{Duration, Instant};
 
-/// Timers that fire later than this, on average, show that a node cannot keep up: a worker's heartbeat
-/// would take several such delays there and back, and waits 4 s.
+/// A higher average timer lag shows that a node cannot keep up. A worker's heartbeat incurs several such
+/// delays on its way there and back, and the worker waits 4 s for the answer.
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
-/// Below this a node keeps up well.
+/// With a lower timer lag a node keeps up easily, and the limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
-/// By which part the limit falls and rises in a second.
+/// The fractions by which the limit falls and rises per second.
 const RATE_DECREASE_PER_S: f64 = 0.25;
 const RATE_INCREASE_PER_S: f64 = 0.15;
-/// The limit never falls below this: the cause of late timers may lie elsewhere.
+/// The limit never falls below this, because timers can be late for reasons other than starts.
 const MIN_STARTS_PER_S: f64 = 20.0;
-/// A limit this many times the recent starts limits nothing.
+/// A limit higher than this multiple of the recent start rate is removed, since it has no effect.
 const UNLIMITED_FACTOR: f64 = 4.0;
-/// Longer intervals between two observations count as this long.
+/// Longer intervals between two lag observations count as this long.
 const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
-/// Starts that were not used are kept for this long.
+/// The capacity of the token bucket, and its maximum debt, as seconds of starts at the current limit.
 const MAX_BURST_S: f64 = 1.0;
-/// The time constant of the average of recent starts.
+/// Time constant of the average start rate.
 const AVERAGING_TIME_S: f64 = 3.0;
 
-/// A token bucket for the starts of ordinary work, whose rate follows the lag of the nodes' timers.
+/// A token bucket for task starts, whose rate follows the timer lag of the nodes.
 #[derive(Debug)]
 pub struct StartLimiter {
-    /// The limit; infinite: there is none.
+    /// The limit; infinite if there is none.
     starts_per_s: f64,
-    /// Starts that are left. Negative: high-priority work took more than there were.
+    /// Starts that are still allowed. Infinite if there is no limit; negative if jobs that the limit does
+    /// not apply to started more tasks than were left.
     tokens: f64,
-    /// The average of starts a second.
+    /// Exponentially weighted average of the start rate.
     recent_starts_per_s: f64,
     starts_since_refill: usize,
     last_refill: Option<Instant>,
@@ -54,7 +56,7 @@
 }
 
 impl StartLimiter {
-    /// Adjusts the limit to how late timers fire on the slowest node.
+    /// Adjusts the limit to `lag`, the timer lag of the slowest node.
     pub fn observe_timer_lag(&mut self, now: Instant, lag: Duration) {
         let Some(last) = self.last_timer_lag.replace(now) else {
             return;
@@ -77,7 +79,7 @@
         self.starts_per_s.is_finite()
     }
 
-    /// Adds the tokens for the time since the last placement round.
+    /// Adds the tokens for the time since the last placement round, and updates the recent start rate.
     pub fn refill(&mut self, now: Instant) {
         let last = self.last_refill.replace(now);
         let passed = last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
@@ -105,7 +107,8 @@
         self.starts_since_refill = 0;
     }
 
-    /// How many tasks may start in this round before ordinary work has to wait.
+    /// The number of tasks that may start in this round before ordinary jobs have to wait; `usize::MAX`
+    /// if there is no limit.
     #[must_use]
     pub fn available(&self) -> usize {
         if self.tokens.is_finite() {
@@ -115,7 +118,8 @@
         }
     }
 
-    /// Takes the tokens of the tasks that a round started, of whatever priority.
+    /// Removes the tokens of all tasks that a round started, whether or not the limit applies to their
+    /// jobs.
     pub fn consume(&mut self, starts: usize) {
         self.starts_since_refill += starts;
         if self.tokens.is_finite() {
@@ -124,7 +128,7 @@
         }
     }
 
-    /// The limit in starts a second, if there is one.
+    /// The current limit in starts per second, or `None` if there is none.
     #[must_use]
     pub fn limit(&self) -> Option<f64> {
         self.is_limited().then_some(self.starts_per_s)
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -1,25 +1,27 @@
-//! Constraints on zones: in which zones one more task of a job may start.
+//! Zone constraints: the zones in which the next task of a job may start.
 //!
-//! `same_place` binds all tasks of a job to one zone, and `spread` allows at most half of them in each.
-//! The tasks by zone are counted once for each job and round: counting them anew for each machine costs
-//! a leader minutes where jobs have hundreds of tasks.
+//! `same_place` requires all tasks of a job to run in one zone, and `spread` allows at most half of them
+//! (rounded up) in each zone. Tasks are counted by zone once per job and round: counting them again for
+//! each machine would cost a leader minutes for jobs with hundreds of tasks.
 //!
-//! Invariant: while the zone of one of its tasks is unknown, a constrained job starts nothing.
+//! Invariant: a job with a zone constraint starts nothing while the zone of one of its active tasks is
+//! unknown.
 
 use crate::core::model::{JobSpec, MachineId, MachineTypeName, Zone};
 use crate::core::state::Job;
 use std::collections::BTreeMap;
 
-/// How many tasks of a job are in each zone. Counted only for jobs with a constraint.
+/// The number of tasks of a job in each zone. It is counted only for jobs with a zone constraint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneUse {
     tasks_by_zone: BTreeMap<Zone, u32>,
-    /// Some task's zone is not known: it could be any.
+    /// The zone of at least one task is unknown, so it could be any zone.
     has_unknown: bool,
 }
 
 impl ZoneUse {
-    /// Counts a job's tasks that are on machines. `zone_of`: a machine's zone, if it is known.
+    /// Counts the active tasks of a job by zone. `zone_of` returns the zone of a machine, or `None` if it
+    /// is unknown.
     pub fn of(job: &Job, zone_of: &impl Fn(&MachineId) -> Option<Zone>) -> ZoneUse {
         let mut zones = ZoneUse::default();
         if !is_constrained(&job.spec) {
@@ -34,8 +36,8 @@
         zones
     }
 
-    /// Counts one more task in this zone. Returns whether the zones in which the next one may start have
-    /// changed.
+    /// Counts one more task in this zone. Returns whether that changed the set of zones in which the next
+    /// task may start.
     pub fn add_task(&mut self, spec: &JobSpec, zone: &Zone) -> bool {
         if !is_constrained(spec) {
             return false;
@@ -45,7 +47,7 @@
         (spec.same_place && is_first) || !self.permits(spec, zone)
     }
 
-    /// Whether one more task may start in this zone.
+    /// Whether the zone constraints allow one more task of the job in this zone.
     pub fn permits(&self, spec: &JobSpec, zone: &Zone) -> bool {
         if !is_constrained(spec) {
             return true;
@@ -61,12 +63,13 @@
     }
 }
 
+/// Whether a job has a zone constraint.
 fn is_constrained(spec: &JobSpec) -> bool {
     spec.same_place || spec.spread
 }
 
-/// Whether a job may start one more task on such a machine, given the zones of its tasks: the one rule
-/// that every launch passes.
+/// Whether a job may start one more task on a machine of this type, zone and purchase option. `zones`:
+/// the zones of the job's active tasks. Every launch is checked against this rule.
 pub fn permits(
     spec: &JobSpec,
     zones: &ZoneUse,
