--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -12,7 +12,7 @@
 /// priority or size.
 const STARVATION_TIME: Duration = Duration::from_secs(100);
 /// A starved job gets one in this many of its tasks boosted, rounded up.
-const STARVED_TASKS_DIVISOR: u32 = 8;
+const BOOSTED_TASKS_DIVISOR: u32 = 8;
 /// The maximum number of distinct sizes of unplaced tasks that are kept for the next round.
 const MAX_UNPLACED_SIZES: usize = 32;
 
@@ -42,7 +42,7 @@
                 && !job.crash_loop.is_suspected()
                 && job.waiting_count() > 0
             {
-                job.boosted_tasks = job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR);
+                job.boosted_tasks = job.spec.task_count.div_ceil(BOOSTED_TASKS_DIVISOR);
                 job.was_starved = true;
             }
         }
@@ -51,8 +51,8 @@
     fn apply_round(&mut self, now: Instant, plan: RoundPlan) -> RoundOutcome {
         self.start_limiter.consume(plan.starts.len());
         self.start_tasks(now, plan.starts);
-        self.stop_preempted(now, plan.preemptions);
-        self.remember_unplaced_sizes(&plan.waiting);
+        self.preempt_tasks(now, plan.preemptions);
+        self.record_unplaced_sizes(&plan.waiting);
         RoundOutcome {
             waiting: plan.waiting,
             spare: plan.spare,
@@ -91,7 +91,7 @@
         }
     }
 
-    fn stop_preempted(&mut self, now: Instant, preemptions: Vec<Preemption>) {
+    fn preempt_tasks(&mut self, now: Instant, preemptions: Vec<Preemption>) {
         for Preemption { task, reason } in preemptions {
             log::debug!("preempting task={task} reason={reason}");
             self.kill(now, &task.job_id, task.index, Duration::ZERO);
@@ -100,7 +100,7 @@
 
     /// Records the sizes of tasks that were not placed: in the next round, smaller tasks avoid machines
     /// that these need.
-    fn remember_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
+    fn record_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
         self.unplaced_resources.clear();
         for tasks in waiting.iter().filter(|w| !w.on_booting_machine) {
             let Some(job) = self.jobs.get(&tasks.job_id) else {
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -3,7 +3,7 @@
 use crate::core::model::Resources;
 use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
 use crate::core::placement::queue::QueueEntry;
-use crate::core::placement::round::{is_ordinary, PlacementRound};
+use crate::core::placement::round::{is_subject_to_start_limit, PlacementRound};
 use crate::core::placement::scoring::{ScoredSlot, TaskGroup};
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::state::{ClusterState, Job};
@@ -16,7 +16,7 @@
 const PROGRESS_STEP_S: f64 = 5.0;
 /// A starved job reserves busy machines for its exclusive use, one for each this many of its tasks,
 /// rounded up.
-const EXCLUSIVE_TASKS_DIVISOR: u32 = 32;
+const EXCLUSIVE_MACHINES_DIVISOR: u32 = 32;
 
 /// The state of a job array while a round places its tasks.
 struct ArrayPlacement<'a> {
@@ -85,7 +85,7 @@
     }
 
     /// Records a task that no machine is expected to have resources for.
-    fn wait_for_machine(&self, round: &mut PlacementRound<'_>) {
+    fn record_waiting(&self, round: &mut PlacementRound<'_>) {
         let spec = &self.group.job.spec;
         let run_times = self.group.estimates.iter().map(|e| e.run_time);
         round.plan.add_waiting(WaitingTasks {
@@ -110,15 +110,15 @@
             return;
         };
         let mut array = self.begin_array(entry, round);
-        let ordinary = is_ordinary(spec, &round.jobs_within_guarantee);
+        let start_limited = is_subject_to_start_limit(spec, &round.jobs_within_guarantee);
         let mut usage = round.usage_of(&spec.team);
         for index in pending {
-            if ordinary && round.plan.starts.len() >= self.start_limiter.available() {
-                round.plan.rate_limited = true;
+            if start_limited && round.plan.starts.len() >= self.start_limiter.available() {
+                round.plan.start_limit_reached = true;
                 break;
             }
             if !team.allows(&usage, &spec.resources) {
-                round.limited_jobs.push(&spec.job_id);
+                round.quota_limited_jobs.push(&spec.job_id);
                 break;
             }
             usage.add(&spec.resources);
@@ -133,15 +133,15 @@
         round: &PlacementRound<'_>,
     ) -> ArrayPlacement<'a> {
         let job = entry.job;
-        let exclusive = job.spec.task_count.div_ceil(EXCLUSIVE_TASKS_DIVISOR);
+        let exclusive = job.spec.task_count.div_ceil(EXCLUSIVE_MACHINES_DIVISOR);
         ArrayPlacement {
             group: TaskGroup {
                 job,
-                estimates: self.type_estimates(&job.spec, &round.fetch_rates),
+                estimates: self.type_estimates(&job.spec, &round.fetch_rates_gb_per_s),
                 saved_progress: Duration::ZERO,
                 over_fair_share: round.teams_over_fair_share.contains(&job.spec.team),
             },
-            exclusive_machines: entry.starved_tasks.map_or(0, |_| exclusive),
+            exclusive_machines: entry.boosted_tasks.map_or(0, |_| exclusive),
             zones: ZoneUse::of(job, &self.zone_of()),
             zones_changed: false,
             ranked: None,
@@ -158,8 +158,8 @@
     ) {
         let steps = progress_steps(array.group.job, index);
         let saved_progress = Duration::from_secs_f64(steps as f64 * PROGRESS_STEP_S);
-        let is_alike = saved_progress == array.group.saved_progress;
-        if array.ranked.is_none() || array.zones_changed || !is_alike {
+        let has_same_progress = saved_progress == array.group.saved_progress;
+        if array.ranked.is_none() || array.zones_changed || !has_same_progress {
             array.group.saved_progress = saved_progress;
             array.zones_changed = false;
             let ranked = self.ranked_slots(round.now, &array.group, &round.slots, &array.zones);
@@ -167,7 +167,7 @@
         }
         let best = array.ranked.as_mut().and_then(BinaryHeap::pop);
         let Some(Reverse(chosen)) = best else {
-            array.wait_for_machine(round);
+            array.record_waiting(round);
             return;
         };
         if chosen.free_now {
@@ -186,11 +186,11 @@
 /// and counts them as examined.
 fn pending_tasks<'a>(entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) -> Vec<u32> {
     let job = entry.job;
-    let before = round.examined_of(job);
+    let before = round.examined_tasks_of(job);
     let waiting = (job.waiting_count() as usize).saturating_sub(before);
     let mut count = waiting.min(round.remaining_tasks());
-    if let Some(starved_tasks) = entry.starved_tasks {
-        count = count.min(starved_tasks as usize);
+    if let Some(boosted_tasks) = entry.boosted_tasks {
+        count = count.min(boosted_tasks as usize);
     }
     if job.crash_loop.is_suspected() {
         count = count.min(1);
@@ -198,7 +198,7 @@
     if count == 0 {
         // The round has reached its limit of tasks. These tasks are assumed to wait as long as the
         // longest wait among the examined ones.
-        if waiting > 0 && entry.starved_tasks.is_none() {
+        if waiting > 0 && entry.boosted_tasks.is_none() {
             round.plan.add_waiting(WaitingTasks {
                 job_id: job.spec.job_id.clone(),
                 count: waiting,
--- a/src/core/placement/deadlines.rs
+++ b/src/core/placement/deadlines.rs
@@ -7,12 +7,12 @@
 impl ClusterState {
     /// The time from a job's arrival within which it should finish: the shortest of its deadline and the
     /// service-level objectives of its class. `None` if there is none of either.
-    pub(super) fn promised_finish(&self, job: &Job) -> Option<Duration> {
+    pub(super) fn completion_objective(&self, job: &Job) -> Option<Duration> {
         let slos = self.config.slos.iter();
-        let of_class = slos
+        let class_objectives = slos
             .filter(|slo| slo.kind == "finished" && slo.class.as_ref() == Some(&job.spec.class));
         let deadline = job.deadline;
-        of_class
+        class_objectives
             .filter_map(|slo| slo.within)
             .chain(deadline.map(|at| at.saturating_duration_since(job.arrived)))
             .min()
@@ -27,9 +27,9 @@
         expected_run: Duration,
     ) -> Option<Duration> {
         let elapsed = now.saturating_duration_since(job.arrived);
-        let promised = self.promised_finish(job)?;
+        let objective = self.completion_objective(job)?;
         Some(
-            promised
+            objective
                 .saturating_sub(elapsed)
                 .saturating_sub(expected_run),
         )
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -7,7 +7,7 @@
 
 /// Whether a job has or can have tasks on machines: it is neither over, nor suspected of a crash loop, nor
 /// blocked by a dependency.
-fn may_run(job: &Job) -> bool {
+fn is_runnable(job: &Job) -> bool {
     !job.is_over() && !job.crash_loop.is_suspected() && !job.blocked
 }
 
@@ -24,7 +24,7 @@
     /// Jobs whose whole demand fits into their team's guarantee together with that of the team's
     /// unfinished jobs that arrived earlier.
     pub(super) fn jobs_within_guarantee(&self) -> HashSet<&JobId> {
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| may_run(job)).collect();
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| is_runnable(job)).collect();
         jobs.sort_by_key(|job| job.revision);
         let mut demand_by_team: HashMap<&TeamName, Resources> = HashMap::new();
         let mut within = HashSet::new();
@@ -45,7 +45,7 @@
     /// occupy the whole cluster for as long as it lasts.
     pub(super) fn teams_over_fair_share(&self) -> HashSet<&TeamName> {
         let mut used_by_team: HashMap<&TeamName, Resources> = HashMap::new();
-        for job in self.jobs.values().filter(|job| may_run(job)) {
+        for job in self.jobs.values().filter(|job| is_runnable(job)) {
             let team = &job.spec.team;
             used_by_team
                 .entry(team)
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -27,9 +27,9 @@
 }
 
 /// A slot for each member of a gang.
-struct Members {
+struct MemberSlots {
     /// The cost of the slowest member.
-    slowest: Duration,
+    slowest_cost: Duration,
     /// The index of the slot of each member.
     slots: Vec<usize>,
 }
@@ -39,7 +39,7 @@
     /// wait.
     pub(super) fn plan_gang<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let job = entry.job;
-        let was_examined = round.examined_of(job) > 0;
+        let was_examined = round.examined_tasks_of(job) > 0;
         if round.remaining_tasks() == 0 || was_examined || !job.active.is_empty() {
             return;
         }
@@ -54,19 +54,19 @@
             return;
         };
         let mut usage = round.usage_of(&spec.team);
-        let whole_gang = spec.resources.times(f64::from(spec.task_count));
-        if !team.allows(&usage, &whole_gang) {
+        let gang_resources = spec.resources.times(f64::from(spec.task_count));
+        if !team.allows(&usage, &gang_resources) {
             return;
         }
         let costs = self.member_costs(job, round);
         if let Some(members) = choose_members(spec, &round.slots, &costs) {
             self.start_gang(job, &members.slots, round);
-            usage.add(&whole_gang);
+            usage.add(&gang_resources);
             round.team_usage.insert(spec.team.clone(), usage);
             return;
         }
-        if entry.starved_tasks.is_some() {
-            self.keep_machines_for_gang(spec, &costs, round);
+        if entry.boosted_tasks.is_some() {
+            self.reserve_machines_for_gang(spec, &costs, round);
         }
         round.plan.add_waiting(WaitingTasks {
             job_id: spec.job_id.clone(),
@@ -105,10 +105,10 @@
     ) -> MemberEstimate {
         let type_name = &self.fleet.types[slot.type_index].name;
         let run_time = self.history.run_time(&job.spec, type_name);
-        let fetch_rate = round.fetch_rates[slot.type_index];
+        let fetch_rate_gb_per_s = round.fetch_rates_gb_per_s[slot.type_index];
         MemberEstimate {
             run_time: run_time.mul_f64(slot.slowdown),
-            fetch_delay: slot.fetch_delay(round.now, fetch_rate, job),
+            fetch_delay: slot.fetch_delay(round.now, fetch_rate_gb_per_s, job),
         }
     }
 
@@ -134,18 +134,18 @@
     /// Keeps the machines that can hold the members of a starved gang soonest free of other tasks for
     /// this round. Otherwise other tasks would use every gap, and the resources for all members would
     /// never be free at the same time.
-    fn keep_machines_for_gang(
+    fn reserve_machines_for_gang(
         &self,
         spec: &JobSpec,
         costs: &[MemberCost],
         round: &mut PlacementRound<'_>,
     ) {
-        let room_of = |slot: &Slot<'_>| &self.fleet.types[slot.type_index].capacity;
+        let capacity_of = |slot: &Slot<'_>| &self.fleet.types[slot.type_index].capacity;
         let mut soonest: Vec<(Instant, usize)> = costs
             .iter()
             .filter_map(|member| {
                 let slot = &round.slots[member.slot];
-                let available = slot.availability(round.now, &spec.resources, room_of(slot))?;
+                let available = slot.availability(round.now, &spec.resources, capacity_of(slot))?;
                 Some((available.at, member.slot))
             })
             .collect();
@@ -156,7 +156,7 @@
                 break;
             }
             let slot = &mut round.slots[slot_index];
-            missing = missing.saturating_sub(spec.resources.count_fitting_in(room_of(slot)));
+            missing = missing.saturating_sub(spec.resources.count_fitting_in(capacity_of(slot)));
             slot.free = Resources::default();
         }
     }
@@ -164,7 +164,7 @@
 
 /// Chooses slots for all members so that the slowest one finishes as early as possible. If the job
 /// requires `same_place`, all slots are in one zone.
-fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<Members> {
+fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<MemberSlots> {
     let mut zones: Vec<Option<&Zone>> = vec![None];
     if spec.same_place {
         zones = slots.iter().map(|s| Some(&s.machine.zone)).collect();
@@ -173,10 +173,10 @@
     }
     let complete = zones
         .into_iter()
-        .filter_map(|only| members_in(spec, slots, costs, only));
+        .filter_map(|only_zone| assign_members(spec, slots, costs, only_zone));
     // Of equally fast choices the first one wins.
     complete.reduce(|best, next| {
-        if next.slowest < best.slowest {
+        if next.slowest_cost < best.slowest_cost {
             next
         } else {
             best
@@ -185,24 +185,24 @@
 }
 
 /// Assigns members to the cheapest slots. Returns `None` if there are not enough free resources for all
-/// of them. `only`: the zone to which the choice is restricted, if any.
-fn members_in(
+/// of them. `only_zone`: the zone to which the choice is restricted, if any.
+fn assign_members(
     spec: &JobSpec,
     slots: &[Slot<'_>],
     costs: &[MemberCost],
-    only: Option<&Zone>,
-) -> Option<Members> {
+    only_zone: Option<&Zone>,
+) -> Option<MemberSlots> {
     let wanted = spec.task_count as usize;
     let max_per_zone = spec.task_count.div_ceil(2) as usize;
-    let mut members = Members {
-        slowest: Duration::ZERO,
+    let mut members = MemberSlots {
+        slowest_cost: Duration::ZERO,
         slots: Vec::new(),
     };
     let mut count_by_zone: HashMap<&Zone, usize> = HashMap::new();
     for member in costs {
         let slot = &slots[member.slot];
         let zone = &slot.machine.zone;
-        if only.is_some_and(|only| only != zone) {
+        if only_zone.is_some_and(|only_zone| only_zone != zone) {
             continue;
         }
         let missing = wanted - members.slots.len();
@@ -213,7 +213,7 @@
             *in_zone += count;
         }
         if count > 0 {
-            members.slowest = members.slowest.max(member.cost);
+            members.slowest_cost = members.slowest_cost.max(member.cost);
             members
                 .slots
                 .extend(std::iter::repeat_n(member.slot, count));
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -37,22 +37,22 @@
 }
 
 /// The mean of a class is used only if it has at least this many measurements.
-const MIN_CLASS_COUNT: u32 = 3;
+const MIN_CLASS_MEASUREMENTS: u32 = 3;
 /// Bounds of estimated run times, in seconds.
-const MIN_RUN_S: f64 = 0.1;
-const MAX_RUN_S: f64 = 1e6;
+const MIN_RUN_TIME_S: f64 = 0.1;
+const MAX_RUN_TIME_S: f64 = 1e6;
 /// Bound of the absolute natural logarithm of measured over expected run time.
-const MAX_BIAS: f64 = 3.0;
+const MAX_ABS_LOG_BIAS: f64 = 3.0;
 /// Lower bound of a fetch rate in GB per second, and upper bound of an estimated fetch time in seconds.
-const MIN_FETCH_RATE: f64 = 0.01;
-const MAX_FETCH_S: f64 = 1e5;
+const MIN_FETCH_RATE_GB_PER_S: f64 = 0.01;
+const MAX_FETCH_TIME_S: f64 = 1e5;
 /// Shorter fetches are ignored, since their times are measured too coarsely.
-const MIN_MEASURED_FETCH_S: f64 = 0.5;
+const MIN_COUNTED_FETCH_TIME_S: f64 = 0.5;
 /// Bounds of the ratio of measured to nominal fetch rate.
 const MIN_FETCH_RATIO: f64 = 0.05;
 const MAX_FETCH_RATIO: f64 = 3.0;
 /// Entries with at most this many measurements are removed when the run time table grows too large.
-const MAX_DROPPED_COUNT: u32 = 8;
+const RARELY_MEASURED_MAX_COUNT: u32 = 8;
 
 /// Averages of measured run times and image fetch rates.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +60,7 @@
     /// Run times in seconds, by task key and by class key.
     run_times: HashMap<u64, Average>,
     /// Natural logarithm of measured over expected run time, by class.
-    estimate_bias: HashMap<u64, Average>,
+    log_estimate_bias: HashMap<u64, Average>,
     /// Ratio of measured to nominal fetch rate, by machine type.
     fetch_ratios: HashMap<u64, Average>,
     /// Measurements were added since the last summary.
@@ -102,9 +102,11 @@
     key(&[&machine_type.0], &[])
 }
 
-/// The time to fetch `gb` gigabytes at a rate in GB per second. Very low rates are raised to a minimum.
-pub fn fetch_time_at(rate: f64, gb: f64) -> Duration {
-    Duration::from_secs_f64((gb / rate.max(MIN_FETCH_RATE)).clamp(0.0, MAX_FETCH_S))
+/// The time to fetch `size_gb` gigabytes at a rate in GB per second. Very low rates are raised to a minimum.
+pub fn fetch_time_at(rate_gb_per_s: f64, size_gb: f64) -> Duration {
+    Duration::from_secs_f64(
+        (size_gb / rate_gb_per_s.max(MIN_FETCH_RATE_GB_PER_S)).clamp(0.0, MAX_FETCH_TIME_S),
+    )
 }
 
 impl History {
@@ -114,16 +116,16 @@
             return Duration::from_secs_f64(measured.mean);
         }
         let expected = spec.expected.as_secs_f64();
-        let bias = self.estimate_bias.get(&bias_key(spec));
+        let bias = self.log_estimate_bias.get(&bias_key(spec));
         let corrected = expected * bias.map_or(1.0, |b| b.mean.exp());
         let run_time = match self.run_times.get(&class_key(spec, machine_type)) {
             // Users' estimates are often off by half, so the mean of the class is averaged in.
-            Some(class) if class.count >= MIN_CLASS_COUNT => {
+            Some(class) if class.count >= MIN_CLASS_MEASUREMENTS => {
                 (corrected * class.mean).max(0.0).sqrt()
             }
             _ => corrected,
         };
-        Duration::from_secs_f64(run_time.clamp(MIN_RUN_S, MAX_RUN_S))
+        Duration::from_secs_f64(run_time.clamp(MIN_RUN_TIME_S, MAX_RUN_TIME_S))
     }
 
     /// Records the run time of a task that ran to completion.
@@ -134,24 +136,29 @@
         }
         let expected = spec.expected.as_secs_f64();
         if expected > 0.0 && seconds > 0.0 {
-            let bias = self.estimate_bias.entry(bias_key(spec)).or_default();
-            bias.add((seconds / expected).ln().clamp(-MAX_BIAS, MAX_BIAS));
+            let bias = self.log_estimate_bias.entry(bias_key(spec)).or_default();
+            bias.add(
+                (seconds / expected)
+                    .ln()
+                    .clamp(-MAX_ABS_LOG_BIAS, MAX_ABS_LOG_BIAS),
+            );
         }
         self.dirty = true;
     }
 
-    /// Records how long the fetch of an image of `gb` gigabytes took. `nominal`: the fetch rate of the
-    /// machine type in GB per second.
+    /// Records how long the fetch of an image of `size_gb` gigabytes took. `nominal_gb_per_s`: the fetch
+    /// rate of the machine type.
     pub fn record_fetch(
         &mut self,
         machine_type: &MachineTypeName,
-        nominal: f64,
-        gb: f64,
+        nominal_gb_per_s: f64,
+        size_gb: f64,
         took: Duration,
     ) {
         let seconds = took.as_secs_f64();
-        if seconds > MIN_MEASURED_FETCH_S && gb > 0.0 && nominal > 0.0 {
-            let ratio = (gb / seconds / nominal).clamp(MIN_FETCH_RATIO, MAX_FETCH_RATIO);
+        if seconds > MIN_COUNTED_FETCH_TIME_S && size_gb > 0.0 && nominal_gb_per_s > 0.0 {
+            let ratio =
+                (size_gb / seconds / nominal_gb_per_s).clamp(MIN_FETCH_RATIO, MAX_FETCH_RATIO);
             let average = self
                 .fetch_ratios
                 .entry(fetch_key(machine_type))
@@ -167,10 +174,15 @@
         measured.map_or(1.0, |average| average.mean)
     }
 
-    /// Estimates the time to fetch `gb` gigabytes, not counting fetches queued before it. `nominal`: the
-    /// fetch rate of the machine type in GB per second.
-    pub fn fetch_time(&self, machine_type: &MachineTypeName, nominal: f64, gb: f64) -> Duration {
-        fetch_time_at(nominal * self.fetch_ratio(machine_type), gb)
+    /// Estimates the time to fetch `size_gb` gigabytes, not counting fetches queued before it.
+    /// `nominal_gb_per_s`: the fetch rate of the machine type.
+    pub fn fetch_time(
+        &self,
+        machine_type: &MachineTypeName,
+        nominal_gb_per_s: f64,
+        size_gb: f64,
+    ) -> Duration {
+        fetch_time_at(nominal_gb_per_s * self.fetch_ratio(machine_type), size_gb)
     }
 
     /// Returns the entries to store, or `None` if nothing was measured since the last call. There are at
@@ -179,42 +191,43 @@
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
-        let mut left = max_entries;
+        let mut remaining_entries = max_entries;
         let mut most_measured = |averages: &HashMap<u64, Average>| {
             let mut entries: Vec<SummaryEntry> = averages
                 .iter()
                 .map(|(k, a)| (*k, a.mean, a.count))
                 .collect();
             entries.sort_by(|a, b| b.2.cmp(&a.2).then(a.0.cmp(&b.0)));
-            entries.truncate(left);
-            left -= entries.len();
+            entries.truncate(remaining_entries);
+            remaining_entries -= entries.len();
             entries
         };
         // The small tables, which apply to many tasks, get their space first.
         let fetch = most_measured(&self.fetch_ratios);
-        let bias = most_measured(&self.estimate_bias);
+        let bias = most_measured(&self.log_estimate_bias);
         let runs = most_measured(&self.run_times);
         Some(HistorySummary { runs, bias, fetch })
     }
 
     /// Loads a stored summary. Its entries replace those with the same keys.
     pub fn load(&mut self, summary: &HistorySummary) {
-        fill(&mut self.run_times, &summary.runs);
-        fill(&mut self.estimate_bias, &summary.bias);
-        fill(&mut self.fetch_ratios, &summary.fetch);
+        load_averages(&mut self.run_times, &summary.runs);
+        load_averages(&mut self.log_estimate_bias, &summary.bias);
+        load_averages(&mut self.fetch_ratios, &summary.fetch);
     }
 
     /// If the run time table has more than `max_entries` entries, removes those with few measurements,
     /// most of which belong to single jobs. The table can stay larger than `max_entries`.
     pub fn trim(&mut self, max_entries: usize) {
         if self.run_times.len() > max_entries {
-            self.run_times.retain(|_, a| a.count > MAX_DROPPED_COUNT);
+            self.run_times
+                .retain(|_, a| a.count > RARELY_MEASURED_MAX_COUNT);
         }
     }
 }
 
 /// Copies stored entries into a table, skipping means that are not finite.
-fn fill(averages: &mut HashMap<u64, Average>, entries: &[SummaryEntry]) {
+fn load_averages(averages: &mut HashMap<u64, Average>, entries: &[SummaryEntry]) {
     for (key, mean, count) in entries.iter().filter(|(_, mean, _)| mean.is_finite()) {
         let average = Average {
             mean: *mean,
--- a/src/core/placement/plan.rs
+++ b/src/core/placement/plan.rs
@@ -53,7 +53,7 @@
 
 /// Resources of a machine that neither running tasks nor reservations take.
 #[derive(Clone, Debug)]
-pub(in crate::core) struct SpareRoom {
+pub(in crate::core) struct SpareResources {
     pub(in crate::core) machine: MachineId,
     /// A component is negative if more is reserved than is free.
     pub(in crate::core) free: Resources,
@@ -66,9 +66,9 @@
     pub(super) starts: Vec<TaskStart>,
     pub(super) preemptions: Vec<Preemption>,
     pub(super) waiting: Vec<WaitingTasks>,
-    pub(super) spare: Vec<SpareRoom>,
+    pub(super) spare: Vec<SpareResources>,
     /// Some tasks were not started because of the start limiter rather than for lack of machines.
-    pub(super) rate_limited: bool,
+    pub(super) start_limit_reached: bool,
 }
 
 impl RoundPlan {
@@ -87,5 +87,5 @@
     /// Tasks that the round did not start.
     pub(in crate::core) waiting: Vec<WaitingTasks>,
     /// Free, unreserved resources of machines that are up or booting.
-    pub(in crate::core) spare: Vec<SpareRoom>,
+    pub(in crate::core) spare: Vec<SpareResources>,
 }
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -10,7 +10,7 @@
 const RESTART_COST: Duration = Duration::from_secs(5);
 /// A protected task is not preempted before it has run this long; stopped earlier, its start would have
 /// been useless.
-const MIN_PROTECTED_RUN: Duration = Duration::from_secs(31);
+const MIN_PROTECTED_RUN_TIME: Duration = Duration::from_secs(31);
 
 /// The cost of stopping an attempt at once, in seconds of lost work. Returns `None` if the attempt must
 /// not be preempted, because its start is protected or because it will soon end by itself.
@@ -22,15 +22,16 @@
     saved_progress: Duration,
     protection: StartProtection,
 ) -> Option<f64> {
-    let ran = attempt
+    let run_so_far = attempt
         .running_since
         .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-    let remaining = attempt.estimated_run_time.saturating_sub(ran);
-    let is_protected = protection == StartProtection::Protected && ran < MIN_PROTECTED_RUN;
+    let remaining = attempt.estimated_run_time.saturating_sub(run_so_far);
+    let is_protected =
+        protection == StartProtection::Protected && run_so_far < MIN_PROTECTED_RUN_TIME;
     if is_protected || remaining < MIN_PREEMPTION_WAIT {
         return None;
     }
-    let progress = ran.as_secs_f64() + saved_progress.as_secs_f64();
+    let progress = run_so_far.as_secs_f64() + saved_progress.as_secs_f64();
     let checkpoint_interval = job.spec.checkpoint_interval.as_secs_f64();
     let lost_work = match (attempt.running_since, checkpoint_interval > 0.0) {
         (None, _) => now
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -5,7 +5,7 @@
 use crate::core::placement::preemption::{
     Preemption, PreemptionInput, PreemptionReason, MAX_PREEMPTIONS_PER_ROUND, MIN_PREEMPTION_WAIT,
 };
-use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
+use crate::core::placement::round::{SCORE_RESOLUTION_S, SUCCESSOR_START_DELAY};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::placement::WaitingTasks;
@@ -16,16 +16,16 @@
 
 /// The fraction of a start objective that a task may be expected to wait before other tasks are preempted
 /// for it.
-const START_SLO_SHARE: f64 = 0.25;
+const MAX_WAIT_FRACTION_OF_START_SLO: f64 = 0.25;
 
 /// A job whose tasks wait too long, so that other tasks may be preempted for them.
-struct Claimant<'a> {
+struct Preemptor<'a> {
     job: &'a Job,
     /// The number of its tasks that wait too long.
     tasks: usize,
     /// The expected time from now until the first of these tasks ends if nothing is preempted for it.
     /// `None` if no machine is expected to have resources for them.
-    earliest_end: Option<Duration>,
+    shortest_time_to_end: Option<Duration>,
     /// The job is within its team's guarantee.
     within_guarantee: bool,
 }
@@ -76,7 +76,7 @@
     /// Candidate victims by slot, the cheapest first.
     victims: Vec<Vec<Victim<'a>>>,
     /// Indices of the selected victims by slot.
-    taken: Vec<HashSet<usize>>,
+    selected: Vec<HashSet<usize>>,
     /// Free resources by slot, after the selected victims have ended and the tasks that they were
     /// preempted for have started.
     free: Vec<Resources>,
@@ -91,7 +91,7 @@
     }
 
     /// Selects these victims and assigns the freed resources to one task of the preemptor.
-    fn take(&mut self, chosen: VictimSet, claimant: &Claimant<'_>) {
+    fn select(&mut self, chosen: VictimSet, preemptor: &Preemptor<'_>) {
         let slot = chosen.slot;
         for index in chosen.victims {
             let victim = &self.victims[slot][index];
@@ -100,50 +100,50 @@
             if let Some(usage) = self.team_usage.get_mut(&victim.job.spec.team) {
                 usage.sub(resources);
             }
-            self.taken[slot].insert(index);
+            self.selected[slot].insert(index);
             self.preemptions.push(Preemption {
                 task: victim.task.clone(),
                 reason: PreemptionReason::Room,
             });
         }
-        self.free[slot].sub(&claimant.job.spec.resources);
+        self.free[slot].sub(&preemptor.job.spec.resources);
     }
 }
 
 impl ClusterState {
     /// Selects the tasks to preempt so that waiting tasks get resources.
     pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
-        let mut claimants = input
+        let mut preemptors = input
             .waiting
             .chunk_by(|a, b| a.job_id == b.job_id)
-            .filter_map(|waiting| self.claimant(waiting, input))
+            .filter_map(|waiting| self.preemptor(waiting, input))
             .peekable();
-        if claimants.peek().is_none() {
+        if preemptors.peek().is_none() {
             return Vec::new();
         }
         let mut selection = Selection {
             victims: self.victims_by_slot(input),
-            taken: vec![HashSet::new(); input.slots.len()],
+            selected: vec![HashSet::new(); input.slots.len()],
             free: input.slots.iter().map(|slot| slot.free).collect(),
             team_usage: self.quota_usage.by_team(),
             preemptions: Vec::new(),
         };
         while !selection.is_full() {
-            let Some(claimant) = claimants.next() else {
+            let Some(preemptor) = preemptors.next() else {
                 break;
             };
-            self.preempt_for(&claimant, input, &mut selection);
+            self.preempt_for(&preemptor, input, &mut selection);
         }
         selection.preemptions
     }
 
     /// Returns the preemptor for the waiting tasks of one job, or `None` if nothing may be preempted for
     /// them.
-    fn claimant<'a>(
+    fn preemptor<'a>(
         &'a self,
         waiting: &[WaitingTasks],
         input: &PreemptionInput<'_>,
-    ) -> Option<Claimant<'a>> {
+    ) -> Option<Preemptor<'a>> {
         let job = self.jobs.get(&waiting.first()?.job_id)?;
         let spec = &job.spec;
         let within_guarantee = input.jobs_within_guarantee.contains(&spec.job_id);
@@ -157,14 +157,14 @@
             .filter(|w| w.expected_wait.is_none_or(|wait| wait > max_wait))
             .collect();
         let tasks = overdue.iter().map(|w| w.count).sum();
-        let earliest_end = overdue
+        let shortest_time_to_end = overdue
             .iter()
             .filter_map(|w| Some(w.expected_wait? + w.expected_run))
             .min();
-        (tasks > 0).then_some(Claimant {
+        (tasks > 0).then_some(Preemptor {
             job,
             tasks,
-            earliest_end,
+            shortest_time_to_end,
             within_guarantee,
         })
     }
@@ -172,9 +172,11 @@
     /// The expected wait above which tasks are preempted for a task: a fraction of the start objective of
     /// its class, but at least [`MIN_PREEMPTION_WAIT`], which also applies without an objective.
     fn max_wait_before_preemption(&self, spec: &JobSpec) -> Duration {
-        let promised = self.start_slos(spec).filter_map(|slo| slo.within).min();
-        promised.map_or(MIN_PREEMPTION_WAIT, |within| {
-            within.mul_f64(START_SLO_SHARE).max(MIN_PREEMPTION_WAIT)
+        let objective = self.start_slos(spec).filter_map(|slo| slo.within).min();
+        objective.map_or(MIN_PREEMPTION_WAIT, |within| {
+            within
+                .mul_f64(MAX_WAIT_FRACTION_OF_START_SLO)
+                .max(MIN_PREEMPTION_WAIT)
         })
     }
 
@@ -219,21 +221,21 @@
     /// Selects the cheapest victims for each of the preemptor's tasks that wait too long.
     fn preempt_for(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         input: &PreemptionInput<'_>,
         selection: &mut Selection<'_>,
     ) {
-        let job = claimant.job;
+        let job = preemptor.job;
         let zones = ZoneUse::of(job, &self.zone_of());
         let mut cheapest: BinaryHeap<Reverse<VictimSet>> = (0..input.slots.len())
             .filter(|i| {
                 let slot = &input.slots[*i];
                 slot.ready_at.is_none() && self.may_use_slot(job, slot, &zones)
             })
-            .filter_map(|i| self.victims_on(i, claimant, input, selection))
+            .filter_map(|i| self.victims_on(i, preemptor, input, selection))
             .map(Reverse)
             .collect();
-        for _ in 0..claimant.tasks {
+        for _ in 0..preemptor.tasks {
             if selection.is_full() {
                 break;
             }
@@ -241,8 +243,8 @@
                 break;
             };
             let slot = chosen.slot;
-            selection.take(chosen, claimant);
-            let next = self.victims_on(slot, claimant, input, selection);
+            selection.select(chosen, preemptor);
+            let next = self.victims_on(slot, preemptor, input, selection);
             cheapest.extend(next.map(Reverse));
         }
     }
@@ -252,16 +254,16 @@
     fn victims_on(
         &self,
         slot_index: usize,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         input: &PreemptionInput<'_>,
         selection: &Selection<'_>,
     ) -> Option<VictimSet> {
-        let spec = &claimant.job.spec;
+        let spec = &preemptor.job.spec;
         let slot = &input.slots[slot_index];
         let machine_type = &self.fleet.types[slot.type_index];
-        let fetch_rate = input.fetch_rates[slot.type_index];
-        let fetch = slot.fetch_delay(input.now, fetch_rate, claimant.job);
-        if self.would_go_elsewhere(claimant, slot, fetch) {
+        let fetch_rate_gb_per_s = input.fetch_rates_gb_per_s[slot.type_index];
+        let fetch = slot.fetch_delay(input.now, fetch_rate_gb_per_s, preemptor.job);
+        if self.would_end_sooner_elsewhere(preemptor, slot, fetch) {
             return None;
         }
         // The image fetch is counted in the unit of the victims' cost. A slot with free resources but
@@ -275,8 +277,8 @@
             if spec.resources.fits(&free) {
                 break;
             }
-            let is_taken = selection.taken[slot_index].contains(&index);
-            if is_taken || !self.may_preempt(claimant, victim, &selection.team_usage) {
+            let is_selected = selection.selected[slot_index].contains(&index);
+            if is_selected || !self.may_preempt(preemptor, victim, &selection.team_usage) {
                 continue;
             }
             free.add(&victim.job.spec.resources);
@@ -293,35 +295,35 @@
     /// Whether the preemptor's task would end sooner on another machine and would therefore still wait
     /// for that one. Other tasks would then take the freed resources and be preempted again in the next
     /// round. `fetch`: the wait for its image on this slot.
-    fn would_go_elsewhere(
+    fn would_end_sooner_elsewhere(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         slot: &Slot<'_>,
         fetch: Duration,
     ) -> bool {
-        let Some(earliest_end) = claimant.earliest_end else {
+        let Some(shortest_time_to_end) = preemptor.shortest_time_to_end else {
             return false;
         };
         let type_name = &self.fleet.types[slot.type_index].name;
-        let run_time = self.history.run_time(&claimant.job.spec, type_name);
+        let run_time = self.history.run_time(&preemptor.job.spec, type_name);
         let score_step = Duration::from_secs_f64(SCORE_RESOLUTION_S);
         let end = fetch + run_time.mul_f64(slot.slowdown) + score_step;
-        end > earliest_end + TURNAROUND
+        end > shortest_time_to_end + SUCCESSOR_START_DELAY
     }
 
     /// Whether the victim has a lower priority than the preemptor, or borrows beyond its team's guarantee
     /// while the preemptor is within the guarantee of another team.
     fn may_preempt(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         victim: &Victim<'_>,
         team_usage: &HashMap<TeamName, Resources>,
     ) -> bool {
-        let (claimant_spec, victim_spec) = (&claimant.job.spec, &victim.job.spec);
-        victim_spec.priority < claimant_spec.priority
-            || claimant.within_guarantee
+        let (preemptor_spec, victim_spec) = (&preemptor.job.spec, &victim.job.spec);
+        victim_spec.priority < preemptor_spec.priority
+            || preemptor.within_guarantee
                 && !victim.within_guarantee
-                && victim_spec.team != claimant_spec.team
+                && victim_spec.team != preemptor_spec.team
                 && self.is_beyond_guarantee(&victim_spec.team, team_usage)
     }
 }
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -18,7 +18,7 @@
 
 /// The usage of one team and its candidate victims.
 #[derive(Default)]
-struct TeamWork<'a> {
+struct TeamWorkload<'a> {
     /// The team's usage without tasks that are being stopped, plus the resources that its preemptors were
     /// granted.
     used: Resources,
@@ -26,7 +26,7 @@
     victims: Vec<Victim<'a>>,
 }
 
-impl<'a> TeamWork<'a> {
+impl<'a> TeamWorkload<'a> {
     /// Removes and returns the cheapest victim whose priority is lower than `priority`.
     fn take_cheapest_below(&mut self, priority: Priority) -> Option<Victim<'a>> {
         let index = self
@@ -46,28 +46,29 @@
         input: &PreemptionInput<'_>,
         preemptions: &mut Vec<Preemption>,
     ) {
-        let claimants: Vec<&Job> = input
-            .limited_jobs
+        let preemptors: Vec<&Job> = input
+            .quota_limited_jobs
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| job.spec.priority > Priority::Standard && job.spec.kind == JobKind::Batch)
             .collect();
-        if claimants.is_empty() {
+        if preemptors.is_empty() {
             return;
         }
-        let mut work_by_team = self.work_of_teams(&claimants, input, preemptions);
-        for job in claimants {
+        let mut workload_by_team = self.team_workloads(&preemptors, input, preemptions);
+        for job in preemptors {
             let spec = &job.spec;
             let Some(team) = self.team_config(&spec.team) else {
                 continue;
             };
-            let Some(work) = work_by_team.get_mut(&spec.team) else {
+            let Some(workload) = workload_by_team.get_mut(&spec.team) else {
                 continue;
             };
             let wanted = spec.resources.times(f64::from(job.waiting_count()));
-            while !team.allows(&work.used, &wanted) && preemptions.len() < MAX_PREEMPTIONS_PER_ROUND
+            while !team.allows(&workload.used, &wanted)
+                && preemptions.len() < MAX_PREEMPTIONS_PER_ROUND
             {
-                let Some(victim) = work.take_cheapest_below(spec.priority) else {
+                let Some(victim) = workload.take_cheapest_below(spec.priority) else {
                     break;
                 };
                 preemptions.push(Preemption {
@@ -75,37 +76,40 @@
                     reason: PreemptionReason::TeamLimit,
                 });
             }
-            work.used.add(&wanted);
+            workload.used.add(&wanted);
         }
     }
 
     /// The usage and candidate victims of the preemptors' teams, without tasks that are already being
     /// stopped.
-    fn work_of_teams<'a>(
+    fn team_workloads<'a>(
         &'a self,
-        claimants: &[&'a Job],
+        preemptors: &[&'a Job],
         input: &PreemptionInput<'_>,
         preemptions: &[Preemption],
-    ) -> HashMap<&'a TeamName, TeamWork<'a>> {
-        let mut work_by_team: HashMap<&TeamName, TeamWork<'_>> = HashMap::new();
-        for claimant in claimants {
-            let team = &claimant.spec.team;
-            work_by_team.entry(team).or_insert_with(|| TeamWork {
-                used: self.quota_usage.of(team),
-                victims: Vec::new(),
-            });
+    ) -> HashMap<&'a TeamName, TeamWorkload<'a>> {
+        let mut workload_by_team: HashMap<&TeamName, TeamWorkload<'_>> = HashMap::new();
+        for preemptor in preemptors {
+            let team = &preemptor.spec.team;
+            workload_by_team
+                .entry(team)
+                .or_insert_with(|| TeamWorkload {
+                    used: self.quota_usage.of(team),
+                    victims: Vec::new(),
+                });
         }
         let preempted: HashSet<&TaskId> = preemptions.iter().map(|p| &p.task).collect();
         for job in self.jobs.values() {
-            if let Some(work) = work_by_team.get_mut(&job.spec.team) {
-                self.add_running_tasks(job, input, &preempted, work);
+            if let Some(workload) = workload_by_team.get_mut(&job.spec.team) {
+                self.add_running_tasks(job, input, &preempted, workload);
             }
         }
-        for work in work_by_team.values_mut() {
-            work.victims
+        for workload in workload_by_team.values_mut() {
+            workload
+                .victims
                 .sort_by(|a, b| b.cost.total_cmp(&a.cost).then(b.task.cmp(&a.task)));
         }
-        work_by_team
+        workload_by_team
     }
 
     /// Adds the active tasks of one job to its team's candidate victims.
@@ -114,12 +118,12 @@
         job: &'a Job,
         input: &PreemptionInput<'_>,
         preempted: &HashSet<&TaskId>,
-        work: &mut TeamWork<'a>,
+        workload: &mut TeamWorkload<'a>,
     ) {
         for (index, attempt) in &job.active {
             let task = job.task(*index);
             if attempt.kill_request.is_some() || preempted.contains(&task) {
-                work.used.sub(&job.spec.resources);
+                workload.used.sub(&job.spec.resources);
                 continue;
             }
             if job.spec.kind == JobKind::Gang {
@@ -127,7 +131,8 @@
             }
             let guaranteed = input.jobs_within_guarantee;
             let cost = self.cost_of_preempting(input.now, job, *index, attempt, guaranteed);
-            work.victims
+            workload
+                .victims
                 .extend(cost.map(|cost| Victim { task, job, cost }));
         }
     }
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -95,11 +95,11 @@
         while let Some(job_id) = ready.pop() {
             order.push(job_id.clone());
             for dependency in self.jobs.dependencies.dependencies(job_id) {
-                let Some(left) = unordered_dependents.get_mut(dependency) else {
+                let Some(remaining) = unordered_dependents.get_mut(dependency) else {
                     continue;
                 };
-                *left -= 1;
-                if *left == 0 {
+                *remaining -= 1;
+                if *remaining == 0 {
                     ready.push(dependency);
                 }
             }
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A job that is overdue by more than this is no longer placed behind jobs that can still finish on time.
-const MAX_LATENESS_PUT_OFF: Duration = Duration::from_secs(600);
+const MAX_DEFERRABLE_LATENESS: Duration = Duration::from_secs(600);
 /// A job that has waited longer than this goes, in order of arrival, before the newer jobs of its
 /// priority that have the same standing on guarantee and fair share. The rules that favour small and
 /// punctual jobs no longer apply to it. Jobs within their team's guarantee still go first, because they
@@ -25,7 +25,7 @@
     has_not_aged: bool,
     is_late: bool,
     /// The result of `log2_total_work` if the priority is overloaded and the job has not aged, else 0.
-    size: i64,
+    log2_work: i64,
 }
 
 /// A position in the queue. A starved job appears twice: first with some of its tasks, then at its
@@ -35,7 +35,7 @@
     pub(super) job: &'a Job,
     /// For a starved job at the head of the queue: how many of its tasks go before all other jobs. `None`
     /// at a regular position.
-    pub(super) starved_tasks: Option<u32>,
+    pub(super) boosted_tasks: Option<u32>,
 }
 
 impl ClusterState {
@@ -76,21 +76,25 @@
                 team_over_fair_share: teams_over_fair_share.contains(&spec.team),
                 has_not_aged: !has_aged,
                 is_late: !has_aged && is_late,
-                size: if by_size { self.size_step(spec) } else { 0 },
+                log2_work: if by_size {
+                    self.log2_total_work(spec)
+                } else {
+                    0
+                },
             };
             order.push((key, job));
         }
         order.sort_by_key(|(key, _)| *key);
-        let usual = order.into_iter().map(|(_, job)| QueueEntry {
+        let regular_entries = order.into_iter().map(|(_, job)| QueueEntry {
             job,
-            starved_tasks: None,
+            boosted_tasks: None,
         });
-        starved_first(&jobs).chain(usual).collect()
+        starved_jobs_first(&jobs).chain(regular_entries).collect()
     }
 
     /// The base-2 logarithm of a job's total work in CPU seconds (or GPU seconds if it uses more GPUs
     /// than CPUs), rounded down.
-    fn size_step(&self, spec: &JobSpec) -> i64 {
+    fn log2_total_work(&self, spec: &JobSpec) -> i64 {
         let types = self.fleet.types.iter();
         let run_times = types.map(|t| self.history.run_time(spec, &t.name));
         let run_time = run_times.min().unwrap_or(spec.expected).as_secs_f64();
@@ -100,7 +104,7 @@
     }
 
     /// Whether a job would miss its completion objective even if it started now. This is false for a job
-    /// that is overdue by [`MAX_LATENESS_PUT_OFF`] or more, so that it is no longer put off.
+    /// that is overdue by [`MAX_DEFERRABLE_LATENESS`] or more, so that it is no longer put off.
     fn is_late(&self, now: Instant, job: &Job) -> bool {
         let allowed = self
             .fleet
@@ -111,23 +115,23 @@
         let Some(run_time) = run_times.min() else {
             return false;
         };
-        let Some(promised) = self.promised_finish(job) else {
+        let Some(objective) = self.completion_objective(job) else {
             return false;
         };
         let age = now.saturating_duration_since(job.arrived);
-        age + run_time > promised && age < promised + MAX_LATENESS_PUT_OFF
+        age + run_time > objective && age < objective + MAX_DEFERRABLE_LATENESS
     }
 }
 
 /// Whether a round may start tasks of this job.
 fn may_start(now: Instant, job: &Job) -> bool {
     // A job suspected of a crash loop retries one task at a time.
-    let is_trying = job.crash_loop.is_suspected() && !job.active.is_empty();
+    let is_retrying = job.crash_loop.is_suspected() && !job.active.is_empty();
     let backoff_is_over = job
         .crash_loop
         .backoff_until
         .is_none_or(|until| now >= until);
-    !job.is_over() && job.waiting_count() > 0 && backoff_is_over && !is_trying
+    !job.is_over() && job.waiting_count() > 0 && backoff_is_over && !is_retrying
 }
 
 /// The priorities in which at least one job with a deadline is late.
@@ -140,12 +144,12 @@
 }
 
 /// Starved jobs in order of arrival, each with the number of tasks that go before all other jobs.
-fn starved_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
+fn starved_jobs_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
     let starved = jobs.iter().copied().filter(|job| job.boosted_tasks > 0);
     let mut starved: Vec<&Job> = starved.collect();
     starved.sort_by_key(|job| job.arrived);
     starved.into_iter().map(|job| QueueEntry {
         job,
-        starved_tasks: Some(job.boosted_tasks),
+        boosted_tasks: Some(job.boosted_tasks),
     })
 }
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -5,7 +5,7 @@
 //! on its own copy of each machine's free resources, so the cluster state does not change.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TeamName, Zone};
-use crate::core::placement::plan::{RoundPlan, SpareRoom};
+use crate::core::placement::plan::{RoundPlan, SpareResources};
 use crate::core::placement::preemption::PreemptionInput;
 use crate::core::placement::slots::Slot;
 use crate::core::state::{ClusterState, Job};
@@ -22,13 +22,13 @@
 /// task to the start of its successor. It also compensates for prediction errors: the earliest of many
 /// predicted ends is usually too early, and without this delay tasks wait for busy machines while other
 /// machines are idle.
-pub(super) const TURNAROUND: Duration = Duration::from_millis(2500);
+pub(super) const SUCCESSOR_START_DELAY: Duration = Duration::from_millis(2500);
 
 /// The state of a placement round during planning: its inputs and the decisions made so far.
 pub(super) struct PlacementRound<'a> {
     pub(super) now: Instant,
     /// Expected image fetch rate in GB per second, by the index of the machine type in the fleet.
-    pub(super) fetch_rates: Vec<f64>,
+    pub(super) fetch_rates_gb_per_s: Vec<f64>,
     /// All machines that are up or booting, with the starts and reservations of this round.
     pub(super) slots: Vec<Slot<'a>>,
     pub(super) jobs_within_guarantee: HashSet<&'a JobId>,
@@ -37,14 +37,14 @@
     /// Array tasks are counted whether they start now or have to wait, gangs only if they start.
     pub(super) team_usage: HashMap<TeamName, Resources>,
     /// The number of tasks examined so far in this round.
-    pub(super) examined: usize,
+    pub(super) examined_tasks: usize,
     /// The same count for each job.
     pub(super) examined_by_job: HashMap<&'a JobId, usize>,
     /// The longest expected wait of any task reserved so far in this round. Tasks beyond
     /// [`MAX_TASKS_PER_ROUND`] are assumed to wait this long.
     pub(super) longest_wait: Duration,
     /// Job arrays with waiting tasks that only their team's limit holds back.
-    pub(super) limited_jobs: Vec<&'a JobId>,
+    pub(super) quota_limited_jobs: Vec<&'a JobId>,
     pub(super) plan: RoundPlan,
 }
 
@@ -67,7 +67,7 @@
     }
 
     fn begin_round(&self, now: Instant) -> PlacementRound<'_> {
-        let fetch_rates: Vec<f64> = self
+        let fetch_rates_gb_per_s: Vec<f64> = self
             .fleet
             .types
             .iter()
@@ -75,15 +75,15 @@
             .collect();
         PlacementRound {
             now,
-            slots: self.slots(now, &fetch_rates),
-            fetch_rates,
+            slots: self.slots(now, &fetch_rates_gb_per_s),
+            fetch_rates_gb_per_s,
             jobs_within_guarantee: self.jobs_within_guarantee(),
             teams_over_fair_share: self.teams_over_fair_share(),
             team_usage: self.quota_usage.by_team(),
-            examined: 0,
+            examined_tasks: 0,
             examined_by_job: HashMap::new(),
             longest_wait: Duration::ZERO,
-            limited_jobs: Vec::new(),
+            quota_limited_jobs: Vec::new(),
             plan: RoundPlan::default(),
         }
     }
@@ -91,24 +91,25 @@
     fn finish_round(&self, round: PlacementRound<'_>) -> RoundPlan {
         let PlacementRound {
             now,
-            fetch_rates,
+            fetch_rates_gb_per_s,
             slots,
             jobs_within_guarantee,
-            mut limited_jobs,
+            mut quota_limited_jobs,
             mut plan,
             ..
         } = round;
         // Jobs suspected of a crash loop would fail on other machines too, and ordinary jobs that wait
         // for the start limiter do not lack machines. For neither are machines rented or kept, or tasks
         // preempted.
-        let rate_limited = plan.rate_limited;
+        let start_limit_reached = plan.start_limit_reached;
         plan.waiting.retain(|waiting| {
             self.jobs.get(&waiting.job_id).is_some_and(|job| {
-                let is_limited = rate_limited && is_ordinary(&job.spec, &jobs_within_guarantee);
+                let is_limited = start_limit_reached
+                    && is_subject_to_start_limit(&job.spec, &jobs_within_guarantee);
                 !job.crash_loop.is_suspected() && !is_limited
             })
         });
-        limited_jobs.retain(|id| {
+        quota_limited_jobs.retain(|id| {
             self.jobs
                 .get(id)
                 .is_some_and(|job| !job.crash_loop.is_suspected())
@@ -117,13 +118,13 @@
             now,
             waiting: &plan.waiting,
             slots: &slots,
-            fetch_rates: &fetch_rates,
+            fetch_rates_gb_per_s: &fetch_rates_gb_per_s,
             jobs_within_guarantee: &jobs_within_guarantee,
-            limited_jobs: &limited_jobs,
+            quota_limited_jobs: &quota_limited_jobs,
         });
         plan.spare = slots
             .iter()
-            .map(|slot| SpareRoom {
+            .map(|slot| SpareResources {
                 machine: slot.machine.id.clone(),
                 free: slot.free_unreserved,
             })
@@ -143,26 +144,29 @@
 
 /// Whether the start limiter applies to a job. It does not apply to jobs above standard priority, or to
 /// jobs within their team's guarantee.
-pub(super) fn is_ordinary(spec: &JobSpec, jobs_within_guarantee: &HashSet<&JobId>) -> bool {
+pub(super) fn is_subject_to_start_limit(
+    spec: &JobSpec,
+    jobs_within_guarantee: &HashSet<&JobId>,
+) -> bool {
     spec.priority <= Priority::Standard && !jobs_within_guarantee.contains(&spec.job_id)
 }
 
 impl<'a> PlacementRound<'a> {
     /// The number of this job's tasks that the round has examined.
-    pub(super) fn examined_of(&self, job: &Job) -> usize {
-        let examined = self.examined_by_job.get(&job.spec.job_id);
-        examined.copied().unwrap_or(0)
+    pub(super) fn examined_tasks_of(&self, job: &Job) -> usize {
+        let examined_tasks = self.examined_by_job.get(&job.spec.job_id);
+        examined_tasks.copied().unwrap_or(0)
     }
 
     /// Counts `tasks` tasks of a job as examined.
     pub(super) fn record_examined(&mut self, job: &'a Job, tasks: usize) {
-        self.examined += tasks;
+        self.examined_tasks += tasks;
         *self.examined_by_job.entry(&job.spec.job_id).or_default() += tasks;
     }
 
     /// The number of tasks that this round may still examine.
     pub(super) fn remaining_tasks(&self) -> usize {
-        MAX_TASKS_PER_ROUND.saturating_sub(self.examined)
+        MAX_TASKS_PER_ROUND.saturating_sub(self.examined_tasks)
     }
 
     /// The resources of a team's active and planned tasks; see [`PlacementRound::team_usage`].
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -1,13 +1,13 @@
 //! The score of a machine for a task: the expected wait for free resources, plus the expected run time,
-//! plus the time to fetch the image. Two corrections are added to that: [`TURNAROUND`] if the machine is
-//! busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need it.
+//! plus the time to fetch the image. Two corrections are added to that: [`SUCCESSOR_START_DELAY`] if the
+//! machine is busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need it.
 //!
 //! The tasks of one job are alike, so all machines are scored once per job and kept in a heap. After each
 //! placement only the machine that took the task is scored again. The choice is the same as if each task
 //! were scored on every machine; a test compares the two.
 
 use crate::core::model::{JobSpec, MachineType, Resources};
-use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
+use crate::core::placement::round::{SCORE_RESOLUTION_S, SUCCESSOR_START_DELAY};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use crate::core::state::{ClusterState, Job};
@@ -38,7 +38,7 @@
 pub(super) struct TypeEstimate {
     pub(super) run_time: Duration,
     /// In GB per second.
-    pub(super) fetch_rate: f64,
+    pub(super) fetch_rate_gb_per_s: f64,
     pub(super) wanted_by_larger_tasks: bool,
 }
 
@@ -61,7 +61,7 @@
     score: i64,
     price_step: f64,
     /// If the task starts now: the CPUs left free on the machine. Otherwise: the CPUs that are not free yet.
-    leftover_cpus: f64,
+    tie_break_cpus: f64,
     /// The index of the slot in the round.
     pub(super) slot: usize,
     /// The earliest time at which the task is expected to start there.
@@ -83,7 +83,7 @@
         self.score
             .cmp(&other.score)
             .then(self.price_step.total_cmp(&other.price_step))
-            .then(self.leftover_cpus.total_cmp(&other.leftover_cpus))
+            .then(self.tie_break_cpus.total_cmp(&other.tie_break_cpus))
             .then(self.slot.cmp(&other.slot))
     }
 }
@@ -101,12 +101,16 @@
 
 impl ClusterState {
     /// Estimates for one job on each machine type.
-    pub(super) fn type_estimates(&self, spec: &JobSpec, fetch_rates: &[f64]) -> Vec<TypeEstimate> {
-        let types = self.fleet.types.iter().zip(fetch_rates);
+    pub(super) fn type_estimates(
+        &self,
+        spec: &JobSpec,
+        fetch_rates_gb_per_s: &[f64],
+    ) -> Vec<TypeEstimate> {
+        let types = self.fleet.types.iter().zip(fetch_rates_gb_per_s);
         types
-            .map(|(machine_type, fetch_rate)| TypeEstimate {
+            .map(|(machine_type, fetch_rate_gb_per_s)| TypeEstimate {
                 run_time: self.history.run_time(spec, &machine_type.name),
-                fetch_rate: *fetch_rate,
+                fetch_rate_gb_per_s: *fetch_rate_gb_per_s,
                 wanted_by_larger_tasks: is_wanted_by_larger_tasks(
                     &self.unplaced_resources,
                     &spec.resources,
@@ -137,13 +141,13 @@
             .run_time
             .saturating_sub(group.saved_progress)
             .mul_f64(slot.slowdown);
-        let fetch_delay = slot.fetch_delay(now, estimate.fetch_rate, group.job);
+        let fetch_delay = slot.fetch_delay(now, estimate.fetch_rate_gb_per_s, group.job);
         let wait = available.at.saturating_duration_since(now);
         let mut score = wait + run_time + fetch_delay;
         if !available.free_now && slot.ready_at.is_none() {
             // The end of the running task has to be reported first, and the intent of the next one
             // written.
-            score += TURNAROUND;
+            score += SUCCESSOR_START_DELAY;
         }
         if estimate.wanted_by_larger_tasks {
             score += LARGER_TASKS_PENALTY;
@@ -151,7 +155,7 @@
         // A task that starts now goes to the machine that it fills up most. A task that has to wait goes
         // to the machine where most of the resources that it needs are free already; otherwise it would
         // change its machine in every round and never find one that is free enough.
-        let leftover_cpus = if available.free_now {
+        let tie_break_cpus = if available.free_now {
             slot.free.cpus - resources.cpus
         } else {
             resources.cpus - slot.free.cpus
@@ -159,7 +163,7 @@
         Some(ScoredSlot {
             score: (score.as_secs_f64() / SCORE_RESOLUTION_S).round() as i64,
             price_step: slot.price_step,
-            leftover_cpus,
+            tie_break_cpus,
             slot: slot_index,
             available_at: available.at,
             free_now: available.free_now,
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// A machine gets no tasks if its last heartbeat is older than this many heartbeat intervals.
-const MAX_HEARTBEAT_AGE: f64 = 2.5;
+const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
 /// The minimum expected time until a booting machine is up.
-const MIN_BOOT_REMAINING: Duration = Duration::from_secs(1);
+const MIN_REMAINING_BOOT_TIME: Duration = Duration::from_secs(1);
 /// A task that has exceeded its estimated run time is expected to need this fraction of its run time so
 /// far in addition.
-const OVERRUN_SHARE: f64 = 0.1;
+const OVERRUN_FRACTION_OF_RUN_TIME: f64 = 0.1;
 
 /// Resources that are expected to become free at a certain time.
 #[derive(Clone, Copy, Debug)]
@@ -103,7 +103,12 @@
 
     /// How long a task waits for its image. The wait is zero if the image is cached or a task with a
     /// reservation will have fetched it; otherwise it includes the fetches that are already pending.
-    pub(super) fn fetch_delay(&self, now: Instant, fetch_rate: f64, job: &Job) -> Duration {
+    pub(super) fn fetch_delay(
+        &self,
+        now: Instant,
+        fetch_rate_gb_per_s: f64,
+        job: &Job,
+    ) -> Duration {
         let image = job.image;
         if job.spec.image_gb <= 0.0
             || self.machine.images.contains(image)
@@ -111,14 +116,17 @@
         {
             return Duration::ZERO;
         }
-        let pending_fetch = || fetch_time_at(fetch_rate, self.pending_fetch_gb);
+        let pending_fetch_time = || fetch_time_at(fetch_rate_gb_per_s, self.pending_fetch_gb);
         if let Some(fetch) = self.machine.images.fetch(image) {
-            return pending_fetch().saturating_sub(now.saturating_duration_since(fetch.since));
+            return pending_fetch_time().saturating_sub(now.saturating_duration_since(fetch.since));
         }
         if self.started_images.contains(&image) {
-            return pending_fetch();
+            return pending_fetch_time();
         }
-        fetch_time_at(fetch_rate, self.pending_fetch_gb + job.spec.image_gb)
+        fetch_time_at(
+            fetch_rate_gb_per_s,
+            self.pending_fetch_gb + job.spec.image_gb,
+        )
     }
 
     /// Records the image fetch that starting a task of this job causes, unless the image is cached or
@@ -136,10 +144,10 @@
 
 impl ClusterState {
     /// All machines that are up or booting, except those that accept no tasks now.
-    pub(super) fn slots(&self, now: Instant, fetch_rates: &[f64]) -> Vec<Slot<'_>> {
+    pub(super) fn slots(&self, now: Instant, fetch_rates_gb_per_s: &[f64]) -> Vec<Slot<'_>> {
         let machines = self.fleet.machines.values();
         let mut slots = Vec::with_capacity(machines.len());
-        slots.extend(machines.filter_map(|machine| self.slot(now, machine, fetch_rates)));
+        slots.extend(machines.filter_map(|machine| self.slot(now, machine, fetch_rates_gb_per_s)));
         slots
     }
 
@@ -148,13 +156,15 @@
         &'a self,
         now: Instant,
         machine: &'a Machine,
-        fetch_rates: &[f64],
+        fetch_rates_gb_per_s: &[f64],
     ) -> Option<Slot<'a>> {
         let types = &self.fleet.types;
         let type_index = types.iter().position(|t| t.name == machine.machine_type)?;
         let machine_type = &types[type_index];
         let ready_at = match machine.booting_since {
-            Some(since) if !machine.returning => Some(self.expected_up(now, since, machine_type)),
+            Some(since) if !machine.returning => {
+                Some(self.expected_boot_end(now, since, machine_type))
+            }
             _ if self.accepts_tasks(now, machine) => None,
             _ => return None,
         };
@@ -162,13 +172,13 @@
         free.sub(&machine.used);
         free.sub(&machine.unexpected_usage);
         let pending_fetch_gb = machine.images.fetching_gb();
-        let pending_fetch = fetch_time_at(fetch_rates[type_index], pending_fetch_gb);
+        let pending_fetch_time = fetch_time_at(fetch_rates_gb_per_s[type_index], pending_fetch_gb);
         Some(Slot {
             machine,
             type_index,
             free,
             free_unreserved: free,
-            releases: self.expected_releases(now, machine, pending_fetch),
+            releases: self.expected_releases(now, machine, pending_fetch_time),
             ready_at,
             slowdown: machine.slowdown(),
             price_step: price_step(price_per_cpu(machine_type, machine.spot)),
@@ -181,7 +191,7 @@
 
     /// Whether tasks may be placed on a machine that is up.
     fn accepts_tasks(&self, now: Instant, machine: &Machine) -> bool {
-        let max_age = self.config.heartbeat.mul_f64(MAX_HEARTBEAT_AGE);
+        let max_age = self.config.heartbeat.mul_f64(MAX_HEARTBEAT_AGE_INTERVALS);
         machine.has_reported
             && now.saturating_duration_since(machine.last_heartbeat_at) <= max_age
             && machine.is_reachable()
@@ -194,9 +204,14 @@
     }
 
     /// When a machine that started to boot at `since` is expected to be up.
-    fn expected_up(&self, now: Instant, since: Instant, machine_type: &MachineType) -> Instant {
+    fn expected_boot_end(
+        &self,
+        now: Instant,
+        since: Instant,
+        machine_type: &MachineType,
+    ) -> Instant {
         let up = since + self.capacity.boot_time(machine_type);
-        up.max(now + MIN_BOOT_REMAINING)
+        up.max(now + MIN_REMAINING_BOOT_TIME)
     }
 
     /// The expected ends of the tasks on a machine, by time.
@@ -204,7 +219,7 @@
         &self,
         now: Instant,
         machine: &Machine,
-        pending_fetch: Duration,
+        pending_fetch_time: Duration,
     ) -> Vec<ExpectedRelease> {
         let mut releases = Vec::with_capacity(machine.placed_tasks.len() + 2);
         releases.extend(machine.placed_tasks.keys().filter_map(|task| {
@@ -212,7 +227,7 @@
             let attempt = job.active.get(&task.index)?;
             let fetch = || match machine.images.fetch(job.image) {
                 Some(fetch) => {
-                    pending_fetch.saturating_sub(now.saturating_duration_since(fetch.since))
+                    pending_fetch_time.saturating_sub(now.saturating_duration_since(fetch.since))
                 }
                 None => Duration::ZERO,
             };
@@ -236,9 +251,12 @@
     match (attempt.running_since, &attempt.kill_request) {
         (_, Some(kill)) => (kill.since + kill.grace_period).saturating_duration_since(now),
         (Some(since), None) => {
-            let ran = now.saturating_duration_since(since);
-            let overrun = ran.mul_f64(OVERRUN_SHARE);
-            attempt.estimated_run_time.saturating_sub(ran).max(overrun)
+            let run_so_far = now.saturating_duration_since(since);
+            let overrun = run_so_far.mul_f64(OVERRUN_FRACTION_OF_RUN_TIME);
+            attempt
+                .estimated_run_time
+                .saturating_sub(run_so_far)
+                .max(overrun)
         }
         (None, None) => attempt.estimated_run_time + fetch(),
     }
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -4,7 +4,8 @@
 //! on several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and
 //! users get no response. The overload signal is how late the nodes' own timers fire. While they are
 //! late, the start rate of ordinary jobs is reduced; afterwards it is raised until it is no longer
-//! limited.
+//! limited. Ordinary jobs are those of at most standard priority that are not within their team's
+//! guarantee.
 
 use std::time::{Duration, Instant};
 
@@ -14,12 +15,12 @@
 /// With a lower timer lag a node keeps up easily, and the limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
 /// The fractions by which the limit falls and rises per second.
-const RATE_DECREASE_PER_S: f64 = 0.25;
-const RATE_INCREASE_PER_S: f64 = 0.15;
+const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
+const RATE_INCREASE_FRACTION_PER_S: f64 = 0.15;
 /// The limit never falls below this, because timers can be late for reasons other than starts.
 const MIN_STARTS_PER_S: f64 = 20.0;
 /// A limit higher than this multiple of the recent start rate is removed, since it has no effect.
-const UNLIMITED_FACTOR: f64 = 4.0;
+const UNLIMITED_RATE_FACTOR: f64 = 4.0;
 /// Longer intervals between two lag observations count as this long.
 const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
 /// The capacity of the token bucket, and its maximum debt, as seconds of starts at the current limit.
@@ -38,8 +39,8 @@
     /// Exponentially weighted average of the start rate.
     recent_starts_per_s: f64,
     starts_since_refill: usize,
-    last_refill: Option<Instant>,
-    last_timer_lag: Option<Instant>,
+    last_refill_at: Option<Instant>,
+    last_lag_observed_at: Option<Instant>,
 }
 
 impl Default for StartLimiter {
@@ -49,8 +50,8 @@
             tokens: f64::INFINITY,
             recent_starts_per_s: 0.0,
             starts_since_refill: 0,
-            last_refill: None,
-            last_timer_lag: None,
+            last_refill_at: None,
+            last_lag_observed_at: None,
         }
     }
 }
@@ -58,18 +59,19 @@
 impl StartLimiter {
     /// Adjusts the limit to `lag`, the timer lag of the slowest node.
     pub fn observe_timer_lag(&mut self, now: Instant, lag: Duration) {
-        let Some(last) = self.last_timer_lag.replace(now) else {
+        let Some(last) = self.last_lag_observed_at.replace(now) else {
             return;
         };
-        let passed_s = now.saturating_duration_since(last).as_secs_f64();
-        let passed_s = passed_s.min(MAX_COUNTED_INTERVAL_S);
+        let elapsed_s = now.saturating_duration_since(last).as_secs_f64();
+        let elapsed_s = elapsed_s.min(MAX_COUNTED_INTERVAL_S);
         let recent = self.recent_starts_per_s.max(MIN_STARTS_PER_S);
         if lag > OVERLOADED_TIMER_LAG {
-            let lowered = self.starts_per_s.min(recent) * (1.0 - RATE_DECREASE_PER_S * passed_s);
+            let lowered =
+                self.starts_per_s.min(recent) * (1.0 - RATE_DECREASE_FRACTION_PER_S * elapsed_s);
             self.starts_per_s = lowered.max(MIN_STARTS_PER_S);
         } else if lag < HEALTHY_TIMER_LAG && self.is_limited() {
-            self.starts_per_s *= 1.0 + RATE_INCREASE_PER_S * passed_s;
-            if self.starts_per_s > recent * UNLIMITED_FACTOR {
+            self.starts_per_s *= 1.0 + RATE_INCREASE_FRACTION_PER_S * elapsed_s;
+            if self.starts_per_s > recent * UNLIMITED_RATE_FACTOR {
                 self.starts_per_s = f64::INFINITY;
             }
         }
@@ -81,11 +83,11 @@
 
     /// Adds the tokens for the time since the last placement round, and updates the recent start rate.
     pub fn refill(&mut self, now: Instant) {
-        let last = self.last_refill.replace(now);
-        let passed = last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
-        let passed_s = passed.as_secs_f64();
-        if passed_s > 0.0 {
-            self.update_recent_starts(passed_s);
+        let last = self.last_refill_at.replace(now);
+        let elapsed = last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
+        let elapsed_s = elapsed.as_secs_f64();
+        if elapsed_s > 0.0 {
+            self.update_recent_starts(elapsed_s);
         }
         if !self.is_limited() {
             self.tokens = f64::INFINITY;
@@ -97,12 +99,12 @@
             0.0
         };
         let max_tokens = self.starts_per_s * MAX_BURST_S;
-        self.tokens = (left + self.starts_per_s * passed_s).min(max_tokens);
+        self.tokens = (left + self.starts_per_s * elapsed_s).min(max_tokens);
     }
 
-    fn update_recent_starts(&mut self, passed_s: f64) {
-        let weight = 1.0 - (-passed_s / AVERAGING_TIME_S).exp();
-        let starts_per_s = self.starts_since_refill as f64 / passed_s;
+    fn update_recent_starts(&mut self, elapsed_s: f64) {
+        let weight = 1.0 - (-elapsed_s / AVERAGING_TIME_S).exp();
+        let starts_per_s = self.starts_since_refill as f64 / elapsed_s;
         self.recent_starts_per_s += (starts_per_s - self.recent_starts_per_s) * weight;
         self.starts_since_refill = 0;
     }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,4 +1,4 @@
-//! The choices of a round against the scoring rule read plainly, and the cost of preemption.
+//! Tests that a round chooses machines by the scoring rule, and tests of the cost of preemption.
 
 use crate::core::model::{
     AttemptId, FencingToken, Heartbeat, ImageKey, JobId, JobKind, JobSpec, MachineId, MachineType,
@@ -24,8 +24,8 @@
     }
 }
 
-/// A cluster of machines of two types, with some images and some tasks on them.
-fn cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
+/// A cluster of 40 machines of two types, some of which have cached images or a measured slowness.
+fn random_cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
     let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
         .map(|(name, cpus, on_demand_price_per_hour)| MachineType {
@@ -59,7 +59,7 @@
         tuning: Tuning::default(),
         recovery: Default::default(),
     };
-    let mut c = ClusterState::new(
+    let mut state = ClusterState::new(
         config,
         TermStart {
             term: Term(3),
@@ -71,7 +71,7 @@
     );
     for n in 0..40 {
         let name = if rng.gen_bool(0.5) { "small" } else { "large" };
-        let answer = c.on_heartbeat(
+        let decision = state.on_heartbeat(
             now,
             Heartbeat {
                 machine: MachineId(format!("i-{n:03}")),
@@ -86,29 +86,30 @@
                 tasks: Vec::new(),
             },
         );
-        assert!(matches!(answer, HeartbeatDecision::Accept { .. }));
+        assert!(matches!(decision, HeartbeatDecision::Accept { .. }));
     }
-    let ids: Vec<MachineId> = c.fleet.machines.keys().cloned().collect();
+    let ids: Vec<MachineId> = state.fleet.machines.keys().cloned().collect();
     for id in ids {
-        let Some(h) = c.fleet.machines.get_mut(&id) else {
+        let Some(machine) = state.fleet.machines.get_mut(&id) else {
             continue;
         };
         for image in ["img-1", "img-2", "img-3"] {
             if rng.gen_bool(0.3) {
-                h.images.push(CachedImage {
+                machine.images.push(CachedImage {
                     image: ImageKey::of(image),
                     size_gb: 4.0,
                 });
             }
         }
         if rng.gen_bool(0.4) {
-            h.slowness.add(rng.gen_range(-0.3..0.6));
+            machine.slowness.add(rng.gen_range(-0.3..0.6));
         }
     }
-    c
+    state
 }
 
-fn job(rng: &mut StdRng, n: u32) -> JobSpec {
+/// A job with random resources, image and zone constraints.
+fn random_job(rng: &mut StdRng, n: u32) -> JobSpec {
     JobSpec {
         job_id: JobId(format!("wk-{n:06}")),
         class: format!("c{}", n % 3),
@@ -134,73 +135,87 @@
     }
 }
 
-/// The scoring rule read plainly: each task is scored on every machine, the least sum wins.
+/// Guards against wrong choices from stale scores: the heap scores only the machine of the last placement
+/// again. The expected choice comes from scoring each task on every machine; the lowest score wins.
 #[test]
 fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
-    let (mut started, mut reserved, mut tied) = (0, 0, 0);
+    let (mut started, mut reserved, mut constrained) = (0, 0, 0);
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
-        let mut c = cluster(&mut rng, now);
-        let specs: Vec<JobSpec> = (0..8).map(|n| job(&mut rng, n)).collect();
-        for s in &specs {
-            c.on_job(s.clone(), 100);
+        let mut state = random_cluster(&mut rng, now);
+        let specs: Vec<JobSpec> = (0..8).map(|n| random_job(&mut rng, n)).collect();
+        for spec in &specs {
+            state.on_job(spec.clone(), 100);
         }
-        let rates: Vec<f64> = c.fleet.types.iter().map(|t| t.fetch_gb_per_s).collect();
-        let (mut quick, mut plain) = (c.slots(now, &rates), c.slots(now, &rates));
-        for s in &specs {
-            let job = &c.jobs[&s.job_id];
-            let estimates: Vec<TypeEstimate> = c
+        let fetch_rates_gb_per_s: Vec<f64> =
+            state.fleet.types.iter().map(|t| t.fetch_gb_per_s).collect();
+        let (mut heap_slots, mut all_slots) = (
+            state.slots(now, &fetch_rates_gb_per_s),
+            state.slots(now, &fetch_rates_gb_per_s),
+        );
+        for spec in &specs {
+            let job = &state.jobs[&spec.job_id];
+            let estimates: Vec<TypeEstimate> = state
                 .fleet
                 .types
                 .iter()
                 .map(|t| TypeEstimate {
-                    run_time: c.history.run_time(s, &t.name),
-                    fetch_rate: t.fetch_gb_per_s,
+                    run_time: state.history.run_time(spec, &t.name),
+                    fetch_rate_gb_per_s: t.fetch_gb_per_s,
                     wanted_by_larger_tasks: false,
                 })
                 .collect();
-            let g = TaskGroup {
+            let group = TaskGroup {
                 job,
                 estimates,
                 saved_progress: Duration::ZERO,
                 over_fair_share: false,
             };
-            let take = |slots: &mut [Slot<'_>], chosen: &ScoredSlot| {
+            let place = |slots: &mut [Slot<'_>], chosen: &ScoredSlot| {
                 let slot = &mut slots[chosen.slot];
                 if chosen.free_now {
-                    slot.free.sub(&s.resources);
+                    slot.free.sub(&spec.resources);
                     slot.add_fetch(job);
                 }
-                slot.reserve(chosen.available_at, chosen.occupancy(), &s.resources);
+                slot.reserve(chosen.available_at, chosen.occupancy(), &spec.resources);
             };
-            let mut zones = ZoneUse::of(job, &c.zone_of());
-            let mut heap = c.ranked_slots(now, &g, &quick, &zones);
-            for _ in 0..s.task_count {
-                let best = (0..plain.len())
-                    .filter(|i| c.may_use_slot(job, &plain[*i], &zones))
-                    .filter_map(|i| c.score(now, &g, &plain, i))
+            let mut zones = ZoneUse::of(job, &state.zone_of());
+            let mut heap = state.ranked_slots(now, &group, &heap_slots, &zones);
+            for _ in 0..spec.task_count {
+                let full_scan_choice = (0..all_slots.len())
+                    .filter(|i| state.may_use_slot(job, &all_slots[*i], &zones))
+                    .filter_map(|i| state.score(now, &group, &all_slots, i))
                     .min();
-                let first = heap.pop().map(|r| r.0);
+                let heap_choice = heap.pop().map(|entry| entry.0);
                 assert_eq!(
-                    first.map(|f| (f.slot, f.available_at, f.free_now)),
-                    best.map(|b| (b.slot, b.available_at, b.free_now)),
+                    heap_choice.map(|choice| (choice.slot, choice.available_at, choice.free_now)),
+                    full_scan_choice.map(|choice| (
+                        choice.slot,
+                        choice.available_at,
+                        choice.free_now
+                    )),
                     "seed {seed} job {}",
-                    s.job_id
+                    spec.job_id
                 );
-                let (Some(first), Some(best)) = (first, best) else {
+                let (Some(heap_choice), Some(full_scan_choice)) = (heap_choice, full_scan_choice)
+                else {
                     break;
                 };
-                take(&mut quick, &first);
-                take(&mut plain, &best);
-                heap.extend(c.score(now, &g, &quick, first.slot).map(Reverse));
-                let zone = &quick[first.slot].machine.zone;
-                if first.free_now && zones.add_task(s, zone) {
-                    heap = c.ranked_slots(now, &g, &quick, &zones);
+                place(&mut heap_slots, &heap_choice);
+                place(&mut all_slots, &full_scan_choice);
+                heap.extend(
+                    state
+                        .score(now, &group, &heap_slots, heap_choice.slot)
+                        .map(Reverse),
+                );
+                let zone = &heap_slots[heap_choice.slot].machine.zone;
+                if heap_choice.free_now && zones.add_task(spec, zone) {
+                    heap = state.ranked_slots(now, &group, &heap_slots, &zones);
                 }
-                if first.free_now {
+                if heap_choice.free_now {
                     started += 1;
-                    tied += usize::from(s.same_place || s.spread);
+                    constrained += usize::from(spec.same_place || spec.spread);
                 } else {
                     reserved += 1;
                 }
@@ -208,7 +223,7 @@
         }
     }
     assert!(started > 1000 && reserved > 1000, "{started} {reserved}");
-    assert!(tied > 300, "{tied}");
+    assert!(constrained > 300, "{constrained}");
 }
 
 #[test]
@@ -216,57 +231,66 @@
     let now = Instant::now();
     let secs = Duration::from_secs;
     use StartProtection::{Protected, Unprotected};
-    // Seconds since it was placed and since it ran, whether it saves, whether its start is protected.
+    // Name, seconds since the placement, seconds since the start of its run, whether it writes checkpoints
+    // (every 20 s), start protection, expected seconds of lost work (`None`: must not be preempted).
     let cases = [
-        ("only just placed", 1, None, true, Unprotected, Some(1.0)),
-        ("fetching for long", 20, None, true, Unprotected, Some(20.0)),
-        ("saved 3 s ago", 50, Some(43), true, Unprotected, Some(3.0)),
+        ("placed a second ago", 1, None, true, Unprotected, Some(1.0)),
+        (
+            "fetching its image for 20 s",
+            20,
+            None,
+            true,
+            Unprotected,
+            Some(20.0),
+        ),
         (
-            "does not save",
+            "last checkpoint 3 s ago",
             50,
             Some(43),
-            false,
+            true,
             Unprotected,
-            Some(43.0),
+            Some(3.0),
         ),
         (
-            "its start was promised",
-            20,
-            Some(10),
-            true,
-            Protected,
-            None,
+            "writes no checkpoints",
+            50,
+            Some(43),
+            false,
+            Unprotected,
+            Some(43.0),
         ),
-        ("about to end", 99, Some(89), true, Unprotected, None),
+        ("protected start", 20, Some(10), true, Protected, None),
+        ("ends in a second", 99, Some(89), true, Unprotected, None),
     ];
-    for (name, placed, ran, writes_checkpoints, protection, work) in cases {
+    for (case, placed_s_ago, running_s, writes_checkpoints, protection, lost_work_s) in cases {
         let mut rng = StdRng::seed_from_u64(1);
-        let mut c = cluster(&mut rng, now);
-        let mut s = job(&mut rng, 1);
-        s.checkpoint_interval = if writes_checkpoints {
+        let mut state = random_cluster(&mut rng, now);
+        let mut spec = random_job(&mut rng, 1);
+        spec.checkpoint_interval = if writes_checkpoints {
             secs(20)
         } else {
             Duration::ZERO
         };
-        c.on_job(s.clone(), 9);
-        let a = ActiveAttempt {
+        state.on_job(spec.clone(), 9);
+        let attempt = ActiveAttempt {
             machine: "i-000".into(),
             id: AttemptId(1),
             durable: true,
             launch_token: FencingToken(1),
             incarnation: Some(1),
-            placed_at: now - secs(placed),
+            placed_at: now - secs(placed_s_ago),
             observed_phase: None,
             last_fetching_at: None,
-            running_since: ran.map(|r| now - secs(r)),
+            running_since: running_s.map(|seconds| now - secs(seconds)),
             start_observed: true,
             estimated_run_time: secs(90),
             kill_request: None,
             launch_sent_at: None,
         };
-        let job = &c.jobs[&s.job_id];
-        let cost = preemption_cost(now, job, &a, Duration::ZERO, protection);
-        // Never for nothing: it would be stopped each time that it is placed.
-        assert_eq!(cost, work.map(|w| w + 5.0), "{name}");
+        let job = &state.jobs[&spec.job_id];
+        let cost = preemption_cost(now, job, &attempt, Duration::ZERO, protection);
+        // The restart cost of 5 s is always added. If preemption were free, a task that was only just placed
+        // would be preempted again after each placement.
+        assert_eq!(cost, lost_work_s.map(|lost| lost + 5.0), "{case}");
     }
 }
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -16,7 +16,7 @@
 pub struct ZoneUse {
     tasks_by_zone: BTreeMap<Zone, u32>,
     /// The zone of at least one task is unknown, so it could be any zone.
-    has_unknown: bool,
+    has_unknown_zone: bool,
 }
 
 impl ZoneUse {
@@ -30,7 +30,7 @@
         for attempt in job.active.values() {
             match zone_of(&attempt.machine) {
                 Some(zone) => *zones.tasks_by_zone.entry(zone).or_default() += 1,
-                None => zones.has_unknown = true,
+                None => zones.has_unknown_zone = true,
             }
         }
         zones
@@ -52,7 +52,7 @@
         if !is_constrained(spec) {
             return true;
         }
-        if self.has_unknown {
+        if self.has_unknown_zone {
             return false;
         }
         if spec.same_place && self.tasks_by_zone.keys().any(|other| other != zone) {
