--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -21,7 +21,7 @@
 pub struct Average {
     /// The weighted mean of the values; 0 if there are none.
     pub mean: f64,
-    /// The number of values, up to [`MAX_AVERAGE_COUNT`].
+    /// The number of values, up to `MAX_AVERAGE_COUNT`.
     pub count: u32,
 }
 
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -12,9 +12,9 @@
 /// been useless.
 const MIN_PROTECTED_RUN_TIME: Duration = Duration::from_secs(31);
 
-/// The cost of stopping an attempt at once, in seconds of lost work. Returns `None` if the attempt must
-/// not be preempted, because its start is protected or because it will soon end by itself.
-/// `saved_progress`: the progress from which the attempt resumed.
+/// The cost of stopping an attempt at once, in seconds of lost work including the restart. Returns `None`
+/// if the attempt must not be preempted, because its start is protected or because it will soon end by
+/// itself. `saved_progress`: the progress from which the attempt resumed.
 pub(in crate::core) fn preemption_cost(
     now: Instant,
     job: &Job,
@@ -45,8 +45,8 @@
 }
 
 impl ClusterState {
-    /// The cost of preempting an attempt at the task `index` of a job, in seconds of lost work; `None` if
-    /// it must not be preempted.
+    /// The cost of preempting an attempt at the task `index` of a job, in seconds of lost work including
+    /// the restart; `None` if it must not be preempted.
     pub(super) fn cost_of_preempting(
         &self,
         now: Instant,
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -36,7 +36,8 @@
     job: &'a Job,
     /// The job is within its team's guarantee.
     within_guarantee: bool,
-    /// Seconds of lost work times the dominant share of the machine that the task uses.
+    /// Seconds of lost work, including the restart, times the dominant share of the machine that the task
+    /// uses.
     cost: f64,
 }
 
@@ -268,7 +269,7 @@
         }
         // The image fetch is counted in the unit of the victims' cost. A slot with free resources but
         // without the image is thus preferred to preempting tasks, even those that have only just
-        // started.
+        // started, unless the fetch takes longer than the restart of such tasks costs.
         let mut cost =
             fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
         let mut free = selection.free[slot_index];
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -12,15 +12,15 @@
 struct Victim<'a> {
     task: TaskId,
     job: &'a Job,
-    /// Seconds of lost work.
+    /// Seconds of lost work, including the restart.
     cost: f64,
 }
 
 /// The usage of one team and its candidate victims.
 #[derive(Default)]
 struct TeamWorkload<'a> {
-    /// The team's usage without tasks that are being stopped, plus the resources that its preemptors were
-    /// granted.
+    /// The team's usage without tasks that are being stopped, plus the resources of all waiting tasks of
+    /// the preemptors handled so far.
     used: Resources,
     /// Tasks that may be preempted, the cheapest last.
     victims: Vec<Victim<'a>>,
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -1,8 +1,9 @@
 //! Plans a placement round: walks the queue and collects the tasks to start, the tasks to preempt and the
 //! tasks that keep waiting.
 //!
-//! Jobs are visited in queue order; a task that would exceed its team's limit is skipped. The round works
-//! on its own copy of each machine's free resources, so the cluster state does not change.
+//! Jobs are visited in queue order. An array is left as soon as its next task would exceed its team's
+//! limit, and a gang is skipped if it does not fit under the limit as a whole. The round works on its own
+//! copy of each machine's free resources, so the cluster state does not change.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TeamName, Zone};
 use crate::core::placement::plan::{RoundPlan, SpareResources};
@@ -12,8 +13,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// The maximum number of tasks that one round examines. The rest of a longer queue is left to later
-/// rounds.
+/// The number of tasks that one round examines at most. A gang is always examined as a whole and may
+/// exceed it. The rest of a longer queue is left to later rounds.
 pub(super) const MAX_TASKS_PER_ROUND: usize = 4000;
 /// Scores are rounded to this resolution, and machines with the same rounded score are compared by price.
 /// Finer differences mean nothing, because a worker sends heartbeats at most every half second.
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -162,9 +162,7 @@
         let type_index = types.iter().position(|t| t.name == machine.machine_type)?;
         let machine_type = &types[type_index];
         let ready_at = match machine.booting_since {
-            Some(since) if !machine.returning => {
-                Some(self.expected_boot_end(now, since, machine_type))
-            }
+            Some(since) if !machine.returning => Some(self.ready_time(now, since, machine_type)),
             _ if self.accepts_tasks(now, machine) => None,
             _ => return None,
         };
@@ -204,12 +202,7 @@
     }
 
     /// When a machine that started to boot at `since` is expected to be up.
-    fn expected_boot_end(
-        &self,
-        now: Instant,
-        since: Instant,
-        machine_type: &MachineType,
-    ) -> Instant {
+    fn ready_time(&self, now: Instant, since: Instant, machine_type: &MachineType) -> Instant {
         let up = since + self.capacity.boot_time(machine_type);
         up.max(now + MIN_REMAINING_BOOT_TIME)
     }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -183,37 +183,32 @@
             let mut zones = ZoneUse::of(job, &state.zone_of());
             let mut heap = state.ranked_slots(now, &group, &heap_slots, &zones);
             for _ in 0..spec.task_count {
-                let full_scan_choice = (0..all_slots.len())
+                let best = (0..all_slots.len())
                     .filter(|i| state.may_use_slot(job, &all_slots[*i], &zones))
                     .filter_map(|i| state.score(now, &group, &all_slots, i))
                     .min();
-                let heap_choice = heap.pop().map(|entry| entry.0);
+                let first = heap.pop().map(|entry| entry.0);
                 assert_eq!(
-                    heap_choice.map(|choice| (choice.slot, choice.available_at, choice.free_now)),
-                    full_scan_choice.map(|choice| (
-                        choice.slot,
-                        choice.available_at,
-                        choice.free_now
-                    )),
+                    first.map(|choice| (choice.slot, choice.available_at, choice.free_now)),
+                    best.map(|choice| (choice.slot, choice.available_at, choice.free_now)),
                     "seed {seed} job {}",
                     spec.job_id
                 );
-                let (Some(heap_choice), Some(full_scan_choice)) = (heap_choice, full_scan_choice)
-                else {
+                let (Some(first), Some(best)) = (first, best) else {
                     break;
                 };
-                place(&mut heap_slots, &heap_choice);
-                place(&mut all_slots, &full_scan_choice);
+                place(&mut heap_slots, &first);
+                place(&mut all_slots, &best);
                 heap.extend(
                     state
-                        .score(now, &group, &heap_slots, heap_choice.slot)
+                        .score(now, &group, &heap_slots, first.slot)
                         .map(Reverse),
                 );
-                let zone = &heap_slots[heap_choice.slot].machine.zone;
-                if heap_choice.free_now && zones.add_task(spec, zone) {
+                let zone = &heap_slots[first.slot].machine.zone;
+                if first.free_now && zones.add_task(spec, zone) {
                     heap = state.ranked_slots(now, &group, &heap_slots, &zones);
                 }
-                if heap_choice.free_now {
+                if first.free_now {
                     started += 1;
                     constrained += usize::from(spec.same_place || spec.spread);
                 } else {
