--- a/src/core/placement/prices.rs
+++ b/src/core/placement/prices.rs
@@ -2,8 +2,8 @@
 
 use crate::core::model::MachineType;
 
-/// The ratio between two price steps. Smaller differences are ignored, because spot prices vary by a
-/// third.
+/// The ratio between two price steps. Prices in the same step count as equal, because spot prices vary by
+/// a third.
 const PRICE_STEP_FACTOR: f64 = 1.5;
 
 /// The price of one CPU of a machine per hour. A machine type with less than one CPU counts as having
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -69,7 +69,7 @@
 }
 
 /// Whether a job may start one more task on a machine of this type, zone and purchase option. `zones`:
-/// the zones of the job's active tasks. Every launch is checked against this rule.
+/// the zones of the job's active tasks. Placement, preemption and capacity planning all apply this rule.
 pub fn permits(
     spec: &JobSpec,
     zones: &ZoneUse,
