--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -1,4 +1,4 @@
-//! Carries a placement round out: the only place where placement and preemption change the state.
+//! Applies the plan of a placement round: the only place where a round's decisions change the state.
 
 use crate::core::model::{AttemptId, JobId};
 use crate::core::placement::plan::{RoundOutcome, RoundPlan, StartKind, TaskStart, WaitingTasks};
@@ -7,22 +7,23 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// A job none of whose tasks was placed for this long is starved. Every job is to begin within four
-/// minutes, so a part of its tasks goes before all others, whatever their priority or size.
+/// A job is starved if none of its tasks was placed for this long. The objective is that every job starts
+/// within four minutes, so some of a starved job's tasks go before all other jobs, whatever their
+/// priority or size.
 const STARVATION_TIME: Duration = Duration::from_secs(100);
-/// That part: one in so many of its tasks.
-const STARVED_TASKS_DIVISOR: u32 = 8;
-/// Sizes of tasks without room that are remembered for the next round.
+/// A starved job gets one in this many of its tasks boosted, rounded up.
+const BOOSTED_TASKS_DIVISOR: u32 = 8;
+/// The maximum number of distinct sizes of unplaced tasks that are kept for the next round.
 const MAX_UNPLACED_SIZES: usize = 32;
 
-/// The gang whose members are being started.
+/// The gang whose members are being started, with the attempt id that they share.
 struct GangAttempt {
     job_id: JobId,
     attempt: AttemptId,
 }
 
 impl ClusterState {
-    /// One round over the queue. Starts what can start; returns what waits.
+    /// Runs one placement round: starts the tasks that can start and returns those that have to wait.
     pub(in crate::core) fn run_placement_round(&mut self, now: Instant) -> RoundOutcome {
         self.jobs.sort();
         self.recent_usage.update(now, self.quota_usage.by_team());
@@ -41,7 +42,7 @@
                 && !job.crash_loop.is_suspected()
                 && job.waiting_count() > 0
             {
-                job.boosted_tasks = job.spec.task_count.div_ceil(STARVED_TASKS_DIVISOR);
+                job.boosted_tasks = job.spec.task_count.div_ceil(BOOSTED_TASKS_DIVISOR);
                 job.was_starved = true;
             }
         }
@@ -50,8 +51,8 @@
     fn apply_round(&mut self, now: Instant, plan: RoundPlan) -> RoundOutcome {
         self.start_limiter.consume(plan.starts.len());
         self.start_tasks(now, plan.starts);
-        self.stop_preempted(now, plan.preemptions);
-        self.remember_unplaced_sizes(&plan.waiting);
+        self.preempt_tasks(now, plan.preemptions);
+        self.record_unplaced_sizes(&plan.waiting);
         RoundOutcome {
             waiting: plan.waiting,
             spare: plan.spare,
@@ -90,15 +91,16 @@
         }
     }
 
-    fn stop_preempted(&mut self, now: Instant, preemptions: Vec<Preemption>) {
+    fn preempt_tasks(&mut self, now: Instant, preemptions: Vec<Preemption>) {
         for Preemption { task, reason } in preemptions {
             log::debug!("preempting task={task} reason={reason}");
             self.kill(now, &task.job_id, task.index, Duration::ZERO);
         }
     }
 
-    /// Smaller tasks leave machines to these in the next round.
-    fn remember_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
+    /// Records the sizes of tasks that were not placed: in the next round, smaller tasks avoid machines
+    /// that these need.
+    fn record_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
         self.unplaced_resources.clear();
         for tasks in waiting.iter().filter(|w| !w.on_booting_machine) {
             let Some(job) = self.jobs.get(&tasks.job_id) else {
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -1,9 +1,9 @@
-//! Places the tasks of job arrays, one after the other.
+//! Places the tasks of job arrays one at a time.
 
 use crate::core::model::Resources;
 use crate::core::placement::plan::{StartKind, TaskStart, WaitingTasks};
 use crate::core::placement::queue::QueueEntry;
-use crate::core::placement::round::{is_ordinary, PlacementRound};
+use crate::core::placement::round::{is_subject_to_start_limit, PlacementRound};
 use crate::core::placement::scoring::{ScoredSlot, TaskGroup};
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::state::{ClusterState, Job};
@@ -11,30 +11,35 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Saved progress of restarted tasks counts in steps of this, so that they share a scoring too.
+/// Saved progress is rounded down to a multiple of this, so that restarted tasks with similar progress
+/// can share one scoring.
 const PROGRESS_STEP_S: f64 = 5.0;
-/// A starved job keeps machines that it waits for free of others, for one in so many of its tasks.
-const EXCLUSIVE_TASKS_DIVISOR: u32 = 32;
+/// A starved job reserves busy machines for its exclusive use, one for each this many of its tasks,
+/// rounded up.
+const EXCLUSIVE_MACHINES_DIVISOR: u32 = 32;
 
-/// An array while its tasks are placed.
+/// The state of a job array while a round places its tasks.
 struct ArrayPlacement<'a> {
     group: TaskGroup<'a>,
-    /// How many more machines that its tasks wait for are kept free of others.
+    /// How many more busy machines this starved job may reserve for its exclusive use.
     exclusive_machines: u32,
+    /// Tasks of the job by zone, including this round's starts.
     zones: ZoneUse,
-    /// The last start has changed where the other tasks may go: the slots are ranked anew.
+    /// The last start changed the zones in which the next task may start, so the slots have to be ranked
+    /// again.
     zones_changed: bool,
+    /// The usable slots, lowest score first. `None` before the first task.
     ranked: Option<BinaryHeap<Reverse<ScoredSlot>>>,
 }
 
-/// The progress that a restarted task resumes from, in steps.
+/// The saved progress of a task in whole steps of [`PROGRESS_STEP_S`].
 fn progress_steps(job: &Job, index: u32) -> u64 {
     let saved = job.saved_progress.get(&index).copied().unwrap_or_default();
     (saved.as_secs_f64() / PROGRESS_STEP_S) as u64
 }
 
 impl ArrayPlacement<'_> {
-    /// Starts a task on a slot with free room.
+    /// Starts a task on a slot that has enough free resources now.
     fn start(&mut self, index: u32, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
         let job = self.group.job;
         let slot = &mut round.slots[chosen.slot];
@@ -53,18 +58,18 @@
         });
     }
 
-    /// Reserves room for a task on a slot that is busy.
+    /// Reserves resources for a task on a slot that does not have enough of them free now.
     fn reserve(&mut self, chosen: &ScoredSlot, round: &mut PlacementRound<'_>) {
         let job = self.group.job;
         let slot = &mut round.slots[chosen.slot];
         slot.reserve(chosen.available_at, chosen.occupancy(), &job.spec.resources);
         slot.has_reservation |= !self.group.over_fair_share && slot.ready_at.is_none();
         if chosen.fetch_delay > Duration::ZERO {
-            // The first task brings the image for those behind it.
+            // The first task to start there fetches the image for the tasks behind it.
             slot.reserved_images.push(job.image);
         }
         if self.exclusive_machines > 0 && slot.ready_at.is_none() {
-            // Others would fill each gap before it is large enough.
+            // Smaller tasks would otherwise use every gap before it is large enough for this job.
             self.exclusive_machines -= 1;
             slot.free = Resources::default();
         }
@@ -79,8 +84,8 @@
         });
     }
 
-    /// No machine can take the task.
-    fn wait_for_machine(&self, round: &mut PlacementRound<'_>) {
+    /// Records a task that no machine is expected to have resources for.
+    fn record_waiting(&self, round: &mut PlacementRound<'_>) {
         let spec = &self.group.job.spec;
         let run_times = self.group.estimates.iter().map(|e| e.run_time);
         round.plan.add_waiting(WaitingTasks {
@@ -94,7 +99,7 @@
 }
 
 impl ClusterState {
-    /// Places the tasks of an array, as many as its team's limit and the start limiter allow.
+    /// Places as many tasks of an array as the team's limit and the start limiter allow.
     pub(super) fn plan_array<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let spec = &entry.job.spec;
         let pending = pending_tasks(entry, round);
@@ -105,15 +110,15 @@
             return;
         };
         let mut array = self.begin_array(entry, round);
-        let ordinary = is_ordinary(spec, &round.jobs_within_guarantee);
+        let start_limited = is_subject_to_start_limit(spec, &round.jobs_within_guarantee);
         let mut usage = round.usage_of(&spec.team);
         for index in pending {
-            if ordinary && round.plan.starts.len() >= self.start_limiter.available() {
-                round.plan.rate_limited = true;
+            if start_limited && round.plan.starts.len() >= self.start_limiter.available() {
+                round.plan.start_limit_reached = true;
                 break;
             }
             if !team.allows(&usage, &spec.resources) {
-                round.limited_jobs.push(&spec.job_id);
+                round.quota_limited_jobs.push(&spec.job_id);
                 break;
             }
             usage.add(&spec.resources);
@@ -128,22 +133,23 @@
         round: &PlacementRound<'_>,
     ) -> ArrayPlacement<'a> {
         let job = entry.job;
-        let exclusive = job.spec.task_count.div_ceil(EXCLUSIVE_TASKS_DIVISOR);
+        let exclusive = job.spec.task_count.div_ceil(EXCLUSIVE_MACHINES_DIVISOR);
         ArrayPlacement {
             group: TaskGroup {
                 job,
-                estimates: self.type_estimates(&job.spec, &round.fetch_rates),
+                estimates: self.type_estimates(&job.spec, &round.fetch_rates_gb_per_s),
                 saved_progress: Duration::ZERO,
                 over_fair_share: round.teams_over_fair_share.contains(&job.spec.team),
             },
-            exclusive_machines: entry.starved_tasks.map_or(0, |_| exclusive),
+            exclusive_machines: entry.boosted_tasks.map_or(0, |_| exclusive),
             zones: ZoneUse::of(job, &self.zone_of()),
             zones_changed: false,
             ranked: None,
         }
     }
 
-    /// Starts one task where it scores lowest, or reserves room for it there if that machine is busy.
+    /// Starts one task on the machine with the lowest score, or reserves resources there if that machine
+    /// is busy.
     fn plan_task(
         &self,
         index: u32,
@@ -152,8 +158,8 @@
     ) {
         let steps = progress_steps(array.group.job, index);
         let saved_progress = Duration::from_secs_f64(steps as f64 * PROGRESS_STEP_S);
-        let is_alike = saved_progress == array.group.saved_progress;
-        if array.ranked.is_none() || array.zones_changed || !is_alike {
+        let has_same_progress = saved_progress == array.group.saved_progress;
+        if array.ranked.is_none() || array.zones_changed || !has_same_progress {
             array.group.saved_progress = saved_progress;
             array.zones_changed = false;
             let ranked = self.ranked_slots(round.now, &array.group, &round.slots, &array.zones);
@@ -161,7 +167,7 @@
         }
         let best = array.ranked.as_mut().and_then(BinaryHeap::pop);
         let Some(Reverse(chosen)) = best else {
-            array.wait_for_machine(round);
+            array.record_waiting(round);
             return;
         };
         if chosen.free_now {
@@ -176,21 +182,23 @@
     }
 }
 
-/// The tasks of an array that a round looks at, those with most progress first.
+/// Selects the tasks of an array that the round examines next, those with the most saved progress first,
+/// and counts them as examined.
 fn pending_tasks<'a>(entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) -> Vec<u32> {
     let job = entry.job;
-    let before = round.examined_of(job);
+    let before = round.examined_tasks_of(job);
     let waiting = (job.waiting_count() as usize).saturating_sub(before);
     let mut count = waiting.min(round.remaining_tasks());
-    if let Some(starved_tasks) = entry.starved_tasks {
-        count = count.min(starved_tasks as usize);
+    if let Some(boosted_tasks) = entry.boosted_tasks {
+        count = count.min(boosted_tasks as usize);
     }
     if job.crash_loop.is_suspected() {
         count = count.min(1);
     }
     if count == 0 {
-        // Beyond what a round looks at: it waits behind all that was looked at.
-        if waiting > 0 && entry.starved_tasks.is_none() {
+        // The round has reached its limit of tasks. These tasks are assumed to wait as long as the
+        // longest wait among the examined ones.
+        if waiting > 0 && entry.boosted_tasks.is_none() {
             round.plan.add_waiting(WaitingTasks {
                 job_id: job.spec.job_id.clone(),
                 count: waiting,
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -1,11 +1,11 @@
-//! Preemption that frees room on machines: victims have a lower priority than the claimant, or borrow
-//! beyond their team's guarantee while the claimant's team lacks its own.
+//! Preemption that frees resources on machines. A victim has a lower priority than the preemptor, or its
+//! team borrows beyond its guarantee while the preemptor's job is within the guarantee of its own team.
 
 use crate::core::model::{JobKind, JobSpec, Priority, Resources, TaskId, TeamName};
 use crate::core::placement::preemption::{
     Preemption, PreemptionInput, PreemptionReason, MAX_PREEMPTIONS_PER_ROUND, MIN_PREEMPTION_WAIT,
 };
-use crate::core::placement::round::{SCORE_RESOLUTION_S, TURNAROUND};
+use crate::core::placement::round::{SCORE_RESOLUTION_S, SUCCESSOR_START_DELAY};
 use crate::core::placement::slots::Slot;
 use crate::core::placement::zone_constraints::ZoneUse;
 use crate::core::placement::WaitingTasks;
@@ -14,33 +14,40 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::time::Duration;
 
-/// The part of a promised start that a task may be expected to wait before others are stopped.
-const START_SLO_SHARE: f64 = 0.25;
+/// The fraction of a start objective that a task may be expected to wait before other tasks are preempted
+/// for it.
+const MAX_WAIT_FRACTION_OF_START_SLO: f64 = 0.25;
 
-/// A job whose tasks wait for too long, so that others may be stopped for them.
-struct Claimant<'a> {
+/// A job whose tasks wait too long, so that other tasks may be preempted for them.
+struct Preemptor<'a> {
     job: &'a Job,
-    /// How many of its tasks wait for too long.
+    /// The number of its tasks that wait too long.
     tasks: usize,
-    /// In how long the first of them is expected to be done if nothing is stopped for it.
-    earliest_end: Option<Duration>,
+    /// The expected time from now until the first of these tasks ends if nothing is preempted for it.
+    /// `None` if no machine is expected to have resources for them.
+    shortest_time_to_end: Option<Duration>,
+    /// The job is within its team's guarantee.
     within_guarantee: bool,
 }
 
-/// A running task that might be stopped.
+/// A running task that may be preempted.
 struct Victim<'a> {
     task: &'a TaskId,
     job: &'a Job,
+    /// The job is within its team's guarantee.
     within_guarantee: bool,
-    /// In seconds of the machine, by the share of it that the task takes.
+    /// Seconds of lost work, including the restart, times the dominant share of the machine that the task
+    /// uses.
     cost: f64,
 }
 
-/// Victims on one slot whose end makes room for one task.
+/// Victims on one slot whose preemption frees enough resources for one task. The least cost is chosen;
+/// ties are broken by the index of the slot.
 struct VictimSet {
+    /// The cost of all victims and of the image fetch, in the unit of [`Victim::cost`].
     cost: f64,
     slot: usize,
-    /// By their index among the slot's victims.
+    /// Indices into the slot's list of victims.
     victims: Vec<usize>,
 }
 
@@ -65,15 +72,16 @@
     }
 }
 
-/// What has been decided so far, and what follows from it.
+/// The preemptions selected so far and the resulting resources and usage.
 struct Selection<'a> {
-    /// Running tasks by slot, the cheapest to stop first.
+    /// Candidate victims by slot, the cheapest first.
     victims: Vec<Vec<Victim<'a>>>,
-    /// Victims that are stopped, by slot.
-    taken: Vec<HashSet<usize>>,
-    /// Free room by slot once the victims are gone and their claimants are there.
+    /// Indices of the selected victims by slot.
+    selected: Vec<HashSet<usize>>,
+    /// Free resources by slot, after the selected victims have ended and the tasks that they were
+    /// preempted for have started.
     free: Vec<Resources>,
-    /// What each team uses without the victims.
+    /// Each team's usage without the selected victims.
     team_usage: HashMap<TeamName, Resources>,
     preemptions: Vec<Preemption>,
 }
@@ -83,8 +91,8 @@
         self.preemptions.len() >= MAX_PREEMPTIONS_PER_ROUND
     }
 
-    /// Stops these victims, and gives their room to a task of the claimant.
-    fn take(&mut self, chosen: VictimSet, claimant: &Claimant<'_>) {
+    /// Selects these victims and assigns the freed resources to one task of the preemptor.
+    fn select(&mut self, chosen: VictimSet, preemptor: &Preemptor<'_>) {
         let slot = chosen.slot;
         for index in chosen.victims {
             let victim = &self.victims[slot][index];
@@ -93,49 +101,50 @@
             if let Some(usage) = self.team_usage.get_mut(&victim.job.spec.team) {
                 usage.sub(resources);
             }
-            self.taken[slot].insert(index);
+            self.selected[slot].insert(index);
             self.preemptions.push(Preemption {
                 task: victim.task.clone(),
                 reason: PreemptionReason::Room,
             });
         }
-        self.free[slot].sub(&claimant.job.spec.resources);
+        self.free[slot].sub(&preemptor.job.spec.resources);
     }
 }
 
 impl ClusterState {
-    /// Which tasks to stop so that waiting ones find room.
+    /// Selects the tasks to preempt so that waiting tasks get resources.
     pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
-        let mut claimants = input
+        let mut preemptors = input
             .waiting
             .chunk_by(|a, b| a.job_id == b.job_id)
-            .filter_map(|waiting| self.claimant(waiting, input))
+            .filter_map(|waiting| self.preemptor(waiting, input))
             .peekable();
-        if claimants.peek().is_none() {
+        if preemptors.peek().is_none() {
             return Vec::new();
         }
         let mut selection = Selection {
             victims: self.victims_by_slot(input),
-            taken: vec![HashSet::new(); input.slots.len()],
+            selected: vec![HashSet::new(); input.slots.len()],
             free: input.slots.iter().map(|slot| slot.free).collect(),
             team_usage: self.quota_usage.by_team(),
             preemptions: Vec::new(),
         };
         while !selection.is_full() {
-            let Some(claimant) = claimants.next() else {
+            let Some(preemptor) = preemptors.next() else {
                 break;
             };
-            self.preempt_for(&claimant, input, &mut selection);
+            self.preempt_for(&preemptor, input, &mut selection);
         }
         selection.preemptions
     }
 
-    /// The claim of a job's waiting tasks, if others may be stopped for them.
-    fn claimant<'a>(
+    /// Returns the preemptor for the waiting tasks of one job, or `None` if nothing may be preempted for
+    /// them.
+    fn preemptor<'a>(
         &'a self,
         waiting: &[WaitingTasks],
         input: &PreemptionInput<'_>,
-    ) -> Option<Claimant<'a>> {
+    ) -> Option<Preemptor<'a>> {
         let job = self.jobs.get(&waiting.first()?.job_id)?;
         let spec = &job.spec;
         let within_guarantee = input.jobs_within_guarantee.contains(&spec.job_id);
@@ -149,28 +158,30 @@
             .filter(|w| w.expected_wait.is_none_or(|wait| wait > max_wait))
             .collect();
         let tasks = overdue.iter().map(|w| w.count).sum();
-        let earliest_end = overdue
+        let shortest_time_to_end = overdue
             .iter()
             .filter_map(|w| Some(w.expected_wait? + w.expected_run))
             .min();
-        (tasks > 0).then_some(Claimant {
+        (tasks > 0).then_some(Preemptor {
             job,
             tasks,
-            earliest_end,
+            shortest_time_to_end,
             within_guarantee,
         })
     }
 
-    /// How long a task may be expected to wait before others are stopped for it: a part of what its
-    /// class's users were promised, less where nothing is promised.
+    /// The expected wait above which tasks are preempted for a task: a fraction of the start objective of
+    /// its class, but at least [`MIN_PREEMPTION_WAIT`], which also applies without an objective.
     fn max_wait_before_preemption(&self, spec: &JobSpec) -> Duration {
-        let promised = self.start_slos(spec).filter_map(|slo| slo.within).min();
-        promised.map_or(MIN_PREEMPTION_WAIT, |within| {
-            within.mul_f64(START_SLO_SHARE).max(MIN_PREEMPTION_WAIT)
+        let objective = self.start_slos(spec).filter_map(|slo| slo.within).min();
+        objective.map_or(MIN_PREEMPTION_WAIT, |within| {
+            within
+                .mul_f64(MAX_WAIT_FRACTION_OF_START_SLO)
+                .max(MIN_PREEMPTION_WAIT)
         })
     }
 
-    /// Running tasks that may be stopped, by slot, the cheapest first.
+    /// Running tasks that may be preempted, by slot, the cheapest first.
     fn victims_by_slot<'a>(&'a self, input: &PreemptionInput<'a>) -> Vec<Vec<Victim<'a>>> {
         let mut victims_by_slot = Vec::with_capacity(input.slots.len());
         for slot in input.slots {
@@ -185,6 +196,7 @@
         victims_by_slot
     }
 
+    /// Returns a running task as a candidate victim, or `None` if it must not be preempted.
     fn victim<'a>(
         &'a self,
         task: &'a TaskId,
@@ -207,24 +219,24 @@
         })
     }
 
-    /// Stops the cheapest victims for as many of the claimant's tasks as wait for too long.
+    /// Selects the cheapest victims for each of the preemptor's tasks that wait too long.
     fn preempt_for(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         input: &PreemptionInput<'_>,
         selection: &mut Selection<'_>,
     ) {
-        let job = claimant.job;
+        let job = preemptor.job;
         let zones = ZoneUse::of(job, &self.zone_of());
         let mut cheapest: BinaryHeap<Reverse<VictimSet>> = (0..input.slots.len())
             .filter(|i| {
                 let slot = &input.slots[*i];
                 slot.ready_at.is_none() && self.may_use_slot(job, slot, &zones)
             })
-            .filter_map(|i| self.victims_on(i, claimant, input, selection))
+            .filter_map(|i| self.victims_on(i, preemptor, input, selection))
             .map(Reverse)
             .collect();
-        for _ in 0..claimant.tasks {
+        for _ in 0..preemptor.tasks {
             if selection.is_full() {
                 break;
             }
@@ -232,31 +244,32 @@
                 break;
             };
             let slot = chosen.slot;
-            selection.take(chosen, claimant);
-            let next = self.victims_on(slot, claimant, input, selection);
+            selection.select(chosen, preemptor);
+            let next = self.victims_on(slot, preemptor, input, selection);
             cheapest.extend(next.map(Reverse));
         }
     }
 
-    /// Who would have to be stopped on a slot for one task of the claimant. None: there is no way to
-    /// make room there, or the task would not be done any sooner.
+    /// The tasks on a slot that would have to be preempted for one task of the preemptor. Returns `None`
+    /// if that cannot free enough resources, or if the task would still end sooner on another machine.
     fn victims_on(
         &self,
         slot_index: usize,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         input: &PreemptionInput<'_>,
         selection: &Selection<'_>,
     ) -> Option<VictimSet> {
-        let spec = &claimant.job.spec;
+        let spec = &preemptor.job.spec;
         let slot = &input.slots[slot_index];
         let machine_type = &self.fleet.types[slot.type_index];
-        let fetch_rate = input.fetch_rates[slot.type_index];
-        let fetch = slot.fetch_delay(input.now, fetch_rate, claimant.job);
-        if self.would_go_elsewhere(claimant, slot, fetch) {
+        let fetch_rate_gb_per_s = input.fetch_rates_gb_per_s[slot.type_index];
+        let fetch = slot.fetch_delay(input.now, fetch_rate_gb_per_s, preemptor.job);
+        if self.would_end_sooner_elsewhere(preemptor, slot, fetch) {
             return None;
         }
-        // In the same unit as the cost of victims: seconds of a machine's share. Room that is free but
-        // lacks the image then goes before tasks that only just came.
+        // The image fetch is counted in the unit of the victims' cost. A slot with free resources but
+        // without the image is thus preferred to preempting tasks, even those that have only just
+        // started, unless the fetch takes longer than the restart of such tasks costs.
         let mut cost =
             fetch.as_secs_f64() * spec.resources.dominant_share_of(&machine_type.capacity);
         let mut free = selection.free[slot_index];
@@ -265,8 +278,8 @@
             if spec.resources.fits(&free) {
                 break;
             }
-            let is_taken = selection.taken[slot_index].contains(&index);
-            if is_taken || !self.may_preempt(claimant, victim, &selection.team_usage) {
+            let is_selected = selection.selected[slot_index].contains(&index);
+            if is_selected || !self.may_preempt(preemptor, victim, &selection.team_usage) {
                 continue;
             }
             free.add(&victim.job.spec.resources);
@@ -280,37 +293,38 @@
         })
     }
 
-    /// Whether the claimant's task would still wait for another machine, since it would end sooner there:
-    /// others would then fill the room, and be stopped again in the next round. `fetch`: how long its
-    /// image takes on this slot.
-    fn would_go_elsewhere(
+    /// Whether the preemptor's task would end sooner on another machine and would therefore still wait
+    /// for that one. Other tasks would then take the freed resources and be preempted again in the next
+    /// round. `fetch`: the wait for its image on this slot.
+    fn would_end_sooner_elsewhere(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         slot: &Slot<'_>,
         fetch: Duration,
     ) -> bool {
-        let Some(earliest_end) = claimant.earliest_end else {
+        let Some(shortest_time_to_end) = preemptor.shortest_time_to_end else {
             return false;
         };
         let type_name = &self.fleet.types[slot.type_index].name;
-        let run_time = self.history.run_time(&claimant.job.spec, type_name);
+        let run_time = self.history.run_time(&preemptor.job.spec, type_name);
         let score_step = Duration::from_secs_f64(SCORE_RESOLUTION_S);
         let end = fetch + run_time.mul_f64(slot.slowdown) + score_step;
-        end > earliest_end + TURNAROUND
+        end > shortest_time_to_end + SUCCESSOR_START_DELAY
     }
 
-    /// Whether the victim has a lower priority, or borrows what the claimant's team is guaranteed.
+    /// Whether the victim has a lower priority than the preemptor, or borrows beyond its team's guarantee
+    /// while the preemptor is within the guarantee of another team.
     fn may_preempt(
         &self,
-        claimant: &Claimant<'_>,
+        preemptor: &Preemptor<'_>,
         victim: &Victim<'_>,
         team_usage: &HashMap<TeamName, Resources>,
     ) -> bool {
-        let (claimant_spec, victim_spec) = (&claimant.job.spec, &victim.job.spec);
-        victim_spec.priority < claimant_spec.priority
-            || claimant.within_guarantee
+        let (preemptor_spec, victim_spec) = (&preemptor.job.spec, &victim.job.spec);
+        victim_spec.priority < preemptor_spec.priority
+            || preemptor.within_guarantee
                 && !victim.within_guarantee
-                && victim_spec.team != claimant_spec.team
+                && victim_spec.team != preemptor_spec.team
                 && self.is_beyond_guarantee(&victim_spec.team, team_usage)
     }
 }
