--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/order_pacing.rs
@@ -69,7 +69,7 @@
     }
 
     /// Marks the machines as urgent whose commands had to wait and may go out by now.
-    pub(in crate::core) fn retry_paced_orders(&mut self, now: Instant) {
+    pub(in crate::core) fn retry_paced_commands(&mut self, now: Instant) {
         if !self.takeover.is_over() {
             self.outbox
                 .urgent_machines
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -221,7 +221,7 @@
             }
         }
         self.send_probes();
-        self.retry_paced_orders(now);
+        self.retry_paced_commands(now);
         self.flush(now)
     }
 
