--- a/src/core/reconciliation/stored_snapshot.rs
+++ b/src/core/reconciliation/stored_snapshot.rs
@@ -16,7 +16,7 @@
 
 /// A stored chunk of a job's tasks.
 #[derive(Clone, Debug)]
-pub struct StoredIntents {
+pub struct StoredJobChunk {
     /// The job.
     pub job_id: JobId,
     /// The number of the chunk in the job.
@@ -46,7 +46,7 @@
     /// Jobs that are marked as cancelled.
     pub cancel_marks: Vec<JobId>,
     /// The chunks of all jobs.
-    pub chunks: Vec<StoredIntents>,
+    pub chunks: Vec<StoredJobChunk>,
     /// Jobs whose record in the index cannot be read.
     pub unreadable_jobs: Vec<JobId>,
     /// Jobs of which a chunk cannot be read.
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -11,7 +11,7 @@
 use crate::core::persistence::keys;
 use crate::core::persistence::records::JobOutcome;
 use crate::core::placement::history::HistorySummary;
-use crate::core::reconciliation::stored_snapshot::{StoredIntents, StoredLiveJob, StoredSnapshot};
+use crate::core::reconciliation::stored_snapshot::{StoredJobChunk, StoredLiveJob, StoredSnapshot};
 use crate::core::state::{ClusterState, TermStart};
 use crate::net::store::{ListEntry, ListOptions, Listing, StoreError};
 use crate::net::wire::{StoredChunk, StoredHistory, StoredJob};
@@ -289,10 +289,10 @@
     (jobs, undecodable)
 }
 
-fn intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredIntents> {
+fn intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredJobChunk> {
     let parsed = records.into_iter().filter_map(|entry| {
         let (job_id, index) = keys::parse_chunk_key(&entry.key)?;
-        Some(StoredIntents {
+        Some(StoredJobChunk {
             job_id,
             index,
             value: entry.value.into(),
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -11,7 +11,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
 use cypressgap::core::reconciliation::stored_snapshot::{
-    StoredIntents, StoredLiveJob, StoredSnapshot,
+    StoredJobChunk, StoredLiveJob, StoredSnapshot,
 };
 
 const EARLIER_ATTEMPT: AttemptId = AttemptId(7);
@@ -28,7 +28,7 @@
 fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> ClusterFixture {
     let active =
         (0..on_record).map(|n| Intent::new(n, EARLIER_ATTEMPT, MachineId(format!("i-{n}"))));
-    let chunk = StoredIntents {
+    let chunk = StoredJobChunk {
         job_id: job_id(),
         index: 0,
         value: ChunkValue {
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -5,7 +5,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use cypressgap::core::reconciliation::stored_snapshot::{
-    StoredIntents, StoredLiveJob, StoredSnapshot,
+    StoredJobChunk, StoredLiveJob, StoredSnapshot,
 };
 use cypressgap::core::state::quota_usage::QuotaUsage;
 use cypressgap::core::state::HeartbeatDecision;
@@ -13,11 +13,11 @@
 const ATTEMPT: AttemptId = AttemptId(7);
 
 /// Tasks on record as sent to a machine.
-fn stored_intents(job_id: &str, tasks: &[u32], machine: &str) -> StoredIntents {
+fn stored_intents(job_id: &str, tasks: &[u32], machine: &str) -> StoredJobChunk {
     let active = tasks
         .iter()
         .map(|i| Intent::new(*i, ATTEMPT, machine.into()));
-    StoredIntents {
+    StoredJobChunk {
         job_id: job_id.into(),
         index: tasks[0] / 64,
         value: ChunkValue {
@@ -222,7 +222,7 @@
     bound.spec.same_place = true;
     let mut fixture = fixture_after_failover(StoredSnapshot {
         jobs: vec![bound],
-        chunks: vec![StoredIntents {
+        chunks: vec![StoredJobChunk {
             value: ChunkValue {
                 done: 0,
                 active: vec![
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -5,7 +5,7 @@
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
 use cypressgap::core::reconciliation::stored_snapshot::{
-    StoredIntents, StoredLiveJob, StoredSnapshot,
+    StoredJobChunk, StoredLiveJob, StoredSnapshot,
 };
 use cypressgap_recovery::attempt_state::AttemptState;
 
@@ -131,7 +131,7 @@
                 .into_iter()
                 .collect(),
             cancel_marks: marked.then(job_id).into_iter().collect(),
-            chunks: vec![StoredIntents {
+            chunks: vec![StoredJobChunk {
                 job_id: job_id(),
                 index: 0,
                 value: ChunkValue { done: 0, active },
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -7,7 +7,7 @@
     ConflictingKey, WriteBatch, WriteOp, WriteOutcome,
 };
 use cypressgap::core::reconciliation::stored_snapshot::{
-    StoredIntents, StoredLiveJob, StoredSnapshot,
+    StoredJobChunk, StoredLiveJob, StoredSnapshot,
 };
 use std::collections::BTreeMap;
 
@@ -158,7 +158,7 @@
                 }),
                 StoredValue::Chunk(value) => {
                     let (job_id, index) = parse_chunk_key(key).expect("a chunk's key");
-                    snapshot.chunks.push(StoredIntents {
+                    snapshot.chunks.push(StoredJobChunk {
                         job_id,
                         index,
                         value: value.clone(),
