--- a/src/core/persistence/backoff.rs
+++ b/src/core/persistence/backoff.rs
@@ -1,33 +1,34 @@
-//! Repeated lookups of jobs whose status may stay unknown, at intervals that grow exponentially.
+//! Exponential back-off for lookups of jobs whose status may stay unknown.
 
 use crate::core::model::JobId;
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// The interval before the second lookup of a job.
+/// The interval between the first and the second lookup of a job.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest interval between two lookups of a job.
+/// The maximum interval between two lookups of a job.
 const MAX_INTERVAL: Duration = Duration::from_secs(60);
-/// How much longer each interval is than the one before.
+/// The factor by which each interval is longer than the previous one.
 const INTERVAL_FACTOR: u32 = 2;
 
-/// The last lookup of a job.
+/// The most recent lookup of a job.
 #[derive(Clone, Copy, Debug)]
 struct Lookup {
     at: Instant,
-    /// How long the next lookup waits.
+    /// The minimum time from this lookup to the next one.
     interval: Duration,
 }
 
-/// Decides which jobs to look up now.
+/// Decides when each job of unknown status is looked up again.
 #[derive(Debug, Default)]
 pub struct Backoff {
     lookups: HashMap<JobId, Lookup>,
 }
 
 impl Backoff {
-    /// Those of the unknown jobs that are to be looked up now. Jobs that are not among them any more are
-    /// forgotten.
+    /// Returns the jobs in `unknown` that are due for a lookup, and records a lookup of each at `now`. Jobs
+    /// that are no longer in `unknown` are removed, so a job that returns later starts with the initial
+    /// interval.
     pub fn due(&mut self, unknown: &[JobId], now: Instant) -> Vec<JobId> {
         let unknown: BTreeSet<&JobId> = unknown.iter().collect();
         self.lookups.retain(|job_id, _| unknown.contains(job_id));
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -1,4 +1,4 @@
-//! Puts a transaction together within the limits of the store, and notes what it covers.
+//! Construction of a transaction within the limits of the key-value store, and a record of its contents.
 
 use crate::core::model::{AttemptId, JobId, TaskId};
 use crate::core::persistence::keys::{
@@ -10,25 +10,27 @@
 use crate::core::state::Job;
 use std::time::{Duration, Instant};
 
-/// What the values of a transaction may amount to, below the protocol's 64 KiB.
+/// The maximum total size of the chunks in a transaction, below the protocol's limit of 64 KiB.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
-/// An upper bound for a chunk's part of a transaction: its fixed part, and its part for each attempt.
-const CHUNK_HEAD_BYTES: usize = 80;
-const CHUNK_ATTEMPT_BYTES: usize = 48;
+/// An upper bound on the size of a chunk in a transaction, without its attempts.
+const CHUNK_FIXED_BYTES: usize = 80;
+/// An upper bound on the size of one attempt of a chunk in a transaction.
+const CHUNK_BYTES_PER_ATTEMPT: usize = 48;
 
-/// The changes that remove a cancelled job: its key in the index, and its mark.
+/// The number of changes that a transaction must have room for. The removal of a cancelled job needs this
+/// many: it deletes the job's key in the index and its cancellation marker.
 pub(super) const MIN_BATCH_OPS: usize = 2;
 
-/// The node that confirms a cancellation mostly cancels the dependents at once. The leader leaves them
-/// to it for this long, because both writing the same outcomes would cost write rate.
-const CASCADE_GRACE: Duration = Duration::from_secs(1);
+/// How long the leader waits before it writes the outcomes of a cancelled job's dependents. The node that
+/// confirms the cancellation usually writes them at once, and writing them twice would waste write rate.
+const LEADER_CASCADE_DELAY: Duration = Duration::from_secs(1);
 
-/// A chunk that a transaction writes.
+/// A chunk that a transaction writes, by its job and its number in the job.
 #[derive(Debug)]
 pub(super) struct WrittenChunk {
     pub(super) job_id: JobId,
     pub(super) index: u32,
-    /// The version of the chunk's state in memory that is written.
+    /// The version of the chunk in memory that the transaction writes.
     pub(super) version: u64,
 }
 
@@ -39,40 +41,40 @@
     pub(super) attempt: AttemptId,
 }
 
-/// What a transaction in flight covers: what follows from its result is decided by this.
+/// The contents of the transaction in flight, which determine how its result is applied.
 #[derive(Debug, Default)]
 pub struct InFlightBatch {
-    /// Chunks that are written.
+    /// The chunks that the transaction writes.
     pub(super) chunks: Vec<WrittenChunk>,
-    /// Attempts whose intents are written.
+    /// The attempts whose intents the transaction makes durable.
     pub(super) intents: Vec<WrittenIntent>,
-    /// Jobs whose outcome `done` is written.
+    /// The jobs whose outcome `Done` the transaction writes.
     pub(super) done_jobs: Vec<JobId>,
-    /// Cancelled jobs whose records are removed.
+    /// The cancelled jobs whose records the transaction removes.
     pub(super) removed_jobs: Vec<JobId>,
-    /// Jobs that are cancelled because a dependency was.
+    /// The jobs that the transaction cancels because a dependency was cancelled.
     pub(super) cascaded_jobs: Vec<JobId>,
-    /// Obsolete keys that are removed.
+    /// The obsolete keys that the transaction removes.
     pub(super) obsolete_keys: Vec<String>,
-    /// How many changes the transaction has.
+    /// The number of changes in the transaction.
     pub(super) op_count: usize,
 }
 
-/// Whether the next job may be looked at after this one.
+/// Whether a transaction had room for the changes of a job, so that the next job may be added.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Room {
     Left,
     Full,
 }
 
-/// Whether the records of a cancelled job may be removed by now.
+/// Whether the records of a cancelled job may be removed now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordRemoval {
     Allowed,
     Deferred,
 }
 
-/// A transaction that is being put together.
+/// A transaction under construction.
 pub(super) struct BatchBuilder {
     conditions: Vec<KeyCondition>,
     ops: Vec<WriteOp>,
@@ -82,7 +84,7 @@
 }
 
 impl BatchBuilder {
-    /// An empty transaction of at most `max_ops` changes, conditional on the leader key's revision.
+    /// Creates a transaction of at most `max_ops` changes, conditional on the revision of the leader key.
     pub(super) fn new(leader_revision: u64, max_ops: usize) -> BatchBuilder {
         BatchBuilder {
             conditions: vec![KeyCondition::at_revision(LEADER_KEY, leader_revision)],
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The transaction and what it covers. None: nothing is to be written.
+    /// Returns the transaction and a record of its contents. None: there are no changes.
     pub(super) fn build(mut self) -> Option<(WriteBatch, InFlightBatch)> {
         if self.ops.is_empty() {
             return None;
@@ -106,22 +108,22 @@
         Some((batch, self.in_flight))
     }
 
-    /// How many changes it has.
+    /// The number of changes added so far.
     pub(super) fn op_count(&self) -> usize {
         self.ops.len()
     }
 
-    /// How many changes it may have.
+    /// The maximum number of changes.
     pub(super) fn max_ops(&self) -> usize {
         self.max_ops
     }
 
-    /// Whether it takes so many more changes.
+    /// Whether this number of changes can still be added.
     pub(super) fn has_room(&self, ops: usize) -> bool {
         self.ops.len() + ops <= self.max_ops
     }
 
-    /// Adds what is due of a job: its outcome, the removal of its records, or its chunks.
+    /// Adds the changes of a job that are due: its outcome, the removal of its records, or its chunks.
     pub(super) fn add_job(&mut self, job: &Job, now: Instant, removal: RecordRemoval) -> Room {
         if job.is_outcome_due() {
             self.add_done(job)
@@ -143,9 +145,10 @@
         Room::Left
     }
 
-    /// A job one of whose dependencies was cancelled has been blocked all its life, so nothing of it runs.
+    /// Adds the outcome of a job whose dependency was cancelled. The job has been blocked since its
+    /// acceptance, so none of its tasks is running.
     fn add_cascaded(&mut self, job: &Job, now: Instant) -> Room {
-        if !job.is_cascade_due(now, CASCADE_GRACE) {
+        if !job.is_cascade_due(now, LEADER_CASCADE_DELAY) {
             return Room::Left;
         }
         if !self.has_room(1) {
@@ -172,13 +175,13 @@
         Room::Left
     }
 
-    /// Adds the chunks of a job that are due, with their intents.
+    /// Adds the chunks of a job that are due for a write, with their intents.
     fn add_chunks(&mut self, job: &Job, now: Instant) -> Room {
         let op_count = self.op_count();
         let mut room = Room::Left;
         for index in job.dirty_chunks(now) {
             let value = job.chunk_value(index);
-            let size = CHUNK_HEAD_BYTES + CHUNK_ATTEMPT_BYTES * value.active.len();
+            let size = CHUNK_FIXED_BYTES + CHUNK_BYTES_PER_ATTEMPT * value.active.len();
             if !self.has_room(1) || self.bytes + size > MAX_BATCH_BYTES {
                 room = Room::Full;
                 break;
@@ -186,7 +189,8 @@
             self.bytes += size;
             self.put_chunk(job, index, value);
         }
-        // The tasks of a cancelled job are only ever removed: that needs no condition on its outcome.
+        // The chunks of a cancelled or finished job contain no new intents, so they need no condition on its
+        // outcome.
         if self.op_count() > op_count && !job.is_cancelled() && !job.finished {
             self.expect_outcome(job);
         }
@@ -221,20 +225,20 @@
             .push(WriteOp::Put(key, RecordValue::JobOutcome(outcome)));
     }
 
-    /// Makes the transaction conditional on the outcome's not having been written by anybody else.
+    /// Adds the condition that no other writer has written the job's outcome.
     fn expect_outcome(&mut self, job: &Job) {
         let key = outcome_key(&job.spec.job_id);
         self.conditions
             .push(KeyCondition::at_revision(key, job.outcome_revision));
     }
 
-    /// Adds the removal of a key that nothing refers to any more.
+    /// Adds the removal of an obsolete key.
     pub(super) fn delete_obsolete(&mut self, key: String) {
         self.ops.push(WriteOp::Delete(key.clone()));
         self.in_flight.obsolete_keys.push(key);
     }
 
-    /// Adds the summary of the measured run times.
+    /// Adds a write of the summary of measured run times.
     pub(super) fn put_history(&mut self, summary: HistorySummary) {
         let value = RecordValue::History(summary);
         self.ops.push(WriteOp::Put(HISTORY_KEY.to_owned(), value));
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -1,4 +1,4 @@
-//! What the next transaction holds: which jobs come first, and which changes wait.
+//! Selection of the changes in the next transaction: which jobs come first, and which changes are deferred.
 
 use crate::core::model::{JobId, Priority};
 use crate::core::persistence::batch_builder::{BatchBuilder, RecordRemoval, Room};
@@ -7,21 +7,24 @@
 use std::cmp::Reverse;
 use std::time::Instant;
 
-/// Entries of the run time history that are kept, and those that go into the stored summary.
+/// The maximum number of entries of the run time history that are kept in memory.
 const MAX_HISTORY_ENTRIES: usize = 5000;
+/// The maximum number of entries in the stored summary of the run time history.
 const MAX_SUMMARY_ENTRIES: usize = 300;
-/// An upper bound for the size of the summary: its fixed part, and its part for each entry.
-const SUMMARY_HEAD_BYTES: usize = 400;
-const SUMMARY_ENTRY_BYTES: usize = 130;
+/// An upper bound on the size of the summary without its entries.
+const SUMMARY_FIXED_BYTES: usize = 400;
+/// An upper bound on the size of one entry of the summary.
+const SUMMARY_BYTES_PER_ENTRY: usize = 130;
 
-/// What the next transaction holds first, when it cannot hold everything.
+/// The class of a job's changes. When a transaction cannot hold all changes, it holds earlier classes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WriteClass {
-    /// Outcomes of jobs whose dependency was cancelled: users wait for them within a bound.
+    /// Outcomes of jobs whose dependency was cancelled, which have to be written within a time limit.
     Cascade,
-    /// Intents and outcomes.
+    /// Intents, and outcomes of jobs that are done.
     Prompt,
-    /// Ended tasks, which can wait until more of them are written together.
+    /// Other changes, which may wait: ends of attempts, several of which are written together, and the
+    /// removal of cancelled jobs.
     Deferred,
 }
 
@@ -37,12 +40,13 @@
     }
 }
 
-/// The place of a job among those with unwritten changes: its fields are compared in this order.
+/// The sort key of a job among those with unwritten changes. The fields are compared in the order of their
+/// declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct WriteOrder {
     class: WriteClass,
     priority: Reverse<Priority>,
-    /// Of jobs that are alike, the one that was accepted first comes first.
+    /// Jobs of the same class and priority are ordered by their acceptance.
     accepted_revision: u64,
     job_id: JobId,
 }
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The place of a job that is no longer live.
+    /// The sort key of a job that is no longer live: after all others.
     fn last(job_id: JobId) -> WriteOrder {
         WriteOrder {
             class: WriteClass::Deferred,
@@ -69,7 +73,8 @@
 }
 
 impl ClusterState {
-    /// The next transaction, when none is in flight and something is unwritten.
+    /// Builds the next transaction and records it as in flight. None: nothing is to be written, or no
+    /// transaction may start now.
     pub fn next_batch(&mut self, now: Instant) -> Option<WriteBatch> {
         let max_ops = self.writes.max_ops(now, self.config.txn_ops)?;
         let mut batch = BatchBuilder::new(self.leader_revision, max_ops);
@@ -87,8 +92,9 @@
                 continue;
             };
             let op_count = batch.op_count();
-            // While a dependent may still be reported as live, the records that show why it is not must stay.
-            let removal = if !cascading && self.knows_all_before_cancellation(job) {
+            // A dependent whose own outcome is not written yet may still be reported as live. Until it is
+            // written, the records of the cancelled dependency must remain.
+            let removal = if !cascading && self.knows_jobs_accepted_before_cancellation(job) {
                 RecordRemoval::Allowed
             } else {
                 RecordRemoval::Deferred
@@ -105,8 +111,8 @@
         }
     }
 
-    /// Jobs with unwritten changes, in the order of their writes. Walks over these jobs only, not over
-    /// all: it is called after every event.
+    /// The jobs with unwritten changes, in the order of their writes. It is called after every event and
+    /// therefore iterates over these jobs only, not over all jobs.
     fn dirty_jobs_in_write_order(&self) -> Vec<JobId> {
         let dirty = self.writes.dirty_jobs.iter();
         let mut ordered: Vec<WriteOrder> = dirty
@@ -119,16 +125,17 @@
         ordered.into_iter().map(|order| order.job_id).collect()
     }
 
-    /// Whether the outcome of a dependent of a cancelled job is still to be written.
+    /// Whether the outcome of some dependent of a cancelled job is not written yet.
     fn has_unwritten_cascade(&self) -> bool {
         let dirty = self.writes.dirty_jobs.iter();
         let mut jobs = dirty.filter_map(|job_id| self.jobs.get(job_id));
         jobs.any(Job::is_orphan)
     }
 
-    /// Whether all jobs are known that were accepted before this one was cancelled: the watch of the
-    /// queue was read again since.
-    fn knows_all_before_cancellation(&self, job: &Job) -> bool {
+    /// Whether this leader knows all jobs that were accepted before this job was cancelled: the cancellation
+    /// arrived through the watch of the queue, or the queue was read again after the cancellation became
+    /// known.
+    fn knows_jobs_accepted_before_cancellation(&self, job: &Job) -> bool {
         match (
             job.cancellation.close_after(),
             self.leadership.last_queue_read,
@@ -145,8 +152,8 @@
         }
         self.writes.next_summary = now + self.config.tuning.summary_interval;
         self.history.trim(MAX_HISTORY_ENTRIES);
-        let value_bytes = self.config.value_bytes.saturating_sub(SUMMARY_HEAD_BYTES);
-        let max_entries = (value_bytes / SUMMARY_ENTRY_BYTES).min(MAX_SUMMARY_ENTRIES);
+        let value_bytes = self.config.value_bytes.saturating_sub(SUMMARY_FIXED_BYTES);
+        let max_entries = (value_bytes / SUMMARY_BYTES_PER_ENTRY).min(MAX_SUMMARY_ENTRIES);
         if let Some(summary) = self.history.summary(max_entries) {
             batch.put_history(summary);
         }
--- a/src/core/persistence/job_completion.rs
+++ b/src/core/persistence/job_completion.rs
@@ -1,4 +1,4 @@
-//! The end of a job: what follows once its outcome is durable, and which of its keys are removed.
+//! Completion of a job: the steps after its outcome is durable, and the removal of its keys.
 
 use crate::core::model::JobId;
 use crate::core::persistence::keys::{chunk_key, dependents_key, live_job_key};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 impl ClusterState {
-    /// A job's outcome `done` is durable. Its record goes once all of its attempts are gone.
+    /// Handles a job whose outcome `Done` is durable. The job is removed once all of its attempts are gone.
     pub(in crate::core) fn on_done_durable(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -17,7 +17,7 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        // Found done by the write of an intent: what was only planned is not launched.
+        // If a failed write of intents revealed the outcome, the attempts of those intents are not launched.
         let planned = job.active.iter().filter(|(_, attempt)| !attempt.durable);
         let planned: Vec<u32> = planned.map(|(index, _)| *index).collect();
         for index in planned {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Removes a job from the cluster's state. Its keys become obsolete.
+    /// Removes a job from the cluster's state, and schedules the removal of its remaining keys.
     pub(in crate::core) fn drop_job(&mut self, now: Instant, job_id: &JobId) {
         if self.jobs.dependencies.take_listed(job_id) {
             self.writes.remove_later(dependents_key(job_id));
--- a/src/core/persistence/job_status_reads.rs
+++ b/src/core/persistence/job_status_reads.rs
@@ -1,9 +1,9 @@
-//! The status of many jobs at once, in as few reads of the key-value store as possible.
+//! Lookup of the statuses of many jobs with as few calls to the key-value store as possible.
 //!
-//! An accepted job is live as long as the key of its outcome is absent, and a job both of whose keys are
-//! absent was never accepted. A transaction without changes compares many such keys in one call, so that
-//! the cost follows the number of calls and not of jobs. Only what has changed is read, and what is final
-//! never changes again.
+//! An accepted job is live while the key of its outcome is absent. A job was never accepted if its key in the
+//! index of live jobs is absent as well. A transaction without changes compares many such keys in one call,
+//! so the cost depends on the number of calls and not on the number of jobs. Then only the outcomes that
+//! exist are read, and a terminal outcome never changes.
 //!
 //! Invariant: a job whose status could not be read is left out of the result; no status is guessed.
 
@@ -13,17 +13,17 @@
 use crate::core::persistence::write_batch::KeyCondition;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The status of a job by its records.
+/// The status of a job according to its records in the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobRecordStatus {
-    /// Neither of its records exists.
+    /// The job has neither an outcome nor a key in the index of live jobs.
     NeverAccepted,
-    /// It was accepted, and is live or has ended.
+    /// The job was accepted. The outcome tells whether it is live.
     Accepted(JobOutcome),
 }
 
 impl JobRecordStatus {
-    /// The state of the job. None: it was never accepted.
+    /// The outcome of an accepted job. None: the job was never accepted.
     pub fn outcome(self) -> Option<JobOutcome> {
         match self {
             JobRecordStatus::NeverAccepted => None,
@@ -32,64 +32,65 @@
     }
 }
 
-/// An outcome and the key that it is stored under.
+/// A stored outcome with its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomeEntry {
-    /// The key.
+    /// The full key, including its prefix.
     pub key: String,
-    /// The outcome.
+    /// The outcome stored under the key.
     pub outcome: JobOutcome,
 }
 
-/// Consecutive outcomes, in the order of their keys.
+/// A page of consecutive outcomes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomePage {
-    /// The outcomes.
+    /// The outcomes, ordered by key.
     pub entries: Vec<OutcomeEntry>,
-    /// Whether more follow.
+    /// Whether more outcomes follow this page.
     pub has_next: bool,
 }
 
-/// Reads of the records of jobs. Each sees at least all that was written before it began.
+/// Reads the records of jobs. Each read sees at least all writes that completed before it started.
 pub trait JobRecordReader {
-    /// Why the store could not be read.
+    /// The error if the store could not be read.
     type Error;
-    /// The keys that do not meet their conditions. It may name only some of them, but names at least one
-    /// if there are any.
+    /// Returns keys that do not meet their conditions. The result may be incomplete, but it is empty only if
+    /// all conditions are met.
     fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, Self::Error>;
-    /// The outcomes whose keys come after this one.
+    /// Returns the first page of the outcomes whose keys come after `key`, which need not exist.
     fn outcomes_after(&self, key: &str) -> Result<OutcomePage, Self::Error>;
-    /// The outcome under a key. None: there is none.
+    /// Returns the outcome stored under a key. None: the key is absent.
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, Self::Error>;
 }
 
-/// Statuses that were read, and why others could not be.
+/// The result of a lookup of statuses, which may be incomplete.
 #[derive(Clone, Debug)]
 pub struct StatusRead<E> {
     /// The statuses of the jobs that could be read.
     pub statuses: HashMap<JobId, JobRecordStatus>,
-    /// What kept the others from being read.
+    /// The error that ended the lookup early. None: the lookup was complete.
     pub error: Option<E>,
 }
 
-/// Comparisons for one set of jobs. The first finds what has changed, the second settles the rest; more are
-/// needed only where not all changed keys are named.
+/// The maximum number of comparisons for one set of jobs. The first comparison finds the keys that exist, and
+/// the second settles the other jobs. More are needed only if the store does not report all mismatched keys.
 const MAX_COMPARISONS: usize = 5;
-/// From this many outcomes on, reading a page of them is cheaper than one after the other.
+/// The number of outcomes from which on a read of a page is cheaper than single reads.
 const MIN_OUTCOMES_FOR_PAGE: usize = 4;
-/// Conditions in a comparison for each job.
-const KEYS_PER_JOB: usize = 2;
-/// An upper bound for the size of a condition in a transaction, for the longest ids.
-const CONDITION_BYTES: usize = 64;
+/// The maximum number of conditions for a job in a comparison: its outcome key and its key in the index.
+const CONDITIONS_PER_JOB: usize = 2;
+/// An upper bound on the size of a condition in a transaction, with the longest possible job id.
+const MAX_CONDITION_BYTES: usize = 64;
 
-/// How many jobs one comparison can carry, for these limits of a transaction.
+/// The maximum number of jobs in one comparison, at least 1, if a transaction may have `max_conditions`
+/// conditions and `max_bytes` bytes.
 pub fn max_jobs_per_comparison(max_conditions: usize, max_bytes: usize) -> usize {
-    let conditions = max_conditions.min(max_bytes / CONDITION_BYTES);
-    (conditions / KEYS_PER_JOB).max(1)
+    let conditions = max_conditions.min(max_bytes / MAX_CONDITION_BYTES);
+    (conditions / CONDITIONS_PER_JOB).max(1)
 }
 
-/// Reads the status of jobs. `accepted`: those of which it is known that they were accepted; what is found
-/// out about that is added to it.
+/// Reads the statuses of jobs. `accepted` holds jobs that are known to have been accepted, which need one
+/// comparison less; jobs that turn out to have been accepted are added to it.
 pub fn read_statuses<R: JobRecordReader>(
     reader: &R,
     job_ids: &BTreeSet<JobId>,
@@ -109,18 +110,18 @@
     }
 }
 
-/// A read of statuses that is under way.
+/// A lookup of statuses in progress.
 struct StatusReader<'a, R> {
     reader: &'a R,
     accepted: &'a mut BTreeSet<JobId>,
-    /// Jobs of which it is not known yet whether an outcome exists.
+    /// The jobs for which it is not known yet whether an outcome exists.
     unsettled: BTreeSet<JobId>,
-    /// Jobs with an outcome that is still to be read, by its key.
+    /// The jobs with an outcome that is not read yet, by outcome key.
     ended: BTreeMap<String, JobId>,
     statuses: HashMap<JobId, JobRecordStatus>,
 }
 
-/// What a key in a comparison says of its job when it exists.
+/// The kind of a compared key, with the job that it belongs to.
 enum ExistingKey {
     Outcome(JobId),
     LiveJob(JobId),
@@ -139,7 +140,7 @@
 
     /// Compares the keys of all unsettled jobs in one call.
     fn compare(&mut self) -> Result<(), R::Error> {
-        let mut expected = Vec::with_capacity(self.unsettled.len() * KEYS_PER_JOB);
+        let mut expected = Vec::with_capacity(self.unsettled.len() * CONDITIONS_PER_JOB);
         let mut keys: HashMap<String, ExistingKey> = HashMap::new();
         for job_id in &self.unsettled {
             let outcome = outcome_key(job_id);
@@ -171,7 +172,8 @@
         Ok(())
     }
 
-    /// None of the compared keys exists: jobs that were accepted are live, the others never were accepted.
+    /// Settles all unsettled jobs, because none of the compared keys exists: jobs that are known to have been
+    /// accepted are live, and the others were never accepted.
     fn settle_without_outcome(&mut self) {
         for job_id in std::mem::take(&mut self.unsettled) {
             let status = if self.accepted.contains(&job_id) {
@@ -190,18 +192,19 @@
             {
                 continue;
             }
-            // Few are left, or their keys lie far apart.
+            // Few outcomes are left, or their keys are so far apart that a page covers few of them.
             self.read_first_outcome()?;
         }
         Ok(())
     }
 
-    /// Reads the page that begins with the first outcome. Returns how many jobs it covered.
+    /// Reads the page of outcomes that starts at the first unread one. Returns the number of jobs that it
+    /// covers.
     fn read_page(&mut self) -> Result<usize, R::Error> {
         let Some(first) = self.ended.keys().next() else {
             return Ok(0);
         };
-        // Just before the first of them: a shorter key goes before those that it begins.
+        // A proper prefix of a key is ordered before that key, so the page includes the first outcome.
         let mut before_first = first.clone();
         before_first.pop();
         let page = self.reader.outcomes_after(&before_first)?;
--- a/src/core/persistence/keys.rs
+++ b/src/core/persistence/keys.rs
@@ -1,42 +1,46 @@
-//! The keys of the key-value store: prefixes, the names of single keys, and parsers of composed ones.
+//! The keys of the key-value store: prefixes, single keys, and functions that build and parse composed keys.
 //!
-//! Earlier versions run beside this one and read the same keys, so their text never changes.
+//! Invariant: nodes of earlier versions run alongside this version and read the same keys, so the text of a
+//! key never changes.
 
 use crate::core::model::JobId;
 
-/// Names the leader. The key is attached to the leader's lease.
+/// The key whose value names the leader. It is attached to the leader's lease and removed when the lease
+/// expires.
 pub const LEADER_KEY: &str = "ctl/leader";
-/// The number of the latest term.
+/// The key that holds the number of the latest term.
 pub const TERM_KEY: &str = "ctl/term";
-/// The machine types, as the cloud last listed them.
+/// The key that holds the machine types of the cloud's most recent list.
 pub const MACHINE_TYPES_KEY: &str = "ctl/types";
-/// The summary of measured run times. Outside of [`CONTROL_PREFIX`], which every node watches.
+/// The key that holds the summary of measured run times. It is outside of [`CONTROL_PREFIX`], so that nodes
+/// do not receive it through their watches.
 pub const HISTORY_KEY: &str = "h/summary";
 
-/// Keys that every node watches.
+/// The prefix of the keys that every node watches.
 pub const CONTROL_PREFIX: &str = "ctl/";
-/// Keys that the leader watches: accepted jobs and cancellations.
+/// The prefix of the keys that the leader watches: the index of live jobs, and cancellation markers.
 pub const QUEUE_PREFIX: &str = "q/";
-/// The index of live jobs.
+/// The prefix of the index of live jobs, with one key for each job.
 pub const LIVE_JOB_PREFIX: &str = "q/l/";
-/// Marks that tell the leader of cancellations.
+/// The prefix of the markers that notify the leader of cancellations.
 pub const CANCEL_MARK_PREFIX: &str = "q/w/";
-/// Launch intents and finished tasks, in chunks.
+/// The prefix of the chunks that hold launch intents and record which tasks are done.
 pub const INTENT_PREFIX: &str = "i/";
-/// Lists of dependents, for nodes of the previous version.
+/// The prefix of the lists of dependents. Only nodes of the previous version read them.
 pub const DEPENDENTS_PREFIX: &str = "d/";
-/// Outcomes of jobs.
+/// The prefix of job outcomes.
 pub const OUTCOME_PREFIX: &str = "j/";
 
 /// The key of a job's outcome.
 ///
-/// While it is absent, an accepted job is live. Both `done` and `cancelled` are written only on the
-/// condition that it is absent, so at most one of them can come true.
+/// An accepted job is live while this key is absent or holds the `Live` record of an earlier version. `Done`
+/// and `Cancelled` are both written only on the condition that the key has not changed since then, so a job
+/// has at most one of these outcomes.
 pub fn outcome_key(job_id: &JobId) -> String {
     format!("{OUTCOME_PREFIX}{job_id}")
 }
 
-/// The job whose outcome is stored under a key. None: it is no key of an outcome.
+/// The job whose outcome is stored under a key. None: the key is not the key of an outcome.
 pub fn parse_outcome_key(key: &str) -> Option<JobId> {
     key.strip_prefix(OUTCOME_PREFIX).and_then(JobId::parse)
 }
@@ -48,24 +52,25 @@
     format!("{LIVE_JOB_PREFIX}{job_id}")
 }
 
-/// The key that marks a job as cancelled.
+/// The key of the marker that notifies the leader that a job is cancelled.
 pub fn cancel_mark_key(job_id: &JobId) -> String {
     format!("{CANCEL_MARK_PREFIX}{job_id}")
 }
 
 /// The key of the list of a job's dependents.
 ///
-/// Only nodes of the previous version need it: this version finds dependents in the index of live jobs.
+/// Only nodes of the previous version need this list: this version finds dependents in the index of live
+/// jobs.
 pub fn dependents_key(job_id: &JobId) -> String {
     format!("{DEPENDENTS_PREFIX}{job_id}")
 }
 
-/// The key of one chunk of a job's tasks.
+/// The key of one chunk of a job's tasks. Chunks are numbered from 0.
 pub fn chunk_key(job_id: &JobId, chunk: u32) -> String {
     format!("{INTENT_PREFIX}{job_id}/{chunk}")
 }
 
-/// The job and the chunk that a key names. None: it is no key of a chunk.
+/// The job and the chunk number that a key contains. None: the key is not the key of a chunk.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (job_id, chunk) = key.strip_prefix(INTENT_PREFIX)?.rsplit_once('/')?;
     Some((JobId::parse(job_id)?, chunk.parse().ok()?))
--- a/src/core/persistence/mod.rs
+++ b/src/core/persistence/mod.rs
@@ -1,5 +1,5 @@
-//! What is kept in the key-value store: keys and records, the leader's transactions, and reads of the
-//! status of jobs.
+//! Persistence in the key-value store: keys and records, the leader's transactions, and lookups of job
+//! statuses.
 
 pub mod backoff;
 mod batch_builder;
--- a/src/core/persistence/pending_writes.rs
+++ b/src/core/persistence/pending_writes.rs
@@ -1,7 +1,7 @@
-//! What the leader has yet to write to the store, and the transaction that is in flight.
+//! The changes that the leader has not yet written to the key-value store, and the transaction in flight.
 //!
-//! At most one transaction is in flight at a time, so that the result of each is known, or known to be
-//! unknown, before the next one is put together.
+//! Invariant: at most one transaction is in flight at a time. The result of a transaction (including the
+//! result that its effect is unknown) is therefore processed before the next transaction is built.
 
 use crate::core::model::JobId;
 use crate::core::persistence::batch_builder::{BatchBuilder, InFlightBatch, MIN_BATCH_OPS};
@@ -9,37 +9,40 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// The pause before a transaction that was not carried out is put together anew.
+/// The pause after a transaction that the store refused, or whose result is unknown, before the next one is
+/// built.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How many obsolete keys are removed at a time where other changes use the write rate as well, and
-/// how often.
-const CLEANUP_OPS: usize = 4;
+/// The maximum number of obsolete keys that are removed by a transaction with other changes.
+const MAX_CLEANUP_OPS: usize = 4;
+/// The minimum interval between two transactions that remove obsolete keys.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(800);
-/// An idle leader leaves this part of the changes that there is room for to what comes next.
-const CLEANUP_SHARE_DIVISOR: usize = 2;
+/// A transaction without other changes removes at most its maximum number of changes divided by this, so that
+/// the rest of the write rate is left for changes that arrive next.
+const IDLE_CLEANUP_DIVISOR: usize = 2;
 
-/// Jobs with changes that are not durable, keys to be removed, and the pace of the writes.
+/// Jobs with changes that are not durable, keys to be removed, and the limits on the next transaction.
 #[derive(Debug)]
 pub struct PendingWrites {
-    /// Jobs with changes that are not durable.
+    /// The jobs with changes that are not durable.
     pub(super) dirty_jobs: BTreeSet<JobId>,
-    /// Keys that nothing refers to any more.
+    /// Keys to be removed, because nothing refers to them any more.
     obsolete_keys: Vec<String>,
-    /// What the transaction in flight covers.
+    /// The contents of the transaction in flight, if there is one.
     in_flight: Option<InFlightBatch>,
-    /// No transaction is put together before this time.
+    /// No transaction is built before this time, if it is set.
     retry_at: Option<Instant>,
-    /// Changes that the store's rate has room for now.
+    /// The number of changes that the store's rate limit admits now.
     allowance: usize,
-    /// When the run time history is written next.
+    /// The earliest time at which the summary of the run time history is written next.
     pub(super) next_summary: Instant,
-    /// When obsolete keys are removed next.
+    /// The earliest time at which obsolete keys are removed next.
     next_cleanup: Instant,
 }
 
 impl PendingWrites {
-    /// Nothing to write. The run time history is written after `summary_interval`.
+    /// Creates a state without pending writes. The run time history is first written after
+    /// `summary_interval`.
     pub fn new(now: Instant, summary_interval: Duration) -> PendingWrites {
         PendingWrites {
             dirty_jobs: BTreeSet::new(),
@@ -52,28 +55,29 @@
         }
     }
 
-    /// A job has changes that are not durable.
+    /// Records that a job has changes that are not durable.
     pub(in crate::core) fn mark_dirty(&mut self, job_id: &JobId) {
         self.dirty_jobs.insert(job_id.clone());
     }
 
-    /// Nothing refers to a key any more: it is removed when the write rate has room for it.
+    /// Adds a key that nothing refers to any more. It is removed when the write rate admits it.
     pub(in crate::core) fn remove_later(&mut self, key: String) {
         self.obsolete_keys.push(key);
     }
 
-    /// Whether a key is to be removed.
+    /// Whether a key is waiting to be removed. Keys in the transaction in flight do not count.
     pub(in crate::core) fn is_obsolete(&self, key: &str) -> bool {
         self.obsolete_keys.iter().any(|obsolete| obsolete == key)
     }
 
-    /// Sets how many changes the next transaction may have.
+    /// Sets the maximum number of changes in the next transaction, as the store's rate limit admits now.
     pub(in crate::core) fn set_allowance(&mut self, changes: usize) {
         self.allowance = changes;
     }
 
-    /// How many changes a transaction may have now, of the `txn_ops` that the settings allow. None: no
-    /// transaction may begin.
+    /// The maximum number of changes in a transaction that starts now, at most `txn_ops`. None: no
+    /// transaction may start, because one is in flight, a pause has not passed, or the rate limit admits too
+    /// few changes.
     pub(super) fn max_ops(&self, now: Instant, txn_ops: usize) -> Option<usize> {
         let pausing = self.retry_at.is_some_and(|retry_at| now < retry_at);
         if self.in_flight.is_some() || pausing || self.allowance < MIN_BATCH_OPS {
@@ -82,47 +86,49 @@
         Some(txn_ops.max(1).min(self.allowance))
     }
 
-    /// Ends the putting together of a transaction: it is in flight from now on.
+    /// Builds a transaction and records it as in flight. None: there is nothing to write.
     pub(super) fn start(&mut self, batch: BatchBuilder) -> Option<WriteBatch> {
         let (batch, in_flight) = batch.build()?;
         self.in_flight = Some(in_flight);
         Some(batch)
     }
 
-    /// The transaction in flight has a result. None: none was in flight.
+    /// Takes the transaction in flight, whose result has arrived. None: no transaction is in flight.
     pub(super) fn finish(&mut self) -> Option<InFlightBatch> {
         self.in_flight.take()
     }
 
-    /// The next transaction need not wait.
+    /// Ends the pause after an unsuccessful transaction.
     pub(super) fn clear_retry_pause(&mut self) {
         self.retry_at = None;
     }
 
-    /// The next transaction waits for a moment.
+    /// Delays the next transaction by [`RETRY_PAUSE`].
     pub(super) fn pause_before_retry(&mut self, now: Instant) {
         self.retry_at = Some(now + RETRY_PAUSE);
     }
 
-    /// Obsolete keys that a transaction did not remove, or not for certain, are to be removed again.
-    pub(super) fn restore_obsolete(&mut self, keys: Vec<String>) {
+    /// Adds the obsolete keys of a transaction that failed, or whose result is unknown, so that they are
+    /// removed by a later one.
+    pub(super) fn restore_obsolete_keys(&mut self, keys: Vec<String>) {
         self.obsolete_keys.extend(keys);
     }
 
-    /// Adds the removal of obsolete keys.
+    /// Adds the removal of obsolete keys to a transaction.
     ///
-    /// A finished job of 100,000 tasks leaves some 1,600 keys, a thousand small ones 2,000: their
-    /// removal must not use up the write rate that submissions and intents need, so it goes on only
-    /// while most of the rate is unused.
+    /// A finished job of 100,000 tasks leaves about 1,600 keys, and a thousand small jobs leave 2,000. Their
+    /// removal must not use up the write rate that submissions and intents need. It is therefore limited to
+    /// [`MAX_CLEANUP_OPS`] keys in each [`CLEANUP_INTERVAL`], or to a share of the transaction if there is
+    /// nothing else to write.
     pub(super) fn add_cleanups(&mut self, batch: &mut BatchBuilder, now: Instant) {
         if now < self.next_cleanup || !batch.has_room(1) {
             return;
         }
         self.next_cleanup = now + CLEANUP_INTERVAL;
         let max_cleanups = if batch.op_count() == 0 {
-            CLEANUP_OPS.max(batch.max_ops() / CLEANUP_SHARE_DIVISOR)
+            MAX_CLEANUP_OPS.max(batch.max_ops() / IDLE_CLEANUP_DIVISOR)
         } else {
-            CLEANUP_OPS
+            MAX_CLEANUP_OPS
         };
         for _ in 0..max_cleanups {
             if !batch.has_room(1) {
--- a/src/core/persistence/records.rs
+++ b/src/core/persistence/records.rs
@@ -1,56 +1,59 @@
-//! The values of the key-value store in the form that the core works with.
+//! The values in the key-value store, as the core represents them.
 //!
-//! Their serialized form, which earlier versions read too, is defined at the edge in `net::wire`.
+//! `net::wire` defines their serialized form, which earlier versions read too.
 
 use crate::core::model::{AttemptId, MachineId};
 use crate::core::placement::history::HistorySummary;
 
-/// Tasks per intent key. It keeps a value within 4 KiB, whatever the deployment allows.
+/// The number of tasks in a chunk, which is stored under one key. It keeps the value below 4 KiB even if the
+/// deployment allows larger values.
 pub const TASKS_PER_CHUNK: u32 = 64;
 
-/// An upper bound for the size of a chunk's value: its fixed part, and its part for each attempt.
-const CHUNK_VALUE_HEAD_BYTES: usize = 64;
-const CHUNK_VALUE_ATTEMPT_BYTES: usize = 32;
-/// A chunk has room for this many attempts, however small the limit of a value.
+/// An upper bound on the size of a chunk's value without its attempts.
+const CHUNK_VALUE_FIXED_BYTES: usize = 64;
+/// An upper bound on the size of one attempt in a chunk's value.
+const CHUNK_VALUE_BYTES_PER_ATTEMPT: usize = 32;
+/// A chunk may hold this many attempts even if the store's limit on the size of a value is smaller.
 const MIN_ATTEMPTS_PER_CHUNK: usize = 8;
 
-/// The value of a chunk all of whose tasks have attempts.
+/// An upper bound on the size of a chunk's value in which every task has an attempt.
 pub(super) const FULL_CHUNK_VALUE_BYTES: usize =
-    CHUNK_VALUE_HEAD_BYTES + CHUNK_VALUE_ATTEMPT_BYTES * TASKS_PER_CHUNK as usize;
-/// The limit of a value is never taken to be smaller than this.
+    CHUNK_VALUE_FIXED_BYTES + CHUNK_VALUE_BYTES_PER_ATTEMPT * TASKS_PER_CHUNK as usize;
+/// The smallest size to which the leader lowers the limit on the size of a value.
 pub(super) const MIN_VALUE_BYTES: usize =
-    CHUNK_VALUE_HEAD_BYTES + CHUNK_VALUE_ATTEMPT_BYTES * MIN_ATTEMPTS_PER_CHUNK;
+    CHUNK_VALUE_FIXED_BYTES + CHUNK_VALUE_BYTES_PER_ATTEMPT * MIN_ATTEMPTS_PER_CHUNK;
 
-/// How many attempts fit into a chunk when a value may have this size.
+/// The maximum number of attempts in a chunk if a value may have at most `value_bytes` bytes.
 pub fn attempts_per_chunk(value_bytes: usize) -> u32 {
-    let attempts = value_bytes.saturating_sub(CHUNK_VALUE_HEAD_BYTES) / CHUNK_VALUE_ATTEMPT_BYTES;
+    let attempts =
+        value_bytes.saturating_sub(CHUNK_VALUE_FIXED_BYTES) / CHUNK_VALUE_BYTES_PER_ATTEMPT;
     attempts.clamp(MIN_ATTEMPTS_PER_CHUNK, TASKS_PER_CHUNK as usize) as u32
 }
 
-/// The state of an accepted job.
+/// Whether an accepted job has ended, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Not terminal yet. Only earlier versions write a record for it.
+    /// The job has not ended. Only earlier versions write a record for this state.
     Live,
-    /// All of its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// Cancelled by its user, or because a dependency was cancelled.
+    /// The job was cancelled by its user, or because a dependency was cancelled.
     Cancelled,
 }
 
-/// An attempt that was launched, or is about to be.
+/// The record of an attempt, written before the attempt is launched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
-    /// The task, by its number in the job.
+    /// The index of the task in its job, from 0.
     pub task_index: u32,
-    /// The attempt.
+    /// The id of the attempt, which the launch command carries.
     pub attempt: AttemptId,
-    /// Where it runs.
+    /// The machine that the attempt is placed on.
     pub machine: MachineId,
 }
 
 impl Intent {
-    /// An attempt at a task, on a machine.
+    /// Creates the record of an attempt at a task on a machine.
     pub fn new(task_index: u32, attempt: AttemptId, machine: MachineId) -> Intent {
         Intent {
             task_index,
@@ -60,22 +63,22 @@
     }
 }
 
-/// Up to [`TASKS_PER_CHUNK`] tasks of a job: which are done, and where the others were launched.
+/// The stored state of up to [`TASKS_PER_CHUNK`] consecutive tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkValue {
-    /// A bit for each task that is done.
+    /// One bit for each task, from the lowest; it is set if the task is done.
     pub done: u64,
-    /// The attempts of tasks that are not known to have ended.
+    /// The attempts that are not known to have ended, at most one for each task.
     pub active: Vec<Intent>,
 }
 
-/// A value that the leader writes.
+/// A value that the leader writes to the key-value store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordValue {
-    /// A chunk of a job's tasks.
+    /// A chunk of a job's tasks, under its [`chunk_key`](super::keys::chunk_key).
     Chunk(ChunkValue),
-    /// The outcome of a job.
+    /// The outcome of a job, under its [`outcome_key`](super::keys::outcome_key).
     JobOutcome(JobOutcome),
-    /// The measured run times.
+    /// The summary of measured run times, under [`HISTORY_KEY`](super::keys::HISTORY_KEY).
     History(HistorySummary),
 }
--- a/src/core/persistence/write_batch.rs
+++ b/src/core/persistence/write_batch.rs
@@ -1,87 +1,92 @@
-//! Transactions of the leader: compare-and-swap on the revisions of keys.
+//! Transactions of the leader: compare-and-swap operations on the revisions of keys.
 //!
-//! Every write is conditional on the revision of the leader key, on the revisions of the keys that it
-//! replaces and, for intents, on the job's not having been cancelled. A transaction whose outcome is
-//! unknown may still be applied at any later time. Because the revision of each written key is a condition,
-//! whichever of it and its repetition comes second fails, and the failed keys are read again.
+//! Every transaction is conditional on the revision of the leader key, on the revisions of the chunks and
+//! outcomes that it writes and, for the chunks of a live job, on the revision of the job's outcome, so that
+//! no intent is written for a cancelled job. Deletions and the write of the run time history are conditional
+//! on the leader key alone.
+//!
+//! A transaction whose result is unknown may still be applied at any later time. Because the revisions of the
+//! written chunks and outcomes are conditions, only one of that transaction and its retry succeeds. The other
+//! one fails, and the keys whose conditions failed are read again.
 
 use crate::core::persistence::records::{JobOutcome, RecordValue};
 
-/// A key and the revision that a transaction expects of it.
+/// A condition of a transaction: a key must have a given revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyCondition {
-    /// The key.
+    /// The key, which the transaction may or may not write.
     pub key: String,
-    /// Its expected revision; 0: the key is absent.
+    /// The revision that the key must have. 0: the key must be absent.
     pub revision: u64,
 }
 
 impl KeyCondition {
-    /// The key must have this revision; 0: it must be absent.
+    /// Creates the condition that a key has this revision. 0: the key must be absent.
     pub fn at_revision(key: impl Into<String>, revision: u64) -> KeyCondition {
         let key = key.into();
         KeyCondition { key, revision }
     }
 
-    /// The key must be absent.
+    /// Creates the condition that a key is absent.
     pub fn absent(key: impl Into<String>) -> KeyCondition {
         KeyCondition::at_revision(key, 0)
     }
 }
 
-/// A change of one key.
+/// A change to one key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOp {
-    /// Writes a key.
+    /// Creates the key or replaces its value.
     Put(String, RecordValue),
-    /// Removes a key.
+    /// Deletes the key. Its revision matters only if a condition names it.
     Delete(String),
 }
 
-/// A transaction of the leader: all of its changes are made, or none.
+/// A transaction of the leader. Either all of its changes are applied, or none is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteBatch {
-    /// What must hold for the changes to be made.
+    /// The conditions, all of which must hold for the changes to be applied.
     pub conditions: Vec<KeyCondition>,
-    /// The changes.
+    /// The changes, which are applied atomically.
     pub ops: Vec<WriteOp>,
 }
 
-/// A key whose condition failed, as it was read afterwards.
+/// A key whose condition failed, with the state that was read afterwards.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConflictingKey {
-    /// The key.
+    /// The key from the failed condition.
     pub key: String,
-    /// Its revision; 0: the key is absent.
+    /// The revision that was read. 0: the key is absent.
     pub revision: u64,
-    /// The job's outcome, where the key holds one that can be read.
+    /// The outcome that was read. None: it is not an outcome key, it is absent, or its value cannot be
+    /// decoded.
     pub outcome: Option<JobOutcome>,
 }
 
 /// The result of a transaction of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// The changes were made.
+    /// The changes were applied.
     Applied {
-        /// The new revision of the written keys.
+        /// The revision that all written keys have now.
         revision: u64,
     },
-    /// Conditions failed, and nothing was changed.
+    /// Some conditions failed, and no change was applied.
     Failed {
-        /// The keys whose conditions failed.
+        /// The keys whose conditions failed, as they were read afterwards.
         conflicts: Vec<ConflictingKey>,
     },
-    /// Not executed, or the result is unknown: the same changes may be tried again.
+    /// The transaction was not executed, or its result is unknown. The same changes may be retried.
     Unknown,
-    /// Over a limit of the store: the same transaction would be refused again.
+    /// The transaction exceeds a limit of the store, which would refuse it again.
     Refused,
 }
 
 /// Whether the leader key still has the revision of this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaderKeyStatus {
-    /// Nothing shows that another leader took over.
+    /// The result does not show that another leader has taken over.
     Held,
-    /// The key was written by another leader, or is gone: this term is over.
+    /// The key was written by another leader, or is absent. This term is over.
     Lost,
 }
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -1,4 +1,4 @@
-//! What follows from the result of a transaction: applied, failed on a condition, refused or unknown.
+//! Handling of the result of a transaction: applied, failed on a condition, refused or unknown.
 
 use crate::core::model::{JobId, JobKind};
 use crate::core::persistence::batch_builder::{InFlightBatch, MIN_BATCH_OPS};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Takes in the result of the transaction in flight. Returns whether this term may go on.
+    /// Applies the result of the transaction in flight. Returns `Lost` if this term is over.
     pub fn on_write_outcome(&mut self, now: Instant, outcome: WriteOutcome) -> LeaderKeyStatus {
         let Some(in_flight) = self.writes.finish() else {
             return LeaderKeyStatus::Held;
@@ -25,17 +25,17 @@
             }
             WriteOutcome::Unknown => {
                 self.writes.pause_before_retry(now);
-                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                self.writes.restore_obsolete_keys(in_flight.obsolete_keys);
                 LeaderKeyStatus::Held
             }
             WriteOutcome::Refused => {
                 self.writes.pause_before_retry(now);
-                self.shrink_batches(now, in_flight.op_count);
-                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                self.lower_store_limits(now, in_flight.op_count);
+                self.writes.restore_obsolete_keys(in_flight.obsolete_keys);
                 LeaderKeyStatus::Held
             }
             WriteOutcome::Failed { conflicts } => {
-                self.writes.restore_obsolete(in_flight.obsolete_keys);
+                self.writes.restore_obsolete_keys(in_flight.obsolete_keys);
                 self.on_conflicts(now, conflicts)
             }
         }
@@ -56,7 +56,7 @@
         }
         for job_id in in_flight.cascaded_jobs {
             log::info!(
-                "cancelled with a dependency job={job_id} term={}",
+                "job cancelled because a dependency was cancelled job={job_id} term={}",
                 self.term.0
             );
             self.on_cancelled(now, &job_id, CancelSource::JobOutcome);
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Learns from the keys whose conditions failed. All of them are taken in, also after the leader key.
+    /// Applies the state of the keys whose conditions failed. All of them are applied, even if the leader key
+    /// is among them.
     fn on_conflicts(&mut self, now: Instant, conflicts: Vec<ConflictingKey>) -> LeaderKeyStatus {
         let mut status = LeaderKeyStatus::Held;
         for conflict in conflicts {
@@ -84,7 +85,7 @@
         status
     }
 
-    /// An earlier transaction of unknown result was applied after all.
+    /// Adopts the revision of a chunk that an earlier transaction of unknown result has written after all.
     fn on_chunk_conflict(&mut self, job_id: &JobId, index: u32, revision: u64) {
         let job = self.jobs.get_mut(job_id);
         if let Some(chunk) = job.and_then(|job| job.chunks.get_mut(&index)) {
@@ -98,7 +99,7 @@
                 self.on_cancelled(now, job_id, CancelSource::JobOutcome);
             }
             Some(JobOutcome::Done) => self.on_done_durable(now, job_id),
-            // A record of earlier versions, which kept live jobs under this key too.
+            // Earlier versions stored a record for live jobs under this key too.
             Some(JobOutcome::Live) | None => {
                 if let Some(job) = self.jobs.get_mut(job_id) {
                     job.outcome_revision = conflict.revision;
@@ -107,16 +108,17 @@
         }
     }
 
-    /// Keeps to half of what was refused for the rest of the term: fewer changes in a transaction or,
-    /// where one change was too much, smaller values. The next leader begins with the settings again.
-    fn shrink_batches(&mut self, now: Instant, refused_ops: usize) {
+    /// Lowers the limits of a transaction for the rest of the term, after the store refused one: to half of
+    /// the refused number of changes or, if that was the minimum already, to half the size of a value. The
+    /// next leader starts with the limits from the settings again.
+    fn lower_store_limits(&mut self, now: Instant, refused_ops: usize) {
         if refused_ops > MIN_BATCH_OPS {
             self.config.txn_ops = (refused_ops / 2).max(MIN_BATCH_OPS);
         } else {
-            // Beyond a full chunk of intents, a smaller limit would change nothing.
+            // A limit above the size of a full chunk has no effect, so half of that size is the next step.
             let value_bytes = self.config.value_bytes.min(FULL_CHUNK_VALUE_BYTES) / 2;
             self.config.value_bytes = value_bytes.max(MIN_VALUE_BYTES);
-            self.shrink_chunks(now, attempts_per_chunk(self.config.value_bytes));
+            self.requeue_excess_attempts(now, attempts_per_chunk(self.config.value_bytes));
         }
         log::warn!(
             "transaction refused by the store, limits lowered txn_ops={} value_bytes={}",
@@ -125,8 +127,9 @@
         );
     }
 
-    /// Planned attempts beyond a chunk's room wait again: no command went out for them.
-    fn shrink_chunks(&mut self, now: Instant, room: u32) {
+    /// Requeues the tasks of planned attempts that exceed the new maximum of their chunk. No command was sent
+    /// for these attempts.
+    fn requeue_excess_attempts(&mut self, now: Instant, room: u32) {
         let mut excess = Vec::new();
         for job in self.jobs.values_mut() {
             job.chunk_room = room;
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -24,7 +24,7 @@
 
 impl ClusterState {
     /// Removes the attempts that a heartbeat proves to be off its machine.
-    pub(super) fn prove_absent(
+    pub(super) fn remove_absent_attempts(
         &mut self,
         now: Instant,
         heartbeat: &Heartbeat,
@@ -43,7 +43,7 @@
             if !attempt.durable || listed.contains(task, attempt.id) {
                 continue;
             }
-            match self.absence(heartbeat, machine, task, attempt) {
+            match self.assess_absence(heartbeat, machine, task, attempt) {
                 Absence::Proved => absent.push(task.clone()),
                 Absence::NeedsRaisedToken => {
                     must_raise_token |= machine.token <= attempt.launch_token;
@@ -65,31 +65,34 @@
         }
     }
 
-    fn absence(
+    fn assess_absence(
         &self,
         heartbeat: &Heartbeat,
         machine: &Machine,
         task: &TaskId,
         attempt: &ActiveAttempt,
     ) -> Absence {
-        let shows_term = heartbeat.token.term() == self.term;
+        let carries_current_term = heartbeat.token.term() == self.term;
         let of_earlier_incarnation = attempt
             .incarnation
             .is_some_and(|incarnation| incarnation < heartbeat.incarnation);
         let was_launched = attempt.launch_token != FencingToken(0);
-        if of_earlier_incarnation && was_launched && (shows_term || machine.rented_this_term) {
+        if of_earlier_incarnation
+            && was_launched
+            && (carries_current_term || machine.rented_this_term)
+        {
             // The worker began a new incarnation and killed what it had; commands of the old one no longer
             // match.
             return Absence::Proved;
         }
-        let shows_later_token = shows_term && heartbeat.token > attempt.launch_token;
+        let carries_later_token = carries_current_term && heartbeat.token > attempt.launch_token;
         if self.is_unwanted(machine, task, attempt) {
-            if shows_later_token {
+            if carries_later_token {
                 Absence::Proved
             } else {
                 Absence::NeedsRaisedToken
             }
-        } else if attempt.observed_phase.is_some() && shows_later_token {
+        } else if attempt.observed_phase.is_some() && carries_later_token {
             Absence::Proved
         } else {
             Absence::Unproved
--- a/src/core/reconciliation/acknowledgements.rs
+++ b/src/core/reconciliation/acknowledgements.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A command shows in the heartbeats of its machine within one interval, but is given at least this long.
-const MIN_ACKNOWLEDGEMENT_TIME: Duration = Duration::from_secs(4);
+const MIN_ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl ClusterState {
     /// Gives nothing more to a machine whose heartbeat does not show what it was told a while ago, until
@@ -20,7 +20,7 @@
         heartbeat: &Heartbeat,
         listed: &ListedAttempts,
     ) {
-        let timeout = self.config.heartbeat.max(MIN_ACKNOWLEDGEMENT_TIME);
+        let timeout = self.config.heartbeat.max(MIN_ACKNOWLEDGEMENT_TIMEOUT);
         let timed_out = |since: Instant| now.saturating_duration_since(since) > timeout;
         let Some(machine) = self.fleet.machines.get(&heartbeat.machine) else {
             return;
--- a/src/core/reconciliation/order_pacing.rs
+++ b/src/core/reconciliation/command_pacing.rs
@@ -50,7 +50,7 @@
     }
 
     /// Takes the commands that a heartbeat shows as carried out off those that are outstanding.
-    pub(super) fn acknowledge_orders(&mut self, heartbeat: &Heartbeat) {
+    pub(super) fn acknowledge_commands(&mut self, heartbeat: &Heartbeat) {
         if self.takeover.is_over() {
             return;
         }
@@ -62,7 +62,7 @@
             let phase = phases.get(&(&order.task, order.attempt));
             match order.kind {
                 CommandKind::Launch => phase.is_some(),
-                CommandKind::Kill => phase.is_none_or(|phase| is_ending(*phase)),
+                CommandKind::Kill => phase.is_none_or(|phase| is_ending_or_ended(*phase)),
                 CommandKind::Forget => phase.is_none(),
             }
         });
@@ -78,7 +78,7 @@
     }
 }
 
-fn is_ending(phase: TaskPhase) -> bool {
+fn is_ending_or_ended(phase: TaskPhase) -> bool {
     matches!(phase, TaskPhase::Checkpointing | TaskPhase::Ended(_))
 }
 
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Commands in one message: far below the limit of 64 KiB.
-pub(super) const MAX_COMMANDS: usize = 300;
+pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 /// What a command to a machine depends on.
 #[derive(Clone, Copy)]
@@ -98,7 +98,7 @@
                 }
             };
             commands.extend(command);
-            if commands.len() >= MAX_COMMANDS {
+            if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 break;
             }
         }
@@ -117,20 +117,22 @@
         if !attempt.durable && attempt.observed_phase.is_none() {
             return None;
         }
-        let is_shown = match listed {
+        let is_reported = match listed {
             Some(listed) => listed.contains(task, attempt.id),
             None => attempt.observed_phase.is_some(),
         };
         if attempt.kill_request.is_none() {
-            return Some(if is_shown {
+            return Some(if is_reported {
                 CommandNeed::Nothing
             } else {
                 CommandNeed::Launch
             });
         }
         // Without a heartbeat it is not known what the machine shows, and the kill goes out in any case.
-        let may_be_there = is_shown || listed.is_none();
-        let kill = attempt.kill_command(now, task).filter(|_| may_be_there);
+        let may_be_on_machine = is_reported || listed.is_none();
+        let kill = attempt
+            .kill_command(now, task)
+            .filter(|_| may_be_on_machine);
         Some(kill.map_or(CommandNeed::Nothing, CommandNeed::Kill))
     }
 
--- a/src/core/reconciliation/direct_commands.rs
+++ b/src/core/reconciliation/direct_commands.rs
@@ -60,7 +60,7 @@
         if !machine.has_reported || machine.endpoint.is_empty() || is_silent {
             return;
         }
-        self.fence_unseen_kills(&machine_id);
+        self.raise_token_for_unreported_kills(&machine_id);
         let mut commands = Vec::new();
         self.add_commands(now, &machine_id, None, &mut commands);
         if commands.is_empty() {
@@ -80,11 +80,11 @@
     }
 
     /// Raises the token of a machine if some attempt on it is to be killed that it has not shown yet.
-    fn fence_unseen_kills(&mut self, machine_id: &MachineId) {
+    fn raise_token_for_unreported_kills(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
             return;
         };
-        let has_unseen_kill = machine.placed_tasks.keys().any(|task| {
+        let has_unreported_kill = machine.placed_tasks.keys().any(|task| {
             let job = self.jobs.get(&task.job_id);
             let attempt = job.and_then(|job| job.active.get(&task.index));
             attempt.is_some_and(|attempt| {
@@ -93,7 +93,7 @@
                     && attempt.observed_phase.is_none()
             })
         });
-        if has_unseen_kill {
+        if has_unreported_kill {
             machine.token = machine.token.next();
         }
     }
--- a/src/core/reconciliation/heartbeat_order.rs
+++ b/src/core/reconciliation/heartbeat_order.rs
@@ -51,17 +51,17 @@
     ) -> Option<FencingToken> {
         let restart_silence = self.config.heartbeat.mul_f64(RESTART_SILENCE_HEARTBEATS);
         let machine = self.reporting_machine(now, heartbeat);
-        let is_predecessors = machine.min_token.is_some_and(|min| heartbeat.token < min);
-        if is_predecessors {
+        let is_from_predecessor = machine.min_token.is_some_and(|min| heartbeat.token < min);
+        if is_from_predecessor {
             return Some(machine.token);
         }
         if !machine.has_reported || is_newer(heartbeat, machine) {
             return None;
         }
-        let shown_probe = machine
+        let carries_probe_token = machine
             .restart_probe_token
             .is_some_and(|probe| heartbeat.token >= probe);
-        if shown_probe {
+        if carries_probe_token {
             accept_restarted(now, machine);
             return None;
         }
@@ -88,8 +88,8 @@
 /// it was sent; and such a machine, which has forgotten what it was told to stop, accepts no command any
 /// more that was sent to it before.
 fn probe_restart(machine: &mut Machine, heartbeat: &Heartbeat, was_silent: bool) {
-    let shows_lower_token = heartbeat.token < machine.observed_token;
-    if (was_silent || shows_lower_token) && machine.restart_probe_token.is_none() {
+    let carries_lower_token = heartbeat.token < machine.observed_token;
+    if (was_silent || carries_lower_token) && machine.restart_probe_token.is_none() {
         machine.token = machine.token.next();
         machine.restart_probe_token = Some(machine.token);
     }
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -5,7 +5,7 @@
 //! tasks that are not in it.
 
 use crate::core::model::{Heartbeat, MachineId, Resources, TaskCommand};
-use crate::core::reconciliation::commands::MAX_COMMANDS;
+use crate::core::reconciliation::commands::MAX_COMMANDS_PER_MESSAGE;
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
 use crate::core::reconciliation::reported_tasks::ReportedTasks;
 use crate::core::state::{ClusterState, HeartbeatDecision};
@@ -82,13 +82,13 @@
         let listed = ListedAttempts::from(heartbeat);
         let mut tasks = self.apply_task_statuses(now, heartbeat, origin);
         let unknown_jobs = std::mem::take(&mut tasks.unknown_jobs);
-        self.note_unknown_jobs(now, &heartbeat.machine, origin, unknown_jobs);
+        self.record_unknown_jobs(now, &heartbeat.machine, origin, unknown_jobs);
         self.takeover
             .on_heartbeat(now, &heartbeat.machine, origin, |task, attempt| {
                 listed.contains(task, attempt)
             });
-        self.acknowledge_orders(heartbeat);
-        self.prove_absent(now, heartbeat, &listed);
+        self.acknowledge_commands(heartbeat);
+        self.remove_absent_attempts(now, heartbeat, &listed);
         self.check_acknowledged(now, heartbeat, &listed);
         self.respond(now, &heartbeat.machine, source, tasks, &listed)
     }
@@ -142,7 +142,7 @@
         }
         commands.extend(forgets);
         self.add_commands(now, machine_id, Some(listed), &mut commands);
-        commands.truncate(MAX_COMMANDS);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         HeartbeatDecision::Accept {
             token: self.fleet.machines[machine_id].token,
             commands,
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -2,9 +2,9 @@
 //!
 //! A record may outlive its attempt: once an attempt is proved gone, its room in the team's limit, and its
 //! zone, go to others at once, while the removal of its record is written later, with others, and can be lost
-//! with the leader. So a record alone does not allow a launch. A leader launches only while the usage that it counts, which includes
-//! all that is on record, keeps to the team's limit and to the job's zones. What may not be launched and
-//! is proved not to be on its machine is no longer counted and waits to be placed anew.
+//! with the leader. So a record alone does not allow a launch. A leader launches only while the usage that it
+//! counts, which includes all that is on record, keeps to the team's limit and to the job's zones. What may
+//! not be launched and is proved not to be on its machine is no longer counted and waits to be placed anew.
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
 use crate::core::state::ClusterState;
@@ -28,7 +28,7 @@
         let Some(job) = self.jobs.get(&task.job_id) else {
             return LaunchCheck::Refused;
         };
-        if job.is_done(task.index) || !self.keeps_limit(&job.spec.team) {
+        if job.is_done(task.index) || !self.is_team_within_limit(&job.spec.team) {
             return LaunchCheck::Refused;
         }
         self.check_zones(job, task.index)
@@ -36,7 +36,7 @@
 
     /// Whether an attempt that runs already may go on: as [`ClusterState::launch_check`], but unknown work
     /// elsewhere does not end this one.
-    pub(super) fn may_go_on(&self, task: &TaskId) -> bool {
+    pub(super) fn may_continue(&self, task: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return false;
         };
@@ -46,7 +46,7 @@
     }
 
     /// Whether all that is on record of a team keeps to its limit.
-    fn keeps_limit(&self, team: &TeamName) -> bool {
+    fn is_team_within_limit(&self, team: &TeamName) -> bool {
         let team = self.team_that_may_start(team);
         team.is_some_and(|t| self.is_within_limit(t))
     }
--- a/src/core/reconciliation/machine_status.rs
+++ b/src/core/reconciliation/machine_status.rs
@@ -68,10 +68,10 @@
     }
     copy_status(machine, now, heartbeat);
     if heartbeat.token.term() == term {
-        note_token_of_term(machine, heartbeat);
+        record_token_of_term(machine, heartbeat);
     }
     if later_incarnation {
-        begin_incarnation(machine, now);
+        start_incarnation(machine, now);
     }
     if let Some(remaining) = heartbeat.eviction {
         machine.eviction_at = Some(now + remaining);
@@ -94,19 +94,19 @@
 }
 
 /// The worker shows a token of this term: from now on nobody else's answers renew its lease.
-fn note_token_of_term(machine: &mut Machine, heartbeat: &Heartbeat) {
+fn record_token_of_term(machine: &mut Machine, heartbeat: &Heartbeat) {
     machine.fenced = true;
     machine.token = machine.token.max(heartbeat.token);
-    let is_shown = machine
+    let is_reported = machine
         .required_token
         .is_some_and(|required| heartbeat.token >= required.token);
-    if is_shown {
+    if is_reported {
         machine.required_token = None;
     }
 }
 
 /// The worker's lease expired, although its heartbeats were answered: answers may not have reached it.
-fn begin_incarnation(machine: &mut Machine, now: Instant) {
+fn start_incarnation(machine: &mut Machine, now: Instant) {
     machine.images.clear();
     // The lease of the new incarnation runs from its beginning, which is not long before now. Counted from
     // the last answer to the old one, it would seem to have expired under tasks that direct commands start
--- a/src/core/reconciliation/mod.rs
+++ b/src/core/reconciliation/mod.rs
@@ -2,6 +2,7 @@
 
 mod absence_proofs;
 mod acknowledgements;
+mod command_pacing;
 mod commands;
 mod direct_commands;
 mod failover_progress;
@@ -10,7 +11,6 @@
 pub(crate) mod launch_check;
 mod listed_attempts;
 mod machine_status;
-mod order_pacing;
 mod reported_tasks;
 mod state_loading;
 pub mod stored_snapshot;
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -3,7 +3,7 @@
 use crate::core::model::{
     Heartbeat, JobId, Resources, TaskCommand, TaskPhase, TaskStatus, TeamName,
 };
-use crate::core::reconciliation::unrecorded_tasks::UnrecordedTask;
+use crate::core::reconciliation::unrecorded_tasks::UnrecordedTaskDecision;
 use crate::core::state::ClusterState;
 use cypressgap_recovery::attempt_state::HeartbeatOrigin;
 use std::collections::BTreeSet;
@@ -48,10 +48,10 @@
                 }
                 phase if is_recorded => self.on_task_phase(now, heartbeat, &status.task, phase),
                 phase => match self.decide_unrecorded(now, heartbeat, status, origin) {
-                    UnrecordedTask::Adopted => {
+                    UnrecordedTaskDecision::Adopted => {
                         self.on_task_phase(now, heartbeat, &status.task, phase);
                     }
-                    decision => self.note_unexpected(status, decision, &mut reported),
+                    decision => self.record_unexpected(status, decision, &mut reported),
                 },
             }
         }
@@ -74,10 +74,10 @@
     }
 
     /// Notes a task without a record that is not adopted.
-    fn note_unexpected(
+    fn record_unexpected(
         &mut self,
         status: &TaskStatus,
-        decision: UnrecordedTask,
+        decision: UnrecordedTaskDecision,
         reported: &mut ReportedTasks,
     ) {
         let job_id = &status.task.job_id;
@@ -90,10 +90,10 @@
                 reported.unknown_jobs.insert(job_id.clone());
             }
         }
-        if decision == UnrecordedTask::Held {
+        if decision == UnrecordedTaskDecision::Held {
             return;
         }
-        reported.must_raise_token |= decision == UnrecordedTask::KilledUnderRaisedToken;
+        reported.must_raise_token |= decision == UnrecordedTaskDecision::KilledUnderRaisedToken;
         self.takeover.on_unrecorded_killed();
         reported.unexpected_kills.push(TaskCommand::Kill {
             task: status.task.clone(),
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -19,7 +19,7 @@
 /// What becomes of a task that no record names.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum UnrecordedTask {
+pub(super) enum UnrecordedTaskDecision {
     /// It is recorded from now on.
     Adopted,
     /// Its job is not known: it stays until the job was looked up in the store.
@@ -38,19 +38,19 @@
         heartbeat: &Heartbeat,
         status: &TaskStatus,
         origin: HeartbeatOrigin,
-    ) -> UnrecordedTask {
+    ) -> UnrecordedTaskDecision {
         let job_id = &status.task.job_id;
         if !self.jobs.contains(job_id) {
             return match self.takeover.disposition(now, job_id) {
-                Disposition::Hold => UnrecordedTask::Held,
-                Disposition::Kill => UnrecordedTask::KilledUnderRaisedToken,
+                Disposition::Hold => UnrecordedTaskDecision::Held,
+                Disposition::Kill => UnrecordedTaskDecision::KilledUnderRaisedToken,
             };
         }
         let may_adopt = origin == HeartbeatOrigin::ThisTerm && self.may_adopt(heartbeat, status);
         if may_adopt && self.adopt(now, heartbeat, status) {
-            return UnrecordedTask::Adopted;
+            return UnrecordedTaskDecision::Adopted;
         }
-        UnrecordedTask::Killed
+        UnrecordedTaskDecision::Killed
     }
 
     /// Whether a task is one that its job still needs, on a machine that the job allows. An attempt of this
@@ -97,7 +97,7 @@
             estimated_run_time,
         };
         self.assign(now, adopted);
-        if !self.may_go_on(&status.task) {
+        if !self.may_continue(&status.task) {
             self.attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return false;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Replaces the unknown jobs of which a machine was known to run tasks.
-    pub(super) fn note_unknown_jobs(
+    pub(super) fn record_unknown_jobs(
         &mut self,
         now: Instant,
         machine: &MachineId,
