--- a/src/core/persistence/records.rs
+++ b/src/core/persistence/records.rs
@@ -41,7 +41,7 @@
     Cancelled,
 }
 
-/// The record of an attempt, written before the attempt is launched.
+/// The record of an attempt. A leader launches an attempt only once its record is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
     /// The index of the task in its job, from 0.
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -129,15 +129,17 @@
 
     /// Requeues the tasks of planned attempts that exceed the new maximum of their chunk. No command was sent
     /// for these attempts.
-    fn requeue_excess_attempts(&mut self, now: Instant, room: u32) {
+    fn requeue_excess_attempts(&mut self, now: Instant, max_attempts: u32) {
         let mut excess = Vec::new();
         for job in self.jobs.values_mut() {
-            job.chunk_room = room;
+            job.chunk_room = max_attempts;
             if job.spec.kind == JobKind::Gang {
                 continue;
             }
             for chunk in job.chunks.keys() {
-                let excess_count = job.attempts_in(*chunk).saturating_sub(room as usize);
+                let excess_count = job
+                    .attempts_in(*chunk)
+                    .saturating_sub(max_attempts as usize);
                 let planned = job.intents(*chunk).take(excess_count);
                 excess.extend(planned.map(|(index, _)| job.task(index)));
             }
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -1,8 +1,8 @@
-//! When a heartbeat that does not list an attempt proves that the attempt is off its machine.
+//! Proof that an attempt is not on its machine, from a heartbeat that does not list it.
 //!
 //! Invariant: an attempt is removed only if no late copy of its launch can start it any more. Either the
-//! worker has begun a new incarnation, which accepts no command of an earlier one, or it shows a token of
-//! this term above that of every launch that was sent.
+//! agent has started a new incarnation, which accepts no command of an earlier one, or its heartbeat carries
+//! a token of this term that is higher than the token of every launch of the attempt that was sent.
 
 use crate::core::model::{FencingToken, Heartbeat, TaskId};
 use crate::core::reconciliation::launch_check::LaunchCheck;
@@ -11,19 +11,20 @@
 use crate::core::state::{ActiveAttempt, ClusterState, Machine};
 use std::time::Instant;
 
-/// What follows from a heartbeat's not listing an attempt.
+/// What it means that a heartbeat does not list an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Absence {
-    /// It is certainly off the machine.
+    /// The attempt is certainly not on the machine.
     Proved,
-    /// It is not wanted, and a heartbeat that shows a raised token would prove its absence.
+    /// The attempt will not be launched any more. A heartbeat with a higher token would prove its absence.
     NeedsRaisedToken,
-    /// Its launch may still be on its way.
+    /// The launch of the attempt may still be in flight.
     Unproved,
 }
 
 impl ClusterState {
-    /// Removes the attempts that a heartbeat proves to be off its machine.
+    /// Removes the attempts that a heartbeat proves not to be on its machine. If a higher token would prove
+    /// the absence of an attempt that is not wanted, raises the token of the machine.
     pub(super) fn remove_absent_attempts(
         &mut self,
         now: Instant,
@@ -81,8 +82,8 @@
             && was_launched
             && (carries_current_term || machine.rented_this_term)
         {
-            // The worker began a new incarnation and killed what it had; commands of the old one no longer
-            // match.
+            // The agent killed its tasks when it started the new incarnation, and it rejects commands for the
+            // old one.
             return Absence::Proved;
         }
         let carries_later_token = carries_current_term && heartbeat.token > attempt.launch_token;
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Whether an attempt will not be launched any more.
+    /// Whether an attempt will not be launched any more: it is to be killed, its machine is about to go, or
+    /// the launch check refuses it.
     fn is_unwanted(&self, machine: &Machine, task: &TaskId, attempt: &ActiveAttempt) -> bool {
         attempt.kill_request.is_some()
             || machine.returning
--- a/src/core/reconciliation/acknowledgements.rs
+++ b/src/core/reconciliation/acknowledgements.rs
@@ -1,19 +1,20 @@
-//! Whether a machine heeds its commands.
+//! Detection of machines that do not carry out their commands.
 //!
-//! A machine whose heartbeats come through while nothing reaches it would otherwise be given task after
-//! task.
+//! Without this check, a machine whose heartbeats arrive although no command reaches it would be given ever
+//! more tasks.
 
 use crate::core::model::{Heartbeat, TaskId, TaskPhase};
 use crate::core::reconciliation::listed_attempts::ListedAttempts;
 use crate::core::state::{ActiveAttempt, ClusterState};
 use std::time::{Duration, Instant};
 
-/// A command shows in the heartbeats of its machine within one interval, but is given at least this long.
+/// The minimum time after which a command counts as ignored. Otherwise the limit is one heartbeat interval,
+/// within which the effect of a command appears in the heartbeats of its machine.
 const MIN_ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl ClusterState {
-    /// Gives nothing more to a machine whose heartbeat does not show what it was told a while ago, until
-    /// it shows that answers reach it.
+    /// If a heartbeat shows that its machine has ignored a launch or a kill, requires a new token from the
+    /// machine: it is given no more tasks until a heartbeat proves that responses reach it.
     pub(super) fn check_acknowledged(
         &mut self,
         now: Instant,
@@ -44,12 +45,14 @@
     }
 }
 
-/// Whether an attempt that its machine does not list should have been started by now.
+/// Whether a launch was ignored: the attempt, which its machine does not list, should have been started by
+/// now.
 fn ignores_launch(attempt: &ActiveAttempt, timed_out: impl Fn(Instant) -> bool) -> bool {
     attempt.kill_request.is_none() && attempt.launch_sent_at.is_some_and(timed_out)
 }
 
-/// Whether an attempt that its machine lists should have been stopped by now.
+/// Whether a kill was ignored: the attempt, which its machine lists, should have been stopped by now. An
+/// attempt that is saving a checkpoint has received its kill.
 fn ignores_kill(attempt: &ActiveAttempt, timed_out: impl Fn(Instant) -> bool) -> bool {
     let is_checkpointing = attempt.observed_phase == Some(TaskPhase::Checkpointing);
     let kill = attempt.kill_request.as_ref();
--- a/src/core/reconciliation/command_pacing.rs
+++ b/src/core/reconciliation/command_pacing.rs
@@ -1,4 +1,4 @@
-//! Commands during a failover: whether they may go out at its pace, and what heartbeats acknowledge.
+//! Pacing of commands during a takeover, and acknowledgement of commands by heartbeats.
 
 use crate::core::model::{
     AttemptId, Heartbeat, JobKind, MachineId, TaskCommand, TaskId, TaskPhase,
@@ -12,7 +12,8 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Whether a command may go out now. If not, its machine is tried again once the pace allows it.
+    /// Whether a command may be sent now. If not, its machine is retried once the rate limits admit a
+    /// command.
     pub(super) fn admit(
         &mut self,
         now: Instant,
@@ -31,7 +32,7 @@
             .admit(now, machine_id, &machine.endpoint, order, class)
     }
 
-    /// How long the kill of an attempt on record may wait.
+    /// The pacing class of the kill of an attempt on record, which depends on how soon the attempt must stop.
     pub(super) fn kill_class(&self, now: Instant, task: &TaskId) -> PacingClass {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return PacingClass::Immediate;
@@ -49,7 +50,7 @@
         Takeover::kill_class(cancelled_for, self.config.cancel, deadline)
     }
 
-    /// Takes the commands that a heartbeat shows as carried out off those that are outstanding.
+    /// Removes the commands that a heartbeat shows to be carried out from the unacknowledged commands.
     pub(super) fn acknowledge_commands(&mut self, heartbeat: &Heartbeat) {
         if self.takeover.is_over() {
             return;
@@ -68,7 +69,7 @@
         });
     }
 
-    /// Marks the machines as urgent whose commands had to wait and may go out by now.
+    /// Marks the machines as urgent whose commands were deferred and may be sent now.
     pub(in crate::core) fn retry_paced_commands(&mut self, now: Instant) {
         if !self.takeover.is_over() {
             self.outbox
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -1,8 +1,9 @@
-//! The commands that a machine has outstanding: launches and kills that it does not show to have taken.
+//! The outstanding commands of a machine: launches and kills that its heartbeats do not show to be carried
+//! out.
 //!
-//! Invariants: a launch goes out only once its intent is durable, only while the leadership is confirmed,
-//! and, for an attempt of an earlier term, only once that attempt is proved absent. The token that goes
-//! with it is recorded with the attempt, so that a later token proves that no copy of the launch is
+//! Invariants: a launch is sent only once its intent is durable, only while the leadership is confirmed, and,
+//! for an attempt of an earlier term, only once that attempt is proved absent. The token sent with the launch
+//! is recorded with the attempt, so that a heartbeat with a higher token proves that no copy of the launch is
 //! accepted any more.
 
 use crate::core::model::{FencingToken, MachineId, Priority, TaskCommand, TaskId, TaskPhase};
@@ -12,15 +13,15 @@
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::{Duration, Instant};
 
-/// Commands in one message: far below the limit of 64 KiB.
+/// The maximum number of commands in one message, which keeps it far below the limit of 64 KiB.
 pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
-/// What a command to a machine depends on.
+/// The properties of a machine on which its launch commands depend.
 #[derive(Clone, Copy)]
 struct CommandTarget {
     token: FencingToken,
     incarnation: u64,
-    /// The machine is about to go: it is given no more tasks.
+    /// The machine is being returned or about to be evicted, so it is given no more tasks.
     leaving: bool,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// The command that a task placed on a machine needs.
+/// The command that an attempt placed on a machine needs.
 enum CommandNeed {
     Nothing,
     Launch,
@@ -42,8 +43,8 @@
 }
 
 impl KillRequest {
-    /// What is left of the grace period. Repeated kills carry no more than this, so that they do not
-    /// extend it.
+    /// The remaining part of the grace period. A kill of an attempt that is saving a checkpoint already
+    /// carries only this part, so that it does not extend the grace period.
     fn remaining_grace(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.since);
         self.grace_period.saturating_sub(passed)
@@ -51,7 +52,8 @@
 }
 
 impl ActiveAttempt {
-    /// The command that ends the attempt. None: no end was requested, or it is under way.
+    /// The command that ends the attempt. None: no kill was requested, or the attempt is saving a checkpoint
+    /// within its grace period.
     fn kill_command(&self, now: Instant, task: &TaskId) -> Option<TaskCommand> {
         let kill = self.kill_request.as_ref()?;
         let is_checkpointing = self.observed_phase == Some(TaskPhase::Checkpointing);
@@ -71,8 +73,8 @@
 }
 
 impl ClusterState {
-    /// Adds the launches and kills that a machine has not shown to have taken. `listed`: the attempts that
-    /// it shows now, if that is known.
+    /// Adds the outstanding launches and kills of a machine to `commands`, up to the maximum for one message.
+    /// `listed`: the attempts in the heartbeat that is being answered. None: there is no heartbeat.
     pub(super) fn add_commands(
         &mut self,
         now: Instant,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// What a task placed on a machine needs now. None: its intent is not durable yet.
+    /// The command that an attempt placed on a machine needs now. None: its intent is not durable yet.
     fn command_need(
         &self,
         now: Instant,
@@ -113,7 +115,7 @@
     ) -> Option<CommandNeed> {
         let job = self.jobs.get(&task.job_id)?;
         let attempt = job.active.get(&task.index)?;
-        // An adopted attempt is on its machine before its record is durable.
+        // An adopted attempt is on its machine before its intent is durable.
         if !attempt.durable && attempt.observed_phase.is_none() {
             return None;
         }
@@ -128,7 +130,7 @@
                 CommandNeed::Launch
             });
         }
-        // Without a heartbeat it is not known what the machine shows, and the kill goes out in any case.
+        // Without a heartbeat it is unknown which attempts are on the machine, so the kill is always sent.
         let may_be_on_machine = is_reported || listed.is_none();
         let kill = attempt
             .kill_command(now, task)
@@ -136,7 +138,7 @@
         Some(kill.map_or(CommandNeed::Nothing, CommandNeed::Kill))
     }
 
-    /// The command that starts an attempt, if it may start now.
+    /// The launch of an attempt, which is recorded as sent. None: the attempt may not be launched now.
     fn launch_command(
         &mut self,
         now: Instant,
@@ -144,7 +146,8 @@
         task: &TaskId,
         target: CommandTarget,
     ) -> Option<TaskCommand> {
-        // While the leadership is not confirmed, a cancellation of the job may not be known here.
+        // While the leadership is not confirmed, the job may have been cancelled without this leader's
+        // knowledge.
         if target.leaving
             || !self.leadership.confirmed
             || self.launch_check(task) != LaunchCheck::Allowed
@@ -156,7 +159,8 @@
             return None;
         }
         let attempt = job.active.get(&task.index)?.id;
-        // What an earlier term may have sent is launched again only once it is proved absent.
+        // An attempt whose launch an earlier term may have sent is launched again only once it is proved
+        // absent.
         if !self.takeover.allows_launch(machine_id, task, attempt) {
             return None;
         }
--- a/src/core/reconciliation/direct_commands.rs
+++ b/src/core/reconciliation/direct_commands.rs
@@ -1,6 +1,6 @@
-//! Commands that are sent straight to a machine, without waiting for its next heartbeat.
+//! Direct commands: urgent commands that are sent to a machine without waiting for its next heartbeat.
 //!
-//! Invariant: the kill of an attempt that its machine has not shown yet goes out under a raised token, so
+//! Invariant: the kill of an attempt that its machine has not reported yet is sent with a raised token, so
 //! that a launch which is still in flight is not accepted after it.
 
 use crate::core::model::{Heartbeat, MachineId, TaskCommand, Term};
@@ -8,13 +8,13 @@
 use crate::core::state::{Action, ClusterState, HeartbeatDecision};
 use std::time::Instant;
 
-/// A machine that misses this many heartbeats is sent nothing: it would only hold a sender up, and the
-/// answer to its next heartbeat carries the commands.
+/// The number of heartbeat intervals without a message after which a machine is sent no direct commands. Its
+/// failure to respond would only block a sender, and the response to its next heartbeat carries the commands.
 const MAX_MISSED_HEARTBEATS: u32 = 2;
 
 impl ClusterState {
-    /// Applies the response to a direct command; None: there was none. Returns the term of the leader that
-    /// the machine follows, if it is higher than this one.
+    /// Applies the response to direct commands; None: no response arrived. Returns the term of the leader
+    /// that the machine follows, if it is higher than the term of this leader.
     pub fn on_command_response(
         &mut self,
         now: Instant,
@@ -28,7 +28,7 @@
         match self.on_worker_status(now, &status, StatusSource::CommandResponse) {
             HeartbeatDecision::Superseded(term) => Some(term),
             HeartbeatDecision::Accept { commands, .. } => {
-                // Forgets can wait for the next heartbeat; launches and kills cannot.
+                // Forget commands can wait for the next heartbeat; launches and kills cannot.
                 let is_urgent =
                     |command: &TaskCommand| !matches!(command, TaskCommand::Forget { .. });
                 if commands.iter().any(is_urgent) {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Sends direct commands to the machines that have urgent ones outstanding.
+    /// Sends direct commands to the machines in the outbox's `urgent_machines`. A machine with unanswered
+    /// direct commands stays there.
     pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.outbox.urgent_machines) {
             self.send_direct_commands(now, machine_id);
@@ -79,7 +80,8 @@
         });
     }
 
-    /// Raises the token of a machine if some attempt on it is to be killed that it has not shown yet.
+    /// Raises the token of a machine if an attempt on it is to be killed that the machine has not reported
+    /// yet.
     fn raise_token_for_unreported_kills(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
             return;
--- a/src/core/reconciliation/failover_progress.rs
+++ b/src/core/reconciliation/failover_progress.rs
@@ -1,4 +1,4 @@
-//! How far the failover to this leader is: silent machines, and its phases in the log.
+//! Progress of the takeover by this leader: detection of silent machines, and log messages about its phases.
 
 use crate::core::model::MachineId;
 use crate::core::state::ClusterState;
@@ -7,7 +7,8 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Notes the machines with attempts on record that are silent, and moves on to the next phase.
+    /// Records which machines with attempts on record are silent, and starts the next phase of the takeover
+    /// if the current one has ended.
     pub(in crate::core) fn advance_takeover(&mut self, now: Instant) {
         if self.takeover.is_over() {
             return;
--- a/src/core/reconciliation/heartbeat_order.rs
+++ b/src/core/reconciliation/heartbeat_order.rs
@@ -1,8 +1,9 @@
-//! Which heartbeats count: copies, messages that were overtaken, and machines restarted under their name.
+//! Ordering of heartbeats: rejection of duplicate and reordered messages, and detection of machines that were
+//! restarted under the same id.
 //!
-//! Invariant: the status of a machine is only replaced by that of a newer message, by incarnation and
-//! serial number. Serial numbers may begin anew only once the machine has shown a token that was first
-//! given out after its last message, which no copy of an earlier one can show.
+//! Invariant: the status of a machine is replaced only by that of a newer message, according to incarnation
+//! and serial number. A restart of the serial numbers is accepted only once a message of the machine carries
+//! a token that was first issued after its previous message, which no copy of an earlier message can carry.
 
 use crate::core::model::{FencingToken, Heartbeat};
 use crate::core::reconciliation::heartbeats::StatusSource;
@@ -10,11 +11,12 @@
 use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
-/// A machine that misses this many heartbeats may have been restarted under its name.
+/// The number of heartbeat intervals without an accepted message after which a machine may have been
+/// restarted under the same id.
 const RESTART_SILENCE_HEARTBEATS: f64 = 2.5;
 
 impl ClusterState {
-    /// The machine that sent a heartbeat. One that was not known is added.
+    /// The machine that sent a heartbeat. An unknown machine is added.
     pub(super) fn reporting_machine(
         &mut self,
         now: Instant,
@@ -41,8 +43,9 @@
             })
     }
 
-    /// The token to answer with if a heartbeat must not be applied: a newer message of the machine was
-    /// received before, or it is one of the machine's predecessor.
+    /// Checks whether a heartbeat is outdated: a newer message of the machine has been received already, or
+    /// the agent that sent it was replaced by a restarted one. If so, it must not be applied, and the
+    /// returned token is sent in the response.
     pub(super) fn check_outdated(
         &mut self,
         now: Instant,
@@ -65,9 +68,10 @@
             accept_restarted(now, machine);
             return None;
         }
-        // Overtaken by a newer message, or a late copy: nothing is learned from it. When it is a live
-        // worker's heartbeat that crossed a direct command, its answer renews the lease, counted from
-        // its sending; that was before the newer message was received.
+        // The message was overtaken by a newer one or is a late copy, so its content is ignored. If it is the
+        // heartbeat of a live agent that crossed a direct command, the response to it renews the lease. The
+        // agent counts the lease from when it sent the heartbeat, which was before the newer message was
+        // received.
         if source.renews_lease() {
             machine.lease_renewed_at = machine
                 .lease_renewed_at
@@ -83,10 +87,10 @@
     (heartbeat.incarnation, heartbeat.serial) > (machine.incarnation, machine.serial)
 }
 
-/// The machine may have been restarted under its name and count from the beginning: it has been silent,
-/// or shows a token below the one shown before. No copy can show a token that was first given out after
-/// it was sent; and such a machine, which has forgotten what it was told to stop, accepts no command any
-/// more that was sent to it before.
+/// Issues a probe token if the machine may have been restarted under the same id, with serial numbers that
+/// start again: it was silent, or its token is lower than the one before. No copy can carry a token that was
+/// first issued after the original was sent. A restarted agent does not remember which attempts it was told
+/// to stop; once it has received the raised token, it rejects every command that was sent to it before.
 fn probe_restart(machine: &mut Machine, heartbeat: &Heartbeat, was_silent: bool) {
     let carries_lower_token = heartbeat.token < machine.observed_token;
     if (was_silent || carries_lower_token) && machine.restart_probe_token.is_none() {
@@ -95,7 +99,7 @@
     }
 }
 
-/// The machine shows the token that was given out to find out whether it was restarted.
+/// Accepts the restart of a machine, whose message carries the probe token.
 fn accept_restarted(now: Instant, machine: &mut Machine) {
     log::info!("machine restarted machine={}", machine.id);
     machine.min_token = machine.restart_probe_token;
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -1,8 +1,8 @@
-//! A heartbeat from its arrival to its answer.
+//! Processing of heartbeats, from their arrival to the response.
 //!
-//! Invariants: an answer renews the worker's lease, so it is withheld while a cancellation may be unknown
-//! here that the renewed lease would outlast. A heartbeat that may be an old copy proves nothing about
-//! tasks that are not in it.
+//! Invariants: a response renews the agent's lease, so it is withheld while this leader may not know of a
+//! cancellation that has to take effect before the renewed lease expires. A heartbeat that may be an old copy
+//! proves nothing about tasks that it does not list.
 
 use crate::core::model::{Heartbeat, MachineId, Resources, TaskCommand};
 use crate::core::reconciliation::commands::MAX_COMMANDS_PER_MESSAGE;
@@ -13,19 +13,19 @@
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::Instant;
 
-/// How a worker's status reached this node.
+/// The kind of message in which the status of an agent arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusSource {
-    /// A heartbeat, whose answer renews the worker's lease.
+    /// A heartbeat. The response to it renews the agent's lease.
     Heartbeat,
-    /// A heartbeat that must not be answered now.
+    /// A heartbeat that must not be answered now, so that the lease is not renewed.
     UnansweredHeartbeat,
-    /// The response to a direct command, which renews no lease.
+    /// The response to direct commands. It renews no lease.
     CommandResponse,
 }
 
 impl StatusSource {
-    /// Whether the worker's lease runs from this message on.
+    /// Whether the response to this message renews the agent's lease.
     pub(super) fn renews_lease(self) -> bool {
         self == StatusSource::Heartbeat
     }
@@ -36,7 +36,7 @@
 }
 
 impl ClusterState {
-    /// Applies a heartbeat, and decides on its answer.
+    /// Applies a heartbeat, and decides how to answer it.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) -> HeartbeatDecision {
         if self.may_renew_leases(now) {
             return self.on_worker_status(now, &heartbeat, StatusSource::Heartbeat);
@@ -44,7 +44,7 @@
         let source = StatusSource::UnansweredHeartbeat;
         match self.on_worker_status(now, &heartbeat, source) {
             HeartbeatDecision::Accept { commands, .. } => {
-                // What cannot go with the answer goes by itself; direct commands renew no lease.
+                // Kills are sent as direct commands instead of in the response, because these renew no lease.
                 let is_kill = |command: &TaskCommand| matches!(command, TaskCommand::Kill { .. });
                 if commands.iter().any(is_kill) {
                     self.outbox.urgent_machines.insert(heartbeat.machine);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Applies a worker's status, and decides on what to tell the worker.
+    /// Applies the status of an agent, and decides which token and commands to send to it.
     pub(super) fn on_worker_status(
         &mut self,
         now: Instant,
@@ -93,10 +93,10 @@
         self.respond(now, &heartbeat.machine, source, tasks, &listed)
     }
 
-    /// Whether a heartbeat was certainly sent after this term began: it shows this term's token, or comes
-    /// from a machine that was rented in it. Any other may be a copy from before the end of an incarnation:
-    /// its content may be outdated, since a leader launches the same attempt again where an incarnation
-    /// ended.
+    /// Whether a heartbeat was certainly sent after this term began: it carries a token of this term, or
+    /// comes from a machine that was rented in this term. Any other heartbeat may be a late copy from an
+    /// earlier incarnation. Its content may be outdated, because a leader launches the same attempt again
+    /// after an incarnation has ended.
     fn origin_of(&self, heartbeat: &Heartbeat) -> HeartbeatOrigin {
         let machine = self.fleet.machines.get(&heartbeat.machine);
         let is_new_machine = machine.is_some_and(|machine| machine.rented_this_term);
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Puts the answer together: the kills of unexpected tasks, the attempts to forget, and then as many of
-    /// the machine's outstanding commands as there is room for.
+    /// Builds the response: first the kills of unexpected tasks, then forget commands, and then as many of
+    /// the machine's outstanding commands as fit into the message.
     fn respond(
         &mut self,
         now: Instant,
@@ -135,8 +135,8 @@
         if source.renews_lease() {
             machine.lease_renewed_at = Some(now);
         }
-        // After a forget the worker would take a late copy of the launch for a new one, so the same
-        // answer raises the token past every launch that went out before.
+        // After a forget command the agent would accept a late copy of the launch as a new launch. The same
+        // response therefore raises the token above that of every launch that was sent before.
         if !forgets.is_empty() || tasks.must_raise_token {
             machine.token = machine.token.next();
         }
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -1,29 +1,32 @@
-//! Whether an attempt on record may be launched now.
+//! Check whether an attempt on record may be launched now.
 //!
-//! A record may outlive its attempt: once an attempt is proved gone, its room in the team's limit, and its
-//! zone, go to others at once, while the removal of its record is written later, with others, and can be lost
-//! with the leader. So a record alone does not allow a launch. A leader launches only while the usage that it
-//! counts, which includes all that is on record, keeps to the team's limit and to the job's zones. What may
-//! not be launched and is proved not to be on its machine is no longer counted and waits to be placed anew.
+//! A record may outlive its attempt. Once an attempt is proved gone, its share of the team's limit and its
+//! place in the zone are available to other attempts at once, while the removal of its record is written
+//! later together with other changes, and is lost if the leader fails before. A record alone therefore does
+//! not allow a launch: a leader launches an attempt only while the counted usage, which includes all attempts
+//! on record, is within the team's limit and the job's zone constraints. An attempt that may not be launched
+//! is removed from the usage once it is proved not to be on its machine, and its task is placed again.
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
 use crate::core::state::ClusterState;
 use crate::core::state::Job;
 
-/// What may become of an attempt that its machine does not show.
+/// Whether an attempt may be launched on the machine that it is placed on.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum LaunchCheck {
-    /// It may be launched.
+    /// The attempt may be launched.
     Allowed,
-    /// Where other tasks of its job are is not known yet.
+    /// The job has a constraint on zones, and the zone of the attempt, or of other attempts of the job, is
+    /// not known yet. The attempt is not launched until it is.
     Unknown,
-    /// It may not be launched: it is removed once it is proved absent.
+    /// The attempt may not be launched. It is removed once it is proved absent.
     Refused,
 }
 
 impl ClusterState {
-    /// Whether an attempt may be launched on its machine.
+    /// Whether the attempt at a task may be launched: the task is not done, its team is within its limit, and
+    /// the zones of its job's attempts meet the job's constraints.
     pub(super) fn launch_check(&self, task: &TaskId) -> LaunchCheck {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return LaunchCheck::Refused;
@@ -34,8 +37,8 @@
         self.check_zones(job, task.index)
     }
 
-    /// Whether an attempt that runs already may go on: as [`ClusterState::launch_check`], but unknown work
-    /// elsewhere does not end this one.
+    /// Whether an attempt that is running already may continue. The team's limit and the zones are checked as
+    /// in [`ClusterState::launch_check`], but unknown usage and unknown zones do not end the attempt.
     pub(super) fn may_continue(&self, task: &TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job_id) else {
             return false;
@@ -45,7 +48,7 @@
         team.is_some_and(|t| self.is_within_limit(t)) && zones != LaunchCheck::Refused
     }
 
-    /// Whether all that is on record of a team keeps to its limit.
+    /// Whether a team may start tasks and its counted usage is within its limit.
     fn is_team_within_limit(&self, team: &TeamName) -> bool {
         let team = self.team_that_may_start(team);
         team.is_some_and(|t| self.is_within_limit(t))
@@ -59,8 +62,8 @@
         self.config.teams.iter().find(|t| &t.name == name)
     }
 
-    /// A team by its name, unless nothing may start for it: the settings do not name it, or it has a
-    /// limit and what its tasks use is not known.
+    /// A team by its name. None: the team may not start tasks, because it is not in the settings, or it has a
+    /// limit and its usage is not known.
     pub(in crate::core) fn team_that_may_start(&self, team: &TeamName) -> Option<&Team> {
         let team = self.team(team)?;
         let limited = team.cpus_max.is_some() || team.gpus_max.is_some();
--- a/src/core/reconciliation/listed_attempts.rs
+++ b/src/core/reconciliation/listed_attempts.rs
@@ -1,16 +1,16 @@
-//! The attempts that a heartbeat lists.
+//! Lookup of the attempts that a heartbeat lists.
 
 use crate::core::model::{AttemptId, Heartbeat, TaskId};
 use std::collections::HashSet;
 
-/// The attempts that a heartbeat lists, whatever their phase.
+/// The attempts that a heartbeat lists, in any phase, including ended ones.
 #[derive(Debug, Default)]
 pub(in crate::core) struct ListedAttempts {
     attempts: HashSet<(TaskId, AttemptId)>,
 }
 
 impl ListedAttempts {
-    /// Whether the heartbeat lists this attempt.
+    /// Whether the heartbeat lists this attempt at the task.
     pub(super) fn contains(&self, task: &TaskId, attempt: AttemptId) -> bool {
         self.attempts.contains(&(task.clone(), attempt))
     }
--- a/src/core/reconciliation/machine_status.rs
+++ b/src/core/reconciliation/machine_status.rs
@@ -1,21 +1,22 @@
-//! What a heartbeat says about its machine: incarnation, fencing token, address and announced eviction.
+//! Updates of a machine from its heartbeat: incarnation, fencing token, address and announced eviction.
 
 use crate::core::model::{Heartbeat, Term};
 use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
-/// What a heartbeat changed about its machine.
+/// The changes to a machine that a heartbeat brought about.
 struct MachineChange {
-    /// Set when it was booting: since when.
+    /// When the machine was requested from the cloud, if it was booting until this heartbeat.
     booting_since: Option<Instant>,
-    /// The worker's incarnation is not the one of the message before.
+    /// Whether this is the first message of the machine in this term, or its incarnation differs from the
+    /// previous message's.
     new_incarnation: bool,
-    /// The cloud's announcement of its eviction is new.
+    /// Whether this is the first message that announces the eviction of the machine.
     new_eviction: bool,
 }
 
 impl ClusterState {
-    /// Applies what a heartbeat says about its machine.
+    /// Applies the status of the machine, as opposed to that of its tasks, from a heartbeat.
     pub(super) fn apply_machine_status(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let term = self.term;
         let machine = self.reporting_machine(now, heartbeat);
@@ -35,11 +36,11 @@
         }
     }
 
-    /// The first heartbeat of a machine that was booting.
+    /// Handles the first heartbeat of a machine that was booting.
     fn on_booted(&mut self, now: Instant, booting_since: Instant, heartbeat: &Heartbeat) {
-        let took = now.saturating_duration_since(booting_since);
+        let boot_duration = now.saturating_duration_since(booting_since);
         self.capacity
-            .record_boot(&heartbeat.machine_type, took, heartbeat.spot);
+            .record_boot(&heartbeat.machine_type, boot_duration, heartbeat.spot);
         log::info!(
             "machine up machine={} type={} zone={}",
             heartbeat.machine,
@@ -93,7 +94,8 @@
     machine.lease_expired = false;
 }
 
-/// The worker shows a token of this term: from now on nobody else's answers renew its lease.
+/// Records that the agent has received a token of this term. From now on it accepts no responses of earlier
+/// leaders, so only those of this term renew its lease.
 fn record_token_of_term(machine: &mut Machine, heartbeat: &Heartbeat) {
     machine.fenced = true;
     machine.token = machine.token.max(heartbeat.token);
@@ -105,12 +107,13 @@
     }
 }
 
-/// The worker's lease expired, although its heartbeats were answered: answers may not have reached it.
+/// Handles a new incarnation of the agent, which it starts after its lease has expired. Responses to its
+/// heartbeats may not have reached it, so it has to return a new token before it is given anything.
 fn start_incarnation(machine: &mut Machine, now: Instant) {
     machine.images.clear();
-    // The lease of the new incarnation runs from its beginning, which is not long before now. Counted from
-    // the last answer to the old one, it would seem to have expired under tasks that direct commands start
-    // in the new incarnation.
+    // The lease of the new incarnation starts with the incarnation, not long before now. If it were counted
+    // from the last response to the old incarnation, it would appear to expire while tasks run that direct
+    // commands have started in the new incarnation.
     machine.lease_renewed_at = machine.lease_renewed_at.max(Some(now));
     machine.require_token(now);
 }
--- a/src/core/reconciliation/mod.rs
+++ b/src/core/reconciliation/mod.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the stored state with what the machines' heartbeats show.
+//! Reconciliation of the stored state with the state that the machines report in their heartbeats.
 
 mod absence_proofs;
 mod acknowledgements;
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that a heartbeat lists: what becomes of each, and what they take without a record.
+//! Processing of the tasks that a heartbeat lists, and accounting of those that no record names.
 
 use crate::core::model::{
     Heartbeat, JobId, Resources, TaskCommand, TaskPhase, TaskStatus, TeamName,
@@ -9,23 +9,24 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// What follows from the tasks that a heartbeat lists.
+/// The results of processing the tasks that a heartbeat lists.
 #[derive(Default)]
 pub(super) struct ReportedTasks {
-    /// Kills of tasks that should not be there.
+    /// Kills of unexpected tasks, which are on the machine without a record.
     pub(super) unexpected_kills: Vec<TaskCommand>,
-    /// Commands to forget attempts that have ended.
+    /// Forget commands for ended attempts whose end needs no further reports.
     pub(super) forgets: Vec<TaskCommand>,
-    /// The resources of tasks that should not be there, with the teams that they belong to.
+    /// The resources of unexpected tasks of known jobs, each with the team of its job.
     pub(super) unexpected_usage: Vec<(TeamName, Resources)>,
-    /// Jobs of unexpected tasks that are not known here.
+    /// The jobs of unexpected tasks that this leader does not know.
     pub(super) unknown_jobs: BTreeSet<JobId>,
-    /// The token must be raised, so that no late command can start what is killed.
+    /// Whether the machine's token must be raised, so that no late command can start a killed task again.
     pub(super) must_raise_token: bool,
 }
 
 impl ClusterState {
-    /// Applies the statuses of the tasks that a heartbeat lists.
+    /// Applies the statuses of the tasks that a heartbeat lists. The end of an attempt on record is ignored
+    /// if the heartbeat may be a late copy from before this term.
     pub(super) fn apply_task_statuses(
         &mut self,
         now: Instant,
@@ -73,7 +74,7 @@
         job.is_some_and(|job| job.is_held(status.task.index, status.attempt))
     }
 
-    /// Notes a task without a record that is not adopted.
+    /// Records an unexpected task, which is not adopted, and adds its kill unless it is held.
     fn record_unexpected(
         &mut self,
         status: &TaskStatus,
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -1,7 +1,8 @@
-//! The cluster's state at the beginning of a term, from what the key-value store holds.
+//! Loading of the cluster's state from the key-value store at the beginning of a term.
 //!
-//! Invariants: whatever an intent names may be on its machine, and counts as taken until it is proved gone.
-//! Cancellations are applied after the intents, so that no task of a cancelled job is overlooked.
+//! Invariants: every attempt that an intent names may be on its machine, and its resources count as used
+//! until it is proved gone. Cancellations are applied after the intents, so that no task of a cancelled job
+//! is missed.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, TaskId, Zone};
 use crate::core::persistence::keys;
@@ -12,7 +13,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Jobs of the index that have an outcome, and whose tasks may still be on machines.
+/// The jobs in the index that have an outcome, but whose tasks may still be on machines.
 #[derive(Default)]
 struct EndedJobs {
     cancelled: Vec<JobId>,
@@ -20,7 +21,7 @@
 }
 
 impl ClusterState {
-    /// Takes over what was read from the store.
+    /// Loads the state that was read from the key-value store, and begins the takeover of the fleet.
     pub fn take_over(&mut self, now: Instant, snapshot: StoredSnapshot) {
         if let Some(history) = snapshot.history {
             self.history.load(&history);
@@ -49,7 +50,7 @@
         self.takeover.begin();
     }
 
-    /// Loads the index of live jobs. Returns the jobs in it that have ended and must be loaded nevertheless.
+    /// Loads the index of live jobs. Returns the loaded jobs that have ended already.
     fn load_jobs(
         &mut self,
         now: Instant,
@@ -62,8 +63,9 @@
                 continue;
             }
             match outcomes.get(&spec.job_id) {
-                // An array is done once the end of each task was reported. A gang is done with its first
-                // member, and the others may still be on their machines.
+                // A job array is done once the end of every task was reported, so none of its tasks is on a
+                // machine. A gang is done when its first member completes, and the other members may still be
+                // on their machines.
                 Some(JobOutcome::Done) if spec.kind == JobKind::Gang => {
                     ended.done_gangs.push(spec.job_id.clone());
                     self.on_job(without_dependencies(spec), revision);
@@ -82,7 +84,8 @@
         ended
     }
 
-    /// Notes that the store holds a list of a job's dependents. It is removed with the job.
+    /// Records that the key-value store holds a list of a job's dependents. The list is removed together with
+    /// the job, or now if the job is not known.
     pub fn load_dependents_list(&mut self, job_id: &JobId) {
         if self.jobs.contains(job_id) {
             self.jobs.dependencies.mark_listed(job_id);
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Loads a chunk of a job's tasks. Whatever it names may be on its machine.
+    /// Loads a chunk of a job's tasks. The attempts in it may be on their machines, even if they are not
+    /// reported.
     pub fn load_chunk(
         &mut self,
         now: Instant,
@@ -125,7 +129,7 @@
         self.place_loaded(now, job_id, loaded);
     }
 
-    /// Counts loaded attempts as placed on their machines.
+    /// Counts the loaded attempts as placed on their machines, and enters them into the takeover.
     fn place_loaded(&mut self, now: Instant, job_id: &JobId, loaded: Vec<Intent>) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
@@ -145,14 +149,15 @@
         }
     }
 
-    /// A machine that a record names. Its type and zone come with its heartbeat or the cloud's list.
+    /// The machine that a record names, which is added if it is unknown. Its type and zone are empty until
+    /// its heartbeat or the cloud's list provides them.
     fn loaded_machine(&mut self, now: Instant, id: MachineId) -> &mut Machine {
         let term = self.term;
         self.fleet.machines.entry(id.clone()).or_insert_with(|| {
-            let (kind, zone) = (MachineTypeName(String::new()), Zone(String::new()));
+            let (unknown_type, zone) = (MachineTypeName(String::new()), Zone(String::new()));
             let identity = MachineIdentity {
                 id,
-                machine_type: kind,
+                machine_type: unknown_type,
                 zone,
                 spot: false,
             };
@@ -160,7 +165,8 @@
         })
     }
 
-    /// Gives back the machines that hold tasks of which nothing is known: that proves those tasks gone.
+    /// Returns the machines that a readable chunk of a job with unreadable records names. The cloud's
+    /// confirmation of the return proves that the job's tasks on them are gone.
     fn return_machines_of_unreadable(&mut self, now: Instant, value: ChunkValue) {
         for intent in value.active {
             self.unreadable_records.add_machine(intent.machine.clone());
@@ -176,11 +182,13 @@
     }
 }
 
-/// Enters the attempts of a chunk as active, but for those that are known to have ended. Returns them.
+/// Adds the attempts of a chunk to the active attempts of a job, except those that are known to have ended.
+/// Returns the added ones.
 fn load_attempts(job: &mut Job, now: Instant, intents: Vec<Intent>) -> Vec<Intent> {
     let mut loaded = Vec::new();
     for intent in intents {
-        // A member of a gang is marked done with the first one that ends; it may still be there.
+        // All members of a gang are marked as done when the first one completes, so a member that is marked
+        // may still be on its machine.
         let has_ended = job.is_done(intent.task_index) && job.spec.kind == JobKind::Batch;
         if intent.task_index >= job.spec.task_count || has_ended {
             continue;
--- a/src/core/reconciliation/stored_snapshot.rs
+++ b/src/core/reconciliation/stored_snapshot.rs
@@ -1,54 +1,55 @@
-//! What the key-value store holds of the cluster when a term begins.
+//! The records that a new leader reads from the key-value store when its term begins.
 
 use crate::core::model::{JobId, JobSpec};
 use crate::core::persistence::records::{ChunkValue, JobOutcome};
 use crate::core::placement::history::HistorySummary;
 use std::collections::HashMap;
 
-/// A record of the index of live jobs.
+/// An entry of the index of live jobs.
 #[derive(Clone, Debug)]
 pub struct StoredLiveJob {
-    /// The job.
+    /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// The revision of its acceptance.
+    /// The revision at which the job was accepted. It orders jobs by their arrival.
     pub revision: u64,
 }
 
 /// A stored chunk of a job's tasks.
 #[derive(Clone, Debug)]
 pub struct StoredJobChunk {
-    /// The job.
+    /// The job that the tasks belong to.
     pub job_id: JobId,
-    /// The number of the chunk in the job.
+    /// The number of the chunk in the job, from 0.
     pub index: u32,
-    /// Which tasks are done, and where the others were launched.
+    /// The tasks that are done, and the attempts that are not known to have ended.
     pub value: ChunkValue,
-    /// The revision of the chunk's key.
+    /// The revision of the chunk's key, on which the next write of the chunk is conditional.
     pub revision: u64,
 }
 
 /// All records that a new leader reads.
 ///
-/// The index of live jobs is read before the outcomes of the jobs in it, and the intents last: nobody but
-/// the leader writes intents, and no other leader's writes succeed any more.
+/// The index of live jobs is read before the chunks and the outcomes of the jobs in it. The chunks do not
+/// change meanwhile: only a leader writes them, and the writes of other leaders do not succeed any more.
 #[derive(Clone, Debug, Default)]
 pub struct StoredSnapshot {
-    /// Run times that earlier leaders measured.
+    /// The summary of the run times that earlier leaders measured. None: it was never
+    /// written.
     pub history: Option<HistorySummary>,
-    /// The index of live jobs.
+    /// The readable entries of the index of live jobs.
     pub jobs: Vec<StoredLiveJob>,
-    /// Outcomes of jobs that are still in the index. A job without one is live.
+    /// The outcomes of jobs that are still in the index. A job without an outcome is live.
     pub outcomes: HashMap<JobId, JobOutcome>,
-    /// Outcomes of jobs that live jobs depend on and that are not in the index.
+    /// The outcomes of jobs that are not in the index, and that live jobs depend on.
     pub dependency_outcomes: Vec<(JobId, JobOutcome)>,
-    /// Jobs with a list of their dependents.
+    /// The jobs for which the store holds a list of dependents, which nodes of the previous version read.
     pub jobs_with_dependents_list: Vec<JobId>,
-    /// Jobs that are marked as cancelled.
+    /// The jobs for which the store holds a cancellation marker.
     pub cancel_marks: Vec<JobId>,
-    /// The chunks of all jobs.
+    /// The readable chunks of all jobs.
     pub chunks: Vec<StoredJobChunk>,
-    /// Jobs whose record in the index cannot be read.
+    /// The jobs whose entry in the index cannot be read.
     pub unreadable_jobs: Vec<JobId>,
-    /// Jobs of which a chunk cannot be read.
+    /// The jobs for which some chunk cannot be read.
     pub unreadable_intents: Vec<JobId>,
 }
--- a/src/core/reconciliation/unreadable_records.rs
+++ b/src/core/reconciliation/unreadable_records.rs
@@ -1,45 +1,47 @@
-//! Jobs of which some record cannot be read.
+//! Jobs with records in the key-value store that cannot be read.
 //!
-//! Invariants: their records stay and nothing of them is started. What they may hold counts as taken:
-//! until it is known to be gone, no team with a limit starts anything.
+//! Invariants: the records of such a job are kept, and none of its tasks is started. Its tasks may be using
+//! the quota of any team, so no team with a limit starts a task until they are known to be gone. If some
+//! chunk cannot be read, that is never known, and the restriction holds for the whole term.
 
 use crate::core::model::{JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// Jobs of which some record cannot be read, and the machines that their tasks may be on.
+/// The jobs with unreadable records, and the machines that their tasks may be on.
 #[derive(Debug, Default)]
 pub(in crate::core) struct UnreadableRecords {
     jobs: BTreeSet<JobId>,
-    /// Machines that their readable records name.
+    /// The machines that readable chunks of these jobs name.
     machines: BTreeSet<MachineId>,
-    /// Some record of intents cannot be read, so their tasks may be on any machine.
+    /// Whether some chunk cannot be read, so that its tasks may be on any machine.
     may_be_anywhere: bool,
 }
 
 impl UnreadableRecords {
-    /// Adds jobs whose record in the index cannot be read, and jobs of which a chunk cannot be read.
-    pub(super) fn load(&mut self, jobs: Vec<JobId>, intents: Vec<JobId>) {
-        self.may_be_anywhere = !intents.is_empty();
+    /// Adds the jobs whose entry in the index cannot be read, and the jobs for which some chunk cannot be
+    /// read.
+    pub(super) fn load(&mut self, jobs: Vec<JobId>, jobs_with_unreadable_chunks: Vec<JobId>) {
+        self.may_be_anywhere = !jobs_with_unreadable_chunks.is_empty();
         self.jobs.extend(jobs);
-        self.jobs.extend(intents);
+        self.jobs.extend(jobs_with_unreadable_chunks);
     }
 
-    /// Adds a machine that a readable record of such a job names.
+    /// Adds a machine that a readable chunk of such a job names.
     pub(super) fn add_machine(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
 
-    /// Whether some record of a job cannot be read.
+    /// Whether some record of this job cannot be read.
     pub(super) fn contains(&self, job_id: &JobId) -> bool {
         self.jobs.contains(job_id)
     }
 
-    /// Whether tasks of an unknown team may be on machines.
+    /// Whether tasks of these jobs, whose teams are unknown, may be on machines.
     pub(in crate::core) fn may_run(&self) -> bool {
         self.may_be_anywhere || !self.machines.is_empty()
     }
 
-    /// A machine is gone with all that was on it.
+    /// Removes a machine that is gone, together with all tasks on it.
     pub(in crate::core) fn machine_gone(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -1,9 +1,11 @@
-//! Tasks that a machine reports and that no record names: adopted, held until more is known, or killed.
+//! Decisions on unrecorded tasks, which a machine reports although no record names them: they are adopted,
+//! held until more is known, or killed.
 //!
-//! A launch goes out only once its intent is durable, so such a task comes from a late command, or the
-//! key-value store was restored to an earlier state. One of a live job is adopted where a launch would be
-//! allowed: its work goes on, and nothing is started twice. A job that is not known here is first looked
-//! up in the store; `cypressgap_recovery::unrecorded` decides what follows.
+//! A launch is sent only once its intent is durable. Such a task was therefore started by a late command, or
+//! the key-value store was restored to an earlier state. A task of a live job is adopted if a launch would be
+//! allowed, so that its work continues and it is not started twice. A job that this leader does not know is
+//! first looked up in the key-value store, and `cypressgap_recovery::unrecorded` decides what happens to its
+//! tasks.
 
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
@@ -16,22 +18,24 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// What becomes of a task that no record names.
+/// The decision on an unrecorded task.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnrecordedTaskDecision {
-    /// It is recorded from now on.
+    /// The task continues, and a record of it will be written.
     Adopted,
-    /// Its job is not known: it stays until the job was looked up in the store.
+    /// The task's job is not known. The task continues until a lookup of the job decides about it.
     Held,
-    /// It should not be there.
+    /// The task's job is known, and the task must not continue.
     Killed,
-    /// It should not be there, and its job is not known: no late command may start it again.
+    /// The task's job is not known, and the task must not continue. The machine's token is raised, so that no
+    /// late command can start it again.
     KilledUnderRaisedToken,
 }
 
 impl ClusterState {
-    /// Decides on a task that a heartbeat lists as running and that no record names.
+    /// Decides on an unrecorded task that a heartbeat lists and that has not ended. Adopts it if that is the
+    /// decision.
     pub(super) fn decide_unrecorded(
         &mut self,
         now: Instant,
@@ -53,8 +57,9 @@
         UnrecordedTaskDecision::Killed
     }
 
-    /// Whether a task is one that its job still needs, on a machine that the job allows. An attempt of this
-    /// term is never adopted: it is on record until it is proved gone.
+    /// Whether a task is still needed by its job and is on a machine that the job allows. An attempt of this
+    /// term is never adopted: it stays on record until it is proved gone, so an unrecorded one is known to be
+    /// obsolete.
     fn may_adopt(&self, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
         let (Some(job), Some(machine)) = (
             self.jobs.get(&status.task.job_id),
@@ -80,14 +85,15 @@
         is_missing && is_allowed && is_wanted && is_running && is_of_earlier_term && machine_stays
     }
 
-    /// Records a task as if it had been placed there, unless its team's limit or its job's zones forbid it.
-    /// Returns whether it was adopted.
+    /// Records a task as if it had been placed on its machine, unless its team's limit or its job's zone
+    /// constraints do not allow it. Returns whether the task was adopted.
     fn adopt(&mut self, now: Instant, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
         let (job_id, index) = (&status.task.job_id, status.task.index);
         let Some(estimated_run_time) = self.jobs.get(job_id).map(|job| job.spec.expected) else {
             return false;
         };
-        // What the heartbeat before listed of it is counted as the job's own usage from here on.
+        // The previous heartbeat may have counted the task as unexpected usage. From now on it is counted as
+        // an attempt of its job.
         self.quota_usage.set_unexpected(&heartbeat.machine, &[]);
         let adopted = Assignment {
             job_id,
@@ -110,7 +116,7 @@
         true
     }
 
-    /// Replaces the unknown jobs of which a machine was known to run tasks.
+    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists.
     pub(super) fn record_unknown_jobs(
         &mut self,
         now: Instant,
@@ -126,12 +132,13 @@
         }
     }
 
-    /// Unknown jobs of which machines report tasks, and whose status is to be read from the store.
+    /// The unknown jobs of which machines report tasks, and whose status has to be read from the key-value
+    /// store.
     pub fn jobs_to_look_up(&self) -> Vec<JobId> {
         self.takeover.jobs_to_look_up()
     }
 
-    /// Takes in the status of jobs that were looked up. A job whose lookup failed is not among them.
+    /// Applies the statuses of jobs that were looked up. Jobs whose lookup failed must not be in `statuses`.
     pub fn on_job_statuses(&mut self, now: Instant, statuses: &[(JobId, JobRecordStatus)]) {
         for (job_id, status) in statuses {
             let stored_status = match status {
