--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -12,7 +12,7 @@
 use crate::node::view::RoleView;
 use crate::runtime::context::NodeContext;
 use crate::runtime::events::{Event, HeartbeatReply};
-use crate::runtime::worker_distribution::Neighbours;
+use crate::runtime::worker_distribution::LiveNodes;
 use crossbeam::channel::bounded;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -110,7 +110,7 @@
         now: Instant,
     ) -> Sorted {
         let peers = self.view.live_peers(now);
-        let neighbours = Neighbours {
+        let neighbours = LiveNodes {
             own: &self.settings.member,
             leader: leader.unwrap_or(&self.settings.member),
             peers: &peers,
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -28,7 +28,7 @@
 const LEADER_WEIGHT: f64 = 1.0;
 
 /// The nodes among which workers are spread, as one of them sees them.
-pub struct Neighbours<'a> {
+pub struct LiveNodes<'a> {
     /// This node.
     pub own: &'a str,
     /// The leader, which may be this node.
@@ -37,7 +37,7 @@
     pub peers: &'a [LivePeer],
 }
 
-impl Neighbours<'_> {
+impl LiveNodes<'_> {
     fn weight(&self, member: &str) -> f64 {
         if member == self.leader {
             LEADER_WEIGHT
@@ -124,7 +124,7 @@
     pub fn redirect_target(
         &self,
         from: IpAddr,
-        neighbours: &Neighbours<'_>,
+        neighbours: &LiveNodes<'_>,
         now: Instant,
     ) -> Option<String> {
         if neighbours.peers.is_empty() {
@@ -148,7 +148,7 @@
 }
 
 /// The peer that lacks most to its part, if this node has too many workers and a peer too few.
-fn node_below_its_part<'a>(neighbours: &Neighbours<'a>, own_workers: usize) -> Option<&'a str> {
+fn node_below_its_part<'a>(neighbours: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
     let peers = neighbours.peers;
     let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
--- a/tests/scheduler/worker_distribution.rs
+++ b/tests/scheduler/worker_distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use cypressgap::node::peer_table::LivePeer;
-use cypressgap::runtime::worker_distribution::{Neighbours, WorkerDistribution};
+use cypressgap::runtime::worker_distribution::{LiveNodes, WorkerDistribution};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
@@ -41,7 +41,7 @@
             workers,
         };
         let peers = [live("b", there[0]), live("c", there[1])];
-        let neighbours = Neighbours {
+        let neighbours = LiveNodes {
             own: "a",
             leader: leader.unwrap_or("a"),
             peers: &peers,
@@ -59,7 +59,7 @@
     }
     let w = WorkerDistribution::new(secs(3));
     w.record(ip(1), start);
-    let alone = Neighbours {
+    let alone = LiveNodes {
         own: "a",
         leader: "a",
         peers: &[],
