--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -110,7 +110,7 @@
         now: Instant,
     ) -> Sorted {
         let peers = self.view.live_peers(now);
-        let neighbours = LiveNodes {
+        let live_nodes = LiveNodes {
             own: &self.settings.member,
             leader: leader.unwrap_or(&self.settings.member),
             peers: &peers,
@@ -120,7 +120,7 @@
         for (position, heartbeat) in heartbeats.into_iter().enumerate() {
             let target = self
                 .workers
-                .redirect_target(heartbeat.from, &neighbours, now);
+                .redirect_target(heartbeat.from, &live_nodes, now);
             if let Some(member) = target {
                 responses.push(redirect_to(member));
                 continue;
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -124,10 +124,10 @@
     pub fn redirect_target(
         &self,
         from: IpAddr,
-        neighbours: &LiveNodes<'_>,
+        live_nodes: &LiveNodes<'_>,
         now: Instant,
     ) -> Option<String> {
-        if neighbours.peers.is_empty() {
+        if live_nodes.peers.is_empty() {
             return None;
         }
         let mut state = self.lock();
@@ -139,7 +139,7 @@
         if state.redirected.contains_key(&from) {
             return None;
         }
-        let target = node_below_its_part(neighbours, state.last_heartbeats.len())?;
+        let target = node_below_its_part(live_nodes, state.last_heartbeats.len())?;
         state.last_redirect = Some(now);
         state.last_heartbeats.remove(&from);
         state.redirected.insert(from, now);
@@ -148,14 +148,14 @@
 }
 
 /// The peer that lacks most to its part, if this node has too many workers and a peer too few.
-fn node_below_its_part<'a>(neighbours: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
+fn node_below_its_part<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
-    let peers = neighbours.peers;
+    let peers = live_nodes.peers;
     let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
-    let peer_weights = peers.iter().map(|p| neighbours.weight(&p.member));
-    let weights = neighbours.weight(neighbours.own) + peer_weights.sum::<f64>();
-    let part_of = |member: &str| workers * neighbours.weight(member) / weights;
-    if own_workers <= part_of(neighbours.own) * EXCESS_FACTOR + EXCESS_WORKERS {
+    let peer_weights = peers.iter().map(|p| live_nodes.weight(&p.member));
+    let weights = live_nodes.weight(live_nodes.own) + peer_weights.sum::<f64>();
+    let part_of = |member: &str| workers * live_nodes.weight(member) / weights;
+    if own_workers <= part_of(live_nodes.own) * EXCESS_FACTOR + EXCESS_WORKERS {
         return None;
     }
     let excess = |peer: &LivePeer| f64::from(peer.workers) - part_of(&peer.member);
--- a/tests/scheduler/worker_distribution.rs
+++ b/tests/scheduler/worker_distribution.rs
@@ -41,19 +41,19 @@
             workers,
         };
         let peers = [live("b", there[0]), live("c", there[1])];
-        let neighbours = LiveNodes {
+        let live_nodes = LiveNodes {
             own: "a",
             leader: leader.unwrap_or("a"),
             peers: &peers,
         };
-        let to = w.redirect_target(ip(0), &neighbours, start);
+        let to = w.redirect_target(ip(0), &live_nodes, start);
         assert_eq!(to.as_deref(), expected, "{name}");
         // Back at once: it could not reach the other. Another one goes in its place.
         let soon = start + secs(1);
         w.record(ip(0), soon);
-        assert_eq!(w.redirect_target(ip(0), &neighbours, soon), None, "{name}");
+        assert_eq!(w.redirect_target(ip(0), &live_nodes, soon), None, "{name}");
         assert_eq!(
-            w.redirect_target(ip(1), &neighbours, soon).is_some(),
+            w.redirect_target(ip(1), &live_nodes, soon).is_some(),
             to.is_some()
         );
     }
