--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -51,35 +51,37 @@
         self.reports.insert(member.to_owned(), status);
     }
 
-    fn fresh(&self, now: Instant) -> impl Iterator<Item = (&String, &PeerStatus)> {
+    fn fresh_reports(&self, now: Instant) -> impl Iterator<Item = (&String, &PeerStatus)> {
         self.reports
             .iter()
             .filter(move |(_, status)| status.is_fresh(now))
     }
 
     pub(super) fn max_timer_lag(&self, now: Instant) -> Duration {
-        let lags = self.fresh(now).map(|(_, status)| status.timer_lag);
+        let lags = self.fresh_reports(now).map(|(_, status)| status.timer_lag);
         lags.max().unwrap_or_default()
     }
 
-    pub(super) fn demand_of(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
+    pub(super) fn peer_demand(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
         let status = self.reports.get(member)?;
         status.is_fresh(now).then_some(status.demand)
     }
 
     pub(super) fn any_live(&self, now: Instant) -> bool {
-        self.fresh(now).next().is_some()
+        self.fresh_reports(now).next().is_some()
     }
 
     /// The live peers that reach the key-value store.
     pub(super) fn members_with_store(&self, now: Instant) -> Vec<String> {
-        let with_store = self.fresh(now).filter(|(_, status)| status.store_ok);
+        let with_store = self
+            .fresh_reports(now)
+            .filter(|(_, status)| status.store_ok);
         with_store.map(|(member, _)| member.clone()).collect()
     }
 
     /// The live peers, in the order of their names.
     pub(super) fn live(&self, now: Instant) -> Vec<LivePeer> {
-        let live = self.fresh(now).map(|(member, status)| LivePeer {
+        let live = self.fresh_reports(now).map(|(member, status)| LivePeer {
             member: member.clone(),
             workers: status.workers,
         });
--- a/src/node/transaction_limits.rs
+++ b/src/node/transaction_limits.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 
 /// A transaction may have this many conditions for each change that it may have.
-const CONDITIONS_PER_CHANGE: usize = 4;
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 
 /// The limits of one transaction.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
 impl TransactionLimits {
     /// Conditions in a transaction.
     pub fn conditions(&self) -> usize {
-        self.changes * CONDITIONS_PER_CHANGE
+        self.changes * MAX_CONDITIONS_PER_CHANGE
     }
 
     /// The number of jobs whose status can be looked up by one call.
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -45,9 +45,9 @@
     /// The number of live jobs in the loaded cluster state.
     pub live_jobs: usize,
     /// Dependencies of live jobs of which the leader knows nothing.
-    pub unresolved: Vec<JobId>,
+    pub unresolved_dependencies: Vec<JobId>,
     /// Jobs that the leader does not know and of which machines show tasks.
-    pub unrecorded: Vec<JobId>,
+    pub unrecorded_jobs: Vec<JobId>,
     /// What is known of single jobs.
     pub jobs: JobCache,
     peers: PeerTable,
@@ -98,8 +98,8 @@
                 highest_term: Term(0),
                 machine_types: Vec::new(),
                 live_jobs: 0,
-                unresolved: Vec::new(),
-                unrecorded: Vec::new(),
+                unresolved_dependencies: Vec::new(),
+                unrecorded_jobs: Vec::new(),
                 jobs: JobCache::new(),
                 peers: PeerTable::default(),
                 // Unproven until the first answer.
@@ -145,10 +145,10 @@
     }
 
     /// A lease of this duration was granted that was asked for at this time.
-    pub fn set_lease(&self, asked: ClockReading, duration: Duration) {
+    pub fn set_lease(&self, requested_at: ClockReading, duration: Duration) {
         self.write().lease_expiry = Some(ClockReading {
-            steady: asked.steady + duration,
-            day: asked.day + duration,
+            steady: requested_at.steady + duration,
+            day: requested_at.day + duration,
         });
     }
 
@@ -169,16 +169,16 @@
     }
 
     /// Sets the dependencies that are to be looked up.
-    pub fn set_unresolved(&self, unresolved: Vec<JobId>) {
-        if !unresolved.is_empty() || !self.read().unresolved.is_empty() {
-            self.write().unresolved = unresolved;
+    pub fn set_unresolved_dependencies(&self, unresolved_dependencies: Vec<JobId>) {
+        if !unresolved_dependencies.is_empty() || !self.read().unresolved_dependencies.is_empty() {
+            self.write().unresolved_dependencies = unresolved_dependencies;
         }
     }
 
     /// Sets the jobs without a record that are to be looked up.
-    pub fn set_unrecorded(&self, unrecorded: Vec<JobId>) {
-        if self.read().unrecorded != unrecorded {
-            self.write().unrecorded = unrecorded;
+    pub fn set_unrecorded_jobs(&self, unrecorded_jobs: Vec<JobId>) {
+        if self.read().unrecorded_jobs != unrecorded_jobs {
+            self.write().unrecorded_jobs = unrecorded_jobs;
         }
     }
 
@@ -303,8 +303,8 @@
     }
 
     /// What a live peer asks of the key-value store.
-    pub fn demand_of(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
-        self.read().peers.demand_of(member, now)
+    pub fn peer_demand(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
+        self.read().peers.peer_demand(member, now)
     }
 
     /// The live peers, in the order of their names.
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -19,24 +19,24 @@
 use std::time::{Duration, Instant};
 
 /// How long a cancellation's confirmation waits for the leader's acknowledgement.
-const NOTIFY_LIMIT: Duration = Duration::from_millis(500);
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the leader waits for one page of a peer's log.
-const PAGE_LIMIT: Duration = Duration::from_millis(1500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Whether a node took cancellations on as the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotificationOutcome {
     /// It leads, and its core will cancel the jobs.
-    TakenOn,
+    Accepted,
     /// It does not lead, or its core is too busy.
-    NotTaken,
+    NotAccepted,
 }
 
 impl NodeContext {
     /// Takes on jobs that a user is about to be told are cancelled, if this node leads.
-    pub(super) fn take_on_cancellations(&self, job_ids: Vec<JobId>) -> NotificationOutcome {
+    pub(super) fn accept_cancellations(&self, job_ids: Vec<JobId>) -> NotificationOutcome {
         let Some(term) = self.view.read().serving_term() else {
-            return NotificationOutcome::NotTaken;
+            return NotificationOutcome::NotAccepted;
         };
         let event = TermEvent::PeerCancellations {
             job_ids,
@@ -44,11 +44,11 @@
         };
         let sent = self
             .events
-            .send_timeout(event.in_term(term), NOTIFY_LIMIT / 2);
+            .send_timeout(event.in_term(term), NOTIFY_TIMEOUT / 2);
         if sent.is_ok() {
-            NotificationOutcome::TakenOn
+            NotificationOutcome::Accepted
         } else {
-            NotificationOutcome::NotTaken
+            NotificationOutcome::NotAccepted
         }
     }
 
@@ -68,7 +68,7 @@
         let role = self.view.read().role.clone();
         let leader = match role {
             RoleView::Leader(_) => {
-                self.take_on_cancellations(job_ids.to_vec());
+                self.accept_cancellations(job_ids.to_vec());
                 return;
             }
             RoleView::Follower(Some(leader)) => leader,
@@ -78,7 +78,7 @@
             return;
         };
         let names = job_ids.iter().map(|job_id| job_id.0.clone()).collect();
-        if let Err(e) = peer.call(&PeerRequest::Cancelled(names), NOTIFY_LIMIT) {
+        if let Err(e) = peer.call(&PeerRequest::Cancelled(names), NOTIFY_TIMEOUT) {
             let jobs = job_ids.len();
             log::debug!("leader not notified of cancellations jobs={jobs} error=\"{e}\"");
         }
@@ -144,7 +144,7 @@
             job_ids,
             next,
             more,
-        }) = peer.call(&request, PAGE_LIMIT)
+        }) = peer.call(&request, PAGE_TIMEOUT)
         else {
             return None;
         };
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Between two tries to take a token of the cloud's rate.
-const RATE_PAUSE: Duration = Duration::from_millis(150);
+const RATE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// How often it is checked what has to be read, without a wakeup.
 const READ_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 /// Between two reads of the list of machines.
@@ -24,19 +24,19 @@
 /// Between two reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(120);
 /// The same after a read that failed.
-const TYPES_RETRY: Duration = Duration::from_secs(5);
+const TYPES_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 /// How long one call of the key-value store may take.
-const STORE_CALL_LIMIT: Duration = Duration::from_millis(1500);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Carries out rentals and returns, in order, within the cloud's rate.
-pub(super) fn carry_out_orders(
+pub(super) fn execute_orders(
     context: &NodeContext,
-    rate: &TokenBucket,
+    rate_limiter: &TokenBucket,
     orders: &Receiver<CloudOrder>,
 ) {
     while let Ok(order) = orders.recv() {
-        while !rate.try_take(1.0) {
-            if context.stop.wait(RATE_PAUSE) {
+        while !rate_limiter.try_take(1.0) {
+            if context.stop.wait(RATE_RETRY_INTERVAL) {
                 return;
             }
         }
@@ -88,44 +88,44 @@
 }
 
 /// Reads the machine types and the list of machines, while this node leads.
-pub(super) fn read_cloud(context: &NodeContext, rate: &TokenBucket, wakeup: &Receiver<()>) {
-    let mut next_types = Instant::now();
-    let mut next_list = Instant::now();
+pub(super) fn read_cloud(context: &NodeContext, rate_limiter: &TokenBucket, wakeup: &Receiver<()>) {
+    let mut next_types_read = Instant::now();
+    let mut next_list_read = Instant::now();
     while !context.stop.is_stopped() {
         // Woken at the begin of a term.
         let _ = wakeup.recv_timeout(READ_CHECK_INTERVAL);
         let Some(term) = context.view.read().leading_term() else {
-            next_types = Instant::now();
-            next_list = Instant::now();
+            next_types_read = Instant::now();
+            next_list_read = Instant::now();
             continue;
         };
         let now = Instant::now();
-        if now >= next_list && rate.try_take(1.0) {
-            next_list = now + LIST_INTERVAL;
-            read_machines(context, term, rate);
+        if now >= next_list_read && rate_limiter.try_take(1.0) {
+            next_list_read = now + LIST_INTERVAL;
+            read_machines(context, term, rate_limiter);
         }
-        if now >= next_types && rate.try_take(1.0) {
-            let answered = read_types(context, term);
-            next_types = now
+        if now >= next_types_read && rate_limiter.try_take(1.0) {
+            let answered = read_machine_types(context, term);
+            next_types_read = now
                 + if answered {
                     TYPES_INTERVAL
                 } else {
-                    TYPES_RETRY
+                    TYPES_RETRY_INTERVAL
                 };
         }
     }
 }
 
-fn read_machines(context: &NodeContext, term: Term, rate: &TokenBucket) {
-    let mut after = String::new();
+fn read_machines(context: &NodeContext, term: Term, rate_limiter: &TokenBucket) {
+    let mut after_id = String::new();
     let mut machines: Vec<CloudMachine> = Vec::new();
-    while let Some(page) = context.cloud.list_machines(&after) {
+    while let Some(page) = context.cloud.list_machines(&after_id) {
         if let Some(last) = page.machines.last() {
-            after = last.id.0.clone();
+            after_id = last.id.0.clone();
         }
         let at_end = !page.has_next || page.machines.is_empty();
         machines.extend(page.machines);
-        if at_end || !rate.try_take(1.0) {
+        if at_end || !rate_limiter.try_take(1.0) {
             break;
         }
     }
@@ -136,13 +136,13 @@
 }
 
 /// Reads the machine types. Returns whether the cloud answered.
-fn read_types(context: &NodeContext, term: Term) -> bool {
+fn read_machine_types(context: &NodeContext, term: Term) -> bool {
     let Some(listed) = context.cloud.machine_types() else {
         return false;
     };
-    let machine_types = machine_types(&listed);
+    let machine_types = parse_machine_types(&listed);
     if !machine_types.is_empty() {
-        store_types(context, term, listed);
+        store_machine_types(context, term, listed);
         context.view.set_machine_types(machine_types.clone());
         let _ = context.events.send(Event::MachineTypes(machine_types));
     }
@@ -150,17 +150,17 @@
 }
 
 /// The machine types that this version can use.
-pub(super) fn machine_types(listed: &WireMachineTypes) -> Vec<MachineType> {
+pub(super) fn parse_machine_types(listed: &WireMachineTypes) -> Vec<MachineType> {
     let types = listed.machine_types.iter();
     types.filter_map(|listed| listed.try_into().ok()).collect()
 }
 
 /// Keeps the machine types in the key-value store, where they outlive the cloud's outages.
-fn store_types(context: &NodeContext, term: Term, listed: WireMachineTypes) {
+fn store_machine_types(context: &NodeContext, term: Term, listed: WireMachineTypes) {
     let class = RequestClass::Leader;
     let read = context
         .store
-        .get::<StoredLeader>(keys::LEADER_KEY, class, STORE_CALL_LIMIT);
+        .get::<StoredLeader>(keys::LEADER_KEY, class, STORE_CALL_TIMEOUT);
     let Ok(Some(leader)) = read else {
         return;
     };
@@ -175,7 +175,7 @@
     };
     let written = context
         .store
-        .transaction(&conditions, vec![change], class, STORE_CALL_LIMIT);
+        .transaction(&conditions, vec![change], class, STORE_CALL_TIMEOUT);
     if let Err(e) = written {
         log::info!("machine types not stored error=\"{e}\"");
     }
--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// How much longer a delivery by way of a peer may take than a direct one.
-const PEER_OVERHEAD: Duration = Duration::from_millis(500);
+const MAX_PEER_OVERHEAD: Duration = Duration::from_millis(500);
 
 /// Sends commands until the queue ends.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<CommandDelivery>) {
@@ -37,30 +37,30 @@
 
 fn send(context: &NodeContext, delivery: &CommandDelivery) -> Option<Vec<u8>> {
     let body = agent::encode_commands(delivery.token, delivery.incarnation, &delivery.commands);
-    match delivering_peer(context, &delivery.machine) {
-        Some(peer) => send_through(peer, &context.agent_client, &delivery.endpoint, body),
+    match relay_peer(context, &delivery.machine) {
+        Some(peer) => send_through_peer(peer, &context.agent_client, &delivery.endpoint, body),
         None => agent::send_commands(&context.agent_client, &delivery.endpoint, &body),
     }
 }
 
 /// The peer that sends to this machine: always the same one, so that its connections are used again.
-fn delivering_peer<'a>(context: &'a NodeContext, machine: &MachineId) -> Option<&'a Peer> {
+fn relay_peer<'a>(context: &'a NodeContext, machine: &MachineId) -> Option<&'a Peer> {
     let now = Instant::now();
     let live = context.view.live_peers(now);
     let is_live = |peer: &Peer| live.iter().any(|p| p.member == peer.member);
-    let able: Vec<&Arc<Peer>> = context
+    let eligible: Vec<&Arc<Peer>> = context
         .peers
         .iter()
         .filter(|peer| peer.accepts_commands(now) && is_live(peer))
         .collect();
-    if able.is_empty() {
+    if eligible.is_empty() {
         return None;
     }
-    let index = ImageKey::of(&machine.0).0 as usize % able.len();
-    Some(able[index])
+    let index = ImageKey::of(&machine.0).0 as usize % eligible.len();
+    Some(eligible[index])
 }
 
-fn send_through(
+fn send_through_peer(
     peer: &Peer,
     client: &ureq::Agent,
     endpoint: &str,
@@ -70,7 +70,7 @@
         endpoint: endpoint.to_owned(),
         body,
     };
-    let answer = peer.call(&request, agent::COMMAND_TIMEOUT + PEER_OVERHEAD);
+    let answer = peer.call(&request, agent::COMMAND_TIMEOUT + MAX_PEER_OVERHEAD);
     let now = Instant::now();
     match answer {
         Ok(PeerResponse::Command(response)) => {
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -102,8 +102,8 @@
     }
 
     /// Sets this node's rates of changes in the key-value store by what all nodes ask for.
-    pub fn share_store_rate(&self, now: Instant) {
-        let demand = |peer: &Arc<Peer>| self.view.demand_of(&peer.member, now);
+    pub fn rebalance_store_rate(&self, now: Instant) {
+        let demand = |peer: &Arc<Peer>| self.view.peer_demand(&peer.member, now);
         let peers: Vec<_> = self.peers.iter().map(demand).collect();
         self.store.budget().rebalance(&peers, now);
     }
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -9,7 +9,7 @@
 use crate::core::persistence::keys::{CONTROL_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY};
 use crate::net::store::StoreError;
 use crate::net::wire::{StoredLeader, WatchEvent, WireMachineTypes};
-use crate::runtime::cloud_workers::machine_types;
+use crate::runtime::cloud_workers::parse_machine_types;
 use crate::runtime::context::NodeContext;
 use crate::runtime::elector::ElectorEvent;
 use rand::Rng;
@@ -19,11 +19,11 @@
 use std::time::{Duration, Instant};
 
 /// How long one call of the key-value store may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long the store may hold a watch without a change.
-const WATCH_BLOCK: Duration = Duration::from_secs(5);
+const WATCH_BLOCK_TIMEOUT: Duration = Duration::from_secs(5);
 /// Before a watch that ended is begun again, in milliseconds.
-const RESTART_PAUSE_MS: Range<u64> = 300..600;
+const RESTART_DELAY_MS: Range<u64> = 300..600;
 
 /// The value of a control key.
 #[derive(Deserialize)]
@@ -52,18 +52,19 @@
             let answered = e == StoreError::RevisionTooOld;
             context.view.record_store_call(answered, Instant::now());
         }
-        let pause = rand::thread_rng().gen_range(RESTART_PAUSE_MS);
-        context.stop.wait(Duration::from_millis(pause));
+        let delay_ms = rand::thread_rng().gen_range(RESTART_DELAY_MS);
+        context.stop.wait(Duration::from_millis(delay_ms));
     }
 }
 
 /// Reads the control keys, then follows their changes until a call fails.
 fn watch(context: &NodeContext) -> Result<(), StoreError> {
-    let mut revision = read_all(context)?;
+    let mut revision = read_control_keys(context)?;
     while !context.stop.is_stopped() {
-        let changes = context
-            .store
-            .watch::<ControlValue>(CONTROL_PREFIX, revision, WATCH_BLOCK)?;
+        let changes =
+            context
+                .store
+                .watch::<ControlValue>(CONTROL_PREFIX, revision, WATCH_BLOCK_TIMEOUT)?;
         context.view.record_store_call(true, Instant::now());
         revision = changes.revision.max(revision);
         for change in changes.events {
@@ -74,10 +75,10 @@
 }
 
 /// Reads the control keys, and returns the revision from which to follow them.
-fn read_all(context: &NodeContext) -> Result<u64, StoreError> {
+fn read_control_keys(context: &NodeContext) -> Result<u64, StoreError> {
     let class = RequestClass::Leader;
     let store = &context.store;
-    let listing = store.list::<ControlValue>(CONTROL_PREFIX, class, CALL_LIMIT)?;
+    let listing = store.list::<ControlValue>(CONTROL_PREFIX, class, CALL_TIMEOUT)?;
     context.view.record_store_call(true, Instant::now());
     let mut leader = None;
     for entry in listing.entries {
@@ -115,7 +116,7 @@
 }
 
 fn apply_types(context: &NodeContext, listed: &WireMachineTypes) {
-    let machine_types = machine_types(listed);
+    let machine_types = parse_machine_types(listed);
     if !machine_types.is_empty() {
         context.view.set_machine_types(machine_types);
     }
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -79,7 +79,9 @@
                 cluster.load_dependents_list(job_id);
             }
         }
-        TermEvent::CancellationsRead { asked } => cluster.leadership.on_cancellations_read(asked),
+        TermEvent::CancellationsRead { requested_at } => {
+            cluster.leadership.on_cancellations_read(requested_at)
+        }
         TermEvent::PeerCancellations { job_ids, coverage } => {
             for job_id in &job_ids {
                 cluster.on_cancelled(now, job_id, CancelSource::Peer);
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -17,17 +17,17 @@
 /// Jobs' counts are for display: users may learn of them a second late.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
 /// Between two ticks.
-const TICK: Duration = Duration::from_millis(150);
+const TICK_INTERVAL: Duration = Duration::from_millis(150);
 /// How often the rate of changes in the key-value store is shared out among the nodes.
-const SHARE_INTERVAL: Duration = Duration::from_millis(500);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Events taken before the core acts.
-const MAX_EVENTS_PER_TURN: usize = 64;
+const MAX_EVENTS_PER_ITERATION: usize = 64;
 
 /// Serves the core until the service ends.
 pub(super) fn run(context: &NodeContext, events: &Receiver<Event>, channels: &ActionChannels) {
     let mut core = CoreLoop::new(context, channels);
     while !context.stop.is_stopped() {
-        core.turn(events);
+        core.run_iteration(events);
     }
 }
 
@@ -40,7 +40,7 @@
     next_tick: Instant,
     last_tick: Instant,
     next_publish: Instant,
-    next_share: Instant,
+    next_rebalance: Instant,
     next_summary: Instant,
     last_resumed_at: Option<Instant>,
 }
@@ -56,20 +56,20 @@
             next_tick: now,
             last_tick: now,
             next_publish: now,
-            next_share: now,
+            next_rebalance: now,
             next_summary: now + context.settings.operations.metrics_interval,
             last_resumed_at: None,
         }
     }
 
     /// Waits for events until the next tick, takes them, and has the core act on them.
-    fn turn(&mut self, events: &Receiver<Event>) {
-        self.share_store_rate();
+    fn run_iteration(&mut self, events: &Receiver<Event>) {
+        self.rebalance_store_rate();
         let until_tick = self.next_tick.saturating_duration_since(Instant::now());
         let first = events.recv_timeout(until_tick).ok();
         let now = Instant::now();
         self.check_clocks(now);
-        self.take_events(first, events, now);
+        self.handle_events(first, events, now);
         if now >= self.next_tick {
             self.measure_timer_lag(now);
             self.tick(now);
@@ -78,11 +78,11 @@
         }
     }
 
-    fn share_store_rate(&mut self) {
+    fn rebalance_store_rate(&mut self) {
         let now = Instant::now();
-        if now >= self.next_share {
-            self.next_share = now + SHARE_INTERVAL;
-            self.context.share_store_rate(now);
+        if now >= self.next_rebalance {
+            self.next_rebalance = now + REBALANCE_INTERVAL;
+            self.context.rebalance_store_rate(now);
         }
     }
 
@@ -102,13 +102,13 @@
     }
 
     /// Takes what has queued up in one go, so that a late thread catches up.
-    fn take_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
+    fn handle_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
         let mut next = first;
-        let mut taken = 0;
+        let mut handled = 0;
         while let Some(event) = next {
-            self.take(event, now);
-            taken += 1;
-            next = if taken < MAX_EVENTS_PER_TURN {
+            self.handle_event(event, now);
+            handled += 1;
+            next = if handled < MAX_EVENTS_PER_ITERATION {
                 events.try_recv().ok()
             } else {
                 None
@@ -116,9 +116,9 @@
         }
     }
 
-    fn take(&mut self, event: Event, now: Instant) {
+    fn handle_event(&mut self, event: Event, now: Instant) {
         match event {
-            Event::Lead(cluster) => {
+            Event::StartTerm(cluster) => {
                 self.progress.clear();
                 self.context.view.set_loaded_term(Some(cluster.term));
                 self.cluster = Some(*cluster);
@@ -152,7 +152,9 @@
     /// The last tick's own length counts: in a node that cannot keep up that is what grows.
     fn measure_timer_lag(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.last_tick);
-        self.context.timer_lag.record(passed.saturating_sub(TICK));
+        self.context
+            .timer_lag
+            .record(passed.saturating_sub(TICK_INTERVAL));
         self.last_tick = now;
     }
 
@@ -160,7 +162,7 @@
     fn tick(&mut self, now: Instant) {
         let context = self.context;
         let Some(cluster) = self.cluster.as_mut() else {
-            self.next_tick = Instant::now() + TICK;
+            self.next_tick = Instant::now() + TICK_INTERVAL;
             return;
         };
         let confirmed = refresh_permissions(context, cluster);
@@ -169,7 +171,7 @@
             .observe_timer_lag(now, context.max_timer_lag());
         let actions = cluster.tick(now);
         let duration = now.elapsed();
-        self.next_tick = Instant::now() + TICK;
+        self.next_tick = Instant::now() + TICK_INTERVAL;
         context.meters.rounds.record(duration);
         cluster.set_tick_duration(duration);
         // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
@@ -178,13 +180,13 @@
             let _ = self.channels.elector_events.try_send(event);
         }
         perform(context, cluster, actions, now, self.channels);
-        context.view.set_unrecorded(cluster.jobs_to_look_up());
+        context.view.set_unrecorded_jobs(cluster.jobs_to_look_up());
         if now >= self.next_publish {
             self.next_publish = now + PUBLISH_INTERVAL;
             self.progress.publish(&context.view, cluster);
             context
                 .view
-                .set_unresolved(cluster.unresolved_dependencies());
+                .set_unresolved_dependencies(cluster.unresolved_dependencies());
         }
         self.log_summary_if_due(now);
     }
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 /// Shown while starts are not limited.
-const UNLIMITED: f64 = -1.0;
+const NO_START_LIMIT: f64 = -1.0;
 
 /// Publishes the task counts of live jobs, of those that changed since the last time.
 #[derive(Default)]
@@ -60,7 +60,7 @@
         cluster.term.0,
         cluster.jobs.len(),
         context.timer_lag.average().as_millis(),
-        start_limit.map_or(UNLIMITED, f64::round),
+        start_limit.map_or(NO_START_LIMIT, f64::round),
         cluster.fleet.machines.len(),
         meters.starts.take_log_fields("starts"),
         meters.rounds.take_log_fields("rounds"),
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -13,7 +13,7 @@
 use crate::net::store::StoreError;
 use crate::net::wire::StoredLeader;
 use crate::node::view::{NodeView, RoleView};
-use crate::runtime::campaign::{campaign, Candidacy, Victory};
+use crate::runtime::campaign::{campaign, Candidacy, WonCampaign};
 use crate::runtime::context::NodeContext;
 use crate::runtime::control_watch::leader_record;
 use crate::runtime::events::Event;
@@ -25,19 +25,19 @@
 use std::time::{Duration, Instant};
 
 /// How long one call of the key-value store may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How often it is checked what is due, without an event.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A lease is renewed, and may take to be renewed, this part of its duration.
 const RENEWALS_PER_LEASE: u32 = 4;
 /// A leader that resigned since it received no heartbeats campaigns again only after this.
-const RESIGNATION_PAUSE: Duration = Duration::from_secs(10);
+const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
 /// How long a node without workers leaves a vacant leadership to others.
-const YIELD_TIME: Duration = Duration::from_millis(900);
+const YIELD_PERIOD: Duration = Duration::from_millis(900);
 /// The pause after a campaign that another node won, in milliseconds.
-const LOST_PAUSE_MS: Range<u64> = 100..400;
+const LOST_CAMPAIGN_BACKOFF_MS: Range<u64> = 100..400;
 /// The pause after a campaign that failed, in milliseconds.
-const FAILED_PAUSE_MS: Range<u64> = 300..800;
+const FAILED_CAMPAIGN_BACKOFF_MS: Range<u64> = 300..800;
 
 /// A message to the elector's thread.
 pub enum ElectorEvent {
@@ -54,16 +54,16 @@
     let mut elector = Elector::new(context.clone());
     while !context.stop.is_stopped() {
         let event = events.recv_timeout(CHECK_INTERVAL);
-        elector.advance(event);
+        elector.handle_event(event);
     }
-    elector.end();
+    elector.shut_down();
 }
 
 struct Elector {
     context: Arc<NodeContext>,
     leadership: Leadership,
     /// Tells two incarnations of this member apart.
-    boot: u64,
+    boot_id: u64,
     /// How long the lease of the present term lasts without a renewal.
     lease_duration: Duration,
     /// The lease of the present term.
@@ -80,11 +80,11 @@
     fn new(context: Arc<NodeContext>) -> Elector {
         let lease_duration = context.settings.operations.leader_lease;
         let renewal_interval = lease_duration / RENEWALS_PER_LEASE;
-        let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
+        let boot_id: u64 = rand::thread_rng().gen::<u64>() >> 1;
         Elector {
             leadership: Leadership::new(&context.settings.member, renewal_interval),
             context,
-            boot,
+            boot_id,
             lease_duration,
             lease_id: None,
             term_stop: StopSignal::new(),
@@ -94,22 +94,22 @@
     }
 
     /// Takes an event, and does what is due then.
-    fn advance(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
-        let step = self.take(event);
-        let asked = ClockReading::now();
-        match self.hold_back(step) {
+    fn handle_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
+        let step = self.step_for_event(event);
+        let requested_at = ClockReading::now();
+        match self.defer_campaign(step) {
             Step::Wait => {}
-            Step::Renew => self.renew(asked),
+            Step::Renew => self.renew(requested_at),
             Step::StepDown => {
                 log::info!("stepping down");
                 self.step_down();
             }
-            Step::Campaign { revision } => self.campaign(revision, asked),
+            Step::Campaign { revision } => self.campaign(revision, requested_at),
         }
         publish(&self.context.view, &self.leadership);
     }
 
-    fn take(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) -> Step {
+    fn step_for_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) -> Step {
         let now = Instant::now();
         match event {
             Ok(ElectorEvent::LeaderKey(found)) => {
@@ -124,11 +124,11 @@
 
     /// Resigns from a term in which no heartbeats are received.
     fn resign(&mut self, now: Instant, term: Term) -> Step {
-        let step = self.leadership.resign(now, term, RESIGNATION_PAUSE);
+        let step = self.leadership.resign(now, term, RESIGNATION_BACKOFF);
         if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
             log::warn!("resigned, no heartbeats received term={}", term.0);
             // If this fails, the lease ends by itself.
-            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
+            let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
         step
     }
@@ -136,23 +136,23 @@
     /// Holds back campaigns that must wait. Before the first read of the leader key its absence means
     /// nothing. And a node that receives no heartbeats lets those go first that do, unless the key is its
     /// own earlier incarnation's.
-    fn hold_back(&mut self, step: Step) -> Step {
+    fn defer_campaign(&mut self, step: Step) -> Step {
         let Step::Campaign { revision } = step else {
             self.vacant_since = None;
             return step;
         };
         let now = Instant::now();
         let since = *self.vacant_since.get_or_insert(now);
-        let yielded = now.saturating_duration_since(since) >= YIELD_TIME;
-        let may_go_first = revision != 0 || yielded || self.context.workers.any(now);
-        if self.leader_key_read && may_go_first {
+        let yield_period_over = now.saturating_duration_since(since) >= YIELD_PERIOD;
+        let may_campaign = revision != 0 || yield_period_over || self.context.workers.any(now);
+        if self.leader_key_read && may_campaign {
             step
         } else {
             Step::Wait
         }
     }
 
-    fn renew(&mut self, asked: ClockReading) {
+    fn renew(&mut self, requested_at: ClockReading) {
         let limit = self.lease_duration / RENEWALS_PER_LEASE;
         let view = &self.context.view;
         let renewal = self
@@ -161,8 +161,8 @@
         match renewal {
             Some(Ok(())) => {
                 view.record_store_call(true, Instant::now());
-                view.set_lease(asked, self.lease_duration);
-                self.leadership.on_lease_renewed(asked.steady);
+                view.set_lease(requested_at, self.lease_duration);
+                self.leadership.on_lease_renewed(requested_at.steady);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("leader lease expired");
@@ -185,65 +185,67 @@
         publish(&self.context.view, &self.leadership);
     }
 
-    fn campaign(&mut self, revision: u64, asked: ClockReading) {
+    fn campaign(&mut self, revision: u64, requested_at: ClockReading) {
         let candidacy = Candidacy {
-            boot: self.boot,
+            boot_id: self.boot_id,
             leader_revision: revision,
         };
         match campaign(&self.context, &candidacy) {
-            Ok(Some(victory)) => self.lead(victory, asked),
-            Ok(None) => self.observe_again(LOST_PAUSE_MS),
+            Ok(Some(won_campaign)) => self.begin_term(won_campaign, requested_at),
+            Ok(None) => self.back_off(LOST_CAMPAIGN_BACKOFF_MS),
             Err(e) => {
                 log::info!("campaign failed error=\"{e}\"");
                 self.context.view.record_store_call(false, Instant::now());
-                self.observe_again(FAILED_PAUSE_MS);
+                self.back_off(FAILED_CAMPAIGN_BACKOFF_MS);
             }
         }
     }
 
     /// Begins the term that was won.
-    fn lead(&mut self, victory: Victory, asked: ClockReading) {
+    fn begin_term(&mut self, won_campaign: WonCampaign, requested_at: ClockReading) {
         let WonTerm {
             term,
             leader_revision,
-        } = victory.won;
-        self.lease_duration = victory.lease_duration;
+        } = won_campaign.won_term;
+        self.lease_duration = won_campaign.lease_duration;
         let renewal_interval = self.lease_duration / RENEWALS_PER_LEASE;
         self.leadership.set_renewal_interval(renewal_interval);
-        self.context.view.set_lease(asked, self.lease_duration);
+        self.context
+            .view
+            .set_lease(requested_at, self.lease_duration);
         self.leadership
             .on_campaign_won(Instant::now(), term, leader_revision);
-        self.lease_id = Some(victory.lease_id);
+        self.lease_id = Some(won_campaign.lease_id);
         self.term_stop = StopSignal::new();
         log::info!("leading term={}", term.0);
         publish(&self.context.view, &self.leadership);
         let (context, stop) = (self.context.clone(), self.term_stop.clone());
         let spawned = std::thread::Builder::new()
             .name("term".into())
-            .spawn(move || serve_term(&context, victory.won, &stop));
+            .spawn(move || serve_term(&context, won_campaign.won_term, &stop));
         if let Err(e) = spawned {
             log::error!("term thread not started error=\"{e}\"");
         }
     }
 
     /// After a campaign that was not won: a pause, and the leader key as it stands.
-    fn observe_again(&mut self, pause_ms: Range<u64>) {
-        let pause = rand::thread_rng().gen_range(pause_ms);
+    fn back_off(&mut self, backoff_ms: Range<u64>) {
+        let backoff = rand::thread_rng().gen_range(backoff_ms);
         self.leadership
-            .on_campaign_lost(Instant::now(), Duration::from_millis(pause));
+            .on_campaign_lost(Instant::now(), Duration::from_millis(backoff));
         let class = RequestClass::Leader;
         let store = &self.context.store;
-        if let Ok(found) = store.get::<StoredLeader>(LEADER_KEY, class, CALL_LIMIT) {
+        if let Ok(found) = store.get::<StoredLeader>(LEADER_KEY, class, CALL_TIMEOUT) {
             let found = found.map(|entry| leader_record(entry.value, entry.revision));
             self.leadership.on_leader_key(Instant::now(), found);
         }
     }
 
     /// The service ends: the next leader need not wait for the lease.
-    fn end(&self) {
+    fn shut_down(&self) {
         self.term_stop.stop();
         if let Some(lease_id) = self.lease_id {
-            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
+            let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
     }
 }
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -17,7 +17,7 @@
 /// A message to the core's thread.
 pub enum Event {
     /// The cluster state of a new term was loaded: lead with it.
-    Lead(Box<ClusterState>),
+    StartTerm(Box<ClusterState>),
     /// This node leads no more.
     StepDown,
     /// Heartbeats that were received together and are answered together.
@@ -80,7 +80,7 @@
     /// All cancellations that the key-value store held at this time were sent before this event.
     CancellationsRead {
         /// When the store was asked.
-        asked: ClockReading,
+        requested_at: ClockReading,
     },
     /// A peer, or a user by way of this node or a peer, has cancelled jobs.
     PeerCancellations {
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -18,17 +18,17 @@
 use std::time::{Duration, Instant};
 
 /// How long a frame of heartbeats may take to the leader and back: a worker waits 4 s.
-const RELAY_LIMIT: Duration = Duration::from_millis(2500);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long heartbeats wait for a leader. With the relay they are answered within the worker's 4 s.
-const LEADER_WAIT: Duration = Duration::from_millis(2000);
+const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The same, for heartbeats that a peer relayed.
-const RELAYED_LEADER_WAIT: Duration = Duration::from_millis(1000);
+const RELAYED_LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Between two checks for a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// How long the core's queue may be full.
-const QUEUE_LIMIT: Duration = Duration::from_millis(500);
+const ENQUEUE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the core may take to decide.
-const DECISION_LIMIT: Duration = Duration::from_secs(3);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl HeartbeatHandler for NodeContext {
     fn handle(
@@ -40,8 +40,8 @@
         for heartbeat in &heartbeats {
             self.workers.record(heartbeat.from, now);
         }
-        let until = received + LEADER_WAIT;
-        self.wait_for_leader(until);
+        let deadline = received + LEADER_WAIT_TIMEOUT;
+        self.wait_for_leader(deadline);
         let role = self.view.read().role.clone();
         let leader = match role {
             RoleView::Leader(_) => None,
@@ -51,15 +51,15 @@
                 return vec![no_leader; heartbeats.len()];
             }
         };
-        let Sorted {
+        let RoutedHeartbeats {
             mut responses,
             kept,
-        } = self.redirect_excess(heartbeats, leader.as_deref(), now);
+        } = self.redirect_excess_workers(heartbeats, leader.as_deref(), now);
         if kept.is_empty() {
             return responses;
         }
         let decided = match leader {
-            None => self.decide(&kept.bodies, until),
+            None => self.decide(&kept.bodies, deadline),
             Some(leader) => self.relay(kept.bodies, &kept.senders, leader, now),
         };
         for (position, response) in kept.positions.into_iter().zip(decided) {
@@ -71,23 +71,23 @@
 
 /// Heartbeats that this node keeps, each with its position among the responses.
 #[derive(Default)]
-struct Kept {
+struct KeptHeartbeats {
     positions: Vec<usize>,
     bodies: Vec<Vec<u8>>,
     senders: Vec<IpAddr>,
 }
 
-impl Kept {
+impl KeptHeartbeats {
     fn is_empty(&self) -> bool {
         self.bodies.is_empty()
     }
 }
 
 /// Heartbeats sorted into those that are redirected and those that are kept.
-struct Sorted {
+struct RoutedHeartbeats {
     /// In the order of the heartbeats, with a place held for each that is kept.
     responses: Vec<ApiResponse>,
-    kept: Kept,
+    kept: KeptHeartbeats,
 }
 
 impl NodeContext {
@@ -95,20 +95,20 @@
     /// than until then. Workers that are refused come back a second later: with all of them doing so
     /// after the end of a leader, the nodes did nothing but refuse, and the next leader never came to
     /// load the cluster state.
-    fn wait_for_leader(&self, until: Instant) {
-        while !self.view.read().has_ready_leader() && Instant::now() < until {
+    fn wait_for_leader(&self, deadline: Instant) {
+        while !self.view.read().has_ready_leader() && Instant::now() < deadline {
             if self.stop.wait(LEADER_CHECK_INTERVAL) {
                 return;
             }
         }
     }
 
-    fn redirect_excess(
+    fn redirect_excess_workers(
         &self,
         heartbeats: Vec<ReceivedHeartbeat>,
         leader: Option<&str>,
         now: Instant,
-    ) -> Sorted {
+    ) -> RoutedHeartbeats {
         let peers = self.view.live_peers(now);
         let live_nodes = LiveNodes {
             own: &self.settings.member,
@@ -116,13 +116,13 @@
             peers: &peers,
         };
         let mut responses = Vec::with_capacity(heartbeats.len());
-        let mut kept = Kept::default();
+        let mut kept = KeptHeartbeats::default();
         for (position, heartbeat) in heartbeats.into_iter().enumerate() {
             let target = self
                 .workers
                 .redirect_target(heartbeat.from, &live_nodes, now);
             if let Some(member) = target {
-                responses.push(redirect_to(member));
+                responses.push(redirect_response(member));
                 continue;
             }
             responses.push(ApiResponse::problem(503, "busy"));
@@ -130,7 +130,7 @@
             kept.bodies.push(heartbeat.body);
             kept.senders.push(heartbeat.from);
         }
-        Sorted { responses, kept }
+        RoutedHeartbeats { responses, kept }
     }
 
     /// Has the leader decide. If it is out of reach, the workers are sent to it, who may reach it where
@@ -145,7 +145,7 @@
     ) -> Vec<ApiResponse> {
         let peer = self.peers.iter().find(|peer| peer.member == leader);
         let request = PeerRequest::Heartbeats(bodies);
-        match peer.map(|peer| peer.call(&request, RELAY_LIMIT)) {
+        match peer.map(|peer| peer.call(&request, RELAY_TIMEOUT)) {
             Some(Ok(PeerResponse::Heartbeats(answers))) if answers.len() == senders.len() => {
                 answers
                     .into_iter()
@@ -157,7 +157,7 @@
                     self.workers.forget(*sender);
                 }
                 let response = if self.view.store_ok(now) {
-                    redirect_to(leader)
+                    redirect_response(leader)
                 } else {
                     ApiResponse::problem(503, "the leader is out of reach")
                 };
@@ -168,14 +168,14 @@
 
     /// Answers heartbeats that a peer relayed, if this node leads.
     pub(super) fn decide_relayed(&self, bodies: &[Vec<u8>]) -> Vec<ApiResponse> {
-        self.decide(bodies, Instant::now() + RELAYED_LEADER_WAIT)
+        self.decide(bodies, Instant::now() + RELAYED_LEADER_WAIT_TIMEOUT)
     }
 
     /// Has this node's core decide, if this node leads.
-    fn decide(&self, bodies: &[Vec<u8>], until: Instant) -> Vec<ApiResponse> {
-        self.wait_for_leader(until);
+    fn decide(&self, bodies: &[Vec<u8>], deadline: Instant) -> Vec<ApiResponse> {
+        self.wait_for_leader(deadline);
         if self.view.read().serving_term().is_none() {
-            return vec![not_leading(); bodies.len()];
+            return vec![not_leading_response(); bodies.len()];
         }
         let mut responses = Vec::with_capacity(bodies.len());
         let mut heartbeats = Vec::with_capacity(bodies.len());
@@ -184,7 +184,7 @@
             let decoded = wire::decode::<WireHeartbeat>(body);
             match decoded.and_then(|heartbeat| heartbeat.try_into().ok()) {
                 Some(heartbeat) => {
-                    responses.push(not_leading());
+                    responses.push(not_leading_response());
                     positions.push(position);
                     heartbeats.push(heartbeat);
                 }
@@ -211,18 +211,18 @@
     fn ask_core(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
         let (reply, replies) = bounded(1);
         let event = Event::Heartbeats { heartbeats, reply };
-        if self.events.send_timeout(event, QUEUE_LIMIT).is_err() {
+        if self.events.send_timeout(event, ENQUEUE_TIMEOUT).is_err() {
             return Vec::new();
         }
-        replies.recv_timeout(DECISION_LIMIT).unwrap_or_default()
+        replies.recv_timeout(DECISION_TIMEOUT).unwrap_or_default()
     }
 }
 
-fn not_leading() -> ApiResponse {
+fn not_leading_response() -> ApiResponse {
     ApiResponse::problem(503, "not leading")
 }
 
-fn redirect_to(member: String) -> ApiResponse {
+fn redirect_response(member: String) -> ApiResponse {
     let redirect = LeaderRedirect {
         controller: Some(member),
     };
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -25,13 +25,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Before loading is tried again.
-const RELOAD_PAUSE: Duration = Duration::from_millis(400);
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// How long one page of a list may take.
-const PAGE_LIMIT: Duration = Duration::from_secs(6);
+const PAGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// For how long a page is asked for again.
-const PAGE_PATIENCE: Duration = Duration::from_secs(30);
+const PAGE_RETRY_PERIOD: Duration = Duration::from_secs(30);
 /// How long reading the history's summary may take.
-const HISTORY_LIMIT: Duration = Duration::from_secs(4);
+const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The term that is loaded, as it was won.
 #[derive(Clone, Copy, Debug)]
@@ -43,20 +43,20 @@
 }
 
 /// Loads the cluster state, hands it to the core, then feeds the core the queue's changes.
-pub(super) fn serve_term(context: &NodeContext, won: WonTerm, stop: &StopSignal) {
+pub(super) fn serve_term(context: &NodeContext, won_term: WonTerm, stop: &StopSignal) {
     while !stop.is_stopped() {
-        match load(context, won, stop) {
+        match load(context, won_term, stop) {
             Ok((cluster, revision)) => {
-                let event = Event::Lead(Box::new(cluster));
+                let event = Event::StartTerm(Box::new(cluster));
                 if context.events.send(event).is_ok() {
                     let _ = context.cloud_wakeup.try_send(());
-                    queue_feed::run(context, won.term, revision, stop);
+                    queue_feed::run(context, won_term.term, revision, stop);
                 }
                 return;
             }
             Err(e) => {
-                log::info!("loading failed term={} error=\"{e}\"", won.term.0);
-                stop.wait(RELOAD_PAUSE);
+                log::info!("loading failed term={} error=\"{e}\"", won_term.term.0);
+                stop.wait(LOAD_RETRY_DELAY);
             }
         }
     }
@@ -65,34 +65,34 @@
 /// Loads the cluster state, with the revision from which its queue is to be followed.
 fn load(
     context: &NodeContext,
-    won: WonTerm,
+    won_term: WonTerm,
     stop: &StopSignal,
 ) -> Result<(ClusterState, u64), StoreError> {
-    let began = ClockReading::now();
+    let read_started_at = ClockReading::now();
     let records = read_records(context, stop)?;
-    let outcomes = ended_jobs(context, &records.live, stop)?;
-    let dependencies = ended_dependencies(context, &records.live, stop)?;
+    let outcomes = read_ended_job_outcomes(context, &records.live, stop)?;
+    let dependencies = read_ended_dependencies(context, &records.live, stop)?;
     let (jobs, intent_keys) = (records.live.len(), records.intents.len());
     let revision = records.revision;
     let now = Instant::now();
-    let mut cluster = empty_cluster(context, won, now);
+    let mut cluster = empty_cluster(context, won_term, now);
     let peers = context.peers.iter().map(|peer| peer.member.clone());
-    cluster.leadership.set_peers(peers, began);
-    cluster.take_over(now, snapshot(records, outcomes, dependencies));
-    let term = won.term.0;
+    cluster.leadership.set_peers(peers, read_started_at);
+    cluster.take_over(now, build_snapshot(records, outcomes, dependencies));
+    let term = won_term.term.0;
     log::info!("loaded term={term} jobs={jobs} intent_keys={intent_keys}");
     Ok((cluster, revision))
 }
 
-fn empty_cluster(context: &NodeContext, won: WonTerm, now: Instant) -> ClusterState {
+fn empty_cluster(context: &NodeContext, won_term: WonTerm, now: Instant) -> ClusterState {
     let started_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64);
     let machine_types = context.view.read().machine_types.clone();
     let config = context.settings.config.clone();
     let start = TermStart {
-        term: won.term,
-        leader_revision: won.leader_revision,
+        term: won_term.term,
+        leader_revision: won_term.leader_revision,
         machine_types,
         started_at: now,
         started_ms,
@@ -102,7 +102,7 @@
 
 /// What was read of the key-value store, as it is stored.
 struct StoredRecords {
-    lists: Vec<ListEntry<IgnoredAny>>,
+    dependents_lists: Vec<ListEntry<IgnoredAny>>,
     live: Vec<ListEntry<StoredJob>>,
     unreadable_live: Vec<String>,
     cancel_marks: Vec<ListEntry<IgnoredAny>>,
@@ -114,17 +114,17 @@
 }
 
 fn read_records(context: &NodeContext, stop: &StopSignal) -> Result<StoredRecords, StoreError> {
-    let lists = read_all(context, keys::DEPENDENTS_PREFIX, stop)?.entries;
+    let dependents_lists = read_all(context, keys::DEPENDENTS_PREFIX, stop)?.entries;
     let live = read_readable(context, keys::LIVE_JOB_PREFIX, stop)?;
     let cancel_marks = read_all(context, keys::CANCEL_MARK_PREFIX, stop)?.entries;
     let intents = read_readable(context, keys::INTENT_PREFIX, stop)?;
     let history = context.store.get::<StoredHistory>(
         keys::HISTORY_KEY,
         RequestClass::Leader,
-        HISTORY_LIMIT,
+        HISTORY_TIMEOUT,
     )?;
     Ok(StoredRecords {
-        lists,
+        dependents_lists,
         cancel_marks,
         history: history.map(|entry| entry.value),
         revision: live.revision,
@@ -142,8 +142,8 @@
 ) -> Result<Listing<T>, StoreError> {
     let options = ListOptions {
         class: RequestClass::Leader,
-        page_timeout: PAGE_LIMIT,
-        retry_for: PAGE_PATIENCE,
+        page_timeout: PAGE_TIMEOUT,
+        retry_for: PAGE_RETRY_PERIOD,
     };
     context.store.list_with_retries(prefix, options, stop)
 }
@@ -201,13 +201,13 @@
 }
 
 /// The outcomes of ended jobs whose place in the index of live jobs is not removed yet.
-fn ended_jobs(
+fn read_ended_job_outcomes(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
     stop: &StopSignal,
 ) -> Result<HashMap<JobId, JobOutcome>, StoreError> {
-    let job_ids = jobs_under(keys::LIVE_JOB_PREFIX, live);
-    let statuses = status_reads::read_accepted(context, &job_ids, stop)?;
+    let job_ids = job_ids_under(keys::LIVE_JOB_PREFIX, live);
+    let statuses = status_reads::read_accepted_jobs(context, &job_ids, stop)?;
     let outcomes = statuses
         .into_iter()
         .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)))
@@ -216,7 +216,7 @@
 }
 
 /// The outcomes of dependencies of live jobs that are not live themselves.
-fn ended_dependencies(
+fn read_ended_dependencies(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
     stop: &StopSignal,
@@ -231,7 +231,7 @@
         .filter_map(|name| JobId::parse(name))
         .collect();
     let ended: Vec<JobId> = ended.into_iter().collect();
-    let statuses = status_reads::read_accepted(context, &ended, stop)?;
+    let statuses = status_reads::read_accepted_jobs(context, &ended, stop)?;
     let outcomes = statuses
         .into_iter()
         .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
@@ -239,7 +239,7 @@
 }
 
 /// The jobs that keys under a prefix name.
-fn jobs_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
+fn job_ids_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
     let names = pairs
         .iter()
         .filter_map(|entry| entry.key.strip_prefix(prefix));
@@ -247,12 +247,12 @@
 }
 
 /// The records in the core's form. What cannot be read is named, and no part of it is dropped.
-fn snapshot(
+fn build_snapshot(
     records: StoredRecords,
     outcomes: HashMap<JobId, JobOutcome>,
     dependencies: Vec<(JobId, JobOutcome)>,
 ) -> StoredSnapshot {
-    let (jobs, undecodable_live) = live_jobs(records.live);
+    let (jobs, undecodable_live) = decode_live_jobs(records.live);
     let unreadable_live = [records.unreadable_live, undecodable_live].concat();
     for key in unreadable_live.iter().chain(&records.unreadable_intents) {
         log::error!("unreadable record left unchanged key={key}");
@@ -266,9 +266,12 @@
         jobs,
         outcomes,
         dependency_outcomes: dependencies,
-        jobs_with_dependents_list: jobs_under(keys::DEPENDENTS_PREFIX, &records.lists),
-        cancel_marks: jobs_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
-        chunks: intents(records.intents),
+        jobs_with_dependents_list: job_ids_under(
+            keys::DEPENDENTS_PREFIX,
+            &records.dependents_lists,
+        ),
+        cancel_marks: job_ids_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
+        chunks: decode_intents(records.intents),
         unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
         unreadable_intents: unreadable_intents
             .filter_map(|key| Some(keys::parse_chunk_key(key)?.0))
@@ -277,7 +280,7 @@
 }
 
 /// The live jobs, and the keys of records that cannot be decoded.
-fn live_jobs(records: Vec<ListEntry<StoredJob>>) -> (Vec<StoredLiveJob>, Vec<String>) {
+fn decode_live_jobs(records: Vec<ListEntry<StoredJob>>) -> (Vec<StoredLiveJob>, Vec<String>) {
     let (mut jobs, mut undecodable) = (Vec::new(), Vec::new());
     for entry in records {
         let revision = entry.revision;
@@ -289,7 +292,7 @@
     (jobs, undecodable)
 }
 
-fn intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredIntents> {
+fn decode_intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredIntents> {
     let parsed = records.into_iter().filter_map(|entry| {
         let (job_id, index) = keys::parse_chunk_key(&entry.key)?;
         Some(StoredIntents {
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -17,30 +17,30 @@
 use std::time::Duration;
 
 /// A peer says hello each second: one that is silent for this long is gone.
-const READ_LIMIT: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a peer may take to read an answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// After a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// A peer's thread needs little stack.
-const STACK_BYTES: usize = 256 * 1024;
+const PEER_THREAD_STACK_BYTES: usize = 256 * 1024;
 
 /// Accepts connections of other controllers until the service ends.
 pub(super) fn run(context: &Arc<NodeContext>, api: &Arc<ApiContext>, listener: &TcpListener) {
     let max_connections = context.settings.socket_budget().peers;
-    let open = Arc::new(AtomicUsize::new(0));
+    let open_connections = Arc::new(AtomicUsize::new(0));
     while !context.stop.is_stopped() {
         match listener.accept() {
             Ok((stream, _)) => {
-                if open.fetch_add(1, Ordering::Relaxed) >= max_connections {
-                    open.fetch_sub(1, Ordering::Relaxed);
+                if open_connections.fetch_add(1, Ordering::Relaxed) >= max_connections {
+                    open_connections.fetch_sub(1, Ordering::Relaxed);
                     continue;
                 }
-                start_connection(context, api, stream, &open);
+                start_connection(context, api, stream, &open_connections);
             }
             Err(e) => {
                 log::warn!("peer connection not accepted error=\"{e}\"");
-                context.stop.wait(ACCEPT_PAUSE);
+                context.stop.wait(ACCEPT_RETRY_DELAY);
             }
         }
     }
@@ -51,37 +51,37 @@
     context: &Arc<NodeContext>,
     api: &Arc<ApiContext>,
     stream: TcpStream,
-    open: &Arc<AtomicUsize>,
+    open_connections: &Arc<AtomicUsize>,
 ) {
-    let (context, api, count) = (context.clone(), api.clone(), open.clone());
+    let (context, api, count) = (context.clone(), api.clone(), open_connections.clone());
     let spawned = std::thread::Builder::new()
         .name("peer".into())
-        .stack_size(STACK_BYTES)
+        .stack_size(PEER_THREAD_STACK_BYTES)
         .spawn(move || {
             serve_connection(&context, &api, stream);
             count.fetch_sub(1, Ordering::Relaxed);
         });
     if spawned.is_err() {
-        open.fetch_sub(1, Ordering::Relaxed);
+        open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 fn serve_connection(context: &NodeContext, api: &ApiContext, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(READ_LIMIT));
-    let _ = stream.set_write_timeout(Some(WRITE_LIMIT));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     while !context.stop.is_stopped() {
         let Ok(request) = peer::read_frame::<PeerRequest>(&mut stream) else {
             return;
         };
-        let response = answer(context, api, request);
+        let response = handle_request(context, api, request);
         if peer::write_frame(&mut stream, &response).is_err() {
             return;
         }
     }
 }
 
-fn answer(context: &NodeContext, api: &ApiContext, request: PeerRequest) -> PeerResponse {
+fn handle_request(context: &NodeContext, api: &ApiContext, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Hello(hello) => {
             PeerResponse::Hello(peer_status_exchange::answer_hello(context, hello))
@@ -110,8 +110,8 @@
         }
         PeerRequest::Cancelled(names) => {
             let job_ids = names.iter().filter_map(|name| JobId::parse(name)).collect();
-            let outcome = context.take_on_cancellations(job_ids);
-            PeerResponse::Cancelled(outcome == NotificationOutcome::TakenOn)
+            let outcome = context.accept_cancellations(job_ids);
+            PeerResponse::Cancelled(outcome == NotificationOutcome::Accepted)
         }
         PeerRequest::UserRequest { method, path, body } => {
             let response = user_requests::handle_for_peer(api, &method, &path, &body);
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -18,7 +18,7 @@
 /// Between two hellos to a peer.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
 /// How long a peer may take to answer one.
-const HELLO_LIMIT: Duration = Duration::from_millis(1500);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Jobs whose counts go with one hello.
 const MAX_PROGRESS_PER_HELLO: usize = 2000;
 
@@ -31,13 +31,13 @@
 
 /// The progress that a peer has acknowledged.
 #[derive(Default)]
-struct AnnouncedProgress {
+struct AcknowledgedProgress {
     counts: HashMap<JobId, TaskCounts>,
 }
 
-impl AnnouncedProgress {
+impl AcknowledgedProgress {
     /// What has changed since, if this node leads.
-    fn update(&mut self, context: &NodeContext) -> ProgressUpdate {
+    fn pending_update(&mut self, context: &NodeContext) -> ProgressUpdate {
         let mut update = ProgressUpdate::default();
         let state = context.view.read();
         if state.leading_term().is_none() {
@@ -62,7 +62,7 @@
     }
 
     /// The peer has received this update.
-    fn confirm(&mut self, update: ProgressUpdate) {
+    fn record_acknowledged(&mut self, update: ProgressUpdate) {
         self.counts.extend(task_counts(update.changed));
         for name in update.ended {
             self.counts.remove(&JobId(name));
@@ -87,12 +87,12 @@
 
 /// Reports to one peer until the service ends, and reads its cancellations while this node leads.
 pub(super) fn run(context: &NodeContext, peer: &Peer) {
-    let mut announced = AnnouncedProgress::default();
+    let mut acknowledged = AcknowledgedProgress::default();
     let mut cancellations = CancellationReader::default();
     while !context.stop.wait(HELLO_INTERVAL) {
-        let update = announced.update(context);
-        let request = PeerRequest::Hello(hello(context, update.clone()));
-        match peer.call(&request, HELLO_LIMIT) {
+        let update = acknowledged.pending_update(context);
+        let request = PeerRequest::Hello(build_hello(context, update.clone()));
+        match peer.call(&request, HELLO_TIMEOUT) {
             Ok(PeerResponse::Hello(answer)) => {
                 record_hello(context, &answer);
                 let extension = HelloExtension::decode(&answer.finished_jobs);
@@ -100,10 +100,10 @@
                 if extension.store_rates_reduced {
                     context.store.budget().reduce_rates(Instant::now());
                 }
-                announced.confirm(update);
+                acknowledged.record_acknowledged(update);
             }
             Ok(_) => {}
-            Err(_) => announced.clear(),
+            Err(_) => acknowledged.clear(),
         }
         cancellations.read(context, peer);
     }
@@ -123,11 +123,11 @@
     let extension = HelloExtension::current(context.store.budget().rates_reduced());
     Hello {
         finished_jobs: extension.encode(),
-        ..hello(context, ProgressUpdate::default())
+        ..build_hello(context, ProgressUpdate::default())
     }
 }
 
-fn hello(context: &NodeContext, update: ProgressUpdate) -> Hello {
+fn build_hello(context: &NodeContext, update: ProgressUpdate) -> Hello {
     let now = Instant::now();
     let (leader_term, highest_term) = {
         let state = context.view.read();
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -24,17 +24,17 @@
 /// How long the store may hold the watch without a change, at most.
 const MAX_WATCH_BLOCK: Duration = Duration::from_secs(5);
 /// The watch answers at least so often within the watermark's largest age.
-const ANSWERS_PER_MAX_AGE: u32 = 3;
+const RESPONSES_PER_MAX_AGE: u32 = 3;
 /// After a watch that failed.
-const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long reading the whole queue may take.
-const READ_LIMIT: Duration = Duration::from_secs(4);
+const QUEUE_READ_TIMEOUT: Duration = Duration::from_secs(4);
 /// After a read of the whole queue that failed.
-const READ_RETRY_PAUSE: Duration = Duration::from_millis(500);
+const QUEUE_READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often obsolete lists of dependents are looked for.
 const LIST_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
 /// How long that may hold up the watch.
-const LIST_SWEEP_LIMIT: Duration = Duration::from_millis(500);
+const LIST_SWEEP_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The value of a key in the queue.
 #[derive(Deserialize)]
@@ -56,11 +56,11 @@
     };
     let config = &context.settings.config;
     let bound = WatermarkBound::new(config.lease, config.cancel);
-    let block = MAX_WATCH_BLOCK.min(bound.max_age / ANSWERS_PER_MAX_AGE);
+    let block_timeout = MAX_WATCH_BLOCK.min(bound.max_age / RESPONSES_PER_MAX_AGE);
     while !stop.is_stopped() {
         feed.resolve_dependencies();
         feed.sweep_lists_if_due();
-        feed.follow(block);
+        feed.watch_queue(block_timeout);
     }
 }
 
@@ -82,12 +82,12 @@
     /// Reads the outcomes of dependencies of which the leader knows nothing: they ended while the
     /// acceptance of their dependents was under way. What stays unknown is read ever more rarely.
     fn resolve_dependencies(&mut self) {
-        let unresolved = self.context.view.read().unresolved.clone();
-        let due = self.backoff.due(&unresolved, Instant::now());
+        let unresolved_dependencies = self.context.view.read().unresolved_dependencies.clone();
+        let due = self.backoff.due(&unresolved_dependencies, Instant::now());
         if due.is_empty() {
             return;
         }
-        if let Ok(found) = status_reads::read_accepted(self.context, &due, self.stop) {
+        if let Ok(found) = status_reads::read_accepted_jobs(self.context, &due, self.stop) {
             let outcomes = found
                 .into_iter()
                 .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
@@ -111,7 +111,7 @@
         let prefix = keys::DEPENDENTS_PREFIX;
         let store = &self.context.store;
         let class = RequestClass::Leader;
-        let Ok(lists) = store.list::<IgnoredAny>(prefix, class, LIST_SWEEP_LIMIT) else {
+        let Ok(lists) = store.list::<IgnoredAny>(prefix, class, LIST_SWEEP_TIMEOUT) else {
             return;
         };
         let job_ids: Vec<JobId> = lists
@@ -125,61 +125,66 @@
     }
 
     /// Waits for changes of the queue, and passes them on.
-    fn follow(&mut self, block: Duration) {
-        let asked = ClockReading::now();
+    fn watch_queue(&mut self, block_timeout: Duration) {
+        let requested_at = ClockReading::now();
         let prefix = keys::QUEUE_PREFIX;
         let store = &self.context.store;
-        match store.watch::<QueueValue>(prefix, self.revision, block) {
+        match store.watch::<QueueValue>(prefix, self.revision, block_timeout) {
             Ok(changes) => {
                 self.revision = self.revision.max(changes.revision);
                 for change in changes.events {
                     if let Some(key) = change.put {
-                        self.pass_on(&key, change.value, change.revision.unwrap_or(0));
+                        self.forward(&key, change.value, change.revision.unwrap_or(0));
                     }
                 }
-                self.send(TermEvent::CancellationsRead { asked });
+                self.send(TermEvent::CancellationsRead { requested_at });
             }
-            Err(StoreError::RevisionTooOld) => self.read_all(asked),
+            Err(StoreError::RevisionTooOld) => self.read_queue(requested_at),
             Err(_) => {
-                self.stop.wait(WATCH_RETRY_PAUSE);
+                self.stop.wait(WATCH_RETRY_DELAY);
             }
         }
     }
 
     /// Reads the whole queue: the store does not hold the changes any more.
-    fn read_all(&mut self, asked: ClockReading) {
+    fn read_queue(&mut self, requested_at: ClockReading) {
         let prefix = keys::QUEUE_PREFIX;
         let store = &self.context.store;
-        match store.list::<QueueValue>(prefix, RequestClass::Leader, READ_LIMIT) {
+        match store.list::<QueueValue>(prefix, RequestClass::Leader, QUEUE_READ_TIMEOUT) {
             Ok(listing) => {
                 for entry in listing.entries {
-                    self.pass_on(&entry.key, Some(entry.value), entry.revision);
+                    self.forward(&entry.key, Some(entry.value), entry.revision);
                 }
                 self.revision = listing.revision;
-                self.send(TermEvent::CancellationsRead { asked });
+                self.send(TermEvent::CancellationsRead { requested_at });
             }
             Err(_) => {
-                self.stop.wait(READ_RETRY_PAUSE);
+                self.stop.wait(QUEUE_READ_RETRY_DELAY);
             }
         }
     }
 
-    fn pass_on(&self, key: &str, value: Option<QueueValue>, revision: u64) {
-        if let Some(event) = self.event_of(key, value, revision) {
+    fn forward(&self, key: &str, value: Option<QueueValue>, revision: u64) {
+        if let Some(event) = self.event_for_key(key, value, revision) {
             self.send(event);
         }
     }
 
-    fn event_of(&self, key: &str, value: Option<QueueValue>, revision: u64) -> Option<TermEvent> {
+    fn event_for_key(
+        &self,
+        key: &str,
+        value: Option<QueueValue>,
+        revision: u64,
+    ) -> Option<TermEvent> {
         if let Some(job_id) = key.strip_prefix(keys::CANCEL_MARK_PREFIX) {
             return JobId::parse(job_id).map(TermEvent::CancelMarkRead);
         }
         match value? {
             QueueValue::Job(job) => match JobSpec::try_from(*job) {
-                Ok(spec) => self.accepted_job(spec, revision),
-                Err(_) => skip_unreadable(key),
+                Ok(spec) => self.event_for_job(spec, revision),
+                Err(_) => log_unreadable(key),
             },
-            QueueValue::Other(_) if key.starts_with(keys::LIVE_JOB_PREFIX) => skip_unreadable(key),
+            QueueValue::Other(_) if key.starts_with(keys::LIVE_JOB_PREFIX) => log_unreadable(key),
             QueueValue::Other(_) => None,
         }
     }
@@ -187,7 +192,7 @@
     /// The index keeps a job for a while after its outcome. One that is done was the leader's already.
     /// One that is cancelled may not have been, if the watch is late: its place in the index is the
     /// leader's to remove all the same.
-    fn accepted_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
+    fn event_for_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
         let outcome = self.context.view.final_outcome(&spec.job_id);
         let spec = Box::new(spec);
         let job = AcceptedJob { spec, revision };
@@ -200,7 +205,7 @@
 }
 
 /// Nothing of such a job is on a machine: its record is new.
-fn skip_unreadable(key: &str) -> Option<TermEvent> {
+fn log_unreadable(key: &str) -> Option<TermEvent> {
     log::error!("unreadable record left unchanged key={key}");
     None
 }
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -51,13 +51,13 @@
 /// Time for a connection to the key-value store.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Connections to it that are kept for the leader's own duties.
-const LEADER_STORE_CONNECTIONS: usize = 8;
+const IDLE_LEADER_STORE_CONNECTIONS: usize = 8;
 /// Time for a connection to the cloud.
 const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections kept to the cloud.
-const CLOUD_CONNECTIONS: usize = 2;
+const IDLE_CLOUD_CONNECTIONS: usize = 2;
 /// The part of the cloud's rate that is used.
-const CLOUD_RATE_PART: f64 = 0.8;
+const CLOUD_RATE_FRACTION: f64 = 0.8;
 /// For how many seconds' worth of that rate a burst may last.
 const CLOUD_BURST_S: f64 = 1.5;
 /// How often `wait` checks for the end of the service.
@@ -71,7 +71,7 @@
 }
 
 /// The receiving ends of a node's channels, for the threads that serve them.
-struct Queues {
+struct Receivers {
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
     transactions: Receiver<LeaderTransaction>,
@@ -99,12 +99,12 @@
     pub fn start(settings: Settings) -> std::io::Result<Service> {
         let api_listener = http_server::bind(settings.http_bind)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
-        let (context, channels, queues) = connect(settings);
+        let (context, channels, receivers) = create_context_and_channels(settings);
         let api = Arc::new(api_context(&context));
         let mut threads = Threads::default();
-        start_core(&mut threads, &context, channels, &queues)?;
-        start_cloud(&mut threads, &context, &queues)?;
-        start_leadership(&mut threads, &context, &queues)?;
+        start_core(&mut threads, &context, channels, &receivers)?;
+        start_cloud(&mut threads, &context, &receivers)?;
+        start_leadership(&mut threads, &context, &receivers)?;
         start_peers(&mut threads, &context, &api, peer_listener)?;
         let heartbeat_handler: Arc<dyn HeartbeatHandler> = context.clone();
         server::serve(&api, &heartbeat_handler, api_listener, &mut |name, run| {
@@ -137,7 +137,9 @@
 }
 
 /// The channels of a node, and what its threads share.
-fn connect(settings: Settings) -> (Arc<NodeContext>, ActionChannels, Queues) {
+fn create_context_and_channels(
+    settings: Settings,
+) -> (Arc<NodeContext>, ActionChannels, Receivers) {
     let (events, event_queue) = bounded(EVENT_CAPACITY);
     let (elector_events, elector_queue) = bounded(ELECTOR_EVENT_CAPACITY);
     let (transactions, transaction_queue) = bounded(TRANSACTION_CAPACITY);
@@ -150,7 +152,7 @@
         cloud_orders,
         elector_events: elector_events.clone(),
     };
-    let queues = Queues {
+    let receivers = Receivers {
         events: event_queue,
         elector_events: elector_queue,
         transactions: transaction_queue,
@@ -160,11 +162,11 @@
     };
     let clocks = ClockReading::now();
     let meters = LatencyMeters::default();
-    let seeds = settings.peers.iter();
-    let peers = seeds.map(|seed| Arc::new(Peer::new(&seed.member, seed.address)));
+    let peer_settings = settings.peers.iter();
+    let peers = peer_settings.map(|peer| Arc::new(Peer::new(&peer.member, peer.address)));
     let context = NodeContext {
-        store: Arc::new(connect_store(&settings, &meters, clocks.steady)),
-        cloud: connect_cloud(&settings, &meters),
+        store: Arc::new(create_store_client(&settings, &meters, clocks.steady)),
+        cloud: create_cloud_client(&settings, &meters),
         meters,
         view: Arc::new(NodeView::new(clocks.steady)),
         events,
@@ -179,10 +181,10 @@
         transaction_limits: TransactionLimits::from(&settings),
         settings,
     };
-    (Arc::new(context), channels, queues)
+    (Arc::new(context), channels, receivers)
 }
 
-fn connect_store(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
+fn create_store_client(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
     // One for each thread that asks for a user, and for the leader's own duties.
@@ -190,16 +192,16 @@
     let config = HttpClientConfig {
         address: settings.store_address,
         connect_timeout: STORE_CONNECT_TIMEOUT,
-        idle_connections: user_connections + LEADER_STORE_CONNECTIONS,
+        idle_connections: user_connections + IDLE_LEADER_STORE_CONNECTIONS,
     };
     KvStore::new(HttpClient::new(config, meters.store.clone()), budget)
 }
 
-fn connect_cloud(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
+fn create_cloud_client(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
     let config = HttpClientConfig {
         address: settings.cloud_address,
         connect_timeout: CLOUD_CONNECT_TIMEOUT,
-        idle_connections: CLOUD_CONNECTIONS,
+        idle_connections: IDLE_CLOUD_CONNECTIONS,
     };
     CloudClient::new(HttpClient::new(config, meters.cloud.clone()))
 }
@@ -224,38 +226,40 @@
     threads: &mut Threads,
     context: &Arc<NodeContext>,
     channels: ActionChannels,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
-    let (node, events) = (context.clone(), queues.events.clone());
+    let (node, events) = (context.clone(), receivers.events.clone());
     threads.spawn("core", move || core_loop::run(&node, &events, &channels))?;
-    let (node, transactions) = (context.clone(), queues.transactions.clone());
+    let (node, transactions) = (context.clone(), receivers.transactions.clone());
     threads.spawn("store-writer", move || {
         store_writer::run(&node, &transactions);
     })?;
     for _ in 0..context.settings.operations.command_threads {
-        let (node, commands) = (context.clone(), queues.commands.clone());
+        let (node, commands) = (context.clone(), receivers.commands.clone());
         threads.spawn("command-sender", move || {
             command_sender::run(&node, &commands);
         })?;
     }
     let node = context.clone();
-    threads.spawn("status-reads", move || status_reads::run_unrecorded(&node))
+    threads.spawn("status-reads", move || {
+        status_reads::run_unrecorded_job_reads(&node)
+    })
 }
 
 /// Scaling out and in, and the reads of the cloud, which share its rate.
 fn start_cloud(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
-    let rate = context.settings.cloud_rate * CLOUD_RATE_PART;
+    let rate = context.settings.cloud_rate * CLOUD_RATE_FRACTION;
     let rate = Arc::new(TokenBucket::new(rate, CLOUD_BURST_S, Instant::now()));
-    let (node, orders) = (context.clone(), queues.cloud_orders.clone());
+    let (node, orders) = (context.clone(), receivers.cloud_orders.clone());
     let order_rate = rate.clone();
     threads.spawn("cloud-orders", move || {
-        cloud_workers::carry_out_orders(&node, &order_rate, &orders);
+        cloud_workers::execute_orders(&node, &order_rate, &orders);
     })?;
-    let (node, wakeup) = (context.clone(), queues.cloud_wakeup.clone());
+    let (node, wakeup) = (context.clone(), receivers.cloud_wakeup.clone());
     threads.spawn("cloud-reader", move || {
         cloud_workers::read_cloud(&node, &rate, &wakeup);
     })
@@ -265,11 +269,11 @@
 fn start_leadership(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
     let node = context.clone();
     threads.spawn("control-watch", move || control_watch::run(&node))?;
-    let (node, events) = (context.clone(), queues.elector_events.clone());
+    let (node, events) = (context.clone(), receivers.elector_events.clone());
     threads.spawn("elector", move || elector::run(&node, &events))
 }
 
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -16,35 +16,36 @@
 /// How often it is checked for jobs without a record.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Before a call that failed is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long reading the statuses of accepted jobs may take in all.
-const READ_LIMIT: Duration = Duration::from_secs(20);
+const TOTAL_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Reads the statuses of jobs that are known to have been accepted, until all are read or the time is up.
 ///
 /// A call whose answer is lost is made again, and what has been read is kept: with one long wait for each
 /// answer a leader loaded for 100 s while a third of the answers were lost.
-pub(super) fn read_accepted(
+pub(super) fn read_accepted_jobs(
     context: &NodeContext,
     job_ids: &[JobId],
     stop: &StopSignal,
 ) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
     let mut statuses = HashMap::new();
-    let deadline = Instant::now() + READ_LIMIT;
+    let deadline = Instant::now() + TOTAL_READ_TIMEOUT;
     for chunk in job_ids.chunks(context.transaction_limits.status_reads()) {
-        let mut left: BTreeSet<JobId> = chunk.iter().cloned().collect();
-        let mut accepted = left.clone();
+        let mut remaining: BTreeSet<JobId> = chunk.iter().cloned().collect();
+        let mut accepted = remaining.clone();
         loop {
-            let until = (Instant::now() + CALL_LIMIT).min(deadline);
-            let reads = BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, until);
-            let read = job_status_reads::read_statuses(&reads, &left, &mut accepted);
-            left.retain(|job_id| !read.statuses.contains_key(job_id));
+            let call_deadline = (Instant::now() + CALL_TIMEOUT).min(deadline);
+            let reader =
+                BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, call_deadline);
+            let read = job_status_reads::read_statuses(&reader, &remaining, &mut accepted);
+            remaining.retain(|job_id| !read.statuses.contains_key(job_id));
             statuses.extend(read.statuses);
             match read.error {
                 None => break,
-                Some(e) if Instant::now() + RETRY_PAUSE >= deadline || stop.wait(RETRY_PAUSE) => {
+                Some(e) if Instant::now() + RETRY_DELAY >= deadline || stop.wait(RETRY_DELAY) => {
                     return Err(e)
                 }
                 Some(_) => {}
@@ -56,34 +57,34 @@
 
 /// Reads the statuses of jobs of which machines show tasks without a record, until the service ends.
 /// Nothing is assumed of whether they were ever accepted.
-pub(super) fn run_unrecorded(context: &NodeContext) {
+pub(super) fn run_unrecorded_job_reads(context: &NodeContext) {
     let mut backoff = Backoff::default();
     while !context.stop.wait(CHECK_INTERVAL) {
-        let (term, unrecorded) = {
+        let (term, unrecorded_jobs) = {
             let state = context.view.read();
             let Some(term) = state.leading_term() else {
                 continue;
             };
-            (term, state.unrecorded.clone())
+            (term, state.unrecorded_jobs.clone())
         };
-        let due = backoff.due(&unrecorded, Instant::now());
+        let due = backoff.due(&unrecorded_jobs, Instant::now());
         if !due.is_empty() {
-            read_unrecorded(context, term, &due);
+            read_unrecorded_jobs(context, term, &due);
         }
     }
 }
 
-fn read_unrecorded(context: &NodeContext, term: Term, job_ids: &[JobId]) {
+fn read_unrecorded_jobs(context: &NodeContext, term: Term, job_ids: &[JobId]) {
     for chunk in job_ids.chunks(context.transaction_limits.status_reads()) {
         let chunk: BTreeSet<JobId> = chunk.iter().cloned().collect();
-        let until = Instant::now() + CALL_LIMIT;
-        let reads = BudgetedReader::new(
+        let call_deadline = Instant::now() + CALL_TIMEOUT;
+        let reader = BudgetedReader::new(
             &context.store,
             &context.stop,
             ReadPurpose::LeaderDuty,
-            until,
+            call_deadline,
         );
-        let read = job_status_reads::read_statuses(&reads, &chunk, &mut BTreeSet::new());
+        let read = job_status_reads::read_statuses(&reader, &chunk, &mut BTreeSet::new());
         if let Some(e) = read.error {
             log::info!("statuses of unrecorded jobs not read error=\"{e}\"");
         }
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// How long a transaction may take.
-const WRITE_LIMIT: Duration = Duration::from_millis(2000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long reading one key back may take.
-const READ_LIMIT: Duration = Duration::from_millis(1500);
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Writes transactions until the queue ends.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<LeaderTransaction>) {
@@ -35,9 +35,9 @@
 }
 
 fn write(context: &NodeContext, batch: &WriteBatch) -> WriteOutcome {
-    match context.store.commit(batch, WRITE_LIMIT) {
+    match context.store.commit(batch, WRITE_TIMEOUT) {
         Ok(TransactionOutcome::Applied { revision }) => WriteOutcome::Applied { revision },
-        Ok(TransactionOutcome::Failed { keys }) => read_back(context, keys),
+        Ok(TransactionOutcome::Failed { keys }) => read_conflicts(context, keys),
         Err(StoreError::Rejected) => WriteOutcome::Refused,
         Err(e) => {
             let operations = batch.ops.len();
@@ -61,7 +61,7 @@
 }
 
 /// Reads the keys on which a transaction failed, so that the core sees what it met there.
-fn read_back(context: &NodeContext, keys: Vec<String>) -> WriteOutcome {
+fn read_conflicts(context: &NodeContext, keys: Vec<String>) -> WriteOutcome {
     let mut conflicts = Vec::new();
     for key in keys {
         match read_key(context, key) {
@@ -77,12 +77,12 @@
     let store = &context.store;
     let class = RequestClass::Leader;
     let (revision, outcome) = if key.starts_with(keys::OUTCOME_PREFIX) {
-        let entry = store.get::<StoredOutcome>(&key, class, READ_LIMIT)?;
+        let entry = store.get::<StoredOutcome>(&key, class, READ_TIMEOUT)?;
         entry.map_or((0, None), |e| {
             (e.revision, JobOutcome::try_from(&e.value).ok())
         })
     } else {
-        let entry = store.get::<IgnoredAny>(&key, class, READ_LIMIT)?;
+        let entry = store.get::<IgnoredAny>(&key, class, READ_TIMEOUT)?;
         (entry.map_or(0, |e| e.revision), None)
     };
     Ok(ConflictingKey {
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -11,17 +11,17 @@
 use std::time::{Duration, Instant};
 
 /// A worker that comes back within this time of being redirected could not reach the other node.
-const REDIRECT_MEMORY: Duration = Duration::from_secs(60);
+const REDIRECT_COOLDOWN: Duration = Duration::from_secs(60);
 /// At most one worker is redirected in this time: the peers' counts are a second old.
 const REDIRECT_INTERVAL: Duration = Duration::from_millis(60);
 /// Workers are forgotten after as many heartbeat intervals without one.
-const FRESH_HEARTBEATS: f64 = 2.5;
+const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
 /// How often workers and redirections that are too old are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// A node redirects workers beyond its part times this,
-const EXCESS_FACTOR: f64 = 1.2;
+const MAX_LOAD_FACTOR: f64 = 1.2;
 /// and this many more.
-const EXCESS_WORKERS: f64 = 6.0;
+const MAX_EXTRA_WORKERS: f64 = 6.0;
 /// The weight of a follower's part.
 const FOLLOWER_WEIGHT: f64 = 4.0;
 /// The weight of the leader's part.
@@ -48,35 +48,35 @@
 }
 
 #[derive(Default)]
-struct State {
+struct DistributionState {
     last_heartbeats: HashMap<IpAddr, Instant>,
-    redirected: HashMap<IpAddr, Instant>,
+    redirected_at: HashMap<IpAddr, Instant>,
     last_redirect: Option<Instant>,
     last_sweep: Option<Instant>,
 }
 
-impl State {
-    fn sweep(&mut self, fresh: Duration, now: Instant) {
+impl DistributionState {
+    fn sweep(&mut self, max_heartbeat_age: Duration, now: Instant) {
         let swept_recently = |at: Instant| now.saturating_duration_since(at) < SWEEP_INTERVAL;
         if self.last_sweep.is_some_and(swept_recently) {
             return;
         }
         self.last_sweep = Some(now);
-        self.remove_silent(fresh, now);
-        self.redirected
-            .retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_MEMORY);
+        self.remove_stale_workers(max_heartbeat_age, now);
+        self.redirected_at
+            .retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_COOLDOWN);
     }
 
-    fn remove_silent(&mut self, fresh: Duration, now: Instant) {
+    fn remove_stale_workers(&mut self, max_heartbeat_age: Duration, now: Instant) {
         self.last_heartbeats
-            .retain(|_, at| now.saturating_duration_since(*at) < fresh);
+            .retain(|_, at| now.saturating_duration_since(*at) < max_heartbeat_age);
     }
 }
 
 /// The workers that send their heartbeats to this node, by their addresses.
 pub struct WorkerDistribution {
     heartbeat_interval: Duration,
-    state: Mutex<State>,
+    state: Mutex<DistributionState>,
 }
 
 impl WorkerDistribution {
@@ -88,14 +88,14 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, DistributionState> {
         self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn fresh(&self) -> Duration {
-        self.heartbeat_interval.mul_f64(FRESH_HEARTBEATS)
+    fn max_heartbeat_age(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(MAX_HEARTBEAT_AGE_INTERVALS)
     }
 
     /// Records a heartbeat from this address.
@@ -116,7 +116,7 @@
     /// How many workers send their heartbeats here.
     pub fn count(&self, now: Instant) -> u32 {
         let mut state = self.lock();
-        state.remove_silent(self.fresh(), now);
+        state.remove_stale_workers(self.max_heartbeat_age(), now);
         state.last_heartbeats.len() as u32
     }
 
@@ -135,30 +135,30 @@
         if state.last_redirect.is_some_and(just_redirected) {
             return None;
         }
-        state.sweep(self.fresh(), now);
-        if state.redirected.contains_key(&from) {
+        state.sweep(self.max_heartbeat_age(), now);
+        if state.redirected_at.contains_key(&from) {
             return None;
         }
-        let target = node_below_its_part(live_nodes, state.last_heartbeats.len())?;
+        let target = most_underloaded_peer(live_nodes, state.last_heartbeats.len())?;
         state.last_redirect = Some(now);
         state.last_heartbeats.remove(&from);
-        state.redirected.insert(from, now);
+        state.redirected_at.insert(from, now);
         Some(target.to_owned())
     }
 }
 
 /// The peer that lacks most to its part, if this node has too many workers and a peer too few.
-fn node_below_its_part<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
+fn most_underloaded_peer<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
     let peers = live_nodes.peers;
     let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
     let peer_weights = peers.iter().map(|p| live_nodes.weight(&p.member));
     let weights = live_nodes.weight(live_nodes.own) + peer_weights.sum::<f64>();
-    let part_of = |member: &str| workers * live_nodes.weight(member) / weights;
-    if own_workers <= part_of(live_nodes.own) * EXCESS_FACTOR + EXCESS_WORKERS {
+    let fair_share = |member: &str| workers * live_nodes.weight(member) / weights;
+    if own_workers <= fair_share(live_nodes.own) * MAX_LOAD_FACTOR + MAX_EXTRA_WORKERS {
         return None;
     }
-    let excess = |peer: &LivePeer| f64::from(peer.workers) - part_of(&peer.member);
+    let excess = |peer: &LivePeer| f64::from(peer.workers) - fair_share(&peer.member);
     let (member, excess) = peers
         .iter()
         .map(|peer| (&peer.member, excess(peer)))
