--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -17,7 +17,7 @@
 pub struct CancellationLog {
     incarnation: u64,
     /// The position of the oldest entry.
-    first_offset: u64,
+    first: u64,
     entries: VecDeque<JobId>,
 }
 
@@ -41,7 +41,7 @@
     pub(super) fn new() -> CancellationLog {
         CancellationLog {
             incarnation: rand::random(),
-            first_offset: 0,
+            first: 0,
             entries: VecDeque::new(),
         }
     }
@@ -50,20 +50,20 @@
         self.entries.push_back(job_id);
         if self.entries.len() > MAX_ENTRIES {
             self.entries.pop_front();
-            self.first_offset += 1;
+            self.first += 1;
         }
     }
 
     /// The page from a position. Without one, or with one that is not kept any
     /// more, it is empty and tells where a reader may begin.
     pub(super) fn page(&self, from: Option<CancellationPosition>) -> CancellationsPage {
-        let end = self.first_offset + self.entries.len() as u64;
+        let end = self.first + self.entries.len() as u64;
         let from = from.filter(|position| {
             position.incarnation == self.incarnation
-                && (self.first_offset..=end).contains(&position.offset)
+                && (self.first..=end).contains(&position.offset)
         });
         let start = from.map_or(end, |position| position.offset);
-        let skipped = (start - self.first_offset) as usize;
+        let skipped = (start - self.first) as usize;
         let page = self.entries.iter().skip(skipped).take(MAX_PAGE_ENTRIES);
         let job_ids: Vec<JobId> = page.cloned().collect();
         let next = start + job_ids.len() as u64;
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -242,7 +242,7 @@
     }
     let node = context.clone();
     threads.spawn("status-reads", move || {
-        status_reads::run_unrecorded_job_reads(&node)
+        status_reads::run_unrecorded_reads(&node)
     })
 }
 
