--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -241,9 +241,7 @@
         })?;
     }
     let node = context.clone();
-    threads.spawn("status-reads", move || {
-        status_reads::run_unrecorded_reads(&node)
-    })
+    threads.spawn("status-reads", move || status_reads::run_lookups(&node))
 }
 
 /// Scaling out and in, and the reads of the cloud, which share its rate.
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -57,7 +57,7 @@
 
 /// Reads the statuses of jobs of which machines show tasks without a record, until the service ends.
 /// Nothing is assumed of whether they were ever accepted.
-pub(super) fn run_unrecorded_reads(context: &NodeContext) {
+pub(super) fn run_lookups(context: &NodeContext) {
     let mut backoff = Backoff::default();
     while !context.stop.wait(CHECK_INTERVAL) {
         let (term, unrecorded_jobs) = {
