--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -1,8 +1,9 @@
-//! The transaction that takes the leadership.
+//! The election campaign: the transaction with which a node becomes the leader.
 //!
-//! Invariant: a term is won by one transaction that binds the leader key to a fresh lease and raises the
-//! term's counter, on condition that neither has changed since they were read. The new term is above
-//! every term that was seen anywhere, also after the key-value store was restored to an earlier state.
+//! Invariant: a node wins a term with a single transaction, which attaches the leader key to a new lease and
+//! increases the term counter. The transaction is conditional on both keys being unchanged since they were
+//! read. The new term is higher than every term that this node has seen from any source, even if the
+//! key-value store was restored to an earlier state.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::Term;
@@ -14,32 +15,34 @@
 use crate::runtime::loading::WonTerm;
 use std::time::Duration;
 
-/// How long one call of the key-value store may take.
+/// Timeout of one call to the key-value store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Timers this late double the leader's lease; later ones add more, up to `MAX_LEASE_EXTENSION_FACTOR`.
+/// The timer lag at which the lease duration is doubled. The extension is proportional to the lag and is
+/// limited by [`MAX_LEASE_EXTENSION_FACTOR`].
 const TIMER_LAG_DOUBLING_LEASE: Duration = Duration::from_millis(200);
-/// At most this many times its duration is added to the leader's lease.
+/// Upper limit of the lease extension, as a multiple of the configured lease duration.
 const MAX_LEASE_EXTENSION_FACTOR: f64 = 3.0;
 
-/// What a node campaigns with.
+/// The inputs of a campaign.
 pub(super) struct Candidacy {
-    /// Tells two incarnations of this member apart.
+    /// A random number that distinguishes the processes of one member.
     pub(super) boot_id: u64,
-    /// The leader key must still have this revision (0: absent).
+    /// The revision that the leader key must still have; 0 if the key must be absent.
     pub(super) leader_revision: u64,
 }
 
 /// A campaign that was won.
 pub(super) struct WonCampaign {
-    /// The term.
+    /// The term, with the revision that the transaction gave to the leader key.
     pub(super) won_term: WonTerm,
-    /// The lease that the leader key is bound to.
+    /// The lease to which the leader key is attached.
     pub(super) lease_id: u64,
-    /// How long the lease lasts without a renewal.
+    /// How long the lease is valid after it was granted or last renewed.
     pub(super) lease_duration: Duration,
 }
 
-/// Campaigns for the next term. None: another node was first.
+/// Campaigns for the next term. Returns `None` if the leader key or the term counter has changed in the
+/// meantime, which means that another node was faster.
 pub(super) fn campaign(
     context: &NodeContext,
     candidacy: &Candidacy,
@@ -50,8 +53,8 @@
     let (last_term, counter_revision) = counter.map_or((0, 0), |e| (e.value, e.revision));
     let lease_duration = compute_lease_duration(context);
     let lease_id = store.grant_lease(lease_duration, CALL_TIMEOUT)?;
-    // Above all terms that workers and peers have shown, too: a store that was put back to an earlier
-    // state would give out numbers that are in use.
+    // The term must also be higher than every term that workers and peers have reported. After the store was
+    // restored to an earlier state, its counter alone would yield terms that are already in use.
     let term = last_term.max(context.view.read().highest_term.0) + 1;
     let won_campaign = |leader_revision| WonCampaign {
         won_term: WonTerm {
@@ -73,8 +76,8 @@
             Ok(None)
         }
         Err(StoreError::Unknown) => {
-            // It may have been applied: the key tells. If it is applied later, the lease that nobody
-            // renews ends that leadership by itself.
+            // The transaction may have been applied, which the leader key shows. If it is applied only after
+            // this read, nobody renews its lease, so that leadership ends when the lease expires.
             let found = store.get::<StoredLeader>(LEADER_KEY, class, CALL_TIMEOUT)?;
             let own = found.filter(|e| e.value.boot == candidacy.boot_id && e.value.term == term);
             Ok(own.map(|entry| won_campaign(entry.revision)))
@@ -83,15 +86,16 @@
     }
 }
 
-/// Nodes that cannot keep up renew late: with a lease that is short for that, each leader lost it while it
-/// loaded, and the next one began anew. So the lease is longer the later timers fire.
+/// Extends the configured lease duration in proportion to the timer lag. Overloaded nodes renew the lease
+/// late: with the configured duration alone, each leader lost its lease while it was loading the cluster
+/// state, and the next leader had to start loading again.
 fn compute_lease_duration(context: &NodeContext) -> Duration {
     let lag = context.max_timer_lag().as_secs_f64() / TIMER_LAG_DOUBLING_LEASE.as_secs_f64();
     let factor = 1.0 + lag.min(MAX_LEASE_EXTENSION_FACTOR);
     context.settings.operations.leader_lease.mul_f64(factor)
 }
 
-/// The leader key on the new lease, and the term's counter raised.
+/// The changes that attach the leader key to the new lease and increase the term counter.
 fn leadership_changes(
     context: &NodeContext,
     candidacy: &Candidacy,
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -1,10 +1,10 @@
-//! How the leader learns of cancellations that other nodes confirmed.
+//! The exchange of cancellations between the nodes, from which the leader learns what other nodes confirmed.
 //!
-//! A cancellation is durable before it is exchanged here. The leader reads it from the key-value store;
-//! this exchange covers a leader that has lost the store, and so would start or keep the job's tasks. It
-//! goes two ways: a node that is about to confirm cancellations notifies the leader, and the leader reads
-//! each peer's log of cancellations. A report counts as coverage only within one term, and only when the
-//! log was read to its end.
+//! A cancellation is durable before it is exchanged here. The leader normally reads it from the key-value
+//! store. This exchange is for a leader that has lost the store and would otherwise start or keep the job's
+//! tasks. It has two paths: a node that is about to confirm cancellations notifies the leader, and the leader
+//! reads each peer's cancellation log. A report proves that all cancellations up to its time are known only
+//! within one term and only if the log was read to its end.
 
 use crate::api::context::CancellationNotifier;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -18,22 +18,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a cancellation's confirmation waits for the leader's acknowledgement.
+/// How long a node waits for the leader's acknowledgement before it confirms a cancellation without it.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the leader waits for one page of a peer's log.
+/// Timeout of reading one page of a peer's cancellation log.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Whether a node took cancellations on as the leader.
+/// Whether a node accepted cancellations as the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotificationOutcome {
-    /// It leads, and its core will cancel the jobs.
+    /// The node leads, and its core will cancel the jobs.
     Accepted,
-    /// It does not lead, or its core is too busy.
+    /// The node does not lead in a loaded term, or the queue of its core stayed full.
     NotAccepted,
 }
 
 impl NodeContext {
-    /// Takes on jobs that a user is about to be told are cancelled, if this node leads.
+    /// Passes cancelled jobs to this node's core, if this node leads. Their cancellation is about to be
+    /// confirmed to a user.
     pub(super) fn accept_cancellations(&self, job_ids: Vec<JobId>) -> NotificationOutcome {
         let Some(term) = self.view.read().serving_term() else {
             return NotificationOutcome::NotAccepted;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The peer of this name, if it is live and supports the notification.
+    /// The peer with this member name, if it is live and supports the notification.
     fn notifiable_peer(&self, member: &str) -> Option<&Arc<Peer>> {
         let live = self.view.live_peers(Instant::now());
         self.peers.iter().find(|peer| {
@@ -85,15 +86,16 @@
     }
 }
 
-/// Reads one peer's log of cancellations while this node leads.
+/// Reads one peer's cancellation log while this node leads.
 #[derive(Default)]
 pub(super) struct CancellationReader {
+    /// The term for which the log is being read.
     term: Option<Term>,
-    /// Where to continue in the peer's log.
+    /// Where to continue in the peer's log; `None` before the first read of a term.
     position: Option<CancellationPosition>,
 }
 
-/// One page of a peer's log, as it was read.
+/// One page of a peer's cancellation log.
 struct ReadPage {
     job_ids: Vec<JobId>,
     report: CancellationReport,
@@ -101,11 +103,11 @@
 }
 
 impl CancellationReader {
-    /// Reads what the peer has added to its log, and passes it to the core.
+    /// Reads the new entries of the peer's log and passes them to the core.
     pub(super) fn read(&mut self, context: &NodeContext, peer: &Peer) {
         let term = context.view.read().serving_term();
         if term != self.term {
-            // No report counts across a term.
+            // Reports are valid only within one term, so a new term starts without a position.
             (self.term, self.position) = (term, None);
         }
         let Some(term) = term.filter(|_| peer.supports(VERSION_WITH_CANCELLATIONS)) else {
@@ -117,7 +119,8 @@
                 return;
             };
             has_more = page.has_more;
-            // What is reported in pages covers nothing before the last of them.
+            // A report that spans several pages counts only with the last page. A report that does not
+            // continue the previous one is passed on as well, so that the core knows of the gap.
             let covers = !page.has_more || !page.report.is_continuous;
             let coverage = covers.then(|| CancellationCoverage {
                 peer: peer.member.clone(),
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -1,7 +1,8 @@
-//! The threads that talk to the cloud: scaling out and in, and reading machine types and machines.
+//! The threads that call the cloud: they rent and return machines, and read the machine types and the list of
+//! machines.
 //!
-//! All of them share the cloud's rate. Invariant: machines are returned only under a leader lease that
-//! has certainly not run out, since they may work for another leader by then.
+//! These threads share one rate limit. Invariant: machines are returned only while this node certainly holds
+//! the leader lease, because otherwise another leader may already be using them.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
 use crate::core::capacity::RentalOutcome;
@@ -15,20 +16,20 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Between two tries to take a token of the cloud's rate.
+/// Interval between attempts to take a token from the rate limiter.
 const RATE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// How often it is checked what has to be read, without a wakeup.
+/// Longest time between two checks for due reads when no wakeup arrives.
 const READ_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two reads of the list of machines.
+/// Interval between reads of the list of machines.
 const LIST_INTERVAL: Duration = Duration::from_secs(15);
-/// Between two reads of the machine types.
+/// Interval between reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(120);
-/// The same after a read that failed.
+/// Time before the machine types are read again after the cloud did not answer.
 const TYPES_RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// How long one call of the key-value store may take.
+/// Timeout of one call to the key-value store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Carries out rentals and returns, in order, within the cloud's rate.
+/// Executes rentals and returns in order, within the cloud's rate limit.
 pub(super) fn execute_orders(
     context: &NodeContext,
     rate_limiter: &TokenBucket,
@@ -52,8 +53,9 @@
     }
 }
 
-/// What is rented under an uncertain leadership is adopted by whoever leads. But an order that waited
-/// during a pause of this process is not carried out for a term that may be over.
+/// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the rented
+/// machines. It is not allowed if, in addition, the process resumed recently: the order may have waited during
+/// the pause, and its term may be over.
 fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
     let may_rent =
         context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
@@ -76,7 +78,8 @@
     }
 }
 
-/// An order that waited while this node was cut off must not take machines that work for a new leader.
+/// Returns machines, but only under a valid leader lease. The order may have waited while this node was
+/// partitioned, and the machines may be working for a new leader.
 fn return_machines(context: &NodeContext, term: Term, machines: Vec<MachineId>) -> TermEvent {
     let returned = context.holds_leader_lease(term) && context.cloud.return_machines(&machines);
     let outcome = if returned {
@@ -87,12 +90,12 @@
     TermEvent::ReturnEnded { machines, outcome }
 }
 
-/// Reads the machine types and the list of machines, while this node leads.
+/// Reads the machine types and the list of machines periodically while this node leads.
 pub(super) fn read_cloud(context: &NodeContext, rate_limiter: &TokenBucket, wakeup: &Receiver<()>) {
     let mut next_types_read = Instant::now();
     let mut next_list_read = Instant::now();
     while !context.stop.is_stopped() {
-        // Woken at the begin of a term.
+        // The wakeup arrives when the cluster state of a new term has been loaded.
         let _ = wakeup.recv_timeout(READ_CHECK_INTERVAL);
         let Some(term) = context.view.read().leading_term() else {
             next_types_read = Instant::now();
@@ -135,7 +138,7 @@
     }
 }
 
-/// Reads the machine types. Returns whether the cloud answered.
+/// Reads the machine types and publishes them. Returns whether the cloud answered.
 fn read_machine_types(context: &NodeContext, term: Term) -> bool {
     let Some(listed) = context.cloud.machine_types() else {
         return false;
@@ -149,13 +152,13 @@
     true
 }
 
-/// The machine types that this version can use.
+/// Converts the machine types from the wire format. Types that this version cannot represent are left out.
 pub(super) fn parse_machine_types(listed: &WireMachineTypes) -> Vec<MachineType> {
     let types = listed.machine_types.iter();
     types.filter_map(|listed| listed.try_into().ok()).collect()
 }
 
-/// Keeps the machine types in the key-value store, where they outlive the cloud's outages.
+/// Stores the machine types in the key-value store, where they remain available during outages of the cloud.
 fn store_machine_types(context: &NodeContext, term: Term, listed: WireMachineTypes) {
     let class = RequestClass::Leader;
     let read = context
--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -1,8 +1,8 @@
-//! Sends commands to workers, by way of a follower where one can be used.
+//! Sends commands to workers, through a follower where one is available.
 //!
-//! The leader's processor is the one that limits the cluster, so followers do the sending where they can.
-//! A command is checked against the leadership when it is sent, not only when it is queued: it may have
-//! waited while the leadership was lost.
+//! The leader's processor is the bottleneck of the cluster, so followers send the commands where possible.
+//! The leadership is checked when a command is sent and not only when it is queued, because the leadership may
+//! have been lost while the command was waiting.
 
 use crate::core::model::{ImageKey, MachineId};
 use crate::net::agent;
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How much longer a delivery by way of a peer may take than a direct one.
+/// Time allowed for delivery through a peer in addition to the timeout of a direct delivery.
 const MAX_PEER_OVERHEAD: Duration = Duration::from_millis(500);
 
-/// Sends commands until the queue ends.
+/// Sends commands until all senders of the queue are gone.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<CommandDelivery>) {
     while let Ok(delivery) = queue.recv() {
         let response = if context.leads(delivery.term) {
@@ -43,7 +43,8 @@
     }
 }
 
-/// The peer that sends to this machine: always the same one, so that its connections are used again.
+/// Selects the live peer that sends to this machine, or `None` if the commands are to be sent directly. The
+/// choice depends only on the machine and the set of eligible peers, so that a peer reuses its connections.
 fn relay_peer<'a>(context: &'a NodeContext, machine: &MachineId) -> Option<&'a Peer> {
     let now = Instant::now();
     let live = context.view.live_peers(now);
@@ -86,7 +87,7 @@
             let PeerRequest::Command { body, .. } = request else {
                 return None;
             };
-            // A refusal came at once, so there is time to send it directly.
+            // A refused connection fails immediately, so there is still time for a direct delivery.
             let refused = e.kind() == ErrorKind::ConnectionRefused;
             refused
                 .then(|| agent::send_commands(client, endpoint, &body))
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -1,4 +1,4 @@
-//! What the threads of a node share.
+//! The context of a node: clients, channels and state that its threads share.
 
 use crate::common::metrics::{LatencyMeter, TimerLag};
 use crate::common::stop_signal::StopSignal;
@@ -18,90 +18,91 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// For how many leases after a pause a leader's lease may have ended without its knowing.
+/// A process counts as recently resumed for this many durations of the leader's lease after a pause. During
+/// this time, the lease may have expired without the leader having noticed.
 const RESUMED_RECENTLY_LEASES: u32 = 2;
 
-/// How long this node's calls and rounds take, for the summary line.
+/// Latencies of this node's calls and rounds, for the periodic summary in the log.
 #[derive(Default)]
 pub struct LatencyMeters {
-    /// Calls of the key-value store.
+    /// Calls to the key-value store.
     pub store: Arc<LatencyMeter>,
-    /// Calls of the cloud.
+    /// Calls to the cloud.
     pub cloud: Arc<LatencyMeter>,
-    /// Ticks of the core: a placement round and what goes with it.
+    /// Ticks of the core, which include a placement round.
     pub rounds: LatencyMeter,
-    /// From a durable intent to the task's start.
+    /// Time from when a task's launch intent is known to be durable to the task's start.
     pub starts: LatencyMeter,
 }
 
-/// What the threads of a node share.
+/// The shared context of a node's threads.
 pub struct NodeContext {
-    /// The settings.
+    /// The platform's and the operators' settings, which are fixed while the process runs.
     pub settings: Settings,
-    /// The limits of a transaction in the key-value store.
+    /// The limits that the key-value store sets for one transaction.
     pub transaction_limits: TransactionLimits,
-    /// How long calls and rounds take.
+    /// Latencies of calls and rounds.
     pub meters: LatencyMeters,
-    /// What this node knows.
+    /// The node's role, health, jobs and peers, as its threads see them.
     pub view: Arc<NodeView>,
-    /// The key-value store.
+    /// Client of the key-value store.
     pub store: Arc<KvStore>,
-    /// The cloud.
+    /// Client of the cloud.
     pub cloud: CloudClient,
-    /// To the core's thread.
+    /// Channel to the core thread.
     pub events: Sender<Event>,
-    /// To the elector's thread.
+    /// Channel to the elector thread.
     pub elector_events: Sender<ElectorEvent>,
-    /// Has the cloud read soon.
+    /// Wakes the thread that reads machine types and machines from the cloud.
     pub cloud_wakeup: Sender<()>,
     /// The other controllers.
     pub peers: Vec<Arc<Peer>>,
-    /// Given when the service ends.
+    /// Signals all threads that the service stops.
     pub stop: StopSignal,
-    /// Sends commands to workers.
+    /// HTTP client for commands to workers.
     pub agent_client: ureq::Agent,
-    /// Which workers send their heartbeats here.
+    /// The workers that send their heartbeats to this node.
     pub workers: WorkerDistribution,
     /// Detects pauses of this process.
     pub pause_detector: Arc<PauseDetector>,
-    /// How late timers fire here.
+    /// How late timers fire on this node, averaged.
     pub timer_lag: TimerLag,
 }
 
 impl NodeContext {
-    /// When this process last resumed from a pause.
+    /// When this process last resumed from a pause; `None` if no pause was detected.
     pub fn resumed_at(&self) -> Option<Instant> {
         self.pause_detector.check(ClockReading::now())
     }
 
-    /// Whether this process resumed so recently that a leader's lease may have ended without its knowing.
+    /// Whether this process resumed so recently that the leader's lease may have expired unnoticed.
     pub fn resumed_recently(&self) -> bool {
         let recently = self.settings.operations.leader_lease * RESUMED_RECENTLY_LEASES;
         self.resumed_at().is_some_and(|at| at.elapsed() < recently)
     }
 
-    /// Whether what is read now may have waited in its socket while this process was paused.
+    /// Whether data that is read now may have been waiting in its socket while this process was paused.
     pub fn just_resumed(&self) -> bool {
         self.pause_detector.just_resumed(ClockReading::now())
     }
 
-    /// How late timers fire on the worst node that this one knows of, itself included.
+    /// The largest average timer lag among this node and its live peers.
     pub fn max_timer_lag(&self) -> Duration {
         let peers = self.view.max_peer_timer_lag(Instant::now());
         peers.max(self.timer_lag.average())
     }
 
-    /// Whether this node leads in this term, as far as it knows.
+    /// Whether this node leads in this term, as far as it knows. The lease may already have expired.
     pub fn leads(&self, term: Term) -> bool {
         self.view.read().role == RoleView::Leader(term)
     }
 
-    /// Whether this node leads in this term for certain: nobody else can lead yet.
+    /// Whether this node certainly leads in this term: its lease is valid, so no other node can lead.
     pub fn holds_leader_lease(&self, term: Term) -> bool {
         self.view.holds_leader_lease(term, ClockReading::now())
     }
 
-    /// Sets this node's rates of changes in the key-value store by what all nodes ask for.
+    /// Recomputes this node's shares of the key-value store's change rate from the demand of all nodes.
     pub fn rebalance_store_rate(&self, now: Instant) {
         let demand = |peer: &Arc<Peer>| self.view.peer_demand(&peer.member, now);
         let peers: Vec<_> = self.peers.iter().map(demand).collect();
--- a/src/runtime/control_watch.rs
+++ b/src/runtime/control_watch.rs
@@ -1,7 +1,7 @@
-//! Watches the control keys of the key-value store: the leader key, and the machine types.
+//! Watches the control keys of the key-value store: the leader key and the machine types.
 //!
-//! A watch that ends, for whatever reason, begins again with a read of the keys, so no change is missed
-//! for good. Its answers also tell the node's view whether the store is reachable.
+//! When a watch ends for any reason, the keys are read again before the next watch starts, so that no change
+//! is missed permanently. The results of the calls also show whether the store is reachable.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::leadership::election::LeaderRecord;
@@ -18,14 +18,14 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// How long one call of the key-value store may take.
+/// Timeout of reading the control keys.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long the store may hold a watch without a change.
+/// How long the store may block a watch request that has no changes to return.
 const WATCH_BLOCK_TIMEOUT: Duration = Duration::from_secs(5);
-/// Before a watch that ended is begun again, in milliseconds.
+/// Range of the random delay before a watch that ended is restarted, in milliseconds.
 const RESTART_DELAY_MS: Range<u64> = 300..600;
 
-/// The value of a control key.
+/// The decoded value of a control key.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum ControlValue {
@@ -34,7 +34,7 @@
     Other(IgnoredAny),
 }
 
-/// The leader key's content with its revision.
+/// Combines the stored value of the leader key with the key's revision.
 pub(super) fn leader_record(stored: StoredLeader, revision: u64) -> LeaderRecord {
     LeaderRecord {
         member: stored.member,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Follows the control keys until the service ends.
+/// Watches the control keys until the service stops.
 pub(super) fn run(context: &NodeContext) {
     while !context.stop.is_stopped() {
         if let Err(e) = watch(context) {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the control keys, then follows their changes until a call fails.
+/// Reads the control keys, then watches them until a call fails or the service stops.
 fn watch(context: &NodeContext) -> Result<(), StoreError> {
     let mut revision = read_control_keys(context)?;
     while !context.stop.is_stopped() {
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Reads the control keys, and returns the revision from which to follow them.
+/// Reads the control keys, and returns the revision from which to watch them.
 fn read_control_keys(context: &NodeContext) -> Result<u64, StoreError> {
     let class = RequestClass::Leader;
     let store = &context.store;
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,8 +1,8 @@
-//! The elector's thread: campaigns for the leadership, renews its lease, and steps down.
+//! The elector thread: campaigns for the leadership, renews the leader's lease, and steps down.
 //!
-//! What to do is decided by `core::leadership::election`; this thread carries it out. Invariants: a lease
-//! counts from when its grant or renewal was asked for, never from the answer; and whoever steps down
-//! stops the term's threads before anything else.
+//! `core::leadership::election` decides what to do, and this thread does it. Invariants: the validity of a
+//! lease is counted from when its grant or renewal was requested, never from when the response arrived; and
+//! a leader that steps down stops the threads of its term before it does anything else.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -24,32 +24,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long one call of the key-value store may take.
+/// Timeout of one call to the key-value store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often it is checked what is due, without an event.
+/// Longest time between two checks for due steps when no events arrive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A lease is renewed, and may take to be renewed, this part of its duration.
+/// The renewal interval of the lease, and the timeout of one renewal, are the lease duration divided by this.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// A leader that resigned since it received no heartbeats campaigns again only after this.
+/// Time before a leader that resigned because it received no heartbeats campaigns again.
 const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
-/// How long a node without workers leaves a vacant leadership to others.
+/// How long a node without workers waits for another node to take a vacant leadership.
 const YIELD_PERIOD: Duration = Duration::from_millis(900);
-/// The pause after a campaign that another node won, in milliseconds.
+/// Range of the random back-off after a campaign that another node won, in milliseconds.
 const LOST_CAMPAIGN_BACKOFF_MS: Range<u64> = 100..400;
-/// The pause after a campaign that failed, in milliseconds.
+/// Range of the random back-off after a campaign that failed with an error, in milliseconds.
 const FAILED_CAMPAIGN_BACKOFF_MS: Range<u64> = 300..800;
 
-/// A message to the elector's thread.
+/// A message to the elector thread.
 pub enum ElectorEvent {
-    /// The leader key as it stands, or that it is absent.
+    /// The leader key was read; `None` if it is absent.
     LeaderKey(Option<LeaderRecord>),
-    /// A term that a heartbeat or a peer has shown.
+    /// A heartbeat, a worker's response or a peer reported this term.
     TermSeen(Term),
-    /// The leader of this term receives no heartbeats.
+    /// This node leads in this term but receives no heartbeats.
     NoHeartbeats(Term),
 }
 
-/// Serves the leadership until the service ends.
+/// Runs the elector until the service stops.
 pub(super) fn run(context: &Arc<NodeContext>, events: &Receiver<ElectorEvent>) {
     let mut elector = Elector::new(context.clone());
     while !context.stop.is_stopped() {
@@ -62,17 +62,19 @@
 struct Elector {
     context: Arc<NodeContext>,
     leadership: Leadership,
-    /// Tells two incarnations of this member apart.
+    /// A random number that distinguishes the processes of one member.
     boot_id: u64,
-    /// How long the lease of the present term lasts without a renewal.
+    /// How long the lease of the current term is valid after a renewal.
     lease_duration: Duration,
-    /// The lease of the present term.
+    /// The lease of the current term; `None` while this node does not lead.
     lease_id: Option<u64>,
-    /// Ends the threads of the present term.
+    /// Stops the threads of the current term.
     term_stop: StopSignal,
-    /// The leader key was read: before, its absence means nothing.
+    /// Whether the leader key has been read at least once. Before that, a missing leader record does not
+    /// mean that the leadership is vacant.
     leader_key_read: bool,
-    /// Since when nobody leads, as far as is known here.
+    /// Since when a campaign has been the next step without interruption, because no node is known to lead
+    /// or the leader key belongs to this member's own earlier process.
     vacant_since: Option<Instant>,
 }
 
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Takes an event, and does what is due then.
+    /// Handles an event, or a timeout without one, and carries out the resulting step.
     fn handle_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
         let step = self.step_for_event(event);
         let requested_at = ClockReading::now();
@@ -122,20 +124,21 @@
         }
     }
 
-    /// Resigns from a term in which no heartbeats are received.
+    /// Resigns from a term in which this leader receives no heartbeats.
     fn resign(&mut self, now: Instant, term: Term) -> Step {
         let step = self.leadership.resign(now, term, RESIGNATION_BACKOFF);
         if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
             log::warn!("resigned, no heartbeats received term={}", term.0);
-            // If this fails, the lease ends by itself.
+            // If the call fails, the lease expires without it.
             let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
         step
     }
 
-    /// Holds back campaigns that must wait. Before the first read of the leader key its absence means
-    /// nothing. And a node that receives no heartbeats lets those go first that do, unless the key is its
-    /// own earlier incarnation's.
+    /// Defers a campaign that must wait; other steps are returned unchanged. A campaign waits until the leader
+    /// key has been read for the first time. A node that receives no heartbeats also waits for
+    /// [`YIELD_PERIOD`], so that a node that does receive them can campaign first, unless the leader key
+    /// belongs to this member's own earlier process.
     fn defer_campaign(&mut self, step: Step) -> Step {
         let Step::Campaign { revision } = step else {
             self.vacant_since = None;
@@ -169,7 +172,7 @@
                 self.leadership.on_lease_expired();
                 self.step_down();
             }
-            // The key-value store may be out for everyone: then the lease lives on.
+            // The key-value store may be unavailable to all nodes, in which case the lease stays valid.
             Some(Err(e)) => {
                 view.record_store_call(false, Instant::now());
                 log::info!("leader lease not renewed error=\"{e}\"");
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Ends the present term's threads. Its lease is not renewed any more.
+    /// Stops the threads of the current term and the renewal of its lease.
     fn step_down(&mut self) {
         self.term_stop.stop();
         self.lease_id = None;
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Begins the term that was won.
+    /// Starts the term that was won: a thread loads the cluster state and then serves the term.
     fn begin_term(&mut self, won_campaign: WonCampaign, requested_at: ClockReading) {
         let WonTerm {
             term,
@@ -228,7 +231,7 @@
         }
     }
 
-    /// After a campaign that was not won: a pause, and the leader key as it stands.
+    /// Backs off after a campaign that was not won, and reads the leader key again.
     fn back_off(&mut self, backoff_ms: Range<u64>) {
         let backoff = rand::thread_rng().gen_range(backoff_ms);
         self.leadership
@@ -241,7 +244,7 @@
         }
     }
 
-    /// The service ends: the next leader need not wait for the lease.
+    /// Stops the current term and revokes its lease, so that the next leader need not wait for its expiry.
     fn shut_down(&self) {
         self.term_stop.stop();
         if let Some(lease_id) = self.lease_id {
@@ -250,7 +253,7 @@
     }
 }
 
-/// Shows the other threads who leads.
+/// Publishes the current role and leader to the other threads.
 fn publish(view: &NodeView, leadership: &Leadership) {
     let (role, leader) = match leadership.role() {
         Role::Leader { term, .. } => (RoleView::Leader(*term), None),
