--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -53,9 +53,9 @@
     }
 }
 
-/// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the rented
-/// machines. It is not allowed if, in addition, the process resumed recently: the order may have waited during
-/// the pause, and its term may be over.
+/// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the
+/// rented machines. It is not allowed if, in addition, the process resumed recently: the order may have
+/// waited during the pause, and its term may be over.
 fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
     let may_rent =
         context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -1,8 +1,8 @@
 //! Sends commands to workers, through a follower where one is available.
 //!
 //! The leader's processor is the bottleneck of the cluster, so followers send the commands where possible.
-//! The leadership is checked when a command is sent and not only when it is queued, because the leadership may
-//! have been lost while the command was waiting.
+//! The leadership is checked when a command is sent and not only when it is queued, because the leadership
+//! may have been lost while the command was waiting.
 
 use crate::core::model::{ImageKey, MachineId};
 use crate::net::agent;
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -1,7 +1,7 @@
-//! Has the core's actions carried out by the other threads.
+//! Dispatches the core's actions to the threads that execute them.
 //!
-//! Nothing here waits. An action whose channel is full fails at once, and the core asks for it again
-//! when it still wants it.
+//! Nothing here blocks. An action whose channel is full fails immediately, and the core requests it again if
+//! it is still needed. A probe whose channel is full is dropped.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::MachineId;
@@ -12,7 +12,7 @@
 use crate::runtime::events::{ActionChannels, CloudOrder, CommandDelivery, LeaderTransaction};
 use std::time::Instant;
 
-/// Passes the core's actions on.
+/// Dispatches the core's actions, and removes the progress of jobs that are no longer in the cluster state.
 pub(super) fn perform(
     context: &NodeContext,
     cluster: &mut ClusterState,
@@ -69,7 +69,7 @@
                 endpoint,
                 token,
                 incarnation,
-                // Without commands: it shows the term's token and is answered with a heartbeat.
+                // A delivery without commands presents the term's token and is answered with a heartbeat.
                 commands: Vec::new(),
             }),
             Action::Rent {
@@ -98,14 +98,14 @@
 
     fn send(&mut self, delivery: CommandDelivery) {
         if let Err(e) = self.channels.commands.try_send(delivery) {
-            // The answer to the machine's next heartbeat carries the commands.
+            // The response to the machine's next heartbeat carries the commands.
             let machine = e.into_inner().machine;
             self.cluster.on_command_response(self.now, &machine, None);
         }
     }
 
     fn probe(&self, delivery: CommandDelivery) {
-        // When the senders are busy, the machine's own heartbeat will do.
+        // If the senders are busy, the machine's next regular heartbeat replaces the probe.
         let _ = self.channels.commands.try_send(delivery);
     }
 
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -1,4 +1,4 @@
-//! How events change the leader's cluster state.
+//! Applies events to the leader's cluster state.
 
 use crate::core::model::Heartbeat;
 use crate::core::persistence::write_batch::LeaderKeyStatus;
@@ -8,13 +8,13 @@
 use crossbeam::channel::Sender;
 use std::time::Instant;
 
-/// The replies of a node that does not lead.
+/// The replies of a node that has no cluster state, one for each heartbeat.
 pub(super) fn refuse_heartbeats(heartbeats: &[Heartbeat]) -> Vec<HeartbeatReply> {
     let refusal = |_| HeartbeatReply::NotLeader;
     heartbeats.iter().map(refusal).collect()
 }
 
-/// The leader's replies, in the order of the heartbeats.
+/// Applies heartbeats to the cluster state, and returns the replies in the order of the heartbeats.
 pub(super) fn answer_heartbeats(
     cluster: &mut ClusterState,
     heartbeats: Vec<Heartbeat>,
@@ -25,7 +25,8 @@
         HeartbeatDecision::Accept { token, commands } => HeartbeatReply::Accept { token, commands },
         HeartbeatDecision::Ignore | HeartbeatDecision::Withheld => HeartbeatReply::NotLeader,
         HeartbeatDecision::Superseded(term) => {
-            // Never waits: the elector may be waiting for this loop. It will be seen again.
+            // This must not block, because the elector may be waiting for the core loop. If the channel is
+            // full, a later heartbeat reports the term again.
             let _ = elector_events.try_send(ElectorEvent::TermSeen(term));
             HeartbeatReply::NotLeader
         }
@@ -33,7 +34,7 @@
     heartbeats.into_iter().map(answer).collect()
 }
 
-/// Applies an event of the term that this node leads in.
+/// Applies an event of the term in which this node leads.
 pub(super) fn apply(
     cluster: &mut ClusterState,
     event: TermEvent,
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -1,7 +1,7 @@
-//! The core's thread: takes events, ticks the cluster state, and has its actions carried out.
+//! The core thread: handles events, runs the ticks of the cluster state, and dispatches its actions.
 //!
-//! The cluster state belongs to this thread alone, so the core needs no locks. The thread never waits for
-//! another one: a channel that is full is reported to the core as an action that failed.
+//! Only this thread accesses the cluster state, so the core needs no locks. The thread never blocks on another
+//! thread: an action whose channel is full is reported to the core as failed.
 
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::state::ClusterState;
@@ -14,16 +14,16 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Jobs' counts are for display: users may learn of them a second late.
+/// Interval between publications of the jobs' task counts, which are for display and may be this old.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two ticks.
+/// Time between the end of one tick and the start of the next.
 const TICK_INTERVAL: Duration = Duration::from_millis(150);
-/// How often the rate of changes in the key-value store is shared out among the nodes.
+/// Interval at which the shares of the key-value store's change rate are recomputed.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Events taken before the core acts.
+/// Maximum number of events that are handled before the core produces actions.
 const MAX_EVENTS_PER_ITERATION: usize = 64;
 
-/// Serves the core until the service ends.
+/// Runs the core until the service stops.
 pub(super) fn run(context: &NodeContext, events: &Receiver<Event>, channels: &ActionChannels) {
     let mut core = CoreLoop::new(context, channels);
     while !context.stop.is_stopped() {
@@ -34,7 +34,7 @@
 struct CoreLoop<'a> {
     context: &'a NodeContext,
     channels: &'a ActionChannels,
-    /// The cluster state of the term that this node leads in.
+    /// The cluster state of the term in which this node leads; `None` while it does not lead.
     cluster: Option<ClusterState>,
     progress: ProgressPublisher,
     next_tick: Instant,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Waits for events until the next tick, takes them, and has the core act on them.
+    /// Waits for events until the next tick, handles them, and dispatches the resulting actions.
     fn run_iteration(&mut self, events: &Receiver<Event>) {
         self.rebalance_store_rate();
         let until_tick = self.next_tick.saturating_duration_since(Instant::now());
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes what has queued up in one go, so that a late thread catches up.
+    /// Handles `first` and the events that are already queued, so that a thread that is late catches up.
     fn handle_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
         let mut next = first;
         let mut handled = 0;
@@ -149,7 +149,8 @@
         }
     }
 
-    /// The last tick's own length counts: in a node that cannot keep up that is what grows.
+    /// Records by how much the time since the previous tick exceeds the tick interval. This includes the
+    /// duration of the previous tick, which is what grows on an overloaded node.
     fn measure_timer_lag(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.last_tick);
         self.context
@@ -158,7 +159,7 @@
         self.last_tick = now;
     }
 
-    /// Runs a tick of the core: a placement round and what goes with it.
+    /// Runs a tick of the core, which includes a placement round, and dispatches its actions.
     fn tick(&mut self, now: Instant) {
         let context = self.context;
         let Some(cluster) = self.cluster.as_mut() else {
@@ -174,7 +175,8 @@
         self.next_tick = Instant::now() + TICK_INTERVAL;
         context.meters.rounds.record(duration);
         cluster.set_tick_duration(duration);
-        // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
+        // The leader resigns only while its lease is confirmed. In an outage of the store no other node could
+        // take over, and a lease that is already lost expires without a resignation.
         if confirmed && cluster.is_without_heartbeats(now) {
             let event = ElectorEvent::NoHeartbeats(cluster.term);
             let _ = self.channels.elector_events.try_send(event);
@@ -191,7 +193,7 @@
         self.log_summary_if_due(now);
     }
 
-    /// Has the core act on events between two ticks.
+    /// Dispatches the actions that result from events between two ticks.
     fn flush(&mut self, now: Instant) {
         let Some(cluster) = self.cluster.as_mut() else {
             return;
@@ -213,8 +215,8 @@
     }
 }
 
-/// Tells the core how many changes it may write, and whether its leadership is confirmed by the lease.
-/// Returns the latter.
+/// Sets how many changes the core may write and whether the leader lease confirms its leadership. Returns
+/// whether the leadership is confirmed.
 fn refresh_permissions(context: &NodeContext, cluster: &mut ClusterState) -> bool {
     cluster.set_write_allowance(context.store.leader_changes_left());
     let confirmed = context.holds_leader_lease(cluster.term);
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -1,4 +1,4 @@
-//! What the leader's core shows to the other threads and in the log.
+//! Publishes the state of the leader's core to the other threads and to the log.
 
 use crate::core::model::JobId;
 use crate::core::state::{ClusterState, Job};
@@ -7,22 +7,22 @@
 use crate::runtime::context::NodeContext;
 use std::collections::HashMap;
 
-/// Shown while starts are not limited.
+/// Value of `start_limit=` in the summary while starts are not limited.
 const NO_START_LIMIT: f64 = -1.0;
 
-/// Publishes the task counts of live jobs, of those that changed since the last time.
+/// Publishes the task counts of the live jobs whose counts changed since the previous publication.
 #[derive(Default)]
 pub(super) struct ProgressPublisher {
     published: HashMap<JobId, TaskCounts>,
 }
 
 impl ProgressPublisher {
-    /// Forgets what was published: a new term begins.
+    /// Discards the published counts at the start of a new term, so that all counts are published again.
     pub(super) fn clear(&mut self) {
         self.published.clear();
     }
 
-    /// Puts the counts that changed where the API and the announcements to peers find them.
+    /// Publishes the changed counts in the node's view, for the API and for the reports to peers.
     pub(super) fn publish(&mut self, view: &NodeView, cluster: &ClusterState) {
         let mut changed = Vec::new();
         for job in cluster.jobs.values() {
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -41,7 +41,7 @@
 
 /// A message to the elector thread.
 pub enum ElectorEvent {
-    /// The leader key was read; `None` if it is absent.
+    /// The leader key as read, or `None` if it is absent or a write showed that this term no longer holds it.
     LeaderKey(Option<LeaderRecord>),
     /// A heartbeat, a worker's response or a peer reported this term.
     TermSeen(Term),
@@ -135,8 +135,8 @@
         step
     }
 
-    /// Defers a campaign that must wait; other steps are returned unchanged. A campaign waits until the leader
-    /// key has been read for the first time. A node that receives no heartbeats also waits for
+    /// Defers a campaign that must wait; other steps are returned unchanged. A campaign waits until the
+    /// leader key has been read for the first time. A node that receives no heartbeats also waits for
     /// [`YIELD_PERIOD`], so that a node that does receive them can campaign first, unless the leader key
     /// belongs to this member's own earlier process.
     fn defer_campaign(&mut self, step: Step) -> Step {
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -1,4 +1,4 @@
-//! The messages between the core's thread and the other threads of a node.
+//! The messages between the core thread and the other threads of a node.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -14,178 +14,179 @@
 use crate::runtime::elector::ElectorEvent;
 use crossbeam::channel::Sender;
 
-/// A message to the core's thread.
+/// A message to the core thread.
 pub enum Event {
-    /// The cluster state of a new term was loaded: lead with it.
+    /// The cluster state of a new term was loaded, and the core starts to lead with it.
     StartTerm(Box<ClusterState>),
-    /// This node leads no more.
+    /// This node no longer leads. The core drops its cluster state.
     StepDown,
-    /// Heartbeats that were received together and are answered together.
+    /// A batch of heartbeats, which are answered together.
     Heartbeats {
-        /// The heartbeats.
+        /// The decoded heartbeats.
         heartbeats: Vec<Heartbeat>,
-        /// Takes the replies, in the order of the heartbeats.
+        /// Channel for the replies, which are in the order of the heartbeats.
         reply: Sender<Vec<HeartbeatReply>>,
     },
-    /// The machine types on offer.
+    /// The machine types that the cloud offers were read.
     MachineTypes(Vec<MachineType>),
-    /// An event that is dropped unless this node still leads in its term.
+    /// An event of a term. It is dropped unless this node still leads in that term.
     InTerm {
-        /// The term that it belongs to.
+        /// The term to which the event belongs.
         term: Term,
-        /// What happened.
+        /// The event itself.
         event: TermEvent,
     },
 }
 
-/// What happened in a term.
+/// An event that is valid in one term.
 pub enum TermEvent {
-    /// A job was accepted.
+    /// A job appeared in the index of live jobs.
     JobAccepted(AcceptedJob),
-    /// A job was accepted that is known to be cancelled by now.
+    /// A job appeared in the index of live jobs, but this node already knows that it is cancelled.
     CancelledJobAccepted(AcceptedJob),
-    /// The mark of a cancelled job was read.
+    /// The cancellation mark of this job was read.
     CancelMarkRead(JobId),
-    /// The transaction in flight has ended.
+    /// The leader's pending transaction has ended with this outcome.
     TransactionEnded(WriteOutcome),
-    /// A command was sent to a machine.
+    /// The delivery of commands to a machine has ended, successfully or not.
     CommandSent {
-        /// The machine.
+        /// The machine to which the commands were addressed.
         machine: MachineId,
-        /// The heartbeat that the command was answered with.
+        /// The heartbeat in the machine's response; `None` if it did not answer or nothing was sent.
         heartbeat: Option<Heartbeat>,
     },
-    /// A rental has ended.
+    /// The cloud answered a rental, or the rental failed.
     RentalEnded {
-        /// Names the rental.
+        /// The idempotency key of the rental request.
         idempotency_key: String,
-        /// How it ended.
+        /// The rented machines, or why there are none.
         outcome: RentalOutcome,
     },
-    /// A return of machines has ended.
+    /// The cloud answered a return of machines, or the return failed.
     ReturnEnded {
-        /// The machines.
+        /// The machines that were to be returned.
         machines: Vec<MachineId>,
-        /// How it ended.
+        /// Whether the cloud took them back.
         outcome: ReturnOutcome,
     },
-    /// The cloud's list of machines was read.
+    /// The cloud's list of rented machines was read. It may end early if the rate limit was reached.
     CloudListed(Vec<CloudMachine>),
-    /// The outcomes of dependencies were read of which the leader knew nothing.
+    /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
-    /// The statuses of jobs were read of which machines show tasks without a record.
+    /// The statuses of jobs that machines run tasks of, but that the leader does not know, were read.
     StatusesRead(Vec<(JobId, JobRecordStatus)>),
-    /// The key-value store holds lists of dependents for these jobs.
+    /// The key-value store contains lists of dependents for these jobs.
     DependentsListsFound(Vec<JobId>),
-    /// All cancellations that the key-value store held at this time were sent before this event.
+    /// The events for all cancellations that the key-value store contained at this time precede this event.
     CancellationsRead {
-        /// When the store was asked.
+        /// When the read of the store was requested.
         requested_at: ClockReading,
     },
-    /// A peer, or a user by way of this node or a peer, has cancelled jobs.
+    /// A peer reported cancelled jobs, or a user's cancellation reached this node directly or through a peer.
     PeerCancellations {
         /// The cancelled jobs.
         job_ids: Vec<JobId>,
-        /// What the peer's report covers. Cancellations from users cover nothing.
+        /// What the peer's report covers; `None` for users' cancellations and for all but the last page of a
+        /// report.
         coverage: Option<CancellationCoverage>,
     },
 }
 
 impl TermEvent {
-    /// The event for the core's thread.
+    /// Wraps the event for the core thread, which drops it unless it leads in this term.
     pub fn in_term(self, term: Term) -> Event {
         Event::InTerm { term, event: self }
     }
 }
 
-/// A job from the index of live jobs.
+/// A job as read from the index of live jobs.
 pub struct AcceptedJob {
-    /// What the job asks for.
+    /// The job's specification.
     pub spec: Box<JobSpec>,
-    /// The revision of its record.
+    /// The revision of the job's record in the key-value store.
     pub revision: u64,
 }
 
-/// Whether the cloud took machines back.
+/// The result of returning machines to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnOutcome {
-    /// It did.
+    /// The cloud took the machines back.
     Returned,
-    /// It did not, or was not asked.
+    /// The request failed, or was not sent because the leader lease was not certain.
     Failed,
 }
 
-/// The part of a peer's cancellations that a report covers.
+/// A peer's report that all cancellations which it confirmed up to some time have been passed on.
 pub struct CancellationCoverage {
-    /// The peer.
+    /// The peer's member name.
     pub peer: String,
-    /// Its report.
+    /// When the report was requested and received, and whether it continues the previous one.
     pub report: CancellationReport,
 }
 
 /// The core's reply to a heartbeat.
 pub enum HeartbeatReply {
-    /// The heartbeat is accepted, and answered with these.
+    /// The heartbeat is accepted. The response contains the token and the commands.
     Accept {
-        /// The term's fencing token for the machine.
+        /// The fencing token of the term for the machine.
         token: FencingToken,
-        /// Commands for the machine.
+        /// Commands for the machine to execute.
         commands: Vec<TaskCommand>,
     },
-    /// This node does not lead, or must not answer.
+    /// This node does not lead, or must not renew the machine's lease.
     NotLeader,
 }
 
-/// Commands for a worker.
+/// Commands to be delivered to a worker.
 pub struct CommandDelivery {
-    /// The term that gives them.
+    /// The term in which the commands were issued. They are not sent unless it is still current.
     pub term: Term,
-    /// The worker's machine.
+    /// The machine on which the worker runs.
     pub machine: MachineId,
-    /// Where the worker takes commands.
+    /// The address at which the worker receives commands.
     pub endpoint: String,
-    /// The term's fencing token for the machine.
+    /// The fencing token of the term for the machine.
     pub token: FencingToken,
-    /// The incarnation of the worker that the commands are for.
+    /// The incarnation of the worker for which the commands are intended.
     pub incarnation: u64,
-    /// The commands. Without any, the worker is only asked for a heartbeat.
+    /// The commands. An empty list only requests a heartbeat.
     pub commands: Vec<TaskCommand>,
 }
 
-/// What the cloud is asked for.
+/// An order to the cloud.
 pub enum CloudOrder {
     /// Rent machines.
     Rent {
-        /// The term that asks.
+        /// The term in which the order was issued.
         term: Term,
-        /// What to rent.
+        /// The request to send to the cloud.
         request: RentRequest,
     },
-    /// Take machines back.
+    /// Return machines.
     Return {
-        /// The term that asks.
+        /// The term in which the order was issued.
         term: Term,
-        /// The machines.
+        /// The machines to return.
         machines: Vec<MachineId>,
     },
 }
 
 /// A transaction of the leader.
 pub struct LeaderTransaction {
-    /// The term that writes it.
+    /// The term in which the leader writes it.
     pub term: Term,
-    /// Its conditions and changes.
+    /// The conditions and changes of the transaction.
     pub batch: WriteBatch,
 }
 
-/// The channels that the core's actions go to.
+/// The channels to the threads that execute the core's actions.
 pub struct ActionChannels {
-    /// To the writer of the leader's transactions.
+    /// Channel to the thread that writes the leader's transactions.
     pub transactions: Sender<LeaderTransaction>,
-    /// To the senders of commands.
+    /// Channel to the threads that send commands.
     pub commands: Sender<CommandDelivery>,
-    /// To the cloud's thread.
+    /// Channel to the thread that executes cloud orders.
     pub cloud_orders: Sender<CloudOrder>,
-    /// To the elector.
+    /// Channel to the elector thread.
     pub elector_events: Sender<ElectorEvent>,
 }
