--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -1,7 +1,7 @@
 //! The core thread: handles events, runs the ticks of the cluster state, and dispatches its actions.
 //!
-//! Only this thread accesses the cluster state, so the core needs no locks. The thread never blocks on another
-//! thread: an action whose channel is full is reported to the core as failed.
+//! Only this thread accesses the cluster state, so the core needs no locks. The thread never blocks on
+//! another thread: an action whose channel is full is reported to the core as failed.
 
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::state::ClusterState;
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -69,7 +69,8 @@
         /// Whether the cloud took them back.
         outcome: ReturnOutcome,
     },
-    /// The cloud's list of rented machines was read. It may end early if the rate limit was reached.
+    /// The cloud's list of rented machines was read. It is incomplete if a page
+    /// could not be read or the rate limit was reached.
     CloudListed(Vec<CloudMachine>),
     /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
@@ -133,7 +134,7 @@
         /// Commands for the machine to execute.
         commands: Vec<TaskCommand>,
     },
-    /// This node does not lead, or must not renew the machine's lease.
+    /// This node does not lead, the heartbeat is stale, or the machine's lease must not be renewed.
     NotLeader,
 }
 
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -1,8 +1,9 @@
-//! Workers' heartbeats: decided on by the leader, relayed to it by the other nodes.
+//! Handles workers' heartbeats: the leader's core decides on them, and other nodes relay them to the leader.
 //!
-//! Reading and answering heartbeats is most of the nodes' work, so workers send them to any node, and a
-//! node with far more workers than its part redirects some to another (`worker_distribution`). Only the
-//! leader's core decides; a heartbeat that it does not accept is answered with 503, which renews no lease.
+//! Reading and answering heartbeats is most of the nodes' work. Workers therefore send them to any node, and a
+//! node with far more workers than its share redirects some of them to another node (`worker_distribution`).
+//! Only the leader's core accepts heartbeats. One that it does not accept is answered with status 503, which
+//! does not renew the worker's lease.
 
 use crate::api::context::{HeartbeatHandler, ReceivedHeartbeat};
 use crate::api::responses::ApiResponse;
@@ -17,17 +18,18 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// How long a frame of heartbeats may take to the leader and back: a worker waits 4 s.
+/// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long heartbeats wait for a leader. With the relay they are answered within the worker's 4 s.
+/// How long heartbeats wait until a leader is known. A wait and a relay that both use up their limits take
+/// 4.5 s together, which is longer than the 4 s that a worker waits.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The same, for heartbeats that a peer relayed.
+/// How long heartbeats that a peer relayed wait until this node leads with its cluster state loaded.
 const RELAYED_LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Between two checks for a leader.
+/// Interval between checks for a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// How long the core's queue may be full.
+/// How long heartbeats wait while the core's queue is full.
 const ENQUEUE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the core may take to decide.
+/// How long to wait for the core's decision on queued heartbeats.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl HeartbeatHandler for NodeContext {
@@ -69,7 +71,7 @@
     }
 }
 
-/// Heartbeats that this node keeps, each with its position among the responses.
+/// Heartbeats that are not redirected, as parallel lists. `positions` are indexes into the responses.
 #[derive(Default)]
 struct KeptHeartbeats {
     positions: Vec<usize>,
@@ -83,18 +85,18 @@
     }
 }
 
-/// Heartbeats sorted into those that are redirected and those that are kept.
+/// The result of redirecting excess workers.
 struct RoutedHeartbeats {
-    /// In the order of the heartbeats, with a place held for each that is kept.
+    /// Responses in the order of the heartbeats. Those of kept heartbeats are placeholders.
     responses: Vec<ApiResponse>,
     kept: KeptHeartbeats,
 }
 
 impl NodeContext {
-    /// Waits until heartbeats can be answered, by this node or by a leader that it knows, and no longer
-    /// than until then. Workers that are refused come back a second later: with all of them doing so
-    /// after the end of a leader, the nodes did nothing but refuse, and the next leader never came to
-    /// load the cluster state.
+    /// Waits until heartbeats can be answered by this node or by a known leader, or until the deadline.
+    /// Workers whose heartbeats are refused retry after a second. When all workers did so after the loss of a
+    /// leader, the nodes were fully occupied with refusals, and the next leader could not load the cluster
+    /// state.
     fn wait_for_leader(&self, deadline: Instant) {
         while !self.view.read().has_ready_leader() && Instant::now() < deadline {
             if self.stop.wait(LEADER_CHECK_INTERVAL) {
@@ -133,9 +135,10 @@
         RoutedHeartbeats { responses, kept }
     }
 
-    /// Has the leader decide. If it is out of reach, the workers are sent to it, who may reach it where
-    /// this node does not. But what a node without the key-value store knows of the leader is old: two
-    /// nodes that name each other would keep workers from the third.
+    /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to it,
+    /// because they may be able to reach it themselves. A node without the key-value store does not redirect,
+    /// because its knowledge of the leader is outdated: two nodes that redirect to each other would keep the
+    /// workers away from the third node.
     fn relay(
         &self,
         bodies: Vec<Vec<u8>>,
@@ -166,12 +169,13 @@
         }
     }
 
-    /// Answers heartbeats that a peer relayed, if this node leads.
+    /// Answers heartbeats that a peer relayed, with status 503 unless this node leads.
     pub(super) fn decide_relayed(&self, bodies: &[Vec<u8>]) -> Vec<ApiResponse> {
         self.decide(bodies, Instant::now() + RELAYED_LEADER_WAIT_TIMEOUT)
     }
 
-    /// Has this node's core decide, if this node leads.
+    /// Decodes heartbeats and answers them with the decisions of this node's core. Without a decision, a
+    /// heartbeat is answered with status 503; a malformed one is answered with status 400.
     fn decide(&self, bodies: &[Vec<u8>], deadline: Instant) -> Vec<ApiResponse> {
         self.wait_for_leader(deadline);
         if self.view.read().serving_term().is_none() {
@@ -191,7 +195,7 @@
                 None => responses.push(ApiResponse::problem(400, "malformed report")),
             }
         }
-        // Heartbeats that waited during a pause of this process are old, and their workers have gone on.
+        // Heartbeats that waited in their sockets during a pause of this process are outdated.
         if heartbeats.is_empty() || self.just_resumed() {
             return responses;
         }
@@ -207,7 +211,7 @@
         responses
     }
 
-    /// The core's replies, in the order of the heartbeats; none if it does not come to it in time.
+    /// Returns the core's replies in the order of the heartbeats, or no replies if the core is too busy.
     fn ask_core(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
         let (reply, replies) = bounded(1);
         let event = Event::Heartbeats { heartbeats, reply };
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -1,8 +1,8 @@
 //! Loads the cluster state of a new term from the key-value store.
 //!
-//! The queue's watch continues from the revision that the index of live jobs was read at, so nothing is
-//! missed in between. A record that cannot be read is named to the core, stays unchanged in the store,
-//! and keeps the core from deciding on what it may hold.
+//! The watch of the queue continues from the revision at which the index of live jobs was read, so that no
+//! change in between is missed. A record that cannot be decoded is reported to the core and stays unchanged
+//! in the store, and the core makes no decisions about what the record may contain.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -24,25 +24,26 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Before loading is tried again.
+/// Delay before loading is retried.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// How long one page of a list may take.
+/// Timeout of reading one page of a list.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// For how long a page is asked for again.
+/// How long the read of a page that fails is retried.
 const PAGE_RETRY_PERIOD: Duration = Duration::from_secs(30);
-/// How long reading the history's summary may take.
+/// Timeout of reading the summary of measured run times.
 const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The term that is loaded, as it was won.
+/// A term that this node has won.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WonTerm {
-    /// The term.
+    /// The number of the term.
     pub(super) term: Term,
-    /// The revision of its leader key, on which all its writes are conditional.
+    /// The revision of the term's leader key. All writes of the term are conditional on it.
     pub(super) leader_revision: u64,
 }
 
-/// Loads the cluster state, hands it to the core, then feeds the core the queue's changes.
+/// Loads the cluster state, retrying until the term stops, and passes it to the core. Then sends the changes
+/// of the queue to the core until the term stops.
 pub(super) fn serve_term(context: &NodeContext, won_term: WonTerm, stop: &StopSignal) {
     while !stop.is_stopped() {
         match load(context, won_term, stop) {
@@ -55,14 +56,14 @@
                 return;
             }
             Err(e) => {
-                log::info!("loading failed term={} error=\"{e}\"", won_term.term.0);
+                log::info!("cluster state not loaded, retrying term={} error=\"{e}\"", won_term.term.0);
                 stop.wait(LOAD_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Loads the cluster state, with the revision from which its queue is to be followed.
+/// Loads the cluster state, and returns it with the revision from which to watch the queue.
 fn load(
     context: &NodeContext,
     won_term: WonTerm,
@@ -80,7 +81,7 @@
     cluster.leadership.set_peers(peers, read_started_at);
     cluster.take_over(now, build_snapshot(records, outcomes, dependencies));
     let term = won_term.term.0;
-    log::info!("loaded term={term} jobs={jobs} intent_keys={intent_keys}");
+    log::info!("cluster state loaded term={term} jobs={jobs} intent_keys={intent_keys}");
     Ok((cluster, revision))
 }
 
@@ -100,7 +101,7 @@
     ClusterState::new(config, start)
 }
 
-/// What was read of the key-value store, as it is stored.
+/// Records from the key-value store, in their stored form.
 struct StoredRecords {
     dependents_lists: Vec<ListEntry<IgnoredAny>>,
     live: Vec<ListEntry<StoredJob>>,
@@ -109,7 +110,7 @@
     intents: Vec<ListEntry<StoredChunk>>,
     unreadable_intents: Vec<String>,
     history: Option<StoredHistory>,
-    /// From here on the watch of the queue misses nothing of it.
+    /// The revision at which `live` was read. A watch of the queue from here misses no change.
     revision: u64,
 }
 
@@ -148,7 +149,7 @@
     context.store.list_with_retries(prefix, options, stop)
 }
 
-/// A record that may be of a form that this version does not know.
+/// A record that may have a format that this version does not know.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum MaybeReadable<T> {
@@ -156,15 +157,16 @@
     Unreadable(IgnoredAny),
 }
 
-/// The records under a prefix.
+/// The records under a prefix, without those that cannot be decoded.
 struct ReadableRecords<T> {
     records: Vec<ListEntry<T>>,
-    /// Keys whose records cannot be read.
+    /// Keys of the records that cannot be decoded.
     unreadable: Vec<String>,
     revision: u64,
 }
 
-/// Reads the records under a prefix. They are decoded one by one only where not all of them can be.
+/// Reads the records under a prefix. Only if some of them cannot be decoded, they are read a second time and
+/// decoded one by one.
 fn read_readable<T: DeserializeOwned>(
     context: &NodeContext,
     prefix: &str,
@@ -200,7 +202,7 @@
     Ok(readable)
 }
 
-/// The outcomes of ended jobs whose place in the index of live jobs is not removed yet.
+/// Reads the outcomes of jobs that have ended but are still in the index of live jobs.
 fn read_ended_job_outcomes(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
@@ -215,7 +217,7 @@
     Ok(outcomes.collect())
 }
 
-/// The outcomes of dependencies of live jobs that are not live themselves.
+/// Reads the outcomes of dependencies of live jobs that are not in the index of live jobs themselves.
 fn read_ended_dependencies(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
@@ -238,7 +240,7 @@
     Ok(outcomes.collect())
 }
 
-/// The jobs that keys under a prefix name.
+/// The ids of the jobs in the keys under a prefix. Keys without a valid id are left out.
 fn job_ids_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
     let names = pairs
         .iter()
@@ -246,7 +248,8 @@
     names.filter_map(JobId::parse).collect()
 }
 
-/// The records in the core's form. What cannot be read is named, and no part of it is dropped.
+/// Converts the records to the core's form. Records that cannot be decoded are logged and reported to the core
+/// by their job ids.
 fn build_snapshot(
     records: StoredRecords,
     outcomes: HashMap<JobId, JobOutcome>,
@@ -279,7 +282,7 @@
     }
 }
 
-/// The live jobs, and the keys of records that cannot be decoded.
+/// Converts the records of live jobs. Returns the jobs, and the keys of the records that are not valid jobs.
 fn decode_live_jobs(records: Vec<ListEntry<StoredJob>>) -> (Vec<StoredLiveJob>, Vec<String>) {
     let (mut jobs, mut undecodable) = (Vec::new(), Vec::new());
     for entry in records {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,7 +1,7 @@
-//! The threads of a node, and the channels that join them with the core, the API and the network.
+//! The threads of a node, and the channels that connect them with the core, the API and the network.
 //!
-//! `service` starts everything. The core's thread alone owns the cluster state; all other threads send it
-//! events and carry out its actions. Nothing below this module imports it.
+//! `service` starts all threads. Only the core thread accesses the cluster state; the other threads send it
+//! events and execute its actions. No other module of the library imports this one.
 
 mod campaign;
 mod cancellation_exchange;
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -1,7 +1,7 @@
-//! Answers the frames of the other controllers.
+//! The server for requests of the other controllers.
 //!
-//! Each connection has a thread of its own, up to a limit; one more is closed at once. What a peer passes
-//! on for its users is not passed on a second time.
+//! Each connection is served by its own thread. Connections above the limit are closed immediately. A user's
+//! request that a peer has forwarded is not forwarded a second time.
 
 use crate::api::context::ApiContext;
 use crate::api::{status_queries, user_requests};
@@ -16,16 +16,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A peer says hello each second: one that is silent for this long is gone.
+/// A connection without a request for this long is closed. A peer that is up sends a hello every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a peer may take to read an answer.
+/// Timeout of sending a response to a peer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// After a connection could not be accepted.
+/// Delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A peer's thread needs little stack.
+/// Stack size of a connection's thread, which needs less than the default.
 const PEER_THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// Accepts connections of other controllers until the service ends.
+/// Accepts connections from other controllers until the service stops.
 pub(super) fn run(context: &Arc<NodeContext>, api: &Arc<ApiContext>, listener: &TcpListener) {
     let max_connections = context.settings.socket_budget().peers;
     let open_connections = Arc::new(AtomicUsize::new(0));
@@ -46,7 +46,8 @@
     }
 }
 
-/// Serves one connection, which is counted already, in a thread of its own.
+/// Starts the thread that serves a connection. The connection is already counted in `open_connections`, and
+/// the count is decreased when the thread ends or cannot be started.
 fn start_connection(
     context: &Arc<NodeContext>,
     api: &Arc<ApiContext>,
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -1,7 +1,8 @@
-//! What the nodes regularly report to each other: their health, terms and load, and jobs' progress.
+//! The periodic exchange of status between the nodes: their health, terms and load, and the jobs' progress.
 //!
-//! Each node says hello to each peer once a second, and the answer is the peer's own hello. Progress
-//! goes from the leader to the followers, for display only: users may be answered by any node.
+//! Each node sends a hello to each peer once a second, and the peer answers with its own hello. The leader
+//! reports the progress of jobs to the followers, because any node may answer status queries. Progress is for
+//! display only.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::model::{JobId, Term};
@@ -15,28 +16,29 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Between two hellos to a peer.
+/// Interval between hellos to a peer.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
-/// How long a peer may take to answer one.
+/// Timeout of a hello, including the peer's answer.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Jobs whose counts go with one hello.
+/// Maximum number of jobs whose changed counts one hello reports. The others follow with later hellos.
 const MAX_PROGRESS_PER_HELLO: usize = 2000;
 
-/// Changes of jobs' progress for one peer.
+/// Changes in the progress of jobs that have to be reported to one peer.
 #[derive(Clone, Default)]
 struct ProgressUpdate {
     changed: Vec<JobProgress>,
     ended: Vec<String>,
 }
 
-/// The progress that a peer has acknowledged.
+/// The progress of live jobs that a peer has acknowledged.
 #[derive(Default)]
 struct AcknowledgedProgress {
     counts: HashMap<JobId, TaskCounts>,
 }
 
 impl AcknowledgedProgress {
-    /// What has changed since, if this node leads.
+    /// Returns the changes that the peer has not acknowledged yet. The update is empty if this node does not
+    /// lead.
     fn pending_update(&mut self, context: &NodeContext) -> ProgressUpdate {
         let mut update = ProgressUpdate::default();
         let state = context.view.read();
@@ -61,7 +63,7 @@
         update
     }
 
-    /// The peer has received this update.
+    /// Records that the peer has received this update.
     fn record_acknowledged(&mut self, update: ProgressUpdate) {
         self.counts.extend(task_counts(update.changed));
         for name in update.ended {
@@ -69,7 +71,8 @@
         }
     }
 
-    /// The peer may have missed updates, or be a new incarnation that knows of none.
+    /// Discards the acknowledged progress, so that everything is reported again. The peer may have missed
+    /// updates, or it may have restarted without them.
     fn clear(&mut self) {
         self.counts.clear();
     }
@@ -85,7 +88,8 @@
     })
 }
 
-/// Reports to one peer until the service ends, and reads its cancellations while this node leads.
+/// Exchanges status with one peer until the service stops, and reads the peer's cancellation log while this
+/// node leads.
 pub(super) fn run(context: &NodeContext, peer: &Peer) {
     let mut acknowledged = AcknowledgedProgress::default();
     let mut cancellations = CancellationReader::default();
@@ -109,7 +113,7 @@
     }
 }
 
-/// The answer to a peer's hello.
+/// Records a peer's hello, applies the progress in it if it comes from the leader, and returns the answer.
 pub(super) fn answer_hello(context: &NodeContext, received: Hello) -> Hello {
     record_hello(context, &received);
     let from_leader = received.leader_term.is_some();
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -1,8 +1,9 @@
-//! Follows the queue in the key-value store for the leader's core: accepted jobs and cancellations,
-//! whichever node took them.
+//! Watches the queue in the key-value store for the leader's core: the jobs and cancellations that any node
+//! has accepted.
 //!
-//! The feed continues from the revision that the cluster state was loaded at, so it misses nothing. Each
-//! answer moves the watermark of cancellations to when it was asked for, never later.
+//! The watch continues from the revision at which the cluster state was loaded, so that no change is missed.
+//! Each response advances the cancellation watermark to the time at which the response was requested, never
+//! to a later time.
 
 use crate::api::dependents_list;
 use crate::common::rate_limit::RequestClass;
@@ -21,22 +22,22 @@
 use serde::Deserialize;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold the watch without a change, at most.
+/// Upper limit on how long the store may block a watch request that has no changes to return.
 const MAX_WATCH_BLOCK: Duration = Duration::from_secs(5);
-/// The watch answers at least so often within the watermark's largest age.
+/// The watch requests return at least this many times within the maximum age of the cancellation watermark.
 const RESPONSES_PER_MAX_AGE: u32 = 3;
-/// After a watch that failed.
+/// Delay after a watch request failed.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How long reading the whole queue may take.
+/// Timeout of reading the whole queue.
 const QUEUE_READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// After a read of the whole queue that failed.
+/// Delay after reading the whole queue failed.
 const QUEUE_READ_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often obsolete lists of dependents are looked for.
+/// Interval between searches for obsolete lists of dependents.
 const LIST_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// How long that may hold up the watch.
+/// Timeout of such a search, which delays the watch.
 const LIST_SWEEP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The value of a key in the queue.
+/// The decoded value of a key in the queue.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum QueueValue {
@@ -44,7 +45,7 @@
     Other(IgnoredAny),
 }
 
-/// Feeds the core from a revision on until the term ends.
+/// Sends the changes of the queue after `revision` to the core until the term stops.
 pub(super) fn run(context: &NodeContext, term: Term, revision: u64, stop: &StopSignal) {
     let mut feed = QueueFeed {
         context,
@@ -68,8 +69,9 @@
     context: &'a NodeContext,
     term: Term,
     stop: &'a StopSignal,
-    /// Up to here the queue was read.
+    /// The revision up to which the queue has been read.
     revision: u64,
+    /// Decides which unresolved dependencies are due for a lookup.
     backoff: Backoff,
     next_list_sweep: Instant,
 }
@@ -79,8 +81,8 @@
         let _ = self.context.events.send(event.in_term(self.term));
     }
 
-    /// Reads the outcomes of dependencies of which the leader knows nothing: they ended while the
-    /// acceptance of their dependents was under way. What stays unknown is read ever more rarely.
+    /// Reads the outcomes of dependencies that are unknown to the leader, because they ended while their
+    /// dependents were being accepted. The interval between reads of an outcome that stays unknown grows.
     fn resolve_dependencies(&mut self) {
         let unresolved_dependencies = self.context.view.read().unresolved_dependencies.clone();
         let due = self.backoff.due(&unresolved_dependencies, Instant::now());
@@ -102,8 +104,9 @@
         }
     }
 
-    /// Finds lists of dependents that nobody needs any more. A submission may have been entered in one
-    /// and then refused, so that no job in the index names it.
+    /// Finds lists of dependents and reports their jobs to the core, unless a peer still needs the lists. A
+    /// list can remain although no job in the index refers to it, if a submission was added to the list and
+    /// then refused.
     fn sweep_lists(&self) {
         if dependents_list::is_needed(&self.context.peers) {
             return;
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Waits for changes of the queue, and passes them on.
+    /// Waits for changes in the queue and forwards them to the core.
     fn watch_queue(&mut self, block_timeout: Duration) {
         let requested_at = ClockReading::now();
         let prefix = keys::QUEUE_PREFIX;
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Reads the whole queue: the store does not hold the changes any more.
+    /// Reads the whole queue. This is needed when the store no longer keeps the changes since `revision`.
     fn read_queue(&mut self, requested_at: ClockReading) {
         let prefix = keys::QUEUE_PREFIX;
         let store = &self.context.store;
@@ -189,9 +192,9 @@
         }
     }
 
-    /// The index keeps a job for a while after its outcome. One that is done was the leader's already.
-    /// One that is cancelled may not have been, if the watch is late: its place in the index is the
-    /// leader's to remove all the same.
+    /// The event for a job in the index of live jobs. The index still contains a job for some time after its
+    /// outcome was written. A job that is done was already known to the leader and needs no event. A cancelled
+    /// job may be unknown to the leader if the watch is late, and the leader has to remove it from the index.
     fn event_for_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
         let outcome = self.context.view.final_outcome(&spec.job_id);
         let spec = Box::new(spec);
@@ -204,7 +207,8 @@
     }
 }
 
-/// Nothing of such a job is on a machine: its record is new.
+/// Logs a record that cannot be decoded, and yields no event. Since the record is new, no machine runs any
+/// tasks of its job.
 fn log_unreadable(key: &str) -> Option<TermEvent> {
     log::error!("unreadable record left unchanged key={key}");
     None
