--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the controller.
 
 use clap::Parser;
 use cypressgap::runtime::service::Service;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code for settings that are invalid.
+/// Exit code for settings that cannot be read or are invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A cluster scheduler: one controller node.
@@ -42,7 +42,8 @@
     serve(settings)
 }
 
-/// Logs this program's lines from the level in `LOG_LEVEL`, and other crates' errors.
+/// Starts logging: messages of this program from the level in `LOG_LEVEL` (`debug`, `error`, otherwise info),
+/// and only errors of other crates.
 fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => LevelFilter::Debug,
@@ -64,7 +65,8 @@
     Ok(settings)
 }
 
-/// Prints what the settings come to, for `--check`.
+/// Prints the warnings about the settings and the limits of the state service that result from them, for
+/// `--check`.
 fn print_settings(settings: &Settings) {
     for warning in settings.warnings() {
         eprintln!("cypressgap: warning: {warning}");
@@ -72,18 +74,18 @@
     println!("settings are valid: member {}", settings.member);
     let config = &settings.config;
     println!(
-        "state service: values of {} bytes, {} changes a transaction",
+        "state service: values of up to {} bytes, up to {} changes per transaction",
         config.value_bytes, config.txn_ops
     );
     if let Some(next) = settings.next_store_rates {
         println!(
-            "state service, once it refuses more: {} requests, {} changes a second",
+            "state service, when its rates are reduced: {} requests, {} changes per second",
             next.requests, next.changes
         );
     }
 }
 
-/// Serves until the process is ended.
+/// Runs the service until it stops.
 fn serve(settings: Settings) -> ExitCode {
     match Service::start(settings) {
         Ok(service) => {
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -1,43 +1,46 @@
-//! The cancellations that this incarnation of the node may confirm, in the order it learned of them.
+//! The log of the cancellations that this incarnation of the node may confirm, in the order in which it
+//! learned of them.
 //!
-//! The leader reads the log of each of its peers by position, and so learns of cancellations that it
-//! cannot read from the key-value store. A position means nothing to another incarnation, whose log
-//! starts empty: a reader that asks for one learns so and counts nothing as covered.
+//! The leader reads the log of each of its peers by position. In this way it learns of cancellations while it
+//! cannot read them from the key-value store. A position is valid only for one incarnation of the node,
+//! because the log of each incarnation starts empty. A reader with a position of another incarnation is told
+//! so, and must not assume that it knows all earlier cancellations.
 
 use crate::core::model::JobId;
 use crate::net::peer::CancellationPosition;
 use std::collections::VecDeque;
 
-/// Cancellations kept for readers. A reader that falls further behind starts at the end.
+/// Maximum number of cancellations in the log. A reader that falls further behind continues at the end.
 const MAX_ENTRIES: usize = 20_000;
-/// Cancellations in one page.
+/// Maximum number of cancellations in one page.
 const MAX_PAGE_ENTRIES: usize = 5_000;
 
 /// A bounded log of cancelled jobs.
 pub struct CancellationLog {
+    /// A random number that identifies this process.
     incarnation: u64,
-    /// The position of the oldest entry.
+    /// The offset of the oldest entry: the number of entries that were dropped.
     first: u64,
     entries: VecDeque<JobId>,
 }
 
-/// One page of a node's log.
+/// One page of a node's cancellation log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CancellationsPage {
-    /// The incarnation of the node whose log this is.
+    /// The incarnation of the node that owns the log.
     pub incarnation: u64,
-    /// The page continues from the position asked for, with nothing left out.
+    /// Whether the page continues from the requested position without a gap.
     pub continues: bool,
-    /// The cancelled jobs.
+    /// The cancelled jobs, in the order in which the node learned of them.
     pub job_ids: Vec<JobId>,
-    /// The position after this page.
+    /// The offset after this page, from which a reader continues.
     pub next: u64,
-    /// The log holds more after this page.
+    /// Whether the log contains more entries after this page.
     pub more: bool,
 }
 
 impl CancellationLog {
-    /// An empty log of a new incarnation.
+    /// Creates an empty log with a new random incarnation.
     pub(super) fn new() -> CancellationLog {
         CancellationLog {
             incarnation: rand::random(),
@@ -54,8 +57,8 @@
         }
     }
 
-    /// The page from a position. Without one, or with one that is not kept any
-    /// more, it is empty and tells where a reader may begin.
+    /// Returns the page that starts at a position. Without a position, or if the position is not in this log,
+    /// the page is empty and its `next` is the end of the log, from which a reader may start.
     pub(super) fn page(&self, from: Option<CancellationPosition>) -> CancellationsPage {
         let end = self.first + self.entries.len() as u64;
         let from = from.filter(|position| {
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -1,8 +1,8 @@
-//! What this node remembers about jobs: which were accepted, how they ended, and their progress.
+//! The node's cache of jobs: which jobs were accepted, how they ended, and their progress.
 //!
-//! A job moves one way only, from unknown to accepted to ended. An outcome is entered only when users
-//! may be told of it; from then on it is answered from memory. A cancellation enters the log that the
-//! leader reads under the same lock as the outcome, so that nobody can confirm it before.
+//! The state of a job only advances from unknown to accepted to ended. An outcome is added only when it may
+//! be reported to users; from then on, queries are answered from memory. A cancellation is added to the log
+//! that the leader reads under the same lock as the outcome, so that no thread can confirm it earlier.
 
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::JobRecordStatus;
@@ -11,26 +11,26 @@
 use crate::node::cancellation_log::{CancellationLog, CancellationsPage};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
-/// Outcomes kept in memory.
+/// Maximum number of outcomes in memory. The oldest one is evicted first.
 const MAX_OUTCOMES: usize = 20_000;
-/// Jobs kept that are known to have been accepted and not known to have ended. A status query about a
-/// job that is not among them costs more.
+/// Maximum number of jobs that are known to have been accepted and not known to have ended. When it is
+/// reached, all of them are dropped, which makes status queries about these jobs more expensive.
 const MAX_ACCEPTED: usize = 100_000;
 
-/// How far a live job is, for display.
+/// The progress of a live job, for display.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
-/// Accepted jobs, outcomes and progress.
+/// The accepted jobs, the outcomes and the progress of jobs that this node knows.
 pub struct JobCache {
     accepted: HashSet<JobId>,
     outcomes: HashMap<JobId, JobOutcome>,
-    /// Jobs with outcomes, the oldest first.
+    /// The keys of `outcomes` in the order in which they were added, for eviction.
     outcome_order: VecDeque<JobId>,
     progress: HashMap<JobId, TaskCounts>,
     cancellations: CancellationLog,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// How a job ended, if this node may tell users so.
+    /// The outcome of a job that has ended; `None` if it is not known here or may not be reported to users
+    /// yet.
     pub fn final_outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
         self.outcomes.get(job_id).copied()
     }
@@ -57,7 +58,7 @@
         self.accepted.contains(job_id)
     }
 
-    /// The counts of all live jobs.
+    /// The task counts of live jobs, as published by this node's core or reported by the leader.
     pub fn progress(&self) -> &HashMap<JobId, TaskCounts> {
         &self.progress
     }
@@ -95,7 +96,8 @@
     pub(super) fn insert_outcome(&mut self, job_id: &JobId, outcome: JobOutcome) {
         self.accepted.remove(job_id);
         if self.outcomes.insert(job_id.clone(), outcome).is_none() {
-            // Before anybody can read the outcome here, and so confirm it.
+            // The caller holds the lock, so no thread can read the outcome, and confirm it, before it is
+            // logged.
             if outcome == JobOutcome::Cancelled {
                 self.cancellations.push(job_id.clone());
             }
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The live jobs among these that are not known to have been accepted yet.
+    /// The jobs that were found to be live and that this node does not know as accepted yet.
     pub(super) fn newly_accepted<'a>(
         &self,
         found: &'a HashMap<JobId, JobRecordStatus>,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,8 +1,8 @@
-//! What a node knows at any moment, kept in memory and shared by its threads.
+//! The in-memory state of a node, which its threads share.
 //!
-//! The API's handlers and the runtime's threads both build on this module; it knows neither of them.
-//! Nothing here is durable. A fact that users are answered with without asking the key-value store
-//! (`JobCache::final_outcome`) can never change again.
+//! Both the API's handlers and the runtime's threads use this module, and it depends on neither of them.
+//! Nothing here is durable. An outcome that users receive without a read of the key-value store
+//! (`JobCache::final_outcome`) is final and never changes.
 
 pub mod cancellation_log;
 pub mod job_cache;
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -1,16 +1,16 @@
-//! Detects that this process was paused: a hanging machine, a stopped process.
+//! Detects pauses of this process, for example because its machine hung or the process was stopped.
 //!
-//! Whichever thread checks first after the pause finds it out, by the steady clock or, where that was
-//! paused too, by the time of day. What was waiting in sockets then is old, and silence of others while
-//! nothing could be received says nothing about them.
+//! The first thread that checks after a pause detects it, by the monotonic clock or, if that clock was paused
+//! as well, by the wall clock. After a pause, data in the sockets is outdated, and missing messages say
+//! nothing about other nodes and workers, because nothing could be received.
 
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The threads that check never leave this much between two checks in a process that runs.
+/// The shortest detected pause. In a running process, the checks of all threads are never this far apart.
 const MIN_PAUSE: Duration = Duration::from_secs(4);
-/// What waited in sockets has been read by then.
+/// How long after a pause received data may be outdated. Afterwards the sockets have been read empty.
 const RESUME_WINDOW: Duration = Duration::from_millis(500);
 
 struct State {
@@ -18,18 +18,18 @@
     resumed_at: Option<Instant>,
 }
 
-/// Notices pauses of this process by its two clocks.
+/// Detects pauses of this process by its monotonic clock and its wall clock.
 pub struct PauseDetector {
-    /// The largest step of the time of day between two checks of a running process.
+    /// The largest step of the wall clock between two checks of a running process.
     max_day_step: Duration,
     state: Mutex<State>,
 }
 
 impl PauseDetector {
-    /// A detector for clocks that may differ by `skew`.
+    /// Creates a detector. `skew` is how far the wall clock may be from the true time.
     pub fn new(skew: Duration, now: ClockReading) -> PauseDetector {
         PauseDetector {
-            // The time of day wanders by the skew either way.
+            // The wall clock may be corrected by the skew in either direction.
             max_day_step: MIN_PAUSE + skew * 2,
             state: Mutex::new(State {
                 last_check: now,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Checks the clocks, and returns when the process last resumed from a pause.
+    /// Checks the clocks, and returns when the process last resumed from a pause; `None` if it never did.
     pub fn check(&self, now: ClockReading) -> Option<Instant> {
         let mut state = self
             .state
@@ -51,7 +51,7 @@
         }
         let day_step = match now.day.duration_since(last.day) {
             Ok(step) => step,
-            // It was set back.
+            // The wall clock was set back.
             Err(e) => e.duration(),
         };
         let steady_step = now.steady.saturating_duration_since(last.steady);
@@ -62,7 +62,7 @@
         state.resumed_at
     }
 
-    /// Whether what is read now may have waited in its socket during a pause.
+    /// Whether data that is read now may have been waiting in its socket during a pause.
     pub fn just_resumed(&self, now: ClockReading) -> bool {
         self.check(now)
             .is_some_and(|at| now.steady.saturating_duration_since(at) < RESUME_WINDOW)
--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -1,27 +1,26 @@
-//! What the other controllers last reported of themselves.
+//! The last status reports of the other controllers.
 //!
-//! A report counts only for `REPORT_LIFETIME`: a peer that has been silent for longer is treated as
-//! out of reach.
+//! A report is valid for `REPORT_LIFETIME`. A peer whose last report is older is treated as unreachable.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a peer's report counts.
+/// How long a peer's report is valid after it was received.
 const REPORT_LIFETIME: Duration = Duration::from_secs(4);
 
-/// A peer's last report of itself.
+/// The last status that a peer reported.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStatus {
-    /// When the report was received.
+    /// When this node received the report.
     pub received_at: Instant,
-    /// Whether the key-value store answers the peer.
+    /// Whether the peer can reach the key-value store.
     pub store_ok: bool,
-    /// Worker nodes whose heartbeats the peer receives.
+    /// Number of workers that send their heartbeats to the peer.
     pub workers: u32,
-    /// Changes a second that the peer asks of the key-value store.
+    /// The rate of changes to the key-value store that the peer requested recently.
     pub demand: ChangeRateDemand,
-    /// How late the peer's timers fire.
+    /// How late the peer's timers fire, averaged.
     pub timer_lag: Duration,
 }
 
@@ -31,16 +30,16 @@
     }
 }
 
-/// A peer that was in touch recently.
+/// A peer whose last report is still valid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LivePeer {
-    /// The peer's name.
+    /// The peer's member name.
     pub member: String,
-    /// Worker nodes whose heartbeats it receives.
+    /// Number of workers that send their heartbeats to it.
     pub workers: u32,
 }
 
-/// The last report of each peer, by the peer's name.
+/// The last report of each peer, by member name.
 #[derive(Default)]
 pub struct PeerTable {
     reports: HashMap<String, PeerStatus>,
@@ -71,7 +70,7 @@
         self.fresh_reports(now).next().is_some()
     }
 
-    /// The live peers that reach the key-value store.
+    /// Member names of the live peers that can reach the key-value store.
     pub(super) fn members_with_store(&self, now: Instant) -> Vec<String> {
         let with_store = self
             .fresh_reports(now)
@@ -79,7 +78,7 @@
         with_store.map(|(member, _)| member.clone()).collect()
     }
 
-    /// The live peers, in the order of their names.
+    /// The live peers, sorted by member name.
     pub(super) fn live(&self, now: Instant) -> Vec<LivePeer> {
         let live = self.fresh_reports(now).map(|(member, status)| LivePeer {
             member: member.clone(),
--- a/src/node/transaction_limits.rs
+++ b/src/node/transaction_limits.rs
@@ -1,18 +1,18 @@
-//! What the key-value store accepts in one transaction.
+//! The limits of the key-value store for one transaction.
 
 use crate::core::persistence::job_status_reads;
 use crate::net::wire;
 use crate::settings::Settings;
 
-/// A transaction may have this many conditions for each change that it may have.
+/// The number of allowed conditions for each allowed change.
 const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 
-/// The limits of one transaction.
+/// The limits of one transaction, derived from the platform's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub changes: usize,
-    /// Bytes of one value.
+    /// Maximum size of one value, in bytes.
     pub value_bytes: usize,
 }
 
@@ -26,12 +26,12 @@
 }
 
 impl TransactionLimits {
-    /// Conditions in a transaction.
+    /// Maximum number of conditions in a transaction.
     pub fn conditions(&self) -> usize {
         self.changes * MAX_CONDITIONS_PER_CHANGE
     }
 
-    /// The number of jobs whose status can be looked up by one call.
+    /// Maximum number of jobs whose status can be read with one call. The size of the request limits it, too.
     pub fn status_reads(&self) -> usize {
         job_status_reads::max_jobs_per_comparison(self.conditions(), wire::BODY_LIMIT)
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,8 +1,8 @@
-//! The state of a node that every thread may read: its role, its health, jobs and peers.
+//! The state of a node that all its threads can read: its role, its health, jobs and peers.
 //!
-//! All of it stands behind one lock, so that facts that are read together belong together. Changes go
-//! through methods that name them. A lease counts from when it was asked for, by both clocks: of the two
-//! ends, the earlier one is binding.
+//! One lock protects all of it, so that values that are read together are consistent. The state is changed
+//! only through the methods of `NodeView`. The validity of a lease is counted from when it was requested, by
+//! the monotonic clock and by the wall clock, and it ends when the first of the two reaches the end.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::leadership::cancellation_watermark::ClockReading;
@@ -18,47 +18,49 @@
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::time::{Duration, Instant};
 
-/// The key-value store counts as lost to this node after failing for this long.
+/// The key-value store counts as unavailable to this node after its calls have failed for this long.
 const STORE_LOST_AFTER: Duration = Duration::from_secs(2);
 
-/// What this node is, as its threads see it.
+/// The role of this node, as published to its threads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleView {
-    /// It leads in this term.
+    /// The node leads in this term.
     Leader(Term),
-    /// It follows this member, if it knows of one.
+    /// The node does not lead. The value is the member name of the leader, if one is known.
     Follower(Option<String>),
 }
 
-/// The facts behind the lock.
+/// The state that the lock protects.
 pub struct NodeState {
-    /// This node's role.
+    /// The role of this node, set by the elector.
     pub role: RoleView,
-    /// The term whose cluster state this node has loaded.
+    /// The term whose cluster state the core has loaded; `None` while it has none.
     pub loaded_term: Option<Term>,
-    /// The leader key as last read.
+    /// The leader that this node follows; `None` if none is known or the node leads itself.
     pub leader: Option<LeaderRecord>,
-    /// The highest term seen anywhere.
+    /// The highest term that this node has seen from any source.
     pub highest_term: Term,
-    /// The machine types on offer.
+    /// The machine types that the cloud offers. Empty until they are read for the first time.
     pub machine_types: Vec<MachineType>,
-    /// The number of live jobs in the loaded cluster state.
+    /// The number of live jobs in the cluster state, as last published by this node's core.
     pub live_jobs: usize,
-    /// Dependencies of live jobs of which the leader knows nothing.
+    /// Dependencies of live jobs that are unknown to this node's core. Their outcomes have to be looked up.
     pub unresolved_dependencies: Vec<JobId>,
-    /// Jobs that the leader does not know and of which machines show tasks.
+    /// Jobs that are unknown to this node's core although machines run their tasks. Their statuses have to be
+    /// looked up.
     pub unrecorded_jobs: Vec<JobId>,
-    /// What is known of single jobs.
+    /// Accepted jobs, outcomes and progress.
     pub jobs: JobCache,
     peers: PeerTable,
+    /// When the calls to the key-value store began to fail; `None` while they are answered.
     store_failing_since: Option<Instant>,
-    /// Until when nobody else can have taken the leadership that this node has, by both clocks: one of
-    /// them may be paused with the process.
+    /// Until when no other node can have taken this node's leadership. It is checked by both clocks, because
+    /// one of them may stop while the process is paused. `None` before the first lease.
     lease_expiry: Option<ClockReading>,
 }
 
 impl NodeState {
-    /// The term in which this node leads, as far as it knows.
+    /// The term in which this node leads, as far as it knows. Its lease may already have expired.
     pub fn leading_term(&self) -> Option<Term> {
         match self.role {
             RoleView::Leader(term) => Some(term),
@@ -66,13 +68,13 @@
         }
     }
 
-    /// The term in which this node leads with its cluster state loaded.
+    /// The term in which this node leads, if its cluster state is loaded.
     pub fn serving_term(&self) -> Option<Term> {
         self.loaded_term
             .filter(|term| self.role == RoleView::Leader(*term))
     }
 
-    /// Whether heartbeats can be answered, by this node or by a leader that it knows.
+    /// Whether heartbeats can be answered, either by this node or by a known leader.
     pub fn has_ready_leader(&self) -> bool {
         match self.role {
             RoleView::Leader(term) => self.loaded_term == Some(term),
@@ -82,13 +84,13 @@
     }
 }
 
-/// What the threads of this node share, behind a lock.
+/// The state that the threads of this node share, protected by a lock.
 pub struct NodeView {
     state: RwLock<NodeState>,
 }
 
 impl NodeView {
-    /// The view of a node that has just started.
+    /// Creates the view of a node that has just started: a follower that knows no leader.
     pub fn new(now: Instant) -> NodeView {
         NodeView {
             state: RwLock::new(NodeState {
@@ -102,14 +104,14 @@
                 unrecorded_jobs: Vec::new(),
                 jobs: JobCache::new(),
                 peers: PeerTable::default(),
-                // Unproven until the first answer.
+                // The store's availability is unproven until its first answer.
                 store_failing_since: Some(now),
                 lease_expiry: None,
             }),
         }
     }
 
-    /// Reads several facts together.
+    /// Locks the state for reading, so that several values can be read consistently.
     pub fn read(&self) -> RwLockReadGuard<'_, NodeState> {
         self.state
             .read()
@@ -123,9 +125,10 @@
     }
 }
 
-/// Leadership.
+/// Role, term and leader lease.
 impl NodeView {
-    /// Sets this node's role and the leader that it knows of. The highest term only rises.
+    /// Sets the role of this node and the leader that it knows. The highest term never decreases. A call that
+    /// changes neither the role nor the highest term is ignored.
     pub fn set_leadership(&self, role: RoleView, leader: Option<LeaderRecord>, highest: Term) {
         {
             let state = self.read();
@@ -139,12 +142,12 @@
         state.highest_term = state.highest_term.max(highest);
     }
 
-    /// Sets the term whose cluster state is loaded.
+    /// Sets the term whose cluster state is loaded; `None` when the core drops its cluster state.
     pub fn set_loaded_term(&self, term: Option<Term>) {
         self.write().loaded_term = term;
     }
 
-    /// A lease of this duration was granted that was asked for at this time.
+    /// Records a leader lease that was granted or renewed for `duration` by a request sent at `requested_at`.
     pub fn set_lease(&self, requested_at: ClockReading, duration: Duration) {
         self.write().lease_expiry = Some(ClockReading {
             steady: requested_at.steady + duration,
@@ -152,8 +155,9 @@
         });
     }
 
-    /// Whether this node leads in this term for certain: its lease, counted from when its renewal was
-    /// asked for, has not run out. A process that was paused, or cut off, finds out here first.
+    /// Whether this node certainly leads in this term: its lease, counted from when its renewal was
+    /// requested, has not expired by either clock. A process that was paused or partitioned notices here
+    /// first.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
         let unexpired = |expiry: ClockReading| now.steady < expiry.steady && now.day < expiry.day;
@@ -161,28 +165,28 @@
     }
 }
 
-/// What the leader's core publishes for the other threads.
+/// State that the leader's core publishes for the other threads, and the progress that a follower receives.
 impl NodeView {
-    /// Sets the machine types on offer.
+    /// Sets the machine types that the cloud offers.
     pub fn set_machine_types(&self, machine_types: Vec<MachineType>) {
         self.write().machine_types = machine_types;
     }
 
-    /// Sets the dependencies that are to be looked up.
+    /// Sets the dependencies whose outcomes have to be looked up.
     pub fn set_unresolved_dependencies(&self, unresolved_dependencies: Vec<JobId>) {
         if !unresolved_dependencies.is_empty() || !self.read().unresolved_dependencies.is_empty() {
             self.write().unresolved_dependencies = unresolved_dependencies;
         }
     }
 
-    /// Sets the jobs without a record that are to be looked up.
+    /// Sets the jobs without a known record whose statuses have to be looked up.
     pub fn set_unrecorded_jobs(&self, unrecorded_jobs: Vec<JobId>) {
         if self.read().unrecorded_jobs != unrecorded_jobs {
             self.write().unrecorded_jobs = unrecorded_jobs;
         }
     }
 
-    /// Sets the number of live jobs and the counts of those that changed.
+    /// Sets the number of live jobs and the task counts of the jobs in `changed`.
     pub fn set_progress(
         &self,
         live_jobs: usize,
@@ -195,12 +199,12 @@
         }
     }
 
-    /// Forgets the counts of a job that is not live any more.
+    /// Removes the task counts of a job that is no longer live.
     pub fn remove_progress(&self, job_id: &JobId) {
         self.write().jobs.remove_progress(job_id);
     }
 
-    /// Takes over the progress that the leader reported to this follower.
+    /// Applies the progress that the leader reported to this follower.
     pub fn apply_progress(
         &self,
         changed: impl IntoIterator<Item = (JobId, TaskCounts)>,
@@ -216,24 +220,26 @@
     }
 }
 
-/// Jobs.
+/// Acceptance and outcomes of jobs.
 impl NodeView {
-    /// How a job ended, if this node may tell users so.
+    /// The outcome of a job that has ended; `None` if it is not known here or may not be reported to users
+    /// yet.
     pub fn final_outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
         self.read().jobs.final_outcome(job_id)
     }
 
-    /// Whether this node knows that the job was accepted.
+    /// Whether this node knows that the job was accepted and does not know that it has ended.
     pub fn is_accepted(&self, job_id: &JobId) -> bool {
         self.read().jobs.is_accepted(job_id)
     }
 
-    /// Those of these jobs that are known to have been accepted.
+    /// The subset of these jobs that this node knows to have been accepted and not to have ended.
     pub fn accepted_among<'a>(&self, job_ids: impl Iterator<Item = &'a JobId>) -> BTreeSet<JobId> {
         self.read().jobs.accepted_among(job_ids)
     }
 
-    /// Remembers that jobs were accepted, which stays true whatever becomes of them.
+    /// Remembers that jobs were accepted, which later events cannot undo. Jobs whose outcome is already known
+    /// are not changed.
     pub fn remember_accepted<'a>(&self, job_ids: impl Iterator<Item = &'a JobId>) {
         let mut state = self.write();
         for job_id in job_ids {
@@ -241,13 +247,13 @@
         }
     }
 
-    /// Remembers how a job ended. From now on users are answered with it.
+    /// Remembers the outcome of a job. From now on, users' queries are answered with it.
     pub fn remember_outcome(&self, job_id: &JobId, outcome: JobOutcome) {
         self.write().jobs.insert_outcome(job_id, outcome);
     }
 
-    /// Remembers what was found out about jobs, by whichever node. Each outcome must be one that users
-    /// may be told of.
+    /// Remembers the statuses of jobs that this node or a peer has read. Each outcome must be one that may be
+    /// reported to users.
     pub fn remember_statuses(&self, found: &HashMap<JobId, JobRecordStatus>) {
         let accepted = self.read().jobs.newly_accepted(found);
         if !accepted.is_empty() {
@@ -262,15 +268,15 @@
         }
     }
 
-    /// A page of the cancellations known here, from a position on.
+    /// Returns the page of the cancellation log that starts at a position.
     pub fn cancellations(&self, from: Option<CancellationPosition>) -> CancellationsPage {
         self.read().jobs.cancellations(from)
     }
 }
 
-/// The key-value store, the peers, and what follows for this node's health.
+/// The availability of the key-value store, the peers, and the health of this node.
 impl NodeView {
-    /// Records whether a call of the key-value store was answered.
+    /// Records whether the key-value store answered a call.
     pub fn record_store_call(&self, answered: bool, now: Instant) {
         let failing_since = self.read().store_failing_since;
         match (answered, failing_since) {
@@ -280,42 +286,43 @@
         }
     }
 
-    /// Whether the key-value store answers, as far as is known.
+    /// Whether the key-value store is available to this node: it answered the last call, or calls have been
+    /// failing for less than [`STORE_LOST_AFTER`].
     pub fn store_ok(&self, now: Instant) -> bool {
         self.read()
             .store_failing_since
             .is_none_or(|since| now.saturating_duration_since(since) < STORE_LOST_AFTER)
     }
 
-    /// Records what a peer reported of itself.
+    /// Records the status that a peer reported.
     pub fn record_peer(&self, member: &str, status: PeerStatus) {
         self.write().peers.update(member, status);
     }
 
-    /// How late timers fire on the worst of the live peers.
+    /// The largest timer lag among the live peers; zero if there are none.
     pub fn max_peer_timer_lag(&self, now: Instant) -> Duration {
         self.read().peers.max_timer_lag(now)
     }
 
-    /// The live peers that reach the key-value store.
+    /// Member names of the live peers that can reach the key-value store.
     pub fn peers_with_store(&self, now: Instant) -> Vec<String> {
         self.read().peers.members_with_store(now)
     }
 
-    /// What a live peer asks of the key-value store.
+    /// The rate of changes to the key-value store that a peer requested; `None` if the peer is not live.
     pub fn peer_demand(&self, member: &str, now: Instant) -> Option<ChangeRateDemand> {
         self.read().peers.peer_demand(member, now)
     }
 
-    /// The live peers, in the order of their names.
+    /// The live peers, sorted by member name.
     pub fn live_peers(&self, now: Instant) -> Vec<LivePeer> {
         self.read().peers.live(now)
     }
 
-    /// Whether this node should be sent users. Being taken out of the load balancer is costly: only when
-    /// a peer can do what this node cannot. A node that has lost the key-value store and receives nothing
-    /// from its peers takes itself for the one that is cut off: its users would ask it in vain for as
-    /// long as their connections last.
+    /// Whether the load balancer should send users to this node. Removal from the load balancer is costly, so
+    /// a node that has lost the key-value store reports itself unhealthy only if a live peer can reach the
+    /// store, or if it receives nothing from any peer. In the latter case it assumes that it is the
+    /// partitioned node: its users would wait in vain for as long as their connections last.
     pub fn is_healthy(&self, has_peers: bool, now: Instant) -> bool {
         if self.store_ok(now) {
             return true;
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -81,7 +81,7 @@
             }
         }
         TermEvent::CancellationsRead { requested_at } => {
-            cluster.leadership.on_cancellations_read(requested_at)
+            cluster.leadership.on_cancellations_read(requested_at);
         }
         TermEvent::PeerCancellations { job_ids, coverage } => {
             for job_id in &job_ids {
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -69,8 +69,8 @@
         /// Whether the cloud took them back.
         outcome: ReturnOutcome,
     },
-    /// The cloud's list of rented machines was read. It is incomplete if a page
-    /// could not be read or the rate limit was reached.
+    /// The cloud's list of rented machines was read. It is incomplete if a page could not be read or the rate
+    /// limit was reached.
     CloudListed(Vec<CloudMachine>),
     /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Handles workers' heartbeats: the leader's core decides on them, and other nodes relay them to the leader.
 //!
-//! Reading and answering heartbeats is most of the nodes' work. Workers therefore send them to any node, and a
-//! node with far more workers than its share redirects some of them to another node (`worker_distribution`).
-//! Only the leader's core accepts heartbeats. One that it does not accept is answered with status 503, which
-//! does not renew the worker's lease.
+//! Reading and answering heartbeats is most of the nodes' work. Workers therefore send them to any node, and
+//! a node with far more workers than its share redirects some of them to another node
+//! (`worker_distribution`). Only the leader's core accepts heartbeats. One that it does not accept is
+//! answered with status 503, which does not renew the worker's lease.
 
 use crate::api::context::{HeartbeatHandler, ReceivedHeartbeat};
 use crate::api::responses::ApiResponse;
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -56,7 +56,10 @@
                 return;
             }
             Err(e) => {
-                log::info!("cluster state not loaded, retrying term={} error=\"{e}\"", won_term.term.0);
+                log::info!(
+                    "cluster state not loaded, retrying term={} error=\"{e}\"",
+                    won_term.term.0
+                );
                 stop.wait(LOAD_RETRY_DELAY);
             }
         }
@@ -248,8 +251,8 @@
     names.filter_map(JobId::parse).collect()
 }
 
-/// Converts the records to the core's form. Records that cannot be decoded are logged and reported to the core
-/// by their job ids.
+/// Converts the records to the core's form. Records that cannot be decoded are logged and reported to the
+/// core by their job ids.
 fn build_snapshot(
     records: StoredRecords,
     outcomes: HashMap<JobId, JobOutcome>,
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -193,8 +193,9 @@
     }
 
     /// The event for a job in the index of live jobs. The index still contains a job for some time after its
-    /// outcome was written. A job that is done was already known to the leader and needs no event. A cancelled
-    /// job may be unknown to the leader if the watch is late, and the leader has to remove it from the index.
+    /// outcome was written. A job that is done was already known to the leader and needs no event. A
+    /// cancelled job may be unknown to the leader if the watch is late, and the leader has to remove it from
+    /// the index.
     fn event_for_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
         let outcome = self.context.view.final_outcome(&spec.job_id);
         let spec = Box::new(spec);
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -1,7 +1,7 @@
-//! A node: its channels, its threads, and their end.
+//! Starts and stops a node.
 //!
-//! This is the one place where the parts of a node are joined: the API is given its context, the core its
-//! channels, and each thread the ends that it serves.
+//! This is the only place where the parts of a node are connected: the API receives its context, the core its
+//! channels, and each thread the receiving ends of the channels that it serves.
 
 use crate::api::context::{ApiConfig, ApiContext, HeartbeatHandler};
 use crate::api::live_index::LiveIndex;
@@ -38,39 +38,42 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Messages that wait in each channel, at most.
+/// Capacity of the channel to the core thread, in events.
 const EVENT_CAPACITY: usize = 512;
+/// Capacity of the channel to the elector thread, in events.
 const ELECTOR_EVENT_CAPACITY: usize = 256;
+/// Capacity of the channel to the command senders, in deliveries.
 const COMMAND_CAPACITY: usize = 64;
+/// Capacity of the channel for cloud orders.
 const CLOUD_ORDER_CAPACITY: usize = 32;
-/// One transaction of the leader is under way.
+/// Capacity of the channel for the leader's transactions. Only one transaction is pending at a time.
 const TRANSACTION_CAPACITY: usize = 1;
-/// One read of the cloud is asked for.
+/// Capacity of the channel for wakeups of the cloud reader. Further wakeups would have no effect.
 const CLOUD_WAKEUP_CAPACITY: usize = 1;
 
-/// Time for a connection to the key-value store.
+/// Timeout of connecting to the key-value store.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Connections to it that are kept for the leader's own duties.
+/// Idle connections to the key-value store that are kept for the leader's own work.
 const IDLE_LEADER_STORE_CONNECTIONS: usize = 8;
-/// Time for a connection to the cloud.
+/// Timeout of connecting to the cloud.
 const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections kept to the cloud.
+/// Idle connections to the cloud that are kept.
 const IDLE_CLOUD_CONNECTIONS: usize = 2;
-/// The part of the cloud's rate that is used.
+/// The fraction of the cloud's allowed request rate that this node uses.
 const CLOUD_RATE_FRACTION: f64 = 0.8;
-/// For how many seconds' worth of that rate a burst may last.
+/// The largest burst of requests to the cloud, in seconds of the used rate.
 const CLOUD_BURST_S: f64 = 1.5;
-/// How often `wait` checks for the end of the service.
+/// The longest single wait for the stop signal in `Service::wait`.
 const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// A running node. Dropping it leaves the threads to the process; `stop` ends them in order.
+/// A running node. Dropping it leaves its threads running; `stop` signals them to stop.
 pub struct Service {
-    /// What the node's threads share.
+    /// The context that the node's threads share.
     pub context: Arc<NodeContext>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The receiving ends of a node's channels, for the threads that serve them.
+/// The receiving ends of a node's channels.
 struct Receivers {
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
@@ -80,7 +83,7 @@
     cloud_wakeup: Receiver<()>,
 }
 
-/// The threads of a node.
+/// The threads of a node that have been started.
 #[derive(Default)]
 struct Threads {
     handles: Vec<JoinHandle<()>>,
@@ -95,7 +98,8 @@
 }
 
 impl Service {
-    /// Starts all threads. An error says that a port or a thread cannot be had.
+    /// Starts all threads of a node. Returns an error if a port cannot be bound or a thread cannot be
+    /// started.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
         let api_listener = http_server::bind(settings.http_bind)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
@@ -125,7 +129,8 @@
         while !self.context.stop.wait(WAIT_INTERVAL) {}
     }
 
-    /// Ends the node's threads. Those that wait for a connection end with the process.
+    /// Signals all threads to stop, and joins those that have already ended. It does not wait for the others:
+    /// threads that are blocked on a connection run until the process exits.
     pub fn stop(self) {
         self.context.stop.stop();
         for thread in self.threads {
@@ -136,7 +141,7 @@
     }
 }
 
-/// The channels of a node, and what its threads share.
+/// Creates the channels of a node and the context that its threads share.
 fn create_context_and_channels(
     settings: Settings,
 ) -> (Arc<NodeContext>, ActionChannels, Receivers) {
@@ -187,7 +192,7 @@
 fn create_store_client(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
-    // One for each thread that asks for a user, and for the leader's own duties.
+    // One connection for each thread that serves users' requests, in addition to those for the leader's work.
     let user_connections = settings.operations.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
@@ -206,7 +211,7 @@
     CloudClient::new(HttpClient::new(config, meters.cloud.clone()))
 }
 
-/// The part of the node that the API uses.
+/// The parts of the node's context that the API uses.
 fn api_context(context: &Arc<NodeContext>) -> ApiContext {
     ApiContext {
         config: ApiConfig::from(&context.settings),
@@ -221,7 +226,8 @@
     }
 }
 
-/// The core, the writer of its transactions, the senders of its commands, and its status reads.
+/// Starts the threads of the core, of the writer of its transactions, of the senders of its commands, and of
+/// its status lookups.
 fn start_core(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
@@ -244,7 +250,7 @@
     threads.spawn("status-reads", move || status_reads::run_lookups(&node))
 }
 
-/// Scaling out and in, and the reads of the cloud, which share its rate.
+/// Starts the threads that scale out and in and that read from the cloud. They share one rate limit.
 fn start_cloud(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
@@ -263,7 +269,7 @@
     })
 }
 
-/// The watch of the control keys, and the elector.
+/// Starts the threads of the watch of the control keys and of the elector.
 fn start_leadership(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
@@ -275,7 +281,7 @@
     threads.spawn("elector", move || elector::run(&node, &events))
 }
 
-/// The exchange of status with each peer, and the server for their frames.
+/// Starts a thread for the status exchange with each peer, and the server for the peers' requests.
 fn start_peers(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -1,7 +1,7 @@
-//! Reads of jobs' statuses for the leader: while it loads, and while it leads.
+//! Reads the statuses of jobs for the leader, both while it loads the cluster state and while it leads.
 //!
-//! The reads are linearizable. A status that could not be read is read again or left out; it is never
-//! reported to the core as an answer.
+//! The reads are linearizable. A status that could not be read is read again or left out, and no status is
+//! reported to the core in its place.
 
 use crate::common::stop_signal::StopSignal;
 use crate::core::model::{JobId, Term};
@@ -13,19 +13,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// How often it is checked for jobs without a record.
+/// Interval between checks for jobs without a record.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long one call may take.
+/// Time limit of one attempt to read the statuses of a chunk of jobs.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Before a call that failed is made again.
+/// Delay before a failed attempt is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long reading the statuses of accepted jobs may take in all.
+/// Time limit of reading the statuses of all accepted jobs, including repeated attempts.
 const TOTAL_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads the statuses of jobs that are known to have been accepted, until all are read or the time is up.
+/// Reads the statuses of jobs that are known to have been accepted. Returns an error if some could not be
+/// read before the time limit or the stop signal.
 ///
-/// A call whose answer is lost is made again, and what has been read is kept: with one long wait for each
-/// answer a leader loaded for 100 s while a third of the answers were lost.
+/// A failed attempt is repeated after a short time limit, and the statuses that were already read are kept.
+/// With one long timeout for each response, a leader needed 100 s to load while a third of the responses were
+/// lost.
 pub(super) fn read_accepted_jobs(
     context: &NodeContext,
     job_ids: &[JobId],
@@ -55,8 +57,8 @@
     Ok(statuses)
 }
 
-/// Reads the statuses of jobs of which machines show tasks without a record, until the service ends.
-/// Nothing is assumed of whether they were ever accepted.
+/// Looks up the statuses of jobs that have tasks on machines but no record known to the leader, until the
+/// service stops. These jobs may never have been accepted.
 pub(super) fn run_lookups(context: &NodeContext) {
     let mut backoff = Backoff::default();
     while !context.stop.wait(CHECK_INTERVAL) {
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -1,7 +1,8 @@
-//! Writes the leader's transactions, one at a time.
+//! Writes the leader's transactions to the key-value store, one at a time.
 //!
-//! Each transaction is conditional on the leader key, so one that was delayed past the end of its term
-//! fails wherever it lingers. A transaction whose outcome is unknown is reported as such, never as failed.
+//! Each transaction is conditional on the leader key, so a transaction that is delayed beyond the end of its
+//! term fails, wherever it was delayed. A transaction whose outcome is unknown is reported as unknown, never
+//! as failed.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::persistence::keys;
@@ -15,12 +16,12 @@
 use serde::de::IgnoredAny;
 use std::time::Duration;
 
-/// How long a transaction may take.
+/// Timeout of a transaction.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How long reading one key back may take.
+/// Timeout of reading one key after a failed transaction.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Writes transactions until the queue ends.
+/// Writes transactions until all senders of the queue are gone.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<LeaderTransaction>) {
     while let Ok(LeaderTransaction { term, batch }) = queue.recv() {
         let outcome = write(context, &batch);
@@ -41,14 +42,14 @@
         Err(StoreError::Rejected) => WriteOutcome::Refused,
         Err(e) => {
             let operations = batch.ops.len();
-            log::debug!("write not confirmed error=\"{e}\" operations={operations}");
+            log::debug!("transaction outcome unknown error=\"{e}\" operations={operations}");
             WriteOutcome::Unknown
         }
     }
 }
 
-/// Remembers the jobs that are done, of which users may be told at once. A cancellation has to be
-/// confirmed first.
+/// Remembers the jobs that this transaction marked as done, so that users learn of it without a read of the
+/// store. Cancellations are not remembered here, because they have to be confirmed first.
 fn remember_done(context: &NodeContext, batch: &WriteBatch) {
     for op in &batch.ops {
         let WriteOp::Put(key, RecordValue::JobOutcome(JobOutcome::Done)) = op else {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Reads the keys on which a transaction failed, so that the core sees what it met there.
+/// Reads the keys whose conditions failed, so that the core learns their current state.
 fn read_conflicts(context: &NodeContext, keys: Vec<String>) -> WriteOutcome {
     let mut conflicts = Vec::new();
     for key in keys {
@@ -72,7 +73,7 @@
     WriteOutcome::Failed { conflicts }
 }
 
-/// A key's revision, 0 if it is absent, and the outcome that it holds if it is a job's.
+/// Reads a key's revision (0 if the key is absent) and, if it is the key of a job's outcome, the outcome.
 fn read_key(context: &NodeContext, key: String) -> Result<ConflictingKey, StoreError> {
     let store = &context.store;
     let class = RequestClass::Leader;
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -1,8 +1,9 @@
-//! Which workers send their heartbeats to this node, and which of them are redirected to another.
+//! Tracks which workers send their heartbeats to this node, and decides which of them to redirect.
 //!
-//! Reading and answering heartbeats is most of the nodes' work, so the workers are spread: a follower
-//! takes its part, and the leader, which also places and writes, takes less. Workers are redirected one
-//! by one, and none twice within a minute, so that the nodes do not pass them to and fro.
+//! Reading and answering heartbeats is most of the nodes' work, so the workers are distributed among the
+//! nodes. Followers take equal shares. The leader, which also places tasks and writes to the key-value store,
+//! takes a smaller share. Workers are redirected one at a time, and none of them twice within a minute, so
+//! that the nodes do not redirect them back and forth.
 
 use crate::node::peer_table::LivePeer;
 use std::collections::HashMap;
@@ -10,30 +11,33 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A worker that comes back within this time of being redirected could not reach the other node.
+/// A worker is not redirected again for this long. If it returns within this time, it could not reach the
+/// other node.
 const REDIRECT_COOLDOWN: Duration = Duration::from_secs(60);
-/// At most one worker is redirected in this time: the peers' counts are a second old.
+/// Minimum time between redirections. The worker counts of the peers are up to a second old, so faster
+/// redirections would overshoot.
 const REDIRECT_INTERVAL: Duration = Duration::from_millis(60);
-/// Workers are forgotten after as many heartbeat intervals without one.
+/// A worker is removed after this many heartbeat intervals without a heartbeat.
 const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
-/// How often workers and redirections that are too old are removed.
+/// Minimum time between removals of outdated workers and redirections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A node redirects workers beyond its part times this,
+/// A node redirects workers only if it has more than its fair share multiplied by this factor, plus
+/// [`MAX_EXTRA_WORKERS`].
 const MAX_LOAD_FACTOR: f64 = 1.2;
-/// and this many more.
+/// Number of workers that a node may have in addition to the limit by [`MAX_LOAD_FACTOR`].
 const MAX_EXTRA_WORKERS: f64 = 6.0;
-/// The weight of a follower's part.
+/// Weight of a follower in the distribution of workers, relative to [`LEADER_WEIGHT`].
 const FOLLOWER_WEIGHT: f64 = 4.0;
-/// The weight of the leader's part.
+/// Weight of the leader in the distribution of workers, relative to [`FOLLOWER_WEIGHT`].
 const LEADER_WEIGHT: f64 = 1.0;
 
-/// The nodes among which workers are spread, as one of them sees them.
+/// The nodes among which workers are distributed, as seen by one of them.
 pub struct LiveNodes<'a> {
-    /// This node.
+    /// Member name of this node.
     pub own: &'a str,
-    /// The leader, which may be this node.
+    /// Member name of the leader, which may be this node.
     pub leader: &'a str,
-    /// The live peers.
+    /// The peers that reported recently, with their numbers of workers.
     pub peers: &'a [LivePeer],
 }
 
@@ -73,14 +77,15 @@
     }
 }
 
-/// The workers that send their heartbeats to this node, by their addresses.
+/// The workers that send their heartbeats to this node, identified by their addresses.
 pub struct WorkerDistribution {
     heartbeat_interval: Duration,
     state: Mutex<DistributionState>,
 }
 
 impl WorkerDistribution {
-    /// No workers yet. Each sends a heartbeat this often.
+    /// Creates a distribution without workers. `heartbeat_interval` is the time between two heartbeats of a
+    /// worker.
     pub fn new(heartbeat_interval: Duration) -> WorkerDistribution {
         WorkerDistribution {
             heartbeat_interval,
@@ -103,24 +108,25 @@
         self.lock().last_heartbeats.insert(from, now);
     }
 
-    /// Forgets the worker at this address, which goes to another node.
+    /// Removes the worker at this address, which was told to use another node.
     pub fn forget(&self, from: IpAddr) {
         self.lock().last_heartbeats.remove(&from);
     }
 
-    /// Whether any worker sends its heartbeats here.
+    /// Whether any worker has recently sent a heartbeat to this node.
     pub fn any(&self, now: Instant) -> bool {
         self.count(now) > 0
     }
 
-    /// How many workers send their heartbeats here.
+    /// Number of workers that have recently sent a heartbeat to this node.
     pub fn count(&self, now: Instant) -> u32 {
         let mut state = self.lock();
         state.remove_stale_workers(self.max_heartbeat_age(), now);
         state.last_heartbeats.len() as u32
     }
 
-    /// The node to which the worker at this address is redirected, if it is.
+    /// Decides whether to redirect the worker at this address. Returns the member name of the node to which
+    /// it is redirected, and `None` if it stays.
     pub fn redirect_target(
         &self,
         from: IpAddr,
@@ -147,7 +153,7 @@
     }
 }
 
-/// The peer that lacks most to its part, if this node has too many workers and a peer too few.
+/// The peer that is furthest below its fair share, if this node has too many workers and that peer too few.
 fn most_underloaded_peer<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
     let peers = live_nodes.peers;
