--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -29,7 +29,7 @@
     /// Creates a detector. `skew` is how far the wall clock may be from the true time.
     pub fn new(skew: Duration, now: ClockReading) -> PauseDetector {
         PauseDetector {
-            // The wall clock may be corrected by the skew in either direction.
+            // Each reading of the wall clock may deviate by the skew in either direction.
             max_day_step: MIN_PAUSE + skew * 2,
             state: Mutex::new(State {
                 last_check: now,
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -287,7 +287,7 @@
     }
 
     /// Whether the key-value store is available to this node: it answered the last call, or calls have been
-    /// failing for less than [`STORE_LOST_AFTER`].
+    /// failing for less than `STORE_LOST_AFTER`.
     pub fn store_ok(&self, now: Instant) -> bool {
         self.read()
             .store_failing_since
@@ -322,7 +322,8 @@
     /// Whether the load balancer should send users to this node. Removal from the load balancer is costly, so
     /// a node that has lost the key-value store reports itself unhealthy only if a live peer can reach the
     /// store, or if it receives nothing from any peer. In the latter case it assumes that it is the
-    /// partitioned node: its users would wait in vain for as long as their connections last.
+    /// partitioned node: its users would wait in vain for as long as their connections last. `has_peers` is
+    /// whether the settings name any peers.
     pub fn is_healthy(&self, has_peers: bool, now: Instant) -> bool {
         if self.store_ok(now) {
             return true;
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -90,8 +90,9 @@
 /// late: with the configured duration alone, each leader lost its lease while it was loading the cluster
 /// state, and the next leader had to start loading again.
 fn compute_lease_duration(context: &NodeContext) -> Duration {
-    let lag = context.max_timer_lag().as_secs_f64() / TIMER_LAG_DOUBLING_LEASE.as_secs_f64();
-    let factor = 1.0 + lag.min(MAX_LEASE_EXTENSION_FACTOR);
+    let relative_lag =
+        context.max_timer_lag().as_secs_f64() / TIMER_LAG_DOUBLING_LEASE.as_secs_f64();
+    let factor = 1.0 + relative_lag.min(MAX_LEASE_EXTENSION_FACTOR);
     context.settings.operations.leader_lease.mul_f64(factor)
 }
 
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -78,8 +78,8 @@
         let Some(peer) = self.notifiable_peer(&leader) else {
             return;
         };
-        let names = job_ids.iter().map(|job_id| job_id.0.clone()).collect();
-        if let Err(e) = peer.call(&PeerRequest::Cancelled(names), NOTIFY_TIMEOUT) {
+        let ids = job_ids.iter().map(|job_id| job_id.0.clone()).collect();
+        if let Err(e) = peer.call(&PeerRequest::Cancelled(ids), NOTIFY_TIMEOUT) {
             let jobs = job_ids.len();
             log::debug!("leader not notified of cancellations jobs={jobs} error=\"{e}\"");
         }
@@ -161,10 +161,7 @@
             offset: next,
         });
         Some(ReadPage {
-            job_ids: job_ids
-                .iter()
-                .filter_map(|name| JobId::parse(name))
-                .collect(),
+            job_ids: job_ids.iter().filter_map(|id| JobId::parse(id)).collect(),
             report,
             has_more: more,
         })
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -226,13 +226,13 @@
     live: &[ListEntry<StoredJob>],
     stop: &StopSignal,
 ) -> Result<Vec<(JobId, JobOutcome)>, StoreError> {
-    let live_names: HashSet<&str> = live
+    let live_job_ids: HashSet<&str> = live
         .iter()
         .filter_map(|entry| entry.key.strip_prefix(keys::LIVE_JOB_PREFIX))
         .collect();
-    let named = live.iter().flat_map(|entry| entry.value.dependencies());
-    let ended: BTreeSet<JobId> = named
-        .filter(|name| !live_names.contains(name.as_str()))
+    let dependency_ids = live.iter().flat_map(|entry| entry.value.dependencies());
+    let ended: BTreeSet<JobId> = dependency_ids
+        .filter(|name| !live_job_ids.contains(name.as_str()))
         .filter_map(|name| JobId::parse(name))
         .collect();
     let ended: Vec<JobId> = ended.into_iter().collect();
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -96,8 +96,8 @@
             &endpoint,
             &body,
         )),
-        PeerRequest::JobStatuses(names) => {
-            PeerResponse::JobStatuses(status_queries::answer_peer(api, &names))
+        PeerRequest::JobStatuses(ids) => {
+            PeerResponse::JobStatuses(status_queries::answer_peer(api, &ids))
         }
         PeerRequest::Cancellations { from } => {
             let page = context.view.cancellations(from);
@@ -109,8 +109,8 @@
                 more: page.more,
             }
         }
-        PeerRequest::Cancelled(names) => {
-            let job_ids = names.iter().filter_map(|name| JobId::parse(name)).collect();
+        PeerRequest::Cancelled(ids) => {
+            let job_ids = ids.iter().filter_map(|name| JobId::parse(name)).collect();
             let outcome = context.accept_cancellations(job_ids);
             PeerResponse::Cancelled(outcome == NotificationOutcome::Accepted)
         }
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -159,8 +159,8 @@
     let peers = live_nodes.peers;
     let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
     let peer_weights = peers.iter().map(|p| live_nodes.weight(&p.member));
-    let weights = live_nodes.weight(live_nodes.own) + peer_weights.sum::<f64>();
-    let fair_share = |member: &str| workers * live_nodes.weight(member) / weights;
+    let total_weight = live_nodes.weight(live_nodes.own) + peer_weights.sum::<f64>();
+    let fair_share = |member: &str| workers * live_nodes.weight(member) / total_weight;
     if own_workers <= fair_share(live_nodes.own) * MAX_LOAD_FACTOR + MAX_EXTRA_WORKERS {
         return None;
     }
