--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -232,8 +232,8 @@
         .collect();
     let dependency_ids = live.iter().flat_map(|entry| entry.value.dependencies());
     let ended: BTreeSet<JobId> = dependency_ids
-        .filter(|name| !live_job_ids.contains(name.as_str()))
-        .filter_map(|name| JobId::parse(name))
+        .filter(|id| !live_job_ids.contains(id.as_str()))
+        .filter_map(|id| JobId::parse(id))
         .collect();
     let ended: Vec<JobId> = ended.into_iter().collect();
     let statuses = status_reads::read_accepted_jobs(context, &ended, stop)?;
@@ -245,10 +245,10 @@
 
 /// The ids of the jobs in the keys under a prefix. Keys without a valid id are left out.
 fn job_ids_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
-    let names = pairs
+    let ids = pairs
         .iter()
         .filter_map(|entry| entry.key.strip_prefix(prefix));
-    names.filter_map(JobId::parse).collect()
+    ids.filter_map(JobId::parse).collect()
 }
 
 /// Converts the records to the core's form. Records that cannot be decoded are logged and reported to the
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -110,7 +110,7 @@
             }
         }
         PeerRequest::Cancelled(ids) => {
-            let job_ids = ids.iter().filter_map(|name| JobId::parse(name)).collect();
+            let job_ids = ids.iter().filter_map(|id| JobId::parse(id)).collect();
             let outcome = context.accept_cancellations(job_ids);
             PeerResponse::Cancelled(outcome == NotificationOutcome::Accepted)
         }
