--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -31,7 +31,7 @@
     pub cloud: Arc<LatencyMeter>,
     /// Ticks of the core, which include a placement round.
     pub rounds: LatencyMeter,
-    /// Time from when a task's launch intent is known to be durable to the task's start.
+    /// Time from when a task's launch intent became known to be durable until the task's start was observed.
     pub starts: LatencyMeter,
 }
 
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -55,14 +55,14 @@
         /// The heartbeat in the machine's response; `None` if it did not answer or nothing was sent.
         heartbeat: Option<Heartbeat>,
     },
-    /// The cloud answered a rental, or the rental failed.
+    /// The cloud answered a rental, or the rental failed or was not sent.
     RentalEnded {
         /// The idempotency key of the rental request.
         idempotency_key: String,
         /// The rented machines, or why there are none.
         outcome: RentalOutcome,
     },
-    /// The cloud answered a return of machines, or the return failed.
+    /// The cloud answered a return of machines, or the return failed or was not sent.
     ReturnEnded {
         /// The machines that were to be returned.
         machines: Vec<MachineId>,
@@ -74,7 +74,7 @@
     CloudListed(Vec<CloudMachine>),
     /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
-    /// The statuses of jobs that machines run tasks of, but that the leader does not know, were read.
+    /// The statuses of jobs that are unknown to the leader, although machines run their tasks, were read.
     StatusesRead(Vec<(JobId, JobRecordStatus)>),
     /// The key-value store contains lists of dependents for these jobs.
     DependentsListsFound(Vec<JobId>),
@@ -117,7 +117,7 @@
     Failed,
 }
 
-/// A peer's report that all cancellations which it confirmed up to some time have been passed on.
+/// A peer's report, which proves that all cancellations that it confirmed up to some time are known here.
 pub struct CancellationCoverage {
     /// The peer's member name.
     pub peer: String,
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -57,7 +57,7 @@
             }
             Err(e) => {
                 log::info!(
-                    "cluster state not loaded, retrying term={} error=\"{e}\"",
+                    "cluster state not loaded term={} error=\"{e}\"",
                     won_term.term.0
                 );
                 stop.wait(LOAD_RETRY_DELAY);
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -22,7 +22,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Stack size of a connection's thread, which needs less than the default.
+/// Stack size of a connection's thread, in bytes. These threads need less than the default.
 const PEER_THREAD_STACK_BYTES: usize = 256 * 1024;
 
 /// Accepts connections from other controllers until the service stops.
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -25,7 +25,7 @@
 /// Reads the statuses of jobs that are known to have been accepted. Returns an error if some could not be
 /// read before the time limit or the stop signal.
 ///
-/// A failed attempt is repeated after a short time limit, and the statuses that were already read are kept.
+/// Each attempt has a short time limit. A failed attempt is repeated, and the statuses already read are kept.
 /// With one long timeout for each response, a leader needed 100 s to load while a third of the responses were
 /// lost.
 pub(super) fn read_accepted_jobs(
