--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -1,8 +1,8 @@
-//! Sends commands to workers, by way of a follower where one can be used.
+//! Sends commands to workers, through a follower where one is available.
 //!
-//! The leader's processor is the one that limits the cluster, so followers do the sending where they can.
-//! A command is checked against the leadership when it is sent, not only when it is queued: it may have
-//! waited while the leadership was lost.
+//! The leader's processor is the bottleneck of the cluster, so followers send the commands where possible.
+//! The leadership is checked when a command is sent and not only when it is queued, because the leadership
+//! may have been lost while the command was waiting.
 
 use crate::core::model::{ImageKey, MachineId};
 use crate::net::agent;
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How much longer a delivery by way of a peer may take than a direct one.
-const PEER_OVERHEAD: Duration = Duration::from_millis(500);
+/// Time allowed for delivery through a peer in addition to the timeout of a direct delivery.
+const MAX_PEER_OVERHEAD: Duration = Duration::from_millis(500);
 
-/// Sends commands until the queue ends.
+/// Sends commands until all senders of the queue are gone.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<CommandDelivery>) {
     while let Ok(delivery) = queue.recv() {
         let response = if context.leads(delivery.term) {
@@ -37,30 +37,31 @@
 
 fn send(context: &NodeContext, delivery: &CommandDelivery) -> Option<Vec<u8>> {
     let body = agent::encode_commands(delivery.token, delivery.incarnation, &delivery.commands);
-    match delivering_peer(context, &delivery.machine) {
-        Some(peer) => send_through(peer, &context.agent_client, &delivery.endpoint, body),
+    match relay_peer(context, &delivery.machine) {
+        Some(peer) => send_through_peer(peer, &context.agent_client, &delivery.endpoint, body),
         None => agent::send_commands(&context.agent_client, &delivery.endpoint, &body),
     }
 }
 
-/// The peer that sends to this machine: always the same one, so that its connections are used again.
-fn delivering_peer<'a>(context: &'a NodeContext, machine: &MachineId) -> Option<&'a Peer> {
+/// Selects the live peer that sends to this machine, or `None` if the commands are to be sent directly. The
+/// choice depends only on the machine and the set of eligible peers, so that a peer reuses its connections.
+fn relay_peer<'a>(context: &'a NodeContext, machine: &MachineId) -> Option<&'a Peer> {
     let now = Instant::now();
     let live = context.view.live_peers(now);
     let is_live = |peer: &Peer| live.iter().any(|p| p.member == peer.member);
-    let able: Vec<&Arc<Peer>> = context
+    let eligible: Vec<&Arc<Peer>> = context
         .peers
         .iter()
         .filter(|peer| peer.accepts_commands(now) && is_live(peer))
         .collect();
-    if able.is_empty() {
+    if eligible.is_empty() {
         return None;
     }
-    let index = ImageKey::of(&machine.0).0 as usize % able.len();
-    Some(able[index])
+    let index = ImageKey::of(&machine.0).0 as usize % eligible.len();
+    Some(eligible[index])
 }
 
-fn send_through(
+fn send_through_peer(
     peer: &Peer,
     client: &ureq::Agent,
     endpoint: &str,
@@ -70,7 +71,7 @@
         endpoint: endpoint.to_owned(),
         body,
     };
-    let answer = peer.call(&request, agent::COMMAND_TIMEOUT + PEER_OVERHEAD);
+    let answer = peer.call(&request, agent::COMMAND_TIMEOUT + MAX_PEER_OVERHEAD);
     let now = Instant::now();
     match answer {
         Ok(PeerResponse::Command(response)) => {
@@ -86,7 +87,7 @@
             let PeerRequest::Command { body, .. } = request else {
                 return None;
             };
-            // A refusal came at once, so there is time to send it directly.
+            // A refused connection fails immediately, so there is still time for a direct delivery.
             let refused = e.kind() == ErrorKind::ConnectionRefused;
             refused
                 .then(|| agent::send_commands(client, endpoint, &body))
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -1,7 +1,7 @@
-//! The core's thread: takes events, ticks the cluster state, and has its actions carried out.
+//! The core thread: handles events, runs the ticks of the cluster state, and dispatches its actions.
 //!
-//! The cluster state belongs to this thread alone, so the core needs no locks. The thread never waits for
-//! another one: a channel that is full is reported to the core as an action that failed.
+//! Only this thread accesses the cluster state, so the core needs no locks. The thread never blocks on
+//! another thread: an action whose channel is full is reported to the core as failed.
 
 use crate::core::leadership::cancellation_watermark::ClockReading;
 use crate::core::state::ClusterState;
@@ -14,33 +14,33 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Jobs' counts are for display: users may learn of them a second late.
+/// Interval between publications of the jobs' task counts, which are for display and may be this old.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two ticks.
-const TICK: Duration = Duration::from_millis(150);
-/// How often the rate of changes in the key-value store is shared out among the nodes.
-const SHARE_INTERVAL: Duration = Duration::from_millis(500);
-/// Events taken before the core acts.
-const MAX_EVENTS_PER_TURN: usize = 64;
+/// Time between the end of one tick and the start of the next.
+const TICK_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval at which the shares of the key-value store's change rate are recomputed.
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of events that are handled before the core produces actions.
+const MAX_EVENTS_PER_ITERATION: usize = 64;
 
-/// Serves the core until the service ends.
+/// Runs the core until the service stops.
 pub(super) fn run(context: &NodeContext, events: &Receiver<Event>, channels: &ActionChannels) {
     let mut core = CoreLoop::new(context, channels);
     while !context.stop.is_stopped() {
-        core.turn(events);
+        core.run_iteration(events);
     }
 }
 
 struct CoreLoop<'a> {
     context: &'a NodeContext,
     channels: &'a ActionChannels,
-    /// The cluster state of the term that this node leads in.
+    /// The cluster state of the term in which this node leads; `None` while it does not lead.
     cluster: Option<ClusterState>,
     progress: ProgressPublisher,
     next_tick: Instant,
     last_tick: Instant,
     next_publish: Instant,
-    next_share: Instant,
+    next_rebalance: Instant,
     next_summary: Instant,
     last_resumed_at: Option<Instant>,
 }
@@ -56,20 +56,20 @@
             next_tick: now,
             last_tick: now,
             next_publish: now,
-            next_share: now,
+            next_rebalance: now,
             next_summary: now + context.settings.operations.metrics_interval,
             last_resumed_at: None,
         }
     }
 
-    /// Waits for events until the next tick, takes them, and has the core act on them.
-    fn turn(&mut self, events: &Receiver<Event>) {
-        self.share_store_rate();
+    /// Waits for events until the next tick, handles them, and dispatches the resulting actions.
+    fn run_iteration(&mut self, events: &Receiver<Event>) {
+        self.rebalance_store_rate();
         let until_tick = self.next_tick.saturating_duration_since(Instant::now());
         let first = events.recv_timeout(until_tick).ok();
         let now = Instant::now();
         self.check_clocks(now);
-        self.take_events(first, events, now);
+        self.handle_events(first, events, now);
         if now >= self.next_tick {
             self.measure_timer_lag(now);
             self.tick(now);
@@ -78,11 +78,11 @@
         }
     }
 
-    fn share_store_rate(&mut self) {
+    fn rebalance_store_rate(&mut self) {
         let now = Instant::now();
-        if now >= self.next_share {
-            self.next_share = now + SHARE_INTERVAL;
-            self.context.share_store_rate(now);
+        if now >= self.next_rebalance {
+            self.next_rebalance = now + REBALANCE_INTERVAL;
+            self.context.rebalance_store_rate(now);
         }
     }
 
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Takes what has queued up in one go, so that a late thread catches up.
-    fn take_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
+    /// Handles `first` and the events that are already queued, so that a thread that is late catches up.
+    fn handle_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
         let mut next = first;
-        let mut taken = 0;
+        let mut handled = 0;
         while let Some(event) = next {
-            self.take(event, now);
-            taken += 1;
-            next = if taken < MAX_EVENTS_PER_TURN {
+            self.handle_event(event, now);
+            handled += 1;
+            next = if handled < MAX_EVENTS_PER_ITERATION {
                 events.try_recv().ok()
             } else {
                 None
@@ -116,9 +116,9 @@
         }
     }
 
-    fn take(&mut self, event: Event, now: Instant) {
+    fn handle_event(&mut self, event: Event, now: Instant) {
         match event {
-            Event::Lead(cluster) => {
+            Event::StartTerm(cluster) => {
                 self.progress.clear();
                 self.context.view.set_loaded_term(Some(cluster.term));
                 self.cluster = Some(*cluster);
@@ -149,18 +149,21 @@
         }
     }
 
-    /// The last tick's own length counts: in a node that cannot keep up that is what grows.
+    /// Records by how much the time since the previous tick exceeds the tick interval. This includes the
+    /// duration of the previous tick, which is what grows on an overloaded node.
     fn measure_timer_lag(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.last_tick);
-        self.context.timer_lag.record(passed.saturating_sub(TICK));
+        self.context
+            .timer_lag
+            .record(passed.saturating_sub(TICK_INTERVAL));
         self.last_tick = now;
     }
 
-    /// Runs a tick of the core: a placement round and what goes with it.
+    /// Runs a tick of the core, which includes a placement round, and dispatches its actions.
     fn tick(&mut self, now: Instant) {
         let context = self.context;
         let Some(cluster) = self.cluster.as_mut() else {
-            self.next_tick = Instant::now() + TICK;
+            self.next_tick = Instant::now() + TICK_INTERVAL;
             return;
         };
         let confirmed = refresh_permissions(context, cluster);
@@ -169,27 +172,28 @@
             .observe_timer_lag(now, context.max_timer_lag());
         let actions = cluster.tick(now);
         let duration = now.elapsed();
-        self.next_tick = Instant::now() + TICK;
+        self.next_tick = Instant::now() + TICK_INTERVAL;
         context.meters.rounds.record(duration);
         cluster.set_tick_duration(duration);
-        // In an outage nobody could take over; and a lease that is lost anyway ends by itself.
+        // The leader resigns only while its lease is confirmed. In an outage of the store no other node could
+        // take over, and a lease that is already lost expires without a resignation.
         if confirmed && cluster.is_without_heartbeats(now) {
             let event = ElectorEvent::NoHeartbeats(cluster.term);
             let _ = self.channels.elector_events.try_send(event);
         }
         perform(context, cluster, actions, now, self.channels);
-        context.view.set_unrecorded(cluster.jobs_to_look_up());
+        context.view.set_unrecorded_jobs(cluster.jobs_to_look_up());
         if now >= self.next_publish {
             self.next_publish = now + PUBLISH_INTERVAL;
             self.progress.publish(&context.view, cluster);
             context
                 .view
-                .set_unresolved(cluster.unresolved_dependencies());
+                .set_unresolved_dependencies(cluster.unresolved_dependencies());
         }
         self.log_summary_if_due(now);
     }
 
-    /// Has the core act on events between two ticks.
+    /// Dispatches the actions that result from events between two ticks.
     fn flush(&mut self, now: Instant) {
         let Some(cluster) = self.cluster.as_mut() else {
             return;
@@ -211,8 +215,8 @@
     }
 }
 
-/// Tells the core how many changes it may write, and whether its leadership is confirmed by the lease.
-/// Returns the latter.
+/// Sets how many changes the core may write and whether the leader lease confirms its leadership. Returns
+/// whether the leadership is confirmed.
 fn refresh_permissions(context: &NodeContext, cluster: &mut ClusterState) -> bool {
     cluster.set_write_allowance(context.store.leader_changes_left());
     let confirmed = context.holds_leader_lease(cluster.term);
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,8 +1,8 @@
-//! The elector's thread: campaigns for the leadership, renews its lease, and steps down.
+//! The elector thread: campaigns for the leadership, renews the leader's lease, and steps down.
 //!
-//! What to do is decided by `core::leadership::election`; this thread carries it out. Invariants: a lease
-//! counts from when its grant or renewal was asked for, never from the answer; and whoever steps down
-//! stops the term's threads before anything else.
+//! `core::leadership::election` decides what to do, and this thread does it. Invariants: the validity of a
+//! lease is counted from when its grant or renewal was requested, never from when the response arrived; and
+//! a leader that steps down stops the threads of its term before it does anything else.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -13,7 +13,7 @@
 use crate::net::store::StoreError;
 use crate::net::wire::StoredLeader;
 use crate::node::view::{NodeView, RoleView};
-use crate::runtime::campaign::{campaign, Candidacy, Victory};
+use crate::runtime::campaign::{campaign, Candidacy, WonCampaign};
 use crate::runtime::context::NodeContext;
 use crate::runtime::control_watch::leader_record;
 use crate::runtime::events::Event;
@@ -24,55 +24,57 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long one call of the key-value store may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
-/// How often it is checked what is due, without an event.
+/// Timeout of one call to the key-value store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Longest time between two checks for due steps when no events arrive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A lease is renewed, and may take to be renewed, this part of its duration.
+/// The renewal interval of the lease, and the timeout of one renewal, are the lease duration divided by this.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// A leader that resigned since it received no heartbeats campaigns again only after this.
-const RESIGNATION_PAUSE: Duration = Duration::from_secs(10);
-/// How long a node without workers leaves a vacant leadership to others.
-const YIELD_TIME: Duration = Duration::from_millis(900);
-/// The pause after a campaign that another node won, in milliseconds.
-const LOST_PAUSE_MS: Range<u64> = 100..400;
-/// The pause after a campaign that failed, in milliseconds.
-const FAILED_PAUSE_MS: Range<u64> = 300..800;
+/// Time before a leader that resigned because it received no heartbeats campaigns again.
+const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
+/// How long a node without workers waits for another node to take a vacant leadership.
+const YIELD_PERIOD: Duration = Duration::from_millis(900);
+/// Range of the random back-off after a campaign that another node won, in milliseconds.
+const LOST_CAMPAIGN_BACKOFF_MS: Range<u64> = 100..400;
+/// Range of the random back-off after a campaign that failed with an error, in milliseconds.
+const FAILED_CAMPAIGN_BACKOFF_MS: Range<u64> = 300..800;
 
-/// A message to the elector's thread.
+/// A message to the elector thread.
 pub enum ElectorEvent {
-    /// The leader key as it stands, or that it is absent.
+    /// The leader key as read, or `None` if it is absent or a write showed that this term no longer holds it.
     LeaderKey(Option<LeaderRecord>),
-    /// A term that a heartbeat or a peer has shown.
+    /// A heartbeat, a worker's response or a peer reported this term.
     TermSeen(Term),
-    /// The leader of this term receives no heartbeats.
+    /// This node leads in this term but receives no heartbeats.
     NoHeartbeats(Term),
 }
 
-/// Serves the leadership until the service ends.
+/// Runs the elector until the service stops.
 pub(super) fn run(context: &Arc<NodeContext>, events: &Receiver<ElectorEvent>) {
     let mut elector = Elector::new(context.clone());
     while !context.stop.is_stopped() {
         let event = events.recv_timeout(CHECK_INTERVAL);
-        elector.advance(event);
+        elector.handle_event(event);
     }
-    elector.end();
+    elector.shut_down();
 }
 
 struct Elector {
     context: Arc<NodeContext>,
     leadership: Leadership,
-    /// Tells two incarnations of this member apart.
-    boot: u64,
-    /// How long the lease of the present term lasts without a renewal.
+    /// A random number that distinguishes the processes of one member.
+    boot_id: u64,
+    /// How long the lease of the current term is valid after a renewal.
     lease_duration: Duration,
-    /// The lease of the present term.
+    /// The lease of the current term; `None` while this node does not lead.
     lease_id: Option<u64>,
-    /// Ends the threads of the present term.
+    /// Stops the threads of the current term.
     term_stop: StopSignal,
-    /// The leader key was read: before, its absence means nothing.
+    /// Whether the leader key has been read at least once. Before that, a missing leader record does not
+    /// mean that the leadership is vacant.
     leader_key_read: bool,
-    /// Since when nobody leads, as far as is known here.
+    /// Since when a campaign has been the next step without interruption, because no node is known to lead
+    /// or the leader key belongs to this member's own earlier process.
     vacant_since: Option<Instant>,
 }
 
@@ -80,11 +82,11 @@
     fn new(context: Arc<NodeContext>) -> Elector {
         let lease_duration = context.settings.operations.leader_lease;
         let renewal_interval = lease_duration / RENEWALS_PER_LEASE;
-        let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
+        let boot_id: u64 = rand::thread_rng().gen::<u64>() >> 1;
         Elector {
             leadership: Leadership::new(&context.settings.member, renewal_interval),
             context,
-            boot,
+            boot_id,
             lease_duration,
             lease_id: None,
             term_stop: StopSignal::new(),
@@ -93,23 +95,23 @@
         }
     }
 
-    /// Takes an event, and does what is due then.
-    fn advance(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
-        let step = self.take(event);
-        let asked = ClockReading::now();
-        match self.hold_back(step) {
+    /// Handles an event, or a timeout without one, and carries out the resulting step.
+    fn handle_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
+        let step = self.step_for_event(event);
+        let requested_at = ClockReading::now();
+        match self.defer_campaign(step) {
             Step::Wait => {}
-            Step::Renew => self.renew(asked),
+            Step::Renew => self.renew(requested_at),
             Step::StepDown => {
                 log::info!("stepping down");
                 self.step_down();
             }
-            Step::Campaign { revision } => self.campaign(revision, asked),
+            Step::Campaign { revision } => self.campaign(revision, requested_at),
         }
         publish(&self.context.view, &self.leadership);
     }
 
-    fn take(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) -> Step {
+    fn step_for_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) -> Step {
         let now = Instant::now();
         match event {
             Ok(ElectorEvent::LeaderKey(found)) => {
@@ -122,37 +124,38 @@
         }
     }
 
-    /// Resigns from a term in which no heartbeats are received.
+    /// Resigns from a term in which this leader receives no heartbeats.
     fn resign(&mut self, now: Instant, term: Term) -> Step {
-        let step = self.leadership.resign(now, term, RESIGNATION_PAUSE);
+        let step = self.leadership.resign(now, term, RESIGNATION_BACKOFF);
         if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
             log::warn!("resigned, no heartbeats received term={}", term.0);
-            // If this fails, the lease ends by itself.
-            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
+            // If the call fails, the lease expires without it.
+            let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
         step
     }
 
-    /// Holds back campaigns that must wait. Before the first read of the leader key its absence means
-    /// nothing. And a node that receives no heartbeats lets those go first that do, unless the key is its
-    /// own earlier incarnation's.
-    fn hold_back(&mut self, step: Step) -> Step {
+    /// Defers a campaign that must wait; other steps are returned unchanged. A campaign waits until the
+    /// leader key has been read for the first time. A node that receives no heartbeats also waits for
+    /// [`YIELD_PERIOD`], so that a node that does receive them can campaign first, unless the leader key
+    /// belongs to this member's own earlier process.
+    fn defer_campaign(&mut self, step: Step) -> Step {
         let Step::Campaign { revision } = step else {
             self.vacant_since = None;
             return step;
         };
         let now = Instant::now();
         let since = *self.vacant_since.get_or_insert(now);
-        let yielded = now.saturating_duration_since(since) >= YIELD_TIME;
-        let may_go_first = revision != 0 || yielded || self.context.workers.any(now);
-        if self.leader_key_read && may_go_first {
+        let yield_period_over = now.saturating_duration_since(since) >= YIELD_PERIOD;
+        let may_campaign = revision != 0 || yield_period_over || self.context.workers.any(now);
+        if self.leader_key_read && may_campaign {
             step
         } else {
             Step::Wait
         }
     }
 
-    fn renew(&mut self, asked: ClockReading) {
+    fn renew(&mut self, requested_at: ClockReading) {
         let limit = self.lease_duration / RENEWALS_PER_LEASE;
         let view = &self.context.view;
         let renewal = self
@@ -161,15 +164,15 @@
         match renewal {
             Some(Ok(())) => {
                 view.record_store_call(true, Instant::now());
-                view.set_lease(asked, self.lease_duration);
-                self.leadership.on_lease_renewed(asked.steady);
+                view.set_lease(requested_at, self.lease_duration);
+                self.leadership.on_lease_renewed(requested_at.steady);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("leader lease expired");
                 self.leadership.on_lease_expired();
                 self.step_down();
             }
-            // The key-value store may be out for everyone: then the lease lives on.
+            // The key-value store may be unavailable to all nodes, in which case the lease stays valid.
             Some(Err(e)) => {
                 view.record_store_call(false, Instant::now());
                 log::info!("leader lease not renewed error=\"{e}\"");
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Ends the present term's threads. Its lease is not renewed any more.
+    /// Stops the threads of the current term and the renewal of its lease.
     fn step_down(&mut self) {
         self.term_stop.stop();
         self.lease_id = None;
@@ -185,70 +188,72 @@
         publish(&self.context.view, &self.leadership);
     }
 
-    fn campaign(&mut self, revision: u64, asked: ClockReading) {
+    fn campaign(&mut self, revision: u64, requested_at: ClockReading) {
         let candidacy = Candidacy {
-            boot: self.boot,
+            boot_id: self.boot_id,
             leader_revision: revision,
         };
         match campaign(&self.context, &candidacy) {
-            Ok(Some(victory)) => self.lead(victory, asked),
-            Ok(None) => self.observe_again(LOST_PAUSE_MS),
+            Ok(Some(won_campaign)) => self.begin_term(won_campaign, requested_at),
+            Ok(None) => self.back_off(LOST_CAMPAIGN_BACKOFF_MS),
             Err(e) => {
                 log::info!("campaign failed error=\"{e}\"");
                 self.context.view.record_store_call(false, Instant::now());
-                self.observe_again(FAILED_PAUSE_MS);
+                self.back_off(FAILED_CAMPAIGN_BACKOFF_MS);
             }
         }
     }
 
-    /// Begins the term that was won.
-    fn lead(&mut self, victory: Victory, asked: ClockReading) {
+    /// Starts the term that was won: a thread loads the cluster state and then serves the term.
+    fn begin_term(&mut self, won_campaign: WonCampaign, requested_at: ClockReading) {
         let WonTerm {
             term,
             leader_revision,
-        } = victory.won;
-        self.lease_duration = victory.lease_duration;
+        } = won_campaign.won_term;
+        self.lease_duration = won_campaign.lease_duration;
         let renewal_interval = self.lease_duration / RENEWALS_PER_LEASE;
         self.leadership.set_renewal_interval(renewal_interval);
-        self.context.view.set_lease(asked, self.lease_duration);
+        self.context
+            .view
+            .set_lease(requested_at, self.lease_duration);
         self.leadership
             .on_campaign_won(Instant::now(), term, leader_revision);
-        self.lease_id = Some(victory.lease_id);
+        self.lease_id = Some(won_campaign.lease_id);
         self.term_stop = StopSignal::new();
         log::info!("leading term={}", term.0);
         publish(&self.context.view, &self.leadership);
         let (context, stop) = (self.context.clone(), self.term_stop.clone());
         let spawned = std::thread::Builder::new()
             .name("term".into())
-            .spawn(move || serve_term(&context, victory.won, &stop));
+            .spawn(move || serve_term(&context, won_campaign.won_term, &stop));
         if let Err(e) = spawned {
             log::error!("term thread not started error=\"{e}\"");
         }
     }
 
-    /// After a campaign that was not won: a pause, and the leader key as it stands.
-    fn observe_again(&mut self, pause_ms: Range<u64>) {
-        let pause = rand::thread_rng().gen_range(pause_ms);
+    /// Backs off after a campaign that was not won, and reads the leader key again.
+    fn back_off(&mut self, backoff_ms: Range<u64>) {
+        let backoff = rand::thread_rng().gen_range(backoff_ms);
         self.leadership
-            .on_campaign_lost(Instant::now(), Duration::from_millis(pause));
+            .on_campaign_lost(Instant::now(), Duration::from_millis(backoff));
         let class = RequestClass::Leader;
         let store = &self.context.store;
-        if let Ok(found) = store.get::<StoredLeader>(LEADER_KEY, class, CALL_LIMIT) {
+        if let Ok(found) = store.get::<StoredLeader>(LEADER_KEY, class, CALL_TIMEOUT) {
             let found = found.map(|entry| leader_record(entry.value, entry.revision));
             self.leadership.on_leader_key(Instant::now(), found);
         }
     }
 
-    /// The service ends: the next leader need not wait for the lease.
-    fn end(&self) {
+    /// Stops the current term and revokes its lease, so that the next leader need not wait for its expiry.
+    fn shut_down(&self) {
         self.term_stop.stop();
         if let Some(lease_id) = self.lease_id {
-            let _ = self.context.store.revoke_lease(lease_id, CALL_LIMIT);
+            let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
     }
 }
 
-/// Shows the other threads who leads.
+/// Publishes the current role and leader to the other threads.
 fn publish(view: &NodeView, leadership: &Leadership) {
     let (role, leader) = match leadership.role() {
         Role::Leader { term, .. } => (RoleView::Leader(*term), None),
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -1,8 +1,8 @@
 //! Loads the cluster state of a new term from the key-value store.
 //!
-//! The queue's watch continues from the revision that the index of live jobs was read at, so nothing is
-//! missed in between. A record that cannot be read is named to the core, stays unchanged in the store,
-//! and keeps the core from deciding on what it may hold.
+//! The watch of the queue continues from the revision at which the index of live jobs was read, so that no
+//! change in between is missed. A record that cannot be decoded is reported to the core and stays unchanged
+//! in the store, and the core makes no decisions about what the record may contain.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -24,75 +24,79 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Before loading is tried again.
-const RELOAD_PAUSE: Duration = Duration::from_millis(400);
-/// How long one page of a list may take.
-const PAGE_LIMIT: Duration = Duration::from_secs(6);
-/// For how long a page is asked for again.
-const PAGE_PATIENCE: Duration = Duration::from_secs(30);
-/// How long reading the history's summary may take.
-const HISTORY_LIMIT: Duration = Duration::from_secs(4);
+/// Delay before loading is retried.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Timeout of reading one page of a list.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long the read of a page that fails is retried.
+const PAGE_RETRY_PERIOD: Duration = Duration::from_secs(30);
+/// Timeout of reading the summary of measured run times.
+const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The term that is loaded, as it was won.
+/// A term that this node has won.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WonTerm {
-    /// The term.
+    /// The number of the term.
     pub(super) term: Term,
-    /// The revision of its leader key, on which all its writes are conditional.
+    /// The revision of the term's leader key. All writes of the term are conditional on it.
     pub(super) leader_revision: u64,
 }
 
-/// Loads the cluster state, hands it to the core, then feeds the core the queue's changes.
-pub(super) fn serve_term(context: &NodeContext, won: WonTerm, stop: &StopSignal) {
+/// Loads the cluster state, retrying until the term stops, and passes it to the core. Then sends the changes
+/// of the queue to the core until the term stops.
+pub(super) fn serve_term(context: &NodeContext, won_term: WonTerm, stop: &StopSignal) {
     while !stop.is_stopped() {
-        match load(context, won, stop) {
+        match load(context, won_term, stop) {
             Ok((cluster, revision)) => {
-                let event = Event::Lead(Box::new(cluster));
+                let event = Event::StartTerm(Box::new(cluster));
                 if context.events.send(event).is_ok() {
                     let _ = context.cloud_wakeup.try_send(());
-                    queue_feed::run(context, won.term, revision, stop);
+                    queue_feed::run(context, won_term.term, revision, stop);
                 }
                 return;
             }
             Err(e) => {
-                log::info!("loading failed term={} error=\"{e}\"", won.term.0);
-                stop.wait(RELOAD_PAUSE);
+                log::info!(
+                    "cluster state not loaded term={} error=\"{e}\"",
+                    won_term.term.0
+                );
+                stop.wait(LOAD_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Loads the cluster state, with the revision from which its queue is to be followed.
+/// Loads the cluster state, and returns it with the revision from which to watch the queue.
 fn load(
     context: &NodeContext,
-    won: WonTerm,
+    won_term: WonTerm,
     stop: &StopSignal,
 ) -> Result<(ClusterState, u64), StoreError> {
-    let began = ClockReading::now();
+    let read_started_at = ClockReading::now();
     let records = read_records(context, stop)?;
-    let outcomes = ended_jobs(context, &records.live, stop)?;
-    let dependencies = ended_dependencies(context, &records.live, stop)?;
+    let outcomes = read_ended_job_outcomes(context, &records.live, stop)?;
+    let dependencies = read_ended_dependencies(context, &records.live, stop)?;
     let (jobs, intent_keys) = (records.live.len(), records.intents.len());
     let revision = records.revision;
     let now = Instant::now();
-    let mut cluster = empty_cluster(context, won, now);
+    let mut cluster = empty_cluster(context, won_term, now);
     let peers = context.peers.iter().map(|peer| peer.member.clone());
-    cluster.leadership.set_peers(peers, began);
-    cluster.take_over(now, snapshot(records, outcomes, dependencies));
-    let term = won.term.0;
-    log::info!("loaded term={term} jobs={jobs} intent_keys={intent_keys}");
+    cluster.leadership.set_peers(peers, read_started_at);
+    cluster.take_over(now, build_snapshot(records, outcomes, dependencies));
+    let term = won_term.term.0;
+    log::info!("cluster state loaded term={term} jobs={jobs} intent_keys={intent_keys}");
     Ok((cluster, revision))
 }
 
-fn empty_cluster(context: &NodeContext, won: WonTerm, now: Instant) -> ClusterState {
+fn empty_cluster(context: &NodeContext, won_term: WonTerm, now: Instant) -> ClusterState {
     let started_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64);
     let machine_types = context.view.read().machine_types.clone();
     let config = context.settings.config.clone();
     let start = TermStart {
-        term: won.term,
-        leader_revision: won.leader_revision,
+        term: won_term.term,
+        leader_revision: won_term.leader_revision,
         machine_types,
         started_at: now,
         started_ms,
@@ -100,31 +104,31 @@
     ClusterState::new(config, start)
 }
 
-/// What was read of the key-value store, as it is stored.
+/// Records from the key-value store, in their stored form.
 struct StoredRecords {
-    lists: Vec<ListEntry<IgnoredAny>>,
+    dependents_lists: Vec<ListEntry<IgnoredAny>>,
     live: Vec<ListEntry<StoredJob>>,
     unreadable_live: Vec<String>,
     cancel_marks: Vec<ListEntry<IgnoredAny>>,
     intents: Vec<ListEntry<StoredChunk>>,
     unreadable_intents: Vec<String>,
     history: Option<StoredHistory>,
-    /// From here on the watch of the queue misses nothing of it.
+    /// The revision at which `live` was read. A watch of the queue from here misses no change.
     revision: u64,
 }
 
 fn read_records(context: &NodeContext, stop: &StopSignal) -> Result<StoredRecords, StoreError> {
-    let lists = read_all(context, keys::DEPENDENTS_PREFIX, stop)?.entries;
+    let dependents_lists = read_all(context, keys::DEPENDENTS_PREFIX, stop)?.entries;
     let live = read_readable(context, keys::LIVE_JOB_PREFIX, stop)?;
     let cancel_marks = read_all(context, keys::CANCEL_MARK_PREFIX, stop)?.entries;
     let intents = read_readable(context, keys::INTENT_PREFIX, stop)?;
     let history = context.store.get::<StoredHistory>(
         keys::HISTORY_KEY,
         RequestClass::Leader,
-        HISTORY_LIMIT,
+        HISTORY_TIMEOUT,
     )?;
     Ok(StoredRecords {
-        lists,
+        dependents_lists,
         cancel_marks,
         history: history.map(|entry| entry.value),
         revision: live.revision,
@@ -142,13 +146,13 @@
 ) -> Result<Listing<T>, StoreError> {
     let options = ListOptions {
         class: RequestClass::Leader,
-        page_timeout: PAGE_LIMIT,
-        retry_for: PAGE_PATIENCE,
+        page_timeout: PAGE_TIMEOUT,
+        retry_for: PAGE_RETRY_PERIOD,
     };
     context.store.list_with_retries(prefix, options, stop)
 }
 
-/// A record that may be of a form that this version does not know.
+/// A record that may have a format that this version does not know.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum MaybeReadable<T> {
@@ -156,15 +160,16 @@
     Unreadable(IgnoredAny),
 }
 
-/// The records under a prefix.
+/// The records under a prefix, without those that cannot be decoded.
 struct ReadableRecords<T> {
     records: Vec<ListEntry<T>>,
-    /// Keys whose records cannot be read.
+    /// Keys of the records that cannot be decoded.
     unreadable: Vec<String>,
     revision: u64,
 }
 
-/// Reads the records under a prefix. They are decoded one by one only where not all of them can be.
+/// Reads the records under a prefix. Only if some of them cannot be decoded, they are read a second time and
+/// decoded one by one.
 fn read_readable<T: DeserializeOwned>(
     context: &NodeContext,
     prefix: &str,
@@ -200,14 +205,14 @@
     Ok(readable)
 }
 
-/// The outcomes of ended jobs whose place in the index of live jobs is not removed yet.
-fn ended_jobs(
+/// Reads the outcomes of jobs that have ended but are still in the index of live jobs.
+fn read_ended_job_outcomes(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
     stop: &StopSignal,
 ) -> Result<HashMap<JobId, JobOutcome>, StoreError> {
-    let job_ids = jobs_under(keys::LIVE_JOB_PREFIX, live);
-    let statuses = status_reads::read_accepted(context, &job_ids, stop)?;
+    let job_ids = job_ids_under(keys::LIVE_JOB_PREFIX, live);
+    let statuses = status_reads::read_accepted_jobs(context, &job_ids, stop)?;
     let outcomes = statuses
         .into_iter()
         .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)))
@@ -215,44 +220,45 @@
     Ok(outcomes.collect())
 }
 
-/// The outcomes of dependencies of live jobs that are not live themselves.
-fn ended_dependencies(
+/// Reads the outcomes of dependencies of live jobs that are not in the index of live jobs themselves.
+fn read_ended_dependencies(
     context: &NodeContext,
     live: &[ListEntry<StoredJob>],
     stop: &StopSignal,
 ) -> Result<Vec<(JobId, JobOutcome)>, StoreError> {
-    let live_names: HashSet<&str> = live
+    let live_job_ids: HashSet<&str> = live
         .iter()
         .filter_map(|entry| entry.key.strip_prefix(keys::LIVE_JOB_PREFIX))
         .collect();
-    let named = live.iter().flat_map(|entry| entry.value.dependencies());
-    let ended: BTreeSet<JobId> = named
-        .filter(|name| !live_names.contains(name.as_str()))
-        .filter_map(|name| JobId::parse(name))
+    let dependency_ids = live.iter().flat_map(|entry| entry.value.dependencies());
+    let ended: BTreeSet<JobId> = dependency_ids
+        .filter(|id| !live_job_ids.contains(id.as_str()))
+        .filter_map(|id| JobId::parse(id))
         .collect();
     let ended: Vec<JobId> = ended.into_iter().collect();
-    let statuses = status_reads::read_accepted(context, &ended, stop)?;
+    let statuses = status_reads::read_accepted_jobs(context, &ended, stop)?;
     let outcomes = statuses
         .into_iter()
         .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
     Ok(outcomes.collect())
 }
 
-/// The jobs that keys under a prefix name.
-fn jobs_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
-    let names = pairs
+/// The ids of the jobs in the keys under a prefix. Keys without a valid id are left out.
+fn job_ids_under<T>(prefix: &str, pairs: &[ListEntry<T>]) -> Vec<JobId> {
+    let ids = pairs
         .iter()
         .filter_map(|entry| entry.key.strip_prefix(prefix));
-    names.filter_map(JobId::parse).collect()
+    ids.filter_map(JobId::parse).collect()
 }
 
-/// The records in the core's form. What cannot be read is named, and no part of it is dropped.
-fn snapshot(
+/// Converts the records to the core's form. Records that cannot be decoded are logged and reported to the
+/// core by their job ids.
+fn build_snapshot(
     records: StoredRecords,
     outcomes: HashMap<JobId, JobOutcome>,
     dependencies: Vec<(JobId, JobOutcome)>,
 ) -> StoredSnapshot {
-    let (jobs, undecodable_live) = live_jobs(records.live);
+    let (jobs, undecodable_live) = decode_live_jobs(records.live);
     let unreadable_live = [records.unreadable_live, undecodable_live].concat();
     for key in unreadable_live.iter().chain(&records.unreadable_intents) {
         log::error!("unreadable record left unchanged key={key}");
@@ -266,9 +272,12 @@
         jobs,
         outcomes,
         dependency_outcomes: dependencies,
-        jobs_with_dependents_list: jobs_under(keys::DEPENDENTS_PREFIX, &records.lists),
-        cancel_marks: jobs_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
-        chunks: intents(records.intents),
+        jobs_with_dependents_list: job_ids_under(
+            keys::DEPENDENTS_PREFIX,
+            &records.dependents_lists,
+        ),
+        cancel_marks: job_ids_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
+        chunks: decode_intents(records.intents),
         unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
         unreadable_intents: unreadable_intents
             .filter_map(|key| Some(keys::parse_chunk_key(key)?.0))
@@ -276,8 +285,8 @@
     }
 }
 
-/// The live jobs, and the keys of records that cannot be decoded.
-fn live_jobs(records: Vec<ListEntry<StoredJob>>) -> (Vec<StoredLiveJob>, Vec<String>) {
+/// Converts the records of live jobs. Returns the jobs, and the keys of the records that are not valid jobs.
+fn decode_live_jobs(records: Vec<ListEntry<StoredJob>>) -> (Vec<StoredLiveJob>, Vec<String>) {
     let (mut jobs, mut undecodable) = (Vec::new(), Vec::new());
     for entry in records {
         let revision = entry.revision;
@@ -289,7 +298,7 @@
     (jobs, undecodable)
 }
 
-fn intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredJobChunk> {
+fn decode_intents(records: Vec<ListEntry<StoredChunk>>) -> Vec<StoredJobChunk> {
     let parsed = records.into_iter().filter_map(|entry| {
         let (job_id, index) = keys::parse_chunk_key(&entry.key)?;
         Some(StoredJobChunk {
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -1,7 +1,7 @@
-//! Answers the frames of the other controllers.
+//! The server for requests of the other controllers.
 //!
-//! Each connection has a thread of its own, up to a limit; one more is closed at once. What a peer passes
-//! on for its users is not passed on a second time.
+//! Each connection is served by its own thread. Connections above the limit are closed immediately. A user's
+//! request that a peer has forwarded is not forwarded a second time.
 
 use crate::api::context::ApiContext;
 use crate::api::{status_queries, user_requests};
@@ -16,72 +16,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A peer says hello each second: one that is silent for this long is gone.
-const READ_LIMIT: Duration = Duration::from_secs(30);
-/// How long a peer may take to read an answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(5);
-/// After a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
-/// A peer's thread needs little stack.
-const STACK_BYTES: usize = 256 * 1024;
+/// A connection without a request for this long is closed. A peer that is up sends a hello every second.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of sending a response to a peer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Stack size of a connection's thread, in bytes. These threads need less than the default.
+const PEER_THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// Accepts connections of other controllers until the service ends.
+/// Accepts connections from other controllers until the service stops.
 pub(super) fn run(context: &Arc<NodeContext>, api: &Arc<ApiContext>, listener: &TcpListener) {
     let max_connections = context.settings.socket_budget().peers;
-    let open = Arc::new(AtomicUsize::new(0));
+    let open_connections = Arc::new(AtomicUsize::new(0));
     while !context.stop.is_stopped() {
         match listener.accept() {
             Ok((stream, _)) => {
-                if open.fetch_add(1, Ordering::Relaxed) >= max_connections {
-                    open.fetch_sub(1, Ordering::Relaxed);
+                if open_connections.fetch_add(1, Ordering::Relaxed) >= max_connections {
+                    open_connections.fetch_sub(1, Ordering::Relaxed);
                     continue;
                 }
-                start_connection(context, api, stream, &open);
+                start_connection(context, api, stream, &open_connections);
             }
             Err(e) => {
                 log::warn!("peer connection not accepted error=\"{e}\"");
-                context.stop.wait(ACCEPT_PAUSE);
+                context.stop.wait(ACCEPT_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Serves one connection, which is counted already, in a thread of its own.
+/// Starts the thread that serves a connection. The connection is already counted in `open_connections`, and
+/// the count is decreased when the thread ends or cannot be started.
 fn start_connection(
     context: &Arc<NodeContext>,
     api: &Arc<ApiContext>,
     stream: TcpStream,
-    open: &Arc<AtomicUsize>,
+    open_connections: &Arc<AtomicUsize>,
 ) {
-    let (context, api, count) = (context.clone(), api.clone(), open.clone());
+    let (context, api, count) = (context.clone(), api.clone(), open_connections.clone());
     let spawned = std::thread::Builder::new()
         .name("peer".into())
-        .stack_size(STACK_BYTES)
+        .stack_size(PEER_THREAD_STACK_BYTES)
         .spawn(move || {
             serve_connection(&context, &api, stream);
             count.fetch_sub(1, Ordering::Relaxed);
         });
     if spawned.is_err() {
-        open.fetch_sub(1, Ordering::Relaxed);
+        open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 fn serve_connection(context: &NodeContext, api: &ApiContext, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(READ_LIMIT));
-    let _ = stream.set_write_timeout(Some(WRITE_LIMIT));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     while !context.stop.is_stopped() {
         let Ok(request) = peer::read_frame::<PeerRequest>(&mut stream) else {
             return;
         };
-        let response = answer(context, api, request);
+        let response = handle_request(context, api, request);
         if peer::write_frame(&mut stream, &response).is_err() {
             return;
         }
     }
 }
 
-fn answer(context: &NodeContext, api: &ApiContext, request: PeerRequest) -> PeerResponse {
+fn handle_request(context: &NodeContext, api: &ApiContext, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Hello(hello) => {
             PeerResponse::Hello(peer_status_exchange::answer_hello(context, hello))
@@ -95,8 +96,8 @@
             &endpoint,
             &body,
         )),
-        PeerRequest::JobStatuses(names) => {
-            PeerResponse::JobStatuses(status_queries::answer_peer(api, &names))
+        PeerRequest::JobStatuses(ids) => {
+            PeerResponse::JobStatuses(status_queries::answer_peer(api, &ids))
         }
         PeerRequest::Cancellations { from } => {
             let page = context.view.cancellations(from);
@@ -108,10 +109,10 @@
                 more: page.more,
             }
         }
-        PeerRequest::Cancelled(names) => {
-            let job_ids = names.iter().filter_map(|name| JobId::parse(name)).collect();
-            let outcome = context.take_on_cancellations(job_ids);
-            PeerResponse::Cancelled(outcome == NotificationOutcome::TakenOn)
+        PeerRequest::Cancelled(ids) => {
+            let job_ids = ids.iter().filter_map(|id| JobId::parse(id)).collect();
+            let outcome = context.accept_cancellations(job_ids);
+            PeerResponse::Cancelled(outcome == NotificationOutcome::Accepted)
         }
         PeerRequest::UserRequest { method, path, body } => {
             let response = user_requests::handle_for_peer(api, &method, &path, &body);
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -1,7 +1,8 @@
-//! What the nodes regularly report to each other: their health, terms and load, and jobs' progress.
+//! The periodic exchange of status between the nodes: their health, terms and load, and the jobs' progress.
 //!
-//! Each node says hello to each peer once a second, and the answer is the peer's own hello. Progress
-//! goes from the leader to the followers, for display only: users may be answered by any node.
+//! Each node sends a hello to each peer once a second, and the peer answers with its own hello. The leader
+//! reports the progress of jobs to the followers, because any node may answer status queries. Progress is for
+//! display only.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::model::{JobId, Term};
@@ -15,29 +16,30 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Between two hellos to a peer.
+/// Interval between hellos to a peer.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
-/// How long a peer may take to answer one.
-const HELLO_LIMIT: Duration = Duration::from_millis(1500);
-/// Jobs whose counts go with one hello.
+/// Timeout of a hello, including the peer's answer.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of jobs whose changed counts one hello reports. The others follow with later hellos.
 const MAX_PROGRESS_PER_HELLO: usize = 2000;
 
-/// Changes of jobs' progress for one peer.
+/// Changes in the progress of jobs that have to be reported to one peer.
 #[derive(Clone, Default)]
 struct ProgressUpdate {
     changed: Vec<JobProgress>,
     ended: Vec<String>,
 }
 
-/// The progress that a peer has acknowledged.
+/// The progress of live jobs that a peer has acknowledged.
 #[derive(Default)]
-struct AnnouncedProgress {
+struct AcknowledgedProgress {
     counts: HashMap<JobId, TaskCounts>,
 }
 
-impl AnnouncedProgress {
-    /// What has changed since, if this node leads.
-    fn update(&mut self, context: &NodeContext) -> ProgressUpdate {
+impl AcknowledgedProgress {
+    /// Returns the changes that the peer has not acknowledged yet. The update is empty if this node does not
+    /// lead.
+    fn pending_update(&mut self, context: &NodeContext) -> ProgressUpdate {
         let mut update = ProgressUpdate::default();
         let state = context.view.read();
         if state.leading_term().is_none() {
@@ -61,15 +63,16 @@
         update
     }
 
-    /// The peer has received this update.
-    fn confirm(&mut self, update: ProgressUpdate) {
+    /// Records that the peer has received this update.
+    fn record_acknowledged(&mut self, update: ProgressUpdate) {
         self.counts.extend(task_counts(update.changed));
         for name in update.ended {
             self.counts.remove(&JobId(name));
         }
     }
 
-    /// The peer may have missed updates, or be a new incarnation that knows of none.
+    /// Discards the acknowledged progress, so that everything is reported again. The peer may have missed
+    /// updates, or it may have restarted without them.
     fn clear(&mut self) {
         self.counts.clear();
     }
@@ -85,14 +88,15 @@
     })
 }
 
-/// Reports to one peer until the service ends, and reads its cancellations while this node leads.
+/// Exchanges status with one peer until the service stops, and reads the peer's cancellation log while this
+/// node leads.
 pub(super) fn run(context: &NodeContext, peer: &Peer) {
-    let mut announced = AnnouncedProgress::default();
+    let mut acknowledged = AcknowledgedProgress::default();
     let mut cancellations = CancellationReader::default();
     while !context.stop.wait(HELLO_INTERVAL) {
-        let update = announced.update(context);
-        let request = PeerRequest::Hello(hello(context, update.clone()));
-        match peer.call(&request, HELLO_LIMIT) {
+        let update = acknowledged.pending_update(context);
+        let request = PeerRequest::Hello(build_hello(context, update.clone()));
+        match peer.call(&request, HELLO_TIMEOUT) {
             Ok(PeerResponse::Hello(answer)) => {
                 record_hello(context, &answer);
                 let extension = HelloExtension::decode(&answer.finished_jobs);
@@ -100,16 +104,16 @@
                 if extension.store_rates_reduced {
                     context.store.budget().reduce_rates(Instant::now());
                 }
-                announced.confirm(update);
+                acknowledged.record_acknowledged(update);
             }
             Ok(_) => {}
-            Err(_) => announced.clear(),
+            Err(_) => acknowledged.clear(),
         }
         cancellations.read(context, peer);
     }
 }
 
-/// The answer to a peer's hello.
+/// Records a peer's hello, applies the progress in it if it comes from the leader, and returns the answer.
 pub(super) fn answer_hello(context: &NodeContext, received: Hello) -> Hello {
     record_hello(context, &received);
     let from_leader = received.leader_term.is_some();
@@ -123,11 +127,11 @@
     let extension = HelloExtension::current(context.store.budget().rates_reduced());
     Hello {
         finished_jobs: extension.encode(),
-        ..hello(context, ProgressUpdate::default())
+        ..build_hello(context, ProgressUpdate::default())
     }
 }
 
-fn hello(context: &NodeContext, update: ProgressUpdate) -> Hello {
+fn build_hello(context: &NodeContext, update: ProgressUpdate) -> Hello {
     let now = Instant::now();
     let (leader_term, highest_term) = {
         let state = context.view.read();
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -1,8 +1,9 @@
-//! Follows the queue in the key-value store for the leader's core: accepted jobs and cancellations,
-//! whichever node took them.
+//! Watches the queue in the key-value store for the leader's core: the jobs and cancellations that any node
+//! has accepted.
 //!
-//! The feed continues from the revision that the cluster state was loaded at, so it misses nothing. Each
-//! answer moves the watermark of cancellations to when it was asked for, never later.
+//! The watch continues from the revision at which the cluster state was loaded, so that no change is missed.
+//! Each response advances the cancellation watermark to the time at which the response was requested, never
+//! to a later time.
 
 use crate::api::dependents_list;
 use crate::common::rate_limit::RequestClass;
@@ -21,22 +22,22 @@
 use serde::Deserialize;
 use std::time::{Duration, Instant};
 
-/// How long the store may hold the watch without a change, at most.
+/// Upper limit on how long the store may block a watch request that has no changes to return.
 const MAX_WATCH_BLOCK: Duration = Duration::from_secs(5);
-/// The watch answers at least so often within the watermark's largest age.
-const ANSWERS_PER_MAX_AGE: u32 = 3;
-/// After a watch that failed.
-const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// How long reading the whole queue may take.
-const READ_LIMIT: Duration = Duration::from_secs(4);
-/// After a read of the whole queue that failed.
-const READ_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How often obsolete lists of dependents are looked for.
+/// The watch requests return at least this many times within the maximum age of the cancellation watermark.
+const RESPONSES_PER_MAX_AGE: u32 = 3;
+/// Delay after a watch request failed.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Timeout of reading the whole queue.
+const QUEUE_READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay after reading the whole queue failed.
+const QUEUE_READ_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval between searches for obsolete lists of dependents.
 const LIST_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// How long that may hold up the watch.
-const LIST_SWEEP_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of such a search, which delays the watch.
+const LIST_SWEEP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The value of a key in the queue.
+/// The decoded value of a key in the queue.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum QueueValue {
@@ -44,7 +45,7 @@
     Other(IgnoredAny),
 }
 
-/// Feeds the core from a revision on until the term ends.
+/// Sends the changes of the queue after `revision` to the core until the term stops.
 pub(super) fn run(context: &NodeContext, term: Term, revision: u64, stop: &StopSignal) {
     let mut feed = QueueFeed {
         context,
@@ -56,11 +57,11 @@
     };
     let config = &context.settings.config;
     let bound = WatermarkBound::new(config.lease, config.cancel);
-    let block = MAX_WATCH_BLOCK.min(bound.max_age / ANSWERS_PER_MAX_AGE);
+    let block_timeout = MAX_WATCH_BLOCK.min(bound.max_age / RESPONSES_PER_MAX_AGE);
     while !stop.is_stopped() {
         feed.resolve_dependencies();
         feed.sweep_lists_if_due();
-        feed.follow(block);
+        feed.watch_queue(block_timeout);
     }
 }
 
@@ -68,8 +69,9 @@
     context: &'a NodeContext,
     term: Term,
     stop: &'a StopSignal,
-    /// Up to here the queue was read.
+    /// The revision up to which the queue has been read.
     revision: u64,
+    /// Decides which unresolved dependencies are due for a lookup.
     backoff: Backoff,
     next_list_sweep: Instant,
 }
@@ -79,15 +81,15 @@
         let _ = self.context.events.send(event.in_term(self.term));
     }
 
-    /// Reads the outcomes of dependencies of which the leader knows nothing: they ended while the
-    /// acceptance of their dependents was under way. What stays unknown is read ever more rarely.
+    /// Reads the outcomes of dependencies that are unknown to the leader, because they ended while their
+    /// dependents were being accepted. The interval between reads of an outcome that stays unknown grows.
     fn resolve_dependencies(&mut self) {
-        let unresolved = self.context.view.read().unresolved.clone();
-        let due = self.backoff.due(&unresolved, Instant::now());
+        let unresolved_dependencies = self.context.view.read().unresolved_dependencies.clone();
+        let due = self.backoff.due(&unresolved_dependencies, Instant::now());
         if due.is_empty() {
             return;
         }
-        if let Ok(found) = status_reads::read_accepted(self.context, &due, self.stop) {
+        if let Ok(found) = status_reads::read_accepted_jobs(self.context, &due, self.stop) {
             let outcomes = found
                 .into_iter()
                 .filter_map(|(job_id, status)| Some((job_id, status.outcome()?)));
@@ -102,8 +104,9 @@
         }
     }
 
-    /// Finds lists of dependents that nobody needs any more. A submission may have been entered in one
-    /// and then refused, so that no job in the index names it.
+    /// Finds lists of dependents and reports their jobs to the core, unless a peer still needs the lists. A
+    /// list can remain although no job in the index refers to it, if a submission was added to the list and
+    /// then refused.
     fn sweep_lists(&self) {
         if dependents_list::is_needed(&self.context.peers) {
             return;
@@ -111,7 +114,7 @@
         let prefix = keys::DEPENDENTS_PREFIX;
         let store = &self.context.store;
         let class = RequestClass::Leader;
-        let Ok(lists) = store.list::<IgnoredAny>(prefix, class, LIST_SWEEP_LIMIT) else {
+        let Ok(lists) = store.list::<IgnoredAny>(prefix, class, LIST_SWEEP_TIMEOUT) else {
             return;
         };
         let job_ids: Vec<JobId> = lists
@@ -124,70 +127,76 @@
         }
     }
 
-    /// Waits for changes of the queue, and passes them on.
-    fn follow(&mut self, block: Duration) {
-        let asked = ClockReading::now();
+    /// Waits for changes in the queue and forwards them to the core.
+    fn watch_queue(&mut self, block_timeout: Duration) {
+        let requested_at = ClockReading::now();
         let prefix = keys::QUEUE_PREFIX;
         let store = &self.context.store;
-        match store.watch::<QueueValue>(prefix, self.revision, block) {
+        match store.watch::<QueueValue>(prefix, self.revision, block_timeout) {
             Ok(changes) => {
                 self.revision = self.revision.max(changes.revision);
                 for change in changes.events {
                     if let Some(key) = change.put {
-                        self.pass_on(&key, change.value, change.revision.unwrap_or(0));
+                        self.forward(&key, change.value, change.revision.unwrap_or(0));
                     }
                 }
-                self.send(TermEvent::CancellationsRead { asked });
+                self.send(TermEvent::CancellationsRead { requested_at });
             }
-            Err(StoreError::RevisionTooOld) => self.read_all(asked),
+            Err(StoreError::RevisionTooOld) => self.read_queue(requested_at),
             Err(_) => {
-                self.stop.wait(WATCH_RETRY_PAUSE);
+                self.stop.wait(WATCH_RETRY_DELAY);
             }
         }
     }
 
-    /// Reads the whole queue: the store does not hold the changes any more.
-    fn read_all(&mut self, asked: ClockReading) {
+    /// Reads the whole queue. This is needed when the store no longer keeps the changes since `revision`.
+    fn read_queue(&mut self, requested_at: ClockReading) {
         let prefix = keys::QUEUE_PREFIX;
         let store = &self.context.store;
-        match store.list::<QueueValue>(prefix, RequestClass::Leader, READ_LIMIT) {
+        match store.list::<QueueValue>(prefix, RequestClass::Leader, QUEUE_READ_TIMEOUT) {
             Ok(listing) => {
                 for entry in listing.entries {
-                    self.pass_on(&entry.key, Some(entry.value), entry.revision);
+                    self.forward(&entry.key, Some(entry.value), entry.revision);
                 }
                 self.revision = listing.revision;
-                self.send(TermEvent::CancellationsRead { asked });
+                self.send(TermEvent::CancellationsRead { requested_at });
             }
             Err(_) => {
-                self.stop.wait(READ_RETRY_PAUSE);
+                self.stop.wait(QUEUE_READ_RETRY_DELAY);
             }
         }
     }
 
-    fn pass_on(&self, key: &str, value: Option<QueueValue>, revision: u64) {
-        if let Some(event) = self.event_of(key, value, revision) {
+    fn forward(&self, key: &str, value: Option<QueueValue>, revision: u64) {
+        if let Some(event) = self.event_for_key(key, value, revision) {
             self.send(event);
         }
     }
 
-    fn event_of(&self, key: &str, value: Option<QueueValue>, revision: u64) -> Option<TermEvent> {
+    fn event_for_key(
+        &self,
+        key: &str,
+        value: Option<QueueValue>,
+        revision: u64,
+    ) -> Option<TermEvent> {
         if let Some(job_id) = key.strip_prefix(keys::CANCEL_MARK_PREFIX) {
             return JobId::parse(job_id).map(TermEvent::CancelMarkRead);
         }
         match value? {
             QueueValue::Job(job) => match JobSpec::try_from(*job) {
-                Ok(spec) => self.accepted_job(spec, revision),
-                Err(_) => skip_unreadable(key),
+                Ok(spec) => self.event_for_job(spec, revision),
+                Err(_) => log_unreadable(key),
             },
-            QueueValue::Other(_) if key.starts_with(keys::LIVE_JOB_PREFIX) => skip_unreadable(key),
+            QueueValue::Other(_) if key.starts_with(keys::LIVE_JOB_PREFIX) => log_unreadable(key),
             QueueValue::Other(_) => None,
         }
     }
 
-    /// The index keeps a job for a while after its outcome. One that is done was the leader's already.
-    /// One that is cancelled may not have been, if the watch is late: its place in the index is the
-    /// leader's to remove all the same.
-    fn accepted_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
+    /// The event for a job in the index of live jobs. The index still contains a job for some time after its
+    /// outcome was written. A job that is done was already known to the leader and needs no event. A
+    /// cancelled job may be unknown to the leader if the watch is late, and the leader has to remove it from
+    /// the index.
+    fn event_for_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
         let outcome = self.context.view.final_outcome(&spec.job_id);
         let spec = Box::new(spec);
         let job = AcceptedJob { spec, revision };
@@ -199,8 +208,9 @@
     }
 }
 
-/// Nothing of such a job is on a machine: its record is new.
-fn skip_unreadable(key: &str) -> Option<TermEvent> {
+/// Logs a record that cannot be decoded, and yields no event. Since the record is new, no machine runs any
+/// tasks of its job.
+fn log_unreadable(key: &str) -> Option<TermEvent> {
     log::error!("unreadable record left unchanged key={key}");
     None
 }
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -1,7 +1,7 @@
-//! A node: its channels, its threads, and their end.
+//! Starts and stops a node.
 //!
-//! This is the one place where the parts of a node are joined: the API is given its context, the core its
-//! channels, and each thread the ends that it serves.
+//! This is the only place where the parts of a node are connected: the API receives its context, the core its
+//! channels, and each thread the receiving ends of the channels that it serves.
 
 use crate::api::context::{ApiConfig, ApiContext, HeartbeatHandler};
 use crate::api::live_index::LiveIndex;
@@ -38,40 +38,43 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Messages that wait in each channel, at most.
+/// Capacity of the channel to the core thread, in events.
 const EVENT_CAPACITY: usize = 512;
+/// Capacity of the channel to the elector thread, in events.
 const ELECTOR_EVENT_CAPACITY: usize = 256;
+/// Capacity of the channel to the command senders, in deliveries.
 const COMMAND_CAPACITY: usize = 64;
+/// Capacity of the channel for cloud orders.
 const CLOUD_ORDER_CAPACITY: usize = 32;
-/// One transaction of the leader is under way.
+/// Capacity of the channel for the leader's transactions. Only one transaction is pending at a time.
 const TRANSACTION_CAPACITY: usize = 1;
-/// One read of the cloud is asked for.
+/// Capacity of the channel for wakeups of the cloud reader. Further wakeups would have no effect.
 const CLOUD_WAKEUP_CAPACITY: usize = 1;
 
-/// Time for a connection to the key-value store.
+/// Timeout of connecting to the key-value store.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Connections to it that are kept for the leader's own duties.
-const LEADER_STORE_CONNECTIONS: usize = 8;
-/// Time for a connection to the cloud.
+/// Idle connections to the key-value store that are kept for the leader's own work.
+const IDLE_LEADER_STORE_CONNECTIONS: usize = 8;
+/// Timeout of connecting to the cloud.
 const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections kept to the cloud.
-const CLOUD_CONNECTIONS: usize = 2;
-/// The part of the cloud's rate that is used.
-const CLOUD_RATE_PART: f64 = 0.8;
-/// For how many seconds' worth of that rate a burst may last.
+/// Idle connections to the cloud that are kept.
+const IDLE_CLOUD_CONNECTIONS: usize = 2;
+/// The fraction of the cloud's allowed request rate that this node uses.
+const CLOUD_RATE_FRACTION: f64 = 0.8;
+/// The largest burst of requests to the cloud, in seconds of the used rate.
 const CLOUD_BURST_S: f64 = 1.5;
-/// How often `wait` checks for the end of the service.
+/// The longest single wait for the stop signal in `Service::wait`.
 const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// A running node. Dropping it leaves the threads to the process; `stop` ends them in order.
+/// A running node. Dropping it leaves its threads running; `stop` signals them to stop.
 pub struct Service {
-    /// What the node's threads share.
+    /// The context that the node's threads share.
     pub context: Arc<NodeContext>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The receiving ends of a node's channels, for the threads that serve them.
-struct Queues {
+/// The receiving ends of a node's channels.
+struct Receivers {
     events: Receiver<Event>,
     elector_events: Receiver<ElectorEvent>,
     transactions: Receiver<LeaderTransaction>,
@@ -80,7 +83,7 @@
     cloud_wakeup: Receiver<()>,
 }
 
-/// The threads of a node.
+/// The threads of a node that have been started.
 #[derive(Default)]
 struct Threads {
     handles: Vec<JoinHandle<()>>,
@@ -95,16 +98,17 @@
 }
 
 impl Service {
-    /// Starts all threads. An error says that a port or a thread cannot be had.
+    /// Starts all threads of a node. Returns an error if a port cannot be bound or a thread cannot be
+    /// started.
     pub fn start(settings: Settings) -> std::io::Result<Service> {
         let api_listener = http_server::bind(settings.http_bind)?;
         let peer_listener = TcpListener::bind(settings.peer_bind)?;
-        let (context, channels, queues) = connect(settings);
+        let (context, channels, receivers) = create_context_and_channels(settings);
         let api = Arc::new(api_context(&context));
         let mut threads = Threads::default();
-        start_core(&mut threads, &context, channels, &queues)?;
-        start_cloud(&mut threads, &context, &queues)?;
-        start_leadership(&mut threads, &context, &queues)?;
+        start_core(&mut threads, &context, channels, &receivers)?;
+        start_cloud(&mut threads, &context, &receivers)?;
+        start_leadership(&mut threads, &context, &receivers)?;
         start_peers(&mut threads, &context, &api, peer_listener)?;
         let heartbeat_handler: Arc<dyn HeartbeatHandler> = context.clone();
         server::serve(&api, &heartbeat_handler, api_listener, &mut |name, run| {
@@ -125,7 +129,8 @@
         while !self.context.stop.wait(WAIT_INTERVAL) {}
     }
 
-    /// Ends the node's threads. Those that wait for a connection end with the process.
+    /// Signals all threads to stop, and joins those that have already ended. It does not wait for the others:
+    /// threads that are blocked on a connection run until the process exits.
     pub fn stop(self) {
         self.context.stop.stop();
         for thread in self.threads {
@@ -136,8 +141,10 @@
     }
 }
 
-/// The channels of a node, and what its threads share.
-fn connect(settings: Settings) -> (Arc<NodeContext>, ActionChannels, Queues) {
+/// Creates the channels of a node and the context that its threads share.
+fn create_context_and_channels(
+    settings: Settings,
+) -> (Arc<NodeContext>, ActionChannels, Receivers) {
     let (events, event_queue) = bounded(EVENT_CAPACITY);
     let (elector_events, elector_queue) = bounded(ELECTOR_EVENT_CAPACITY);
     let (transactions, transaction_queue) = bounded(TRANSACTION_CAPACITY);
@@ -150,7 +157,7 @@
         cloud_orders,
         elector_events: elector_events.clone(),
     };
-    let queues = Queues {
+    let receivers = Receivers {
         events: event_queue,
         elector_events: elector_queue,
         transactions: transaction_queue,
@@ -160,11 +167,11 @@
     };
     let clocks = ClockReading::now();
     let meters = LatencyMeters::default();
-    let seeds = settings.peers.iter();
-    let peers = seeds.map(|seed| Arc::new(Peer::new(&seed.member, seed.address)));
+    let peer_settings = settings.peers.iter();
+    let peers = peer_settings.map(|peer| Arc::new(Peer::new(&peer.member, peer.address)));
     let context = NodeContext {
-        store: Arc::new(connect_store(&settings, &meters, clocks.steady)),
-        cloud: connect_cloud(&settings, &meters),
+        store: Arc::new(create_store_client(&settings, &meters, clocks.steady)),
+        cloud: create_cloud_client(&settings, &meters),
         meters,
         view: Arc::new(NodeView::new(clocks.steady)),
         events,
@@ -179,32 +186,32 @@
         transaction_limits: TransactionLimits::from(&settings),
         settings,
     };
-    (Arc::new(context), channels, queues)
+    (Arc::new(context), channels, receivers)
 }
 
-fn connect_store(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
+fn create_store_client(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
-    // One for each thread that asks for a user, and for the leader's own duties.
+    // One connection for each thread that serves users' requests, in addition to those for the leader's work.
     let user_connections = settings.operations.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
         connect_timeout: STORE_CONNECT_TIMEOUT,
-        idle_connections: user_connections + LEADER_STORE_CONNECTIONS,
+        idle_connections: user_connections + IDLE_LEADER_STORE_CONNECTIONS,
     };
     KvStore::new(HttpClient::new(config, meters.store.clone()), budget)
 }
 
-fn connect_cloud(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
+fn create_cloud_client(settings: &Settings, meters: &LatencyMeters) -> CloudClient {
     let config = HttpClientConfig {
         address: settings.cloud_address,
         connect_timeout: CLOUD_CONNECT_TIMEOUT,
-        idle_connections: CLOUD_CONNECTIONS,
+        idle_connections: IDLE_CLOUD_CONNECTIONS,
     };
     CloudClient::new(HttpClient::new(config, meters.cloud.clone()))
 }
 
-/// The part of the node that the API uses.
+/// The parts of the node's context that the API uses.
 fn api_context(context: &Arc<NodeContext>) -> ApiContext {
     ApiContext {
         config: ApiConfig::from(&context.settings),
@@ -219,61 +226,62 @@
     }
 }
 
-/// The core, the writer of its transactions, the senders of its commands, and its status reads.
+/// Starts the threads of the core, of the writer of its transactions, of the senders of its commands, and of
+/// its status lookups.
 fn start_core(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
     channels: ActionChannels,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
-    let (node, events) = (context.clone(), queues.events.clone());
+    let (node, events) = (context.clone(), receivers.events.clone());
     threads.spawn("core", move || core_loop::run(&node, &events, &channels))?;
-    let (node, transactions) = (context.clone(), queues.transactions.clone());
+    let (node, transactions) = (context.clone(), receivers.transactions.clone());
     threads.spawn("store-writer", move || {
         store_writer::run(&node, &transactions);
     })?;
     for _ in 0..context.settings.operations.command_threads {
-        let (node, commands) = (context.clone(), queues.commands.clone());
+        let (node, commands) = (context.clone(), receivers.commands.clone());
         threads.spawn("command-sender", move || {
             command_sender::run(&node, &commands);
         })?;
     }
     let node = context.clone();
-    threads.spawn("status-reads", move || status_reads::run_unrecorded(&node))
+    threads.spawn("status-reads", move || status_reads::run_lookups(&node))
 }
 
-/// Scaling out and in, and the reads of the cloud, which share its rate.
+/// Starts the threads that scale out and in and that read from the cloud. They share one rate limit.
 fn start_cloud(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
-    let rate = context.settings.cloud_rate * CLOUD_RATE_PART;
+    let rate = context.settings.cloud_rate * CLOUD_RATE_FRACTION;
     let rate = Arc::new(TokenBucket::new(rate, CLOUD_BURST_S, Instant::now()));
-    let (node, orders) = (context.clone(), queues.cloud_orders.clone());
+    let (node, orders) = (context.clone(), receivers.cloud_orders.clone());
     let order_rate = rate.clone();
     threads.spawn("cloud-orders", move || {
-        cloud_workers::carry_out_orders(&node, &order_rate, &orders);
+        cloud_workers::execute_orders(&node, &order_rate, &orders);
     })?;
-    let (node, wakeup) = (context.clone(), queues.cloud_wakeup.clone());
+    let (node, wakeup) = (context.clone(), receivers.cloud_wakeup.clone());
     threads.spawn("cloud-reader", move || {
         cloud_workers::read_cloud(&node, &rate, &wakeup);
     })
 }
 
-/// The watch of the control keys, and the elector.
+/// Starts the threads of the watch of the control keys and of the elector.
 fn start_leadership(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
-    queues: &Queues,
+    receivers: &Receivers,
 ) -> std::io::Result<()> {
     let node = context.clone();
     threads.spawn("control-watch", move || control_watch::run(&node))?;
-    let (node, events) = (context.clone(), queues.elector_events.clone());
+    let (node, events) = (context.clone(), receivers.elector_events.clone());
     threads.spawn("elector", move || elector::run(&node, &events))
 }
 
-/// The exchange of status with each peer, and the server for their frames.
+/// Starts a thread for the status exchange with each peer, and the server for the peers' requests.
 fn start_peers(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -1,7 +1,7 @@
-//! Reads of jobs' statuses for the leader: while it loads, and while it leads.
+//! Reads the statuses of jobs for the leader, both while it loads the cluster state and while it leads.
 //!
-//! The reads are linearizable. A status that could not be read is read again or left out; it is never
-//! reported to the core as an answer.
+//! The reads are linearizable. A status that could not be read is read again or left out, and no status is
+//! reported to the core in its place.
 
 use crate::common::stop_signal::StopSignal;
 use crate::core::model::{JobId, Term};
@@ -13,38 +13,41 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// How often it is checked for jobs without a record.
+/// Interval between checks for jobs without a record.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
-/// Before a call that failed is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How long reading the statuses of accepted jobs may take in all.
-const READ_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit of one attempt to read the statuses of a chunk of jobs.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay before a failed attempt is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time limit of reading the statuses of all accepted jobs, including repeated attempts.
+const TOTAL_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads the statuses of jobs that are known to have been accepted, until all are read or the time is up.
+/// Reads the statuses of jobs that are known to have been accepted. Returns an error if some could not be
+/// read before the time limit or the stop signal.
 ///
-/// A call whose answer is lost is made again, and what has been read is kept: with one long wait for each
-/// answer a leader loaded for 100 s while a third of the answers were lost.
-pub(super) fn read_accepted(
+/// Each attempt has a short time limit. A failed attempt is repeated, and the statuses already read are kept.
+/// With one long timeout for each response, a leader needed 100 s to load while a third of the responses were
+/// lost.
+pub(super) fn read_accepted_jobs(
     context: &NodeContext,
     job_ids: &[JobId],
     stop: &StopSignal,
 ) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
     let mut statuses = HashMap::new();
-    let deadline = Instant::now() + READ_LIMIT;
+    let deadline = Instant::now() + TOTAL_READ_TIMEOUT;
     for chunk in job_ids.chunks(context.transaction_limits.status_reads()) {
-        let mut left: BTreeSet<JobId> = chunk.iter().cloned().collect();
-        let mut accepted = left.clone();
+        let mut remaining: BTreeSet<JobId> = chunk.iter().cloned().collect();
+        let mut accepted = remaining.clone();
         loop {
-            let until = (Instant::now() + CALL_LIMIT).min(deadline);
-            let reads = BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, until);
-            let read = job_status_reads::read_statuses(&reads, &left, &mut accepted);
-            left.retain(|job_id| !read.statuses.contains_key(job_id));
+            let call_deadline = (Instant::now() + CALL_TIMEOUT).min(deadline);
+            let reader =
+                BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, call_deadline);
+            let read = job_status_reads::read_statuses(&reader, &remaining, &mut accepted);
+            remaining.retain(|job_id| !read.statuses.contains_key(job_id));
             statuses.extend(read.statuses);
             match read.error {
                 None => break,
-                Some(e) if Instant::now() + RETRY_PAUSE >= deadline || stop.wait(RETRY_PAUSE) => {
+                Some(e) if Instant::now() + RETRY_DELAY >= deadline || stop.wait(RETRY_DELAY) => {
                     return Err(e)
                 }
                 Some(_) => {}
@@ -54,36 +57,36 @@
     Ok(statuses)
 }
 
-/// Reads the statuses of jobs of which machines show tasks without a record, until the service ends.
-/// Nothing is assumed of whether they were ever accepted.
-pub(super) fn run_unrecorded(context: &NodeContext) {
+/// Looks up the statuses of jobs that have tasks on machines but no record known to the leader, until the
+/// service stops. These jobs may never have been accepted.
+pub(super) fn run_lookups(context: &NodeContext) {
     let mut backoff = Backoff::default();
     while !context.stop.wait(CHECK_INTERVAL) {
-        let (term, unrecorded) = {
+        let (term, unrecorded_jobs) = {
             let state = context.view.read();
             let Some(term) = state.leading_term() else {
                 continue;
             };
-            (term, state.unrecorded.clone())
+            (term, state.unrecorded_jobs.clone())
         };
-        let due = backoff.due(&unrecorded, Instant::now());
+        let due = backoff.due(&unrecorded_jobs, Instant::now());
         if !due.is_empty() {
-            read_unrecorded(context, term, &due);
+            read_unrecorded_jobs(context, term, &due);
         }
     }
 }
 
-fn read_unrecorded(context: &NodeContext, term: Term, job_ids: &[JobId]) {
+fn read_unrecorded_jobs(context: &NodeContext, term: Term, job_ids: &[JobId]) {
     for chunk in job_ids.chunks(context.transaction_limits.status_reads()) {
         let chunk: BTreeSet<JobId> = chunk.iter().cloned().collect();
-        let until = Instant::now() + CALL_LIMIT;
-        let reads = BudgetedReader::new(
+        let call_deadline = Instant::now() + CALL_TIMEOUT;
+        let reader = BudgetedReader::new(
             &context.store,
             &context.stop,
             ReadPurpose::LeaderDuty,
-            until,
+            call_deadline,
         );
-        let read = job_status_reads::read_statuses(&reads, &chunk, &mut BTreeSet::new());
+        let read = job_status_reads::read_statuses(&reader, &chunk, &mut BTreeSet::new());
         if let Some(e) = read.error {
             log::info!("statuses of unrecorded jobs not read error=\"{e}\"");
         }
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -1,8 +1,9 @@
-//! Which workers send their heartbeats to this node, and which of them are redirected to another.
+//! Tracks which workers send their heartbeats to this node, and decides which of them to redirect.
 //!
-//! Reading and answering heartbeats is most of the nodes' work, so the workers are spread: a follower
-//! takes its part, and the leader, which also places and writes, takes less. Workers are redirected one
-//! by one, and none twice within a minute, so that the nodes do not pass them to and fro.
+//! Reading and answering heartbeats is most of the nodes' work, so the workers are distributed among the
+//! nodes. Followers take equal shares. The leader, which also places tasks and writes to the key-value store,
+//! takes a smaller share. Workers are redirected one at a time, and none of them twice within a minute, so
+//! that the nodes do not redirect them back and forth.
 
 use crate::node::peer_table::LivePeer;
 use std::collections::HashMap;
@@ -10,34 +11,37 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A worker that comes back within this time of being redirected could not reach the other node.
-const REDIRECT_MEMORY: Duration = Duration::from_secs(60);
-/// At most one worker is redirected in this time: the peers' counts are a second old.
+/// A worker is not redirected again for this long. If it returns within this time, it could not reach the
+/// other node.
+const REDIRECT_COOLDOWN: Duration = Duration::from_secs(60);
+/// Minimum time between redirections. The worker counts of the peers are up to a second old, so faster
+/// redirections would overshoot.
 const REDIRECT_INTERVAL: Duration = Duration::from_millis(60);
-/// Workers are forgotten after as many heartbeat intervals without one.
-const FRESH_HEARTBEATS: f64 = 2.5;
-/// How often workers and redirections that are too old are removed.
+/// A worker is removed after this many heartbeat intervals without a heartbeat.
+const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
+/// Minimum time between removals of outdated workers and redirections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A node redirects workers beyond its part times this,
-const EXCESS_FACTOR: f64 = 1.2;
-/// and this many more.
-const EXCESS_WORKERS: f64 = 6.0;
-/// The weight of a follower's part.
+/// A node redirects workers only if it has more than its fair share multiplied by this factor, plus
+/// [`MAX_EXTRA_WORKERS`].
+const MAX_LOAD_FACTOR: f64 = 1.2;
+/// Number of workers that a node may have in addition to the limit by [`MAX_LOAD_FACTOR`].
+const MAX_EXTRA_WORKERS: f64 = 6.0;
+/// Weight of a follower in the distribution of workers, relative to [`LEADER_WEIGHT`].
 const FOLLOWER_WEIGHT: f64 = 4.0;
-/// The weight of the leader's part.
+/// Weight of the leader in the distribution of workers, relative to [`FOLLOWER_WEIGHT`].
 const LEADER_WEIGHT: f64 = 1.0;
 
-/// The nodes among which workers are spread, as one of them sees them.
-pub struct Neighbours<'a> {
-    /// This node.
+/// The nodes among which workers are distributed, as seen by one of them.
+pub struct LiveNodes<'a> {
+    /// Member name of this node.
     pub own: &'a str,
-    /// The leader, which may be this node.
+    /// Member name of the leader, which may be this node.
     pub leader: &'a str,
-    /// The live peers.
+    /// The peers that reported recently, with their numbers of workers.
     pub peers: &'a [LivePeer],
 }
 
-impl Neighbours<'_> {
+impl LiveNodes<'_> {
     fn weight(&self, member: &str) -> f64 {
         if member == self.leader {
             LEADER_WEIGHT
@@ -48,39 +52,40 @@
 }
 
 #[derive(Default)]
-struct State {
+struct DistributionState {
     last_heartbeats: HashMap<IpAddr, Instant>,
-    redirected: HashMap<IpAddr, Instant>,
+    redirected_at: HashMap<IpAddr, Instant>,
     last_redirect: Option<Instant>,
     last_sweep: Option<Instant>,
 }
 
-impl State {
-    fn sweep(&mut self, fresh: Duration, now: Instant) {
+impl DistributionState {
+    fn sweep(&mut self, max_heartbeat_age: Duration, now: Instant) {
         let swept_recently = |at: Instant| now.saturating_duration_since(at) < SWEEP_INTERVAL;
         if self.last_sweep.is_some_and(swept_recently) {
             return;
         }
         self.last_sweep = Some(now);
-        self.remove_silent(fresh, now);
-        self.redirected
-            .retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_MEMORY);
+        self.remove_stale_workers(max_heartbeat_age, now);
+        self.redirected_at
+            .retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_COOLDOWN);
     }
 
-    fn remove_silent(&mut self, fresh: Duration, now: Instant) {
+    fn remove_stale_workers(&mut self, max_heartbeat_age: Duration, now: Instant) {
         self.last_heartbeats
-            .retain(|_, at| now.saturating_duration_since(*at) < fresh);
+            .retain(|_, at| now.saturating_duration_since(*at) < max_heartbeat_age);
     }
 }
 
-/// The workers that send their heartbeats to this node, by their addresses.
+/// The workers that send their heartbeats to this node, identified by their addresses.
 pub struct WorkerDistribution {
     heartbeat_interval: Duration,
-    state: Mutex<State>,
+    state: Mutex<DistributionState>,
 }
 
 impl WorkerDistribution {
-    /// No workers yet. Each sends a heartbeat this often.
+    /// Creates a distribution without workers. `heartbeat_interval` is the time between two heartbeats of a
+    /// worker.
     pub fn new(heartbeat_interval: Duration) -> WorkerDistribution {
         WorkerDistribution {
             heartbeat_interval,
@@ -88,14 +93,14 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, DistributionState> {
         self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn fresh(&self) -> Duration {
-        self.heartbeat_interval.mul_f64(FRESH_HEARTBEATS)
+    fn max_heartbeat_age(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(MAX_HEARTBEAT_AGE_INTERVALS)
     }
 
     /// Records a heartbeat from this address.
@@ -103,31 +108,32 @@
         self.lock().last_heartbeats.insert(from, now);
     }
 
-    /// Forgets the worker at this address, which goes to another node.
+    /// Removes the worker at this address, which was told to use another node.
     pub fn forget(&self, from: IpAddr) {
         self.lock().last_heartbeats.remove(&from);
     }
 
-    /// Whether any worker sends its heartbeats here.
+    /// Whether any worker has recently sent a heartbeat to this node.
     pub fn any(&self, now: Instant) -> bool {
         self.count(now) > 0
     }
 
-    /// How many workers send their heartbeats here.
+    /// Number of workers that have recently sent a heartbeat to this node.
     pub fn count(&self, now: Instant) -> u32 {
         let mut state = self.lock();
-        state.remove_silent(self.fresh(), now);
+        state.remove_stale_workers(self.max_heartbeat_age(), now);
         state.last_heartbeats.len() as u32
     }
 
-    /// The node to which the worker at this address is redirected, if it is.
+    /// Decides whether to redirect the worker at this address. Returns the member name of the node to which
+    /// it is redirected, and `None` if it stays.
     pub fn redirect_target(
         &self,
         from: IpAddr,
-        neighbours: &Neighbours<'_>,
+        live_nodes: &LiveNodes<'_>,
         now: Instant,
     ) -> Option<String> {
-        if neighbours.peers.is_empty() {
+        if live_nodes.peers.is_empty() {
             return None;
         }
         let mut state = self.lock();
@@ -135,30 +141,30 @@
         if state.last_redirect.is_some_and(just_redirected) {
             return None;
         }
-        state.sweep(self.fresh(), now);
-        if state.redirected.contains_key(&from) {
+        state.sweep(self.max_heartbeat_age(), now);
+        if state.redirected_at.contains_key(&from) {
             return None;
         }
-        let target = node_below_its_part(neighbours, state.last_heartbeats.len())?;
+        let target = most_underloaded_peer(live_nodes, state.last_heartbeats.len())?;
         state.last_redirect = Some(now);
         state.last_heartbeats.remove(&from);
-        state.redirected.insert(from, now);
+        state.redirected_at.insert(from, now);
         Some(target.to_owned())
     }
 }
 
-/// The peer that lacks most to its part, if this node has too many workers and a peer too few.
-fn node_below_its_part<'a>(neighbours: &Neighbours<'a>, own_workers: usize) -> Option<&'a str> {
+/// The peer that is furthest below its fair share, if this node has too many workers and that peer too few.
+fn most_underloaded_peer<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
-    let peers = neighbours.peers;
+    let peers = live_nodes.peers;
     let workers = own_workers + peers.iter().map(|p| f64::from(p.workers)).sum::<f64>();
-    let peer_weights = peers.iter().map(|p| neighbours.weight(&p.member));
-    let weights = neighbours.weight(neighbours.own) + peer_weights.sum::<f64>();
-    let part_of = |member: &str| workers * neighbours.weight(member) / weights;
-    if own_workers <= part_of(neighbours.own) * EXCESS_FACTOR + EXCESS_WORKERS {
+    let peer_weights = peers.iter().map(|p| live_nodes.weight(&p.member));
+    let total_weight = live_nodes.weight(live_nodes.own) + peer_weights.sum::<f64>();
+    let fair_share = |member: &str| workers * live_nodes.weight(member) / total_weight;
+    if own_workers <= fair_share(live_nodes.own) * MAX_LOAD_FACTOR + MAX_EXTRA_WORKERS {
         return None;
     }
-    let excess = |peer: &LivePeer| f64::from(peer.workers) - part_of(&peer.member);
+    let excess = |peer: &LivePeer| f64::from(peer.workers) - fair_share(&peer.member);
     let (member, excess) = peers
         .iter()
         .map(|peer| (&peer.member, excess(peer)))
