--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -146,7 +146,7 @@
         if machine.eviction_at.is_some() && machine.placed_tasks.is_empty() {
             return Some(ReturnReason::SpotEviction);
         }
-        let after = self.silent_after();
+        let after = self.silence_timeout();
         let silent = self.is_silent(now, machine, after);
         let unreachable = self.is_unreachable(now, machine, after);
         if !(silent || unreachable) || self.is_shared_outage(now, machine) {
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -41,7 +41,7 @@
     }
 
     /// After what time machines count as silent.
-    pub(in crate::core) fn silent_after(&self) -> Duration {
+    pub(in crate::core) fn silence_timeout(&self) -> Duration {
         let config = &self.config;
         let share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
         share.max(config.heartbeat.mul_f64(SILENT_HEARTBEATS))
@@ -50,7 +50,7 @@
     /// Which machines are silent together. Machines are counted one by one only where enough are silent
     /// for it to matter.
     pub(super) fn survey_silence(&self, now: Instant) -> SilenceSurvey {
-        let after = self.silent_after();
+        let after = self.silence_timeout();
         let is_lost = |machine: &Machine| {
             self.is_silent(now, machine, after) || self.is_unreachable(now, machine, after)
         };
--- a/src/core/reconciliation/failover_progress.rs
+++ b/src/core/reconciliation/failover_progress.rs
@@ -12,11 +12,11 @@
         if self.takeover.is_over() {
             return;
         }
-        let silent_after = self.silent_after();
+        let silence_timeout = self.silence_timeout();
         let recorded = self.takeover.recorded_machines();
         let is_silent = |id: &&MachineId| {
             let machine = self.fleet.machines.get(*id);
-            machine.is_some_and(|machine| self.is_silent(now, machine, silent_after))
+            machine.is_some_and(|machine| self.is_silent(now, machine, silence_timeout))
         };
         let silent: Vec<MachineId> = recorded.filter(is_silent).cloned().collect();
         for machine in &silent {
