--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -14,7 +14,7 @@
 
 impl ClusterState {
     /// Takes in the cloud's list.
-    pub fn on_list(&mut self, now: Instant, listed: &[CloudMachine]) {
+    pub fn on_machine_list(&mut self, now: Instant, listed: &[CloudMachine]) {
         self.capacity.list_was_read = true;
         for entry in listed {
             if !self.fleet.is_tombstone(&entry.id) {
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -67,7 +67,7 @@
             ReturnOutcome::Returned => cluster.on_returned(now, &machines),
             ReturnOutcome::Failed => cluster.on_return_failed(&machines),
         },
-        TermEvent::CloudListed(machines) => cluster.on_list(now, &machines),
+        TermEvent::CloudListed(machines) => cluster.on_machine_list(now, &machines),
         TermEvent::DependenciesEnded(outcomes) => {
             for (job_id, outcome) in outcomes {
                 cluster.on_past_outcome(now, &job_id, outcome);
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -195,7 +195,7 @@
         listed("i-2", CloudMachinePhase::Running),
         listed("i-3", CloudMachinePhase::Failed),
     ];
-    fixture.cluster.on_list(fixture.now, &list);
+    fixture.cluster.on_machine_list(fixture.now, &list);
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .booting_since
         .is_some());
@@ -206,7 +206,7 @@
     assert_eq!(actions.iter().filter(probes).count(), 1);
     fixture.cluster.on_returned(fixture.now, &["i-3".into()]);
     // The list lags: what was returned does not come back.
-    fixture.cluster.on_list(fixture.now, &list);
+    fixture.cluster.on_machine_list(fixture.now, &list);
     assert!(!fixture.cluster.fleet.machines.contains_key(&"i-3".into()));
 }
 
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -143,7 +143,7 @@
     pub(super) fn cloud_listed(&mut self, listed: &[CloudMachine]) {
         let now = self.now;
         for leader in self.leaders.iter_mut().filter(|l| l.ready <= now) {
-            leader.cluster.on_list(now, listed);
+            leader.cluster.on_machine_list(now, listed);
         }
     }
 }
