--- a/src/core/capacity/rental_results.rs
+++ b/src/core/capacity/rental_results.rs
@@ -23,7 +23,12 @@
     }
 
     /// Takes in how a rental ended.
-    pub fn on_rented(&mut self, now: Instant, idempotency_key: &str, outcome: RentalOutcome) {
+    pub fn on_rental_result(
+        &mut self,
+        now: Instant,
+        idempotency_key: &str,
+        outcome: RentalOutcome,
+    ) {
         let under_way = &mut self.capacity.rentals.under_way;
         match outcome {
             RentalOutcome::Unknown => {
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -115,7 +115,8 @@
         let order = CloudOrder::Rent { term, request };
         if self.channels.cloud_orders.try_send(order).is_err() {
             let outcome = RentalOutcome::Unknown;
-            self.cluster.on_rented(self.now, &idempotency_key, outcome);
+            self.cluster
+                .on_rental_result(self.now, &idempotency_key, outcome);
         }
     }
 
--- a/src/runtime/core_events.rs
+++ b/src/runtime/core_events.rs
@@ -62,7 +62,7 @@
         TermEvent::RentalEnded {
             idempotency_key,
             outcome,
-        } => cluster.on_rented(now, &idempotency_key, outcome),
+        } => cluster.on_rental_result(now, &idempotency_key, outcome),
         TermEvent::ReturnEnded { machines, outcome } => match outcome {
             ReturnOutcome::Returned => cluster.on_returned(now, &machines),
             ReturnOutcome::Failed => cluster.on_return_failed(&machines),
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -40,9 +40,11 @@
     let mut left = names.clone();
     for (idempotency_key, _, n) in &first {
         let given = left.split_off(left.len() - *n as usize);
-        fixture
-            .cluster
-            .on_rented(fixture.now, idempotency_key, RentalOutcome::Machines(given));
+        fixture.cluster.on_rental_result(
+            fixture.now,
+            idempotency_key,
+            RentalOutcome::Machines(given),
+        );
     }
     assert_eq!(rentals(&fixture.settle()), vec![], "coming up");
 }
@@ -60,9 +62,11 @@
         let (_, t, a) = launches(&first)[0].clone();
         // Asked for while the machine had not reported: the cloud has none.
         for (idempotency_key, ..) in rentals(&first) {
-            fixture
-                .cluster
-                .on_rented(fixture.now, &idempotency_key, RentalOutcome::NoCapacity);
+            fixture.cluster.on_rental_result(
+                fixture.now,
+                &idempotency_key,
+                RentalOutcome::NoCapacity,
+            );
         }
         let mut waits = spec("wk-000002", 1, 8.0);
         waits.priority = priority;
@@ -73,9 +77,11 @@
             fixture.heartbeat("i-1", n + 2, vec![running]);
             for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
                 asked.push(spot);
-                fixture
-                    .cluster
-                    .on_rented(fixture.now, &idempotency_key, RentalOutcome::NoCapacity);
+                fixture.cluster.on_rental_result(
+                    fixture.now,
+                    &idempotency_key,
+                    RentalOutcome::NoCapacity,
+                );
             }
         }
         assert!(
@@ -93,12 +99,12 @@
     let first = rentals(&fixture.settle());
     fixture
         .cluster
-        .on_rented(fixture.now, &first[0].0, RentalOutcome::Unknown);
+        .on_rental_result(fixture.now, &first[0].0, RentalOutcome::Unknown);
     fixture.pass(secs(3));
     assert_eq!(rentals(&fixture.settle()), first);
     fixture
         .cluster
-        .on_rented(fixture.now, &first[0].0, RentalOutcome::NoCapacity);
+        .on_rental_result(fixture.now, &first[0].0, RentalOutcome::NoCapacity);
     let other = rentals(&fixture.settle());
     assert_ne!(other[0].0, first[0].0, "another kind, another key");
 }
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -109,7 +109,9 @@
             } else {
                 RentalOutcome::Machines(machines)
             };
-            renter.cluster.on_rented(now, idempotency_key, outcome);
+            renter
+                .cluster
+                .on_rental_result(now, idempotency_key, outcome);
         }
     }
 
