--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -196,8 +196,8 @@
 
     /// Whether tasks whose team is unknown may be running.
     #[must_use]
-    pub fn may_use_any_team(&self) -> bool {
-        !self.unrecorded.is_empty() && self.unrecorded.may_use_any_team()
+    pub fn may_count_against_any_team(&self) -> bool {
+        !self.unrecorded.is_empty() && self.unrecorded.may_count_against_any_team()
     }
 
     /// Counts an unrecorded task that was adopted, and resumes the takeover.
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -203,7 +203,7 @@
     /// Whether tasks whose team is unknown may be running. A job whose terminal state is durable had no task
     /// on any machine then, so only a heartbeat from this term can show one.
     #[must_use]
-    pub fn may_use_any_team(&self) -> bool {
+    pub fn may_count_against_any_team(&self) -> bool {
         let is_over = |job: &UnknownJob| job.status == Some(StoredJobStatus::Over);
         self.machines_of_this_term > 0 || !self.jobs.values().all(is_over)
     }
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -167,7 +167,7 @@
         }
         let now = start + Duration::from_secs(at);
         assert_eq!(unrecorded.disposition(now, &job_id), expected, "{name}");
-        assert!(unrecorded.holds_machine(&"i-1".into()) && unrecorded.may_use_any_team());
+        assert!(unrecorded.holds_machine(&"i-1".into()) && unrecorded.may_count_against_any_team());
     }
     assert!(MIN_DENIAL_INTERVAL > Duration::ZERO);
 }
@@ -195,11 +195,14 @@
     assert_eq!(unrecorded.jobs_to_look_up().count(), 1);
     // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
     unrecorded.record_status(now, &job_id, StoredJobStatus::Over);
-    assert!(!unrecorded.may_use_any_team());
+    assert!(!unrecorded.may_count_against_any_team());
     unrecorded.replace(now, &second, listed(ThisTerm, jobs()));
-    assert!(unrecorded.may_use_any_team(), "this is no late copy");
+    assert!(
+        unrecorded.may_count_against_any_team(),
+        "this is no late copy"
+    );
     unrecorded.replace(now, &second, listed(ThisTerm, BTreeSet::new()));
-    assert!(!unrecorded.may_use_any_team() && unrecorded.len() == 1);
+    assert!(!unrecorded.may_count_against_any_team() && unrecorded.len() == 1);
     unrecorded.remove_machine(&first);
     assert!(unrecorded.is_empty() && unrecorded.jobs_to_look_up().next().is_none());
 }
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -64,7 +64,8 @@
     pub(in crate::core) fn team_that_may_start(&self, team: &TeamName) -> Option<&Team> {
         let team = self.team(team)?;
         let limited = team.cpus_max.is_some() || team.gpus_max.is_some();
-        let unknown = self.unreadable_records.may_run() || self.takeover.may_use_any_team();
+        let unknown =
+            self.unreadable_records.may_run() || self.takeover.may_count_against_any_team();
         (!limited || !unknown).then_some(team)
     }
 
