--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -22,7 +22,7 @@
 /// The number of repeats after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 3;
 /// The delay varies by this share in both directions, so that retries of many machines spread out.
-const RETRY_JITTER: f64 = 0.25;
+const RETRY_JITTER_SHARE_OF_DELAY: f64 = 0.25;
 
 /// The kind of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -231,7 +231,7 @@
     let mut hasher = FnvHasher::default();
     (machine, command, repeats).hash(&mut hasher);
     let fraction = hasher.finish() as f64 / u64::MAX as f64;
-    let jitter = 1.0 + RETRY_JITTER * (2.0 * fraction - 1.0);
+    let jitter = 1.0 + RETRY_JITTER_SHARE_OF_DELAY * (2.0 * fraction - 1.0);
     let delay = INITIAL_RETRY_DELAY * (1 << repeats.min(MAX_DOUBLINGS));
     delay.mul_f64(jitter)
 }
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -12,10 +12,10 @@
 /// The precision of the histogram of settling times.
 const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 2;
 /// The share of settled attempts from which on most count as reconciled.
-const MOSTLY_RECONCILED_SHARE: f64 = 0.95;
+const MOSTLY_RECONCILED_SHARE_OF_RECORDED: f64 = 0.95;
 
 /// Printed in place of a time that is not known.
-const UNKNOWN_SECONDS: f64 = -1.0;
+const UNKNOWN_TIME_S: f64 = -1.0;
 
 /// The phase of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,9 +60,9 @@
     recorded: usize,
     settled: usize,
     settling_times: Histogram<u64>,
-    most_reconciled: Option<Duration>,
-    first_command: Option<Duration>,
-    last_command: Option<Duration>,
+    mostly_reconciled_after: Option<Duration>,
+    first_command_after: Option<Duration>,
+    last_command_after: Option<Duration>,
     commands: u64,
     adopted: u64,
     killed: u64,
@@ -78,9 +78,9 @@
             settled: 0,
             settling_times: Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
                 .expect("the number of digits is allowed"),
-            most_reconciled: None,
-            first_command: None,
-            last_command: None,
+            mostly_reconciled_after: None,
+            first_command_after: None,
+            last_command_after: None,
             commands: 0,
             adopted: 0,
             killed: 0,
@@ -123,9 +123,9 @@
         let _ = self
             .settling_times
             .record_n(after.as_millis() as u64, attempts as u64);
-        let needed = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE).ceil() as usize;
-        if self.settled >= needed && self.most_reconciled.is_none() {
-            self.most_reconciled = Some(after);
+        let needed = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE_OF_RECORDED).ceil() as usize;
+        if self.settled >= needed && self.mostly_reconciled_after.is_none() {
+            self.mostly_reconciled_after = Some(after);
         }
     }
 
@@ -133,8 +133,8 @@
     pub fn record_command(&mut self, now: Instant) {
         let after = now.saturating_duration_since(self.began_at);
         self.commands += 1;
-        self.first_command.get_or_insert(after);
-        self.last_command = Some(after);
+        self.first_command_after.get_or_insert(after);
+        self.last_command_after = Some(after);
     }
 
     /// Counts an unrecorded task that was adopted.
@@ -173,9 +173,9 @@
             settled: self.settled,
             settled_p50: known.then(|| percentile(0.5)),
             settled_p95: known.then(|| percentile(0.95)),
-            most_reconciled: self.most_reconciled,
-            first_command: self.first_command,
-            last_command: self.last_command,
+            mostly_reconciled_after: self.mostly_reconciled_after,
+            first_command_after: self.first_command_after,
+            last_command_after: self.last_command_after,
             commands: self.commands,
             adopted: self.adopted,
             killed: self.killed,
@@ -197,11 +197,11 @@
     /// The time within which 95% of the settled ones were settled.
     pub settled_p95: Option<Duration>,
     /// The time after which 95% of all attempts on record were settled.
-    pub most_reconciled: Option<Duration>,
+    pub mostly_reconciled_after: Option<Duration>,
     /// The time of the first command.
-    pub first_command: Option<Duration>,
+    pub first_command_after: Option<Duration>,
     /// The time of the last command.
-    pub last_command: Option<Duration>,
+    pub last_command_after: Option<Duration>,
     /// The number of commands that were sent.
     pub commands: u64,
     /// The number of unrecorded tasks that were adopted.
@@ -213,7 +213,7 @@
 impl fmt::Display for TakeoverSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds =
-            |time: Option<Duration>| time.map_or(UNKNOWN_SECONDS, |time| time.as_secs_f64());
+            |time: Option<Duration>| time.map_or(UNKNOWN_TIME_S, |time| time.as_secs_f64());
         write!(
             f,
             "took_s={:.1} recorded={} settled={} settled_p50_s={:.1} settled_p95_s={:.1} \
@@ -223,9 +223,9 @@
             self.settled,
             seconds(self.settled_p50),
             seconds(self.settled_p95),
-            seconds(self.most_reconciled),
-            seconds(self.first_command),
-            seconds(self.last_command),
+            seconds(self.mostly_reconciled_after),
+            seconds(self.first_command_after),
+            seconds(self.last_command_after),
             self.commands,
             self.adopted,
             self.killed
--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -9,20 +9,20 @@
 //! - Immediate commands are never refused, and are charged all the same.
 
 use crate::segments::Segment;
-use crate::settings::{CommandRates, RESERVED_SHARE};
+use crate::settings::{CommandRates, RESERVED_SHARE_OF_RATE};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 /// The share of a limit that is refilled in a second.
-const REFILL_SHARE: f64 = 0.7;
+const REFILL_SHARE_OF_LIMIT: f64 = 0.7;
 /// The share of a limit that a bucket holds at most. With the refill and the reserve it adds up to 1.
-const CAPACITY_SHARE: f64 = 1.0 - RESERVED_SHARE - REFILL_SHARE;
+const CAPACITY_SHARE_OF_LIMIT: f64 = 1.0 - RESERVED_SHARE_OF_RATE - REFILL_SHARE_OF_LIMIT;
 /// The share of a limit that a bucket holds at the start, so that a small fleet need not wait.
-const INITIAL_SHARE: f64 = 0.01;
+const INITIAL_SHARE_OF_LIMIT: f64 = 0.01;
 /// The slowest refill, however few commands are acknowledged: the next ones may reach other machines.
 const MIN_REFILL_FACTOR: f64 = 0.1;
 /// Refilling slows down from half of so many seconds' worth of unacknowledged commands on.
-const MAX_UNACKNOWLEDGED_SECONDS: f64 = 4.0;
+const MAX_UNACKNOWLEDGED_LOAD_S: f64 = 4.0;
 
 /// How long a command may wait for the rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
     pub fn new(limit: f64, now: Instant) -> TokenBucket {
         TokenBucket {
             limit,
-            tokens: limit * INITIAL_SHARE,
+            tokens: limit * INITIAL_SHARE_OF_LIMIT,
             refilled_at: now,
         }
     }
@@ -60,13 +60,13 @@
     pub fn refill(&mut self, now: Instant, factor: f64) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
-        let added = elapsed.as_secs_f64() * self.limit * REFILL_SHARE * factor;
+        let added = elapsed.as_secs_f64() * self.limit * REFILL_SHARE_OF_LIMIT * factor;
         self.tokens = (self.tokens + added).min(self.capacity());
     }
 
     /// The most tokens that it holds. With less than one no command would ever be sent.
     fn capacity(&self) -> f64 {
-        (self.limit * CAPACITY_SHARE).max(1.0)
+        (self.limit * CAPACITY_SHARE_OF_LIMIT).max(1.0)
     }
 
     /// Whether a command of this class may be sent now.
@@ -75,7 +75,7 @@
         match class {
             PacingClass::Background => self.tokens >= (self.capacity() / 2.0).max(1.0),
             PacingClass::Ordinary => self.tokens >= 1.0,
-            PacingClass::Prompt => self.tokens >= 1.0 - self.limit * RESERVED_SHARE,
+            PacingClass::Prompt => self.tokens >= 1.0 - self.limit * RESERVED_SHARE_OF_RATE,
             PacingClass::Immediate => true,
         }
     }
@@ -107,7 +107,7 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_SECONDS;
+        let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_LOAD_S;
         let free_share = 1.0 - self.unacknowledged as f64 / max_unacknowledged;
         // At the full rate as long as half of that is free.
         let factor = (free_share * 2.0).clamp(MIN_REFILL_FACTOR, 1.0);
@@ -179,17 +179,17 @@
 /// Limits the rate of rentals while most machines of a segment or zone are silent.
 #[derive(Clone, Debug)]
 pub struct RentalRateLimiter {
-    per_second: f64,
+    rentals_per_second: f64,
     tokens: f64,
     refilled_at: Option<Instant>,
 }
 
 impl RentalRateLimiter {
     /// Creates a limiter that holds one second's worth of rentals.
-    pub fn new(per_second: f64) -> RentalRateLimiter {
+    pub fn new(rentals_per_second: f64) -> RentalRateLimiter {
         RentalRateLimiter {
-            per_second,
-            tokens: per_second.max(1.0),
+            rentals_per_second,
+            tokens: rentals_per_second.max(1.0),
             refilled_at: None,
         }
     }
@@ -199,8 +199,8 @@
     pub fn take(&mut self, now: Instant, wanted: u32) -> u32 {
         let refilled_at = self.refilled_at.replace(now);
         let elapsed = refilled_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let capacity = self.per_second.max(1.0);
-        let refilled = self.tokens + elapsed.as_secs_f64() * self.per_second;
+        let capacity = self.rentals_per_second.max(1.0);
+        let refilled = self.tokens + elapsed.as_secs_f64() * self.rentals_per_second;
         self.tokens = refilled.min(capacity);
         let granted = wanted.min(self.tokens as u32);
         self.tokens -= f64::from(granted);
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -1,22 +1,22 @@
 //! The operators' settings of a takeover, and the checks that reject unusable ones.
 //!
 //! Invariant of valid settings: at the configured rates the kills of cancelled jobs reach every machine within
-//! [`CANCELLATION_SHARE`] of the cancellation deadline, and segments do not overlap.
+//! [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline, and segments do not overlap.
 
 use crate::segments::{DerivedPrefixes, NamedSegment};
 use ipnet::IpNet;
 use std::time::Duration;
 
 /// The share of a rate that is reserved for prompt commands, and for those that must not wait at all.
-pub const RESERVED_SHARE: f64 = 0.2;
+pub const RESERVED_SHARE_OF_RATE: f64 = 0.2;
 /// For this share of the cancellation deadline the kills of cancelled jobs are paced; later ones are sent at
 /// once. Machines on which such a job still runs are returned at 0.4 of the deadline.
-pub const CANCELLATION_SHARE: f64 = 0.3;
+pub const PACED_SHARE_OF_CANCELLATION_DEADLINE: f64 = 0.3;
 
 /// Commands a second to the fleet, where operators set none and its size needs no more.
-const DEFAULT_FLEET_RATE: f64 = 1200.0;
+const DEFAULT_FLEET_COMMANDS_PER_S: f64 = 1200.0;
 /// Commands a second to a segment, where operators set none and its size needs no more.
-const DEFAULT_SEGMENT_RATE: f64 = 600.0;
+const DEFAULT_SEGMENT_COMMANDS_PER_S: f64 = 600.0;
 
 /// The operators' settings of a takeover.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,7 +87,7 @@
 pub enum SettingsProblem {
     /// Kills of cancelled jobs would wait for too long.
     #[error(
-        "{rate} orders a second cannot reach {machines} machines within {within:.1} s, {part} of cancel_s"
+        "{rate} orders a second cannot reach {machines} machines within {within_s:.1} s, {share_of_cancel_s} of cancel_s"
     )]
     TooSlow {
         /// The configured rate, in commands a second.
@@ -95,9 +95,9 @@
         /// The number of machines that it must reach.
         machines: usize,
         /// The time within which it must reach them, in seconds.
-        within: f64,
+        within_s: f64,
         /// The share of `cancel_s` that this is.
-        part: f64,
+        share_of_cancel_s: f64,
     },
     /// The rate of a segment exceeds that of the fleet.
     #[error("{segment} is above orders-per-s, {fleet}")]
@@ -166,12 +166,12 @@
     /// machines in time for a cancellation.
     pub fn command_rates(&self, deployment: Deployment) -> CommandRates {
         let deadline = deployment.cancellation_deadline;
-        let fleet = self
-            .orders_per_second
-            .unwrap_or(DEFAULT_FLEET_RATE.max(min_rate(deadline, deployment.max_machines)));
+        let fleet = self.orders_per_second.unwrap_or(
+            DEFAULT_FLEET_COMMANDS_PER_S.max(min_rate(deadline, deployment.max_machines)),
+        );
         let largest = self.largest_segment().min(deployment.max_machines);
         let segment = self.segment_orders_per_second.unwrap_or(
-            DEFAULT_SEGMENT_RATE
+            DEFAULT_SEGMENT_COMMANDS_PER_S
                 .max(min_rate(deadline, largest))
                 .min(fleet),
         );
@@ -244,8 +244,8 @@
 
 /// The lowest rate that reaches this number of machines in time for a cancellation.
 fn min_rate(cancellation_deadline: Duration, machines: usize) -> f64 {
-    let within = cancellation_deadline.as_secs_f64() * CANCELLATION_SHARE;
-    (machines as f64 / (within * (1.0 - RESERVED_SHARE))).ceil()
+    let within_s = cancellation_deadline.as_secs_f64() * PACED_SHARE_OF_CANCELLATION_DEADLINE;
+    (machines as f64 / (within_s * (1.0 - RESERVED_SHARE_OF_RATE))).ceil()
 }
 
 fn check_rate(
@@ -262,8 +262,8 @@
         problem: SettingsProblem::TooSlow {
             rate,
             machines,
-            within: cancellation_deadline.as_secs_f64() * CANCELLATION_SHARE,
-            part: CANCELLATION_SHARE,
+            within_s: cancellation_deadline.as_secs_f64() * PACED_SHARE_OF_CANCELLATION_DEADLINE,
+            share_of_cancel_s: PACED_SHARE_OF_CANCELLATION_DEADLINE,
         },
     })
 }
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -16,7 +16,7 @@
 use crate::rate_limits::{PacingClass, RentalRateLimiter};
 use crate::reconciliation::{Reconciliation, StateCounts};
 use crate::segments::{Segment, SegmentMap};
-use crate::settings::{Deployment, RecoverySettings, CANCELLATION_SHARE};
+use crate::settings::{Deployment, RecoverySettings, PACED_SHARE_OF_CANCELLATION_DEADLINE};
 use crate::silence::{SilenceScope, SilenceSurvey};
 use crate::unrecorded::{Disposition, ListedJobs, StoredJobStatus, UnrecordedTasks};
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
@@ -223,7 +223,10 @@
         kill_deadline: KillDeadline,
     ) -> PacingClass {
         match (cancelled_for, kill_deadline) {
-            (Some(elapsed), _) if elapsed >= cancellation_deadline.mul_f64(CANCELLATION_SHARE) => {
+            (Some(elapsed), _)
+                if elapsed
+                    >= cancellation_deadline.mul_f64(PACED_SHARE_OF_CANCELLATION_DEADLINE) =>
+            {
                 PacingClass::Immediate
             }
             (Some(_), _) | (None, KillDeadline::Bounded) => PacingClass::Prompt,
@@ -309,7 +312,7 @@
     /// Charges and returns how many of the wanted machines may be rented now. Rentals are paced while most
     /// machines of a segment or zone are silent, since they are likely to come back.
     #[must_use]
-    pub fn rentals_allowed(&mut self, now: Instant, wanted: u32) -> u32 {
+    pub fn admit_rentals(&mut self, now: Instant, wanted: u32) -> u32 {
         if !self.is_paced || self.silence.widest() == SilenceScope::Machine {
             return wanted;
         }
--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -32,7 +32,7 @@
 
     /// Machines with replacements get no more tasks.
     pub(super) fn drain_replaced(&mut self, plan: DrainPlan) {
-        self.capacity.replacements.replaced();
+        self.capacity.replacements.clear_ready();
         self.drain_machines(plan);
     }
 
@@ -62,9 +62,9 @@
         let replacements = &mut self.capacity.replacements;
         match decision {
             ReplacementDecision::Nothing => {}
-            ReplacementDecision::NoOffer => replacements.pause_without_offer(now),
+            ReplacementDecision::NoOffer => replacements.pause_for_missing_offer(now),
             ReplacementDecision::Rent { offer, number } => {
-                replacements.start(&offer.machine_type, number);
+                replacements.record_ordered(&offer.machine_type, number);
                 self.capacity.rentals.order(self.term, offer, number);
             }
         }
@@ -73,7 +73,7 @@
     /// Orders rentals, as many as the settings, the pace of a takeover and the rentals under way allow.
     pub(super) fn order_rentals(&mut self, now: Instant, plan: ScaleOutPlan) {
         for (offer, number) in plan.machines {
-            if !self.order_rentals_of(now, &offer, number) {
+            if !self.order_rentals_for(now, &offer, number) {
                 return;
             }
         }
@@ -81,18 +81,18 @@
 
     /// Large demand takes several rentals of the most that one may ask for. False: the takeover allows
     /// no more rentals now.
-    fn order_rentals_of(&mut self, now: Instant, offer: &MachineOffer, wanted: u32) -> bool {
+    fn order_rentals_for(&mut self, now: Instant, offer: &MachineOffer, wanted: u32) -> bool {
         let max_machines = self.config.tuning.max_machines;
         let mut missing = wanted;
         while missing > 0 {
             let rentals = &self.capacity.rentals;
             let machines = self.fleet.machines.len() + rentals.pending_machines() as usize;
-            let room = max_machines.saturating_sub(machines) as u32;
-            let number = missing.min(MAX_MACHINES_PER_RENTAL).min(room);
-            if number == 0 || rentals.is_full() {
+            let remaining = max_machines.saturating_sub(machines) as u32;
+            let number = missing.min(MAX_MACHINES_PER_RENTAL).min(remaining);
+            if number == 0 || rentals.is_at_limit() {
                 break;
             }
-            let number = self.takeover.rentals_allowed(now, number);
+            let number = self.takeover.admit_rentals(now, number);
             if number == 0 {
                 return false;
             }
--- a/src/core/capacity/capacity_manager.rs
+++ b/src/core/capacity/capacity_manager.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// Machines have had time to report after so many heartbeat intervals.
-const HEARTBEATS_TO_REPORT: f64 = 1.3;
+const REPORT_TIMEOUT_HEARTBEATS: f64 = 1.3;
 
 impl ClusterState {
     /// Rents, drains and returns machines, by what a placement round has left.
@@ -16,7 +16,7 @@
         let is_idle = round.waiting.is_empty();
         if is_idle {
             self.apply_replacement(now, self.plan_spot_replacement(now));
-            self.drain_machines(self.plan_superfluous_drains(now));
+            self.drain_machines(self.plan_spot_capacity_drains(now));
         }
         self.drain_replaced(self.plan_replaced_drains());
         if is_idle {
@@ -32,7 +32,7 @@
             |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
         let all_reported =
             self.capacity.list_was_read && !self.fleet.machines.values().any(has_not_reported);
-        let time_to_report = self.config.heartbeat.mul_f64(HEARTBEATS_TO_REPORT);
-        all_reported || now.saturating_duration_since(self.liveness.started) >= time_to_report
+        let report_timeout = self.config.heartbeat.mul_f64(REPORT_TIMEOUT_HEARTBEATS);
+        all_reported || now.saturating_duration_since(self.liveness.started) >= report_timeout
     }
 }
--- a/src/core/capacity/capacity_state.rs
+++ b/src/core/capacity/capacity_state.rs
@@ -24,7 +24,7 @@
     /// A machine of this type came up.
     pub fn record_boot(&mut self, machine_type: &MachineTypeName, took: Duration, spot: bool) {
         if spot {
-            self.replacements.replacement_is_up(machine_type);
+            self.replacements.record_ready(machine_type);
         }
         self.boot_times.record(machine_type, took);
     }
--- a/src/core/capacity/class_demand.rs
+++ b/src/core/capacity/class_demand.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 /// Jobs of a class that its typical size is taken from.
-const RECENT_JOBS: usize = 20;
+const MAX_RECENT_JOBS: usize = 20;
 /// A class is quiet after this many times the usual gap between its jobs, and this long at least.
-const QUIET_GAPS: u32 = 5;
-const MIN_QUIET_TIME: Duration = Duration::from_secs(40);
+const QUIET_GAP_FACTOR: u32 = 5;
+const MIN_QUIET_PERIOD: Duration = Duration::from_secs(40);
 
 /// A job that came.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
             task_count: spec.task_count,
             resources: spec.resources,
         });
-        if arrivals.len() > RECENT_JOBS {
+        if arrivals.len() > MAX_RECENT_JOBS {
             arrivals.pop_front();
         }
     }
@@ -54,9 +54,9 @@
         let count = arrivals.len();
         let first = arrivals.iter().map(|a| a.at).min()?;
         let last = arrivals.iter().map(|a| a.at).max()?;
-        let gap = last.saturating_duration_since(first) / count as u32;
-        let quiet = now.saturating_duration_since(last);
-        if quiet > (gap * QUIET_GAPS).max(MIN_QUIET_TIME) {
+        let mean_gap = last.saturating_duration_since(first) / count as u32;
+        let quiet_for = now.saturating_duration_since(last);
+        if quiet_for > (mean_gap * QUIET_GAP_FACTOR).max(MIN_QUIET_PERIOD) {
             return None;
         }
         let mut sizes: Vec<u32> = arrivals.iter().map(|a| a.task_count).collect();
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -35,7 +35,7 @@
                     listed.id,
                     listed.phase
                 );
-                adopted(now, listed, term)
+                adopt_machine(now, listed, term)
             });
         if machine.machine_type.0.is_empty() {
             machine.machine_type = listed.machine_type.clone();
@@ -89,7 +89,7 @@
 }
 
 /// A machine that another term has rented.
-fn adopted(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
+fn adopt_machine(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
     let identity = MachineIdentity {
         id: listed.id.clone(),
         machine_type: listed.machine_type.clone(),
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -3,20 +3,20 @@
 //! The long tasks that are left when a burst is over would keep a machine each. Only what saves
 //! checkpoints is stopped, and only where the rest of its run is worth the trouble.
 
-use crate::core::capacity::headroom::{are_all_covered, HeadroomDemand};
+use crate::core::capacity::headroom::{covers_headroom, HeadroomDemand};
 use crate::core::model::{JobKind, MachineId, Resources, TaskId};
 use crate::core::state::{ActiveAttempt, ClusterState, Job, Machine};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 /// A machine that is used above this share is left alone.
-const MAX_USED_SHARE: f64 = 0.55;
+const MAX_DOMINANT_SHARE: f64 = 0.55;
 /// One machine in so many is consolidated at a time.
-const CONSOLIDATION_DIVISOR: usize = 12;
+const MACHINES_PER_CONSOLIDATION: usize = 12;
 /// Tasks move that have run for this long, so that their start counts, and have this much left beyond
 /// saving and starting again.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(31);
-const MIN_RUN_AFTER_MOVE: Duration = Duration::from_secs(20);
+const MIN_REMAINING_AFTER_MOVE: Duration = Duration::from_secs(20);
 /// What a task gets beyond the time that its checkpoint should take.
 const CHECKPOINT_MARGIN: Duration = Duration::from_secs(2);
 
@@ -42,7 +42,7 @@
 struct MachineLoad<'a> {
     machine: &'a Machine,
     free: Resources,
-    used_share: f64,
+    dominant_share: f64,
 }
 
 impl ClusterState {
@@ -51,7 +51,7 @@
         let mut loads = self.loads_fullest_first(now);
         let headroom = self.headroom(now);
         let draining = self.fleet.machines.values().filter(|m| m.draining).count();
-        let max_consolidated = (loads.len() / CONSOLIDATION_DIVISOR)
+        let max_consolidated = (loads.len() / MACHINES_PER_CONSOLIDATION)
             .max(1)
             .saturating_sub(draining);
         let mut machines = Vec::new();
@@ -60,17 +60,17 @@
                 break;
             }
             let (fuller, rest) = loads.split_at_mut(index);
-            let (machine, used_share) = (rest[0].machine, rest[0].used_share);
-            if used_share > MAX_USED_SHARE || machine.placed_tasks.is_empty() {
+            let (machine, dominant_share) = (rest[0].machine, rest[0].dominant_share);
+            if dominant_share > MAX_DOMINANT_SHARE || machine.placed_tasks.is_empty() {
                 continue;
             }
-            let Some(tasks) = self.stops_to_move(now, machine) else {
+            let Some(tasks) = self.plan_task_stops(now, machine) else {
                 continue;
             };
             let Some(free_after) = pack_onto(fuller, machine) else {
                 continue;
             };
-            if !has_room_beside(&headroom, fuller, machine.placed_tasks.len()) {
+            if !covers_headroom_after_moves(&headroom, fuller, machine.placed_tasks.len()) {
                 break;
             }
             for (target, free) in free_after {
@@ -88,22 +88,22 @@
     /// Machines that take tasks, in the order in which tasks move to them: the fullest first, of equally
     /// full ones the cheaper.
     fn loads_fullest_first(&self, now: Instant) -> Vec<MachineLoad<'_>> {
-        let free_room = self.free_room(now).into_iter();
-        let mut loads: Vec<MachineLoad<'_>> = free_room
-            .filter_map(|capacity| {
-                let machine = capacity.machine;
+        let free_resources = self.free_resources(now).into_iter();
+        let mut loads: Vec<MachineLoad<'_>> = free_resources
+            .filter_map(|available| {
+                let machine = available.machine;
                 let machine_type = self.fleet.machine_type(&machine.machine_type)?;
                 Some(MachineLoad {
                     machine,
-                    free: capacity.free,
-                    used_share: machine.used.dominant_share_of(&machine_type.capacity),
+                    free: available.free,
+                    dominant_share: machine.used.dominant_share_of(&machine_type.capacity),
                 })
             })
             .collect();
         let price = |load: &MachineLoad<'_>| self.price_per_cpu_of(load.machine);
         loads.sort_by(|a, b| {
-            b.used_share
-                .total_cmp(&a.used_share)
+            b.dominant_share
+                .total_cmp(&a.dominant_share)
                 .then(price(a).total_cmp(&price(b)))
                 .then(a.machine.id.cmp(&b.machine.id))
         });
@@ -111,7 +111,7 @@
     }
 
     /// How to stop the tasks of a machine, when all of them can move.
-    fn stops_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
+    fn plan_task_stops(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
         let mut stops = Vec::with_capacity(machine.placed_tasks.len());
         for task in machine.placed_tasks.keys() {
             let job = self.jobs.get(&task.job_id)?;
@@ -133,15 +133,15 @@
         return false;
     };
     let spec = &job.spec;
-    let is_bound = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
+    let is_tied_to_machines = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
     let ran = now.saturating_duration_since(running_since);
     let remaining = attempt.estimated_run_time.saturating_sub(ran);
-    let worth_moving = spec.checkpoint_duration * 2 + MIN_RUN_AFTER_MOVE;
-    !is_bound
+    let min_remaining = spec.checkpoint_duration * 2 + MIN_REMAINING_AFTER_MOVE;
+    !is_tied_to_machines
         && spec.writes_checkpoints()
         && attempt.kill_request.is_none()
         && ran >= MIN_RUN_BEFORE_MOVE
-        && remaining >= worth_moving
+        && remaining >= min_remaining
 }
 
 /// What is free on machines, by index, once they have taken all tasks of another. None: they cannot.
@@ -150,7 +150,7 @@
     for resources in machine.placed_tasks.values() {
         let target = (0..loads.len()).find(|i| {
             let free = free_after.get(i).unwrap_or(&loads[*i].free);
-            loads[*i].used_share > 0.0 && resources.fits(free)
+            loads[*i].dominant_share > 0.0 && resources.fits(free)
         })?;
         let free = free_after.entry(target).or_insert(loads[target].free);
         free.sub(resources);
@@ -159,6 +159,10 @@
 }
 
 /// Whether these machines have room for the headroom of each class and so many tasks more.
-fn has_room_beside(headroom: &[HeadroomDemand], loads: &[MachineLoad<'_>], moving: usize) -> bool {
-    are_all_covered(headroom, loads.iter().map(|load| &load.free), moving)
+fn covers_headroom_after_moves(
+    headroom: &[HeadroomDemand],
+    loads: &[MachineLoad<'_>],
+    moving: usize,
+) -> bool {
+    covers_headroom(headroom, loads.iter().map(|load| &load.free), moving)
 }
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -1,6 +1,6 @@
 //! Drained machines: why a machine gets no more tasks, and when it does again.
 
-use crate::core::capacity::free_room::FreeRoom;
+use crate::core::capacity::free_resources::FreeResources;
 use crate::core::model::MachineId;
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use crate::core::placement::{RoundOutcome, WaitingTasks};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Work that waits for longer than this keeps a machine from being drained.
-const MAX_WAIT_BESIDE_DRAIN: Duration = Duration::from_secs(5);
+const MAX_WAIT_DURING_DRAIN: Duration = Duration::from_secs(5);
 
 /// Why a machine is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// A spot machine rented in its place is up.
     Replaced,
     /// Spot machines have room for its tasks.
-    RoomOnSpot,
+    FitsOnSpot,
     /// Its few tasks move to other machines.
     Consolidation,
 }
@@ -26,7 +26,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             DrainReason::Replaced => "replaced",
-            DrainReason::RoomOnSpot => "room_on_spot",
+            DrainReason::FitsOnSpot => "room_on_spot",
             DrainReason::Consolidation => "consolidation",
         })
     }
@@ -48,12 +48,12 @@
 impl ClusterState {
     /// A machine that is being drained is paid for in any case: while work waits, it takes some.
     pub(super) fn plan_drain_cancellations(&self, round: &RoundOutcome) -> DrainCancellations {
-        let mut draining: Vec<FreeRoom<'_>> = self
+        let mut draining: Vec<FreeResources<'_>> = self
             .fleet
             .machines
             .values()
             .filter(|machine| machine.draining && !machine.returning)
-            .filter_map(|machine| self.free_room_of(machine))
+            .filter_map(|machine| self.free_resources_of(machine))
             .collect();
         let mut machines = Vec::new();
         for waiting in &round.waiting {
@@ -62,20 +62,20 @@
             }
             let waits_long = waiting
                 .expected_wait
-                .is_none_or(|wait| wait > MAX_WAIT_BESIDE_DRAIN);
+                .is_none_or(|wait| wait > MAX_WAIT_DURING_DRAIN);
             if waits_long && !waiting.on_booting_machine {
-                self.keep_machines_for(waiting, &mut draining, &mut machines);
+                self.cancel_drains_for(waiting, &mut draining, &mut machines);
             }
         }
         DrainCancellations { machines }
     }
 
-    /// Moves machines that have room for the waiting tasks from `draining` to `kept`.
-    fn keep_machines_for(
+    /// Moves machines that have room for the waiting tasks from `draining` to `drains_to_cancel`.
+    fn cancel_drains_for(
         &self,
         waiting: &WaitingTasks,
-        draining: &mut Vec<FreeRoom<'_>>,
-        kept: &mut Vec<MachineId>,
+        draining: &mut Vec<FreeResources<'_>>,
+        drains_to_cancel: &mut Vec<MachineId>,
     ) {
         let Some(job) = self.jobs.get(&waiting.job_id) else {
             return;
@@ -84,10 +84,10 @@
         let zone_of = |id: &MachineId| self.fleet.machines.get(id).map(|m| m.zone.clone());
         let zones = ZoneUse::of(job, &zone_of);
         let mut left = waiting.count;
-        draining.retain(|room| {
-            let machine = room.machine;
-            let fits = spec.resources.count_fitting_in(&room.free);
-            let is_kept = left > 0
+        draining.retain(|available| {
+            let machine = available.machine;
+            let fits = spec.resources.count_fitting_in(&available.free);
+            let is_needed = left > 0
                 && fits > 0
                 && permits(
                     spec,
@@ -96,11 +96,11 @@
                     &machine.zone,
                     machine.spot,
                 );
-            if is_kept {
+            if is_needed {
                 left = left.saturating_sub(fits);
-                kept.push(machine.id.clone());
+                drains_to_cancel.push(machine.id.clone());
             }
-            !is_kept
+            !is_needed
         });
     }
 }
--- a/src/core/capacity/free_room.rs
+++ b/src/core/capacity/free_resources.rs
@@ -10,14 +10,14 @@
 
 /// A machine, and what is free on it.
 #[derive(Clone, Copy)]
-pub(super) struct FreeRoom<'a> {
+pub(super) struct FreeResources<'a> {
     pub(super) machine: &'a Machine,
     pub(super) free: Resources,
 }
 
 impl ClusterState {
     /// Room free now on machines that take tasks.
-    pub(super) fn free_room(&self, now: Instant) -> Vec<FreeRoom<'_>> {
+    pub(super) fn free_resources(&self, now: Instant) -> Vec<FreeResources<'_>> {
         let max_age = self.config.heartbeat * MAX_MISSED_HEARTBEATS;
         let takes_tasks = |machine: &&Machine| {
             let is_leaving = machine.returning
@@ -31,16 +31,16 @@
             .machines
             .values()
             .filter(takes_tasks)
-            .filter_map(|machine| self.free_room_of(machine))
+            .filter_map(|machine| self.free_resources_of(machine))
             .collect()
     }
 
     /// What is free on a machine. None: its type is unknown.
-    pub(super) fn free_room_of<'a>(&self, machine: &'a Machine) -> Option<FreeRoom<'a>> {
+    pub(super) fn free_resources_of<'a>(&self, machine: &'a Machine) -> Option<FreeResources<'a>> {
         let machine_type = self.fleet.machine_type(&machine.machine_type)?;
         let mut free = machine_type.capacity;
         free.sub(&machine.used);
-        Some(FreeRoom { machine, free })
+        Some(FreeResources { machine, free })
     }
 
     /// What a CPU of a machine costs. Nothing where its type is unknown.
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -9,7 +9,7 @@
 
 /// Some machines take much longer to boot than most: a start promised within so many boots counts as
 /// one that no new machine can keep.
-const BOOTS_FOR_A_START: u32 = 2;
+const BOOT_TIME_SAFETY_FACTOR: u32 = 2;
 
 /// Tasks of a class that must find room at once.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 }
 
 /// Whether there is room for the headroom of each class, and for so many more tasks of its size.
-pub(super) fn are_all_covered<'a>(
+pub(super) fn covers_headroom<'a>(
     demands: &[HeadroomDemand],
     free: impl Iterator<Item = &'a Resources> + Clone,
     more_tasks: usize,
@@ -35,7 +35,7 @@
 }
 
 /// The earliest start that a class was promised.
-struct PromisedStart<'a> {
+struct StartObjective<'a> {
     class: &'a str,
     within: Duration,
 }
@@ -45,11 +45,12 @@
     /// typical job. A class that is promised its start only after a machine can have come up needs none.
     pub(super) fn headroom(&self, now: Instant) -> Vec<HeadroomDemand> {
         let mut demands = Vec::new();
-        for PromisedStart { class, within } in self.promised_starts() {
+        for StartObjective { class, within } in self.start_objectives() {
             let Some(typical) = self.capacity.class_demand.typical_job(now, class) else {
                 continue;
             };
-            if self.has_deadline_slo(class) || self.starts_too_soon(within, &typical.resources) {
+            if self.has_deadline_slo(class) || self.is_sooner_than_boot(within, &typical.resources)
+            {
                 let jobs = self.config.tuning.headroom_jobs;
                 let tasks = (f64::from(typical.task_count) * jobs).ceil();
                 demands.push(HeadroomDemand {
@@ -67,27 +68,27 @@
     }
 
     /// Whether no machine rented now would be up in time for such a start.
-    fn starts_too_soon(&self, within: Duration, resources: &Resources) -> bool {
+    fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
         let slowest_boot = suitable.map(|t| self.capacity.boot_time(t)).max();
-        slowest_boot.is_none_or(|boot| within < boot * BOOTS_FOR_A_START)
+        slowest_boot.is_none_or(|boot| within < boot * BOOT_TIME_SAFETY_FACTOR)
     }
 
     /// The earliest start that each class was promised.
-    fn promised_starts(&self) -> Vec<PromisedStart<'_>> {
-        let mut promised: Vec<PromisedStart<'_>> = Vec::new();
+    fn start_objectives(&self) -> Vec<StartObjective<'_>> {
+        let mut objectives: Vec<StartObjective<'_>> = Vec::new();
         for slo in self.config.slos.iter().filter(|slo| slo.kind == "wait") {
             let Some(class) = slo.class.as_deref() else {
                 continue;
             };
             let within = slo.within.unwrap_or_default();
-            match promised.iter_mut().find(|start| start.class == class) {
+            match objectives.iter_mut().find(|start| start.class == class) {
                 Some(start) => start.within = start.within.min(within),
-                None => promised.push(PromisedStart { class, within }),
+                None => objectives.push(StartObjective { class, within }),
             }
         }
-        promised
+        objectives
     }
 
     /// Adds the cheapest machines for headroom that is missing to a plan.
@@ -95,13 +96,13 @@
         for HeadroomDemand { tasks, resources } in self.headroom(now) {
             let tasks = tasks as usize;
             let types = self.headroom_types(&resources);
-            let mut covered = self.covered_headroom(round, plan, &resources, &types);
+            let mut covered = self.count_covered_tasks(round, plan, &resources, &types);
             let candidates = self.headroom_candidates(now, &resources, &types);
             while covered < tasks {
                 let Some(candidate) = plan.cheapest(&candidates, tasks - covered) else {
                     break;
                 };
-                if !plan.has_room() {
+                if !plan.can_add_machine() {
                     break;
                 }
                 plan.add_empty(candidate);
@@ -125,7 +126,7 @@
     }
 
     /// Tasks that find room on machines that are up, booting or planned.
-    fn covered_headroom(
+    fn count_covered_tasks(
         &self,
         round: &RoundOutcome,
         plan: &PackingPlan,
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -18,7 +18,7 @@
 mod cloud_list;
 mod consolidation;
 mod drain;
-mod free_room;
+mod free_resources;
 mod headroom;
 mod offer;
 mod packing;
@@ -34,4 +34,4 @@
 pub use rentals::RentalOutcome;
 
 /// A machine that costs this much more by the CPU than the cheapest allowed one is expensive.
-const EXPENSIVE_FACTOR: f64 = 1.5;
+const EXPENSIVE_PRICE_FACTOR: f64 = 1.5;
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -45,29 +45,29 @@
 pub(super) struct PackingPlan {
     machines: Vec<PlannedMachine>,
     /// The first so many are being rented already.
-    under_way: usize,
+    pending: usize,
     /// The indices of machines with room for the smallest of what waits: with a thousand small jobs
     /// waiting, looking at the full ones again for each took most of the leader's processor.
-    open: Vec<usize>,
-    smallest_task: Resources,
+    open_machines: Vec<usize>,
+    min_task_resources: Resources,
     /// Machines in each zone, planned ones too.
     zone_counts: HashMap<Zone, usize>,
     max_machines: usize,
 }
 
 impl PackingPlan {
-    /// A plan that begins with the machines under way. `smallest_task`: no task to be packed takes less.
+    /// A plan that begins with the machines under way. `min_task_resources`: no task to be packed takes less.
     pub(super) fn new(
-        under_way: Vec<PlannedMachine>,
-        smallest_task: Resources,
+        pending: Vec<PlannedMachine>,
+        min_task_resources: Resources,
         zone_counts: HashMap<Zone, usize>,
         max_machines: usize,
     ) -> PackingPlan {
         PackingPlan {
-            under_way: under_way.len(),
-            open: (0..under_way.len()).collect(),
-            machines: under_way,
-            smallest_task,
+            pending: pending.len(),
+            open_machines: (0..pending.len()).collect(),
+            machines: pending,
+            min_task_resources,
             zone_counts,
             max_machines,
         }
@@ -78,15 +78,15 @@
         self.machines.iter()
     }
 
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn can_add_machine(&self) -> bool {
         self.machines.len() < self.max_machines
     }
 
     /// Packs tasks of a job onto what is planned already. Returns how many are left.
     pub(super) fn pack(&mut self, spec: &JobSpec, zones: &ZoneUse, count: usize) -> usize {
         let mut left = count;
-        let (machines, smallest_task) = (&mut self.machines, &self.smallest_task);
-        self.open.retain(|index| {
+        let (machines, min_task_resources) = (&mut self.machines, &self.min_task_resources);
+        self.open_machines.retain(|index| {
             let machine = &mut machines[*index];
             let offer = &machine.offer;
             let fits = spec.resources.fits(&machine.free);
@@ -99,7 +99,7 @@
                 machine.tasks += tasks;
                 left -= tasks;
             }
-            smallest_task.fits(&machine.free)
+            min_task_resources.fits(&machine.free)
         });
         left
     }
@@ -139,8 +139,8 @@
     fn add(&mut self, candidate: &RentalCandidate, free: Resources, tasks: usize) {
         let zone = candidate.offer.zone.clone();
         *self.zone_counts.entry(zone).or_default() += 1;
-        if self.smallest_task.fits(&free) {
-            self.open.push(self.machines.len());
+        if self.min_task_resources.fits(&free) {
+            self.open_machines.push(self.machines.len());
         }
         self.machines.push(PlannedMachine {
             offer: candidate.offer.clone(),
@@ -153,7 +153,7 @@
     /// What is to be rented beside what is under way.
     pub(super) fn into_scale_out(self) -> ScaleOutPlan {
         let mut machines: BTreeMap<MachineOffer, u32> = BTreeMap::new();
-        let planned = self.machines.into_iter().skip(self.under_way);
+        let planned = self.machines.into_iter().skip(self.pending);
         for machine in planned.filter(|m| m.tasks > 0 && m.capacity != Resources::default()) {
             *machines.entry(machine.offer).or_default() += 1;
         }
--- a/src/core/capacity/rental_results.rs
+++ b/src/core/capacity/rental_results.rs
@@ -9,7 +9,7 @@
 impl ClusterState {
     /// Sends rentals that are new or to be repeated.
     pub(super) fn send_rentals(&mut self, now: Instant) {
-        let rentals = self.capacity.rentals.under_way.iter_mut();
+        let rentals = self.capacity.rentals.pending.iter_mut();
         for (idempotency_key, rental) in rentals.filter(|(_, rental)| rental.is_due(now)) {
             rental.sent = true;
             self.outbox.push(Action::Rent {
@@ -29,37 +29,37 @@
         idempotency_key: &str,
         outcome: RentalOutcome,
     ) {
-        let under_way = &mut self.capacity.rentals.under_way;
+        let pending = &mut self.capacity.rentals.pending;
         match outcome {
             RentalOutcome::Unknown => {
-                if let Some(rental) = under_way.get_mut(idempotency_key) {
+                if let Some(rental) = pending.get_mut(idempotency_key) {
                     rental.sent = false;
                     rental.retry_at = Some(now + RETRY_DELAY);
                 }
             }
             RentalOutcome::NoCapacity => {
-                if let Some(rental) = under_way.remove(idempotency_key) {
-                    self.refuse_offer(now, rental.offer);
+                if let Some(rental) = pending.remove(idempotency_key) {
+                    self.record_refused_offer(now, rental.offer);
                 }
             }
             RentalOutcome::Machines(ids) => {
-                let Some(rental) = under_way.remove(idempotency_key) else {
+                let Some(rental) = pending.remove(idempotency_key) else {
                     return;
                 };
                 log::info!(
                     "rented idempotency_key={idempotency_key} machines={}",
                     ids.len()
                 );
-                self.add_rented(now, rental, ids);
+                self.add_rented_machines(now, rental, ids);
             }
         }
         self.schedule.request_round();
     }
 
-    fn add_rented(&mut self, now: Instant, rental: Rental, ids: Vec<MachineId>) {
+    fn add_rented_machines(&mut self, now: Instant, rental: Rental, ids: Vec<MachineId>) {
         let offer = rental.offer;
         if (ids.len() as u32) < rental.number {
-            self.refuse_offer(now, offer.clone());
+            self.record_refused_offer(now, offer.clone());
         } else {
             self.capacity.rentals.refusals.remove(&offer);
         }
@@ -88,11 +88,11 @@
         }
     }
 
-    fn refuse_offer(&mut self, now: Instant, offer: MachineOffer) {
+    fn record_refused_offer(&mut self, now: Instant, offer: MachineOffer) {
         if offer.spot {
             let replacements = &mut self.capacity.replacements;
-            replacements.replacement_refused(now, &offer.machine_type);
+            replacements.record_refusal(now, &offer.machine_type);
         }
-        self.capacity.rentals.refuse(now, offer);
+        self.capacity.rentals.record_refusal(now, offer);
     }
 }
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -12,12 +12,12 @@
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Rentals under way at a time. More would only queue for the cloud's rate, each for the few machines
 /// that were missing when it was asked for.
-const MAX_RENTALS_UNDER_WAY: usize = 3;
+const MAX_PENDING_RENTALS: usize = 3;
 /// A rental without an answer is sent again after this long.
 pub(super) const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// After a refusal, the same offer is not asked for again for this long, times the refusals in a row.
-const REFUSAL_PAUSE: Duration = Duration::from_secs(12);
-const MAX_COUNTED_REFUSALS: u32 = 3;
+const REFUSAL_BACKOFF: Duration = Duration::from_secs(12);
+const MAX_BACKOFF_REFUSALS: u32 = 3;
 
 /// How a rental ended.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,31 +56,31 @@
 /// The rentals under way, by idempotency key, and what the cloud refused.
 #[derive(Debug, Default)]
 pub(super) struct Rentals {
-    pub(super) under_way: BTreeMap<String, Rental>,
+    pub(super) pending: BTreeMap<String, Rental>,
     /// How many rentals this term has ordered.
-    ordered: u64,
+    ordered_count: u64,
     pub(super) refusals: HashMap<MachineOffer, Refusal>,
 }
 
 impl Rentals {
-    pub(super) fn under_way(&self) -> impl Iterator<Item = &Rental> {
-        self.under_way.values()
+    pub(super) fn pending(&self) -> impl Iterator<Item = &Rental> {
+        self.pending.values()
     }
 
     /// How many machines are asked for and not answered.
     pub(super) fn pending_machines(&self) -> u32 {
-        self.under_way().map(|rental| rental.number).sum()
+        self.pending().map(|rental| rental.number).sum()
     }
 
-    pub(super) fn is_full(&self) -> bool {
-        self.under_way.len() >= MAX_RENTALS_UNDER_WAY
+    pub(super) fn is_at_limit(&self) -> bool {
+        self.pending.len() >= MAX_PENDING_RENTALS
     }
 
     /// Enters a rental, to be sent.
     pub(super) fn order(&mut self, term: Term, offer: MachineOffer, number: u32) {
-        self.ordered += 1;
+        self.ordered_count += 1;
         // The term makes a key unique among all nodes and their restarts.
-        let idempotency_key = format!("t{}-{}", term.0, self.ordered);
+        let idempotency_key = format!("t{}-{}", term.0, self.ordered_count);
         log::info!(
             "renting idempotency_key={idempotency_key} type={} zone={} spot={} number={number}",
             offer.machine_type,
@@ -93,7 +93,7 @@
             sent: false,
             retry_at: None,
         };
-        self.under_way.insert(idempotency_key, rental);
+        self.pending.insert(idempotency_key, rental);
     }
 
     /// Whether the cloud refused this offer a short time ago.
@@ -102,12 +102,12 @@
         refusal.is_some_and(|refusal| now < refusal.until)
     }
 
-    pub(super) fn refuse(&mut self, now: Instant, offer: MachineOffer) {
+    pub(super) fn record_refusal(&mut self, now: Instant, offer: MachineOffer) {
         let refusal = self.refusals.entry(offer).or_insert(Refusal {
             until: now,
             count: 0,
         });
-        refusal.count = (refusal.count + 1).min(MAX_COUNTED_REFUSALS);
-        refusal.until = now + REFUSAL_PAUSE * refusal.count;
+        refusal.count = (refusal.count + 1).min(MAX_BACKOFF_REFUSALS);
+        refusal.until = now + REFUSAL_BACKOFF * refusal.count;
     }
 }
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -20,12 +20,12 @@
 /// A return that was not answered is sent again after this long.
 const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
 /// A machine never came up if it takes longer than so many usual boots and this margin.
-const MAX_BOOT_FACTOR: f64 = 4.0;
-const MAX_BOOT_MARGIN: Duration = Duration::from_secs(30);
+const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
+const BOOT_TIME_MARGIN: Duration = Duration::from_secs(30);
 /// The boot of a machine whose type is not known.
-const UNKNOWN_BOOT: Duration = Duration::from_secs(60);
+const UNKNOWN_TYPE_BOOT_TIME: Duration = Duration::from_secs(60);
 /// After a pause of this process, first heartbeats may be waiting for it for so many intervals.
-const HEARTBEATS_AFTER_PAUSE: u32 = 2;
+const HEARTBEATS_AFTER_PROCESS_PAUSE: u32 = 2;
 
 /// Why a machine is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
         self.covered[class].saturating_sub(fits)
     }
 
-    fn is_enough_without(&self, machine: &MachineId) -> bool {
+    fn is_sufficient_without(&self, machine: &MachineId) -> bool {
         let mut demands = self.demands.iter().enumerate();
         demands.all(|(class, demand)| self.covered_without(machine, class) >= demand.tasks as usize)
     }
@@ -102,12 +102,12 @@
     pub(super) fn plan_scale_in(&self, now: Instant) -> Vec<MachineReturn> {
         let mut headroom = self.headroom_reserve(now);
         let mut returns = Vec::new();
-        for machine in self.most_expensive_first() {
+        for machine in self.machines_by_descending_price() {
             let reason = if machine.booting_since.is_some() {
-                self.never_booted(now, machine)
+                self.check_boot(now, machine)
             } else {
-                self.unusable(now, machine)
-                    .or_else(|| self.idle(now, machine, &mut headroom))
+                self.check_unusable(now, machine)
+                    .or_else(|| self.check_idle(now, machine, &mut headroom))
             };
             returns.extend(reason.map(|reason| MachineReturn {
                 machine: machine.id.clone(),
@@ -118,7 +118,7 @@
     }
 
     /// Machines that are not being returned, by price from the top.
-    fn most_expensive_first(&self) -> Vec<&Machine> {
+    fn machines_by_descending_price(&self) -> Vec<&Machine> {
         let machines = self.fleet.machines.values().filter(|m| !m.returning);
         let mut by_price: Vec<(f64, &Machine)> = machines
             .map(|machine| (self.price_per_cpu_of(machine), machine))
@@ -127,28 +127,29 @@
         by_price.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+    fn check_boot(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let booting = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
-        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.advertised_boot_time);
-        let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
+        let advertised = machine_type.map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.advertised_boot_time);
+        let max_boot = advertised.mul_f64(MAX_BOOT_TIME_FACTOR) + BOOT_TIME_MARGIN;
         let awake = now.saturating_duration_since(self.liveness.awake_since);
-        let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PAUSE;
+        let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PROCESS_PAUSE;
         (has_listened && booting > max_boot).then_some(ReturnReason::NeverBooted)
     }
 
     /// Faulty, about to be evicted, or cut off.
-    fn unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let is_over = |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
-        if machine.quarantined_since.is_some_and(is_over) {
+    fn check_unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+        let is_past_limit =
+            |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
+        if machine.quarantined_since.is_some_and(is_past_limit) {
             return Some(ReturnReason::Quarantined);
         }
         if machine.eviction_at.is_some() && machine.placed_tasks.is_empty() {
             return Some(ReturnReason::SpotEviction);
         }
-        let after = self.silence_timeout();
-        let silent = self.is_silent(now, machine, after);
-        let unreachable = self.is_unreachable(now, machine, after);
+        let timeout = self.silence_timeout();
+        let silent = self.is_silent(now, machine, timeout);
+        let unreachable = self.is_unreachable(now, machine, timeout);
         if !(silent || unreachable) || self.is_shared_outage(now, machine) {
             return None;
         }
@@ -162,7 +163,7 @@
     }
 
     /// Idle for long enough, or drained, and no headroom is lost with it.
-    fn idle(
+    fn check_idle(
         &self,
         now: Instant,
         machine: &Machine,
@@ -182,7 +183,7 @@
         {
             return None;
         }
-        if !machine.draining && !headroom.is_enough_without(&machine.id) {
+        if !machine.draining && !headroom.is_sufficient_without(&machine.id) {
             return None;
         }
         headroom.remove(&machine.id);
@@ -194,11 +195,11 @@
         let demands = self.headroom(now);
         let mut covered: Vec<usize> = vec![0; demands.len()];
         let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
-        for room in self.free_room(now) {
+        for available in self.free_resources(now) {
             for (covered, demand) in covered.iter_mut().zip(&demands) {
-                *covered += demand.resources.count_fitting_in(&room.free);
+                *covered += demand.resources.count_fitting_in(&available.free);
             }
-            free_by_machine.insert(&room.machine.id, room.free);
+            free_by_machine.insert(&available.machine.id, available.free);
         }
         HeadroomReserve {
             demands,
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -2,7 +2,7 @@
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::packing::{PackingPlan, PlannedMachine, RentalCandidate};
-use crate::core::capacity::EXPENSIVE_FACTOR;
+use crate::core::capacity::EXPENSIVE_PRICE_FACTOR;
 use crate::core::model::{JobId, JobSpec, MachineType, Priority, Resources, Zone};
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use crate::core::placement::{price_per_cpu, RoundOutcome, WaitingTasks};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Work that waits for more than this share of a boot shows that room is short.
-const MIN_WAIT_BOOT_SHARE: f64 = 0.7;
+const MIN_WAIT_BOOT_FRACTION: f64 = 0.7;
 /// An expensive machine that saves a deadline still boots and fetches within this much longer than its
 /// mean boot.
 const EXPENSIVE_BOOT_FACTOR: f64 = 1.2;
@@ -35,7 +35,7 @@
 }
 
 /// The least that any task takes, in each dimension.
-fn smallest_resources(tasks: impl Iterator<Item = Resources>) -> Resources {
+fn min_task_resources(tasks: impl Iterator<Item = Resources>) -> Resources {
     let smallest = tasks.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
@@ -56,14 +56,14 @@
             return ScaleOutPlan::default();
         }
         let mut plan = self.begin_packing(round);
-        let mut uncovered: HashMap<&JobId, usize> = HashMap::new();
+        let mut uncovered_tasks: HashMap<&JobId, usize> = HashMap::new();
         for waiting in &round.waiting {
-            *uncovered.entry(&waiting.job_id).or_default() += waiting.count;
+            *uncovered_tasks.entry(&waiting.job_id).or_default() += waiting.count;
         }
         // A task with a reservation on a machine that is booting has its machine.
         for waiting in round.waiting.iter().filter(|w| !w.on_booting_machine) {
-            if let Some(uncovered) = uncovered.get_mut(&waiting.job_id) {
-                self.pack_waiting(now, waiting, uncovered, &mut plan);
+            if let Some(uncovered_tasks) = uncovered_tasks.get_mut(&waiting.job_id) {
+                self.pack_waiting(now, waiting, uncovered_tasks, &mut plan);
             }
         }
         self.plan_headroom(now, round, &mut plan);
@@ -72,20 +72,20 @@
 
     /// A plan that holds the rentals under way: they will take the first of the waiting.
     fn begin_packing(&self, round: &RoundOutcome) -> PackingPlan {
-        let mut under_way: Vec<PlannedMachine> = Vec::new();
-        for rental in self.capacity.rentals.under_way() {
+        let mut pending: Vec<PlannedMachine> = Vec::new();
+        for rental in self.capacity.rentals.pending() {
             let offer = &rental.offer;
             let Some(machine_type) = self.fleet.machine_type(&offer.machine_type) else {
                 continue;
             };
             let machine = PlannedMachine::empty(offer.clone(), machine_type.capacity);
-            under_way.extend((0..rental.number).map(|_| machine.clone()));
+            pending.extend((0..rental.number).map(|_| machine.clone()));
         }
         let waiting = round.waiting.iter();
         let jobs = waiting.filter_map(|w| self.jobs.get(&w.job_id));
         PackingPlan::new(
-            under_way,
-            smallest_resources(jobs.map(|job| job.spec.resources)),
+            pending,
+            min_task_resources(jobs.map(|job| job.spec.resources)),
             self.zone_counts(),
             self.config.tuning.max_machines,
         )
@@ -106,13 +106,13 @@
         zone_counts
     }
 
-    /// Packs tasks of one job that wait. `uncovered`: how many of the whole job no machine is planned for
+    /// Packs tasks of one job that wait. `uncovered_tasks`: how many of the whole job no machine is planned for
     /// yet.
     fn pack_waiting(
         &self,
         now: Instant,
         waiting: &WaitingTasks,
-        uncovered: &mut usize,
+        uncovered_tasks: &mut usize,
         plan: &mut PackingPlan,
     ) {
         let Some(job) = self.jobs.get(&waiting.job_id) else {
@@ -125,16 +125,16 @@
             return;
         }
         let candidates = self.rental_candidates(now, job, waiting, &zones);
-        while left > 0 && plan.has_room() {
+        while left > 0 && plan.can_add_machine() {
             // The whole job counts: a large machine for many tasks may be cheaper than small ones, for
             // a few it is not.
-            let Some(candidate) = plan.cheapest(&candidates, (*uncovered).max(1)) else {
+            let Some(candidate) = plan.cheapest(&candidates, (*uncovered_tasks).max(1)) else {
                 break;
             };
             let tasks = left.min(candidate.tasks_that_fit);
             plan.add_with_tasks(candidate, &spec.resources, tasks);
             left -= tasks;
-            *uncovered = uncovered.saturating_sub(tasks);
+            *uncovered_tasks = uncovered_tasks.saturating_sub(tasks);
         }
     }
 
@@ -147,7 +147,7 @@
         zones: &ZoneUse,
     ) -> Vec<RentalCandidate> {
         let spec = &job.spec;
-        let lowest_price = self.lowest_price_per_cpu(spec);
+        let lowest_price_per_cpu = self.lowest_price_per_cpu(spec);
         let mut candidates = Vec::new();
         for machine_type in &self.fleet.types {
             let tasks_that_fit = spec.resources.count_fitting_in(&machine_type.capacity);
@@ -158,7 +158,7 @@
                 let price = price_per_cpu(machine_type, offer.spot);
                 let option = RentalOption {
                     machine_type,
-                    is_expensive: price > lowest_price * EXPENSIVE_FACTOR,
+                    is_expensive: price > lowest_price_per_cpu * EXPENSIVE_PRICE_FACTOR,
                 };
                 if self.is_worth_renting(now, job, waiting, option)
                     && permits(spec, zones, &offer.machine_type, &offer.zone, offer.spot)
@@ -208,7 +208,7 @@
         let saves_deadline = slack.is_some_and(|slack| wait > slack && boot + fetch <= slack);
         match (option.is_expensive, saves_deadline) {
             (false, true) => wait > boot,
-            (false, false) => wait > boot.mul_f64(MIN_WAIT_BOOT_SHARE),
+            (false, false) => wait > boot.mul_f64(MIN_WAIT_BOOT_FRACTION),
             (true, true) => wait > boot.mul_f64(EXPENSIVE_BOOT_FACTOR) + MIN_WAIT_MARGIN,
             // Idle work is for machines that would stand idle, and for cheap ones.
             (true, false) => {
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 /// A machine that has missed so many heartbeats is silent, whatever its lease.
-const SILENT_HEARTBEATS: f64 = 3.5;
+const MIN_SILENT_HEARTBEATS: f64 = 3.5;
 /// Machines whose last heartbeat is older than so many intervals count as silent for scaling out.
 const SCALE_OUT_SILENT_HEARTBEATS: f64 = 2.5;
 
@@ -43,55 +43,60 @@
     /// After what time machines count as silent.
     pub(in crate::core) fn silence_timeout(&self) -> Duration {
         let config = &self.config;
-        let share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
-        share.max(config.heartbeat.mul_f64(SILENT_HEARTBEATS))
+        let lease_share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
+        lease_share.max(config.heartbeat.mul_f64(MIN_SILENT_HEARTBEATS))
     }
 
     /// Which machines are silent together. Machines are counted one by one only where enough are silent
     /// for it to matter.
     pub(super) fn survey_silence(&self, now: Instant) -> SilenceSurvey {
-        let after = self.silence_timeout();
-        let is_lost = |machine: &Machine| {
-            self.is_silent(now, machine, after) || self.is_unreachable(now, machine, after)
+        let timeout = self.silence_timeout();
+        let is_out_of_contact = |machine: &Machine| {
+            self.is_silent(now, machine, timeout) || self.is_unreachable(now, machine, timeout)
         };
         let machines = self.fleet.machines.values();
-        let known = machines.filter(|m| m.has_reported && !m.returning);
+        let reported = machines.filter(|m| m.has_reported && !m.returning);
         let mut survey = SilenceSurvey::default();
-        if known.clone().filter(|m| is_lost(m)).count() < MIN_SILENT_MACHINES {
+        if reported.clone().filter(|m| is_out_of_contact(m)).count() < MIN_SILENT_MACHINES {
             return survey;
         }
-        for machine in known {
+        for machine in reported {
             let segment = self.takeover.segment_of(&machine.endpoint);
-            survey.add(&segment, &machine.zone, is_lost(machine));
+            survey.add(&segment, &machine.zone, is_out_of_contact(machine));
         }
         survey
     }
 
-    /// Whether no heartbeat of a machine came for longer than `after`.
+    /// Whether no heartbeat of a machine came for longer than `timeout`.
     pub(in crate::core) fn is_silent(
         &self,
         now: Instant,
         machine: &Machine,
-        after: Duration,
+        timeout: Duration,
     ) -> bool {
-        self.silence_of(now, machine) > after
+        self.silence_duration(now, machine) > timeout
     }
 
     /// For how long no heartbeat of a machine came, as far as this process was awake to notice.
-    fn silence_of(&self, now: Instant, machine: &Machine) -> Duration {
+    fn silence_duration(&self, now: Instant, machine: &Machine) -> Duration {
         let since = machine.last_heartbeat_at.max(self.liveness.awake_since);
         now.saturating_duration_since(since)
     }
 
-    /// Whether its heartbeats come, but for longer than `after` none of our answers has reached it.
-    pub(super) fn is_unreachable(&self, now: Instant, machine: &Machine, after: Duration) -> bool {
+    /// Whether its heartbeats come, but for longer than `timeout` none of our answers has reached it.
+    pub(super) fn is_unreachable(
+        &self,
+        now: Instant,
+        machine: &Machine,
+        timeout: Duration,
+    ) -> bool {
         let since = match machine.required_token {
             Some(required) => Some(required.since),
             None if machine.fenced || machine.rented_this_term => None,
             None => Some(machine.known_since),
         };
         let since = since.map(|t| t.max(self.liveness.awake_since));
-        machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > after)
+        machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > timeout)
     }
 
     /// When most of a segment, a zone or all machines fall silent at once, the fault is more likely on
@@ -101,6 +106,6 @@
             .takeover
             .silence_scope(&machine.endpoint, &machine.zone);
         let max_outage = self.config.lease + self.config.heartbeat;
-        self.silence_of(now, machine) <= max_outage && scope != SilenceScope::Machine
+        self.silence_duration(now, machine) <= max_outage && scope != SilenceScope::Machine
     }
 }
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -4,19 +4,19 @@
 //! without a replacement where spot machines have room for their tasks by now.
 
 use crate::core::capacity::drain::{DrainPlan, DrainReason};
-use crate::core::capacity::headroom::are_all_covered;
+use crate::core::capacity::headroom::covers_headroom;
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::rentals::MAX_MACHINES_PER_RENTAL;
-use crate::core::capacity::EXPENSIVE_FACTOR;
+use crate::core::capacity::EXPENSIVE_PRICE_FACTOR;
 use crate::core::model::{MachineId, MachineType, MachineTypeName, Resources, TaskId};
 use crate::core::state::{ClusterState, Machine};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 /// Replacements under way at a time.
-const MAX_REPLACEMENTS: u32 = 3;
+const MIN_REPLACEMENT_LIMIT: u32 = 3;
 /// Or one for so many ordinary machines. Also, one in so many expensive machines is drained at a time.
-const REPLACEMENT_DIVISOR: u32 = 6;
+const MACHINES_PER_REPLACEMENT: u32 = 6;
 
 /// What to do about expensive machines.
 #[must_use]
@@ -31,7 +31,7 @@
 
 /// Ordinary machines of one type.
 #[derive(Clone, Copy, Default)]
-struct OrdinaryMachines {
+struct OnDemandMachines {
     count: u32,
     /// Expensive ones in use, whose tasks may run on spot machines.
     replaceable: u32,
@@ -39,7 +39,8 @@
 
 /// Whether an ordinary machine of this type costs much more than a spot one.
 fn is_expensive(machine_type: &MachineType) -> bool {
-    machine_type.on_demand_price_per_hour > machine_type.spot_price_per_hour * EXPENSIVE_FACTOR
+    machine_type.on_demand_price_per_hour
+        > machine_type.spot_price_per_hour * EXPENSIVE_PRICE_FACTOR
 }
 
 impl ClusterState {
@@ -48,15 +49,15 @@
         if self.capacity.replacements.is_paused(now) {
             return ReplacementDecision::Nothing;
         }
-        let by_type = self.ordinary_machines_by_type();
+        let by_type = self.on_demand_machines_by_type();
         let allowed = self.allowed_replacements(now, &by_type);
         let candidate = by_type.into_iter().find(|(_, m)| m.replaceable > 0);
         let Some((machine_type, machines)) = candidate.filter(|_| allowed > 0) else {
             return ReplacementDecision::Nothing;
         };
-        let under_way = self.capacity.replacements.under_way(machine_type);
+        let pending = self.capacity.replacements.pending(machine_type);
         let number = allowed
-            .min(machines.count.saturating_sub(under_way))
+            .min(machines.count.saturating_sub(pending))
             .min(machines.replaceable)
             .min(MAX_MACHINES_PER_RENTAL);
         match self.spot_offer(now, machine_type) {
@@ -65,8 +66,8 @@
         }
     }
 
-    fn ordinary_machines_by_type(&self) -> BTreeMap<&MachineTypeName, OrdinaryMachines> {
-        let mut by_type: BTreeMap<&MachineTypeName, OrdinaryMachines> = BTreeMap::new();
+    fn on_demand_machines_by_type(&self) -> BTreeMap<&MachineTypeName, OnDemandMachines> {
+        let mut by_type: BTreeMap<&MachineTypeName, OnDemandMachines> = BTreeMap::new();
         let machines = self.fleet.machines.values();
         for machine in machines.filter(|m| !m.spot && !m.draining && !m.returning && m.has_reported)
         {
@@ -100,25 +101,29 @@
     fn allowed_replacements(
         &self,
         now: Instant,
-        by_type: &BTreeMap<&MachineTypeName, OrdinaryMachines>,
+        by_type: &BTreeMap<&MachineTypeName, OnDemandMachines>,
     ) -> u32 {
-        let free_cpus: f64 = self.free_on_spot(now).iter().map(|free| free.cpus).sum();
+        let free_cpus: f64 = self
+            .free_spot_resources(now)
+            .iter()
+            .map(|free| free.cpus)
+            .sum();
         let ordinary = self.fleet.machines.values().filter(|m| !m.spot);
         let used_cpus: f64 = ordinary.map(|m| m.used.cpus).sum();
         if free_cpus >= used_cpus {
             return 0;
         }
         let machines: u32 = by_type.values().map(|m| m.count).sum();
-        let under_way: u32 = self.capacity.replacements.under_way.values().sum();
-        MAX_REPLACEMENTS
-            .max(machines / REPLACEMENT_DIVISOR)
-            .saturating_sub(under_way)
+        let pending: u32 = self.capacity.replacements.pending.values().sum();
+        MIN_REPLACEMENT_LIMIT
+            .max(machines / MACHINES_PER_REPLACEMENT)
+            .saturating_sub(pending)
     }
 
-    fn free_on_spot(&self, now: Instant) -> Vec<Resources> {
-        let free_room = self.free_room(now).into_iter();
-        let on_spot = free_room.filter(|room| room.machine.spot);
-        on_spot.map(|room| room.free).collect()
+    fn free_spot_resources(&self, now: Instant) -> Vec<Resources> {
+        let free_resources = self.free_resources(now).into_iter();
+        let on_spot = free_resources.filter(|available| available.machine.spot);
+        on_spot.map(|available| available.free).collect()
     }
 
     /// A zone in which spot machines of this type may be had.
@@ -137,11 +142,11 @@
 
     /// The most expensive ordinary machines whose tasks would find room on spot machines by now, with
     /// the headroom left as it is.
-    pub(super) fn plan_superfluous_drains(&self, now: Instant) -> DrainPlan {
-        let mut free = self.free_on_spot(now);
+    pub(super) fn plan_spot_capacity_drains(&self, now: Instant) -> DrainPlan {
+        let mut free = self.free_spot_resources(now);
         let headroom = self.headroom(now);
         let expensive = self.expensive_in_use();
-        let max_drained = (expensive.len() / REPLACEMENT_DIVISOR as usize).max(1);
+        let max_drained = (expensive.len() / MACHINES_PER_REPLACEMENT as usize).max(1);
         let mut machines: Vec<MachineId> = Vec::new();
         for machine in expensive {
             if machines.len() >= max_drained || free.is_empty() {
@@ -150,7 +155,7 @@
             let Some(free_after) = self.pack_on_spot(machine, &free) else {
                 continue;
             };
-            if !are_all_covered(&headroom, free_after.iter(), 0) {
+            if !covers_headroom(&headroom, free_after.iter(), 0) {
                 // The headroom is used up: no other machine would leave it either.
                 break;
             }
@@ -158,7 +163,7 @@
             machines.push(machine.id.clone());
         }
         DrainPlan {
-            reason: DrainReason::RoomOnSpot,
+            reason: DrainReason::FitsOnSpot,
             machines,
         }
     }
@@ -197,7 +202,7 @@
     /// Ordinary machines whose replacements are up.
     pub(super) fn plan_replaced_drains(&self) -> DrainPlan {
         let mut machines = Vec::new();
-        for (machine_type, count) in &self.capacity.replacements.up {
+        for (machine_type, count) in &self.capacity.replacements.ready {
             let can_drain = |m: &&Machine| {
                 &m.machine_type == machine_type
                     && !m.spot
