--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -1,8 +1,8 @@
 //! What a leader knows about one attempt of an earlier term: a state machine from the record to the proof.
 //!
-//! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat from this term leads there;
-//! [`AttemptState::Expired`] is final; silence and heartbeats that may be late copies settle nothing. The
-//! table of transitions stands in `docs/recovery.md` as well, and a test compares the two.
+//! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat from this term leads
+//! there; [`AttemptState::Expired`] is final; silence and heartbeats that may be late copies settle nothing.
+//! The table of transitions stands in `docs/recovery.md` as well, and a test compares the two.
 
 use std::fmt;
 
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -3,7 +3,8 @@
 //! An attempt enters with its record and leaves once this term has launched it again, or it has ended or was
 //! proved gone. Attempts that this term itself decides on never enter.
 //!
-//! Invariants: a task has one attempt on record on a machine, and the counts by state agree with the attempts.
+//! Invariants: a task has one attempt on record on a machine, and the counts by state agree with the
+//! attempts.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use cypressgap_model::{AttemptId, MachineId, TaskId};
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -1,7 +1,7 @@
 //! The operators' settings of a takeover, and the checks that reject unusable ones.
 //!
-//! Invariant of valid settings: at the configured rates the kills of cancelled jobs reach every machine within
-//! [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline, and segments do not overlap.
+//! Invariant of valid settings: at the configured rates the kills of cancelled jobs reach every machine
+//! within [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline, and segments do not overlap.
 
 use crate::segments::{DerivedPrefixes, NamedSegment};
 use ipnet::IpNet;
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -1,4 +1,5 @@
-//! Unrecorded tasks: tasks that a machine lists, that no record names, and whose job is unknown to the leader.
+//! Unrecorded tasks: tasks that a machine lists, that no record names, and whose job is unknown to the
+//! leader.
 //!
 //! Such a task may belong to a job whose acceptance has not reached this leader yet, to a job that ended long
 //! ago, to a job whose record cannot be read, or to a job that the key-value store lost when it was restored
--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -1,4 +1,4 @@
-//! Carries plans for the capacity out: the only place where they change the state.
+//! Applies the plans of capacity management to the cluster state. No other module does so.
 
 use crate::core::capacity::consolidation::ConsolidationPlan;
 use crate::core::capacity::drain::{DrainCancellations, DrainPlan, DrainReason};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Machines take tasks again.
+    /// Lets machines that were being drained accept tasks again.
     pub(super) fn cancel_drains(&mut self, plan: DrainCancellations) {
         for id in plan.machines {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Machines get no more tasks.
+    /// Begins to drain machines: nothing more is placed on them.
     pub(super) fn drain_machines(&mut self, plan: DrainPlan) {
         for id in plan.machines {
             self.drain_machine(&id, plan.reason);
         }
     }
 
-    /// Machines with replacements get no more tasks.
+    /// Begins to drain machines whose replacements are up, which completes these replacements.
     pub(super) fn drain_replaced(&mut self, plan: DrainPlan) {
         self.capacity.replacements.clear_ready();
         self.drain_machines(plan);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Machines are drained, and their tasks stopped once they have saved.
+    /// Begins to drain machines for consolidation, and stops their tasks with time for a checkpoint.
     pub(super) fn apply_consolidation(&mut self, now: Instant, plan: ConsolidationPlan) {
         for consolidation in plan.machines {
             self.drain_machine(&consolidation.machine, DrainReason::Consolidation);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Orders replacements for expensive machines.
+    /// Orders replacements for expensive machines, or pauses replacement if there is no offer.
     pub(super) fn apply_replacement(&mut self, now: Instant, decision: ReplacementDecision) {
         let replacements = &mut self.capacity.replacements;
         match decision {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Orders rentals, as many as the settings, the pace of a takeover and the rentals under way allow.
+    /// Orders as many rentals as the maximum number of machines, the rate limit of a takeover and the limit
+    /// on pending rentals allow.
     pub(super) fn order_rentals(&mut self, now: Instant, plan: ScaleOutPlan) {
         for (offer, number) in plan.machines {
             if !self.order_rentals_for(now, &offer, number) {
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Large demand takes several rentals of the most that one may ask for. False: the takeover allows
-    /// no more rentals now.
+    /// Orders machines of one offer, in several rentals if one may not contain all of them. Returns false if
+    /// the rate limit of the takeover allows no more rentals now.
     fn order_rentals_for(&mut self, now: Instant, offer: &MachineOffer, wanted: u32) -> bool {
         let max_machines = self.config.tuning.max_machines;
         let mut missing = wanted;
@@ -103,7 +104,7 @@
         true
     }
 
-    /// Returns machines that are of no more use, as fast as the cloud takes them.
+    /// Plans and requests the return of machines, one request at a time.
     pub(super) fn scale_in(&mut self, now: Instant) {
         let survey = self.survey_silence(now);
         self.takeover.set_silence(survey);
--- a/src/core/capacity/capacity_manager.rs
+++ b/src/core/capacity/capacity_manager.rs
@@ -1,14 +1,15 @@
-//! The order in which capacity is managed after a placement round.
+//! The sequence of capacity decisions after a placement round.
 
 use crate::core::placement::RoundOutcome;
 use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
-/// Machines have had time to report after so many heartbeat intervals.
+/// The number of heartbeat intervals after the beginning of a term within which every machine that is up
+/// has had time to report.
 const REPORT_TIMEOUT_HEARTBEATS: f64 = 1.3;
 
 impl ClusterState {
-    /// Rents, drains and returns machines, by what a placement round has left.
+    /// Rents, drains and returns machines, depending on the tasks that a placement round left waiting.
     pub(in crate::core) fn manage_capacity(&mut self, now: Instant, round: &RoundOutcome) {
         self.cancel_drains(self.plan_drain_cancellations(round));
         self.scale_in(now);
@@ -25,8 +26,8 @@
         self.send_rentals(now);
     }
 
-    /// Whether this term knows what machines there are: the cloud listed them and all of them have
-    /// reported, or they have had time to.
+    /// Whether this term knows which machines exist: either the cloud's list was received and every machine
+    /// on it that is up has reported, or machines have had enough time to report.
     pub(super) fn knows_fleet(&self, now: Instant) -> bool {
         let has_not_reported =
             |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
--- a/src/core/capacity/class_demand.rs
+++ b/src/core/capacity/class_demand.rs
@@ -1,40 +1,42 @@
-//! What jobs of a class typically ask for, from those that came recently.
+//! The typical size of a class's jobs, derived from its most recent jobs.
 
 use crate::core::model::{JobSpec, Resources};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Jobs of a class that its typical size is taken from.
+/// The maximum number of jobs of a class from which its typical job is derived.
 const MAX_RECENT_JOBS: usize = 20;
-/// A class is quiet after this many times the usual gap between its jobs, and this long at least.
+/// A class has no typical job once no job of it has arrived for this many times the mean interval between
+/// its jobs, and for `MIN_QUIET_PERIOD` at least.
 const QUIET_GAP_FACTOR: u32 = 5;
 const MIN_QUIET_PERIOD: Duration = Duration::from_secs(40);
 
-/// A job that came.
+/// The arrival of a job: the time at which it became eligible to start.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Instant,
     task_count: u32,
+    /// The resources that each of its tasks requests.
     resources: Resources,
 }
 
-/// What a class's jobs take.
+/// The typical job of a class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TypicalJob {
-    /// A size that four in five jobs do not exceed.
+    /// The number of tasks that at least four in five jobs do not exceed.
     pub(super) task_count: u32,
-    /// The mean of what a task takes.
+    /// The resources that a task requests, as the mean over jobs.
     pub(super) resources: Resources,
 }
 
-/// The latest jobs of each class.
+/// The most recent jobs of each class.
 #[derive(Debug, Default)]
 pub(super) struct ClassDemand {
     arrivals: HashMap<String, VecDeque<Arrival>>,
 }
 
 impl ClassDemand {
-    /// A job may start from now on.
+    /// Records that a job became eligible to start.
     pub(super) fn record_arrival(&mut self, spec: &JobSpec, arrived: Instant) {
         let arrivals = self.arrivals.entry(spec.class.clone()).or_default();
         arrivals.push_back(Arrival {
@@ -47,8 +49,8 @@
         }
     }
 
-    /// The typical job of a class. None once the class has been quiet for far longer than between its
-    /// jobs before.
+    /// The typical job of a class. `None`: no job of the class has arrived, or none for far longer than the
+    /// mean interval between its jobs.
     pub(super) fn typical_job(&self, now: Instant, class: &str) -> Option<TypicalJob> {
         let arrivals = self.arrivals.get(class)?;
         let count = arrivals.len();
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines: machines that this term did not rent are adopted, failed ones returned.
+//! The cloud's list of machines: unknown machines are adopted, and failed ones are returned.
 
 use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
 use crate::core::state::outbox::PendingProbe;
@@ -6,14 +6,14 @@
 use crate::core::state::{Action, ClusterState, Machine};
 use std::time::Instant;
 
-/// Machines asked for their heartbeats in one tick.
+/// The maximum number of machines that are asked for a heartbeat in one tick.
 const MAX_PROBES_PER_TICK: usize = 24;
-/// The incarnation in which nearly all machines are that have not reported. One in another answers with
-/// its heartbeat too.
+/// The incarnation that a probe names for a machine that has not reported: nearly all of them are in their
+/// first one. An agent in another incarnation answers with its heartbeat as well.
 const FIRST_INCARNATION: u64 = 1;
 
 impl ClusterState {
-    /// Takes in the cloud's list.
+    /// Applies the cloud's list of machines. A known machine that the list lacks stays known.
     pub fn on_machine_list(&mut self, now: Instant, listed: &[CloudMachine]) {
         self.capacity.list_was_read = true;
         for entry in listed {
@@ -56,11 +56,11 @@
         }
     }
 
-    /// Asks listed machines that have not reported for their heartbeats, a few at a time: more than the
-    /// senders take would be lost.
+    /// Sends the queued requests for heartbeats, at most [`MAX_PROBES_PER_TICK`] at a time: requests beyond
+    /// the capacity of the senders would be lost.
     pub(in crate::core) fn send_probes(&mut self) {
-        let mut left = MAX_PROBES_PER_TICK;
-        while left > 0 {
+        let mut remaining = MAX_PROBES_PER_TICK;
+        while remaining > 0 {
             let Some(PendingProbe {
                 machine: id,
                 endpoint,
@@ -72,7 +72,7 @@
             let Some(machine) = machine.filter(|m| !m.fenced && !m.returning) else {
                 continue;
             };
-            left -= 1;
+            remaining -= 1;
             let incarnation = if machine.has_reported {
                 machine.incarnation
             } else {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A machine that another term has rented.
+/// Creates a machine that is in the cloud's list, but that this term did not rent.
 fn adopt_machine(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
     let identity = MachineIdentity {
         id: listed.id.clone(),
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -1,7 +1,7 @@
-//! Consolidation: tasks of machines that are hardly used move to fuller ones.
+//! Consolidation: tasks of machines with low utilization move to machines with higher utilization.
 //!
-//! The long tasks that are left when a burst is over would keep a machine each. Only what saves
-//! checkpoints is stopped, and only where the rest of its run is worth the trouble.
+//! Without it, the long tasks that remain after a burst of jobs could each keep a machine of their own. Only
+//! tasks that write checkpoints are stopped, and only if their remaining run time outweighs the interruption.
 
 use crate::core::capacity::headroom::{covers_headroom, HeadroomDemand};
 use crate::core::model::{JobKind, MachineId, Resources, TaskId};
@@ -9,44 +9,48 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// A machine that is used above this share is left alone.
+/// Machines whose dominant share of used resources is higher are not consolidated.
 const MAX_DOMINANT_SHARE: f64 = 0.55;
-/// One machine in so many is consolidated at a time.
+/// One in this many machines may be drained for consolidation at a time, and one at least. Machines that are
+/// draining for other reasons count as well.
 const MACHINES_PER_CONSOLIDATION: usize = 12;
-/// Tasks move that have run for this long, so that their start counts, and have this much left beyond
-/// saving and starting again.
+/// Only tasks that have run for this long are moved: a shorter run does not count as the start that their
+/// users were promised.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(31);
+/// Only tasks are moved that are expected to run for this long beyond twice the duration of a checkpoint:
+/// once to save their progress and once to restore it.
 const MIN_REMAINING_AFTER_MOVE: Duration = Duration::from_secs(20);
-/// What a task gets beyond the time that its checkpoint should take.
+/// Added to the specified duration of a checkpoint to obtain the grace period of a stop.
 const CHECKPOINT_MARGIN: Duration = Duration::from_secs(2);
 
-/// A task that is to be stopped once it has saved its progress.
+/// A task to stop, with time to write a checkpoint.
 pub(super) struct GracefulStop {
     pub(super) task: TaskId,
     pub(super) grace_period: Duration,
 }
 
-/// A machine that is to be drained, and the tasks that move away.
+/// A machine to drain, and its tasks to stop so that they start elsewhere.
 pub(super) struct MachineConsolidation {
     pub(super) machine: MachineId,
     pub(super) tasks: Vec<GracefulStop>,
 }
 
-/// Machines whose tasks move together.
+/// The machines to drain for consolidation.
 #[must_use]
 pub(super) struct ConsolidationPlan {
     pub(super) machines: Vec<MachineConsolidation>,
 }
 
-/// How full a machine is.
+/// The utilization of a machine.
 struct MachineLoad<'a> {
     machine: &'a Machine,
     free: Resources,
+    /// The largest used fraction of any one resource of the machine.
     dominant_share: f64,
 }
 
 impl ClusterState {
-    /// Which machines to empty. For a time in which nothing waits.
+    /// Plans which machines to consolidate. Called only while no task waits.
     pub(super) fn plan_consolidation(&self, now: Instant) -> ConsolidationPlan {
         let mut loads = self.loads_fullest_first(now);
         let headroom = self.headroom(now);
@@ -59,7 +63,7 @@
             if machines.len() >= max_consolidated {
                 break;
             }
-            let (fuller, rest) = loads.split_at_mut(index);
+            let (targets, rest) = loads.split_at_mut(index);
             let (machine, dominant_share) = (rest[0].machine, rest[0].dominant_share);
             if dominant_share > MAX_DOMINANT_SHARE || machine.placed_tasks.is_empty() {
                 continue;
@@ -67,14 +71,14 @@
             let Some(tasks) = self.plan_task_stops(now, machine) else {
                 continue;
             };
-            let Some(free_after) = pack_onto(fuller, machine) else {
+            let Some(free_after) = pack_onto(targets, machine) else {
                 continue;
             };
-            if !covers_headroom_after_moves(&headroom, fuller, machine.placed_tasks.len()) {
+            if !covers_headroom_after_moves(&headroom, targets, machine.placed_tasks.len()) {
                 break;
             }
             for (target, free) in free_after {
-                fuller[target].free = free;
+                targets[target].free = free;
             }
             machines.push(MachineConsolidation {
                 machine: machine.id.clone(),
@@ -85,8 +89,8 @@
         ConsolidationPlan { machines }
     }
 
-    /// Machines that take tasks, in the order in which tasks move to them: the fullest first, of equally
-    /// full ones the cheaper.
+    /// The machines that accept tasks, in the order in which tasks move to them: by descending utilization,
+    /// then by ascending price.
     fn loads_fullest_first(&self, now: Instant) -> Vec<MachineLoad<'_>> {
         let free_resources = self.free_resources(now).into_iter();
         let mut loads: Vec<MachineLoad<'_>> = free_resources
@@ -110,7 +114,7 @@
         loads
     }
 
-    /// How to stop the tasks of a machine, when all of them can move.
+    /// Plans how to stop the tasks of a machine. `None`: at least one of them cannot be moved.
     fn plan_task_stops(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
         let mut stops = Vec::with_capacity(machine.placed_tasks.len());
         for task in machine.placed_tasks.keys() {
@@ -133,18 +137,19 @@
         return false;
     };
     let spec = &job.spec;
-    let is_tied_to_machines = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
+    let depends_on_other_tasks = spec.kind == JobKind::Gang || spec.same_place || spec.spread;
     let ran = now.saturating_duration_since(running_since);
     let remaining = attempt.estimated_run_time.saturating_sub(ran);
     let min_remaining = spec.checkpoint_duration * 2 + MIN_REMAINING_AFTER_MOVE;
-    !is_tied_to_machines
+    !depends_on_other_tasks
         && spec.writes_checkpoints()
         && attempt.kill_request.is_none()
         && ran >= MIN_RUN_BEFORE_MOVE
         && remaining >= min_remaining
 }
 
-/// What is free on machines, by index, once they have taken all tasks of another. None: they cannot.
+/// The free resources of the machines in `loads`, by index, after they took all tasks of another machine;
+/// only of those that took any. `None`: the tasks do not fit. Idle machines take none.
 fn pack_onto(loads: &[MachineLoad<'_>], machine: &Machine) -> Option<HashMap<usize, Resources>> {
     let mut free_after: HashMap<usize, Resources> = HashMap::new();
     for resources in machine.placed_tasks.values() {
@@ -158,7 +163,8 @@
     Some(free_after)
 }
 
-/// Whether these machines have room for the headroom of each class and so many tasks more.
+/// Whether the free resources of these machines cover the headroom of each class and, before the tasks moved,
+/// this number of tasks more.
 fn covers_headroom_after_moves(
     headroom: &[HeadroomDemand],
     loads: &[MachineLoad<'_>],
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -1,4 +1,4 @@
-//! Drained machines: why a machine gets no more tasks, and when it does again.
+//! Draining: why a machine receives no more tasks, and when its drain is cancelled.
 
 use crate::core::capacity::free_resources::FreeResources;
 use crate::core::model::MachineId;
@@ -8,17 +8,17 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Work that waits for longer than this keeps a machine from being drained.
+/// A drain is cancelled for tasks that are expected to wait for longer than this.
 const MAX_WAIT_DURING_DRAIN: Duration = Duration::from_secs(5);
 
 /// Why a machine is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainReason {
-    /// A spot machine rented in its place is up.
+    /// A spot machine that was rented to replace it is up.
     Replaced,
-    /// Spot machines have room for its tasks.
+    /// Its tasks fit on spot machines that are up. Printed as `room_on_spot`.
     FitsOnSpot,
-    /// Its few tasks move to other machines.
+    /// It is little used, and its tasks move to other machines.
     Consolidation,
 }
 
@@ -32,21 +32,22 @@
     }
 }
 
-/// Machines that are to be drained.
+/// The machines to drain, and the reason.
 #[must_use]
 pub(super) struct DrainPlan {
     pub(super) reason: DrainReason,
     pub(super) machines: Vec<MachineId>,
 }
 
-/// Machines that are to take tasks again.
+/// The machines whose drain is to be cancelled.
 #[must_use]
 pub(super) struct DrainCancellations {
     pub(super) machines: Vec<MachineId>,
 }
 
 impl ClusterState {
-    /// A machine that is being drained is paid for in any case: while work waits, it takes some.
+    /// Plans which drains to cancel for waiting tasks. A machine that is being drained is paid for until it
+    /// is returned, so it takes tasks again while there are some.
     pub(super) fn plan_drain_cancellations(&self, round: &RoundOutcome) -> DrainCancellations {
         let mut draining: Vec<FreeResources<'_>> = self
             .fleet
@@ -70,7 +71,8 @@
         DrainCancellations { machines }
     }
 
-    /// Moves machines that have room for the waiting tasks from `draining` to `drains_to_cancel`.
+    /// Moves the machines that can run the waiting tasks from `draining` to `drains_to_cancel`, until there
+    /// are enough of them.
     fn cancel_drains_for(
         &self,
         waiting: &WaitingTasks,
@@ -83,11 +85,11 @@
         let spec = &job.spec;
         let zone_of = |id: &MachineId| self.fleet.machines.get(id).map(|m| m.zone.clone());
         let zones = ZoneUse::of(job, &zone_of);
-        let mut left = waiting.count;
+        let mut remaining = waiting.count;
         draining.retain(|available| {
             let machine = available.machine;
             let fits = spec.resources.count_fitting_in(&available.free);
-            let is_needed = left > 0
+            let is_needed = remaining > 0
                 && fits > 0
                 && permits(
                     spec,
@@ -97,7 +99,7 @@
                     machine.spot,
                 );
             if is_needed {
-                left = left.saturating_sub(fits);
+                remaining = remaining.saturating_sub(fits);
                 drains_to_cancel.push(machine.id.clone());
             }
             !is_needed
--- a/src/core/capacity/free_resources.rs
+++ b/src/core/capacity/free_resources.rs
@@ -1,14 +1,15 @@
-//! Room that is free on machines that take tasks.
+//! Free resources of the machines that accept tasks.
 
 use crate::core::model::Resources;
 use crate::core::placement::price_per_cpu;
 use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
-/// Room of a machine that missed its heartbeats for so many intervals does not count.
+/// The free resources of a machine do not count once its last heartbeat is older than this many heartbeat
+/// intervals.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// A machine, and what is free on it.
+/// A machine and its free resources.
 #[derive(Clone, Copy)]
 pub(super) struct FreeResources<'a> {
     pub(super) machine: &'a Machine,
@@ -16,7 +17,8 @@
 }
 
 impl ClusterState {
-    /// Room free now on machines that take tasks.
+    /// The free resources of each machine that accepts tasks: it has reported recently, and it is not being
+    /// drained, returned, evicted or quarantined.
     pub(super) fn free_resources(&self, now: Instant) -> Vec<FreeResources<'_>> {
         let max_age = self.config.heartbeat * MAX_MISSED_HEARTBEATS;
         let takes_tasks = |machine: &&Machine| {
@@ -35,7 +37,7 @@
             .collect()
     }
 
-    /// What is free on a machine. None: its type is unknown.
+    /// The free resources of a machine. `None`: its type is unknown.
     pub(super) fn free_resources_of<'a>(&self, machine: &'a Machine) -> Option<FreeResources<'a>> {
         let machine_type = self.fleet.machine_type(&machine.machine_type)?;
         let mut free = machine_type.capacity;
@@ -43,7 +45,7 @@
         Some(FreeResources { machine, free })
     }
 
-    /// What a CPU of a machine costs. Nothing where its type is unknown.
+    /// The price of a machine per CPU and hour; 0 if its type is unknown.
     pub(super) fn price_per_cpu_of(&self, machine: &Machine) -> f64 {
         let machine_type = self.fleet.machine_type(&machine.machine_type);
         machine_type.map_or(0.0, |t| price_per_cpu(t, machine.spot))
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: room that is kept free for classes whose tasks were promised an early start.
+//! Headroom: resources that are kept free for classes with a service-level objective for an early start.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::packing::{PackingPlan, RentalCandidate};
@@ -7,19 +7,20 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// Some machines take much longer to boot than most: a start promised within so many boots counts as
-/// one that no new machine can keep.
+/// An objective that is shorter than this many expected boot times counts as one that no newly rented machine
+/// can meet, because some machines take much longer to boot than most.
 const BOOT_TIME_SAFETY_FACTOR: u32 = 2;
 
-/// Tasks of a class that must find room at once.
+/// The tasks of a class that must be able to start without a new machine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeadroomDemand {
-    pub(super) tasks: u32,
-    /// What one of them takes.
+    pub(super) task_count: u32,
+    /// The resources that one of them requests.
     pub(super) resources: Resources,
 }
 
-/// Whether there is room for the headroom of each class, and for so many more tasks of its size.
+/// Whether the free resources cover the headroom of each class and this number of further tasks of its size.
+/// Each class is checked on its own, as if it could use all of them.
 pub(super) fn covers_headroom<'a>(
     demands: &[HeadroomDemand],
     free: impl Iterator<Item = &'a Resources> + Clone,
@@ -30,19 +31,20 @@
             .clone()
             .map(|free| demand.resources.count_fitting_in(free))
             .sum();
-        fits >= demand.tasks as usize + more_tasks
+        fits >= demand.task_count as usize + more_tasks
     })
 }
 
-/// The earliest start that a class was promised.
+/// The strictest objective for the start of a class's tasks.
 struct StartObjective<'a> {
     class: &'a str,
     within: Duration,
 }
 
 impl ClusterState {
-    /// Tasks of each class with an objective for their start that must find room at once: a class's
-    /// typical job. A class that is promised its start only after a machine can have come up needs none.
+    /// The headroom of each class with an objective for the start of its tasks: a multiple of the class's
+    /// typical job. A class needs none if a newly rented machine boots in time for its objective, unless it
+    /// has an objective for deadlines as well.
     pub(super) fn headroom(&self, now: Instant) -> Vec<HeadroomDemand> {
         let mut demands = Vec::new();
         for StartObjective { class, within } in self.start_objectives() {
@@ -52,9 +54,9 @@
             if self.has_deadline_slo(class) || self.is_sooner_than_boot(within, &typical.resources)
             {
                 let jobs = self.config.tuning.headroom_jobs;
-                let tasks = (f64::from(typical.task_count) * jobs).ceil();
+                let task_count = (f64::from(typical.task_count) * jobs).ceil();
                 demands.push(HeadroomDemand {
-                    tasks: tasks as u32,
+                    task_count: task_count as u32,
                     resources: typical.resources,
                 });
             }
@@ -67,7 +69,7 @@
         self.config.slos.iter().any(deadline)
     }
 
-    /// Whether no machine rented now would be up in time for such a start.
+    /// Whether a start within this time would be too early for a machine that is rented now.
     fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
@@ -75,7 +77,7 @@
         slowest_boot.is_none_or(|boot| within < boot * BOOT_TIME_SAFETY_FACTOR)
     }
 
-    /// The earliest start that each class was promised.
+    /// The strictest objective for the start of tasks, by class. One without a time limit counts as 0 s.
     fn start_objectives(&self) -> Vec<StartObjective<'_>> {
         let mut objectives: Vec<StartObjective<'_>> = Vec::new();
         for slo in self.config.slos.iter().filter(|slo| slo.kind == "wait") {
@@ -91,28 +93,32 @@
         objectives
     }
 
-    /// Adds the cheapest machines for headroom that is missing to a plan.
+    /// Adds the cheapest spot machines for the headroom that is missing to a plan.
     pub(super) fn plan_headroom(&self, now: Instant, round: &RoundOutcome, plan: &mut PackingPlan) {
-        for HeadroomDemand { tasks, resources } in self.headroom(now) {
-            let tasks = tasks as usize;
+        for HeadroomDemand {
+            task_count,
+            resources,
+        } in self.headroom(now)
+        {
+            let task_count = task_count as usize;
             let types = self.headroom_types(&resources);
-            let mut covered = self.count_covered_tasks(round, plan, &resources, &types);
+            let mut covered_tasks = self.count_covered_tasks(round, plan, &resources, &types);
             let candidates = self.headroom_candidates(now, &resources, &types);
-            while covered < tasks {
-                let Some(candidate) = plan.cheapest(&candidates, tasks - covered) else {
+            while covered_tasks < task_count {
+                let Some(candidate) = plan.cheapest(&candidates, task_count - covered_tasks) else {
                     break;
                 };
                 if !plan.can_add_machine() {
                     break;
                 }
                 plan.add_empty(candidate);
-                covered += candidate.tasks_that_fit;
+                covered_tasks += candidate.tasks_that_fit;
             }
         }
     }
 
-    /// The types whose room counts for a class. Room that larger waiting tasks will take is no
-    /// headroom, where other machines serve.
+    /// The types whose free resources count as headroom for tasks of this size. Types that much larger
+    /// waiting tasks will use do not count, unless there is no other.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let counts = |t: &&MachineType| {
             let fits = resources.count_fitting_in(&t.capacity) > 0;
@@ -125,7 +131,7 @@
         types
     }
 
-    /// Tasks that find room on machines that are up, booting or planned.
+    /// The number of tasks that fit on machines that are up, booting or planned.
     fn count_covered_tasks(
         &self,
         round: &RoundOutcome,
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -1,14 +1,17 @@
-//! Capacity: which machines are rented, drained and returned.
+//! Capacity management: which machines are rented, drained and returned to the cloud.
 //!
-//! After a placement round, `ClusterState::manage_capacity` compares what waits with what is free. Each
-//! module plans one kind of change from the cluster state as it stands: `scale_out` rents machines for
-//! waiting work and for `headroom`, `scale_in` returns machines, `spot_replacement` and
-//! `consolidation` drain them. `apply` is the only place where these plans change the state.
-//! `rentals` and `cloud_list` take in what the cloud answers.
+//! After each placement round, `ClusterState::manage_capacity` compares the tasks that wait with the free
+//! resources. Each module plans one kind of change from the current cluster state: `scale_out` rents
+//! machines for waiting tasks and for `headroom`, `scale_in` returns machines, `spot_replacement` and
+//! `consolidation` drain them. `apply` is the only module that changes the state according to these plans.
+//! `rental_results` and `cloud_list` apply the responses of the cloud.
 //!
-//! Invariants: a rental is repeated under its idempotency key until its outcome is known, so no machine
-//! is rented twice; there are never more machines, rentals under way included, than the settings allow;
-//! nothing is rented before it is known what machines there are.
+//! Invariants:
+//!
+//! - A rental is retried under its idempotency key until its outcome is known, so that no machine is rented
+//!   twice.
+//! - No rental raises the number of machines, pending rentals included, above the configured maximum.
+//! - Nothing is rented before the term knows which machines exist.
 
 mod apply;
 mod boot_times;
@@ -33,5 +36,5 @@
 pub use capacity_state::Capacity;
 pub use rentals::RentalOutcome;
 
-/// A machine that costs this much more by the CPU than the cheapest allowed one is expensive.
+/// A machine is expensive if its price exceeds the cheapest alternative's by more than this factor.
 const EXPENSIVE_PRICE_FACTOR: f64 = 1.5;
--- a/src/core/capacity/offer.rs
+++ b/src/core/capacity/offer.rs
@@ -1,12 +1,12 @@
-//! What the cloud offers for rent.
+//! The machines that the cloud offers for rent.
 
 use crate::core::model::{MachineTypeName, Zone};
 
-/// One kind of machine that can be rented.
+/// A combination of type, zone and price model in which machines can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MachineOffer {
     pub(super) machine_type: MachineTypeName,
     pub(super) zone: Zone,
-    /// The cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub(super) spot: bool,
 }
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -1,4 +1,4 @@
-//! Bin packing of waiting tasks onto machines that might be rented.
+//! Bin packing of waiting tasks onto pending and planned machines.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::scale_out::ScaleOutPlan;
@@ -6,57 +6,62 @@
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use std::collections::{BTreeMap, HashMap};
 
-/// How much each machine in a zone adds to the cost of another one there, so that rentals spread.
+/// The relative cost that each machine in a zone adds to a further one there, so that rentals spread over
+/// zones.
 const ZONE_SPREAD_COST: f64 = 0.001;
 
-/// A machine that might be rented, as the plan fills it.
+/// A pending or planned machine, and the resources that the plan leaves free on it.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedMachine {
     pub(super) offer: MachineOffer,
-    /// Its whole room.
+    /// All of its resources, whether free or in use.
     pub(super) capacity: Resources,
     pub(super) free: Resources,
-    /// Tasks that it is rented for, or 1 where it is headroom.
-    tasks: usize,
+    /// The number of tasks packed onto it; 1 if it is rented as headroom.
+    task_count: usize,
 }
 
 impl PlannedMachine {
-    /// A machine without tasks.
+    /// Creates a machine without tasks.
     pub(super) fn empty(offer: MachineOffer, capacity: Resources) -> PlannedMachine {
         PlannedMachine {
             offer,
             capacity,
             free: capacity,
-            tasks: 0,
+            task_count: 0,
         }
     }
 }
 
-/// What could be rented for a job.
+/// A machine that could be rented for a job's tasks, or for headroom.
 pub(super) struct RentalCandidate {
+    /// The price of the machine per hour.
     pub(super) price: f64,
     pub(super) offer: MachineOffer,
     pub(super) capacity: Resources,
-    /// How many of the job's tasks fit.
+    /// How many of the tasks fit on an empty machine.
     pub(super) tasks_that_fit: usize,
 }
 
-/// Machines to rent, filled with the work that they are for.
+/// Pending and planned machines, and the tasks packed onto them.
 pub(super) struct PackingPlan {
     machines: Vec<PlannedMachine>,
-    /// The first so many are being rented already.
+    /// How many of `machines`, counted from the first, are pending rentals.
     pending: usize,
-    /// The indices of machines with room for the smallest of what waits: with a thousand small jobs
-    /// waiting, looking at the full ones again for each took most of the leader's processor.
+    /// The indices of the machines that still fit `min_task_resources`. Full machines are skipped, because
+    /// with a thousand small jobs waiting, checking them for each job took most of the leader's CPU time.
     open_machines: Vec<usize>,
+    /// The minimum over all waiting tasks, in each resource.
     min_task_resources: Resources,
-    /// Machines in each zone, planned ones too.
+    /// The number of machines in each zone, planned ones included.
     zone_counts: HashMap<Zone, usize>,
+    /// The limit on the length of `machines`.
     max_machines: usize,
 }
 
 impl PackingPlan {
-    /// A plan that begins with the machines under way. `min_task_resources`: no task to be packed takes less.
+    /// Creates a plan that contains the pending machines. `min_task_resources`: no task to be packed requests
+    /// less of any resource.
     pub(super) fn new(
         pending: Vec<PlannedMachine>,
         min_task_resources: Resources,
@@ -73,7 +78,7 @@
         }
     }
 
-    /// All machines, those under way too.
+    /// All machines of the plan, pending ones included.
     pub(super) fn machines(&self) -> impl Iterator<Item = &PlannedMachine> {
         self.machines.iter()
     }
@@ -82,29 +87,32 @@
         self.machines.len() < self.max_machines
     }
 
-    /// Packs tasks of a job onto what is planned already. Returns how many are left.
+    /// Packs tasks of a job onto the machines of the plan. Returns how many tasks are left.
     pub(super) fn pack(&mut self, spec: &JobSpec, zones: &ZoneUse, count: usize) -> usize {
-        let mut left = count;
+        let mut remaining = count;
         let (machines, min_task_resources) = (&mut self.machines, &self.min_task_resources);
         self.open_machines.retain(|index| {
             let machine = &mut machines[*index];
             let offer = &machine.offer;
             let fits = spec.resources.fits(&machine.free);
-            if left > 0
+            if remaining > 0
                 && fits
                 && permits(spec, zones, &offer.machine_type, &offer.zone, offer.spot)
             {
-                let tasks = spec.resources.count_fitting_in(&machine.free).min(left);
+                let tasks = spec
+                    .resources
+                    .count_fitting_in(&machine.free)
+                    .min(remaining);
                 machine.free.sub(&spec.resources.times(tasks as f64));
-                machine.tasks += tasks;
-                left -= tasks;
+                machine.task_count += tasks;
+                remaining -= tasks;
             }
             min_task_resources.fits(&machine.free)
         });
-        left
+        remaining
     }
 
-    /// The candidate that costs least for each of so many tasks.
+    /// The candidate with the lowest cost per task, if it is to run up to this number of tasks.
     pub(super) fn cheapest<'a>(
         &self,
         candidates: &'a [RentalCandidate],
@@ -119,7 +127,7 @@
         candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
-    /// Adds a machine with so many tasks on it.
+    /// Adds a machine with this number of tasks on it.
     pub(super) fn add_with_tasks(
         &mut self,
         candidate: &RentalCandidate,
@@ -131,7 +139,7 @@
         self.add(candidate, free, tasks);
     }
 
-    /// Adds an empty machine, to be kept as headroom.
+    /// Adds an empty machine as headroom.
     pub(super) fn add_empty(&mut self, candidate: &RentalCandidate) {
         self.add(candidate, candidate.capacity, 1);
     }
@@ -146,15 +154,15 @@
             offer: candidate.offer.clone(),
             capacity: candidate.capacity,
             free,
-            tasks,
+            task_count: tasks,
         });
     }
 
-    /// What is to be rented beside what is under way.
+    /// The machines to rent in addition to the pending ones.
     pub(super) fn into_scale_out(self) -> ScaleOutPlan {
         let mut machines: BTreeMap<MachineOffer, u32> = BTreeMap::new();
         let planned = self.machines.into_iter().skip(self.pending);
-        for machine in planned.filter(|m| m.tasks > 0 && m.capacity != Resources::default()) {
+        for machine in planned.filter(|m| m.task_count > 0 && m.capacity != Resources::default()) {
             *machines.entry(machine.offer).or_default() += 1;
         }
         ScaleOutPlan { machines }
--- a/src/core/capacity/rental_results.rs
+++ b/src/core/capacity/rental_results.rs
@@ -1,4 +1,4 @@
-//! Sends rentals to the cloud, and takes its answers into the cluster state.
+//! Sends rentals to the cloud and applies their outcomes to the cluster state.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::rentals::{Rental, RentalOutcome, RETRY_DELAY};
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Sends rentals that are new or to be repeated.
+    /// Sends the rentals that are new or due for a retry.
     pub(super) fn send_rentals(&mut self, now: Instant) {
         let rentals = self.capacity.rentals.pending.iter_mut();
         for (idempotency_key, rental) in rentals.filter(|(_, rental)| rental.is_due(now)) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes in how a rental ended.
+    /// Applies the outcome of a rental. An outcome for an unknown idempotency key changes nothing.
     pub fn on_rental_result(
         &mut self,
         now: Instant,
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -1,6 +1,6 @@
-//! Rentals that are under way, and how they end.
+//! Pending rentals and their outcomes.
 //!
-//! Invariant: a rental keeps its idempotency key until the cloud's answer is known. Without an answer it
+//! Invariant: a rental keeps its idempotency key until the cloud's response is known. Without a response it
 //! is sent again under the same key.
 
 use crate::core::capacity::offer::MachineOffer;
@@ -8,34 +8,39 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// The cloud takes no more machines in one rental.
+/// The cloud's limit on the number of machines in one rental.
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Rentals under way at a time. More would only queue for the cloud's rate, each for the few machines
-/// that were missing when it was asked for.
+/// The maximum number of pending rentals. More would only queue for the cloud's rate limit, each for the few
+/// machines that were missing when it was ordered.
 const MAX_PENDING_RENTALS: usize = 3;
-/// A rental without an answer is sent again after this long.
+/// The time after which a rental without a known outcome is sent again.
 pub(super) const RETRY_DELAY: Duration = Duration::from_secs(2);
-/// After a refusal, the same offer is not asked for again for this long, times the refusals in a row.
+/// The back-off after a refusal: the same offer is not requested again for this long, times the number of
+/// consecutive refusals, which counts up to `MAX_BACKOFF_REFUSALS`.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(12);
 const MAX_BACKOFF_REFUSALS: u32 = 3;
 
-/// How a rental ended.
+/// The outcome of a rental.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RentalOutcome {
-    /// These machines were rented.
+    /// These machines were rented. They may be fewer than requested.
     Machines(Vec<MachineId>),
-    /// The cloud has none of this kind.
+    /// The cloud has no machine of the requested type in this zone and price model.
     NoCapacity,
-    /// An error, too many requests, or no answer: the rental must be repeated under its key.
+    /// The request failed, exceeded the cloud's rate limit, or was not answered: it must be repeated under
+    /// its idempotency key.
     Unknown,
 }
 
-/// A rental that the cloud has not answered.
+/// A rental whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(super) struct Rental {
     pub(super) offer: MachineOffer,
+    /// The number of machines requested.
     pub(super) number: u32,
+    /// Whether it was sent and its response is awaited.
     pub(super) sent: bool,
+    /// When it may be sent again. `None`: no attempt has failed yet.
     pub(super) retry_at: Option<Instant>,
 }
 
@@ -45,19 +50,19 @@
     }
 }
 
-/// The cloud has no machines of a kind.
+/// The back-off of an offer that the cloud refused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     until: Instant,
-    /// How often in a row.
+    /// The number of consecutive refusals, up to `MAX_BACKOFF_REFUSALS`.
     count: u32,
 }
 
-/// The rentals under way, by idempotency key, and what the cloud refused.
+/// The pending rentals, by idempotency key, and the offers that the cloud refused.
 #[derive(Debug, Default)]
 pub(super) struct Rentals {
     pub(super) pending: BTreeMap<String, Rental>,
-    /// How many rentals this term has ordered.
+    /// The number of rentals that this term has ordered.
     ordered_count: u64,
     pub(super) refusals: HashMap<MachineOffer, Refusal>,
 }
@@ -67,7 +72,7 @@
         self.pending.values()
     }
 
-    /// How many machines are asked for and not answered.
+    /// The number of machines in pending rentals.
     pub(super) fn pending_machines(&self) -> u32 {
         self.pending().map(|rental| rental.number).sum()
     }
@@ -76,7 +81,7 @@
         self.pending.len() >= MAX_PENDING_RENTALS
     }
 
-    /// Enters a rental, to be sent.
+    /// Adds a rental, which `ClusterState::send_rentals` sends.
     pub(super) fn order(&mut self, term: Term, offer: MachineOffer, number: u32) {
         self.ordered_count += 1;
         // The term makes a key unique among all nodes and their restarts.
@@ -96,7 +101,7 @@
         self.pending.insert(idempotency_key, rental);
     }
 
-    /// Whether the cloud refused this offer a short time ago.
+    /// Whether this offer must not be requested now, because the cloud refused it recently.
     pub(super) fn is_refused(&self, now: Instant, offer: &MachineOffer) -> bool {
         let refusal = self.refusals.get(offer);
         refusal.is_some_and(|refusal| now < refusal.until)
--- a/src/core/capacity/replacement_progress.rs
+++ b/src/core/capacity/replacement_progress.rs
@@ -1,22 +1,22 @@
-//! Spot machines that take the place of ordinary ones: which are on their way, and which are up.
+//! Progress of the spot machines that replace on-demand ones: pending, or ready.
 
 use crate::core::model::MachineTypeName;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// No replacement is looked for for this long after the cloud refused one.
+/// How long no replacement is planned after the cloud refused one.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(60);
-/// And for this long after none was on offer.
+/// How long no replacement is planned after none was on offer.
 const NO_OFFER_PAUSE: Duration = Duration::from_secs(10);
 
-/// Spot machines that were rented to take the place of ordinary ones, by type.
+/// The numbers of spot machines that were rented to replace on-demand ones, by type.
 #[derive(Debug, Default)]
 pub(super) struct SpotReplacements {
-    /// On their way.
+    /// Ordered, and not up yet.
     pub(super) pending: HashMap<MachineTypeName, u32>,
-    /// Up, while the ordinary machines are not drained yet.
+    /// Up, while the on-demand machines that they replace are not drained yet.
     pub(super) ready: HashMap<MachineTypeName, u32>,
-    /// No replacement is looked for before this time.
+    /// No replacement is planned before this time.
     pub(super) paused_until: Option<Instant>,
 }
 
@@ -29,7 +29,7 @@
         self.pending.get(machine_type).copied().unwrap_or(0)
     }
 
-    /// A spot machine of this type came up. It counts as a replacement if one is under way.
+    /// Records that a spot machine of this type came up. It counts as a replacement if one is pending.
     pub(super) fn record_ready(&mut self, machine_type: &MachineTypeName) {
         let pending = self.pending.get_mut(machine_type);
         if let Some(count) = pending.filter(|count| **count > 0) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The cloud refused spot machines of this type.
+    /// Records that the cloud refused spot machines of this type. Pauses replacement if one was pending.
     pub(super) fn record_refusal(&mut self, now: Instant, machine_type: &MachineTypeName) {
         if self.pending.remove(machine_type).is_some() {
             self.paused_until = Some(now + REFUSAL_PAUSE);
@@ -53,7 +53,7 @@
         self.paused_until = Some(now + NO_OFFER_PAUSE);
     }
 
-    /// The machines of each type that are to be drained have been.
+    /// Clears the counts of ready replacements, once the machines that they replace are being drained.
     pub(super) fn clear_ready(&mut self) {
         self.ready.clear();
     }
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -1,9 +1,12 @@
-//! Scale in: machines that are returned because they are idle, silent, faulty, about to be evicted, or
-//! never came up.
+//! Scaling in: machines are returned to the cloud if they are idle, silent, unreachable, quarantined, about
+//! to be evicted, or never came up.
 //!
-//! Invariants: no machine is returned for being silent or unreachable while the fault is likely shared
-//! by many; idle machines stay as long as the headroom of some class needs them; only a leader that is
-//! certain to lead returns machines, except those that have kept a cancelled task for too long.
+//! Invariants:
+//!
+//! - No machine is returned for being silent or unreachable during a likely shared outage.
+//! - Idle machines are kept while the headroom of any class needs them.
+//! - Only a leader whose leadership is confirmed returns machines, except those on which a cancelled task has
+//!   been running for too long.
 
 use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
@@ -13,29 +16,36 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The cloud takes no more names in one request.
+/// The cloud's limit on the number of machines in one return request.
 const MAX_MACHINES_PER_RETURN: usize = 100;
-/// Idle machines wait this long for others to go with: the cloud's rate is for rentals too.
+/// The minimum interval between return requests that are not urgent. Machines are returned in batches, since
+/// returns share the cloud's rate limit with rentals.
 const RETURN_INTERVAL: Duration = Duration::from_secs(2);
-/// A return that was not answered is sent again after this long.
+/// The time after which a return is requested again if the machine is still there.
 const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
-/// A machine never came up if it takes longer than so many usual boots and this margin.
+/// A machine counts as never booted after this many advertised boot times plus `BOOT_TIME_MARGIN`.
 const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
 const BOOT_TIME_MARGIN: Duration = Duration::from_secs(30);
-/// The boot of a machine whose type is not known.
+/// The boot time assumed for a machine of unknown type.
 const UNKNOWN_TYPE_BOOT_TIME: Duration = Duration::from_secs(60);
-/// After a pause of this process, first heartbeats may be waiting for it for so many intervals.
+/// The number of heartbeat intervals after a pause of this process during which the first heartbeats of
+/// booted machines may still be waiting to be received.
 const HEARTBEATS_AFTER_PROCESS_PAUSE: u32 = 2;
 
 /// Why a machine is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReturnReason {
+    /// It was not up long after the advertised boot time.
     NeverBooted,
+    /// It has been in quarantine for longer than [`QUARANTINE_PATIENCE`].
     Quarantined,
+    /// The cloud announced to reclaim it, and no task is left on it.
     SpotEviction,
+    /// It has sent no heartbeat for longer than the silence timeout.
     Silent,
-    /// Its heartbeats come, but our answers and commands do not reach it.
+    /// Its heartbeats are received, but this leader's responses and commands do not reach it.
     Unreachable,
+    /// It has been idle for longer than the idle timeout, or is drained and empty.
     Idle,
 }
 
@@ -52,52 +62,55 @@
     }
 }
 
-/// The decision to return a machine.
+/// The decision to return a machine to the cloud.
 #[must_use]
 pub(super) struct MachineReturn {
     pub(super) machine: MachineId,
     pub(super) reason: ReturnReason,
 }
 
-/// Machines that the cloud is to be asked to take back.
+/// The machines of one return request to the cloud.
 #[must_use]
 pub(super) struct ReturnRequest {
     pub(super) machines: Vec<MachineId>,
 }
 
-/// Room for the headroom of each class while idle machines go.
+/// The free resources that cover the headroom of each class, updated while idle machines are selected for
+/// return.
 struct HeadroomReserve<'a> {
     demands: Vec<HeadroomDemand>,
-    /// For how many tasks of each class there is room.
-    covered: Vec<usize>,
+    /// The number of tasks that fit, for each of `demands`.
+    covered_tasks: Vec<usize>,
     free_by_machine: HashMap<&'a MachineId, Resources>,
 }
 
 impl HeadroomReserve<'_> {
-    /// Tasks of a class for which there is room without this machine.
+    /// The number of tasks that fit without this machine. `class`: an index into `demands`.
     fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
         let fits = free.map_or(0, |free| {
             self.demands[class].resources.count_fitting_in(free)
         });
-        self.covered[class].saturating_sub(fits)
+        self.covered_tasks[class].saturating_sub(fits)
     }
 
     fn is_sufficient_without(&self, machine: &MachineId) -> bool {
         let mut demands = self.demands.iter().enumerate();
-        demands.all(|(class, demand)| self.covered_without(machine, class) >= demand.tasks as usize)
+        demands.all(|(class, demand)| {
+            self.covered_without(machine, class) >= demand.task_count as usize
+        })
     }
 
     fn remove(&mut self, machine: &MachineId) {
         for class in 0..self.demands.len() {
-            self.covered[class] = self.covered_without(machine, class);
+            self.covered_tasks[class] = self.covered_without(machine, class);
         }
         self.free_by_machine.remove(machine);
     }
 }
 
 impl ClusterState {
-    /// Which machines to return from now on.
+    /// Plans which machines to return.
     #[must_use]
     pub(super) fn plan_scale_in(&self, now: Instant) -> Vec<MachineReturn> {
         let mut headroom = self.headroom_reserve(now);
@@ -117,7 +130,7 @@
         returns
     }
 
-    /// Machines that are not being returned, by price from the top.
+    /// The machines that are not being returned yet, by descending price per CPU.
     fn machines_by_descending_price(&self) -> Vec<&Machine> {
         let machines = self.fleet.machines.values().filter(|m| !m.returning);
         let mut by_price: Vec<(f64, &Machine)> = machines
@@ -137,7 +150,7 @@
         (has_listened && booting > max_boot).then_some(ReturnReason::NeverBooted)
     }
 
-    /// Faulty, about to be evicted, or cut off.
+    /// The reason for which a machine that was up is no longer usable: quarantine, eviction or lost contact.
     fn check_unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let is_past_limit =
             |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
@@ -162,7 +175,8 @@
         unreachable.then_some(ReturnReason::Unreachable)
     }
 
-    /// Idle for long enough, or drained, and no headroom is lost with it.
+    /// Whether a machine has been idle for long enough and is not needed for the headroom, or is drained and
+    /// empty. If so, it is removed from `headroom`.
     fn check_idle(
         &self,
         now: Instant,
@@ -190,25 +204,26 @@
         Some(ReturnReason::Idle)
     }
 
-    /// Room for each class's headroom, on all machines that take tasks.
+    /// The resources for each class's headroom, on all machines that accept tasks.
     fn headroom_reserve(&self, now: Instant) -> HeadroomReserve<'_> {
         let demands = self.headroom(now);
-        let mut covered: Vec<usize> = vec![0; demands.len()];
+        let mut covered_tasks: Vec<usize> = vec![0; demands.len()];
         let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
         for available in self.free_resources(now) {
-            for (covered, demand) in covered.iter_mut().zip(&demands) {
-                *covered += demand.resources.count_fitting_in(&available.free);
+            for (covered_tasks, demand) in covered_tasks.iter_mut().zip(&demands) {
+                *covered_tasks += demand.resources.count_fitting_in(&available.free);
             }
             free_by_machine.insert(&available.machine.id, available.free);
         }
         HeadroomReserve {
             demands,
-            covered,
+            covered_tasks,
             free_by_machine,
         }
     }
 
-    /// Which machines to ask the cloud to take back now, many at a time.
+    /// Plans the next return request. It waits for further machines unless it is full, it is urgent or
+    /// `RETURN_INTERVAL` has passed. A request is urgent if tasks are still placed on its first machine.
     pub(super) fn plan_return_request(&self, now: Instant) -> Option<ReturnRequest> {
         let since = |t: Instant| now.saturating_duration_since(t);
         let mut due: Vec<&Machine> = self
@@ -222,7 +237,7 @@
             })
             .filter(|m| self.leadership.confirmed || m.cancellation_overdue)
             .collect();
-        // Those first whose tasks wait for the proof that they are gone.
+        // Overdue cancellations come first, then machines with tasks: these need proof that they are gone.
         due.sort_by_key(|m| (!m.cancellation_overdue, m.placed_tasks.is_empty()));
         let is_urgent = !due.first()?.placed_tasks.is_empty();
         let last_return = self.capacity.last_return;
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: which machines to rent for work that waits too long, and for headroom that is missing.
+//! Scaling out: which machines to rent for tasks that would wait too long, and for missing headroom.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::packing::{PackingPlan, PlannedMachine, RentalCandidate};
@@ -10,31 +10,33 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Work that waits for more than this share of a boot shows that room is short.
+/// An inexpensive machine is rented for tasks that are expected to wait for longer than this fraction of its
+/// boot time.
 const MIN_WAIT_BOOT_FRACTION: f64 = 0.7;
-/// An expensive machine that saves a deadline still boots and fetches within this much longer than its
-/// mean boot.
+/// An expensive machine is rented to meet a deadline only if the expected wait exceeds this many boot times
+/// plus `MIN_WAIT_MARGIN`, since the machine may boot more slowly than on average and has to fetch an image.
 const EXPENSIVE_BOOT_FACTOR: f64 = 1.2;
-/// Waits beyond a boot that are not worth a machine.
+/// Waits that exceed the boot time by less than this do not justify an expensive machine.
 const MIN_WAIT_MARGIN: Duration = Duration::from_secs(3);
-/// How long work must wait before an expensive machine is rented for it, unless that saves its deadline.
+/// An expensive machine that meets no deadline is rented only if the expected wait exceeds the boot time by
+/// more than this.
 const MIN_WAIT_FOR_EXPENSIVE: Duration = Duration::from_secs(90);
 
-/// How many machines of each kind to rent.
+/// The number of machines to rent, by offer.
 #[must_use]
 #[derive(Debug, Default)]
 pub(super) struct ScaleOutPlan {
     pub(super) machines: BTreeMap<MachineOffer, u32>,
 }
 
-/// A machine type for a job, as rentals are weighed.
+/// A machine type, and whether it is expensive for a given job.
 #[derive(Clone, Copy)]
 struct RentalOption<'a> {
     machine_type: &'a MachineType,
     is_expensive: bool,
 }
 
-/// The least that any task takes, in each dimension.
+/// The minimum over all tasks, in each resource.
 fn min_task_resources(tasks: impl Iterator<Item = Resources>) -> Resources {
     let smallest = tasks.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
@@ -45,10 +47,10 @@
 }
 
 impl ClusterState {
-    /// Which machines to rent for what waits and for headroom.
+    /// Plans which machines to rent for waiting tasks and for headroom.
     pub(super) fn plan_scale_out(&self, now: Instant, round: &RoundOutcome) -> ScaleOutPlan {
-        // While most machines are silent, what is rented now would come up to find them back: they are
-        // heard again, or returned, soon.
+        // While most machines are silent, nothing is rented: they are likely to report again, or to be
+        // returned, before a new machine is up.
         if self.fleet.types.is_empty()
             || !self.knows_fleet(now)
             || self.are_most_machines_silent(now)
@@ -60,7 +62,7 @@
         for waiting in &round.waiting {
             *uncovered_tasks.entry(&waiting.job_id).or_default() += waiting.count;
         }
-        // A task with a reservation on a machine that is booting has its machine.
+        // Tasks with a reservation on a booting machine need no other machine.
         for waiting in round.waiting.iter().filter(|w| !w.on_booting_machine) {
             if let Some(uncovered_tasks) = uncovered_tasks.get_mut(&waiting.job_id) {
                 self.pack_waiting(now, waiting, uncovered_tasks, &mut plan);
@@ -70,7 +72,7 @@
         plan.into_scale_out()
     }
 
-    /// A plan that holds the rentals under way: they will take the first of the waiting.
+    /// Creates a plan with the machines of pending rentals, which will run the first waiting tasks.
     fn begin_packing(&self, round: &RoundOutcome) -> PackingPlan {
         let mut pending: Vec<PlannedMachine> = Vec::new();
         for rental in self.capacity.rentals.pending() {
@@ -91,11 +93,11 @@
         )
     }
 
-    /// Machines by zone, for spreading rentals.
+    /// The number of machines by zone, for spreading rentals.
     fn zone_counts(&self) -> HashMap<Zone, usize> {
         let mut zone_counts: HashMap<Zone, usize> = HashMap::new();
         for machine in self.fleet.machines.values() {
-            // The zone is copied only where it is new: there are thousands of machines.
+            // The zone is cloned only if it is new, because there are thousands of machines.
             match zone_counts.get_mut(&machine.zone) {
                 Some(count) => *count += 1,
                 None => {
@@ -106,8 +108,8 @@
         zone_counts
     }
 
-    /// Packs tasks of one job that wait. `uncovered_tasks`: how many of the whole job no machine is planned for
-    /// yet.
+    /// Packs waiting tasks of one job, and adds machines for the rest. `uncovered_tasks`: the number of
+    /// waiting tasks of the whole job for which no machine has been added.
     fn pack_waiting(
         &self,
         now: Instant,
@@ -120,25 +122,25 @@
         };
         let spec = &job.spec;
         let zones = ZoneUse::of(job, &self.zone_of());
-        let mut left = plan.pack(spec, &zones, waiting.count);
-        if left == 0 {
+        let mut remaining = plan.pack(spec, &zones, waiting.count);
+        if remaining == 0 {
             return;
         }
         let candidates = self.rental_candidates(now, job, waiting, &zones);
-        while left > 0 && plan.can_add_machine() {
-            // The whole job counts: a large machine for many tasks may be cheaper than small ones, for
-            // a few it is not.
+        while remaining > 0 && plan.can_add_machine() {
+            // All uncovered tasks of the job count: a large machine may be cheaper than small ones for many
+            // tasks, but not for a few.
             let Some(candidate) = plan.cheapest(&candidates, (*uncovered_tasks).max(1)) else {
                 break;
             };
-            let tasks = left.min(candidate.tasks_that_fit);
+            let tasks = remaining.min(candidate.tasks_that_fit);
             plan.add_with_tasks(candidate, &spec.resources, tasks);
-            left -= tasks;
+            remaining -= tasks;
             *uncovered_tasks = uncovered_tasks.saturating_sub(tasks);
         }
     }
 
-    /// What may be rented for these tasks and is worth it.
+    /// The machines that may be rented for these tasks and are worth their price.
     fn rental_candidates(
         &self,
         now: Instant,
@@ -176,7 +178,7 @@
         candidates
     }
 
-    /// What a CPU costs at least on the machines that a job may run on.
+    /// The lowest price per CPU and hour among the machines that a job may run on.
     fn lowest_price_per_cpu(&self, spec: &JobSpec) -> f64 {
         let types = self.fleet.types.iter();
         let suitable =
@@ -186,7 +188,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether a machine of this type would serve these tasks well before there is other room.
+    /// Whether a machine of this type is worth renting, given how long these tasks would otherwise wait.
     fn is_worth_renting(
         &self,
         now: Instant,
@@ -210,7 +212,7 @@
             (false, true) => wait > boot,
             (false, false) => wait > boot.mul_f64(MIN_WAIT_BOOT_FRACTION),
             (true, true) => wait > boot.mul_f64(EXPENSIVE_BOOT_FACTOR) + MIN_WAIT_MARGIN,
-            // Idle work is for machines that would stand idle, and for cheap ones.
+            // Jobs of priority `Idle` use machines that would otherwise be idle, and inexpensive ones.
             (true, false) => {
                 wait > boot + MIN_WAIT_FOR_EXPENSIVE && job.spec.priority > Priority::Idle
             }
@@ -218,7 +220,7 @@
     }
 }
 
-/// A machine type in each of its zones, as a spot machine and as an ordinary one.
+/// The offers of a machine type: in each of its zones, as a spot and as an on-demand machine.
 fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = MachineOffer> + '_ {
     let kinds = machine_type
         .zones
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -1,22 +1,26 @@
-//! Machines that are silent or cannot be reached, and whether the fault is likely theirs.
+//! Machines that are silent or unreachable, and whether the cause is likely the machine or a shared outage.
 
 use crate::core::state::{ClusterState, Machine};
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MIN_SILENT_MACHINES};
 use std::time::{Duration, Instant};
 
-/// A machine that has missed so many heartbeats is silent, whatever its lease.
+/// The least age of the last heartbeat of a silent machine, in heartbeat intervals, however short its lease
+/// is.
 const MIN_SILENT_HEARTBEATS: f64 = 3.5;
-/// Machines whose last heartbeat is older than so many intervals count as silent for scaling out.
+/// For scaling out, machines count as silent if their last heartbeat is older than this many heartbeat
+/// intervals.
 const SCALE_OUT_SILENT_HEARTBEATS: f64 = 2.5;
 
-/// The machines that should be up, and those of them without a recent heartbeat in this term.
+/// The number of machines that should be up, and of those among them without a recent heartbeat in this
+/// term.
 struct SilenceCount {
     machines: usize,
     silent: usize,
 }
 
 impl ClusterState {
-    /// Whether most machines are silent, so that work which seems to lack room may have it.
+    /// Whether most machines are silent, and at least [`MIN_SILENT_MACHINES`] of them. If so, resources that
+    /// seem to be missing may exist on machines that are about to report again.
     pub(super) fn are_most_machines_silent(&self, now: Instant) -> bool {
         let count = self.count_silent(now);
         count.silent >= MIN_SILENT_MACHINES && count.silent * 2 > count.machines
@@ -40,15 +44,16 @@
         count
     }
 
-    /// After what time machines count as silent.
+    /// The time without heartbeats after which a machine counts as silent: a fraction of its lease, and
+    /// `MIN_SILENT_HEARTBEATS` at least.
     pub(in crate::core) fn silence_timeout(&self) -> Duration {
         let config = &self.config;
         let lease_share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
         lease_share.max(config.heartbeat.mul_f64(MIN_SILENT_HEARTBEATS))
     }
 
-    /// Which machines are silent together. Machines are counted one by one only where enough are silent
-    /// for it to matter.
+    /// Counts silent and unreachable machines by segment and zone. If there are fewer than
+    /// [`MIN_SILENT_MACHINES`], the survey stays empty, since it could not show a shared outage.
     pub(super) fn survey_silence(&self, now: Instant) -> SilenceSurvey {
         let timeout = self.silence_timeout();
         let is_out_of_contact = |machine: &Machine| {
@@ -67,7 +72,7 @@
         survey
     }
 
-    /// Whether no heartbeat of a machine came for longer than `timeout`.
+    /// Whether the last heartbeat of a machine was received longer than `timeout` ago.
     pub(in crate::core) fn is_silent(
         &self,
         now: Instant,
@@ -77,13 +82,15 @@
         self.silence_duration(now, machine) > timeout
     }
 
-    /// For how long no heartbeat of a machine came, as far as this process was awake to notice.
+    /// The time since the last heartbeat of a machine. Time before this process last resumed from a pause
+    /// does not count, because heartbeats may have been missed then.
     fn silence_duration(&self, now: Instant, machine: &Machine) -> Duration {
         let since = machine.last_heartbeat_at.max(self.liveness.awake_since);
         now.saturating_duration_since(since)
     }
 
-    /// Whether its heartbeats come, but for longer than `timeout` none of our answers has reached it.
+    /// Whether a machine has reported, but for longer than `timeout` has not shown that this leader's
+    /// responses reach it.
     pub(super) fn is_unreachable(
         &self,
         now: Instant,
@@ -99,8 +106,9 @@
         machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > timeout)
     }
 
-    /// When most of a segment, a zone or all machines fall silent at once, the fault is more likely on
-    /// our side or in the network; but not for longer than their leases last.
+    /// Whether a silent machine is part of a shared outage. If most machines of a segment, a zone or the
+    /// fleet are silent at once, the cause is more likely the network or this leader than the machines. This
+    /// holds only until the machine's lease has expired, plus one heartbeat interval.
     pub(super) fn is_shared_outage(&self, now: Instant, machine: &Machine) -> bool {
         let scope = self
             .takeover
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -1,7 +1,7 @@
-//! Expensive machines make way for spot machines.
+//! Replacement of expensive on-demand machines by spot machines.
 //!
-//! Ordinary machines in use are replaced by spot ones of their type where these can be had, and drained
-//! without a replacement where spot machines have room for their tasks by now.
+//! On-demand machines in use are replaced by spot machines of the same type if the cloud offers them. They
+//! are drained without a replacement if their tasks fit on spot machines that are up already.
 
 use crate::core::capacity::drain::{DrainPlan, DrainReason};
 use crate::core::capacity::headroom::covers_headroom;
@@ -13,38 +13,39 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Replacements under way at a time.
+/// The number of replacements that may be pending at a time in any fleet.
 const MIN_REPLACEMENT_LIMIT: u32 = 3;
-/// Or one for so many ordinary machines. Also, one in so many expensive machines is drained at a time.
+/// Large fleets may have one pending replacement for this many on-demand machines. Likewise, one in this many
+/// expensive machines may be drained at a time, and one at least.
 const MACHINES_PER_REPLACEMENT: u32 = 6;
 
-/// What to do about expensive machines.
+/// The decision on replacing expensive machines.
 #[must_use]
 pub(super) enum ReplacementDecision {
-    /// Nothing is to be replaced now.
+    /// No machine is to be replaced now.
     Nothing,
-    /// Some should be, but there is nothing to be had for them.
+    /// A machine should be replaced, but no spot machine of its type can be rented now.
     NoOffer,
-    /// These spot machines are to be rented.
+    /// This number of spot machines is to be rented.
     Rent { offer: MachineOffer, number: u32 },
 }
 
-/// Ordinary machines of one type.
+/// The number of on-demand machines of one type.
 #[derive(Clone, Copy, Default)]
 struct OnDemandMachines {
     count: u32,
-    /// Expensive ones in use, whose tasks may run on spot machines.
+    /// The number of those that are expensive and run tasks, all of which may run on spot machines.
     replaceable: u32,
 }
 
-/// Whether an ordinary machine of this type costs much more than a spot one.
+/// Whether an on-demand machine of this type costs more than [`EXPENSIVE_PRICE_FACTOR`] times a spot one.
 fn is_expensive(machine_type: &MachineType) -> bool {
     machine_type.on_demand_price_per_hour
         > machine_type.spot_price_per_hour * EXPENSIVE_PRICE_FACTOR
 }
 
 impl ClusterState {
-    /// Which spot machines to rent in place of ordinary ones. For a time in which nothing waits.
+    /// Plans which spot machines to rent in place of on-demand ones. Called only while no task waits.
     pub(super) fn plan_spot_replacement(&self, now: Instant) -> ReplacementDecision {
         if self.capacity.replacements.is_paused(now) {
             return ReplacementDecision::Nothing;
@@ -90,14 +91,14 @@
                 .all(|task| self.allows_spot(task))
     }
 
-    /// Whether a task may run on a spot machine. One whose job is not known may.
+    /// Whether a task may run on a spot machine. A task of an unknown job may.
     fn allows_spot(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job_id);
         job.is_none_or(|job| job.spec.allows_spot)
     }
 
-    /// How many replacements may be rented now. None where spot machines have room for all tasks of
-    /// ordinary ones: these need no replacement.
+    /// The number of replacements that may be rented now. It is 0 while spot machines have as many free CPUs
+    /// as tasks use on on-demand machines, since these then need no replacement.
     fn allowed_replacements(
         &self,
         now: Instant,
@@ -126,7 +127,8 @@
         on_spot.map(|available| available.free).collect()
     }
 
-    /// A zone in which spot machines of this type may be had.
+    /// An offer of spot machines of this type, in the first zone where the cloud has not refused them
+    /// recently.
     fn spot_offer(&self, now: Instant, machine_type: &MachineTypeName) -> Option<MachineOffer> {
         let zones = &self.fleet.machine_type(machine_type)?.zones;
         zones.iter().find_map(|zone| {
@@ -140,8 +142,8 @@
         })
     }
 
-    /// The most expensive ordinary machines whose tasks would find room on spot machines by now, with
-    /// the headroom left as it is.
+    /// Plans to drain the most expensive on-demand machines whose tasks fit on spot machines that are up, as
+    /// long as the spot machines still cover the headroom afterwards.
     pub(super) fn plan_spot_capacity_drains(&self, now: Instant) -> DrainPlan {
         let mut free = self.free_spot_resources(now);
         let headroom = self.headroom(now);
@@ -156,7 +158,7 @@
                 continue;
             };
             if !covers_headroom(&headroom, free_after.iter(), 0) {
-                // The headroom is used up: no other machine would leave it either.
+                // This drain would use up the headroom. The search ends without trying cheaper machines.
                 break;
             }
             free = free_after;
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Expensive ordinary machines with tasks, by price from the top. Idle ones are returned in time: a
-    /// service that has just started has no tasks.
+    /// Expensive on-demand machines with tasks, by descending price. Machines without tasks are left to the
+    /// idle timeout, because a controller that has just started knows of no tasks yet.
     fn expensive_in_use(&self) -> Vec<&Machine> {
         let machines = self.fleet.machines.values();
         let mut expensive: Vec<(f64, &Machine)> = machines
@@ -185,8 +187,8 @@
         expensive.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    /// What is left of the free room on spot machines with all tasks of this machine. None: they do not
-    /// fit.
+    /// The free resources that remain on spot machines after taking all tasks of this machine. `None`: they
+    /// do not fit, or one of them may not run on a spot machine.
     fn pack_on_spot(&self, machine: &Machine, free: &[Resources]) -> Option<Vec<Resources>> {
         let mut free_after = free.to_vec();
         for (task, resources) in &machine.placed_tasks {
@@ -199,7 +201,7 @@
         Some(free_after)
     }
 
-    /// Ordinary machines whose replacements are up.
+    /// Plans to drain as many on-demand machines of each type as replacements are up.
     pub(super) fn plan_replaced_drains(&self) -> DrainPlan {
         let mut machines = Vec::new();
         for (machine_type, count) in &self.capacity.replacements.ready {
