--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -1,21 +1,22 @@
-//! What a leader knows about one attempt of an earlier term: a state machine from the record to the proof.
+//! What a leader knows about one attempt of an earlier term, as a state machine that is driven by evidence.
 //!
 //! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat from this term leads
-//! there; [`AttemptState::Expired`] is final; silence and heartbeats that may be late copies settle nothing.
-//! The table of transitions stands in `docs/recovery.md` as well, and a test compares the two.
+//! there; [`AttemptState::Expired`] is final; silence, and heartbeats that may be from before
+//! the term, settle no attempt by themselves if they do not list it. The table of transitions is repeated in
+//! `docs/recovery.md`, and a test compares the two.
 
 use std::fmt;
 
 /// What is known about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AttemptState {
-    /// On record, and no heartbeat of its machine has decided about it yet. Printed as `unheard`.
+    /// On record, and no heartbeat has shown yet whether it is on its machine. Printed as `unheard`.
     Unreported,
     /// On record, and listed by a heartbeat of its machine.
     Confirmed,
     /// On record, and proved not to be on its machine.
     Absent,
-    /// On record, and its machine has missed heartbeats. Proves nothing.
+    /// On record, and its machine has missed heartbeats, which proves nothing about the attempt.
     Silent,
     /// Its machine's lease has certainly expired, or the machine is gone.
     Expired,
@@ -23,14 +24,14 @@
     Unrecorded,
 }
 
-/// What was learned about an attempt.
+/// A piece of evidence about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
     /// A heartbeat of its machine lists it.
     Reported,
-    /// A heartbeat without it that shows this term's fencing token: it was sent after the term began.
+    /// A heartbeat does not list it and shows this term's fencing token, so it was sent after the term began.
     NotReported,
-    /// A heartbeat without it that shows an earlier token: it may be a late copy.
+    /// A heartbeat does not list it and shows an earlier token, so it may be a delayed or duplicated message.
     NotReportedPossiblyEarlier,
     /// Its machine has missed heartbeats.
     MachineSilent,
@@ -43,14 +44,14 @@
 /// Whether a heartbeat was certainly sent after the term began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HeartbeatOrigin {
-    /// It shows this term's token, or its machine did not exist before.
+    /// It shows this term's fencing token, or its machine did not exist before the term.
     ThisTerm,
-    /// It may be a late copy of one that was sent to an earlier leader.
+    /// It may be a delayed or duplicated message from before the term.
     PossiblyEarlier,
 }
 
 impl AttemptState {
-    /// All states, in the order of the table.
+    /// All states, in the order of the table of transitions.
     pub const ALL: [AttemptState; 6] = [
         AttemptState::Unreported,
         AttemptState::Confirmed,
@@ -60,12 +61,12 @@
         AttemptState::Unrecorded,
     ];
 
-    /// The state after a piece of evidence.
+    /// The state that follows from a piece of evidence.
     #[must_use]
     pub fn after(self, evidence: Evidence) -> AttemptState {
         use AttemptState::{Absent, Confirmed, Expired, Silent, Unrecorded, Unreported};
         match (self, evidence) {
-            // Lease expiry is final: a heartbeat that lists it afterwards was sent before.
+            // Lease expiry is final: a heartbeat that still lists the attempt was sent before.
             (Expired, _) | (_, Evidence::LeaseExpired) => Expired,
             (Unrecorded, Evidence::Recorded) => Confirmed,
             (Unrecorded, Evidence::NotReported) => Expired,
@@ -75,7 +76,7 @@
             (_, Evidence::NotReported) => Absent,
             (Silent, Evidence::NotReportedPossiblyEarlier) => Unreported,
             (state, Evidence::NotReportedPossiblyEarlier) => state,
-            // No command was sent since the proof, so silence does not weaken it.
+            // Nothing was launched since the proof of absence, so it holds while the machine is silent.
             (Absent, Evidence::MachineSilent) => Absent,
             (_, Evidence::MachineSilent) => Silent,
         }
@@ -87,13 +88,13 @@
         self == AttemptState::Absent
     }
 
-    /// Whether it is certain that the attempt runs on its machine, or that it does not.
+    /// Whether it is certain that the attempt is on its machine, or that it is not.
     pub fn is_settled(self) -> bool {
         use AttemptState::{Absent, Confirmed, Expired};
         matches!(self, Confirmed | Absent | Expired)
     }
 
-    /// Its name in the table of transitions and in log lines.
+    /// The name in the table of transitions and in log lines.
     pub fn name(self) -> &'static str {
         match self {
             AttemptState::Unreported => "unheard",
@@ -113,7 +114,7 @@
 }
 
 impl Evidence {
-    /// All kinds of evidence, in the order of the table.
+    /// All kinds of evidence, in the order of the table of transitions.
     pub const ALL: [Evidence; 6] = [
         Evidence::Reported,
         Evidence::NotReported,
--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -1,12 +1,14 @@
-//! Pacing of commands: which may be sent now, which machines wait, and which commands are unacknowledged.
+//! Pacing of commands: which commands may be sent now, which machines have to wait, and which commands are
+//! not acknowledged yet.
 //!
 //! Invariants:
 //!
 //! - A launch or forget that no heartbeat has acknowledged is repeated only after its retry time, which
-//!   doubles with each repeat. Kills are repeated as often as their grace period needs it.
-//! - Machines that wait are served first come first served: an ordinary command to another machine does not
-//!   overtake them.
-//! - Each command counts once among the unacknowledged ones, however often it is repeated.
+//!   doubles with each repeat up to a limit. Kills are not subject to it, since they are repeated according
+//!   to their grace period.
+//! - Waiting machines are served in FIFO order: an ordinary command to another machine does not overtake
+//!   them.
+//! - Each command counts once as unacknowledged, however often it is repeated.
 
 use crate::rate_limits::{CommandRateLimiter, PacingClass};
 use crate::segments::Segment;
@@ -21,7 +23,8 @@
 const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// The number of repeats after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 3;
-/// The delay varies by this share in both directions, so that retries of many machines spread out.
+/// The delay varies by up to this share of itself in both directions, so that retries to many
+/// machines spread out over time.
 const RETRY_JITTER_SHARE_OF_DELAY: f64 = 0.25;
 
 /// The kind of a command.
@@ -38,7 +41,7 @@
 /// A command to the agent of a machine, as far as pacing is concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PacedCommand {
-    /// Its kind.
+    /// Determines how the command is repeated and which heartbeats acknowledge it.
     pub kind: CommandKind,
     /// The task that it concerns.
     pub task: TaskId,
@@ -46,11 +49,11 @@
     pub attempt: AttemptId,
 }
 
-/// A command that was sent and is not acknowledged.
+/// A command that was sent and is not acknowledged yet.
 #[derive(Clone, Debug)]
 struct SentCommand {
     command: PacedCommand,
-    /// It may be repeated from then on.
+    /// The time from which on it may be repeated.
     retry_at: Instant,
     repeats: u32,
 }
@@ -67,11 +70,11 @@
 pub struct CommandPacer {
     limiter: CommandRateLimiter,
     machines: HashMap<MachineId, UnacknowledgedCommands>,
-    /// Machines with deferred commands, first come first served.
+    /// Machines with deferred commands, in FIFO order.
     waiting: VecDeque<MachineId>,
-    /// The same machines, for membership tests.
+    /// The same machines as in `waiting`, for membership tests.
     is_waiting: BTreeSet<MachineId>,
-    /// Machines that were taken from the queue and may use the rate now.
+    /// Machines that were taken from the queue and whose ordinary commands may be sent now.
     in_turn: BTreeSet<MachineId>,
     last_deferred_at: Option<Instant>,
     sent_count: u64,
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Whether a command may be sent now. If so it is charged and counts as sent. If the rate is used up, its
-    /// machine waits, unless the command is a background one.
+    /// Whether a command may be sent now. If so, it is charged and recorded as sent. If the rate is used up,
+    /// its machine is queued, unless the command is of the class [`PacingClass::Background`].
     #[must_use]
     pub fn admit(
         &mut self,
@@ -105,12 +108,12 @@
         class: PacingClass,
     ) -> bool {
         let repeats = match self.find_sent(machine, &command) {
-            // Kills are repeated as often as their grace period needs it.
+            // Kills are exempt: they are repeated according to their grace period.
             Some(sent) if command.kind != CommandKind::Kill && now < sent.retry_at => return false,
             Some(sent) => sent.repeats + 1,
             None => 0,
         };
-        // Machines that wait go before those whose heartbeat just came.
+        // Waiting machines take precedence over those whose heartbeat was just received.
         let is_behind_others = class == PacingClass::Ordinary
             && !self.waiting.is_empty()
             && !self.in_turn.contains(machine);
@@ -150,7 +153,7 @@
             retry_at,
             repeats,
         });
-        // A repeated command counts once.
+        // A repeated command counts only once as unacknowledged.
         self.limiter.acknowledge(segment, repeated);
     }
 
@@ -158,7 +161,7 @@
         self.deferred_count += 1;
         self.last_deferred_at = Some(now);
         if class == PacingClass::Background {
-            // The next heartbeat raises it again.
+            // The command is issued again when the machine's next heartbeat is processed.
             return;
         }
         self.in_turn.remove(machine);
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Drops the commands of a machine that its newest heartbeat shows as carried out.
+    /// Removes the commands of a machine that its newest heartbeat shows as carried out.
     pub fn acknowledge(
         &mut self,
         machine: &MachineId,
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Drops everything about a machine whose lease has expired, or that is gone.
+    /// Removes a machine whose lease has expired, or that is gone, with all of its commands.
     pub fn remove_machine(&mut self, machine: &MachineId) {
         self.in_turn.remove(machine);
         if self.is_waiting.remove(machine) {
@@ -194,7 +197,7 @@
         self.acknowledge(machine, |_| true);
     }
 
-    /// Takes the machines whose turn it is from the queue: as many as the fleet's rate has room for.
+    /// Removes and returns the machines at the front of the queue, one for each token of the fleet's bucket.
     #[must_use]
     pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         if self.waiting.is_empty() {
@@ -220,13 +223,14 @@
         self.sent_count
     }
 
-    /// The number of times that a command was deferred so far.
+    /// The number of deferrals so far; a command may be deferred more than once.
     pub fn deferred_count(&self) -> u64 {
         self.deferred_count
     }
 }
 
-/// The time until a command may be repeated. The jitter is a hash, so that a run can be reproduced.
+/// The time until a command may be repeated. The jitter is derived from a hash instead of a random number, so
+/// that runs are reproducible.
 fn retry_delay(machine: &MachineId, command: &PacedCommand, repeats: u32) -> Duration {
     let mut hasher = FnvHasher::default();
     (machine, command, repeats).hash(&mut hasher);
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,18 +1,19 @@
 //! Failover: how a new leader takes over a fleet.
 //!
-//! A new leader knows two things: the records in the key-value store, and the heartbeats of agents. This
-//! package reconciles the two before any command is sent, and paces the commands that follow. It performs no
-//! input or output and reads no clock: `now` is an argument throughout.
+//! A new leader has two sources of information: the records in the key-value store, and the heartbeats of
+//! agents. This crate reconciles the two before any command is sent, and limits the rate of the commands that
+//! follow. It performs no input or output and reads no clock: methods that need the current time take it as
+//! the argument `now`.
 //!
-//! - [`attempt_state`]: what is known about one attempt, as a state machine;
+//! - [`attempt_state`]: what is known about one attempt, as a state machine that is driven by evidence;
 //! - [`reconciliation`]: the states of all attempts that were on record when the term began;
-//! - [`unrecorded`]: tasks that no record names, of unknown jobs;
-//! - [`segments`] and [`silence`]: network segments of machines, and outages of whole segments;
-//! - [`rate_limits`] and [`command_pacing`]: token buckets of the fleet and its segments, and unacknowledged
-//!   commands;
-//! - [`progress`]: phases, counts and times of a takeover;
-//! - [`settings`]: the operators' settings;
-//! - [`takeover`]: all of these together, as the scheduler's core uses them.
+//! - [`unrecorded`]: tasks of unknown jobs that machines list and no record names;
+//! - [`segments`] and [`silence`]: network segments of machines, and outages of segments, zones or the fleet;
+//! - [`rate_limits`] and [`command_pacing`]: token buckets for the fleet and its segments, and tracking of
+//!   unacknowledged commands;
+//! - [`progress`]: the phase of a takeover, and its statistics for the log;
+//! - [`settings`]: the operators' settings and their validation;
+//! - [`takeover`]: the interface to the scheduler's core, which combines the other modules.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,32 +1,32 @@
-//! Phases, counts and times of a takeover, for the log.
+//! The phase of a takeover, and its statistics for the log.
 //!
-//! Invariants: a takeover is over only when nothing on record is unsettled, no unknown job has tasks on a
-//! machine and no command waits; nothing in here decides about a task. The words that are printed stand in
-//! the operators' tables.
+//! Invariants: a takeover is over only if all attempts on record are settled, no machine lists tasks of an
+//! unknown job, and no command waits. This module makes no decisions about tasks. The names that it prints
+//! are documented for operators and must not change.
 
 use crate::reconciliation::StateCounts;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The precision of the histogram of settling times.
+/// The precision of the histogram of settling times, in significant decimal digits.
 const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 2;
-/// The share of settled attempts from which on most count as reconciled.
+/// The share of the attempts on record that must be settled for most of them to count as reconciled.
 const MOSTLY_RECONCILED_SHARE_OF_RECORDED: f64 = 0.95;
 
-/// Printed in place of a time that is not known.
+/// Printed in place of a time that is not known, in seconds.
 const UNKNOWN_TIME_S: f64 = -1.0;
 
 /// The phase of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakeoverPhase {
-    /// Records were read; no attempt is settled yet.
+    /// Records were read, and no attempt is settled yet.
     Listening,
-    /// Some attempts on record are settled.
+    /// Some attempts on record are settled, or machines list tasks of unknown jobs.
     Reconciling,
-    /// All are settled, and commands still wait for the rate limits.
+    /// All attempts on record are settled, and commands are still deferred by the rate limits.
     Pacing,
-    /// Nothing remains to be done.
+    /// The takeover is complete, or had nothing to do.
     Over,
 }
 
@@ -41,24 +41,25 @@
     }
 }
 
-/// What remains to be done in a takeover.
+/// The remaining work of a takeover, which determines its phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
     /// Attempts on record, by state.
     pub counts: StateCounts,
-    /// The number of unknown jobs of which machines list tasks.
+    /// The number of unknown jobs whose tasks are listed by machines.
     pub unrecorded_jobs: usize,
-    /// Whether commands wait for the rate limits, or did until recently, and the limits still apply.
+    /// Whether commands are deferred by the rate limits, or were until recently, and the limits still apply.
     pub commands_waiting: bool,
 }
 
-/// The progress of a takeover. Times are counted from the beginning of the term.
+/// The progress of a takeover. Durations are measured from the beginning of the term.
 #[derive(Clone, Debug)]
 pub struct Progress {
     began_at: Instant,
     phase: TakeoverPhase,
     recorded: usize,
     settled: usize,
+    /// The times until attempts were settled, in milliseconds.
     settling_times: Histogram<u64>,
     mostly_reconciled_after: Option<Duration>,
     first_command_after: Option<Duration>,
@@ -119,7 +120,7 @@
         }
         let after = now.saturating_duration_since(self.began_at);
         self.settled += attempts;
-        // A histogram that resizes itself takes every value.
+        // Recording cannot fail, because the histogram resizes itself.
         let _ = self
             .settling_times
             .record_n(after.as_millis() as u64, attempts as u64);
@@ -147,7 +148,7 @@
         self.killed += 1;
     }
 
-    /// Moves on to the phase that fits what remains, and returns it if it is a new one.
+    /// Updates the phase according to the remaining work, and returns it if it has changed.
     pub fn advance(&mut self, remaining: &Remaining) -> Option<TakeoverPhase> {
         if self.phase == TakeoverPhase::Over {
             return None;
@@ -163,7 +164,7 @@
         (phase != std::mem::replace(&mut self.phase, phase)).then_some(phase)
     }
 
-    /// The counts and times so far.
+    /// The statistics so far.
     pub fn summary(&self, now: Instant) -> TakeoverSummary {
         let percentile = |p: f64| Duration::from_millis(self.settling_times.value_at_quantile(p));
         let known = !self.settling_times.is_empty();
@@ -183,24 +184,24 @@
     }
 }
 
-/// Counts and times of a takeover.
+/// The statistics of a takeover. Durations are measured from the beginning of the term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TakeoverSummary {
     /// The time since the term began.
     pub took: Duration,
     /// The number of attempts that were on record.
     pub recorded: usize,
-    /// The number of those that became settled.
+    /// The number of those that have been settled.
     pub settled: usize,
-    /// The median time until they were settled.
+    /// The median time until an attempt was settled. `None`: none was.
     pub settled_p50: Option<Duration>,
-    /// The time within which 95% of the settled ones were settled.
+    /// The 95th percentile of the time until an attempt was settled. `None`: none was.
     pub settled_p95: Option<Duration>,
-    /// The time after which 95% of all attempts on record were settled.
+    /// The time until 95% of all attempts on record were settled. `None`: fewer are so far.
     pub mostly_reconciled_after: Option<Duration>,
-    /// The time of the first command.
+    /// The time until the first command was sent. `None`: none was.
     pub first_command_after: Option<Duration>,
-    /// The time of the last command.
+    /// The time until the most recent command was sent. `None`: none was.
     pub last_command_after: Option<Duration>,
     /// The number of commands that were sent.
     pub commands: u64,
--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -1,53 +1,62 @@
-//! Token buckets: how many commands are sent in a second, to the fleet and to each of its segments.
+//! Token buckets that limit the commands per second to the fleet and to each of its segments, and the rentals
+//! per second.
 //!
 //! Invariants:
 //!
-//! - A limit `L` holds for any second, not only on average: a bucket refills by a share of `L` a second and
-//!   holds a smaller share of it, and the two and the reserve add up to `L`.
-//! - A bucket starts nearly empty, so that leaders that follow each other do not each start with a burst.
+//! - Apart from immediate commands, a limit of `L` commands per second holds in every interval of one second,
+//!   not only on average: the refill per second, the capacity of the bucket and the reserve add up to `L`.
+//! - A bucket starts nearly empty, so that several leaders in quick succession do not each start with a
+//!   burst.
 //! - A bucket refills more slowly while commands are not acknowledged, but never stops.
-//! - Immediate commands are never refused, and are charged all the same.
+//! - Immediate commands are never refused, but are charged like others.
 
 use crate::segments::Segment;
 use crate::settings::{CommandRates, RESERVED_SHARE_OF_RATE};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The share of a limit that is refilled in a second.
+/// The share of a limit by which its bucket is refilled per second.
 const REFILL_SHARE_OF_LIMIT: f64 = 0.7;
-/// The share of a limit that a bucket holds at most. With the refill and the reserve it adds up to 1.
+/// The share of a limit that its bucket holds at most. With the refill and the reserve it adds up to 1.
 const CAPACITY_SHARE_OF_LIMIT: f64 = 1.0 - RESERVED_SHARE_OF_RATE - REFILL_SHARE_OF_LIMIT;
-/// The share of a limit that a bucket holds at the start, so that a small fleet need not wait.
+/// The share of a limit that its bucket holds at the start, so that a small fleet does not have to wait.
 const INITIAL_SHARE_OF_LIMIT: f64 = 0.01;
-/// The slowest refill, however few commands are acknowledged: the next ones may reach other machines.
+/// The lower bound of the refill factor, however few commands are acknowledged: the next ones may be for
+/// other machines, which respond.
 const MIN_REFILL_FACTOR: f64 = 0.1;
-/// Refilling slows down from half of so many seconds' worth of unacknowledged commands on.
+/// The number of unacknowledged commands at which the refill factor would reach 0, as a multiple of the
+/// limit, in seconds. Refilling slows down from half of it on.
 const MAX_UNACKNOWLEDGED_LOAD_S: f64 = 4.0;
 
 /// How long a command may wait for the rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[must_use]
 pub enum PacingClass {
-    /// Until the buckets are half full: forgets, which nothing depends on.
+    /// Until the buckets are half full. For forgets, which nothing depends on.
     Background,
     /// Until there is a token.
     Ordinary,
-    /// Until there is a token, with the reserve: cancellations, stops with a time limit, urgent work.
+    /// Until there is a token, the reserve included. For cancellations, kills with a deadline and urgent
+    /// tasks.
     Prompt,
-    /// Not at all: it ends what violates an invariant.
+    /// Not at all. For commands that end a violation of an invariant, and for cancellations beyond the
+    /// share of their deadline in which kills are paced.
     Immediate,
 }
 
-/// A token bucket of one limit.
+/// A token bucket. One token stands for one command.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// In commands per second.
     limit: f64,
+    /// Negative while commands that were sent beyond the limit are owed.
     tokens: f64,
     refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// Creates a nearly empty bucket. `limit`: the most commands in any second, immediate ones aside.
+    /// Creates a nearly empty bucket. `limit`: the maximum number of commands in any second, apart from
+    /// immediate ones.
     pub fn new(limit: f64, now: Instant) -> TokenBucket {
         TokenBucket {
             limit,
@@ -56,7 +65,7 @@
         }
     }
 
-    /// Refills the bucket for the time since the last refill, at its rate times `factor`.
+    /// Refills the bucket for the time since the last refill, at its rate times `factor`, from 0 to 1.
     pub fn refill(&mut self, now: Instant, factor: f64) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
@@ -64,7 +73,7 @@
         self.tokens = (self.tokens + added).min(self.capacity());
     }
 
-    /// The most tokens that it holds. With less than one no command would ever be sent.
+    /// The maximum number of tokens; at least 1, since otherwise no ordinary command would ever be sent.
     fn capacity(&self) -> f64 {
         (self.limit * CAPACITY_SHARE_OF_LIMIT).max(1.0)
     }
@@ -80,7 +89,7 @@
         }
     }
 
-    /// Charges a command. The debt of commands beyond the limit is one second's worth at most.
+    /// Charges a command. The debt from commands beyond the limit is bounded by the commands of one second.
     pub fn charge(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-self.limit);
     }
@@ -91,7 +100,7 @@
     }
 }
 
-/// A bucket that refills more slowly while its commands are not acknowledged.
+/// A token bucket that refills more slowly while its commands are not acknowledged.
 #[derive(Clone, Debug)]
 struct FeedbackBucket {
     bucket: TokenBucket,
@@ -109,7 +118,7 @@
     fn refill(&mut self, now: Instant) {
         let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_LOAD_S;
         let free_share = 1.0 - self.unacknowledged as f64 / max_unacknowledged;
-        // At the full rate as long as half of that is free.
+        // The bucket refills at the full rate while at least half of the maximum is free.
         let factor = (free_share * 2.0).clamp(MIN_REFILL_FACTOR, 1.0);
         self.bucket.refill(now, factor);
     }
@@ -123,6 +132,7 @@
 /// Limits the rate of commands to the fleet and to each segment.
 #[derive(Clone, Debug)]
 pub struct CommandRateLimiter {
+    /// The limit of each segment, in commands per second.
     segment_limit: f64,
     fleet: FeedbackBucket,
     segments: HashMap<Segment, FeedbackBucket>,
@@ -144,7 +154,7 @@
     #[must_use]
     pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
-            // The bucket of a new segment has been filling up since the fleet's bucket began.
+            // The bucket of a new segment counts as refilling since the limiter was created.
             let bucket = FeedbackBucket::new(self.segment_limit, self.created_at);
             self.segments.insert(segment.clone(), bucket);
         }
@@ -161,7 +171,7 @@
         is_admitted
     }
 
-    /// Counts commands as acknowledged, or as no longer expected to be.
+    /// Records that commands were acknowledged, or that their acknowledgement is no longer expected.
     pub fn acknowledge(&mut self, segment: &Segment, commands: usize) {
         let segment = self.segments.get_mut(segment);
         for bucket in segment.into_iter().chain([&mut self.fleet]) {
@@ -169,14 +179,14 @@
         }
     }
 
-    /// The number of ordinary commands that the fleet's bucket has tokens for.
+    /// The number of ordinary commands for which the fleet's bucket has tokens.
     pub fn available(&mut self, now: Instant) -> usize {
         self.fleet.refill(now);
         self.fleet.bucket.available()
     }
 }
 
-/// Limits the rate of rentals while most machines of a segment or zone are silent.
+/// Limits the rate of rentals while most machines of a segment, a zone or the fleet are silent.
 #[derive(Clone, Debug)]
 pub struct RentalRateLimiter {
     rentals_per_second: f64,
@@ -185,7 +195,7 @@
 }
 
 impl RentalRateLimiter {
-    /// Creates a limiter that holds one second's worth of rentals.
+    /// Creates a limiter with a full bucket: the machines of one second, and at least one.
     pub fn new(rentals_per_second: f64) -> RentalRateLimiter {
         RentalRateLimiter {
             rentals_per_second,
@@ -194,7 +204,7 @@
         }
     }
 
-    /// Charges as many of the wanted machines as may be rented now, and returns their number.
+    /// Charges and returns how many of the wanted machines may be rented now.
     #[must_use]
     pub fn take(&mut self, now: Instant, wanted: u32) -> u32 {
         let refilled_at = self.refilled_at.replace(now);
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,9 +1,9 @@
 //! The states of the attempts that were on record when a term began.
 //!
-//! An attempt enters with its record and leaves once this term has launched it again, or it has ended or was
-//! proved gone. Attempts that this term itself decides on never enter.
+//! An attempt is added when its record is read, and removed once this term has launched it again, or it has
+//! ended or was proved gone. Attempts that this term creates itself are never added.
 //!
-//! Invariants: a task has one attempt on record on a machine, and the counts by state agree with the
+//! Invariants: a task has at most one attempt on record on a machine, and the counts by state agree with the
 //! attempts.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
@@ -26,7 +26,7 @@
         self.counts[state as usize]
     }
 
-    /// The number of attempts that may or may not be running.
+    /// The number of attempts of which it is not known whether they are running.
     pub fn unsettled(&self) -> usize {
         let states = AttemptState::ALL.into_iter();
         let unsettled = states.filter(|state| !state.is_settled());
@@ -54,7 +54,7 @@
 }
 
 impl Reconciliation {
-    /// Enters an attempt that was found on record.
+    /// Adds an attempt that was found on record. Replaces an earlier one of the same task on the machine.
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         let state = AttemptState::Unreported;
         let recorded = Recorded { attempt, state };
@@ -69,7 +69,7 @@
         *self.counts.count_mut(state) += 1;
     }
 
-    /// The state of an attempt; `None` if it is this term's own, or has left.
+    /// The state of an attempt; `None` if it is this term's own, or was removed.
     pub fn state(
         &self,
         machine: &MachineId,
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Applies evidence that concerns all attempts on a machine. Returns how many were settled by it.
+    /// Applies evidence about all attempts on a machine. Returns how many were settled by it.
     pub fn observe_machine(&mut self, machine: &MachineId, evidence: Evidence) -> usize {
         self.observe(machine, |_, _| evidence)
     }
@@ -141,7 +141,7 @@
         self.counts
     }
 
-    /// Whether nothing is left to be reconciled.
+    /// Whether no attempts are left, settled ones included.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
--- a/crates/recovery/src/segments.rs
+++ b/crates/recovery/src/segments.rs
@@ -1,30 +1,32 @@
-//! Network segments: which machines share a rack's switch or a zone's uplink.
+//! Network segments: groups of machines that share a network component, such as a rack's switch or a zone's
+//! uplink.
 //!
-//! Operators name segments in the settings; machines outside of all of them are grouped by the prefix of
-//! their address. Invariant: an address belongs to exactly one segment, since named ones do not overlap.
+//! Operators define named segments in the settings. Machines outside of all named segments are grouped by the
+//! prefix of their address. Invariant: an address belongs to exactly one segment, since named segments do not
+//! overlap and take precedence over derived ones.
 
 use ipnet::IpNet;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// A segment that the operators named.
+/// A segment that operators defined in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedSegment {
-    /// Its name in the settings and in log lines.
+    /// The name in the settings and in log lines.
     pub name: String,
-    /// The network that its addresses belong to.
+    /// The network that contains the addresses of its machines.
     pub net: IpNet,
 }
 
-/// The segment of a machine.
+/// The network segment of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Segment {
-    /// Named by the operators.
+    /// A segment from the settings, by its name.
     Named(Arc<str>),
-    /// Derived from the prefix of the machine's address.
+    /// A segment derived from the machine's address and the prefix length of the settings.
     Derived(IpNet),
-    /// The machine's address is unknown.
+    /// The machine's address is unknown, so it belongs to no segment.
     Unknown,
 }
 
@@ -38,23 +40,23 @@
     }
 }
 
-/// Prefix lengths of derived segments.
+/// The prefix lengths of derived segments, in bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DerivedPrefixes {
-    /// For IPv4 addresses.
+    /// For IPv4 addresses, from 0 to 32.
     pub v4: u8,
-    /// For IPv6 addresses.
+    /// For IPv6 addresses, from 0 to 128.
     pub v6: u8,
 }
 
-/// A named segment whose name is shared by all machines of it.
+/// A named segment whose name is reference-counted, so that the segments of its machines share it.
 #[derive(Clone, Debug)]
 struct SharedSegment {
     name: Arc<str>,
     net: IpNet,
 }
 
-/// Finds the segment of an address.
+/// Maps addresses to segments.
 #[derive(Clone, Debug)]
 pub struct SegmentMap {
     named: Vec<SharedSegment>,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The segment of an endpoint, `ADDRESS:PORT`.
+    /// The segment of an endpoint, `ADDRESS:PORT`. [`Segment::Unknown`]: it cannot be parsed.
     pub fn of_endpoint(&self, endpoint: &str) -> Segment {
         match endpoint.parse::<SocketAddr>() {
             Ok(address) => self.of_address(address.ip()),
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The segment of an address.
+    /// The segment of an address: the named one that contains it, otherwise a derived one.
     pub fn of_address(&self, address: IpAddr) -> Segment {
         let mut named = self.named.iter();
         if let Some(segment) = named.find(|segment| segment.net.contains(&address)) {
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -1,41 +1,43 @@
-//! The operators' settings of a takeover, and the checks that reject unusable ones.
+//! The operators' settings for takeovers, and their validation.
 //!
-//! Invariant of valid settings: at the configured rates the kills of cancelled jobs reach every machine
+//! Invariant of valid settings: at the configured rates, the kills of cancelled jobs reach every machine
 //! within [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline, and segments do not overlap.
 
 use crate::segments::{DerivedPrefixes, NamedSegment};
 use ipnet::IpNet;
 use std::time::Duration;
 
-/// The share of a rate that is reserved for prompt commands, and for those that must not wait at all.
+/// The share of a command rate that is reserved for prompt commands, and for those that must not wait at all.
 pub const RESERVED_SHARE_OF_RATE: f64 = 0.2;
-/// For this share of the cancellation deadline the kills of cancelled jobs are paced; later ones are sent at
-/// once. Machines on which such a job still runs are returned at 0.4 of the deadline.
+/// The share of the cancellation deadline during which the kills of cancelled jobs are paced; after that they
+/// are sent at once. Machines on which a cancelled job still runs are returned at 0.4 of the deadline.
 pub const PACED_SHARE_OF_CANCELLATION_DEADLINE: f64 = 0.3;
 
-/// Commands a second to the fleet, where operators set none and its size needs no more.
+/// The commands per second to the fleet if operators set no rate and its size requires no higher one.
 const DEFAULT_FLEET_COMMANDS_PER_S: f64 = 1200.0;
-/// Commands a second to a segment, where operators set none and its size needs no more.
+/// The commands per second to a segment if operators set no rate and its size requires no higher one.
 const DEFAULT_SEGMENT_COMMANDS_PER_S: f64 = 600.0;
 
-/// The operators' settings of a takeover.
+/// The operators' settings for takeovers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoverySettings {
-    /// Whether commands are paced, and machines of a silent segment are kept for a while. Reconciliation is
-    /// not optional.
+    /// Whether commands are paced, and machines that are silent in a shared outage of their segment or zone
+    /// are kept for a while. Reconciliation is not optional.
     pub enabled: bool,
-    /// The most commands to all machines in any second of a takeover. `None`: as the size of the fleet needs.
+    /// The maximum number of commands to all machines in any second of a takeover. `None`: 1200, or more if
+    /// the size of the fleet requires it.
     pub orders_per_second: Option<f64>,
-    /// The most commands to the machines of one segment in any second of a takeover. `None`: as the largest
-    /// segment needs.
+    /// The maximum number of commands to the machines of one segment in any second of a takeover. `None`:
+    /// 600, or more if the largest segment requires it, but at most the rate of the fleet.
     pub segment_orders_per_second: Option<f64>,
-    /// The prefix lengths of segments outside of the named ones.
+    /// The prefix lengths by which machines outside of the named segments are grouped.
     pub prefixes: DerivedPrefixes,
-    /// The segments that operators name.
+    /// The segments that operators defined.
     pub segments: Vec<NamedSegment>,
-    /// The most machines rented in a second while most machines of a segment or zone are silent.
+    /// The number of machines that may be rented per second while most machines of a segment, a zone or the
+    /// fleet are silent.
     pub replacements_per_second: f64,
-    /// How long tasks are held whose job, according to the key-value store, was never accepted.
+    /// The minimum time for which tasks are held if the key-value store denies that their job was accepted.
     pub unrecorded_hold: Duration,
 }
 
@@ -58,11 +60,11 @@
 pub struct Deployment {
     /// The time within which a confirmed cancellation takes effect.
     pub cancellation_deadline: Duration,
-    /// The most machines at a time.
+    /// The maximum number of machines, as configured.
     pub max_machines: usize,
 }
 
-/// The most commands in any second of a takeover.
+/// The maximum number of commands in any second of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandRates {
     /// To all machines.
@@ -71,7 +73,7 @@
     pub segment: f64,
 }
 
-/// A setting of the operators' file that a problem concerns.
+/// The setting of the operators' file that a problem concerns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SettingName {
     /// `orders-per-s`.
@@ -82,29 +84,29 @@
     Segment(String),
 }
 
-/// Why settings cannot be used together.
+/// Why settings are invalid together.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsProblem {
-    /// Kills of cancelled jobs would wait for too long.
+    /// At this rate the kills of cancelled jobs would not reach all machines in time.
     #[error(
         "{rate} orders a second cannot reach {machines} machines within {within_s:.1} s, {share_of_cancel_s} of cancel_s"
     )]
     TooSlow {
-        /// The configured rate, in commands a second.
+        /// The rate that applies, in commands per second.
         rate: f64,
         /// The number of machines that it must reach.
         machines: usize,
         /// The time within which it must reach them, in seconds.
         within_s: f64,
-        /// The share of `cancel_s` that this is.
+        /// The time as a share of the setting `cancel_s`.
         share_of_cancel_s: f64,
     },
     /// The rate of a segment exceeds that of the fleet.
     #[error("{segment} is above orders-per-s, {fleet}")]
     AboveFleet {
-        /// The rate of the segment.
+        /// The rate of the segment, in commands per second.
         segment: f64,
-        /// The rate of the fleet.
+        /// The rate of the fleet, in commands per second.
         fleet: f64,
     },
     /// Two segments share addresses.
@@ -131,23 +133,23 @@
     pub problem: SettingsProblem,
 }
 
-/// Why a text is not the network of a segment.
+/// Why a text cannot be parsed as the network of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseSegmentError {
-    /// It is not an address with a prefix length.
+    /// The text is not an address with a prefix length.
     #[error("'{0}' is not a network such as 10.1.0.0/16")]
     NotANetwork(String),
     /// The address has bits set beyond the prefix.
     #[error("'{text}' has bits set beyond its prefix; {network} is meant?")]
     HostBitsSet {
-        /// The text.
+        /// The text that was parsed.
         text: String,
-        /// The network without those bits.
+        /// The network with these bits cleared.
         network: IpNet,
     },
 }
 
-/// Parses the network of a segment, such as `10.1.0.0/16`.
+/// Parses the network of a segment, such as `10.1.0.0/16`. Bits beyond the prefix must not be set.
 pub fn parse_segment(text: &str) -> Result<IpNet, ParseSegmentError> {
     let net: IpNet = text
         .parse()
@@ -162,8 +164,8 @@
 }
 
 impl RecoverySettings {
-    /// The rates for a deployment. Rates that are not set are raised where the default would not reach all
-    /// machines in time for a cancellation.
+    /// The command rates for a deployment. Rates that are not set are raised above the defaults if necessary
+    /// to reach all machines in time for a cancellation.
     pub fn command_rates(&self, deployment: Deployment) -> CommandRates {
         let deadline = deployment.cancellation_deadline;
         let fleet = self.orders_per_second.unwrap_or(
@@ -178,7 +180,8 @@
         CommandRates { fleet, segment }
     }
 
-    /// Checks the settings against each other and against a deployment. The first problem is returned.
+    /// Validates the settings against each other and against a deployment. Returns the first problem. The
+    /// rates are not checked while pacing is disabled.
     pub fn validate(&self, deployment: Deployment) -> Result<(), InvalidSettings> {
         self.validate_segments()?;
         if !self.enabled {
@@ -209,7 +212,8 @@
         check_rate(segment, command_rates.segment, deadline, largest)
     }
 
-    /// The number of machines that the largest segment may have, by its addresses.
+    /// The number of addresses in the largest segment, named or derived. Derived IPv6 segments are not
+    /// counted.
     fn largest_segment(&self) -> usize {
         let named = self.segments.iter().map(|segment| match segment.net {
             IpNet::V4(net) => 32 - u32::from(net.prefix_len()),
@@ -242,7 +246,8 @@
     }
 }
 
-/// The lowest rate that reaches this number of machines in time for a cancellation.
+/// The lowest rate, in commands per second, that reaches this number of machines in time for a cancellation,
+/// without the reserve.
 fn min_rate(cancellation_deadline: Duration, machines: usize) -> f64 {
     let within_s = cancellation_deadline.as_secs_f64() * PACED_SHARE_OF_CANCELLATION_DEADLINE;
     (machines as f64 / (within_s * (1.0 - RESERVED_SHARE_OF_RATE))).ceil()
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -1,23 +1,24 @@
-//! Which machines fall silent together.
+//! Detection of shared outages: which machines are silent at the same time.
 //!
-//! One silent machine, a silent rack and a silent zone are different failures. A single machine is likely
-//! broken and is returned to the cloud. When most machines of a segment or zone are silent, the fault is more
-//! likely in the network, and the machines with their tasks are likely to come back together.
+//! A single silent machine is likely broken and is returned to the cloud. If most machines of a segment or
+//! zone are silent, the cause is more likely in the network, and the machines are likely to report again with
+//! their tasks still running.
 //!
-//! Invariants: the widest group that is mostly silent counts, and fewer than [`MIN_SILENT_MACHINES`] never
-//! do. Silence is no proof that a task ended; it only decides whether machines are kept and replaced.
+//! Invariants: the scope of an outage is the widest group whose machines are mostly silent, and a group with
+//! fewer than [`MIN_SILENT_MACHINES`] silent machines never counts as mostly silent. Silence does not prove
+//! that a task ended; it only decides whether machines are kept and replaced.
 
 use crate::segments::Segment;
 use cypressgap_model::Zone;
 use std::collections::HashMap;
 
-/// Fewer silent machines than this are taken for independent failures.
+/// Fewer silent machines than this in a group count as independent failures.
 pub const MIN_SILENT_MACHINES: usize = 3;
 
-/// The extent of an outage.
+/// The scope of an outage, from narrowest to widest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SilenceScope {
-    /// Single machines.
+    /// Individual machines.
     Machine,
     /// Most machines of a network segment.
     Segment,
@@ -27,7 +28,7 @@
     Fleet,
 }
 
-/// The number of machines of a group, and of the silent ones among them.
+/// The number of machines in a group, and of the silent ones among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct MachineTally {
     machines: usize,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Counts of silent machines by segment and by zone, taken at one time.
+/// Counts of silent machines by segment, by zone and in the fleet, all taken at the same time.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceSurvey {
     segments: HashMap<Segment, MachineTally>,
@@ -71,7 +72,8 @@
         self.fleet.add(silent);
     }
 
-    /// The extent of the outage that a silent machine of this segment and zone is part of.
+    /// The scope of the outage that a silent machine of this segment and zone is part of. Machines whose
+    /// segment is unknown form no group.
     pub fn scope(&self, segment: &Segment, zone: &Zone) -> SilenceScope {
         let is_silent =
             |tally: Option<&MachineTally>| tally.is_some_and(MachineTally::is_mostly_silent);
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The extent of the widest outage.
+    /// The scope of the widest outage; [`SilenceScope::Machine`] if there is no shared one.
     pub fn widest(&self) -> SilenceScope {
         let is_silent = |(segment, tally): (&Segment, &MachineTally)| {
             *segment != Segment::Unknown && tally.is_mostly_silent()
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -1,14 +1,16 @@
 //! The takeover of a fleet by a new leader, as the scheduler's core uses it.
 //!
-//! Heartbeats, records and lookups go in; decisions on launches, kills and rentals come out. With nothing to
-//! reconcile the takeover is over from the beginning, and admits every command at once.
+//! [`Takeover`] receives records, heartbeats and the results of lookups, and decides on launches, kills and
+//! rentals. If there is nothing to reconcile, the takeover is over from the beginning and admits every
+//! command at once.
 //!
 //! Invariants:
 //!
 //! - An attempt on record is launched again only once it is proved absent.
-//! - Pacing delays commands and never drops them: a machine that waits is returned again, and its next
-//!   heartbeat raises its forgets again.
-//! - Reconciliation cannot be turned off; only the pacing and the tolerance of outages can.
+//! - Pacing delays commands and never loses them: [`Takeover::take_waiting_machines`] returns each machine
+//!   with deferred commands, except that a deferred forget is issued again after the machine's next
+//!   heartbeat.
+//! - Reconciliation cannot be disabled; only pacing and the tolerance of shared outages can.
 
 use crate::attempt_state::{AttemptState, Evidence, HeartbeatOrigin};
 use crate::command_pacing::{CommandKind, CommandPacer, PacedCommand};
@@ -22,40 +24,42 @@
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
 use std::time::{Duration, Instant};
 
-/// Commands are paced for this long after the last one that was deferred.
+/// Pacing continues for this long after a command was last deferred.
 const PACING_QUIET_PERIOD: Duration = Duration::from_secs(5);
-/// Once everything on record is settled, pacing ends after so many commands for each attempt on record: to
-/// start it, to end it, and to start its successor. Otherwise a rate below the fleet's ordinary load would
-/// delay that load for good.
+/// Once all attempts on record are settled, pacing ends after this many commands per attempt on record: one
+/// to start it, one to end it and one to start its successor. Without this limit, a rate below the fleet's
+/// usual load would delay that load indefinitely.
 const MAX_COMMANDS_PER_RECORDED_ATTEMPT: u64 = 3;
 
-/// A change of phase, for the log.
+/// A change of the takeover's phase, for the log.
 #[derive(Clone, Debug)]
 pub struct PhaseChange {
     /// The phase that begins.
     pub phase: TakeoverPhase,
     /// Attempts on record, by state.
     pub counts: StateCounts,
-    /// The number of unknown jobs of which machines list tasks.
+    /// The number of unknown jobs whose tasks are listed by machines.
     pub unrecorded_jobs: usize,
-    /// The number of times that a command was deferred so far.
+    /// The number of deferrals so far; a command may be deferred more than once.
     pub deferred: u64,
-    /// Counts and times so far.
+    /// The statistics so far.
     pub summary: TakeoverSummary,
 }
 
 /// Whether a task must be stopped within a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillDeadline {
-    /// Nothing depends on when it stops.
+    /// Nothing depends on when the task stops.
     Unbounded,
-    /// It must stop soon: its machine is about to be evicted, or its gang ends together.
+    /// The task must stop soon, because its machine is about to be evicted or it belongs to a gang,
+    /// whose tasks end together.
     Bounded,
 }
 
-/// The takeover of one term.
+/// The takeover of the fleet in one term.
 #[derive(Debug)]
 pub struct Takeover {
+    /// Whether pacing and the tolerance of shared outages are enabled.
     is_paced: bool,
     segments: SegmentMap,
     reconciliation: Reconciliation,
@@ -81,24 +85,25 @@
         }
     }
 
-    /// Enters an attempt that was found on record.
+    /// Adds an attempt that was found on record. Called before [`Takeover::begin`].
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         self.reconciliation.record(machine, task, attempt);
     }
 
-    /// Begins the takeover, once all records are read.
+    /// Begins the takeover. Called once all records have been read.
     pub fn begin(&mut self) {
         self.progress.begin(self.reconciliation.counts().total());
     }
 
-    /// Whether the takeover is over: everything on record is settled and no command waits.
+    /// Whether the takeover is over: all attempts on record are settled, no machine lists tasks of an unknown
+    /// job, and no command waits or pacing has ended.
     pub fn is_over(&self) -> bool {
         self.progress.phase() == TakeoverPhase::Over
     }
 
     // --- evidence ---
 
-    /// Applies a heartbeat. `lists`: whether the heartbeat lists an attempt.
+    /// Applies a heartbeat of a machine. `lists`: whether the heartbeat lists an attempt.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -115,13 +120,13 @@
         self.progress.record_settled(now, settled);
     }
 
-    /// Notes that a machine has missed heartbeats.
+    /// Records that a machine has missed heartbeats.
     pub fn on_silence(&mut self, machine: &MachineId) {
         self.reconciliation
             .observe_machine(machine, Evidence::MachineSilent);
     }
 
-    /// Notes that a machine's lease has certainly expired, or that the machine is gone.
+    /// Records that a machine's lease has certainly expired, or that the machine is gone.
     pub fn on_lease_expired(&mut self, now: Instant, machine: &MachineId) {
         let evidence = Evidence::LeaseExpired;
         let settled = self.reconciliation.observe_machine(machine, evidence);
@@ -130,7 +135,7 @@
         self.commands.remove_machine(machine);
     }
 
-    /// Notes that an attempt ended, or was proved gone.
+    /// Records that an attempt ended, or was proved gone.
     pub fn on_attempt_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
         let state = self.reconciliation.remove(machine, task);
         if state.is_some_and(|state| !state.is_settled()) {
@@ -155,8 +160,8 @@
 
     // --- unrecorded tasks ---
 
-    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists. Returns those that no
-    /// machine had listed before.
+    /// Replaces the unknown jobs of a machine with those that its newest heartbeat lists. Returns the jobs
+    /// that no machine had listed before.
     pub fn on_unknown_jobs(
         &mut self,
         now: Instant,
@@ -178,12 +183,12 @@
         self.unrecorded.disposition(now, job_id)
     }
 
-    /// The jobs whose status is to be read from the key-value store.
+    /// The unknown jobs whose status is to be read from the key-value store.
     pub fn jobs_to_look_up(&self) -> Vec<JobId> {
         self.unrecorded.jobs_to_look_up().cloned().collect()
     }
 
-    /// Records the result of a job's lookup.
+    /// Records the result of a job's lookup in the key-value store.
     pub fn on_stored_job_status(&mut self, now: Instant, job_id: &JobId, status: StoredJobStatus) {
         self.unrecorded.record_status(now, job_id, status);
     }
@@ -200,7 +205,7 @@
         !self.unrecorded.is_empty() && self.unrecorded.may_count_against_any_team()
     }
 
-    /// Counts an unrecorded task that was adopted, and resumes the takeover.
+    /// Counts an unrecorded task that was adopted, and resumes the takeover if it was over.
     pub fn on_unrecorded_adopted(&mut self) {
         self.progress.record_adopted();
         self.progress.reopen();
@@ -215,8 +220,8 @@
         state.is_none_or(AttemptState::allows_launch)
     }
 
-    /// How long a kill may wait. `cancelled_for`: the time since its job was cancelled, if it was;
-    /// `cancellation_deadline`: the time that a cancellation may take.
+    /// The pacing class of a kill. `cancelled_for`: the time since its job was cancelled, `None` if it was
+    /// not; `cancellation_deadline`: the time within which a cancellation must take effect.
     pub fn kill_class(
         cancelled_for: Option<Duration>,
         cancellation_deadline: Duration,
@@ -234,8 +239,8 @@
         }
     }
 
-    /// Whether a command may be sent now. If not, its machine is among those that
-    /// [`Takeover::take_waiting_machines`] returns later.
+    /// Whether a command may be sent now. If the rate is used up, [`Takeover::take_waiting_machines`] returns
+    /// its machine later, unless the command is of the class [`PacingClass::Background`].
     #[must_use]
     pub fn admit(
         &mut self,
@@ -269,7 +274,7 @@
         self.progress.record_killed();
     }
 
-    /// Drops the commands of a machine that its newest heartbeat shows as carried out.
+    /// Acknowledges the commands of a machine that its newest heartbeat shows as carried out.
     pub fn acknowledge(
         &mut self,
         machine: &MachineId,
@@ -280,7 +285,7 @@
         }
     }
 
-    /// Takes the machines whose deferred commands may be tried again now.
+    /// Removes and returns the machines whose deferred commands may be sent now, as far as the rate allows.
     #[must_use]
     pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         self.commands.take_waiting_machines(now)
@@ -288,17 +293,18 @@
 
     // --- silence ---
 
-    /// The segment of a machine, by its endpoint.
+    /// The network segment of a machine with this endpoint, `ADDRESS:PORT`.
     pub fn segment_of(&self, endpoint: &str) -> Segment {
         self.segments.of_endpoint(endpoint)
     }
 
-    /// Replaces the counts of silent machines.
+    /// Replaces the counts of silent machines by the newest ones.
     pub fn set_silence(&mut self, silence: SilenceSurvey) {
         self.silence = silence;
     }
 
-    /// The extent of the outage that a silent machine is part of.
+    /// The scope of the outage that a silent machine is part of. While pacing is disabled, only outages of
+    /// the whole fleet are recognized.
     #[must_use]
     pub fn silence_scope(&self, endpoint: &str, zone: &Zone) -> SilenceScope {
         let scope = self.silence.scope(&self.segment_of(endpoint), zone);
@@ -309,8 +315,9 @@
         }
     }
 
-    /// Charges and returns how many of the wanted machines may be rented now. Rentals are paced while most
-    /// machines of a segment or zone are silent, since they are likely to come back.
+    /// Charges and returns how many of the wanted machines may be rented now. Rentals are limited while most
+    /// machines of a segment, a zone or the fleet are silent, since these machines are likely to report
+    /// again.
     #[must_use]
     pub fn admit_rentals(&mut self, now: Instant, wanted: u32) -> u32 {
         if !self.is_paced || self.silence.widest() == SilenceScope::Machine {
@@ -321,7 +328,7 @@
 
     // --- progress ---
 
-    /// Moves on to the phase that fits what remains, and returns the change if there is one.
+    /// Updates the phase, and returns the change if there is one.
     pub fn advance(&mut self, now: Instant) -> Option<PhaseChange> {
         if self.is_over() {
             return None;
@@ -347,7 +354,7 @@
         })
     }
 
-    /// Counts and times so far.
+    /// The statistics so far.
     pub fn summary(&self, now: Instant) -> TakeoverSummary {
         self.progress.summary(now)
     }
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -11,17 +11,17 @@
 //!   decides nothing.
 //! - Tasks are killed only if their job is over, or if the store has denied it [`MIN_DENIALS`] times,
 //!   [`MIN_DENIAL_INTERVAL`] apart, and the hold time has passed.
-//! - Until a task is proved gone its machine takes no other task, and it counts against the quota of every
-//!   team, because its size and its team are unknown.
+//! - Until a task is proved gone, no other task is placed on its machine, because its size is unknown.
+//!   Nothing starts for teams with a quota, because its team is unknown.
 
 use crate::attempt_state::HeartbeatOrigin;
 use cypressgap_model::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Two reads that found no trace of a job count as two only if they are this far apart.
+/// Two reads that find no trace of a job count as two denials only if they are at least this far apart.
 pub const MIN_DENIAL_INTERVAL: Duration = Duration::from_secs(2);
-/// The number of such reads that are needed before tasks of the job are killed.
+/// The number of denials that are needed before tasks of the job are killed.
 pub const MIN_DENIALS: u32 = 2;
 
 /// The status of a job according to the key-value store.
@@ -31,7 +31,8 @@
     Live,
     /// Its terminal state is durable, so all of its tasks were proved ended or gone before.
     Over,
-    /// Never accepted, or the store was restored to a state from before the acceptance.
+    /// The store denies the job: it was never accepted, or the store was restored to a state from before its
+    /// acceptance.
     NeverAccepted,
 }
 
@@ -39,18 +40,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Disposition {
-    /// They go on, and occupy their machine, until more is known.
+    /// They keep running, and occupy their machine, until more is known.
     Hold,
     /// They are killed under a raised fencing token.
     Kill,
 }
 
-/// The unknown jobs of which one heartbeat lists tasks.
+/// The unknown jobs whose tasks are listed by one heartbeat.
 #[derive(Debug)]
 pub struct ListedJobs {
     /// Whether the heartbeat was certainly sent in this term.
     pub origin: HeartbeatOrigin,
-    /// The jobs.
+    /// The unknown jobs. Empty: the heartbeat lists no tasks of unknown jobs.
     pub jobs: BTreeSet<JobId>,
 }
 
@@ -64,7 +65,9 @@
 #[derive(Clone, Copy, Debug)]
 struct UnknownJob {
     first_listed_at: Instant,
+    /// The result of the last successful lookup. `None`: there was none.
     status: Option<StoredJobStatus>,
+    /// The number of denials since the last lookup with another result.
     denials: u32,
     last_denied_at: Option<Instant>,
     /// The number of machines that list tasks of it.
@@ -121,7 +124,7 @@
 }
 
 impl UnrecordedTasks {
-    /// Creates an empty collection. Tasks of a job that was never accepted are held for `hold_time`.
+    /// Creates an empty collection. Tasks of a job that was never accepted are held for at least `hold_time`.
     pub fn new(hold_time: Duration) -> UnrecordedTasks {
         UnrecordedTasks {
             hold_time,
@@ -131,8 +134,8 @@
         }
     }
 
-    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists. Returns the jobs that
-    /// no machine had listed before.
+    /// Replaces the unknown jobs of a machine with those that its newest heartbeat lists. Returns the jobs
+    /// that no machine had listed before.
     pub fn replace(&mut self, now: Instant, machine: &MachineId, listed: ListedJobs) -> Vec<JobId> {
         let mut new = Vec::new();
         for job_id in &listed.jobs {
@@ -142,7 +145,7 @@
             });
             job.machines += 1;
         }
-        // After the new count, so that a job that is listed again keeps its lookups.
+        // The old list is removed after the new one was counted, so that a job on both keeps its lookups.
         self.remove_machine(machine);
         if !listed.jobs.is_empty() {
             self.machines_of_this_term += usize::from(listed.is_from_this_term());
@@ -151,7 +154,7 @@
         new
     }
 
-    /// Forgets a machine that has no such task any more, or is gone.
+    /// Removes a machine that lists no such task any more, or is gone.
     pub fn remove_machine(&mut self, machine: &MachineId) {
         let Some(listed) = self.machines.remove(machine) else {
             return;
@@ -162,7 +165,7 @@
         }
     }
 
-    /// One machine fewer lists a job. A job that no machine lists needs no lookup.
+    /// Decrements the number of machines that list a job, and removes the job if none does.
     fn release_job(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The decision on a job's tasks.
+    /// The decision on a job's tasks. Tasks of a job that no machine lists are held.
     pub fn disposition(&self, now: Instant, job_id: &JobId) -> Disposition {
         let job = self.jobs.get(job_id);
         job.map_or(Disposition::Hold, |job| {
@@ -188,21 +191,22 @@
         })
     }
 
-    /// The jobs whose status is to be read from the key-value store. `Over` is final.
+    /// The jobs whose status is to be read from the key-value store. `Over` is final, so those jobs are left
+    /// out.
     pub fn jobs_to_look_up(&self) -> impl Iterator<Item = &JobId> {
         let jobs = self.jobs.iter();
         jobs.filter(|(_, job)| job.status != Some(StoredJobStatus::Over))
             .map(|(job_id, _)| job_id)
     }
 
-    /// Whether a machine is occupied by tasks whose size is unknown.
+    /// Whether a machine is occupied by tasks whose size is unknown, so that nothing may be placed on it.
     #[must_use]
     pub fn holds_machine(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
     /// Whether tasks whose team is unknown may be running. A job whose terminal state is durable had no task
-    /// on any machine then, so only a heartbeat from this term can show one.
+    /// on any machine when that state was written, so only a heartbeat from this term can prove that one is.
     #[must_use]
     pub fn may_count_against_any_team(&self) -> bool {
         let is_over = |job: &UnknownJob| job.status == Some(StoredJobStatus::Over);
@@ -214,7 +218,7 @@
         self.jobs.len()
     }
 
-    /// Whether no machine lists such tasks.
+    /// Whether no machine lists tasks of unknown jobs.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
--- a/crates/recovery/tests/pacing.rs
+++ b/crates/recovery/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Rates of commands, to the fleet and to each segment, whatever is asked for and in whatever sequence.
+//! Limits on the rate of commands to the fleet and to each segment, for any sequence of requests.
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::command_pacing::{CommandKind, CommandPacer, PacedCommand};
@@ -37,7 +37,7 @@
     }
 }
 
-/// The most that any second holds of these times.
+/// The maximum number of these times within any interval of one second.
 fn peak(times: &[Instant]) -> usize {
     let within = |from: &Instant| {
         let end = *from + Duration::from_secs(1);
@@ -46,18 +46,18 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// Three segments ask for far more than they may have, ordinary and prompt orders in turn, acknowledged
-/// at once or never.
+/// Three segments request far more than their limits allow, with ordinary and prompt commands in turn. The
+/// commands are acknowledged at once, or never.
 #[test]
-fn no_second_holds_more_than_the_limits() {
-    for acknowledged in [true, false] {
+fn no_second_exceeds_the_command_rates() {
+    for is_acknowledged in [true, false] {
         let settings = settings();
         let start = Instant::now();
         let map = SegmentMap::new(&settings.segments, settings.prefixes);
         let mut pacer = CommandPacer::new(settings.command_rates(DEPLOYMENT), start);
         let mut sent: Vec<(Segment, Instant)> = Vec::new();
         for step in 0..3000u64 {
-            // Idle for a while in between, so that buckets fill up.
+            // Nothing is requested for 20 s in between, so that the buckets fill up.
             let now = start + ms(step * 5) + if step > 1500 { ms(20_000) } else { ms(0) };
             for n in 0..6u64 {
                 let machine = MachineId(format!("i-{}", n % 3));
@@ -67,7 +67,7 @@
                 if pacer.admit(now, &machine, &segment, command, class) {
                     sent.push((segment, now));
                 }
-                if acknowledged {
+                if is_acknowledged {
                     pacer.acknowledge(&machine, |_| true);
                 }
             }
@@ -81,15 +81,15 @@
             assert!(peak(&times) <= 40, "{name}: {}", peak(&times));
             assert!(!times.is_empty());
         }
-        // It takes what is acknowledged for a sign that more may follow.
-        let least = if acknowledged { 900 } else { 150 };
-        let most = if acknowledged { 2500 } else { 900 };
+        // The buckets refill more slowly without acknowledgements.
+        let least = if is_acknowledged { 900 } else { 150 };
+        let most = if is_acknowledged { 2500 } else { 900 };
         assert!((least..most).contains(&sent.len()), "{}", sent.len());
     }
 }
 
 #[test]
-fn a_bucket_starts_empty_and_immediate_orders_are_charged() {
+fn a_bucket_starts_nearly_empty_and_immediate_commands_are_charged() {
     let start = Instant::now();
     let mut bucket = TokenBucket::new(10.0, start);
     assert!(
@@ -98,22 +98,25 @@
     );
     assert!(
         TokenBucket::new(500.0, start).available() <= 5,
-        "nor of a large one"
+        "nor with a high limit"
     );
     assert!(!bucket.admits(PacingClass::Background));
-    assert!(bucket.admits(PacingClass::Prompt), "what is reserved");
+    assert!(
+        bucket.admits(PacingClass::Prompt),
+        "prompt commands use the reserve"
+    );
     assert!(bucket.admits(PacingClass::Immediate));
     for _ in 0..50 {
         bucket.charge();
     }
     assert!(bucket.admits(PacingClass::Immediate));
-    // Owed for a second at most, so that others go on soon.
+    // The debt is at most the commands of one second, so that other commands are soon admitted again.
     bucket.refill(start + Duration::from_secs(2), 1.0);
     assert!(bucket.admits(PacingClass::Ordinary));
 }
 
 #[test]
-fn forgets_leave_room_for_everything_else() {
+fn forgets_leave_tokens_for_other_commands() {
     let start = Instant::now();
     let mut bucket = TokenBucket::new(1000.0, start);
     bucket.refill(start + Duration::from_secs(2), 1.0);
@@ -122,12 +125,12 @@
         bucket.charge();
         forgets += 1;
     }
-    assert_eq!(forgets, 51, "half of what the bucket keeps");
+    assert_eq!(forgets, 51, "half of the capacity of the bucket");
     assert!(bucket.available() >= 49 && bucket.admits(PacingClass::Ordinary));
 }
 
 #[test]
-fn an_order_is_repeated_only_after_a_while_and_not_in_step() {
+fn launches_are_repeated_with_exponential_delay_and_jitter() {
     let settings = settings();
     let map = SegmentMap::new(&settings.segments, settings.prefixes);
     let segment = map.of_endpoint("10.0.0.1:9");
@@ -144,20 +147,24 @@
             pacer.admit(at, &machine, &segment, command, PacingClass::Ordinary)
         };
         assert!(launch(&mut pacer, start));
-        let again = (1..5000)
+        let first_repeat_ms = (1..5000)
             .step_by(50)
             .find(|at| launch(&mut pacer, start + ms(*at)));
-        let again = again.expect("it is repeated");
-        assert!((1500..=2551).contains(&again), "{again}");
-        let third = (again..20_000)
+        let first_repeat_ms = first_repeat_ms.expect("it is repeated");
+        assert!(
+            (1500..=2551).contains(&first_repeat_ms),
+            "{first_repeat_ms}"
+        );
+        let second_repeat_ms = (first_repeat_ms..20_000)
             .step_by(50)
             .find(|at| launch(&mut pacer, start + ms(*at)));
         assert!(
-            third.is_some_and(|third| third - again > 2900),
-            "twice as long"
+            second_repeat_ms
+                .is_some_and(|second_repeat_ms| second_repeat_ms - first_repeat_ms > 2900),
+            "the second delay is twice as long"
         );
-        repeated.push(again);
-        // What a report shows is over with: the same order would be a new one.
+        repeated.push(first_repeat_ms);
+        // After the acknowledgement the same command counts as a new one.
         pacer.acknowledge(&machine, |o| o.kind == CommandKind::Launch);
         assert!(launch(&mut pacer, start + Duration::from_secs(60)));
     }
@@ -167,7 +174,7 @@
 }
 
 #[test]
-fn machines_that_wait_are_named_as_the_pace_allows() {
+fn waiting_machines_are_returned_as_the_rate_allows() {
     let settings = settings();
     let start = Instant::now();
     let mut pacer = CommandPacer::new(settings.command_rates(DEPLOYMENT), start);
@@ -184,15 +191,16 @@
     }
     assert!(pacer.take_waiting_machines(start).len() <= 1);
     let now = start + ms(50);
-    let named = pacer.take_waiting_machines(now);
-    assert!((1..=5).contains(&named.len()), "{}", named.len());
+    let taken = pacer.take_waiting_machines(now);
+    assert!((1..=5).contains(&taken.len()), "{}", taken.len());
     assert!(pacer.is_busy(now, Duration::from_secs(5)));
     assert_eq!((pacer.sent_count(), pacer.deferred_count()), (0, 1000));
 }
 
-/// A kill's class by the time since its job's cancellation, of 50 s that its end may take.
+/// The pacing class of a kill by the time since the cancellation of its job, in seconds, with a cancellation
+/// deadline of 50 s.
 #[test]
-fn a_cancellation_never_waits_for_long() {
+fn kills_of_cancelled_jobs_become_immediate_long_before_the_deadline() {
     let cancel = Duration::from_secs(50);
     let cases = [
         (None, KillDeadline::Unbounded, PacingClass::Ordinary),
@@ -201,27 +209,28 @@
         (Some(14), KillDeadline::Unbounded, PacingClass::Prompt),
         (Some(15), KillDeadline::Bounded, PacingClass::Immediate),
     ];
-    for (passed, kill_deadline, class) in cases {
-        let passed = passed.map(Duration::from_secs);
-        let found = Takeover::kill_class(passed, cancel, kill_deadline);
-        assert_eq!(found, class, "{passed:?}");
+    for (elapsed, kill_deadline, class) in cases {
+        let elapsed = elapsed.map(Duration::from_secs);
+        let found = Takeover::kill_class(elapsed, cancel, kill_deadline);
+        assert_eq!(found, class, "{elapsed:?}");
     }
 }
 
 #[test]
 fn rentals_are_spread_over_time() {
     let start = Instant::now();
-    let mut pace = RentalRateLimiter::new(10.0);
+    let mut limiter = RentalRateLimiter::new(10.0);
     let mut rented = 0;
     for step in 0..100 {
-        rented += pace.take(start + ms(step * 100), 50);
+        rented += limiter.take(start + ms(step * 100), 50);
     }
     assert!((105..=110).contains(&rented), "{rented}");
 }
 
-/// Machines that report all the time take nothing from those that wait.
+/// Guards against starvation: a machine whose heartbeats arrive more often must not use the tokens that
+/// waiting machines need.
 #[test]
-fn who_waits_goes_before_who_just_reported() {
+fn waiting_machines_precede_machines_that_just_reported() {
     let command_rates = RecoverySettings {
         segment_orders_per_second: Some(100.0),
         ..settings()
@@ -240,18 +249,18 @@
             PacingClass::Ordinary,
         )
     };
-    let mut given = 0;
-    while given < 50 && admit(&mut pacer, &busy, given, start) {
-        given += 1;
+    let mut admitted_count = 0;
+    while admitted_count < 50 && admit(&mut pacer, &busy, admitted_count, start) {
+        admitted_count += 1;
     }
-    assert_eq!(given, 10, "what the bucket keeps");
-    // The busy machine asks again and again before the pace is looked at.
+    assert_eq!(admitted_count, 10, "the capacity of the bucket");
+    // The busy machine requests 100 commands before the waiting machines are taken.
     assert!(!admit(&mut pacer, &first, 0, start));
     let later = start + ms(100);
     for index in 100..200 {
         assert!(!admit(&mut pacer, &busy, index, later));
     }
-    // It was the first to wait; then comes the other.
+    // The busy machine was deferred first, so it comes first in the queue.
     assert_eq!(
         pacer.take_waiting_machines(later),
         [busy.clone(), first.clone()]
--- a/crates/recovery/tests/segments.rs
+++ b/crates/recovery/tests/segments.rs
@@ -1,4 +1,4 @@
-//! Segments, silence by segment, and settings that cannot be used.
+//! Segments, the scope of outages, and the validation of settings.
 
 use cypressgap_model::Zone;
 use cypressgap_recovery::segments::{NamedSegment, SegmentMap};
@@ -6,7 +6,7 @@
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey};
 use std::time::Duration;
 
-fn named(name: &str, net: &str) -> NamedSegment {
+fn named_segment(name: &str, net: &str) -> NamedSegment {
     NamedSegment {
         name: name.to_owned(),
         net: parse_segment(net).expect("a network"),
@@ -22,7 +22,7 @@
 
 #[test]
 fn machines_are_grouped_by_name_or_prefix() {
-    let settings = with_segments(vec![named("rack-7", "10.1.7.0/25")]);
+    let settings = with_segments(vec![named_segment("rack-7", "10.1.7.0/25")]);
     let map = SegmentMap::new(&settings.segments, settings.prefixes);
     let cases = [
         ("10.1.7.9:9000", "rack-7"),
@@ -37,10 +37,10 @@
     }
 }
 
-/// Machines and silent ones of two segments at one site and of a third at another; the scope of a silent
-/// machine of the first.
+/// Each case has the numbers of machines, and of silent ones among them, in two segments of zone `a` and one
+/// of zone `b`, and the expected scope of the outage for a silent machine of the first segment.
 #[test]
-fn silence_is_told_apart_by_its_reach() {
+fn the_scope_of_an_outage_is_the_widest_mostly_silent_group() {
     use SilenceScope::{Fleet, Machine, Segment, Zone as WholeZone};
     let cases = [
         ([(10, 1), (10, 0), (40, 0)], Machine),
@@ -81,20 +81,26 @@
 }
 
 #[test]
-fn settings_that_cannot_be_used_together_are_named() {
-    let with_pace = |fleet: f64, segment: f64| RecoverySettings {
+fn invalid_combinations_of_settings_are_rejected() {
+    let with_rates = |fleet: f64, segment: f64| RecoverySettings {
         orders_per_second: Some(fleet),
         segment_orders_per_second: Some(segment),
         ..RecoverySettings::default()
     };
-    let overlapping = vec![named("hall", "10.1.0.0/16"), named("rack", "10.1.7.0/24")];
-    let same_name = vec![named("rack", "10.1.7.0/24"), named("rack", "10.1.8.0/24")];
-    let large = vec![named("hall", "10.0.0.0/8")];
+    let overlapping = vec![
+        named_segment("hall", "10.1.0.0/16"),
+        named_segment("rack", "10.1.7.0/24"),
+    ];
+    let same_name = vec![
+        named_segment("rack", "10.1.7.0/24"),
+        named_segment("rack", "10.1.8.0/24"),
+    ];
+    let large = vec![named_segment("hall", "10.0.0.0/8")];
     let cases = [
         (RecoverySettings::default(), None),
-        (with_pace(600.0, 601.0), Some("above orders-per-s")),
-        (with_pace(300.0, 300.0), Some("cannot reach 5000 machines")),
-        (with_pace(600.0, 10.0), Some("cannot reach 256 machines")),
+        (with_rates(600.0, 601.0), Some("above orders-per-s")),
+        (with_rates(300.0, 300.0), Some("cannot reach 5000 machines")),
+        (with_rates(600.0, 10.0), Some("cannot reach 256 machines")),
         (with_segments(overlapping), Some("overlaps")),
         (
             with_segments(same_name),
@@ -118,10 +124,10 @@
     }
     let off = RecoverySettings {
         enabled: false,
-        ..with_pace(1.0, 1.0)
+        ..with_rates(1.0, 1.0)
     };
     assert!(off.validate(deployment).is_ok());
-    // What is not set follows the deployment's size.
+    // Rates that are not set follow from the size of the deployment.
     let huge = Deployment {
         cancellation_deadline: Duration::from_secs(20),
         max_machines: 100_000,
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -1,4 +1,4 @@
-//! What is known of attempts: transitions, reconciliation by reports, and work that no record names.
+//! States of attempts: transitions, reconciliation with heartbeats, and unrecorded tasks.
 
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Term};
 use cypressgap_recovery::attempt_state::HeartbeatOrigin::{PossiblyEarlier, ThisTerm};
@@ -27,7 +27,7 @@
     ListedJobs { origin, jobs }
 }
 
-/// The table in the design note, row by row, against the code.
+/// Compares each row of the table in the design note with the code.
 #[test]
 fn transitions_are_those_of_the_design_note() {
     for state in AttemptState::ALL {
@@ -51,7 +51,7 @@
         assert_eq!(AttemptState::Expired.after(evidence), AttemptState::Expired);
     }
     for state in AttemptState::ALL {
-        // Silence and late copies prove nothing: they settle no attempt that was not settled.
+        // Silence, and heartbeats that may be from before the term, settle no attempt that was not settled.
         for evidence in [
             Evidence::MachineSilent,
             Evidence::NotReportedPossiblyEarlier,
@@ -73,14 +73,14 @@
     let state = |reconciliation: &Reconciliation, index| {
         reconciliation.state(&machine, &task(index), attempt(7))
     };
-    // A report from before the term settles what it shows, and nothing else.
+    // A heartbeat that may be from before the term settles the attempts that it lists, and no others.
     assert_eq!(
         reconciliation.observe_heartbeat(&machine, PossiblyEarlier, |t, _| t.index == 0),
         1
     );
     assert_eq!(state(&reconciliation, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&reconciliation, 1), Some(AttemptState::Unreported));
-    // A machine that shows another attempt of the task does not show this one.
+    // A heartbeat that lists another attempt of a task does not list the one on record.
     let other = |t: &TaskId, a: AttemptId| t.index <= 1 && a == attempt(8);
     assert_eq!(
         reconciliation.observe_heartbeat(&machine, ThisTerm, other),
@@ -110,7 +110,8 @@
     assert!(reconciliation.is_empty() && reconciliation.counts().total() == 0);
 }
 
-/// What the state service says of a job, after how many seconds, and what becomes of its work.
+/// Each case has the results of a job's lookups in the key-value store, with their times in seconds, and the
+/// expected decision on the job's tasks at a given time.
 #[test]
 fn unrecorded_work_is_killed_only_on_answers() {
     use Disposition::{Hold, Kill};
@@ -193,7 +194,8 @@
         "known by now"
     );
     assert_eq!(unrecorded.jobs_to_look_up().count(), 1);
-    // Over, and shown by what may be a late copy: nothing was on machines when its verdict was written.
+    // The job is over, and heartbeats that list its tasks may be from before the term: none of its tasks was
+    // on a machine when its terminal state was written.
     unrecorded.record_status(now, &job_id, StoredJobStatus::Over);
     assert!(!unrecorded.may_count_against_any_team());
     unrecorded.replace(now, &second, listed(ThisTerm, jobs()));
