--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -140,7 +140,7 @@
     #[error("'{0}' is not a network such as 10.1.0.0/16")]
     NotANetwork(String),
     /// The address has bits set beyond the prefix.
-    #[error("'{text}' has bits set beyond its prefix; {network} is meant?")]
+    #[error("'{text}' has bits set beyond its prefix; presumably {network} is meant")]
     HostBitsSet {
         /// The text that was parsed.
         text: String,
--- a/src/core/capacity/capacity_manager.rs
+++ b/src/core/capacity/capacity_manager.rs
@@ -14,20 +14,20 @@
         self.cancel_drains(self.plan_drain_cancellations(round));
         self.scale_in(now);
         self.order_rentals(now, self.plan_scale_out(now, round));
-        let is_idle = round.waiting.is_empty();
-        if is_idle {
+        let has_no_waiting_tasks = round.waiting.is_empty();
+        if has_no_waiting_tasks {
             self.apply_replacement(now, self.plan_spot_replacement(now));
             self.drain_machines(self.plan_spot_capacity_drains(now));
         }
         self.drain_replaced(self.plan_replaced_drains());
-        if is_idle {
+        if has_no_waiting_tasks {
             self.apply_consolidation(now, self.plan_consolidation(now));
         }
         self.send_rentals(now);
     }
 
-    /// Whether this term knows which machines exist: either the cloud's list was received and every machine
-    /// on it that is up has reported, or machines have had enough time to report.
+    /// Whether this term knows which machines exist: either the cloud's list was received and every known
+    /// machine that is neither booting nor being returned has reported, or machines have had time to report.
     pub(super) fn knows_fleet(&self, now: Instant) -> bool {
         let has_not_reported =
             |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -31,7 +31,7 @@
             .entry(listed.id.clone())
             .or_insert_with(|| {
                 log::info!(
-                    "adopting listed machine={} phase={:?}",
+                    "adopting a machine from the cloud's list machine={} phase={:?}",
                     listed.id,
                     listed.phase
                 );
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -148,8 +148,8 @@
         && remaining >= min_remaining
 }
 
-/// The free resources of the machines in `loads`, by index, after they took all tasks of another machine;
-/// only of those that took any. `None`: the tasks do not fit. Idle machines take none.
+/// Packs all tasks of a machine onto the machines in `loads`, except idle ones. Returns the resources that
+/// remain free on the machines that take a task, by index. `None`: the tasks do not fit.
 fn pack_onto(loads: &[MachineLoad<'_>], machine: &Machine) -> Option<HashMap<usize, Resources>> {
     let mut free_after: HashMap<usize, Resources> = HashMap::new();
     for resources in machine.placed_tasks.values() {
@@ -163,8 +163,8 @@
     Some(free_after)
 }
 
-/// Whether the free resources of these machines cover the headroom of each class and, before the tasks moved,
-/// this number of tasks more.
+/// Whether the free resources of these machines, before the move, cover the headroom of each class and
+/// `moving` more tasks of the same size. These stand for the tasks that are about to be moved.
 fn covers_headroom_after_moves(
     headroom: &[HeadroomDemand],
     loads: &[MachineLoad<'_>],
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -36,5 +36,6 @@
 pub use capacity_state::Capacity;
 pub use rentals::RentalOutcome;
 
-/// A machine is expensive if its price exceeds the cheapest alternative's by more than this factor.
+/// A machine is expensive if it costs more per CPU than this many times the cheapest machine that may be used
+/// instead.
 const EXPENSIVE_PRICE_FACTOR: f64 = 1.5;
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -144,7 +144,7 @@
         self.add(candidate, candidate.capacity, 1);
     }
 
-    fn add(&mut self, candidate: &RentalCandidate, free: Resources, tasks: usize) {
+    fn add(&mut self, candidate: &RentalCandidate, free: Resources, task_count: usize) {
         let zone = candidate.offer.zone.clone();
         *self.zone_counts.entry(zone).or_default() += 1;
         if self.min_task_resources.fits(&free) {
@@ -154,7 +154,7 @@
             offer: candidate.offer.clone(),
             capacity: candidate.capacity,
             free,
-            task_count: tasks,
+            task_count,
         });
     }
 
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -86,7 +86,7 @@
 
 impl HeadroomReserve<'_> {
     /// The number of tasks that fit without this machine. `class`: an index into `demands`.
-    fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
+    fn fits_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
         let fits = free.map_or(0, |free| {
             self.demands[class].resources.count_fitting_in(free)
@@ -96,14 +96,13 @@
 
     fn is_sufficient_without(&self, machine: &MachineId) -> bool {
         let mut demands = self.demands.iter().enumerate();
-        demands.all(|(class, demand)| {
-            self.covered_without(machine, class) >= demand.task_count as usize
-        })
+        demands
+            .all(|(class, demand)| self.fits_without(machine, class) >= demand.task_count as usize)
     }
 
     fn remove(&mut self, machine: &MachineId) {
         for class in 0..self.demands.len() {
-            self.covered_tasks[class] = self.covered_without(machine, class);
+            self.covered_tasks[class] = self.fits_without(machine, class);
         }
         self.free_by_machine.remove(machine);
     }
@@ -140,17 +139,18 @@
         by_price.into_iter().map(|(_, machine)| machine).collect()
     }
 
+    /// Checks whether a booting machine has taken too long to come up.
     fn check_boot(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let booting = now.saturating_duration_since(machine.booting_since?);
+        let booting_for = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
         let advertised = machine_type.map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.advertised_boot_time);
         let max_boot = advertised.mul_f64(MAX_BOOT_TIME_FACTOR) + BOOT_TIME_MARGIN;
-        let awake = now.saturating_duration_since(self.liveness.awake_since);
-        let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PROCESS_PAUSE;
-        (has_listened && booting > max_boot).then_some(ReturnReason::NeverBooted)
+        let awake_for = now.saturating_duration_since(self.liveness.awake_since);
+        let has_listened = awake_for > self.config.heartbeat * HEARTBEATS_AFTER_PROCESS_PAUSE;
+        (has_listened && booting_for > max_boot).then_some(ReturnReason::NeverBooted)
     }
 
-    /// The reason for which a machine that was up is no longer usable: quarantine, eviction or lost contact.
+    /// Checks whether a machine that has booted is unusable because of quarantine, eviction or lost contact.
     fn check_unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let is_past_limit =
             |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
@@ -167,16 +167,16 @@
             return None;
         }
         let known_since = machine.known_since.max(self.liveness.awake_since);
-        let known = now.saturating_duration_since(known_since);
-        let expected = machine.has_reported || known > self.config.lease;
+        let known_for = now.saturating_duration_since(known_since);
+        let expected = machine.has_reported || known_for > self.config.lease;
         if silent && expected {
             return Some(ReturnReason::Silent);
         }
         unreachable.then_some(ReturnReason::Unreachable)
     }
 
-    /// Whether a machine has been idle for long enough and is not needed for the headroom, or is drained and
-    /// empty. If so, it is removed from `headroom`.
+    /// Checks whether a machine has been idle for long enough and is not needed for the headroom, or is
+    /// drained and empty. If so, removes it from `headroom`.
     fn check_idle(
         &self,
         now: Instant,
