--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -26,7 +26,7 @@
         self.counts[state as usize]
     }
 
-    /// The number of attempts of which it is not known whether they are running.
+    /// The number of attempts that may or may not be running.
     pub fn unsettled(&self) -> usize {
         let states = AttemptState::ALL.into_iter();
         let unsettled = states.filter(|state| !state.is_settled());
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -109,8 +109,8 @@
             .iter()
             .map(|free| free.cpus)
             .sum();
-        let ordinary = self.fleet.machines.values().filter(|m| !m.spot);
-        let used_cpus: f64 = ordinary.map(|m| m.used.cpus).sum();
+        let on_demand = self.fleet.machines.values().filter(|m| !m.spot);
+        let used_cpus: f64 = on_demand.map(|m| m.used.cpus).sum();
         if free_cpus >= used_cpus {
             return 0;
         }
