--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,32 +1,32 @@
-//! Phases, counts and times of a takeover, for the log.
+//! The phase of a takeover, and its statistics for the log.
 //!
-//! Invariants: a takeover is over only when nothing on record is unsettled, no unknown job has tasks on a
-//! machine and no command waits; nothing in here decides about a task. The words that are printed stand in
-//! the operators' tables.
+//! Invariants: a takeover is over only if all attempts on record are settled, no machine lists tasks of an
+//! unknown job, and no command waits. This module makes no decisions about tasks. The names that it prints
+//! are documented for operators and must not change.
 
 use crate::reconciliation::StateCounts;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The precision of the histogram of settling times.
+/// The precision of the histogram of settling times, in significant decimal digits.
 const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 2;
-/// The share of settled attempts from which on most count as reconciled.
-const MOSTLY_RECONCILED_SHARE: f64 = 0.95;
+/// The share of the attempts on record that must be settled for most of them to count as reconciled.
+const MOSTLY_RECONCILED_SHARE_OF_RECORDED: f64 = 0.95;
 
-/// Printed in place of a time that is not known.
-const UNKNOWN_SECONDS: f64 = -1.0;
+/// Printed in place of a time that is not known, in seconds.
+const UNKNOWN_TIME_S: f64 = -1.0;
 
 /// The phase of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakeoverPhase {
-    /// Records were read; no attempt is settled yet.
+    /// Records were read, and no attempt is settled yet.
     Listening,
-    /// Some attempts on record are settled.
+    /// Some attempts on record are settled, or machines list tasks of unknown jobs.
     Reconciling,
-    /// All are settled, and commands still wait for the rate limits.
+    /// All attempts on record are settled, and commands are still deferred by the rate limits.
     Pacing,
-    /// Nothing remains to be done.
+    /// The takeover is complete, or had nothing to do.
     Over,
 }
 
@@ -41,28 +41,29 @@
     }
 }
 
-/// What remains to be done in a takeover.
+/// The remaining work of a takeover, which determines its phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Remaining {
     /// Attempts on record, by state.
     pub counts: StateCounts,
-    /// The number of unknown jobs of which machines list tasks.
+    /// The number of unknown jobs whose tasks are listed by machines.
     pub unrecorded_jobs: usize,
-    /// Whether commands wait for the rate limits, or did until recently, and the limits still apply.
+    /// Whether commands are deferred by the rate limits, or were until recently, and the limits still apply.
     pub commands_waiting: bool,
 }
 
-/// The progress of a takeover. Times are counted from the beginning of the term.
+/// The progress of a takeover. Durations are measured from the beginning of the term.
 #[derive(Clone, Debug)]
 pub struct Progress {
     began_at: Instant,
     phase: TakeoverPhase,
     recorded: usize,
     settled: usize,
+    /// The times until attempts were settled, in milliseconds.
     settling_times: Histogram<u64>,
-    most_reconciled: Option<Duration>,
-    first_command: Option<Duration>,
-    last_command: Option<Duration>,
+    mostly_reconciled_after: Option<Duration>,
+    first_command_after: Option<Duration>,
+    last_command_after: Option<Duration>,
     commands: u64,
     adopted: u64,
     killed: u64,
@@ -78,9 +79,9 @@
             settled: 0,
             settling_times: Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS)
                 .expect("the number of digits is allowed"),
-            most_reconciled: None,
-            first_command: None,
-            last_command: None,
+            mostly_reconciled_after: None,
+            first_command_after: None,
+            last_command_after: None,
             commands: 0,
             adopted: 0,
             killed: 0,
@@ -119,13 +120,13 @@
         }
         let after = now.saturating_duration_since(self.began_at);
         self.settled += attempts;
-        // A histogram that resizes itself takes every value.
+        // Recording cannot fail, because the histogram resizes itself.
         let _ = self
             .settling_times
             .record_n(after.as_millis() as u64, attempts as u64);
-        let needed = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE).ceil() as usize;
-        if self.settled >= needed && self.most_reconciled.is_none() {
-            self.most_reconciled = Some(after);
+        let needed = (self.recorded as f64 * MOSTLY_RECONCILED_SHARE_OF_RECORDED).ceil() as usize;
+        if self.settled >= needed && self.mostly_reconciled_after.is_none() {
+            self.mostly_reconciled_after = Some(after);
         }
     }
 
@@ -133,8 +134,8 @@
     pub fn record_command(&mut self, now: Instant) {
         let after = now.saturating_duration_since(self.began_at);
         self.commands += 1;
-        self.first_command.get_or_insert(after);
-        self.last_command = Some(after);
+        self.first_command_after.get_or_insert(after);
+        self.last_command_after = Some(after);
     }
 
     /// Counts an unrecorded task that was adopted.
@@ -147,7 +148,7 @@
         self.killed += 1;
     }
 
-    /// Moves on to the phase that fits what remains, and returns it if it is a new one.
+    /// Updates the phase according to the remaining work, and returns it if it has changed.
     pub fn advance(&mut self, remaining: &Remaining) -> Option<TakeoverPhase> {
         if self.phase == TakeoverPhase::Over {
             return None;
@@ -163,7 +164,7 @@
         (phase != std::mem::replace(&mut self.phase, phase)).then_some(phase)
     }
 
-    /// The counts and times so far.
+    /// The statistics so far.
     pub fn summary(&self, now: Instant) -> TakeoverSummary {
         let percentile = |p: f64| Duration::from_millis(self.settling_times.value_at_quantile(p));
         let known = !self.settling_times.is_empty();
@@ -173,9 +174,9 @@
             settled: self.settled,
             settled_p50: known.then(|| percentile(0.5)),
             settled_p95: known.then(|| percentile(0.95)),
-            most_reconciled: self.most_reconciled,
-            first_command: self.first_command,
-            last_command: self.last_command,
+            mostly_reconciled_after: self.mostly_reconciled_after,
+            first_command_after: self.first_command_after,
+            last_command_after: self.last_command_after,
             commands: self.commands,
             adopted: self.adopted,
             killed: self.killed,
@@ -183,25 +184,25 @@
     }
 }
 
-/// Counts and times of a takeover.
+/// The statistics of a takeover. Durations are measured from the beginning of the term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TakeoverSummary {
     /// The time since the term began.
     pub took: Duration,
     /// The number of attempts that were on record.
     pub recorded: usize,
-    /// The number of those that became settled.
+    /// The number of those that have been settled.
     pub settled: usize,
-    /// The median time until they were settled.
+    /// The median time until an attempt was settled. `None`: none was.
     pub settled_p50: Option<Duration>,
-    /// The time within which 95% of the settled ones were settled.
+    /// The 95th percentile of the time until an attempt was settled. `None`: none was.
     pub settled_p95: Option<Duration>,
-    /// The time after which 95% of all attempts on record were settled.
-    pub most_reconciled: Option<Duration>,
-    /// The time of the first command.
-    pub first_command: Option<Duration>,
-    /// The time of the last command.
-    pub last_command: Option<Duration>,
+    /// The time until 95% of all attempts on record were settled. `None`: fewer are so far.
+    pub mostly_reconciled_after: Option<Duration>,
+    /// The time until the first command was sent. `None`: none was.
+    pub first_command_after: Option<Duration>,
+    /// The time until the most recent command was sent. `None`: none was.
+    pub last_command_after: Option<Duration>,
     /// The number of commands that were sent.
     pub commands: u64,
     /// The number of unrecorded tasks that were adopted.
@@ -213,7 +214,7 @@
 impl fmt::Display for TakeoverSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds =
-            |time: Option<Duration>| time.map_or(UNKNOWN_SECONDS, |time| time.as_secs_f64());
+            |time: Option<Duration>| time.map_or(UNKNOWN_TIME_S, |time| time.as_secs_f64());
         write!(
             f,
             "took_s={:.1} recorded={} settled={} settled_p50_s={:.1} settled_p95_s={:.1} \
@@ -223,9 +224,9 @@
             self.settled,
             seconds(self.settled_p50),
             seconds(self.settled_p95),
-            seconds(self.most_reconciled),
-            seconds(self.first_command),
-            seconds(self.last_command),
+            seconds(self.mostly_reconciled_after),
+            seconds(self.first_command_after),
+            seconds(self.last_command_after),
             self.commands,
             self.adopted,
             self.killed
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: room that is kept free for classes whose tasks were promised an early start.
+//! Headroom: resources that are kept free for classes with a service-level objective for an early start.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::capacity::packing::{PackingPlan, RentalCandidate};
@@ -7,20 +7,21 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// Some machines take much longer to boot than most: a start promised within so many boots counts as
-/// one that no new machine can keep.
-const BOOTS_FOR_A_START: u32 = 2;
+/// An objective that is shorter than this many expected boot times counts as one that no newly rented machine
+/// can meet, because some machines take much longer to boot than most.
+const BOOT_TIME_SAFETY_FACTOR: u32 = 2;
 
-/// Tasks of a class that must find room at once.
+/// The tasks of a class that must be able to start without a new machine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeadroomDemand {
-    pub(super) tasks: u32,
-    /// What one of them takes.
+    pub(super) task_count: u32,
+    /// The resources that one of them requests.
     pub(super) resources: Resources,
 }
 
-/// Whether there is room for the headroom of each class, and for so many more tasks of its size.
-pub(super) fn are_all_covered<'a>(
+/// Whether the free resources cover the headroom of each class and this number of further tasks of its size.
+/// Each class is checked on its own, as if it could use all of them.
+pub(super) fn covers_headroom<'a>(
     demands: &[HeadroomDemand],
     free: impl Iterator<Item = &'a Resources> + Clone,
     more_tasks: usize,
@@ -30,30 +31,32 @@
             .clone()
             .map(|free| demand.resources.count_fitting_in(free))
             .sum();
-        fits >= demand.tasks as usize + more_tasks
+        fits >= demand.task_count as usize + more_tasks
     })
 }
 
-/// The earliest start that a class was promised.
-struct PromisedStart<'a> {
+/// The strictest objective for the start of a class's tasks.
+struct StartObjective<'a> {
     class: &'a str,
     within: Duration,
 }
 
 impl ClusterState {
-    /// Tasks of each class with an objective for their start that must find room at once: a class's
-    /// typical job. A class that is promised its start only after a machine can have come up needs none.
+    /// The headroom of each class with an objective for the start of its tasks: a multiple of the class's
+    /// typical job. A class needs none if a newly rented machine boots in time for its objective, unless it
+    /// has an objective for deadlines as well.
     pub(super) fn headroom(&self, now: Instant) -> Vec<HeadroomDemand> {
         let mut demands = Vec::new();
-        for PromisedStart { class, within } in self.promised_starts() {
+        for StartObjective { class, within } in self.start_objectives() {
             let Some(typical) = self.capacity.class_demand.typical_job(now, class) else {
                 continue;
             };
-            if self.has_deadline_slo(class) || self.starts_too_soon(within, &typical.resources) {
+            if self.has_deadline_slo(class) || self.is_sooner_than_boot(within, &typical.resources)
+            {
                 let jobs = self.config.tuning.headroom_jobs;
-                let tasks = (f64::from(typical.task_count) * jobs).ceil();
+                let task_count = (f64::from(typical.task_count) * jobs).ceil();
                 demands.push(HeadroomDemand {
-                    tasks: tasks as u32,
+                    task_count: task_count as u32,
                     resources: typical.resources,
                 });
             }
@@ -66,52 +69,56 @@
         self.config.slos.iter().any(deadline)
     }
 
-    /// Whether no machine rented now would be up in time for such a start.
-    fn starts_too_soon(&self, within: Duration, resources: &Resources) -> bool {
+    /// Whether a start within this time would be too early for a machine that is rented now.
+    fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
         let slowest_boot = suitable.map(|t| self.capacity.boot_time(t)).max();
-        slowest_boot.is_none_or(|boot| within < boot * BOOTS_FOR_A_START)
+        slowest_boot.is_none_or(|boot| within < boot * BOOT_TIME_SAFETY_FACTOR)
     }
 
-    /// The earliest start that each class was promised.
-    fn promised_starts(&self) -> Vec<PromisedStart<'_>> {
-        let mut promised: Vec<PromisedStart<'_>> = Vec::new();
+    /// The strictest objective for the start of tasks, by class. One without a time limit counts as 0 s.
+    fn start_objectives(&self) -> Vec<StartObjective<'_>> {
+        let mut objectives: Vec<StartObjective<'_>> = Vec::new();
         for slo in self.config.slos.iter().filter(|slo| slo.kind == "wait") {
             let Some(class) = slo.class.as_deref() else {
                 continue;
             };
             let within = slo.within.unwrap_or_default();
-            match promised.iter_mut().find(|start| start.class == class) {
+            match objectives.iter_mut().find(|start| start.class == class) {
                 Some(start) => start.within = start.within.min(within),
-                None => promised.push(PromisedStart { class, within }),
+                None => objectives.push(StartObjective { class, within }),
             }
         }
-        promised
+        objectives
     }
 
-    /// Adds the cheapest machines for headroom that is missing to a plan.
+    /// Adds the cheapest spot machines for the headroom that is missing to a plan.
     pub(super) fn plan_headroom(&self, now: Instant, round: &RoundOutcome, plan: &mut PackingPlan) {
-        for HeadroomDemand { tasks, resources } in self.headroom(now) {
-            let tasks = tasks as usize;
+        for HeadroomDemand {
+            task_count,
+            resources,
+        } in self.headroom(now)
+        {
+            let task_count = task_count as usize;
             let types = self.headroom_types(&resources);
-            let mut covered = self.covered_headroom(round, plan, &resources, &types);
+            let mut covered_tasks = self.count_covered_tasks(round, plan, &resources, &types);
             let candidates = self.headroom_candidates(now, &resources, &types);
-            while covered < tasks {
-                let Some(candidate) = plan.cheapest(&candidates, tasks - covered) else {
+            while covered_tasks < task_count {
+                let Some(candidate) = plan.cheapest(&candidates, task_count - covered_tasks) else {
                     break;
                 };
-                if !plan.has_room() {
+                if !plan.can_add_machine() {
                     break;
                 }
                 plan.add_empty(candidate);
-                covered += candidate.tasks_that_fit;
+                covered_tasks += candidate.tasks_that_fit;
             }
         }
     }
 
-    /// The types whose room counts for a class. Room that larger waiting tasks will take is no
-    /// headroom, where other machines serve.
+    /// The types whose free resources count as headroom for tasks of this size. Types that much larger
+    /// waiting tasks will use do not count, unless there is no other.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let counts = |t: &&MachineType| {
             let fits = resources.count_fitting_in(&t.capacity) > 0;
@@ -124,8 +131,8 @@
         types
     }
 
-    /// Tasks that find room on machines that are up, booting or planned.
-    fn covered_headroom(
+    /// The number of tasks that fit on machines that are up, booting or planned.
+    fn count_covered_tasks(
         &self,
         round: &RoundOutcome,
         plan: &PackingPlan,
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -1,9 +1,12 @@
-//! Scale in: machines that are returned because they are idle, silent, faulty, about to be evicted, or
-//! never came up.
+//! Scaling in: machines are returned to the cloud if they are idle, silent, unreachable, quarantined, about
+//! to be evicted, or never came up.
 //!
-//! Invariants: no machine is returned for being silent or unreachable while the fault is likely shared
-//! by many; idle machines stay as long as the headroom of some class needs them; only a leader that is
-//! certain to lead returns machines, except those that have kept a cancelled task for too long.
+//! Invariants:
+//!
+//! - No machine is returned for being silent or unreachable during a likely shared outage.
+//! - Idle machines are kept while the headroom of any class needs them.
+//! - Only a leader whose leadership is confirmed returns machines, except those on which a cancelled task has
+//!   been running for too long.
 
 use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
@@ -13,29 +16,36 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The cloud takes no more names in one request.
+/// The cloud's limit on the number of machines in one return request.
 const MAX_MACHINES_PER_RETURN: usize = 100;
-/// Idle machines wait this long for others to go with: the cloud's rate is for rentals too.
+/// The minimum interval between return requests that are not urgent. Machines are returned in batches, since
+/// returns share the cloud's rate limit with rentals.
 const RETURN_INTERVAL: Duration = Duration::from_secs(2);
-/// A return that was not answered is sent again after this long.
+/// The time after which a return is requested again if the machine is still there.
 const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
-/// A machine never came up if it takes longer than so many usual boots and this margin.
-const MAX_BOOT_FACTOR: f64 = 4.0;
-const MAX_BOOT_MARGIN: Duration = Duration::from_secs(30);
-/// The boot of a machine whose type is not known.
-const UNKNOWN_BOOT: Duration = Duration::from_secs(60);
-/// After a pause of this process, first heartbeats may be waiting for it for so many intervals.
-const HEARTBEATS_AFTER_PAUSE: u32 = 2;
+/// A machine counts as never booted after this many advertised boot times plus `BOOT_TIME_MARGIN`.
+const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
+const BOOT_TIME_MARGIN: Duration = Duration::from_secs(30);
+/// The boot time assumed for a machine of unknown type.
+const UNKNOWN_TYPE_BOOT_TIME: Duration = Duration::from_secs(60);
+/// The number of heartbeat intervals after a pause of this process during which the first heartbeats of
+/// booted machines may still be waiting to be received.
+const HEARTBEATS_AFTER_PROCESS_PAUSE: u32 = 2;
 
 /// Why a machine is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReturnReason {
+    /// It was not up long after the advertised boot time.
     NeverBooted,
+    /// It has been in quarantine for longer than [`QUARANTINE_PATIENCE`].
     Quarantined,
+    /// The cloud announced to reclaim it, and no task is left on it.
     SpotEviction,
+    /// It has sent no heartbeat for longer than the silence timeout.
     Silent,
-    /// Its heartbeats come, but our answers and commands do not reach it.
+    /// Its heartbeats are received, but this leader's responses and commands do not reach it.
     Unreachable,
+    /// It has been idle for longer than the idle timeout, or is drained and empty.
     Idle,
 }
 
@@ -52,62 +62,64 @@
     }
 }
 
-/// The decision to return a machine.
+/// The decision to return a machine to the cloud.
 #[must_use]
 pub(super) struct MachineReturn {
     pub(super) machine: MachineId,
     pub(super) reason: ReturnReason,
 }
 
-/// Machines that the cloud is to be asked to take back.
+/// The machines of one return request to the cloud.
 #[must_use]
 pub(super) struct ReturnRequest {
     pub(super) machines: Vec<MachineId>,
 }
 
-/// Room for the headroom of each class while idle machines go.
+/// The free resources that cover the headroom of each class, updated while idle machines are selected for
+/// return.
 struct HeadroomReserve<'a> {
     demands: Vec<HeadroomDemand>,
-    /// For how many tasks of each class there is room.
-    covered: Vec<usize>,
+    /// The number of tasks that fit, for each of `demands`.
+    covered_tasks: Vec<usize>,
     free_by_machine: HashMap<&'a MachineId, Resources>,
 }
 
 impl HeadroomReserve<'_> {
-    /// Tasks of a class for which there is room without this machine.
-    fn covered_without(&self, machine: &MachineId, class: usize) -> usize {
+    /// The number of tasks that fit without this machine. `class`: an index into `demands`.
+    fn fits_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
         let fits = free.map_or(0, |free| {
             self.demands[class].resources.count_fitting_in(free)
         });
-        self.covered[class].saturating_sub(fits)
+        self.covered_tasks[class].saturating_sub(fits)
     }
 
-    fn is_enough_without(&self, machine: &MachineId) -> bool {
+    fn is_sufficient_without(&self, machine: &MachineId) -> bool {
         let mut demands = self.demands.iter().enumerate();
-        demands.all(|(class, demand)| self.covered_without(machine, class) >= demand.tasks as usize)
+        demands
+            .all(|(class, demand)| self.fits_without(machine, class) >= demand.task_count as usize)
     }
 
     fn remove(&mut self, machine: &MachineId) {
         for class in 0..self.demands.len() {
-            self.covered[class] = self.covered_without(machine, class);
+            self.covered_tasks[class] = self.fits_without(machine, class);
         }
         self.free_by_machine.remove(machine);
     }
 }
 
 impl ClusterState {
-    /// Which machines to return from now on.
+    /// Plans which machines to return.
     #[must_use]
     pub(super) fn plan_scale_in(&self, now: Instant) -> Vec<MachineReturn> {
         let mut headroom = self.headroom_reserve(now);
         let mut returns = Vec::new();
-        for machine in self.most_expensive_first() {
+        for machine in self.machines_by_descending_price() {
             let reason = if machine.booting_since.is_some() {
-                self.never_booted(now, machine)
+                self.check_boot(now, machine)
             } else {
-                self.unusable(now, machine)
-                    .or_else(|| self.idle(now, machine, &mut headroom))
+                self.check_unusable(now, machine)
+                    .or_else(|| self.check_idle(now, machine, &mut headroom))
             };
             returns.extend(reason.map(|reason| MachineReturn {
                 machine: machine.id.clone(),
@@ -117,8 +129,8 @@
         returns
     }
 
-    /// Machines that are not being returned, by price from the top.
-    fn most_expensive_first(&self) -> Vec<&Machine> {
+    /// The machines that are not being returned yet, by descending price per CPU.
+    fn machines_by_descending_price(&self) -> Vec<&Machine> {
         let machines = self.fleet.machines.values().filter(|m| !m.returning);
         let mut by_price: Vec<(f64, &Machine)> = machines
             .map(|machine| (self.price_per_cpu_of(machine), machine))
@@ -127,42 +139,45 @@
         by_price.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    fn never_booted(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let booting = now.saturating_duration_since(machine.booting_since?);
+    /// Checks whether a booting machine has taken too long to come up.
+    fn check_boot(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+        let booting_for = now.saturating_duration_since(machine.booting_since?);
         let machine_type = self.fleet.machine_type(&machine.machine_type);
-        let usual = machine_type.map_or(UNKNOWN_BOOT, |t| t.advertised_boot_time);
-        let max_boot = usual.mul_f64(MAX_BOOT_FACTOR) + MAX_BOOT_MARGIN;
-        let awake = now.saturating_duration_since(self.liveness.awake_since);
-        let has_listened = awake > self.config.heartbeat * HEARTBEATS_AFTER_PAUSE;
-        (has_listened && booting > max_boot).then_some(ReturnReason::NeverBooted)
+        let advertised = machine_type.map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.advertised_boot_time);
+        let max_boot = advertised.mul_f64(MAX_BOOT_TIME_FACTOR) + BOOT_TIME_MARGIN;
+        let awake_for = now.saturating_duration_since(self.liveness.awake_since);
+        let has_listened = awake_for > self.config.heartbeat * HEARTBEATS_AFTER_PROCESS_PAUSE;
+        (has_listened && booting_for > max_boot).then_some(ReturnReason::NeverBooted)
     }
 
-    /// Faulty, about to be evicted, or cut off.
-    fn unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let is_over = |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
-        if machine.quarantined_since.is_some_and(is_over) {
+    /// Checks whether a machine that has booted is unusable because of quarantine, eviction or lost contact.
+    fn check_unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
+        let is_past_limit =
+            |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
+        if machine.quarantined_since.is_some_and(is_past_limit) {
             return Some(ReturnReason::Quarantined);
         }
         if machine.eviction_at.is_some() && machine.placed_tasks.is_empty() {
             return Some(ReturnReason::SpotEviction);
         }
-        let after = self.silent_after();
-        let silent = self.is_silent(now, machine, after);
-        let unreachable = self.is_unreachable(now, machine, after);
+        let timeout = self.silence_timeout();
+        let silent = self.is_silent(now, machine, timeout);
+        let unreachable = self.is_unreachable(now, machine, timeout);
         if !(silent || unreachable) || self.is_shared_outage(now, machine) {
             return None;
         }
         let known_since = machine.known_since.max(self.liveness.awake_since);
-        let known = now.saturating_duration_since(known_since);
-        let expected = machine.has_reported || known > self.config.lease;
+        let known_for = now.saturating_duration_since(known_since);
+        let expected = machine.has_reported || known_for > self.config.lease;
         if silent && expected {
             return Some(ReturnReason::Silent);
         }
         unreachable.then_some(ReturnReason::Unreachable)
     }
 
-    /// Idle for long enough, or drained, and no headroom is lost with it.
-    fn idle(
+    /// Checks whether a machine has been idle for long enough and is not needed for the headroom, or is
+    /// drained and empty. If so, removes it from `headroom`.
+    fn check_idle(
         &self,
         now: Instant,
         machine: &Machine,
@@ -182,32 +197,33 @@
         {
             return None;
         }
-        if !machine.draining && !headroom.is_enough_without(&machine.id) {
+        if !machine.draining && !headroom.is_sufficient_without(&machine.id) {
             return None;
         }
         headroom.remove(&machine.id);
         Some(ReturnReason::Idle)
     }
 
-    /// Room for each class's headroom, on all machines that take tasks.
+    /// The resources for each class's headroom, on all machines that accept tasks.
     fn headroom_reserve(&self, now: Instant) -> HeadroomReserve<'_> {
         let demands = self.headroom(now);
-        let mut covered: Vec<usize> = vec![0; demands.len()];
+        let mut covered_tasks: Vec<usize> = vec![0; demands.len()];
         let mut free_by_machine: HashMap<&MachineId, Resources> = HashMap::new();
-        for room in self.free_room(now) {
-            for (covered, demand) in covered.iter_mut().zip(&demands) {
-                *covered += demand.resources.count_fitting_in(&room.free);
+        for available in self.free_resources(now) {
+            for (covered_tasks, demand) in covered_tasks.iter_mut().zip(&demands) {
+                *covered_tasks += demand.resources.count_fitting_in(&available.free);
             }
-            free_by_machine.insert(&room.machine.id, room.free);
+            free_by_machine.insert(&available.machine.id, available.free);
         }
         HeadroomReserve {
             demands,
-            covered,
+            covered_tasks,
             free_by_machine,
         }
     }
 
-    /// Which machines to ask the cloud to take back now, many at a time.
+    /// Plans the next return request. It waits for further machines unless it is full, it is urgent or
+    /// `RETURN_INTERVAL` has passed. A request is urgent if tasks are still placed on its first machine.
     pub(super) fn plan_return_request(&self, now: Instant) -> Option<ReturnRequest> {
         let since = |t: Instant| now.saturating_duration_since(t);
         let mut due: Vec<&Machine> = self
@@ -221,7 +237,7 @@
             })
             .filter(|m| self.leadership.confirmed || m.cancellation_overdue)
             .collect();
-        // Those first whose tasks wait for the proof that they are gone.
+        // Overdue cancellations come first, then machines with tasks: these need proof that they are gone.
         due.sort_by_key(|m| (!m.cancellation_overdue, m.placed_tasks.is_empty()));
         let is_urgent = !due.first()?.placed_tasks.is_empty();
         let last_return = self.capacity.last_return;
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -109,7 +109,9 @@
             } else {
                 RentalOutcome::Machines(machines)
             };
-            renter.cluster.on_rented(now, idempotency_key, outcome);
+            renter
+                .cluster
+                .on_rental_result(now, idempotency_key, outcome);
         }
     }
 
@@ -143,7 +145,7 @@
     pub(super) fn cloud_listed(&mut self, listed: &[CloudMachine]) {
         let now = self.now;
         for leader in self.leaders.iter_mut().filter(|l| l.ready <= now) {
-            leader.cluster.on_list(now, listed);
+            leader.cluster.on_machine_list(now, listed);
         }
     }
 }
