--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -9,6 +9,7 @@
 mod fakes;
 mod heartbeat_flood;
 mod jobs;
+mod mixed_versions;
 mod partitions;
 #[path = "../common/peaks.rs"]
 mod peaks;
