--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
     /// The steady clock.
-    pub steady: Instant,
+    pub monotonic: Instant,
     /// The time of day.
     pub day: SystemTime,
 }
@@ -72,24 +72,24 @@
     /// Now, by both clocks.
     pub fn now() -> ClockReading {
         ClockReading {
-            steady: Instant::now(),
+            monotonic: Instant::now(),
             day: SystemTime::now(),
         }
     }
 
     /// The same point shifted to another reading of the steady clock.
-    pub fn at(self, steady: Instant) -> ClockReading {
-        let day = match steady.checked_duration_since(self.steady) {
+    pub fn at(self, monotonic: Instant) -> ClockReading {
+        let day = match monotonic.checked_duration_since(self.monotonic) {
             Some(later) => self.day + later,
-            None => self.day - self.steady.duration_since(steady),
+            None => self.day - self.monotonic.duration_since(monotonic),
         };
-        ClockReading { steady, day }
+        ClockReading { monotonic, day }
     }
 
     /// The age by the clock that shows the greater one.
     fn age(self, now: ClockReading) -> Duration {
-        let steady = now.steady.saturating_duration_since(self.steady);
-        steady.max(now.day.duration_since(self.day).unwrap_or_default())
+        let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
+        monotonic.max(now.day.duration_since(self.day).unwrap_or_default())
     }
 }
 
@@ -156,20 +156,20 @@
 
     /// Moves the watermark to the earliest time up to which every peer has reported.
     fn advance(&mut self) {
-        let at = self.at.steady;
+        let at = self.at.monotonic;
         let covered_until = |period: &Option<CoveredPeriod>| {
-            let period = period.filter(|p| p.since.steady <= at)?;
+            let period = period.filter(|p| p.since.monotonic <= at)?;
             Some(period.until)
         };
         let all: Option<Vec<ClockReading>> = self.peers.values().map(covered_until).collect();
-        let earliest = all.and_then(|all| all.into_iter().min_by_key(|until| until.steady));
+        let earliest = all.and_then(|all| all.into_iter().min_by_key(|until| until.monotonic));
         if let Some(earliest) = earliest {
             self.raise(earliest);
         }
     }
 
     fn raise(&mut self, to: ClockReading) {
-        if to.steady > self.at.steady {
+        if to.monotonic > self.at.monotonic {
             self.at = to;
         }
     }
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -43,7 +43,7 @@
 
     /// All cancellations have been applied that the store held when a read was sent.
     pub fn on_cancellations_read(&mut self, asked_at: ClockReading) {
-        self.last_queue_read = Some(asked_at.steady);
+        self.last_queue_read = Some(asked_at.monotonic);
         self.watermark.record_read(asked_at);
     }
 
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -49,7 +49,7 @@
 impl TermStart {
     fn clocks(&self) -> ClockReading {
         ClockReading {
-            steady: self.started_at,
+            monotonic: self.started_at,
             day: SystemTime::UNIX_EPOCH + Duration::from_millis(self.started_ms),
         }
     }
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -45,7 +45,7 @@
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let last = state.last_check;
-        if now.steady < last.steady {
+        if now.monotonic < last.monotonic {
             // Another thread has checked since this one read its clock.
             return state.resumed_at;
         }
@@ -54,9 +54,9 @@
             // It was set back.
             Err(e) => e.duration(),
         };
-        let steady_step = now.steady.saturating_duration_since(last.steady);
+        let steady_step = now.monotonic.saturating_duration_since(last.monotonic);
         if steady_step > MIN_PAUSE || day_step > self.max_day_step {
-            state.resumed_at = Some(now.steady);
+            state.resumed_at = Some(now.monotonic);
         }
         state.last_check = now;
         state.resumed_at
@@ -65,6 +65,6 @@
     /// Whether what is read now may have waited in its socket during a pause.
     pub fn just_resumed(&self, now: ClockReading) -> bool {
         self.check(now)
-            .is_some_and(|at| now.steady.saturating_duration_since(at) < RESUME_WINDOW)
+            .is_some_and(|at| now.monotonic.saturating_duration_since(at) < RESUME_WINDOW)
     }
 }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -147,7 +147,7 @@
     /// A lease of this duration was granted that was asked for at this time.
     pub fn set_lease(&self, asked: ClockReading, duration: Duration) {
         self.write().lease_expiry = Some(ClockReading {
-            steady: asked.steady + duration,
+            monotonic: asked.monotonic + duration,
             day: asked.day + duration,
         });
     }
@@ -156,7 +156,8 @@
     /// asked for, has not run out. A process that was paused, or cut off, finds out here first.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
-        let unexpired = |expiry: ClockReading| now.steady < expiry.steady && now.day < expiry.day;
+        let unexpired =
+            |expiry: ClockReading| now.monotonic < expiry.monotonic && now.day < expiry.day;
         state.role == RoleView::Leader(term) && state.lease_expiry.is_some_and(unexpired)
     }
 }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -162,7 +162,7 @@
             Some(Ok(())) => {
                 view.record_store_call(true, Instant::now());
                 view.set_lease(asked, self.lease_duration);
-                self.leadership.on_lease_renewed(asked.steady);
+                self.leadership.on_lease_renewed(asked.monotonic);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("leader lease expired");
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -163,10 +163,10 @@
     let seeds = settings.peers.iter();
     let peers = seeds.map(|seed| Arc::new(Peer::new(&seed.member, seed.address)));
     let context = NodeContext {
-        store: Arc::new(connect_store(&settings, &meters, clocks.steady)),
+        store: Arc::new(connect_store(&settings, &meters, clocks.monotonic)),
         cloud: connect_cloud(&settings, &meters),
         meters,
-        view: Arc::new(NodeView::new(clocks.steady)),
+        view: Arc::new(NodeView::new(clocks.monotonic)),
         events,
         elector_events,
         cloud_wakeup,
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -16,7 +16,7 @@
         .cluster
         .leadership
         .on_cancellations_read(ClockReading {
-            steady: fixture.now,
+            monotonic: fixture.now,
             day,
         });
 }
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -137,7 +137,7 @@
         ),
     ];
     let start = ClockReading::now();
-    let at = |s: u64| start.at(start.steady + secs(s));
+    let at = |s: u64| start.at(start.monotonic + secs(s));
     for (name, peers, happens, expected) in cases {
         let mut fixture = Watermark::new(at(0), peers.iter().map(std::string::ToString::to_string));
         for machine in happens {
@@ -166,8 +166,8 @@
 fn the_clock_that_advanced_further_counts() {
     let start = ClockReading::now();
     let fixture = Watermark::new(start, ["b".to_owned()]);
-    let later = |steady: u64, day: u64| ClockReading {
-        steady: start.steady + secs(steady),
+    let later = |monotonic: u64, day: u64| ClockReading {
+        monotonic: start.monotonic + secs(monotonic),
         day: start.day + secs(day),
     };
     assert!(fixture.is_fresh(later(9, 9), secs(10)));
@@ -175,7 +175,7 @@
     assert!(!fixture.is_fresh(later(10, 2), secs(10)));
     // A time of day set back says nothing.
     let back = ClockReading {
-        steady: start.steady + secs(9),
+        monotonic: start.monotonic + secs(9),
         day: start.day - secs(50),
     };
     assert!(fixture.is_fresh(back, secs(10)));
@@ -188,7 +188,7 @@
     fixture.job(spec("wk-000001", 1, 4.0));
     let attempt = launches(&fixture.settle())[0].2;
     let read = ClockReading {
-        steady: fixture.now,
+        monotonic: fixture.now,
         day: SystemTime::now(),
     };
     fixture.cluster.leadership.set_clocks(read);
@@ -251,7 +251,7 @@
     assert_eq!(fixture.active("wk-000001", 0), None);
     // The store is back: reports are answered again.
     let read = ClockReading {
-        steady: fixture.now,
+        monotonic: fixture.now,
         day: SystemTime::now(),
     };
     fixture.cluster.leadership.set_clocks(read);
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -82,19 +82,19 @@
     let start = ClockReading::now();
     // Seconds passed by each clock.
     let cases = [(1, 1, true), (4, 4, false), (1, 40, false), (40, 1, false)];
-    for (steady, by_day, leads) in cases {
-        let view = NodeView::new(start.steady);
+    for (monotonic, by_day, leads) in cases {
+        let view = NodeView::new(start.monotonic);
         view.set_leadership(RoleView::Leader(TERM), None, TERM);
         assert!(!view.holds_leader_lease(TERM, start), "never renewed");
         view.set_lease(start, secs(3));
         let now = ClockReading {
-            steady: start.steady + secs(steady),
+            monotonic: start.monotonic + secs(monotonic),
             day: start.day + secs(by_day),
         };
         assert_eq!(
             view.holds_leader_lease(TERM, now),
             leads,
-            "{steady} {by_day}"
+            "{monotonic} {by_day}"
         );
         assert!(!view.holds_leader_lease(Term(9), now));
     }
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -43,12 +43,12 @@
         ("the time of day wandered", 0.5, 0.8, false),
         ("the time of day was set back", 0.5, -60.0, true),
     ];
-    for (name, steady, day, is_pause) in cases {
+    for (name, monotonic, day, is_pause) in cases {
         let start = ClockReading::now();
         let detector = PauseDetector::new(Duration::from_millis(100), start);
         let moved = Duration::from_secs_f64(day.abs());
         let now = ClockReading {
-            steady: start.steady + Duration::from_secs_f64(steady),
+            monotonic: start.monotonic + Duration::from_secs_f64(monotonic),
             day: if day < 0.0 {
                 start.day - moved
             } else {
@@ -58,11 +58,11 @@
         assert_eq!(detector.just_resumed(now), is_pause, "{name}");
         assert_eq!(
             detector.check(now),
-            is_pause.then_some(now.steady),
+            is_pause.then_some(now.monotonic),
             "{name}"
         );
         let later = ClockReading {
-            steady: now.steady + secs(1),
+            monotonic: now.monotonic + secs(1),
             day: now.day + secs(1),
         };
         assert!(!detector.just_resumed(later), "{name}, a second later");
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -114,10 +114,10 @@
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
-        leader
-            .cluster
-            .leadership
-            .set_clocks(ClockReading { steady: now, day });
+        leader.cluster.leadership.set_clocks(ClockReading {
+            monotonic: now,
+            day,
+        });
         if leader.partitioned_since.is_some() || now < leader.next_queue_read {
             return;
         }
@@ -136,7 +136,10 @@
         leader
             .cluster
             .leadership
-            .on_cancellations_read(ClockReading { steady: now, day });
+            .on_cancellations_read(ClockReading {
+                monotonic: now,
+                day,
+            });
         for job_id in leader.cluster.unresolved_dependencies() {
             if let Some(outcome) = self.store.outcome(&job_id) {
                 leader.cluster.on_past_outcome(now, &job_id, outcome);
