--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -65,7 +65,7 @@
     /// The steady clock.
     pub monotonic: Instant,
     /// The time of day.
-    pub day: SystemTime,
+    pub wall_clock: SystemTime,
 }
 
 impl ClockReading {
@@ -73,23 +73,30 @@
     pub fn now() -> ClockReading {
         ClockReading {
             monotonic: Instant::now(),
-            day: SystemTime::now(),
+            wall_clock: SystemTime::now(),
         }
     }
 
     /// The same point shifted to another reading of the steady clock.
     pub fn at(self, monotonic: Instant) -> ClockReading {
-        let day = match monotonic.checked_duration_since(self.monotonic) {
-            Some(later) => self.day + later,
-            None => self.day - self.monotonic.duration_since(monotonic),
+        let wall_clock = match monotonic.checked_duration_since(self.monotonic) {
+            Some(later) => self.wall_clock + later,
+            None => self.wall_clock - self.monotonic.duration_since(monotonic),
         };
-        ClockReading { monotonic, day }
+        ClockReading {
+            monotonic,
+            wall_clock,
+        }
     }
 
     /// The age by the clock that shows the greater one.
     fn age(self, now: ClockReading) -> Duration {
         let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
-        monotonic.max(now.day.duration_since(self.day).unwrap_or_default())
+        monotonic.max(
+            now.wall_clock
+                .duration_since(self.wall_clock)
+                .unwrap_or_default(),
+        )
     }
 }
 
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -50,7 +50,7 @@
     fn clocks(&self) -> ClockReading {
         ClockReading {
             monotonic: self.started_at,
-            day: SystemTime::UNIX_EPOCH + Duration::from_millis(self.started_ms),
+            wall_clock: SystemTime::UNIX_EPOCH + Duration::from_millis(self.started_ms),
         }
     }
 }
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -49,7 +49,7 @@
             // Another thread has checked since this one read its clock.
             return state.resumed_at;
         }
-        let day_step = match now.day.duration_since(last.day) {
+        let day_step = match now.wall_clock.duration_since(last.wall_clock) {
             Ok(step) => step,
             // It was set back.
             Err(e) => e.duration(),
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -148,7 +148,7 @@
     pub fn set_lease(&self, asked: ClockReading, duration: Duration) {
         self.write().lease_expiry = Some(ClockReading {
             monotonic: asked.monotonic + duration,
-            day: asked.day + duration,
+            wall_clock: asked.wall_clock + duration,
         });
     }
 
@@ -156,8 +156,9 @@
     /// asked for, has not run out. A process that was paused, or cut off, finds out here first.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
-        let unexpired =
-            |expiry: ClockReading| now.monotonic < expiry.monotonic && now.day < expiry.day;
+        let unexpired = |expiry: ClockReading| {
+            now.monotonic < expiry.monotonic && now.wall_clock < expiry.wall_clock
+        };
         state.role == RoleView::Leader(term) && state.lease_expiry.is_some_and(unexpired)
     }
 }
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, SystemTime};
 
 fn queue_read(fixture: &mut ClusterFixture) {
-    let day = SystemTime::UNIX_EPOCH;
+    let wall_clock = SystemTime::UNIX_EPOCH;
     fixture
         .cluster
         .leadership
         .on_cancellations_read(ClockReading {
             monotonic: fixture.now,
-            day,
+            wall_clock,
         });
 }
 
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -166,9 +166,9 @@
 fn the_clock_that_advanced_further_counts() {
     let start = ClockReading::now();
     let fixture = Watermark::new(start, ["b".to_owned()]);
-    let later = |monotonic: u64, day: u64| ClockReading {
+    let later = |monotonic: u64, wall_clock: u64| ClockReading {
         monotonic: start.monotonic + secs(monotonic),
-        day: start.day + secs(day),
+        wall_clock: start.wall_clock + secs(wall_clock),
     };
     assert!(fixture.is_fresh(later(9, 9), secs(10)));
     assert!(!fixture.is_fresh(later(2, 10), secs(10)));
@@ -176,7 +176,7 @@
     // A time of day set back says nothing.
     let back = ClockReading {
         monotonic: start.monotonic + secs(9),
-        day: start.day - secs(50),
+        wall_clock: start.wall_clock - secs(50),
     };
     assert!(fixture.is_fresh(back, secs(10)));
 }
@@ -189,7 +189,7 @@
     let attempt = launches(&fixture.settle())[0].2;
     let read = ClockReading {
         monotonic: fixture.now,
-        day: SystemTime::now(),
+        wall_clock: SystemTime::now(),
     };
     fixture.cluster.leadership.set_clocks(read);
     fixture.cluster.leadership.set_peers(["b".to_owned()], read);
@@ -252,7 +252,7 @@
     // The store is back: reports are answered again.
     let read = ClockReading {
         monotonic: fixture.now,
-        day: SystemTime::now(),
+        wall_clock: SystemTime::now(),
     };
     fixture.cluster.leadership.set_clocks(read);
     fixture.cluster.leadership.on_cancellations_read(read);
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -89,7 +89,7 @@
         view.set_lease(start, secs(3));
         let now = ClockReading {
             monotonic: start.monotonic + secs(monotonic),
-            day: start.day + secs(by_day),
+            wall_clock: start.wall_clock + secs(by_day),
         };
         assert_eq!(
             view.holds_leader_lease(TERM, now),
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -43,16 +43,16 @@
         ("the time of day wandered", 0.5, 0.8, false),
         ("the time of day was set back", 0.5, -60.0, true),
     ];
-    for (name, monotonic, day, is_pause) in cases {
+    for (name, monotonic, wall_clock, is_pause) in cases {
         let start = ClockReading::now();
         let detector = PauseDetector::new(Duration::from_millis(100), start);
-        let moved = Duration::from_secs_f64(day.abs());
+        let moved = Duration::from_secs_f64(wall_clock.abs());
         let now = ClockReading {
             monotonic: start.monotonic + Duration::from_secs_f64(monotonic),
-            day: if day < 0.0 {
-                start.day - moved
+            wall_clock: if wall_clock < 0.0 {
+                start.wall_clock - moved
             } else {
-                start.day + moved
+                start.wall_clock + moved
             },
         };
         assert_eq!(detector.just_resumed(now), is_pause, "{name}");
@@ -63,7 +63,7 @@
         );
         let later = ClockReading {
             monotonic: now.monotonic + secs(1),
-            day: now.day + secs(1),
+            wall_clock: now.wall_clock + secs(1),
         };
         assert!(!detector.just_resumed(later), "{name}, a second later");
         // A thread that read its clock before another one looked changes nothing.
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -110,13 +110,13 @@
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
         let late = self.delay(100, 600);
-        let day = SystemTime::UNIX_EPOCH + (now - self.start);
+        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.start);
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
         leader.cluster.leadership.set_clocks(ClockReading {
             monotonic: now,
-            day,
+            wall_clock,
         });
         if leader.partitioned_since.is_some() || now < leader.next_queue_read {
             return;
@@ -138,7 +138,7 @@
             .leadership
             .on_cancellations_read(ClockReading {
                 monotonic: now,
-                day,
+                wall_clock,
             });
         for job_id in leader.cluster.unresolved_dependencies() {
             if let Some(outcome) = self.store.outcome(&job_id) {
