--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CancellationReport {
     /// When it was requested.
-    pub asked_at: ClockReading,
+    pub requested_at: ClockReading,
     /// When it was received.
     pub received_at: ClockReading,
     /// It continues the peer's previous report without a gap.
@@ -137,8 +137,8 @@
     }
 
     /// Records that all cancellations are known that the key-value store held when a read was sent.
-    pub fn record_read(&mut self, asked_at: ClockReading) {
-        self.raise(asked_at);
+    pub fn record_read(&mut self, requested_at: ClockReading) {
+        self.raise(requested_at);
         self.advance();
     }
 
@@ -150,7 +150,7 @@
         *covered = match *covered {
             Some(c) if report.is_continuous => Some(CoveredPeriod {
                 since: c.since,
-                until: report.asked_at,
+                until: report.requested_at,
             }),
             // The first report since the peer started: what it confirmed before, only the store shows.
             _ => Some(CoveredPeriod {
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -42,9 +42,9 @@
     }
 
     /// All cancellations have been applied that the store held when a read was sent.
-    pub fn on_cancellations_read(&mut self, asked_at: ClockReading) {
-        self.last_queue_read = Some(asked_at.monotonic);
-        self.watermark.record_read(asked_at);
+    pub fn on_cancellations_read(&mut self, requested_at: ClockReading) {
+        self.last_queue_read = Some(requested_at.monotonic);
+        self.watermark.record_read(requested_at);
     }
 
     /// All cancellations that a peer reported have been applied.
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -134,7 +134,7 @@
     }
 
     fn read_page(&mut self, peer: &Peer) -> Option<ReadPage> {
-        let asked_at = ClockReading::now();
+        let requested_at = ClockReading::now();
         let request = PeerRequest::Cancellations {
             from: self.position,
         };
@@ -149,7 +149,7 @@
             return None;
         };
         let report = CancellationReport {
-            asked_at,
+            requested_at,
             received_at: ClockReading::now(),
             is_continuous: continues,
         };
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -145,7 +145,7 @@
                 Read(asked) => fixture.record_read(at(asked)),
                 Told(peer, asked, came, continues) => {
                     let report = CancellationReport {
-                        asked_at: at(asked),
+                        requested_at: at(asked),
                         received_at: at(came),
                         is_continuous: continues,
                     };
