--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -102,7 +102,7 @@
             }
         }
         if rng.gen_bool(0.4) {
-            h.slowness.add(rng.gen_range(-0.3..0.6));
+            h.log_slowdown.add(rng.gen_range(-0.3..0.6));
         }
     }
     c
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -114,7 +114,7 @@
     /// jobs may yet turn out to be at fault.
     pub quarantined_since: Option<Instant>,
     /// The logarithm of measured over expected run time on this machine.
-    pub slowness: Average,
+    pub log_slowdown: Average,
     /// Its lease has certainly expired.
     pub lease_expired: bool,
     /// A cancelled task has been on it for too long: it is given back whatever else is uncertain.
@@ -158,7 +158,7 @@
             avoid_until: None,
             failed_jobs: HashSet::new(),
             quarantined_since: None,
-            slowness: Average::default(),
+            log_slowdown: Average::default(),
             lease_expired: false,
             cancellation_overdue: false,
         }
@@ -206,9 +206,9 @@
 
     /// How much longer tasks run here than the type's mean; drawn to 1 while measurements are few.
     pub fn slowdown(&self) -> f64 {
-        let counted = self.slowness.count.min(MIN_SLOWDOWN_MEASUREMENTS);
+        let counted = self.log_slowdown.count.min(MIN_SLOWDOWN_MEASUREMENTS);
         let weight = f64::from(counted) / f64::from(MIN_SLOWDOWN_MEASUREMENTS);
-        let slowdown = (self.slowness.mean * weight)
+        let slowdown = (self.log_slowdown.mean * weight)
             .exp()
             .clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
         // Machines of a type differ by a tenth, and the measurements by more: of many machines, work
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -137,7 +137,7 @@
             let expected = seconds_to_compare(attempt.estimated_run_time);
             let log_slowdown = (seconds_to_compare(took) / expected).ln();
             machine
-                .slowness
+                .log_slowdown
                 .add(log_slowdown.clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN));
         }
         let from_the_beginning = !job.saved_progress.contains_key(&task.index);
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -105,7 +105,7 @@
 #[test]
 fn no_task_waits_for_a_busy_machine_that_is_a_little_better() {
     // The busy machine's lead over the idle one: seconds until it is free, its measured speed.
-    for (rest, slowness, waits) in [(1, 0.0, false), (1, -0.2, false), (0, -0.3, false)] {
+    for (rest, log_slowdown, waits) in [(1, 0.0, false), (1, -0.2, false), (0, -0.3, false)] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         let mut job = spec("wk-000001", 1, 8.0);
@@ -124,7 +124,7 @@
                 .machines
                 .get_mut(&MachineId::from("i-1"))
                 .unwrap();
-            machine.slowness.add(slowness);
+            machine.log_slowdown.add(log_slowdown);
         }
         let machine = fixture
             .cluster
@@ -138,7 +138,7 @@
         });
         fixture.job(spec("wk-000002", 1, 4.0));
         let launched = launches(&fixture.settle());
-        assert_eq!(launched.is_empty(), waits, "{rest} {slowness}");
+        assert_eq!(launched.is_empty(), waits, "{rest} {log_slowdown}");
         assert_eq!(launched[0].0, "i-2".into());
     }
 }
@@ -159,7 +159,7 @@
             size_gb: 2.0,
         });
         for _ in 0..4 {
-            h.slowness.add(if n == 0 { 1.5 } else { 0.0 });
+            h.log_slowdown.add(if n == 0 { 1.5 } else { 0.0 });
         }
     }
     fixture.job(spec("wk-000001", 1, 4.0));
