--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -140,7 +140,7 @@
             }
         }
         for task in excess {
-            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
     }
 }
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -61,7 +61,7 @@
                 "task proved absent task={task} machine={}",
                 heartbeat.machine
             );
-            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
     }
 
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -98,7 +98,7 @@
         };
         self.assign(now, adopted);
         if !self.may_go_on(&status.task) {
-            self.attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return false;
         }
         log::warn!(
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -100,7 +100,7 @@
         };
         // One that was adopted is on its machine before its record is durable.
         if !attempt.durable && attempt.observed_phase.is_none() {
-            self.attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return;
         }
         match &mut attempt.kill_request {
@@ -117,7 +117,7 @@
     }
 
     /// An attempt is proved off its machine. Unless it completed, the task waits again.
-    pub(in crate::core) fn attempt_gone(
+    pub(in crate::core) fn record_attempt_gone(
         &mut self,
         now: Instant,
         job_id: &JobId,
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -93,7 +93,7 @@
             ExitReason::Completed => AttemptEnd::Completed,
             _ => AttemptEnd::Incomplete,
         };
-        let Some(attempt) = self.attempt_gone(now, job_id, task.index, end) else {
+        let Some(attempt) = self.record_attempt_gone(now, job_id, task.index, end) else {
             return;
         };
         let machine_id = &heartbeat.machine;
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -52,7 +52,7 @@
         );
         self.takeover.on_lease_expired(now, id);
         for task in tasks {
-            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
         let max_machines = self.config.tuning.max_machines;
         self.fleet.remove(id, max_machines);
@@ -90,7 +90,7 @@
             let job = self.jobs.get(&task.job_id);
             if job.is_some_and(|j| j.active.contains_key(&task.index)) {
                 log::info!("lease expired task={task}");
-                self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
+                self.record_attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
             }
         }
     }
