--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -129,7 +129,7 @@
     fn shrink_chunks(&mut self, now: Instant, room: u32) {
         let mut excess = Vec::new();
         for job in self.jobs.values_mut() {
-            job.chunk_room = room;
+            job.max_attempts_per_chunk = room;
             if job.spec.kind == JobKind::Gang {
                 continue;
             }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -33,7 +33,7 @@
     /// A dependency is not known to be done.
     pub blocked: bool,
     /// How many attempts the value of a chunk has room for.
-    pub chunk_room: u32,
+    pub max_attempts_per_chunk: u32,
     /// A dependency was cancelled; its own outcome is to be written.
     pub orphaned: bool,
     /// When the cancellation of the dependency became known, if a peer may be writing this job's outcome.
@@ -83,7 +83,7 @@
             cancellation: Cancellation::default(),
             finished: false,
             blocked: false,
-            chunk_room: TASKS_PER_CHUNK,
+            max_attempts_per_chunk: TASKS_PER_CHUNK,
             orphaned: false,
             orphaned_at: None,
             next_unplaced: 0,
@@ -320,7 +320,7 @@
     fn of(job: &Job) -> ChunkRoom<'_> {
         ChunkRoom {
             job,
-            limited: job.chunk_room < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
+            limited: job.max_attempts_per_chunk < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
             left: HashMap::new(),
         }
     }
@@ -333,7 +333,7 @@
         let job = self.job;
         let left = self.left.entry(index / TASKS_PER_CHUNK).or_insert_with(|| {
             let used = job.attempts_in(index / TASKS_PER_CHUNK) as u32;
-            job.chunk_room.saturating_sub(used)
+            job.max_attempts_per_chunk.saturating_sub(used)
         });
         let has_room = *left > 0;
         *left = left.saturating_sub(1);
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -27,7 +27,7 @@
         }
         let mut job = Job::new(spec, revision, arrived);
         job.blocked = status != DependencyState::Ready;
-        job.chunk_room = attempts_per_chunk(self.config.value_bytes);
+        job.max_attempts_per_chunk = attempts_per_chunk(self.config.value_bytes);
         job.deadline = job.spec.due.map(|due| arrived + due);
         job.own_rank.deadline = job.deadline;
         self.jobs.insert(job);
