--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -80,7 +80,7 @@
         }
         attempt.durable = true;
         attempt.placed_at = now;
-        job.unlaunched = job.unlaunched.saturating_sub(1);
+        job.pending_intents = job.pending_intents.saturating_sub(1);
         if !cancelled {
             self.outbox.urgent_machines.insert(attempt.machine.clone());
         }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -66,7 +66,7 @@
     /// How many more of its tasks are placed before all others because it was starved.
     pub boosted_tasks: u32,
     /// Attempts whose intents are not durable yet.
-    pub unlaunched: u32,
+    pub pending_intents: u32,
 }
 
 impl Job {
@@ -98,7 +98,7 @@
             last_placed: arrived,
             was_starved: false,
             boosted_tasks: 0,
-            unlaunched: 0,
+            pending_intents: 0,
         }
     }
 
@@ -177,7 +177,7 @@
         self.active.insert(index, attempt);
         self.last_placed = now;
         self.boosted_tasks = self.boosted_tasks.saturating_sub(1);
-        self.unlaunched += 1;
+        self.pending_intents += 1;
         self.change_chunk(index);
     }
 
@@ -190,7 +190,7 @@
     ) -> Option<ActiveAttempt> {
         let attempt = self.active.remove(&index)?;
         if !attempt.durable {
-            self.unlaunched = self.unlaunched.saturating_sub(1);
+            self.pending_intents = self.pending_intents.saturating_sub(1);
         }
         self.change_chunk(index).hold(now, index, attempt.id);
         if end == AttemptEnd::Completed {
@@ -217,7 +217,7 @@
     pub fn dirty_chunks(&self, now: Instant) -> Vec<u32> {
         let is_due = |index: u32, chunk: &TaskChunk| {
             chunk.is_write_due(now, || {
-                self.unlaunched > 0 && self.intents(index).next().is_some()
+                self.pending_intents > 0 && self.intents(index).next().is_some()
             })
         };
         let due = self.chunks.iter().filter(|(i, c)| is_due(**i, c));
