--- a/src/core/state/cancellation.rs
+++ b/src/core/state/cancellation.rs
@@ -23,7 +23,7 @@
 pub struct Cancellation {
     known_since: Option<Instant>,
     marked: bool,
-    close_after: Option<Instant>,
+    queue_read_required_after: Option<Instant>,
 }
 
 impl Cancellation {
@@ -43,17 +43,19 @@
     }
 
     /// The job's records may be removed once the queue was read again after this time.
-    pub fn close_after(&self) -> Option<Instant> {
-        self.close_after
+    pub fn queue_read_required_after(&self) -> Option<Instant> {
+        self.queue_read_required_after
     }
 
     /// Records what a source shows. Returns whether the cancellation was not known before.
     pub(in crate::core) fn record(&mut self, now: Instant, source: CancelSource) -> bool {
         match source {
-            CancelSource::Watch => (self.marked, self.close_after) = (true, None),
-            CancelSource::Load => (self.marked, self.close_after) = (true, Some(now)),
+            CancelSource::Watch => (self.marked, self.queue_read_required_after) = (true, None),
+            CancelSource::Load => (self.marked, self.queue_read_required_after) = (true, Some(now)),
             CancelSource::Peer | CancelSource::JobOutcome if self.is_known() => {}
-            CancelSource::Peer | CancelSource::JobOutcome => self.close_after = Some(now),
+            CancelSource::Peer | CancelSource::JobOutcome => {
+                self.queue_read_required_after = Some(now)
+            }
         }
         let newly_known = !self.is_known();
         self.known_since.get_or_insert(now);
