--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -7,7 +7,7 @@
 
 use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
-use crate::core::state::failure_attribution::QUARANTINE_PATIENCE;
+use crate::core::state::failure_attribution::QUARANTINE_RETURN_DELAY;
 use crate::core::state::{ClusterState, Machine};
 use std::collections::HashMap;
 use std::fmt;
@@ -139,7 +139,8 @@
 
     /// Faulty, about to be evicted, or cut off.
     fn unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
-        let is_over = |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
+        let is_over =
+            |since: Instant| now.saturating_duration_since(since) > QUARANTINE_RETURN_DELAY;
         if machine.quarantined_since.is_some_and(is_over) {
             return Some(ReturnReason::Quarantined);
         }
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -15,7 +15,7 @@
 /// So many jobs that fail on a machine, with no success there between, put it into quarantine.
 const MIN_FAILED_JOBS: usize = 2;
 /// A machine is given back after this long in quarantine: by then more is known of the jobs it failed.
-pub(in crate::core) const QUARANTINE_PATIENCE: Duration = Duration::from_secs(8);
+pub(in crate::core) const QUARANTINE_RETURN_DELAY: Duration = Duration::from_secs(8);
 /// A machine on which a task failed is given no other for this long.
 const AVOIDANCE_AFTER_FAILURE: Duration = Duration::from_secs(15);
 
