--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -1,75 +1,85 @@
-//! The watermark of cancellations: the time up to which this leader knows all that were confirmed.
+//! The cancellation watermark: the time up to which this leader knows all confirmed cancellations.
 //!
-//! A cancellation is confirmed by whichever controller wrote or read the job's outcome; from then on the
-//! job's tasks may run for `cancel_s`. A leader that answers a heartbeat renews the machine's lease, and with
-//! it every task there, including those whose cancellation it does not know. So it answers only while a lease
-//! renewed now expires within `cancel_s` of the watermark; past that the leases expire by themselves.
+//! A cancellation is confirmed to the user by the controller that wrote or read the job's outcome. From then
+//! on the job's tasks may run for at most `cancel_s`. A leader that answers a heartbeat renews the machine's
+//! lease and thereby lets all tasks on the machine run on, including those of cancelled jobs that it does not
+//! know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the watermark;
+//! otherwise it lets the leases expire. Where the settings leave too little time for this, heartbeats are still
+//! answered up to [`MIN_MAX_AGE`] after the watermark, and `cancel_s` may be exceeded by [`overshoot`].
 //!
-//! Two kinds of evidence move the watermark. A read of the key-value store shows all that was confirmed
-//! before the read was sent. And every peer reports what it confirmed itself before it was asked. A peer that
-//! was restarted knows nothing of what it confirmed before, so its reports count only once the watermark has
-//! passed the time of its first report after the restart. All times are this leader's own, of when it sent
-//! the request, so that no two clocks are compared.
+//! Two kinds of evidence advance the watermark. A read of the key-value store returns all cancellations that
+//! were confirmed before the read was sent. Alternatively, every peer reports the cancellations that it
+//! confirmed itself before the report was requested. A peer that was restarted has lost the record of earlier
+//! ones, so its reports count only once the watermark has passed the time at which its first report after the
+//! restart was received. The same holds after any other gap between two reports. All times are read from this
+//! leader's clocks, so that clocks of different machines are never compared.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Clocks drift by 0.05%; this is four times as much, as for leases.
-const DRIFT: f64 = 0.002;
-/// For the error of the time of day, and for what passes between the reading of the clocks and the answer.
-const MARGIN: Duration = Duration::from_secs(2);
-/// The least bound on the age of the watermark, since even an undisturbed watch of the key-value store answers
-/// only so often. Where `cancel_s` leaves less than this beyond `lease_s`, leases alone cannot end cancelled
-/// tasks in time (`--check` says so).
+/// The clock drift that is allowed for, as a fraction of the elapsed time. Clocks drift by 0.05%; this is four
+/// times as much, as for the expiry of leases.
+const CLOCK_DRIFT_FRACTION: f64 = 0.002;
+/// Allows for errors of the wall clock and for the time between reading the clocks and sending the answer.
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_secs(2);
+/// The lower limit of [`WatermarkBound::max_age`]. A smaller bound would withhold answers in normal operation,
+/// because the watch of the key-value store advances the watermark only every few seconds. If `cancel_s`
+/// exceeds `lease_s` by too little for this bound, lease expiry alone cannot end the tasks of cancelled jobs in
+/// time, and `--check` prints a warning.
 pub const MIN_MAX_AGE: Duration = Duration::from_secs(6);
 
-/// How old the watermark may be for heartbeats to be answered.
+/// The age of the watermark up to which heartbeats are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatermarkBound {
-    /// The greatest age at which heartbeats are answered.
+    /// Heartbeats are answered while the watermark is younger than this; at least [`MIN_MAX_AGE`].
     pub max_age: Duration,
-    /// Whether this ends every cancelled task within `cancel_s`.
+    /// Whether lease expiry ends every task of a cancelled job within `cancel_s` under this bound.
     pub ends_tasks_in_time: bool,
 }
 
 impl WatermarkBound {
-    /// The bound for a length of the lease and a time within which cancellations have to take effect.
+    /// The bound for machine leases of the duration `lease` (`lease_s`), if tasks have to end within `cancel`
+    /// (`cancel_s`) after the cancellation of their job was confirmed.
     #[must_use]
     pub fn new(lease: Duration, cancel: Duration) -> WatermarkBound {
-        let expiry = longest_expiry(lease);
-        let left = cancel.mul_f64(1.0 - DRIFT).saturating_sub(expiry);
+        let lease_lifetime = max_lease_lifetime(lease);
+        let allowed_age = cancel
+            .mul_f64(1.0 - CLOCK_DRIFT_FRACTION)
+            .saturating_sub(lease_lifetime);
         WatermarkBound {
-            max_age: left.max(MIN_MAX_AGE),
-            ends_tasks_in_time: left >= MIN_MAX_AGE,
+            max_age: allowed_age.max(MIN_MAX_AGE),
+            ends_tasks_in_time: allowed_age >= MIN_MAX_AGE,
         }
     }
 }
 
-/// By how much a cancelled task may outlast `cancel` where lease expiry alone ends it: its leader is cut off
-/// from the key-value store and its peers, and its machine cannot be reached. Zero if that is in time.
+/// The time beyond `cancel` (`cancel_s`) for which a task of a cancelled job may still run if only lease expiry
+/// ends it, because the leader can reach neither the key-value store nor its peers and so does not know of the
+/// cancellation. Zero if lease expiry ends it in time.
 #[must_use]
 pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
     let bound = WatermarkBound::new(lease, cancel);
-    let longest = bound.max_age + longest_expiry(lease);
-    longest.saturating_sub(cancel.mul_f64(1.0 - DRIFT))
+    let max_run_time = bound.max_age + max_lease_lifetime(lease);
+    max_run_time.saturating_sub(cancel.mul_f64(1.0 - CLOCK_DRIFT_FRACTION))
 }
 
-/// How long after its renewal a lease expires at the latest.
-fn longest_expiry(lease: Duration) -> Duration {
-    lease.mul_f64(1.0 + DRIFT) + MARGIN
+/// The longest time from the renewal of a lease to its expiry, as this leader's clocks measure it.
+fn max_lease_lifetime(lease: Duration) -> Duration {
+    lease.mul_f64(1.0 + CLOCK_DRIFT_FRACTION) + LEASE_EXPIRY_MARGIN
 }
 
-/// A point in time by both clocks. The steady one may stop while the process is paused.
+/// One point in time on both clocks of this machine. Both are needed, because the monotonic clock may stop
+/// while the process is paused and the wall clock may be set back.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The steady clock.
+    /// The time on the monotonic clock.
     pub monotonic: Instant,
-    /// The time of day.
+    /// The time of day, which may be adjusted while the process runs.
     pub wall_clock: SystemTime,
 }
 
 impl ClockReading {
-    /// Now, by both clocks.
+    /// Reads both clocks.
     pub fn now() -> ClockReading {
         ClockReading {
             monotonic: Instant::now(),
@@ -77,7 +87,7 @@
         }
     }
 
-    /// The same point shifted to another reading of the steady clock.
+    /// Shifts this reading to another time on the monotonic clock, and the wall clock by the same amount.
     pub fn at(self, monotonic: Instant) -> ClockReading {
         let wall_clock = match monotonic.checked_duration_since(self.monotonic) {
             Some(later) => self.wall_clock + later,
@@ -89,7 +99,7 @@
         }
     }
 
-    /// The age by the clock that shows the greater one.
+    /// The time that has passed until `now`, by the clock that shows more. Zero if both show `now` as earlier.
     fn age(self, now: ClockReading) -> Duration {
         let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
         monotonic.max(
@@ -100,49 +110,50 @@
     }
 }
 
-/// A peer's report of all cancellations that it confirmed.
+/// A peer's report of the cancellations that it confirmed itself. Its times are on this leader's clocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CancellationReport {
-    /// When it was requested.
+    /// When this leader requested the report.
     pub requested_at: ClockReading,
-    /// When it was received.
+    /// When this leader received the report.
     pub received_at: ClockReading,
-    /// It continues the peer's previous report without a gap.
+    /// The report continues the peer's previous one without a gap.
     pub is_continuous: bool,
 }
 
-/// The time that a peer's reports cover without a gap.
+/// The period in which all cancellations confirmed by one peer are known from its reports.
 #[derive(Clone, Copy, Debug)]
 struct CoveredPeriod {
     since: ClockReading,
     until: ClockReading,
 }
 
-/// The time up to which all confirmed cancellations are known.
+/// The time up to which this leader knows all confirmed cancellations. It only advances.
 #[derive(Clone, Debug)]
 pub struct Watermark {
     at: ClockReading,
-    /// What the reports of each peer cover; `None` before its first one.
+    /// The period that the reports of each peer cover, by member name; `None` before its first report.
     peers: BTreeMap<String, Option<CoveredPeriod>>,
 }
 
 impl Watermark {
-    /// A watermark at the time at which a read of all cancellations was sent, with the peers that may confirm
-    /// others.
-    pub fn new(read: ClockReading, peers: impl IntoIterator<Item = String>) -> Watermark {
+    /// A watermark at `read_sent_at`, when a read of all stored cancellations was sent. `peers` are the other
+    /// controllers that may confirm cancellations.
+    pub fn new(read_sent_at: ClockReading, peers: impl IntoIterator<Item = String>) -> Watermark {
         Watermark {
-            at: read,
+            at: read_sent_at,
             peers: peers.into_iter().map(|p| (p, None)).collect(),
         }
     }
 
-    /// Records that all cancellations are known that the key-value store held when a read was sent.
+    /// Records a read of the key-value store that was sent at `requested_at`: all cancellations that were stored
+    /// by then are known.
     pub fn record_read(&mut self, requested_at: ClockReading) {
         self.raise(requested_at);
         self.advance();
     }
 
-    /// Records a peer's report, whose cancellations are known now.
+    /// Records a peer's report whose cancellations have been applied. Reports of unknown peers are ignored.
     pub fn record_report(&mut self, peer: &str, report: CancellationReport) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
@@ -152,7 +163,8 @@
                 since: c.since,
                 until: report.requested_at,
             }),
-            // The first report since the peer started: what it confirmed before, only the store shows.
+            // This is the peer's first report, or there is a gap before it. Only a read of the store shows
+            // what the peer confirmed before.
             _ => Some(CoveredPeriod {
                 since: report.received_at,
                 until: report.received_at,
@@ -161,7 +173,8 @@
         self.advance();
     }
 
-    /// Moves the watermark to the earliest time up to which every peer has reported.
+    /// Advances the watermark to the time up to which the reports of all peers cover it without a gap, if there
+    /// is a report of each peer whose coverage begins at or before the watermark.
     fn advance(&mut self) {
         let at = self.at.monotonic;
         let covered_until = |period: &Option<CoveredPeriod>| {
@@ -175,13 +188,15 @@
         }
     }
 
+    /// Moves the watermark to `to` unless it is there or later already.
     fn raise(&mut self, to: ClockReading) {
         if to.monotonic > self.at.monotonic {
             self.at = to;
         }
     }
 
-    /// The age of the watermark. Without peers, all cancellations are confirmed here.
+    /// The age of the watermark. It is zero without peers, because then this controller confirms all
+    /// cancellations itself.
     pub fn age(&self, now: ClockReading) -> Duration {
         if self.peers.is_empty() {
             Duration::ZERO
--- a/src/core/leadership/election.rs
+++ b/src/core/leadership/election.rs
@@ -1,50 +1,53 @@
-//! Leader election: a state machine over the answers of the key-value store.
+//! Leader election: a state machine that is driven by what is read from the key-value store.
 //!
-//! Taking the leadership is one transaction: it puts the leader key, bound to a lease, and raises the counter
-//! of terms by one. Invariant: everything that the leader writes afterwards is conditional on the revision that
-//! this transaction gave the leader key, so a superseded leader's writes fail however late they arrive.
+//! A controller becomes the leader by one transaction, which writes the leader key, bound to a lease, and sets
+//! the stored term to the new one. The new term is higher than the stored term and than every term that this
+//! controller has seen; it may exceed the stored one by more than one.
+//!
+//! Invariant: every write of a leader is conditional on the revision that this transaction gave to the leader
+//! key, so the writes of a superseded leader fail however late they arrive.
 
 use crate::core::model::Term;
 use std::time::{Duration, Instant};
 
-/// The leader key's content as last read.
+/// The content of the leader key as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderRecord {
-    /// The member that leads.
+    /// The name of the member that wrote the key.
     pub member: String,
-    /// Distinguishes processes of the same member.
+    /// A random number that each process draws at its start; it distinguishes processes of one member.
     pub boot: u64,
-    /// The member's term.
+    /// The term that began with this write.
     pub term: Term,
-    /// The revision of the leader key.
+    /// The revision at which the key was written.
     pub revision: u64,
 }
 
 /// The role of this controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Another controller leads, or none.
+    /// Another controller leads, or no controller does.
     Follower {
-        /// The leader, if one is known.
+        /// The leader key as last read; `None` while the key is absent or its content is not known.
         leader: Option<LeaderRecord>,
     },
     /// This controller leads.
     Leader {
-        /// The term of this leadership.
+        /// The term in which this controller leads.
         term: Term,
-        /// The revision of the leader key.
+        /// The revision that the campaign gave to the leader key.
         revision: u64,
     },
 }
 
-/// What the election needs next.
+/// The action that the election requires next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before the next observation.
+    /// Do nothing until the next observation or check.
     Wait,
-    /// Try to take the leadership.
+    /// Try to become the leader.
     Campaign {
-        /// The revision that the leader key must still have (0: absent).
+        /// The revision that the leader key must still have; 0 if the key must be absent.
         revision: u64,
     },
     /// Renew the lease of the leader key.
@@ -53,7 +56,7 @@
     StepDown,
 }
 
-/// The state machine of one controller.
+/// The election as one controller sees it.
 pub struct Leadership {
     member: String,
     role: Role,
@@ -64,7 +67,7 @@
 }
 
 impl Leadership {
-    /// A follower that knows of no leader.
+    /// Starts as a follower that knows of no leader. `member` is this controller's own name.
     pub fn new(member: &str, renewal_interval: Duration) -> Self {
         Leadership {
             member: member.to_owned(),
@@ -76,17 +79,17 @@
         }
     }
 
-    /// The role of this controller.
+    /// The current role of this controller.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// The highest term seen anywhere.
+    /// The highest term that this controller has seen in the leader key, a heartbeat or a peer's message.
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// The leader key was read (None: absent).
+    /// Handles a read of the leader key; `None` if the key is absent.
     pub fn on_leader_key(&mut self, now: Instant, record: Option<LeaderRecord>) -> Step {
         if let Some(r) = &record {
             self.highest_term = self.highest_term.max(r.term);
@@ -95,7 +98,8 @@
             (Role::Leader { revision, .. }, Some(r)) if r.revision == *revision => {
                 self.next_step(now)
             }
-            // The read may be older than our own campaign: only a newer revision counts.
+            // A lower revision was read before this controller's campaign succeeded and says nothing about
+            // its term. A higher revision or an absent key ends the term.
             (Role::Leader { revision, .. }, Some(r)) if r.revision < *revision => {
                 self.next_step(now)
             }
@@ -110,7 +114,7 @@
         }
     }
 
-    /// The next step without a new observation.
+    /// Returns the step that is due at `now` if nothing new has been observed.
     pub fn next_step(&self, now: Instant) -> Step {
         match &self.role {
             Role::Leader { .. } => match self.last_renewal {
@@ -123,10 +127,11 @@
                 }
                 match leader {
                     None => Step::Campaign { revision: 0 },
-                    // Our own key, and we do not lead by it. An earlier process of this member took it,
-                    // which is dead, since a member is one process; or a campaign did whose answer was
-                    // lost, so that nobody acts in that term. Late writes fail on the revision, and a
-                    // lease that nobody renews would keep all controllers waiting.
+                    // The key names this member, but this process does not lead. Either an earlier process
+                    // of the member wrote the key and has ended, since a member runs as one process, or a
+                    // campaign of this process succeeded and its response was lost, so that no process acts
+                    // in that term. Replacing the key is safe, because late writes of that term fail on the
+                    // revision. Otherwise all controllers would wait until its lease expires unrenewed.
                     Some(r) if r.member == self.member => Step::Campaign {
                         revision: r.revision,
                     },
@@ -136,47 +141,48 @@
         }
     }
 
-    /// The campaign was won.
+    /// Handles a successful campaign: this controller leads in `term` from now on.
     pub fn on_campaign_won(&mut self, now: Instant, term: Term, revision: u64) {
         self.highest_term = self.highest_term.max(term);
         self.last_renewal = Some(now);
         self.role = Role::Leader { term, revision };
     }
 
-    /// A campaign failed, or its outcome is unknown: the next one waits.
-    pub fn on_campaign_lost(&mut self, now: Instant, pause: Duration) {
-        self.backoff_until = Some(now + pause);
+    /// Handles a campaign that failed or whose outcome is unknown: the next one starts after `backoff`.
+    pub fn on_campaign_lost(&mut self, now: Instant, backoff: Duration) {
+        self.backoff_until = Some(now + backoff);
     }
 
-    /// Resigns from this term, and leaves the next one to other controllers for a while.
-    pub fn resign(&mut self, now: Instant, term: Term, pause: Duration) -> Step {
+    /// Resigns if this controller leads in `term`, and does not campaign again before `backoff` has passed, so
+    /// that another controller can become the leader.
+    pub fn resign(&mut self, now: Instant, term: Term, backoff: Duration) -> Step {
         match &self.role {
             Role::Leader { term: own, .. } if term == *own => {
                 self.role = Role::Follower { leader: None };
-                self.backoff_until = Some(now + pause);
+                self.backoff_until = Some(now + backoff);
                 Step::StepDown
             }
             _ => Step::Wait,
         }
     }
 
-    /// Sets how often the lease is renewed.
+    /// Sets the interval between renewals of the leader key's lease, which depends on the lease's duration.
     pub fn set_renewal_interval(&mut self, interval: Duration) {
         self.renewal_interval = interval;
     }
 
-    /// The lease was renewed by a request sent at this time.
+    /// Handles a renewal of the lease by a request that was sent at `sent_at`.
     pub fn on_lease_renewed(&mut self, sent_at: Instant) {
         self.last_renewal = Some(sent_at);
     }
 
-    /// The lease has expired, and with it the leader key.
+    /// Handles the expiry of the lease, with which the leader key is deleted.
     pub fn on_lease_expired(&mut self) -> Step {
         self.role = Role::Follower { leader: None };
         Step::StepDown
     }
 
-    /// A heartbeat or a peer shows a term. A higher one ends ours.
+    /// Handles a term that a heartbeat or a peer has shown. A term higher than this leader's own ends it.
     pub fn on_term(&mut self, term: Term) -> Step {
         self.highest_term = self.highest_term.max(term);
         match &self.role {
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -1,27 +1,29 @@
-//! Whether a leader's lease is confirmed, and up to when it knows all confirmed cancellations.
+//! Whether the lease on the leader key is confirmed, and the time up to which the leader knows all confirmed
+//! cancellations.
 //!
-//! Invariant: heartbeats are answered only while the watermark is fresh enough that a lease renewed now expires
-//! in time for any cancellation that is not known here.
+//! Invariant: heartbeats are answered only while the watermark is younger than the bound that
+//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets, so that a machine
+//! lease renewed now ends the tasks of cancelled jobs that the leader does not know of in time.
 
 use crate::core::leadership::cancellation_watermark::{
     CancellationReport, ClockReading, Watermark,
 };
 use std::time::{Duration, Instant};
 
-/// Whether the leadership is confirmed, and the watermark of confirmed cancellations.
+/// What a leader knows about its own leadership and about confirmed cancellations.
 pub struct LeadershipStatus {
-    /// The lease on the leader key has certainly not expired.
+    /// The lease on the leader key has certainly not expired, counted from when its renewal was sent.
     pub(in crate::core) confirmed: bool,
-    /// When the newest read of the queue that was answered was sent.
+    /// When the most recent successful read of the queue was sent; `None` before the first one.
     pub(in crate::core) last_queue_read: Option<Instant>,
-    /// The time up to which all confirmed cancellations are known.
+    /// The time up to which this leader knows all confirmed cancellations.
     watermark: Watermark,
-    /// Both clocks, as they were last read together.
+    /// The most recent reading of both clocks.
     clocks: ClockReading,
 }
 
 impl LeadershipStatus {
-    /// A leadership that begins now.
+    /// A leadership that begins at `clocks`, confirmed and without peers.
     pub fn new(clocks: ClockReading) -> LeadershipStatus {
         LeadershipStatus {
             confirmed: true,
@@ -31,28 +33,34 @@
         }
     }
 
-    /// Sets the peers, which confirm cancellations too, and when the first read of the store was sent.
-    pub fn set_peers(&mut self, peers: impl IntoIterator<Item = String>, read: ClockReading) {
-        self.watermark = Watermark::new(read, peers);
+    /// Sets the peers, which may confirm cancellations too, and restarts the watermark at `read_sent_at`, when
+    /// the first read of the key-value store was sent.
+    pub fn set_peers(
+        &mut self,
+        peers: impl IntoIterator<Item = String>,
+        read_sent_at: ClockReading,
+    ) {
+        self.watermark = Watermark::new(read_sent_at, peers);
     }
 
-    /// Sets the present reading of both clocks.
+    /// Sets the current reading of both clocks, which freshness is computed against.
     pub fn set_clocks(&mut self, now: ClockReading) {
         self.clocks = now;
     }
 
-    /// All cancellations have been applied that the store held when a read was sent.
+    /// Handles a read of the queue that was sent at `requested_at`. The caller has applied all cancellations
+    /// that the read returned.
     pub fn on_cancellations_read(&mut self, requested_at: ClockReading) {
         self.last_queue_read = Some(requested_at.monotonic);
         self.watermark.record_read(requested_at);
     }
 
-    /// All cancellations that a peer reported have been applied.
+    /// Handles a peer's report. The caller has applied all cancellations that the report contains.
     pub fn on_cancellations_reported(&mut self, peer: &str, report: CancellationReport) {
         self.watermark.record_report(peer, report);
     }
 
-    /// Whether the watermark is younger than `max_age`.
+    /// Whether all cancellations are known but those confirmed less than `max_age` before `now`.
     pub(in crate::core) fn knows_cancellations(&self, now: Instant, max_age: Duration) -> bool {
         self.watermark.is_fresh(self.clocks.at(now), max_age)
     }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -1,4 +1,4 @@
-//! The leader election, and what a leader must know before it renews leases.
+//! Leader election, and the conditions under which a leader may renew the leases of machines.
 
 pub mod cancellation_watermark;
 pub mod election;
