--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,7 +1,8 @@
-//! The steps of an attempt: assignment, durable intent, kill, and the proof that it is gone.
+//! The life cycle of an attempt: assignment to a machine, durable intent, kill request, and removal.
 //!
-//! Invariants: the launch is sent only once the intent is durable; an attempt counts against its machine and
-//! its team's quota from its assignment until the proof that it is off its machine; a gang ends as a whole.
+//! Invariants: the launch is sent only once the intent is durable. An attempt uses capacity of its machine and
+//! of its team's quota from its assignment until it is proved gone from the machine. All members of a gang end
+//! together.
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
 use crate::core::state::attempt::AttemptEnd;
@@ -11,26 +12,26 @@
 
 /// The decision to run a task on a machine.
 pub(in crate::core) struct Assignment<'a> {
-    /// The task's job.
+    /// The job that the task belongs to. If it is not live, nothing is assigned.
     pub(in crate::core) job_id: &'a JobId,
     /// The task's index in its job.
     pub(in crate::core) task_index: u32,
-    /// The machine.
+    /// The machine that is to run the task. If it is not known, nothing is assigned.
     pub(in crate::core) machine: &'a MachineId,
-    /// The id of the new attempt.
+    /// The id of the new attempt, from [`ClusterState::next_attempt`] or as the machine reports it.
     pub(in crate::core) attempt: AttemptId,
-    /// How long the task is expected to run there.
+    /// The expected run time of the task on this machine, without the fetch of its image.
     pub(in crate::core) estimated_run_time: Duration,
 }
 
 impl ClusterState {
-    /// The id of the next attempt, unique over all terms.
+    /// Allocates an attempt id, which is unique across all terms.
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
         self.attempt_count += 1;
         AttemptId::of(self.term, self.attempt_count)
     }
 
-    /// Records the decision to run a task on a machine. The launch is sent once this is durable.
+    /// Records the decision to run a task on a machine. The launch is sent once its intent is durable.
     pub(in crate::core) fn assign(&mut self, now: Instant, assignment: Assignment) {
         let Assignment {
             job_id, task_index, ..
@@ -61,7 +62,7 @@
         self.writes.mark_dirty(job_id);
     }
 
-    /// The intent of an attempt is durable, so that its launch may be sent.
+    /// Handles an intent that has become durable: the launch of the attempt may be sent.
     pub(in crate::core) fn on_intent_durable(
         &mut self,
         now: Instant,
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Requests the end of an attempt. One whose launch was never sent ends at once.
+    /// Requests the end of an attempt. An attempt whose launch was never sent is removed at once. Repeated
+    /// requests can only shorten the grace period.
     pub(in crate::core) fn kill(
         &mut self,
         now: Instant,
@@ -98,7 +100,7 @@
         let Some(attempt) = job.and_then(|j| j.active.get_mut(&index)) else {
             return;
         };
-        // One that was adopted is on its machine before its record is durable.
+        // An adopted attempt runs on its machine before its record is durable, so its phase is checked too.
         if !attempt.durable && attempt.observed_phase.is_none() {
             self.record_attempt_gone(now, job_id, index, AttemptEnd::Incomplete);
             return;
@@ -116,7 +118,8 @@
         self.outbox.urgent_machines.insert(attempt.machine.clone());
     }
 
-    /// An attempt is proved off its machine. Unless it completed, the task waits again.
+    /// Removes an attempt that is proved gone from its machine. Unless it completed its task, the task waits to
+    /// be placed again. Returns the attempt; `None` if the task has no active one.
     pub(in crate::core) fn record_attempt_gone(
         &mut self,
         now: Instant,
@@ -142,13 +145,14 @@
         }
         self.schedule.request_round();
         if is_gang {
-            self.gang_member_gone(now, job_id, end);
+            self.on_gang_member_gone(now, job_id, end);
         }
         Some(attempt)
     }
 
-    /// Ends a gang as a whole: it is done when one member is, and is otherwise stopped to start anew.
-    fn gang_member_gone(&mut self, now: Instant, job_id: &JobId, end: AttemptEnd) {
+    /// Ends a gang together with one of its members: the gang is done if the member completed; otherwise the
+    /// remaining members are stopped, and the gang is placed again as a whole.
+    fn on_gang_member_gone(&mut self, now: Instant, job_id: &JobId, end: AttemptEnd) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -1,9 +1,9 @@
-//! The components of the cluster's state, joined, and the steps that time brings about.
+//! The complete state that the leader keeps of the cluster, and its periodic processing.
 //!
-//! Invariant: a task that was sent to a machine counts as running there until there is proof that it is
-//! gone: a newer heartbeat without it from an agent that no longer accepts the command that launched it,
-//! a heartbeat of a later incarnation, the cloud's confirmation that the machine was returned, or a lease
-//! that has certainly expired.
+//! Invariant: a task that may have been launched on a machine counts as running there until it is proved gone.
+//! The proofs are: the machine's report that the attempt has ended; a newer heartbeat that does not list the
+//! attempt, from an agent that no longer accepts the command that launched it; a heartbeat of a later
+//! incarnation; the cloud's confirmation that the machine was returned; and a lease that has certainly expired.
 
 use crate::core::capacity::Capacity;
 use crate::core::leadership::cancellation_watermark::{ClockReading, WatermarkBound};
@@ -27,22 +27,23 @@
 use cypressgap_recovery::Takeover;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How late a heartbeat may be that had to be sent around controllers that are down.
-const HEARTBEAT_DETOUR_MARGIN: Duration = Duration::from_secs(5);
-/// A heartbeat is missing after this many intervals and the margin.
+/// The additional delay that is allowed for a heartbeat that an agent had to send to another controller because
+/// some are down.
+const HEARTBEAT_REROUTE_MARGIN: Duration = Duration::from_secs(5);
+/// A heartbeat is missing after this many heartbeat intervals plus [`HEARTBEAT_REROUTE_MARGIN`].
 const MISSING_HEARTBEAT_FACTOR: f64 = 1.25;
 
-/// What begins with a term, and what is known when it begins.
+/// The values with which a term starts.
 pub struct TermStart {
-    /// The term.
+    /// The term that this controller won.
     pub term: Term,
     /// The revision of the leader key, on which all writes of the term are conditional.
     pub leader_revision: u64,
-    /// The machine types on offer.
+    /// The machine types that the cloud offers, as last known.
     pub machine_types: Vec<MachineType>,
-    /// When the term begins.
+    /// When the term begins, on the monotonic clock.
     pub started_at: Instant,
-    /// The time of day at `started_at`, in milliseconds since 1970.
+    /// The wall clock at `started_at`, in milliseconds since the Unix epoch.
     pub started_ms: u64,
 }
 
@@ -55,52 +56,54 @@
     }
 }
 
-/// All that a leader knows and decides by, for the length of one term.
+/// The state on which a leader bases its decisions during one term.
 pub struct ClusterState {
-    /// The settings of the deployment and of the operators.
+    /// The settings of the deployment and of the operators. The limits of transactions may be lowered during the
+    /// term.
     pub config: SchedulerConfig,
-    /// The term.
+    /// The term of this leadership.
     pub term: Term,
     /// The revision of the leader key, on which all writes of the term are conditional.
     pub leader_revision: u64,
     /// Jobs and their dependencies.
     pub jobs: JobTable,
-    /// The machines, and the machine types on offer.
+    /// The machines, and the machine types that the cloud offers.
     pub fleet: Fleet,
     /// The resources that each team's tasks use.
     pub quota_usage: QuotaUsage,
-    /// The average of `quota_usage` over recent time, by which fair shares are given out.
+    /// The moving average of `quota_usage`, from which teams above their fair share are determined.
     pub(in crate::core) recent_usage: RecentUsage,
-    /// Stored records that cannot be decoded, and what may run because of them.
+    /// Stored records that cannot be decoded, and the machines that may run tasks because of them.
     pub(in crate::core) unreadable_records: UnreadableRecords,
-    /// The failover: what is not reconciled yet, and the pace of its orders.
+    /// The progress of reconciliation after the failover, and the pacing of commands and rentals during it.
     pub takeover: Takeover,
-    /// Limits starts while controllers are overloaded.
+    /// Limits the rate of task starts while controllers are overloaded.
     pub start_limiter: StartLimiter,
     /// Measured run times and image fetch rates.
     pub history: History,
-    /// Scale-out under way, and what is known of demand and of the cloud.
+    /// Rentals that are in progress, and what is known about demand and about the cloud.
     pub capacity: Capacity,
-    /// What has to be written to the key-value store.
+    /// Changes that have to be written to the key-value store.
     pub(in crate::core) writes: PendingWrites,
-    /// When rounds, scaling and sweeps are due.
+    /// When placement rounds, scaling decisions and sweeps are due.
     pub(in crate::core) schedule: RoundSchedule,
     /// Actions and commands that wait to be sent.
     pub(in crate::core) outbox: Outbox,
-    /// Whether the leadership is confirmed, and up to when cancellations are known.
+    /// Whether the leadership is confirmed, and the time up to which cancellations are known.
     pub leadership: LeadershipStatus,
-    /// Since when missing heartbeats prove anything.
+    /// The time from which on missing heartbeats are evidence that machines are silent.
     pub liveness: Liveness,
-    /// How many attempts this term has decided on.
+    /// The number of attempt ids that this term has allocated.
     pub(in crate::core) attempt_count: u64,
-    /// The resources of the tasks that found no machine in the last round.
+    /// Distinct resource requests of tasks for which the last round found no machine, not even a booting one.
     pub(in crate::core) unplaced_resources: Vec<Resources>,
-    /// How long each task that started in this term had waited for it, for the summary in the log.
+    /// For each start observed since the last summary in the log, the time from the durable intent to the first
+    /// heartbeat that showed the task as running. The summary takes the values out.
     pub start_waits: Vec<Duration>,
 }
 
 impl ClusterState {
-    /// The state at the beginning of a term: no job and no machine is known.
+    /// The state at the beginning of a term, in which no job and no machine is known.
     pub fn new(config: SchedulerConfig, start: TermStart) -> Self {
         let now = start.started_at;
         let clocks = start.clocks();
@@ -132,15 +135,15 @@
         }
     }
 
-    /// Whether heartbeats may be answered: a lease renewed now expires in time for any cancellation that is
-    /// not known here.
+    /// Whether heartbeats may be answered: a lease renewed now expires in time even for cancellations that this
+    /// leader does not know of.
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let bound = WatermarkBound::new(self.config.lease, self.config.cancel);
         self.leadership.knows_cancellations(now, bound.max_age)
     }
 
-    /// Sets whether the leadership is confirmed. While it is not, machines that look silent or idle from
-    /// here may be at work for another leader.
+    /// Sets whether the leadership is confirmed. While it is not, another controller may be the leader, and
+    /// machines that seem silent or idle may run tasks for it. Launches are withheld until then.
     pub fn set_leadership_confirmed(&mut self, confirmed: bool) {
         if confirmed && !self.leadership.confirmed {
             self.send_unsent_launches();
@@ -148,7 +151,7 @@
         self.leadership.confirmed = confirmed;
     }
 
-    /// Sends the launches that were withheld while the leadership was not confirmed.
+    /// Schedules the launches that were withheld while the leadership was not confirmed.
     fn send_unsent_launches(&mut self) {
         let is_unsent = |attempt: &&ActiveAttempt| {
             attempt.durable && attempt.launch_sent_at.is_none() && attempt.kill_request.is_none()
@@ -158,39 +161,40 @@
         self.outbox.urgent_machines.extend(machines);
     }
 
-    /// Whether no heartbeats arrive any more although there are machines, so that another controller may be
-    /// the one that receives them. A term that never received one first lets the leases of silent machines
-    /// expire.
+    /// Whether no heartbeats arrive although there are machines that should send some, so that another controller
+    /// may be receiving them. A term that has not received any waits longer, until the leases of silent machines
+    /// have expired.
     pub fn is_without_heartbeats(&self, now: Instant) -> bool {
         let heartbeat = self.config.heartbeat;
-        let (since, patience) = match self.liveness.last_heartbeat {
+        let (since, timeout) = match self.liveness.last_heartbeat {
             Some(received) => (
                 received,
-                heartbeat.mul_f64(MISSING_HEARTBEAT_FACTOR) + HEARTBEAT_DETOUR_MARGIN,
+                heartbeat.mul_f64(MISSING_HEARTBEAT_FACTOR) + HEARTBEAT_REROUTE_MARGIN,
             ),
             None => (self.liveness.started, self.config.lease + heartbeat),
         };
         let since = since.max(self.liveness.awake_since);
         let is_expected = |m: &Machine| m.booting_since.is_none() && !m.returning;
-        now.saturating_duration_since(since) > patience
+        now.saturating_duration_since(since) > timeout
             && self.fleet.machines.values().any(is_expected)
     }
 
-    /// Sets how many changes the next transaction may have: a larger one would be delayed, with all that
-    /// is in it, by the limit on the rate of changes.
+    /// Sets the maximum number of changes in the next transaction. A larger transaction would be delayed as a
+    /// whole by the limit on the rate of changes.
     pub fn set_write_allowance(&mut self, changes: usize) {
         self.writes.set_allowance(changes);
     }
 
-    /// Sets how long the last tick took: rounds leave most of the processor to heartbeats and requests.
+    /// Sets the duration of the last tick. The interval between rounds grows with it, so that most of the CPU
+    /// time remains for heartbeats and requests.
     pub fn set_tick_duration(&mut self, duration: Duration) {
         self.schedule.set_tick_duration(duration);
     }
 
-    /// This process was paused and runs again; its clocks may have advanced by less or more than what
-    /// happened outside. Waiting times are counted anew from now: for heartbeats that could not be received,
-    /// for leases whose renewals may be misjudged, for commands that were not sent. What users wait for,
-    /// cancellations above all, is not put off.
+    /// Handles the end of a pause of this process, during which its clocks may have advanced by less or more than
+    /// real time. Time-outs start anew for heartbeats that could not be received, for leases whose renewal times
+    /// may be wrong, and for commands that may not have been sent. Time limits on which users rely, above all
+    /// those of cancellations, are not extended.
     pub fn on_process_resumed(&mut self, now: Instant) {
         if !self.liveness.resume(now) {
             return;
@@ -205,7 +209,8 @@
         }
     }
 
-    /// Does everything that is due by time: sweeps, a placement round, scaling. Returns what is to be done.
+    /// Performs the periodic work that is due: sweeps, a placement round, and scaling as part of the round.
+    /// Returns the actions to be carried out.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         if self.liveness.tick(now) {
             self.on_process_resumed(now);
@@ -225,8 +230,8 @@
         self.flush(now)
     }
 
-    /// Checks all machines and tasks for what has become due: lease expiry, overdue cancellations, spot
-    /// evictions, kills, crash loops.
+    /// Checks all machines and tasks for expired leases, overdue cancellations, spot evictions, kills whose grace
+    /// period has passed, crash-loop suspicions that can be cleared, and the progress of the takeover.
     fn sweep(&mut self, now: Instant) {
         self.expire_leases(now);
         self.return_machines_of_overdue_cancellations(now);
@@ -236,8 +241,8 @@
         self.advance_takeover(now);
     }
 
-    /// Sends what has become possible, such as the launch of a durable intent, without waiting for the next
-    /// tick.
+    /// Returns the actions that have become possible, such as the launch of an attempt whose intent is durable,
+    /// without waiting for the next tick.
     pub fn flush(&mut self, now: Instant) -> Vec<Action> {
         self.send_urgent(now);
         if let Some(batch) = self.next_batch(now) {
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -1,26 +1,27 @@
 //! The dependency graph of live jobs.
 //!
-//! Invariants: only accepted jobs may be dependencies, so the graph has no cycles. A job is blocked until a
-//! durable `done` of each of its dependencies is known; nothing else releases it, so an unknown dependency
-//! blocks. When a job is cancelled, so are all of its dependents, direct or through others: none of them can
-//! have started, since a dependency was not done.
+//! Invariants: a job may depend only on jobs that were accepted before it, so the graph has no cycles. A job is
+//! blocked until the durable outcome `done` of each of its dependencies is known; a dependency whose outcome is
+//! unknown keeps it blocked. When a job is cancelled, all of its direct and transitive dependents are cancelled
+//! too. None of them can have started, since one of its dependencies was not done.
 
 use crate::core::model::JobId;
 use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The outcomes of this many jobs are remembered; the oldest are forgotten first. The acceptance of a job
-/// becomes known after an outcome that followed it only by the delay of the watch.
-const MAX_OUTCOMES: usize = 100_000;
+/// The number of job outcomes that are remembered; the oldest are dropped first. The outcome of a dependency may
+/// become known before the acceptance of its dependent, but only by the delay of the watch, so that outcomes are
+/// needed only for a short time.
+const MAX_REMEMBERED_OUTCOMES: usize = 100_000;
 
 /// The state of a job's dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
     /// All dependencies are done.
     Ready,
-    /// A dependency is not known to be done.
+    /// At least one dependency is not known to be done, and none is known to be cancelled.
     Blocked,
-    /// A dependency was cancelled.
+    /// At least one dependency was cancelled, so the job is to be cancelled too.
     Orphaned,
 }
 
@@ -33,16 +34,18 @@
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs for which the key-value store holds a list of dependents.
     listed: BTreeSet<JobId>,
-    /// Jobs whose dependents have changed since [`Dependencies::take_changed`].
+    /// Jobs that were added, or that lost a dependent by a cancellation, since the last call of
+    /// [`Dependencies::take_changed`].
     changed: BTreeSet<JobId>,
-    /// The outcomes of jobs that are over.
+    /// The outcomes of up to [`MAX_REMEMBERED_OUTCOMES`] jobs that are over.
     outcomes: HashMap<JobId, JobOutcome>,
     /// The jobs in `outcomes`, oldest first.
     outcome_order: VecDeque<JobId>,
 }
 
 impl Dependencies {
-    /// Adds a live job. `listed`: the key-value store holds lists of dependents for its dependencies.
+    /// Adds a live job. `listed` says that the key-value store holds a list of dependents for each of its
+    /// dependencies. A job with a cancelled dependency is not added.
     pub fn add(&mut self, job_id: &JobId, dependencies: &[JobId], listed: bool) -> DependencyState {
         let mut unfinished = BTreeSet::new();
         let mut orphaned = false;
@@ -76,7 +79,7 @@
     fn record_outcome(&mut self, job_id: &JobId, outcome: JobOutcome) {
         if self.outcomes.insert(job_id.clone(), outcome).is_none() {
             self.outcome_order.push_back(job_id.clone());
-            if self.outcome_order.len() > MAX_OUTCOMES {
+            if self.outcome_order.len() > MAX_REMEMBERED_OUTCOMES {
                 if let Some(old) = self.outcome_order.pop_front() {
                     self.outcomes.remove(&old);
                 }
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Records that a job's `done` is durable. Returns the jobs whose dependencies are now all done.
+    /// Records that the outcome `done` of a job is durable. Returns the jobs that this unblocks.
     pub fn record_done(&mut self, job_id: &JobId) -> Vec<JobId> {
         self.record_outcome(job_id, JobOutcome::Done);
         let mut ready = Vec::new();
@@ -101,15 +104,15 @@
         ready
     }
 
-    /// Records that a job is cancelled. Returns all jobs that depend on it, directly or through others.
+    /// Records that a job is cancelled, and with it all of its direct and transitive dependents, which it returns.
     pub fn record_cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
-        self.forget(job_id);
+        self.remove_blocked(job_id);
         self.record_outcome(job_id, JobOutcome::Cancelled);
         let mut all = Vec::new();
         let mut next = vec![job_id.clone()];
         while let Some(cancelled) = next.pop() {
             for dependent in self.dependents.remove(&cancelled).unwrap_or_default() {
-                if self.forget(&dependent) {
+                if self.remove_blocked(&dependent) {
                     self.record_outcome(&dependent, JobOutcome::Cancelled);
                     next.push(dependent.clone());
                     all.push(dependent);
@@ -119,8 +122,8 @@
         all
     }
 
-    /// Takes out a job that is over. Returns whether it was blocked.
-    fn forget(&mut self, job_id: &JobId) -> bool {
+    /// Removes a cancelled job from the graph. Returns whether it was blocked.
+    fn remove_blocked(&mut self, job_id: &JobId) -> bool {
         let Some(unfinished) = self.unfinished.remove(job_id) else {
             return false;
         };
@@ -136,17 +139,18 @@
         true
     }
 
-    /// Takes the jobs that arrived, or lost dependents, since the last call.
+    /// Takes the jobs that were added, or that lost a dependent by a cancellation, since the last call. Their
+    /// inherited ranks have to be computed again.
     pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// The dependencies of a job that are not known to be done.
+    /// The direct dependencies of a job that are not known to be done.
     pub fn dependencies(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
         self.unfinished.get(job_id).into_iter().flatten()
     }
 
-    /// The live jobs that depend directly on this one.
+    /// The blocked jobs that depend directly on this one.
     pub fn dependents(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job_id).into_iter().flatten()
     }
@@ -156,28 +160,28 @@
         self.listed.insert(job_id.clone());
     }
 
-    /// A job is over. Returns whether the key-value store holds a list of its dependents, which can be removed
-    /// now; true once.
+    /// Returns whether the key-value store holds a list of the dependents of a job that is over. The caller has to
+    /// remove the list; later calls return false.
     pub fn take_listed(&mut self, job_id: &JobId) -> bool {
         self.listed.remove(job_id)
     }
 
-    /// Dependencies that are neither live nor have a known outcome, which is to be read from the key-value
-    /// store.
+    /// Dependencies of blocked jobs that are not live and have no known outcome. Their outcomes have to be read
+    /// from the key-value store.
     pub fn unresolved(&self, live: impl Fn(&JobId) -> bool) -> Vec<JobId> {
         let is_unknown = |job_id: &&JobId| !live(job_id);
         self.dependents.keys().filter(is_unknown).cloned().collect()
     }
 }
 
-/// The dependents of all live jobs, as one read of their index shows them.
+/// The dependents of all live jobs, as of one read of the index of live jobs.
 #[derive(Debug, Default)]
 pub struct DependentsIndex {
     direct: HashMap<JobId, Vec<JobId>>,
 }
 
 impl DependentsIndex {
-    /// Builds the index from live jobs with their dependencies.
+    /// Builds the index from the live jobs and their direct dependencies.
     pub fn new(jobs: impl IntoIterator<Item = (JobId, Vec<JobId>)>) -> DependentsIndex {
         let mut direct: HashMap<JobId, Vec<JobId>> = HashMap::new();
         for (job_id, dependencies) in jobs {
@@ -188,10 +192,10 @@
         DependentsIndex { direct }
     }
 
-    /// All jobs that depend on one of these, directly or through others.
-    pub fn descendants<'a>(&self, of: impl IntoIterator<Item = &'a JobId>) -> BTreeSet<JobId> {
+    /// All direct and transitive dependents of these jobs.
+    pub fn descendants<'a>(&self, jobs: impl IntoIterator<Item = &'a JobId>) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut next: Vec<&JobId> = of.into_iter().collect();
+        let mut next: Vec<&JobId> = jobs.into_iter().collect();
         while let Some(job_id) = next.pop() {
             for dependent in self.direct.get(job_id).into_iter().flatten() {
                 if found.insert(dependent.clone()) {
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -1,7 +1,7 @@
-//! A live job with its attempts, and what the key-value store holds of its tasks.
+//! A live job with its attempts and the state of its stored task chunks.
 //!
-//! Invariants: a task has at most one active attempt; a task that is done has none and is never placed
-//! again; a task before `next_unplaced` is done, active, or among the requeued.
+//! Invariants: a task has at most one active attempt. A task that is done is never placed again. While the job
+//! is not over, every task before `next_unplaced` is done, active or requeued.
 
 use crate::core::model::{AttemptId, ImageKey, JobKind, JobSpec, TaskId};
 use crate::core::persistence::records::{ChunkValue, Intent, TASKS_PER_CHUNK};
@@ -14,58 +14,62 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// A live job, with its attempts.
+/// A live job, or one that is over but still has attempts or records in the key-value store.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The job as its user submitted it.
+    /// The job as its user submitted it, except that the priority is raised to that of its dependents.
     pub spec: JobSpec,
-    /// The key of its image.
+    /// The key of the job's image, computed from the image reference.
     pub image: ImageKey,
-    /// The revision of the acceptance: the order of arrival.
+    /// The revision of the key-value store at which the job was accepted. Jobs are ordered by it.
     pub revision: u64,
-    /// The revision of the key of its outcome, on which all its writes are conditional, so that a
-    /// cancelled job starts nothing. 0: the key is absent.
+    /// The revision of the key of the job's outcome; 0 while the key is absent. Until the outcome is known, all
+    /// writes of outcome and chunks are conditional on it, so that no intent of a cancelled job becomes durable.
     pub outcome_revision: u64,
-    /// What is known of its cancellation.
+    /// What this leader knows about the cancellation of the job.
     pub cancellation: Cancellation,
-    /// Its outcome `done` is durable.
+    /// The outcome `done` is durable.
     pub finished: bool,
-    /// A dependency is not known to be done.
+    /// At least one dependency is not known to be done, so no task may be placed.
     pub blocked: bool,
-    /// How many attempts the value of a chunk has room for.
+    /// The number of attempts that fit into the stored value of one chunk.
     pub max_attempts_per_chunk: u32,
-    /// A dependency was cancelled; its own outcome is to be written.
+    /// A dependency was cancelled, so this job is cancelled too. It stays set once the outcome is known.
     pub orphaned: bool,
-    /// When the cancellation of the dependency became known, if a peer may be writing this job's outcome.
+    /// When the cancellation of the dependency became known, if a peer may be writing this job's outcome;
+    /// `None` if the leader has to write it itself, without waiting.
     pub orphaned_at: Option<Instant>,
-    /// Tasks before this one were placed at least once.
+    /// The index of the first task that this term has not placed in sequence. All tasks before it were placed
+    /// at least once.
     pub next_unplaced: u32,
-    /// Tasks before `next_unplaced` that wait again.
+    /// Tasks whose last attempt ended without completing them, and which wait to be placed again.
     pub requeued: BTreeSet<u32>,
-    /// How many tasks are done.
+    /// The number of tasks that are done.
     pub done_count: u32,
-    /// Attempts that are not proved gone, by task.
+    /// Attempts that are not proved gone, by task index.
     pub active: BTreeMap<u32, ActiveAttempt>,
-    /// What the key-value store holds of its tasks, by chunk.
+    /// The task chunks that were loaded or changed, by chunk index.
     pub chunks: BTreeMap<u32, TaskChunk>,
-    /// Its failures, and whether it is suspected of a crash loop.
+    /// Failures of the job's tasks, and whether the job is suspected of a crash loop.
     pub crash_loop: CrashLoop,
-    /// Run time that stopped tasks have saved in checkpoints.
+    /// The run time that stopped tasks have saved in checkpoints, by task index.
     pub saved_progress: HashMap<u32, Duration>,
-    /// When it was accepted, from which its waiting counts; for a job with dependencies, when the last of
-    /// them was known to be done.
+    /// The start of the job's waiting time: when it was accepted or, if it had to wait for dependencies, when
+    /// the last of them was known to be done.
     pub arrived: Instant,
-    /// Its priority and deadline without those of its dependents.
+    /// The job's own priority and deadline, without those inherited from its dependents.
     pub own_rank: SchedulingRank,
-    /// When it should be complete, for its own sake or for that of its dependents.
+    /// When the job should be complete, to meet its own deadline and those of its dependents; `None` if none of
+    /// them has a deadline.
     pub deadline: Option<Instant>,
-    /// When one of its tasks was last placed; its arrival before that.
+    /// When one of the job's tasks was last placed; before that, when its waiting time started. Set to the start
+    /// of the term for a job that is loaded with attempts or completed tasks.
     pub last_placed: Instant,
-    /// It once waited so long that it was placed before all others.
+    /// The job was starved at some time in this term, so some of its tasks were placed before all other jobs.
     pub was_starved: bool,
-    /// How many more of its tasks are placed before all others because it was starved.
+    /// The number of tasks that are still to be placed before all other jobs because the job was starved.
     pub boosted_tasks: u32,
-    /// Attempts whose intents are not durable yet.
+    /// The number of attempts whose intents are not durable yet.
     pub pending_intents: u32,
 }
 
@@ -102,7 +106,7 @@
         }
     }
 
-    /// The id of one of its tasks.
+    /// The id of the task with this index, which is not checked against the number of tasks.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             job_id: self.spec.job_id.clone(),
@@ -110,52 +114,52 @@
         }
     }
 
-    /// Whether a task is done.
+    /// Whether the task with this index is done.
     pub fn is_done(&self, index: u32) -> bool {
         self.chunk_of(index).is_some_and(|c| c.is_done(index))
     }
 
-    /// Whether it is known to be cancelled.
+    /// Whether this leader knows that the job is cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancellation.is_known()
     }
 
-    /// Whether all of its tasks are done.
+    /// Whether all tasks are done. The outcome may not be durable yet.
     pub fn is_complete(&self) -> bool {
         self.done_count == self.spec.task_count
     }
 
-    /// Whether no task of it may be placed any more.
+    /// Whether no further task of the job may be placed.
     pub fn is_over(&self) -> bool {
         self.is_cancelled() || self.finished || self.orphaned || self.is_complete()
     }
 
-    /// Whether a dependency was cancelled and no outcome of its own is known yet.
+    /// Whether a dependency was cancelled and the job's own outcome is not known yet.
     pub fn is_orphan(&self) -> bool {
         self.orphaned && !self.is_cancelled() && !self.finished
     }
 
-    /// Whether the leader should write an orphan's outcome by now: the peer that confirms the dependency's
-    /// cancellation has had `grace` to do it.
+    /// Whether the leader should write the outcome of an orphaned job now, because the peer that confirms the
+    /// dependency's cancellation has had `grace` to write it or no peer is known to do so.
     pub(in crate::core) fn is_cascade_due(&self, now: Instant, grace: Duration) -> bool {
         let waited = |t: Instant| now.saturating_duration_since(t) >= grace;
         self.orphaned_at.is_none_or(waited)
     }
 
-    /// Whether its outcome `done` is to be written.
+    /// Whether the outcome `done` has to be written now.
     pub fn is_outcome_due(&self) -> bool {
         !self.is_cancelled() && !self.finished && self.is_complete()
     }
 
-    /// The chunk of a task, which is about to be changed.
-    fn change_chunk(&mut self, index: u32) -> &mut TaskChunk {
+    /// Returns the chunk of a task for modification, and raises its version.
+    fn touch_chunk(&mut self, index: u32) -> &mut TaskChunk {
         let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         chunk.version += 1;
         chunk
     }
 
-    /// Marks a task as done in a chunk that is being changed. A gang's members are all marked when the first
-    /// one is done, so it may have been done before.
+    /// Marks a task as done in a chunk whose version the caller has raised. The task may be marked already,
+    /// because all members of a gang are marked when the first one completes.
     fn mark_done(&mut self, index: u32) {
         let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         if chunk.mark_done(index) {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Records that an attempt at a task was decided on.
+    /// Adds a new attempt at a task. Its intent is not durable yet.
     pub(in crate::core) fn start_attempt(
         &mut self,
         now: Instant,
@@ -178,10 +182,11 @@
         self.last_placed = now;
         self.boosted_tasks = self.boosted_tasks.saturating_sub(1);
         self.pending_intents += 1;
-        self.change_chunk(index);
+        self.touch_chunk(index);
     }
 
-    /// Takes out the attempt at a task, which is gone, and requeues the task unless it is done.
+    /// Removes the attempt at a task, which is proved gone, and requeues the task unless it is done or the job is
+    /// over. Returns `None` if the task has no active attempt.
     pub(in crate::core) fn end_attempt(
         &mut self,
         now: Instant,
@@ -192,7 +197,7 @@
         if !attempt.durable {
             self.pending_intents = self.pending_intents.saturating_sub(1);
         }
-        self.change_chunk(index).hold(now, index, attempt.id);
+        self.touch_chunk(index).hold(now, index, attempt.id);
         if end == AttemptEnd::Completed {
             self.mark_done(index);
             self.saved_progress.remove(&index);
@@ -202,18 +207,19 @@
         Some(attempt)
     }
 
-    /// Marks all tasks of a gang as done.
+    /// Marks all tasks as done, as is due when the first member of a gang completes.
     pub(in crate::core) fn mark_all_done(&mut self) {
         for index in 0..self.spec.task_count {
             if !self.is_done(index) {
-                self.change_chunk(index);
+                self.touch_chunk(index);
                 self.mark_done(index);
             }
         }
         self.requeued.clear();
     }
 
-    /// Chunks to be written now: with intents at once, with ends of attempts alone after a while.
+    /// The indices of the chunks to be written now. Chunks with new intents are written at once; chunks that
+    /// only record ends of attempts wait for the batching delay.
     pub fn dirty_chunks(&self, now: Instant) -> Vec<u32> {
         let is_due = |index: u32, chunk: &TaskChunk| {
             chunk.is_write_due(now, || {
@@ -224,12 +230,12 @@
         due.map(|(i, _)| *i).collect()
     }
 
-    /// Whether some chunk has changes that are not durable.
+    /// Whether at least one chunk has changes that are not durable.
     pub fn is_dirty(&self) -> bool {
         self.chunks.values().any(TaskChunk::is_dirty)
     }
 
-    /// A chunk as it is stored.
+    /// The value that is to be stored for a chunk.
     pub fn chunk_value(&self, chunk: u32) -> ChunkValue {
         ChunkValue {
             done: self.chunks.get(&chunk).map_or(0, |c| c.done_bits),
@@ -240,45 +246,46 @@
         }
     }
 
-    /// How many attempts the value of a chunk names.
+    /// The number of active attempts in a chunk, which is the number that its stored value lists.
     pub(in crate::core) fn attempts_in(&self, chunk: u32) -> usize {
         self.active_in(chunk).count()
     }
 
-    /// Attempts of a chunk whose intents are not durable.
+    /// The task indices and ids of the attempts in a chunk whose intents are not durable.
     pub fn intents(&self, chunk: u32) -> impl Iterator<Item = (u32, AttemptId)> + '_ {
         self.active_in(chunk)
             .filter(|(_, a)| !a.durable)
             .map(|(i, a)| (*i, a.id))
     }
 
-    /// Records that this version of a chunk is durable, under this revision of its key.
+    /// Records that `version` of a chunk is durable, and that its key was written at `revision`.
     pub fn written(&mut self, chunk: u32, version: u64, revision: u64) {
         if let Some(chunk) = self.chunks.get_mut(&chunk) {
             chunk.written(version, revision);
         }
     }
 
-    /// Whether an attempt has ended and its end is not durable yet.
+    /// Whether an attempt has ended and the record of its end is not durable yet.
     pub(in crate::core) fn is_held(&self, index: u32, attempt: AttemptId) -> bool {
         self.chunk_of(index)
             .is_some_and(|c| c.is_held(index, attempt))
     }
 
-    /// The first `max` tasks that wait to be placed.
+    /// The indices of up to `max` tasks that wait to be placed, requeued ones first. Tasks whose chunk has no
+    /// room for another attempt are left out.
     pub fn pending(&self, max: usize) -> Vec<u32> {
         if self.blocked {
             return Vec::new();
         }
-        let mut room = ChunkRoom::of(self);
-        let requeued = self.requeued.iter().copied().filter(|i| room.take(*i));
+        let mut slots = ChunkSlots::of(self);
+        let requeued = self.requeued.iter().copied().filter(|i| slots.reserve(*i));
         let mut pending: Vec<u32> = requeued.take(max).collect();
         let mut index = self.next_unplaced;
         while pending.len() < max && index < self.spec.task_count {
             if !self.is_done(index)
                 && !self.active.contains_key(&index)
                 && !self.requeued.contains(&index)
-                && room.take(index)
+                && slots.reserve(index)
             {
                 pending.push(index);
             }
@@ -287,7 +294,7 @@
         pending
     }
 
-    /// How many tasks wait to be placed.
+    /// The number of tasks that are neither done nor active; zero while the job is blocked.
     pub fn waiting_count(&self) -> u32 {
         if self.blocked {
             return 0;
@@ -295,7 +302,7 @@
         (self.spec.task_count - self.done_count).saturating_sub(self.active.len() as u32)
     }
 
-    /// How many tasks were running by the newest heartbeats.
+    /// The number of tasks that the most recent heartbeats showed as running or writing a checkpoint.
     pub fn running_count(&self) -> u32 {
         self.active.values().filter(|a| a.is_running()).count() as u32
     }
@@ -309,34 +316,36 @@
     }
 }
 
-/// How many more attempts each chunk of an array has room for.
-struct ChunkRoom<'a> {
+/// Tracks the number of further attempts that fit into the stored value of each chunk of an array.
+struct ChunkSlots<'a> {
     job: &'a Job,
+    /// A chunk's value may have no room for attempts at all of its tasks. Gangs are not limited.
     limited: bool,
-    left: HashMap<u32, u32>,
+    /// Free slots by chunk index, for the chunks that were asked for.
+    free: HashMap<u32, u32>,
 }
 
-impl ChunkRoom<'_> {
-    fn of(job: &Job) -> ChunkRoom<'_> {
-        ChunkRoom {
+impl ChunkSlots<'_> {
+    fn of(job: &Job) -> ChunkSlots<'_> {
+        ChunkSlots {
             job,
             limited: job.max_attempts_per_chunk < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
-            left: HashMap::new(),
+            free: HashMap::new(),
         }
     }
 
-    /// Takes the room for an attempt at a task, if its chunk has any left.
-    fn take(&mut self, index: u32) -> bool {
+    /// Reserves a slot for an attempt at a task. Returns false if its chunk has none free.
+    fn reserve(&mut self, index: u32) -> bool {
         if !self.limited {
             return true;
         }
         let job = self.job;
-        let left = self.left.entry(index / TASKS_PER_CHUNK).or_insert_with(|| {
+        let free = self.free.entry(index / TASKS_PER_CHUNK).or_insert_with(|| {
             let used = job.attempts_in(index / TASKS_PER_CHUNK) as u32;
             job.max_attempts_per_chunk.saturating_sub(used)
         });
-        let has_room = *left > 0;
-        *left = left.saturating_sub(1);
-        has_room
+        let has_free_slot = *free > 0;
+        *free = free.saturating_sub(1);
+        has_free_slot
     }
 }
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -1,7 +1,7 @@
-//! A machine of the fleet, with what was placed on it.
+//! A machine of the fleet and the tasks that are placed on it.
 //!
-//! Invariants: a machine is given commands only while it is reachable, and its lease counts as expired
-//! only if this term has fenced it, since before that another leader's answers may renew it.
+//! Invariants: tasks are placed on a machine only while it is booting or reachable. The lease of a machine counts
+//! as expired only if this term has fenced it, because until then answers of an earlier leader may renew it.
 
 use crate::core::model::{
     FencingToken, JobId, MachineId, MachineTypeName, Resources, TaskId, Term, Zone,
@@ -11,118 +11,122 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Instant;
 
-/// A machine whose measured run times are within this of its type's mean counts as average.
-const AVERAGE_SLOWDOWN: std::ops::Range<f64> = 0.0..1.25;
-/// The measured slowdown counts in full from this many measurements on.
-const MIN_SLOWDOWN_MEASUREMENTS: u32 = 4;
-/// Bounds of a machine's slowdown.
+/// A machine whose slowdown (measured over estimated run time) is in this range is treated as average.
+const AVERAGE_SLOWDOWN_RANGE: std::ops::Range<f64> = 0.0..1.25;
+/// The measured slowdown has its full weight from this many measurements on.
+const FULL_WEIGHT_MEASUREMENTS: u32 = 4;
+/// Bounds of a machine's slowdown. The lower one has no effect while it is in [`AVERAGE_SLOWDOWN_RANGE`].
 const MIN_SLOWDOWN: f64 = 0.7;
 const MAX_SLOWDOWN: f64 = 20.0;
 
-/// A fencing token that a machine has to show before it is given anything.
+/// A fencing token that a machine has to show before further tasks are placed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredToken {
-    /// The token, which was first sent with an answer to the machine.
+    /// The token. It was first sent after the requirement was set, so showing it proves that messages of this
+    /// leader reach the machine.
     pub token: FencingToken,
-    /// Since when it is required.
+    /// When the requirement was set.
     pub since: Instant,
 }
 
-/// What identifies a machine, and where it stands.
+/// What identifies a machine, and the properties that it keeps while it is rented.
 #[derive(Clone, Debug)]
 pub struct MachineIdentity {
-    /// Its id.
+    /// The id that the cloud gave to the machine.
     pub id: MachineId,
-    /// Its type.
+    /// The name of the machine type; empty until a heartbeat or the cloud's list shows it.
     pub machine_type: MachineTypeName,
-    /// Its zone.
+    /// The zone of the machine; empty until a heartbeat or the cloud's list shows it.
     pub zone: Zone,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
-/// A machine, with what was placed on it.
+/// A machine and the tasks that are placed on it.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its id.
+    /// The id that the cloud gave to the machine.
     pub id: MachineId,
-    /// The address at which its agent takes commands.
+    /// The address at which the agent accepts commands; empty before the first heartbeat in this term.
     pub endpoint: String,
-    /// Its type.
+    /// The name of the machine type; empty until a heartbeat or the cloud's list shows it.
     pub machine_type: MachineTypeName,
-    /// Its zone.
+    /// The zone of the machine; empty until a heartbeat or the cloud's list shows it.
     pub zone: Zone,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// The incarnation of the agent that sent the newest message.
+    /// The agent's incarnation in its most recent message.
     pub incarnation: u64,
-    /// The number of the newest message in that incarnation.
+    /// The serial number of the agent's most recent message within that incarnation.
     pub serial: u64,
-    /// The fencing token that goes out with the next message.
+    /// The fencing token that is sent with the next message to the agent.
     pub token: FencingToken,
-    /// The agent has shown a token of this term, so that only this term's answers renew its lease.
+    /// The agent has shown a token of this term, so only answers of this term renew its lease.
     pub fenced: bool,
-    /// A heartbeat of it was received in this term.
+    /// The agent has reported its status in this term.
     pub has_reported: bool,
-    /// Its heartbeat was requested in this term.
+    /// A heartbeat of the machine was requested in this term.
     pub probed: bool,
-    /// It was rented in this term, so that no earlier life of it can have left heartbeats behind.
+    /// The machine was rented in this term, so no heartbeat from an earlier term can still be in flight.
     pub rented_this_term: bool,
-    /// The token in its newest message.
+    /// The token in the agent's most recent message.
     pub observed_token: FencingToken,
-    /// Nothing is given to it until it shows this token: a message from it does not prove that answers
-    /// and commands reach it.
+    /// Set if no task may be placed on the machine until it shows this token. Receiving messages from a machine
+    /// does not prove that answers and commands reach it.
     pub required_token: Option<RequiredToken>,
-    /// Shown by an agent whose serial numbers began anew. Heartbeats with a lower token are those of its
-    /// predecessor, however high their serial numbers.
+    /// Set once an agent that restarted its serial numbers has shown this token. Heartbeats with a lower token
+    /// are those of its predecessor, however high their serial numbers are.
     pub min_token: Option<FencingToken>,
-    /// The token by which an agent whose serial numbers began anew would show that it is alive.
+    /// Set while the agent may have restarted its serial numbers: a message that shows this token proves it.
     pub restart_probe_token: Option<FencingToken>,
-    /// When it became known in this term.
+    /// When the machine became known in this term.
     pub known_since: Instant,
-    /// When its newest message was received.
+    /// When the agent's most recent message was received; before the first one, the same as `known_since`.
     pub last_heartbeat_at: Instant,
-    /// When a heartbeat of it was last answered, which renews its lease.
+    /// When a heartbeat of the machine was last answered, which renews the lease; `None` if this term has
+    /// answered none.
     pub lease_renewed_at: Option<Instant>,
-    /// Set while it is not up yet: when it was requested from the cloud.
+    /// When the machine was rented; `None` unless it is booting.
     pub booting_since: Option<Instant>,
-    /// When the cloud will reclaim it, if it has announced so.
+    /// When the cloud will reclaim the machine; `None` unless it has announced an eviction.
     pub eviction_at: Option<Instant>,
-    /// Tasks with an attempt on it that is not proved gone, and the resources that they take.
+    /// Tasks with an attempt on this machine that is not proved gone, and the resources that they use.
     pub placed_tasks: BTreeMap<TaskId, Resources>,
     /// The sum of the resources in `placed_tasks`.
     pub used: Resources,
-    /// The resources of tasks that run on it without a record.
+    /// The resources of tasks that the machine reports although no record names them.
     pub unexpected_usage: Resources,
-    /// The images that it holds and fetches.
+    /// The images that the machine has cached or is fetching.
     pub images: ImageCache,
-    /// A direct command to it is unanswered.
+    /// A direct command to the machine is unanswered. No other one is sent until it is answered or fails.
     pub command_in_flight: bool,
-    /// It is being given back to the cloud.
+    /// The machine is being returned to the cloud.
     pub returning: bool,
-    /// When its return was last requested.
+    /// When the return was last requested; `None` if it is still to be requested.
     pub return_requested_at: Option<Instant>,
-    /// Since when nothing is placed on it.
+    /// Since when no task has been placed on the machine; `None` while there is one or before its first
+    /// heartbeat.
     pub idle_since: Option<Instant>,
-    /// A cheaper machine replaces it: nothing more is placed on it.
+    /// The machine is to be emptied, so no further task is placed on it.
     pub draining: bool,
-    /// Nothing is placed on it before this time.
+    /// No task is placed on the machine before this time.
     pub avoid_until: Option<Instant>,
-    /// Jobs whose tasks failed here since the last success.
+    /// Jobs whose tasks failed on this machine since a task last completed on it.
     pub failed_jobs: HashSet<JobId>,
-    /// Set while it is in quarantine: tasks of several jobs failed on it, and nothing is placed on it. The
-    /// jobs may yet turn out to be at fault.
+    /// Since when the machine has been in quarantine, because tasks of several jobs failed on it; `None` if it
+    /// is not. No task is placed on it in quarantine, which ends if the jobs turn out to be at fault.
     pub quarantined_since: Option<Instant>,
-    /// The logarithm of measured over expected run time on this machine.
+    /// The mean natural logarithm of measured over estimated run time on this machine.
     pub log_slowdown: Average,
-    /// Its lease has certainly expired.
+    /// The lease has certainly expired, and no message of the machine was received since.
     pub lease_expired: bool,
-    /// A cancelled task has been on it for too long: it is given back whatever else is uncertain.
+    /// A task of a cancelled job has been on the machine for too long. The machine is returned even while the
+    /// leadership is not confirmed.
     pub cancellation_overdue: bool,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its identity.
+    /// A machine that became known at `now` and of which only the identity is known.
     pub fn new(identity: MachineIdentity, term: Term, now: Instant) -> Self {
         Machine {
             id: identity.id,
@@ -164,17 +168,19 @@
         }
     }
 
-    /// Whether answers and commands of this term are known to reach it.
+    /// Whether answers and commands of this term are known, or for a machine rented in it assumed, to reach the
+    /// machine.
     pub fn is_reachable(&self) -> bool {
         (self.fenced || self.rented_this_term) && self.required_token.is_none()
     }
 
-    /// Whether it is in quarantine.
+    /// Whether the machine is in quarantine, so that no task is placed on it.
     pub fn is_quarantined(&self) -> bool {
         self.quarantined_since.is_some()
     }
 
-    /// Gives nothing to the machine until it shows a token that only an answer sent from now on carries.
+    /// Blocks placement on the machine until it shows a token that is first sent from now on. Has no effect if a
+    /// token is already required.
     pub(in crate::core) fn require_token(&mut self, now: Instant) {
         if self.required_token.is_none() {
             self.token = self.token.next();
@@ -185,14 +191,14 @@
         }
     }
 
-    /// Adds a task with an attempt on this machine.
+    /// Adds a task for which an attempt was assigned to this machine.
     pub(in crate::core) fn place(&mut self, task: TaskId, resources: Resources) {
         self.placed_tasks.insert(task, resources);
         self.used.add(&resources);
         self.idle_since = None;
     }
 
-    /// Takes out a task whose attempt is proved gone.
+    /// Removes a task whose attempt is proved gone.
     pub(in crate::core) fn unplace(&mut self, now: Instant, task: &TaskId, resources: &Resources) {
         if self.placed_tasks.remove(task).is_some() {
             self.used.sub(resources);
@@ -204,16 +210,17 @@
         }
     }
 
-    /// How much longer tasks run here than the type's mean; drawn to 1 while measurements are few.
+    /// The factor by which tasks run longer on this machine than estimated for its type. It is moved towards 1
+    /// while there are few measurements.
     pub fn slowdown(&self) -> f64 {
-        let counted = self.log_slowdown.count.min(MIN_SLOWDOWN_MEASUREMENTS);
-        let weight = f64::from(counted) / f64::from(MIN_SLOWDOWN_MEASUREMENTS);
+        let counted = self.log_slowdown.count.min(FULL_WEIGHT_MEASUREMENTS);
+        let weight = f64::from(counted) / f64::from(FULL_WEIGHT_MEASUREMENTS);
         let slowdown = (self.log_slowdown.mean * weight)
             .exp()
             .clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-        // Machines of a type differ by a tenth, and the measurements by more: of many machines, work
-        // would wait for the one that was measured luckily while others are idle.
-        if AVERAGE_SLOWDOWN.contains(&slowdown) {
+        // Machines of one type differ by 10%, and measurements vary by more. If small differences counted, tasks
+        // would wait for the machine that happened to be measured as the fastest while others are idle.
+        if AVERAGE_SLOWDOWN_RANGE.contains(&slowdown) {
             1.0
         } else {
             slowdown
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -1,4 +1,4 @@
-//! What a machine's heartbeat shows of an attempt on record: its phase, and how it ended.
+//! Applies the phases and exit reasons of recorded attempts that a machine reports in its heartbeat.
 
 use crate::core::model::{ExitReason, Heartbeat, ImageKey, JobId, MachineId, TaskId, TaskPhase};
 use crate::core::state::attempt::ActiveAttempt;
@@ -6,16 +6,16 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// A machine that refused a start is given nothing for this long.
+/// No task is placed on a machine for this long after it refused a launch.
 const AVOIDANCE_AFTER_REFUSAL: Duration = Duration::from_secs(4);
-/// Shorter run times and estimates count as this when they are compared.
-const MIN_COMPARED_RUN_S: f64 = 0.1;
-/// The logarithm of measured over expected run time counts within these bounds.
+/// Shorter measured and estimated run times are raised to this before they are compared.
+const MIN_COMPARED_RUN_TIME_S: f64 = 0.1;
+/// Bounds to which the natural logarithm of measured over estimated run time is clamped.
 const MIN_LOG_SLOWDOWN: f64 = -1.0;
 const MAX_LOG_SLOWDOWN: f64 = 3.0;
 
 impl ClusterState {
-    /// An attempt is on its machine and has not ended.
+    /// Handles the reported phase of a recorded attempt that has not ended.
     pub(in crate::core) fn on_task_phase(
         &mut self,
         now: Instant,
@@ -54,20 +54,20 @@
         }
     }
 
-    /// An image was fetched. How long that took is known if its begin was observed, and only if the machine
-    /// fetched no other image beside it.
+    /// Records how long the fetch of an image took. It is known only if the start of the fetch was observed and
+    /// the machine was fetching no other image at the same time.
     fn measure_fetch(
         &mut self,
         now: Instant,
         heartbeat: &Heartbeat,
         image: ImageKey,
-        begin_observed: bool,
+        start_observed: bool,
     ) {
         let machine = self.fleet.machines.get(&heartbeat.machine);
         let only_fetch = machine
             .filter(|m| m.images.fetch_count() == 1)
             .and_then(|m| m.images.fetch(image).copied());
-        let Some(fetch) = only_fetch.filter(|_| begin_observed) else {
+        let Some(fetch) = only_fetch.filter(|_| start_observed) else {
             return;
         };
         let machine_type = &heartbeat.machine_type;
@@ -80,7 +80,7 @@
             .record_fetch(machine_type, nominal_rate, fetch.size_gb, took);
     }
 
-    /// An attempt ended by itself or by command.
+    /// Handles the reported end of a recorded attempt, whether it ended by itself or was killed.
     pub(in crate::core) fn on_task_ended(
         &mut self,
         now: Instant,
@@ -130,31 +130,34 @@
         };
         job.crash_loop.reset_unknown_refusals();
         let run_time = attempt.measured_run_time(now);
-        // Until a sibling has completed, the estimate may be off on all machines alike.
+        // The estimate may be wrong on all machines alike until another task of the job has completed.
         let comparable = attempt.kill_request.is_none() && job.done_count > 1;
         let machine = self.fleet.machines.get_mut(&heartbeat.machine);
         if let (Some(took), Some(machine)) = (run_time.filter(|_| comparable), machine) {
-            let expected = seconds_to_compare(attempt.estimated_run_time);
-            let log_slowdown = (seconds_to_compare(took) / expected).ln();
+            let expected = comparable_seconds(attempt.estimated_run_time);
+            let log_slowdown = (comparable_seconds(took) / expected).ln();
             machine
                 .log_slowdown
                 .add(log_slowdown.clamp(MIN_LOG_SLOWDOWN, MAX_LOG_SLOWDOWN));
         }
-        let from_the_beginning = !job.saved_progress.contains_key(&task.index);
-        if let Some(took) = run_time.filter(|_| from_the_beginning) {
+        let ran_from_start = !job.saved_progress.contains_key(&task.index);
+        if let Some(took) = run_time.filter(|_| ran_from_start) {
             self.history
                 .record_run(&job.spec, &heartbeat.machine_type, took);
         }
         self.on_task_succeeded(now, job_id, &heartbeat.machine);
     }
 
-    /// A task was stopped: what its checkpoints hold counts as its progress.
+    /// Adds the run time of a stopped attempt that its checkpoints hold to the task's saved progress. If a
+    /// checkpoint was saved when it stopped, that is the whole run time, otherwise the run time up to the last
+    /// full checkpoint interval. Nothing is added if the job writes no checkpoints or the start of the attempt
+    /// was not observed.
     fn record_checkpoint(
         &mut self,
         now: Instant,
         task: &TaskId,
         attempt: &ActiveAttempt,
-        stored: bool,
+        saved_at_stop: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
@@ -164,7 +167,7 @@
             return;
         };
         let interval = job.spec.checkpoint_interval.as_secs_f64();
-        let saved = if stored {
+        let saved = if saved_at_stop {
             took.as_secs_f64()
         } else {
             (took.as_secs_f64() / interval).floor() * interval
@@ -182,14 +185,15 @@
         let Some(job) = self.jobs.get(&task.job_id) else {
             return;
         };
-        let began = attempt.running_since.or(attempt.last_fetching_at);
-        let after = now.saturating_duration_since(began.unwrap_or(attempt.placed_at));
+        let started_at = attempt.running_since.or(attempt.last_fetching_at);
+        let after = now.saturating_duration_since(started_at.unwrap_or(attempt.placed_at));
         let failures = job.crash_loop.failure_count() + 1;
         log::info!("task failed task={task} machine={machine} failures={failures}");
         self.attribute_failure(now, &task.job_id, machine, after);
     }
 
-    /// The worker could not fetch the job's description (yet).
+    /// Handles a launch that a worker refused because it could not fetch the job's description, at least not
+    /// yet.
     fn on_refused_as_unknown(&mut self, now: Instant, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.crash_loop.record_unknown_refusal(now);
@@ -198,8 +202,9 @@
 }
 
 impl ActiveAttempt {
-    /// Records that it is observed to run for the first time. Returns whether its start was observed: right
-    /// after a failover it is not known when it started.
+    /// Records that the attempt was first observed to run. Returns whether its start was observed, which is the
+    /// case if an earlier phase was observed in this term or this term launched it. Otherwise, as after a
+    /// failover, it may have started long before.
     fn record_start(
         &mut self,
         now: Instant,
@@ -212,13 +217,14 @@
         self.start_observed
     }
 
-    /// How long it ran, if its start was observed.
+    /// The run time up to `now`; `None` if the start was not observed.
     fn measured_run_time(&self, now: Instant) -> Option<Duration> {
         let since = self.running_since.filter(|_| self.start_observed)?;
         Some(now.saturating_duration_since(since))
     }
 }
 
-fn seconds_to_compare(run_time: Duration) -> f64 {
-    run_time.as_secs_f64().max(MIN_COMPARED_RUN_S)
+/// A run time in seconds, raised to [`MIN_COMPARED_RUN_TIME_S`].
+fn comparable_seconds(run_time: Duration) -> f64 {
+    run_time.as_secs_f64().max(MIN_COMPARED_RUN_TIME_S)
 }
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -1,7 +1,8 @@
-//! The end of machines and tasks: returned, evicted, with an expired lease, cancelled or killed.
+//! How machines leave the cluster and how attempts are ended from outside: returned machines, expired leases,
+//! overdue cancellations, spot evictions and kills.
 //!
-//! Invariant: an attempt is taken off its machine only on proof, which here is the cloud's confirmation that
-//! the machine is gone or a lease that has certainly expired.
+//! Invariant: an attempt is removed from its machine only on proof that it no longer runs there. In this module
+//! the proof is the cloud's confirmation that the machine is gone, or a lease that has certainly expired.
 
 use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
 use crate::core::state::attempt::AttemptEnd;
@@ -11,36 +12,39 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Clocks drift by 0.05%; a lease counts as expired only after this many times its length and the margin.
+/// A lease counts as expired only after this multiple of its duration plus [`LEASE_MARGIN`]. Clocks drift by
+/// 0.05%; the factor allows for four times as much.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// A cancelled task that is not proved gone after this part of `cancel_s` has its machine returned.
-const OVERDUE_CANCELLATION_FRACTION: f64 = 0.4;
-/// A task writes its checkpoint this many times as long before the eviction as that takes, and this much
-/// more.
+/// If a task of a cancelled job is not proved gone after this fraction of `cancel_s`, its machine is returned.
+const OVERDUE_FRACTION_OF_CANCEL: f64 = 0.4;
+/// A task with checkpoints is stopped once the time until the eviction is at most this multiple of its
+/// checkpoint duration plus [`CHECKPOINT_LEAD_MARGIN`].
 const CHECKPOINT_LEAD_FACTOR: f64 = 1.3;
 const CHECKPOINT_LEAD_MARGIN: Duration = Duration::from_secs(2);
-/// The grace period of such a task ends so long before the eviction.
+/// The grace period of such a task ends this long before the eviction, unless its checkpoint takes longer.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
-/// A task without checkpoints moves at once if it needs this many times the time that is left.
+/// A task without checkpoints is killed at once, to run elsewhere, if its estimated remaining run time exceeds
+/// this multiple of the time until the eviction.
 const UNFINISHABLE_FACTOR: f64 = 1.5;
-/// A kill becomes immediate so long after its grace period has passed.
+/// A kill becomes immediate this long after its grace period has passed.
 const KILL_ESCALATION_DELAY: Duration = Duration::from_secs(2);
 
-/// A task that has to leave its machine before the cloud reclaims it.
-struct Evicted {
+/// A task that has to be stopped now because the cloud will reclaim its machine.
+struct EvictedTask {
     task: TaskId,
     grace_period: Duration,
 }
 
 impl ClusterState {
-    /// The cloud confirmed that these machines, and all tasks on them, are gone.
+    /// Handles the cloud's confirmation that these machines, and with them all tasks on them, are gone.
     pub fn on_returned(&mut self, now: Instant, machines: &[MachineId]) {
         for id in machines {
             self.remove_machine(now, id, "returned");
         }
     }
 
+    /// Removes a machine that is proved gone, and the attempts on it. `reason` appears in the log only.
     pub(in crate::core) fn remove_machine(&mut self, now: Instant, id: &MachineId, reason: &str) {
         let Some(machine) = self.fleet.machines.get(id) else {
             return;
@@ -62,7 +66,7 @@
         self.schedule.request_round();
     }
 
-    /// The return of these machines failed; it is requested again.
+    /// Handles a failed return: the return of these machines is requested again.
     pub fn on_return_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
@@ -71,13 +75,13 @@
         }
     }
 
-    /// Takes off the tasks of machines whose leases have certainly expired. Only of machines that this term
-    /// has fenced: before that, another leader's answers may have renewed their leases.
+    /// Removes the attempts on machines whose leases have certainly expired. This applies only to machines that
+    /// this term has fenced, because the answers of an earlier leader may still renew the leases of others.
     pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
-        let lease = self.config.lease.mul_f64(LEASE_DRIFT_FACTOR) + LEASE_MARGIN;
+        let max_lifetime = self.config.lease.mul_f64(LEASE_DRIFT_FACTOR) + LEASE_MARGIN;
         let mut tasks = Vec::new();
         for machine in self.fleet.machines.values_mut() {
-            if !is_lease_expired(machine, now, lease) {
+            if !is_newly_expired(machine, now, max_lifetime) {
                 continue;
             }
             machine.lease_expired = true;
@@ -95,9 +99,10 @@
         }
     }
 
-    /// Returns the machines of cancelled tasks that are not proved gone well before `cancel_s` has passed.
+    /// Returns the machines on which tasks of cancelled jobs are not proved gone in time, well before `cancel_s`
+    /// has passed.
     pub(in crate::core) fn return_machines_of_overdue_cancellations(&mut self, now: Instant) {
-        let limit = self.config.cancel.mul_f64(OVERDUE_CANCELLATION_FRACTION);
+        let limit = self.config.cancel.mul_f64(OVERDUE_FRACTION_OF_CANCEL);
         let is_overdue = |job: &&Job| {
             let since = job.cancellation.known_since();
             since.is_some_and(|t| now.saturating_duration_since(t) > limit)
@@ -113,25 +118,25 @@
         }
     }
 
-    /// Spot evictions that were announced: tasks with checkpoints write one in time, and those that cannot
-    /// finish move at once.
+    /// Prepares for announced spot evictions. Tasks that have not started running are killed at once, tasks with
+    /// checkpoints are stopped in time to write one, and others are killed at once if they cannot finish.
     pub(in crate::core) fn prepare_evictions(&mut self, now: Instant) {
         let mut evicted = Vec::new();
         for machine in self.fleet.machines.values() {
             let Some(eviction_at) = machine.eviction_at else {
                 continue;
             };
-            let left = eviction_at.saturating_duration_since(now);
+            let until_eviction = eviction_at.saturating_duration_since(now);
             for task in machine.placed_tasks.keys() {
-                if let Some(grace_period) = self.eviction_grace_period(now, task, left) {
-                    evicted.push(Evicted {
+                if let Some(grace_period) = self.eviction_grace_period(now, task, until_eviction) {
+                    evicted.push(EvictedTask {
                         task: task.clone(),
                         grace_period,
                     });
                 }
             }
         }
-        for Evicted { task, grace_period } in evicted {
+        for EvictedTask { task, grace_period } in evicted {
             let job = self.jobs.get(&task.job_id);
             if job.is_some_and(|j| j.spec.kind == JobKind::Gang) {
                 self.stop_gang(now, &task.job_id, grace_period);
@@ -141,36 +146,36 @@
         }
     }
 
-    /// The grace period with which a task must be killed now, if it must, when its machine is reclaimed in
-    /// `left`.
+    /// The grace period with which a task must be killed now, given the time until its machine is reclaimed.
+    /// `None` if the task may run on for now or its end was requested before.
     fn eviction_grace_period(
         &self,
         now: Instant,
         task: &TaskId,
-        left: Duration,
+        until_eviction: Duration,
     ) -> Option<Duration> {
         let job = self.jobs.get(&task.job_id)?;
         let attempt = job.active.get(&task.index)?;
         if attempt.kill_request.is_some() {
             return None;
         }
-        let ran = attempt
+        let run_time = attempt
             .running_since
             .map(|t| now.saturating_duration_since(t));
-        let Some(ran) = ran else {
+        let Some(run_time) = run_time else {
             return Some(Duration::ZERO);
         };
         if job.spec.writes_checkpoints() {
             let checkpoint = job.spec.checkpoint_duration;
             let lead = checkpoint.mul_f64(CHECKPOINT_LEAD_FACTOR) + CHECKPOINT_LEAD_MARGIN;
-            let grace_period = checkpoint.max(left.saturating_sub(EVICTION_MARGIN));
-            return (left <= lead).then_some(grace_period);
+            let grace_period = checkpoint.max(until_eviction.saturating_sub(EVICTION_MARGIN));
+            return (until_eviction <= lead).then_some(grace_period);
         }
-        let remaining = attempt.estimated_run_time.saturating_sub(ran);
-        (remaining > left.mul_f64(UNFINISHABLE_FACTOR)).then_some(Duration::ZERO)
+        let remaining = attempt.estimated_run_time.saturating_sub(run_time);
+        (remaining > until_eviction.mul_f64(UNFINISHABLE_FACTOR)).then_some(Duration::ZERO)
     }
 
-    /// Stops a gang in good order: all of its members are killed with the same grace period.
+    /// Requests the end of all active members of a gang, with the same grace period for each.
     pub(in crate::core) fn stop_gang(
         &mut self,
         now: Instant,
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Makes kills immediate whose grace period has passed.
+    /// Makes kills immediate whose grace period passed more than [`KILL_ESCALATION_DELAY`] ago.
     pub(in crate::core) fn escalate_kills(&mut self, now: Instant) {
         let mut machines = Vec::new();
         for attempt in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
@@ -203,8 +208,9 @@
     }
 }
 
-/// Whether the lease of a machine that this term has fenced has just expired.
-fn is_lease_expired(machine: &Machine, now: Instant, lease: Duration) -> bool {
-    let expired = |renewed: Instant| now.saturating_duration_since(renewed) > lease;
+/// Whether the lease of a machine has certainly expired and this is not recorded yet. `max_lifetime` is the
+/// longest time from a renewal to the expiry.
+fn is_newly_expired(machine: &Machine, now: Instant, max_lifetime: Duration) -> bool {
+    let expired = |renewed: Instant| now.saturating_duration_since(renewed) > max_lifetime;
     machine.fenced && !machine.lease_expired && machine.lease_renewed_at.is_some_and(expired)
 }
