--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -3,9 +3,10 @@
 //! A cancellation is confirmed to the user by the controller that wrote or read the job's outcome. From then
 //! on the job's tasks may run for at most `cancel_s`. A leader that answers a heartbeat renews the machine's
 //! lease and thereby lets all tasks on the machine run on, including those of cancelled jobs that it does not
-//! know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the watermark;
-//! otherwise it lets the leases expire. Where the settings leave too little time for this, heartbeats are still
-//! answered up to [`MIN_MAX_AGE`] after the watermark, and `cancel_s` may be exceeded by [`overshoot`].
+//! know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the
+//! watermark; otherwise it lets the leases expire. Where the settings leave too little time for this,
+//! heartbeats are still answered up to [`MIN_MAX_AGE`] after the watermark, and `cancel_s` may be exceeded by
+//! [`overshoot`].
 //!
 //! Two kinds of evidence advance the watermark. A read of the key-value store returns all cancellations that
 //! were confirmed before the read was sent. Alternatively, every peer reports the cancellations that it
@@ -17,15 +18,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The clock drift that is allowed for, as a fraction of the elapsed time. Clocks drift by 0.05%; this is four
-/// times as much, as for the expiry of leases.
+/// The clock drift that is allowed for, as a fraction of the elapsed time. Clocks drift by 0.05%; this is
+/// four times as much, as for the expiry of leases.
 const CLOCK_DRIFT_FRACTION: f64 = 0.002;
 /// Allows for errors of the wall clock and for the time between reading the clocks and sending the answer.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_secs(2);
-/// The lower limit of [`WatermarkBound::max_age`]. A smaller bound would withhold answers in normal operation,
-/// because the watch of the key-value store advances the watermark only every few seconds. If `cancel_s`
-/// exceeds `lease_s` by too little for this bound, lease expiry alone cannot end the tasks of cancelled jobs in
-/// time, and `--check` prints a warning.
+/// The lower limit of [`WatermarkBound::max_age`]. A smaller bound would withhold answers in normal
+/// operation, because the watch of the key-value store advances the watermark only every few seconds. If
+/// `cancel_s` exceeds `lease_s` by too little for this bound, lease expiry alone cannot end the tasks of
+/// cancelled jobs in time, and `--check` prints a warning.
 pub const MIN_MAX_AGE: Duration = Duration::from_secs(6);
 
 /// The age of the watermark up to which heartbeats are answered.
@@ -53,9 +54,9 @@
     }
 }
 
-/// The time beyond `cancel` (`cancel_s`) for which a task of a cancelled job may still run if only lease expiry
-/// ends it, because the leader can reach neither the key-value store nor its peers and so does not know of the
-/// cancellation. Zero if lease expiry ends it in time.
+/// The time beyond `cancel` (`cancel_s`) for which a task of a cancelled job may still run if only lease
+/// expiry ends it, because the leader can reach neither the key-value store nor its peers and so does not
+/// know of the cancellation. Zero if lease expiry ends it in time.
 #[must_use]
 pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
     let bound = WatermarkBound::new(lease, cancel);
@@ -99,7 +100,8 @@
         }
     }
 
-    /// The time that has passed until `now`, by the clock that shows more. Zero if both show `now` as earlier.
+    /// The time that has passed until `now`, by the clock that shows more. Zero if both show `now` as
+    /// earlier.
     fn age(self, now: ClockReading) -> Duration {
         let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
         monotonic.max(
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Records a read of the key-value store that was sent at `requested_at`: all cancellations that were stored
-    /// by then are known.
+    /// Records a read of the key-value store that was sent at `requested_at`: all cancellations that were
+    /// stored by then are known.
     pub fn record_read(&mut self, requested_at: ClockReading) {
         self.raise(requested_at);
         self.advance();
@@ -173,8 +175,8 @@
         self.advance();
     }
 
-    /// Advances the watermark to the time up to which the reports of all peers cover it without a gap, if there
-    /// is a report of each peer whose coverage begins at or before the watermark.
+    /// Advances the watermark to the time up to which the reports of all peers cover it without a gap, if
+    /// there is a report of each peer whose coverage begins at or before the watermark.
     fn advance(&mut self) {
         let at = self.at.monotonic;
         let covered_until = |period: &Option<CoveredPeriod>| {
--- a/src/core/leadership/election.rs
+++ b/src/core/leadership/election.rs
@@ -1,8 +1,8 @@
 //! Leader election: a state machine that is driven by what is read from the key-value store.
 //!
-//! A controller becomes the leader by one transaction, which writes the leader key, bound to a lease, and sets
-//! the stored term to the new one. The new term is higher than the stored term and than every term that this
-//! controller has seen; it may exceed the stored one by more than one.
+//! A controller becomes the leader by one transaction, which writes the leader key, bound to a lease, and
+//! sets the stored term to the new one. The new term is higher than the stored term and than every term that
+//! this controller has seen; it may exceed the stored one by more than one.
 //!
 //! Invariant: every write of a leader is conditional on the revision that this transaction gave to the leader
 //! key, so the writes of a superseded leader fail however late they arrive.
@@ -153,8 +153,8 @@
         self.backoff_until = Some(now + backoff);
     }
 
-    /// Resigns if this controller leads in `term`, and does not campaign again before `backoff` has passed, so
-    /// that another controller can become the leader.
+    /// Resigns if this controller leads in `term`, and does not campaign again before `backoff` has passed,
+    /// so that another controller can become the leader.
     pub fn resign(&mut self, now: Instant, term: Term, backoff: Duration) -> Step {
         match &self.role {
             Role::Leader { term: own, .. } if term == *own => {
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -2,8 +2,8 @@
 //! cancellations.
 //!
 //! Invariant: heartbeats are answered only while the watermark is younger than the bound that
-//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets, so that a machine
-//! lease renewed now ends the tasks of cancelled jobs that the leader does not know of in time.
+//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets, so that a
+//! machine lease renewed now ends the tasks of cancelled jobs that the leader does not know of in time.
 
 use crate::core::leadership::cancellation_watermark::{
     CancellationReport, ClockReading, Watermark,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Sets the peers, which may confirm cancellations too, and restarts the watermark at `read_sent_at`, when
-    /// the first read of the key-value store was sent.
+    /// Sets the peers, which may confirm cancellations too, and restarts the watermark at `read_sent_at`,
+    /// when the first read of the key-value store was sent.
     pub fn set_peers(
         &mut self,
         peers: impl IntoIterator<Item = String>,
--- a/src/core/state/actions.rs
+++ b/src/core/state/actions.rs
@@ -1,72 +1,74 @@
-//! What the core decides: actions for its surroundings, and answers to heartbeats.
+//! The outputs of the core: actions for the runtime to carry out, and decisions on heartbeats.
 
 use crate::core::model::{FencingToken, MachineId, MachineTypeName, TaskCommand, Term, Zone};
 use crate::core::persistence::write_batch::WriteBatch;
 
-/// What the core asks its surroundings to do.
+/// An action that the core requests from the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send commands directly to a machine.
+    /// Send commands directly to a machine's agent.
     Send {
-        /// The machine.
+        /// The machine whose agent is to receive the commands.
         machine: MachineId,
-        /// The address at which its agent takes commands.
+        /// The address at which the agent accepts commands.
         endpoint: String,
-        /// The fencing token to send.
+        /// The fencing token to send. An agent that has seen a higher one rejects the commands.
         token: FencingToken,
-        /// The agent's incarnation.
+        /// The incarnation that the agent must have to accept the commands.
         incarnation: u64,
-        /// The commands.
+        /// The launches and kills to send; at least one.
         commands: Vec<TaskCommand>,
     },
-    /// Request a machine's heartbeat, so that a new leader need not wait for the next one.
+    /// Request the status of a machine, so that a new leader need not wait for its next heartbeat.
     Probe {
-        /// The machine.
+        /// The machine whose status is requested.
         machine: MachineId,
-        /// The address at which its agent takes commands.
+        /// The address at which the agent accepts commands, as the cloud lists it.
         endpoint: String,
         /// The fencing token to send.
         token: FencingToken,
-        /// The agent's incarnation.
+        /// The agent's incarnation, as far as it is known. An agent in another one responds too.
         incarnation: u64,
     },
-    /// Scale out: rent machines.
+    /// Scale out: rent machines from the cloud.
     Rent {
-        /// Identifies this request, however often it is sent.
+        /// Identifies the rental. It stays the same when the request is repeated, so that the cloud does not
+        /// rent the machines twice.
         idempotency_key: String,
-        /// Their type.
+        /// The type of all machines in this rental.
         machine_type: MachineTypeName,
-        /// Their zone.
+        /// The zone of all machines in this rental.
         zone: Zone,
-        /// Whether they are spot machines.
+        /// Whether to rent spot machines.
         spot: bool,
-        /// How many.
+        /// The number of machines to rent.
         number: u32,
     },
-    /// Scale in: give machines back.
+    /// Scale in: return machines to the cloud.
     Return {
-        /// Their ids.
+        /// The ids of the machines to return.
         machines: Vec<MachineId>,
     },
-    /// Commit a transaction.
+    /// Commit a transaction to the key-value store.
     Store(WriteBatch),
 }
 
-/// How to answer a heartbeat.
+/// The decision on how to answer a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatDecision {
-    /// The heartbeat is applied.
+    /// Answer the heartbeat, which renews the machine's lease. An outdated heartbeat was not applied, but is
+    /// answered as well.
     Accept {
-        /// The fencing token to answer with.
+        /// The fencing token to send with the answer.
         token: FencingToken,
-        /// Commands to send with the answer.
+        /// The commands to send with the answer; none for an outdated heartbeat.
         commands: Vec<TaskCommand>,
     },
-    /// It is stale, or from a machine that is gone: nothing of it was applied.
+    /// Do not answer: the heartbeat is from a machine that was returned. Nothing of it was applied.
     Ignore,
-    /// It is applied but must not be answered: a renewed lease could outlast a cancellation that is not
-    /// known here.
+    /// Do not answer, although the heartbeat was applied unless it is outdated. An answer would renew the
+    /// lease, and the lease could expire too late for a cancellation that this leader does not know of.
     Withheld,
-    /// The machine has seen a higher term than this leader's.
+    /// Do not answer: the machine has seen this term, which is higher than the leader's own.
     Superseded(Term),
 }
--- a/src/core/state/attempt.rs
+++ b/src/core/state/attempt.rs
@@ -29,8 +29,8 @@
     pub launch_token: FencingToken,
     /// The machine's incarnation when the attempt was assigned, launched or last observed.
     pub incarnation: Option<u64>,
-    /// When the attempt was assigned or, at the beginning of a term, loaded. Once its intent becomes durable in
-    /// this term, the time at which that became known.
+    /// When the attempt was assigned or, at the beginning of a term, loaded. Once its intent becomes durable
+    /// in this term, the time at which that became known.
     pub placed_at: Instant,
     /// The phase in the last heartbeat that listed the attempt; `None` if none did in this term.
     pub observed_phase: Option<TaskPhase>,
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,8 +1,8 @@
 //! The life cycle of an attempt: assignment to a machine, durable intent, kill request, and removal.
 //!
-//! Invariants: the launch is sent only once the intent is durable. An attempt uses capacity of its machine and
-//! of its team's quota from its assignment until it is proved gone from the machine. All members of a gang end
-//! together.
+//! Invariants: the launch is sent only once the intent is durable. An attempt uses capacity of its machine
+//! and of its team's quota from its assignment until it is proved gone from the machine. All members of a
+//! gang end together.
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
 use crate::core::state::attempt::AttemptEnd;
@@ -55,7 +55,7 @@
         if !machine.images.contains(job.image) {
             machine
                 .images
-                .fetch_started(now, job.image, job.spec.image_gb);
+                .record_fetch(now, job.image, job.spec.image_gb);
         }
         self.quota_usage
             .enter(job.task(task_index), &job.spec.team, resources);
@@ -118,8 +118,8 @@
         self.outbox.urgent_machines.insert(attempt.machine.clone());
     }
 
-    /// Removes an attempt that is proved gone from its machine. Unless it completed its task, the task waits to
-    /// be placed again. Returns the attempt; `None` if the task has no active one.
+    /// Removes an attempt that is proved gone from its machine. Unless it completed its task, the task waits
+    /// to be placed again. Returns the attempt; `None` if the task has no active one.
     pub(in crate::core) fn record_attempt_gone(
         &mut self,
         now: Instant,
--- a/src/core/state/cancellation.rs
+++ b/src/core/state/cancellation.rs
@@ -1,24 +1,25 @@
-//! The cancellation of a job, as far as this leader knows it.
+//! What this leader knows about the cancellation of a job.
 //!
-//! Invariant: a cancellation that is known is never taken back. The records of the job may be removed only
-//! after the queue was read again, so that no marker of the cancellation stays behind unseen.
+//! Invariants: a known cancellation is never revoked. Unless the watch of the queue showed it, the records of
+//! the job are removed only after a later read of the queue, so that no cancellation mark is overlooked and
+//! left behind.
 
 use std::time::Instant;
 
 /// How the leader learned that a job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelSource {
-    /// The watch of the queue, in the order of the writes: all that was accepted before is known.
+    /// The watch of the queue, which returns writes in order, so all jobs accepted before are known.
     Watch,
-    /// The keys read while loading.
+    /// The cancellation marks that were read when the term began.
     Load,
-    /// A peer that confirms it.
+    /// A peer that confirms the cancellation to a user.
     Peer,
-    /// The job's outcome itself, read or written.
+    /// The job's outcome, which this leader read or wrote.
     JobOutcome,
 }
 
-/// What is known of a job's cancellation.
+/// What this leader knows about a job's cancellation; by default, that there is none.
 #[derive(Clone, Debug, Default)]
 pub struct Cancellation {
     known_since: Option<Instant>,
@@ -27,27 +28,29 @@
 }
 
 impl Cancellation {
-    /// Whether the job is known to be cancelled.
+    /// Whether this leader knows that the job is cancelled.
     pub fn is_known(&self) -> bool {
         self.known_since.is_some()
     }
 
-    /// When the cancellation became known here.
+    /// When this leader learned of the cancellation; `None` if it does not know of any.
     pub fn known_since(&self) -> Option<Instant> {
         self.known_since
     }
 
-    /// Whether the key exists that tells the leader of the cancellation.
+    /// Whether the key-value store is known to hold the cancellation mark, by which the leader learns of a
+    /// cancellation.
     pub fn is_marked(&self) -> bool {
         self.marked
     }
 
-    /// The job's records may be removed once the queue was read again after this time.
+    /// The job's records may be removed only once a read of the queue was sent after this time. `None` if
+    /// they may be removed without one.
     pub fn queue_read_required_after(&self) -> Option<Instant> {
         self.queue_read_required_after
     }
 
-    /// Records what a source shows. Returns whether the cancellation was not known before.
+    /// Records that a source showed the cancellation. Returns whether it was not known before.
     pub(in crate::core) fn record(&mut self, now: Instant, source: CancelSource) -> bool {
         match source {
             CancelSource::Watch => (self.marked, self.queue_read_required_after) = (true, None),
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -1,9 +1,10 @@
 //! The complete state that the leader keeps of the cluster, and its periodic processing.
 //!
-//! Invariant: a task that may have been launched on a machine counts as running there until it is proved gone.
-//! The proofs are: the machine's report that the attempt has ended; a newer heartbeat that does not list the
-//! attempt, from an agent that no longer accepts the command that launched it; a heartbeat of a later
-//! incarnation; the cloud's confirmation that the machine was returned; and a lease that has certainly expired.
+//! Invariant: a task that may have been launched on a machine counts as running there until it is proved
+//! gone. The proofs are: the machine's report that the attempt has ended; a newer heartbeat that does not
+//! list the attempt, from an agent that no longer accepts the command that launched it; a heartbeat of a
+//! later incarnation; the cloud's confirmation that the machine was returned; and a lease that has certainly
+//! expired.
 
 use crate::core::capacity::Capacity;
 use crate::core::leadership::cancellation_watermark::{ClockReading, WatermarkBound};
@@ -27,8 +28,8 @@
 use cypressgap_recovery::Takeover;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The additional delay that is allowed for a heartbeat that an agent had to send to another controller because
-/// some are down.
+/// The additional delay that is allowed for a heartbeat that an agent had to send to another controller
+/// because some are down.
 const HEARTBEAT_REROUTE_MARGIN: Duration = Duration::from_secs(5);
 /// A heartbeat is missing after this many heartbeat intervals plus [`HEARTBEAT_REROUTE_MARGIN`].
 const MISSING_HEARTBEAT_FACTOR: f64 = 1.25;
@@ -58,8 +59,8 @@
 
 /// The state on which a leader bases its decisions during one term.
 pub struct ClusterState {
-    /// The settings of the deployment and of the operators. The limits of transactions may be lowered during the
-    /// term.
+    /// The settings of the deployment and of the operators. The limits of transactions may be lowered during
+    /// the term.
     pub config: SchedulerConfig,
     /// The term of this leadership.
     pub term: Term,
@@ -97,8 +98,8 @@
     pub(in crate::core) attempt_count: u64,
     /// Distinct resource requests of tasks for which the last round found no machine, not even a booting one.
     pub(in crate::core) unplaced_resources: Vec<Resources>,
-    /// For each start observed since the last summary in the log, the time from the durable intent to the first
-    /// heartbeat that showed the task as running. The summary takes the values out.
+    /// For each start observed since the last summary in the log, the time from the durable intent to the
+    /// first heartbeat that showed the task as running. The summary takes the values out.
     pub start_waits: Vec<Duration>,
 }
 
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Whether heartbeats may be answered: a lease renewed now expires in time even for cancellations that this
-    /// leader does not know of.
+    /// Whether heartbeats may be answered: a lease renewed now expires in time even for cancellations that
+    /// this leader does not know of.
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let bound = WatermarkBound::new(self.config.lease, self.config.cancel);
         self.leadership.knows_cancellations(now, bound.max_age)
@@ -161,9 +162,9 @@
         self.outbox.urgent_machines.extend(machines);
     }
 
-    /// Whether no heartbeats arrive although there are machines that should send some, so that another controller
-    /// may be receiving them. A term that has not received any waits longer, until the leases of silent machines
-    /// have expired.
+    /// Whether no heartbeats arrive although there are machines that should send some, so that another
+    /// controller may be receiving them. A term that has not received any waits longer, until the leases of
+    /// silent machines have expired.
     pub fn is_without_heartbeats(&self, now: Instant) -> bool {
         let heartbeat = self.config.heartbeat;
         let (since, timeout) = match self.liveness.last_heartbeat {
@@ -191,10 +192,10 @@
         self.schedule.set_tick_duration(duration);
     }
 
-    /// Handles the end of a pause of this process, during which its clocks may have advanced by less or more than
-    /// real time. Time-outs start anew for heartbeats that could not be received, for leases whose renewal times
-    /// may be wrong, and for commands that may not have been sent. Time limits on which users rely, above all
-    /// those of cancellations, are not extended.
+    /// Handles the end of a pause of this process, during which its clocks may have advanced by less or more
+    /// than real time. Time-outs start anew for heartbeats that could not be received, for leases whose
+    /// renewal times may be wrong, and for commands that may not have been sent. Time limits on which users
+    /// rely, above all those of cancellations, are not extended.
     pub fn on_process_resumed(&mut self, now: Instant) {
         if !self.liveness.resume(now) {
             return;
@@ -230,8 +231,8 @@
         self.flush(now)
     }
 
-    /// Checks all machines and tasks for expired leases, overdue cancellations, spot evictions, kills whose grace
-    /// period has passed, crash-loop suspicions that can be cleared, and the progress of the takeover.
+    /// Checks all machines and tasks for expired leases, overdue cancellations, spot evictions, kills whose
+    /// grace period has passed, crash-loop suspicions that can be cleared, and the progress of the takeover.
     fn sweep(&mut self, now: Instant) {
         self.expire_leases(now);
         self.return_machines_of_overdue_cancellations(now);
@@ -241,8 +242,8 @@
         self.advance_takeover(now);
     }
 
-    /// Returns the actions that have become possible, such as the launch of an attempt whose intent is durable,
-    /// without waiting for the next tick.
+    /// Returns the actions that have become possible, such as the launch of an attempt whose intent is
+    /// durable, without waiting for the next tick.
     pub fn flush(&mut self, now: Instant) -> Vec<Action> {
         self.send_urgent(now);
         if let Some(batch) = self.next_batch(now) {
--- a/src/core/state/crash_loop.rs
+++ b/src/core/state/crash_loop.rs
@@ -1,72 +1,76 @@
-//! Crash-loop detection for one job, and the back-off of its starts.
+//! Crash-loop detection for one job, and the back-off of its task starts.
 //!
-//! A job whose tasks failed on several machines, none of them known as faulty, is suspected of a crash
-//! loop: one task at a time is retried, at growing intervals. The suspicion ends as soon as a task ends
-//! well or runs for far longer than the others took to fail.
+//! A job whose tasks failed on several machines, none of which other jobs have shown to be faulty, is
+//! suspected of a crash loop. One task at a time is then retried, at growing intervals. The suspicion ends as
+//! soon as a task completes or runs for far longer than the others took to fail.
 
 use crate::core::model::MachineId;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Machines on which a job must have failed to be suspected: two may be faulty by chance.
+/// The number of machines on which tasks of a job must have failed for the job to be suspected. Two machines
+/// may be faulty by chance.
 const MIN_FAILED_MACHINES: usize = 3;
-/// The same for a job that is proven to run: many machines may be faulty at once.
+/// The same number for a job that has shown that it can run. Many machines may become faulty at once.
 const MIN_FAILED_MACHINES_IF_PROVEN: usize = 12;
-/// The first delay before a suspected job is retried; each failed retry doubles it.
+/// The delay before the first retry of a suspected job; each failed retry doubles it, up to
+/// [`MAX_RETRY_DELAY`].
 const FIRST_RETRY_DELAY: Duration = Duration::from_secs(5);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
-/// The retry delay is doubled this often at most, to stay within the range of its type.
+/// The maximum number of doublings of the retry delay, which keeps it within the range of its type.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
-/// A task that runs for this many times as long as the others took to fail, and this much more, shows
-/// that the job can run.
+/// A task shows that the job can run if it runs for this multiple of the shortest time to a failure, plus
+/// [`OUTLIVING_MARGIN`].
 const OUTLIVING_FACTOR: u32 = 3;
 const OUTLIVING_MARGIN: Duration = Duration::from_secs(4);
-/// Each suspicion that was cleared in this way doubles the time that is required, this often at most.
+/// Each suspicion that was cleared in this way doubles the required run time, up to this number of doublings.
 const MAX_OUTLIVING_DOUBLINGS: u32 = 8;
-/// The delay after a worker did not know the job, doubled with each refusal in a row, this often at most.
-const UNKNOWN_JOB_DELAY: Duration = Duration::from_millis(500);
+/// The base of the delay after a worker refused a launch because it did not know the job. Each refusal in a
+/// row doubles it, including the first one: the delay grows from 1 s to 16 s.
+const UNKNOWN_JOB_BASE_DELAY: Duration = Duration::from_millis(500);
 const MAX_UNKNOWN_JOB_DOUBLINGS: u32 = 5;
 
-/// The failure of a task.
+/// The failure of one task of a job.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskFailure<'a> {
-    /// The machine on which it failed.
+    /// The machine on which the task failed.
     pub machine: &'a MachineId,
-    /// Other jobs have shown that the machine is faulty.
+    /// Failures of other jobs show that the machine is faulty.
     pub machine_is_faulty: bool,
-    /// How long the task took to fail.
+    /// The time from the start of the task to its failure.
     pub after: Duration,
 }
 
-/// What a failure counts against.
+/// Whether a failure counts against the job or the machine.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// Against the job, which was suspected before.
+    /// It counts against the job, which was suspected of a crash loop before.
     SuspectedJob,
-    /// Against the job, which is suspected from now on.
+    /// It counts against the job, which is suspected of a crash loop from now on.
     NewlySuspectedJob,
-    /// Against the machine.
+    /// It counts against the machine.
     Machine,
 }
 
-/// The failures of a job and what they show.
+/// The failures of a job's tasks, and the state of its crash-loop detection.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLoop {
-    /// Machines on which its tasks failed since one of them last showed that the job can run.
+    /// Machines on which tasks of the job failed since it last showed that it can run.
     failed_machines: HashSet<MachineId>,
     failure_count: u32,
-    /// The shortest time that a failing task took: image fetches and heartbeats only add to it.
+    /// The shortest time that a task took to fail. Image fetches and heartbeat intervals only lengthen the
+    /// measured times, so the shortest is the most accurate.
     shortest_failure: Option<Duration>,
-    /// How often a task that went on running cleared the suspicion.
+    /// The number of suspicions that were cleared because a task went on running.
     times_cleared: u32,
-    /// A task ended well, or ran for far longer than the others took to fail.
+    /// A task completed, or ran for far longer than the others took to fail, since the last suspicion arose.
     proven: bool,
     suspected: bool,
     failed_retries: u32,
-    /// Attempts in a row that were refused because the worker did not know the job.
+    /// The number of consecutive launches that were refused because the worker did not know the job.
     unknown_refusals: u32,
-    /// No task of the job is started before this time.
+    /// No task of the job is placed before this time; `None` if there is no back-off.
     pub backoff_until: Option<Instant>,
 }
 
@@ -76,22 +80,22 @@
         self.suspected
     }
 
-    /// Whether one of its tasks showed that the job can run.
+    /// Whether a task has shown that the job can run, and the job has not been suspected since.
     pub fn is_proven(&self) -> bool {
         self.proven
     }
 
-    /// How many of its attempts failed.
+    /// The number of failures recorded in this term.
     pub fn failure_count(&self) -> u32 {
         self.failure_count
     }
 
-    /// Whether a task failed on this machine since one last showed that the job can run.
+    /// Whether a task of the job failed on this machine since the job last showed that it can run.
     pub fn has_failed_on(&self, machine: &MachineId) -> bool {
         self.failed_machines.contains(machine)
     }
 
-    /// Records the failure of a task and decides what it counts against.
+    /// Records the failure of a task and decides whether it counts against the job or the machine.
     pub(in crate::core) fn record_failure(
         &mut self,
         now: Instant,
@@ -101,14 +105,15 @@
         self.failure_count += 1;
         self.shortest_failure = Some(self.shortest_failure.map_or(after, |f| f.min(after)));
         if self.suspected {
-            // What was under way when the suspicion arose fails too; only a retry that was due counts.
+            // Attempts that were active when the suspicion arose may fail too. Only the failure of a retry
+            // after the back-off counts as a failed retry.
             if self.backoff_until.is_none_or(|t| now >= t) {
                 self.failed_retries += 1;
                 self.back_off(now);
             }
             return FailureAttribution::SuspectedJob;
         }
-        // A machine that others have shown to be faulty proves nothing about the job.
+        // A failure on a machine that other jobs have shown to be faulty is no evidence against this job.
         if !failure.machine_is_faulty {
             self.failed_machines.insert(failure.machine.clone());
         }
@@ -121,10 +126,10 @@
         FailureAttribution::NewlySuspectedJob
     }
 
-    /// Records that the job can run. Returns whether this ends a suspicion.
+    /// Records that the job has shown that it can run. Returns whether this ends a suspicion.
     pub(in crate::core) fn record_proof(&mut self) -> bool {
         self.proven = true;
-        // Its tasks keep away from these machines no longer than the machines' own records make them.
+        // From now on the job avoids these machines only as long as their own state requires it.
         self.failed_machines.clear();
         let was_suspected = std::mem::take(&mut self.suspected);
         if was_suspected {
@@ -134,26 +139,28 @@
         was_suspected
     }
 
-    /// Records that a task outlived those that failed, which is believed less each time.
+    /// Records that a task ran for far longer than the others took to fail. Each time doubles the run time
+    /// that is required the next time.
     pub(in crate::core) fn record_outliving(&mut self) {
         self.times_cleared += 1;
     }
 
-    /// How long a task must run to show that the job can run.
+    /// The time that a task must run to show that the job can run.
     pub(in crate::core) fn outliving_time(&self) -> Duration {
         let shortest = self.shortest_failure.unwrap_or_default();
         let required = shortest * OUTLIVING_FACTOR + OUTLIVING_MARGIN;
         required * 2u32.pow(self.times_cleared.min(MAX_OUTLIVING_DOUBLINGS))
     }
 
-    /// A worker could not fetch the job's description (yet): the next start waits, longer each time.
+    /// Records that a worker refused a launch because it could not fetch the job's description, at least not
+    /// yet. The next start is delayed, for longer with each refusal in a row.
     pub(in crate::core) fn record_unknown_refusal(&mut self, now: Instant) {
         self.unknown_refusals += 1;
         let doublings = self.unknown_refusals.min(MAX_UNKNOWN_JOB_DOUBLINGS);
-        self.backoff_until = Some(now + UNKNOWN_JOB_DELAY * (1 << doublings));
+        self.backoff_until = Some(now + UNKNOWN_JOB_BASE_DELAY * (1 << doublings));
     }
 
-    /// A task ended well, so workers know the job.
+    /// Ends a series of refusals, because a task completed and so a worker knew the job.
     pub(in crate::core) fn reset_unknown_refusals(&mut self) {
         self.unknown_refusals = 0;
     }
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -1,17 +1,17 @@
 //! The dependency graph of live jobs.
 //!
-//! Invariants: a job may depend only on jobs that were accepted before it, so the graph has no cycles. A job is
-//! blocked until the durable outcome `done` of each of its dependencies is known; a dependency whose outcome is
-//! unknown keeps it blocked. When a job is cancelled, all of its direct and transitive dependents are cancelled
-//! too. None of them can have started, since one of its dependencies was not done.
+//! Invariants: a job may depend only on jobs that were accepted before it, so the graph has no cycles. A job
+//! is blocked until the durable outcome `done` of each of its dependencies is known; a dependency whose
+//! outcome is unknown keeps it blocked. When a job is cancelled, all of its direct and transitive dependents
+//! are cancelled too. None of them can have started, since one of its dependencies was not done.
 
 use crate::core::model::JobId;
 use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The number of job outcomes that are remembered; the oldest are dropped first. The outcome of a dependency may
-/// become known before the acceptance of its dependent, but only by the delay of the watch, so that outcomes are
-/// needed only for a short time.
+/// The number of job outcomes that are remembered; the oldest are dropped first. The outcome of a dependency
+/// may become known before the acceptance of its dependent, but only by the delay of the watch, so that
+/// outcomes are needed only for a short time.
 const MAX_REMEMBERED_OUTCOMES: usize = 100_000;
 
 /// The state of a job's dependencies.
@@ -104,7 +104,8 @@
         ready
     }
 
-    /// Records that a job is cancelled, and with it all of its direct and transitive dependents, which it returns.
+    /// Records that a job is cancelled, and with it all of its direct and transitive dependents, which it
+    /// returns.
     pub fn record_cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
         self.remove_blocked(job_id);
         self.record_outcome(job_id, JobOutcome::Cancelled);
@@ -160,14 +161,14 @@
         self.listed.insert(job_id.clone());
     }
 
-    /// Returns whether the key-value store holds a list of the dependents of a job that is over. The caller has to
-    /// remove the list; later calls return false.
+    /// Returns whether the key-value store holds a list of the dependents of a job that is over. The caller
+    /// has to remove the list; later calls return false.
     pub fn take_listed(&mut self, job_id: &JobId) -> bool {
         self.listed.remove(job_id)
     }
 
-    /// Dependencies of blocked jobs that are not live and have no known outcome. Their outcomes have to be read
-    /// from the key-value store.
+    /// Dependencies of blocked jobs that are not live and have no known outcome. Their outcomes have to be
+    /// read from the key-value store.
     pub fn unresolved(&self, live: impl Fn(&JobId) -> bool) -> Vec<JobId> {
         let is_unknown = |job_id: &&JobId| !live(job_id);
         self.dependents.keys().filter(is_unknown).cloned().collect()
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -1,10 +1,11 @@
-//! Attribution of task failures to the machine or to the job.
+//! Attribution of task failures to the job or to the machine.
 //!
-//! A job that was submitted with a mistake fails on every machine until its user cancels it; a faulty
-//! machine fails every job. [`CrashLoop`](crate::core::state::crash_loop::CrashLoop) decides per job which
-//! of the two it is. While a job is suspected, one task at a time is retried, at growing intervals; nothing
-//! is rented, kept ready or preempted for it, and its failures do not count against machines. Once it
-//! shows that it can run, they count again. A machine on which several jobs failed is quarantined.
+//! The tasks of a faulty job fail on every machine until its user cancels it; on a faulty machine the tasks
+//! of every job fail. [`CrashLoop`](crate::core::state::crash_loop::CrashLoop) distinguishes the two for each
+//! job. While a job is suspected of a crash loop, one task at a time is retried, at growing intervals. No
+//! machines are rented, no headroom is kept and no tasks are preempted for it, and its failures do not count
+//! against machines. Once the job shows that it can run, they count again. A machine on which several jobs
+//! failed is quarantined.
 
 use crate::core::model::{JobId, MachineId};
 use crate::core::state::crash_loop::{FailureAttribution, TaskFailure};
@@ -12,15 +13,17 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// So many jobs that fail on a machine, with no success there between, put it into quarantine.
+/// A machine is quarantined if tasks of this many jobs failed on it since a task last completed there.
 const MIN_FAILED_JOBS: usize = 2;
-/// A machine is given back after this long in quarantine: by then more is known of the jobs it failed.
+/// A machine is returned after this time in quarantine. By then it may have turned out that the jobs are at
+/// fault.
 pub(in crate::core) const QUARANTINE_RETURN_DELAY: Duration = Duration::from_secs(8);
-/// A machine on which a task failed is given no other for this long.
+/// No task is placed on a machine for this long after a failure that counts against it.
 const AVOIDANCE_AFTER_FAILURE: Duration = Duration::from_secs(15);
 
 impl ClusterState {
-    /// A task of this job failed on a machine, so long after it began.
+    /// Handles the failure of a task of this job on a machine. `after` is the time from its start to the
+    /// failure. Failures of cancelled jobs are ignored.
     pub(in crate::core) fn attribute_failure(
         &mut self,
         now: Instant,
@@ -38,13 +41,14 @@
         };
         match job.crash_loop.record_failure(now, failure) {
             FailureAttribution::SuspectedJob => {}
-            FailureAttribution::NewlySuspectedJob => self.suspect(now, job_id),
-            FailureAttribution::Machine => self.blame_machine(now, job_id, machine),
+            FailureAttribution::NewlySuspectedJob => self.on_job_suspected(now, job_id),
+            FailureAttribution::Machine => self.count_against_machine(now, job_id, machine),
         }
     }
 
-    /// A job has just been suspected: attempts that were only planned are not launched.
-    fn suspect(&mut self, now: Instant, job_id: &JobId) {
+    /// Handles a new crash-loop suspicion: attempts whose intents are not durable are removed, and the job's
+    /// earlier failures no longer count against machines.
+    fn on_job_suspected(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
@@ -58,7 +62,9 @@
         self.update_quarantines_of(now, job_id);
     }
 
-    fn blame_machine(&mut self, now: Instant, job_id: &JobId, machine_id: &MachineId) {
+    /// Records a failure that counts against a machine, and quarantines the machine if enough jobs failed on
+    /// it.
+    fn count_against_machine(&mut self, now: Instant, job_id: &JobId, machine_id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
             machine.failed_jobs.insert(job_id.clone());
             machine.avoid_until = Some(now + AVOIDANCE_AFTER_FAILURE);
@@ -66,7 +72,7 @@
         self.update_quarantine(now, machine_id);
     }
 
-    /// A task of this job ended well on a machine.
+    /// Handles the completion of a task, which shows that both the job and the machine work.
     pub(in crate::core) fn on_task_succeeded(
         &mut self,
         now: Instant,
@@ -80,7 +86,8 @@
         self.record_proof(now, job_id);
     }
 
-    /// The job can run: what failed on machines counts against them again.
+    /// Records that the job has shown that it can run. If it was suspected, its failures count against
+    /// machines again.
     fn record_proof(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -92,7 +99,7 @@
         }
     }
 
-    /// Clears the suspicion of jobs one of whose tasks has outlived those that failed.
+    /// Clears the suspicion of jobs that have a task running for far longer than others took to fail.
     pub(in crate::core) fn clear_suspicions(&mut self, now: Instant) {
         let outlives = |job: &Job| {
             let required = job.crash_loop.outliving_time();
@@ -112,7 +119,7 @@
         }
     }
 
-    /// Whether jobs that are known to run, this one aside, have failed on a machine.
+    /// Whether a machine is quarantined, or another job that can run has failed on it.
     fn is_faulty_by_other_jobs(&self, job_id: &JobId, machine: &MachineId) -> bool {
         let Some(machine) = self.fleet.machines.get(machine) else {
             return false;
@@ -126,20 +133,22 @@
         job.is_some_and(|j| j.crash_loop.is_suspected())
     }
 
-    /// A job that has left the table counts as proven: the failures of one that never ran are forgotten.
+    /// Whether a job has shown that it can run. A removed job counts as proven, because the failures of jobs
+    /// that never showed it are deleted with the job.
     fn is_proven(&self, job_id: &JobId) -> bool {
         let job = self.jobs.get(job_id);
         job.is_none_or(|j| j.crash_loop.is_proven())
     }
 
-    /// The machines on which tasks of this job failed.
+    /// The machines that have failures of this job recorded.
     fn machines_failed_by(&self, job_id: &JobId) -> Vec<MachineId> {
         let machines = self.fleet.machines.values();
         let failed = machines.filter(|m| m.failed_jobs.contains(job_id));
         failed.map(|m| m.id.clone()).collect()
     }
 
-    /// The failures of this job have begun, or ceased, to count against machines.
+    /// Updates the quarantines of all machines with failures of this job, after the job became suspected or
+    /// ceased to be.
     fn update_quarantines_of(&mut self, now: Instant, job_id: &JobId) {
         let suspected = self.is_suspected(job_id);
         for id in self.machines_failed_by(job_id) {
@@ -150,7 +159,8 @@
         }
     }
 
-    /// Puts a machine into quarantine or takes it out, by the jobs that failed on it.
+    /// Puts a machine into quarantine or releases it, depending on the number of jobs that failed on it and
+    /// are not suspected of a crash loop.
     fn update_quarantine(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get(machine_id) else {
             return;
@@ -172,7 +182,8 @@
         }
     }
 
-    /// A job that never showed that it can run is gone: its failures prove nothing about machines.
+    /// Deletes the failures of a removed job from machines, unless the job has shown that it can run.
+    /// Otherwise they are no evidence against the machines.
     pub(in crate::core) fn forget_failures_of(&mut self, now: Instant, job: &Job) {
         if job.crash_loop.failure_count() == 0 || job.crash_loop.is_proven() {
             return;
--- a/src/core/state/fleet.rs
+++ b/src/core/state/fleet.rs
@@ -1,30 +1,31 @@
-//! The machines of the cluster, and those that left it.
+//! The machines of the cluster, and the ids of machines that were returned.
 //!
-//! Invariant: a machine that was returned is not added again while its id is remembered, so that a late
-//! heartbeat does not revive it.
+//! Invariant: a returned machine is not added again while its id is remembered, so that a late heartbeat has
+//! no effect.
 
 use crate::core::model::{MachineId, MachineType, MachineTypeName};
 use crate::core::state::machine::Machine;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// At least this many returned machines are remembered.
+/// The minimum number of returned machines whose ids are remembered.
 const MIN_TOMBSTONES: usize = 5000;
 
-/// The machines that the leader knows, the types on offer, and the ids of returned machines.
+/// The machines that the leader knows, the machine types that the cloud offers, and the ids of returned
+/// machines.
 #[derive(Default)]
 pub struct Fleet {
-    /// Machines that are not known to be gone.
+    /// Machines that are not known to be gone, including those that are booting or being returned.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machine types on offer.
+    /// The machine types that the cloud offers; empty until they are known.
     pub types: Vec<MachineType>,
-    /// The ids of returned machines.
+    /// The ids of the machines that were returned most recently.
     tombstones: HashSet<MachineId>,
     /// The ids in `tombstones`, oldest first.
     tombstone_order: VecDeque<MachineId>,
 }
 
 impl Fleet {
-    /// A fleet without machines, and the types that can be rented for it.
+    /// A fleet without machines. `types` are the machine types that the cloud offers.
     pub fn new(types: Vec<MachineType>) -> Fleet {
         Fleet {
             types,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A machine type on offer, by its name.
+    /// The machine type of this name; `None` if the cloud does not offer it.
     pub fn machine_type(&self, name: &MachineTypeName) -> Option<&MachineType> {
         self.types.iter().find(|t| &t.name == name)
     }
@@ -42,7 +43,8 @@
         self.tombstones.contains(id)
     }
 
-    /// Removes a machine for good. Its id is remembered until at least `max_machines` others were removed.
+    /// Removes a machine that was returned. Its id is remembered until at least `max_machines`, and at least
+    /// [`MIN_TOMBSTONES`], others were removed.
     pub(in crate::core) fn remove(&mut self, id: &MachineId, max_machines: usize) {
         self.machines.remove(id);
         if !self.tombstones.insert(id.clone()) {
--- a/src/core/state/image_cache.rs
+++ b/src/core/state/image_cache.rs
@@ -1,65 +1,66 @@
-//! The images that a machine holds and fetches, as far as its heartbeats show it.
+//! The images that a machine has cached or is fetching, inferred from its heartbeats and from placements.
 //!
-//! The cache evicts the image that was used least recently; the newest image always stays.
+//! It assumes that the machine evicts the least recently used images and always keeps the last one used.
 
 use crate::core::model::ImageKey;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
-/// An image that a machine holds.
+/// An image in a machine's cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedImage {
-    /// The image.
+    /// The key of the image.
     pub image: ImageKey,
-    /// Its size in GB.
+    /// The size of the image in GB.
     pub size_gb: f64,
 }
 
 /// An image that a machine is fetching.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ImageFetch {
-    /// When the fetch was first known to be under way.
+    /// When the fetch was first known to be in progress.
     pub since: Instant,
     /// The size of the image in GB.
     pub size_gb: f64,
 }
 
-/// The images of one machine.
+/// The images that one machine has cached or is fetching.
 #[derive(Clone, Debug, Default)]
 pub struct ImageCache {
-    /// Least recently used first.
+    /// Cached images, the least recently used one first.
     cached: VecDeque<CachedImage>,
+    /// Fetches in progress.
     fetches: BTreeMap<ImageKey, ImageFetch>,
 }
 
 impl ImageCache {
-    /// Whether the machine holds an image.
+    /// Whether the machine has cached an image.
     pub fn contains(&self, image: ImageKey) -> bool {
         self.cached.iter().any(|c| c.image == image)
     }
 
-    /// Adds an image as the most recently used one, and evicts none.
+    /// Adds an image as the most recently used one without evicting others.
     pub fn push(&mut self, image: CachedImage) {
         self.cached.push_back(image);
     }
 
-    /// The fetch of an image, if one is under way.
+    /// The fetch of an image; `None` if none is in progress.
     pub fn fetch(&self, image: ImageKey) -> Option<&ImageFetch> {
         self.fetches.get(&image)
     }
 
-    /// How many images are being fetched.
+    /// The number of fetches in progress.
     pub fn fetch_count(&self) -> usize {
         self.fetches.len()
     }
 
-    /// The size of all images that are being fetched, in GB.
+    /// The total size of the images that are being fetched, in GB.
     pub fn fetching_gb(&self) -> f64 {
         self.fetches.values().map(|fetch| fetch.size_gb).sum()
     }
 
-    /// A fetch is under way, from now on unless it was known before.
-    pub(in crate::core) fn fetch_started(&mut self, now: Instant, image: ImageKey, size_gb: f64) {
+    /// Records that a fetch is in progress. The start time of a known fetch is kept.
+    pub(in crate::core) fn record_fetch(&mut self, now: Instant, image: ImageKey, size_gb: f64) {
         let fetch = ImageFetch {
             since: now,
             size_gb,
@@ -67,8 +68,9 @@
         self.fetches.entry(image).or_insert(fetch);
     }
 
-    /// An image is in use, so the machine holds it. Older ones go until all fit into `capacity_gb`.
-    pub(in crate::core) fn used(&mut self, image: ImageKey, size_gb: f64, capacity_gb: f64) {
+    /// Records that a task uses an image, so that it is cached and its fetch has ended. The least recently
+    /// used images are evicted until the rest fits into `capacity_gb`.
+    pub(in crate::core) fn record_use(&mut self, image: ImageKey, size_gb: f64, capacity_gb: f64) {
         self.fetches.remove(&image);
         if self.cached.back().is_some_and(|c| c.image == image) {
             return;
@@ -80,12 +82,12 @@
         }
     }
 
-    /// Nothing is placed on the machine any more: what it was fetching is no longer fetched.
+    /// Removes all fetches, which end when no task is placed on the machine any more.
     pub(in crate::core) fn clear_fetches(&mut self) {
         self.fetches.clear();
     }
 
-    /// The agent has restarted with an empty cache.
+    /// Removes all images and fetches, after the agent restarted with an empty cache.
     pub(in crate::core) fn clear(&mut self) {
         self.cached.clear();
         self.fetches.clear();
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -1,7 +1,7 @@
 //! A live job with its attempts and the state of its stored task chunks.
 //!
-//! Invariants: a task has at most one active attempt. A task that is done is never placed again. While the job
-//! is not over, every task before `next_unplaced` is done, active or requeued.
+//! Invariants: a task has at most one active attempt. A task that is done is never placed again. While the
+//! job is not over, every task before `next_unplaced` is done, active or requeued.
 
 use crate::core::model::{AttemptId, ImageKey, JobKind, JobSpec, TaskId};
 use crate::core::persistence::records::{ChunkValue, Intent, TASKS_PER_CHUNK};
@@ -23,8 +23,9 @@
     pub image: ImageKey,
     /// The revision of the key-value store at which the job was accepted. Jobs are ordered by it.
     pub revision: u64,
-    /// The revision of the key of the job's outcome; 0 while the key is absent. Until the outcome is known, all
-    /// writes of outcome and chunks are conditional on it, so that no intent of a cancelled job becomes durable.
+    /// The revision of the key of the job's outcome; 0 while the key is absent. Until the outcome is known,
+    /// all writes of outcome and chunks are conditional on it, so that no intent of a cancelled job becomes
+    /// durable.
     pub outcome_revision: u64,
     /// What this leader knows about the cancellation of the job.
     pub cancellation: Cancellation,
@@ -59,11 +60,11 @@
     pub arrived: Instant,
     /// The job's own priority and deadline, without those inherited from its dependents.
     pub own_rank: SchedulingRank,
-    /// When the job should be complete, to meet its own deadline and those of its dependents; `None` if none of
-    /// them has a deadline.
+    /// When the job should be complete, to meet its own deadline and those of its dependents; `None` if none
+    /// of them has a deadline.
     pub deadline: Option<Instant>,
-    /// When one of the job's tasks was last placed; before that, when its waiting time started. Set to the start
-    /// of the term for a job that is loaded with attempts or completed tasks.
+    /// When one of the job's tasks was last placed; before that, when its waiting time started. Set to the
+    /// start of the term for a job that is loaded with attempts or completed tasks.
     pub last_placed: Instant,
     /// The job was starved at some time in this term, so some of its tasks were placed before all other jobs.
     pub was_starved: bool,
@@ -185,8 +186,8 @@
         self.touch_chunk(index);
     }
 
-    /// Removes the attempt at a task, which is proved gone, and requeues the task unless it is done or the job is
-    /// over. Returns `None` if the task has no active attempt.
+    /// Removes the attempt at a task, which is proved gone, and requeues the task unless it is done or the
+    /// job is over. Returns `None` if the task has no active attempt.
     pub(in crate::core) fn end_attempt(
         &mut self,
         now: Instant,
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -1,7 +1,8 @@
-//! What happens to jobs as a whole: they arrive, their dependencies end, they are cancelled.
+//! Events that concern whole jobs: acceptance, the end of dependencies, and cancellation.
 //!
-//! Invariants: a job is unblocked only by a durable `done` of each of its dependencies, and when a job is
-//! cancelled, all of its dependents, direct or through others, are orphaned and then cancelled too.
+//! Invariants: a job is unblocked only once the outcome `done` of each of its dependencies is durable. When a
+//! job is cancelled, all of its direct and transitive dependents are marked as orphaned and then cancelled
+//! too.
 
 use crate::core::model::{JobId, JobSpec};
 use crate::core::persistence::keys;
@@ -13,7 +14,8 @@
 use std::time::{Duration, Instant};
 
 impl ClusterState {
-    /// Adds a live job, from the index at a failover or from the watch. Known ones are left as they are.
+    /// Adds a live job, which was read from the index of live jobs when the term began or from the watch of
+    /// the queue. Jobs that are known already and jobs without tasks are ignored.
     pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
         if self.jobs.contains(&spec.job_id) || spec.task_count == 0 {
             return;
@@ -32,13 +34,14 @@
         job.own_rank.deadline = job.deadline;
         self.jobs.insert(job);
         if status == DependencyState::Orphaned {
-            self.orphan(None, &job_id);
-            self.orphan_dependents(None, &job_id);
+            self.mark_orphaned(None, &job_id);
+            self.mark_dependents_orphaned(None, &job_id);
         }
         self.schedule.request_round();
     }
 
-    /// A job's `done` is durable: those that depended only on it may start. Their waits count from now.
+    /// Handles the durable outcome `done` of a job: dependents for which it was the last missing dependency
+    /// are unblocked, and their waiting time starts now.
     pub(in crate::core) fn release_dependents(&mut self, now: Instant, job_id: &JobId) {
         for dependent in self.jobs.dependencies.record_done(job_id) {
             if let Some(job) = self.jobs.get_mut(&dependent) {
@@ -52,32 +55,34 @@
         }
     }
 
-    /// The outcome of a job that is not in the job table.
+    /// Handles the outcome of a job that is not in the job table.
     pub fn on_past_outcome(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
         if outcome != JobOutcome::Live && self.jobs.dependencies.take_listed(job_id) {
             self.writes.remove_later(keys::dependents_key(job_id));
         }
         match outcome {
             JobOutcome::Done => self.release_dependents(now, job_id),
-            JobOutcome::Cancelled => self.orphan_dependents(None, job_id),
+            JobOutcome::Cancelled => self.mark_dependents_orphaned(None, job_id),
             JobOutcome::Live => {}
         }
     }
 
-    /// Dependencies of live jobs of which nothing is known here.
+    /// Dependencies of blocked jobs that are neither live nor have a known outcome, which has to be read from
+    /// the key-value store.
     pub fn unresolved_dependencies(&self) -> Vec<JobId> {
         let is_live = |job_id: &JobId| self.jobs.contains(job_id);
         self.jobs.dependencies.unresolved(is_live)
     }
 
-    /// The watch of the queue shows that a job is cancelled.
+    /// Handles a cancellation mark that the watch of the queue showed.
     pub fn on_cancel_marked(&mut self, now: Instant, job_id: &JobId) {
         self.on_cancelled(now, job_id, CancelSource::Watch);
     }
 
-    /// A job is cancelled: its tasks are killed, and its dependents are cancelled with it.
+    /// Handles a cancellation: the tasks of the job are killed, and its dependents are marked as orphaned,
+    /// also if the job itself is not in the job table.
     pub fn on_cancelled(&mut self, now: Instant, job_id: &JobId, source: CancelSource) {
-        self.orphan_dependents(Some(now), job_id);
+        self.mark_dependents_orphaned(Some(now), job_id);
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
@@ -98,16 +103,17 @@
         self.schedule.request_round();
     }
 
-    /// Orphans all jobs that depend on a cancelled one, directly or through others.
-    fn orphan_dependents(&mut self, known_since: Option<Instant>, job_id: &JobId) {
+    /// Marks all direct and transitive dependents of a cancelled job as orphaned.
+    fn mark_dependents_orphaned(&mut self, known_since: Option<Instant>, job_id: &JobId) {
         for dependent in self.jobs.dependencies.record_cancelled(job_id) {
-            self.orphan(known_since, &dependent);
+            self.mark_orphaned(known_since, &dependent);
         }
     }
 
-    /// A dependency is cancelled, and so is this job. Its outcome is written here unless the peer that
-    /// confirms the cancellation does so soon after it became known (`None`: no peer is known to do it).
-    fn orphan(&mut self, known_since: Option<Instant>, job_id: &JobId) {
+    /// Marks a job as orphaned, because a dependency was cancelled. The leader writes the outcome of the job
+    /// unless the peer that confirms the cancellation does so soon after `known_since`. `None` means that no
+    /// peer is known to do so.
+    fn mark_orphaned(&mut self, known_since: Option<Instant>, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.orphaned = true;
             job.orphaned_at = job.orphaned_at.or(known_since);
--- a/src/core/state/job_table.rs
+++ b/src/core/state/job_table.rs
@@ -1,7 +1,7 @@
-//! The jobs of the cluster, with their dependencies and the order in which they are scheduled.
+//! The jobs of the cluster, their dependencies, and their order by priority and arrival.
 //!
-//! Invariants: the scheduling order is sorted again before it is read after a job was added, removed or given
-//! another priority; every removed job is reported once by [`JobTable::take_removed`].
+//! Invariants: the order is marked as stale whenever a job is added, removed or given another priority, and
+//! the next [`JobTable::sort`] rebuilds it. Every removed job is returned once by [`JobTable::take_removed`].
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::dependencies::Dependencies;
@@ -9,64 +9,66 @@
 use std::collections::HashMap;
 use std::ops::Index;
 
-/// Live jobs, and those that are over but have records left in the key-value store.
+/// Live jobs, and jobs that are over but still have attempts or records in the key-value store.
 #[derive(Default)]
 pub struct JobTable {
     by_id: HashMap<JobId, Job>,
     /// The dependency graph of the jobs.
     pub(in crate::core) dependencies: Dependencies,
-    /// Jobs by priority and arrival.
+    /// Job ids by priority, highest first, and then by acceptance, as of the last [`JobTable::sort`].
     scheduling_order: Vec<JobId>,
+    /// The order does not reflect all changes yet.
     order_is_stale: bool,
-    /// Jobs that were removed since [`JobTable::take_removed`].
+    /// Jobs that were removed since the last call of [`JobTable::take_removed`].
     removed: Vec<JobId>,
-    /// How many inherited priorities were computed in this term, for the summary in the log.
+    /// The number of inherited ranks that were computed in this term; a measure of the cost of inheritance.
     pub priorities_computed: u64,
 }
 
 impl JobTable {
-    /// A job by its id.
+    /// The job with this id; `None` if the table does not hold it.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.by_id.get(id)
     }
 
-    /// A job by its id, to be changed.
+    /// The job with this id, for modification. Changes of the priority have to be reported with
+    /// [`JobTable::priority_changed`].
     pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.by_id.get_mut(id)
     }
 
-    /// Whether the table holds a job.
+    /// Whether the table holds the job with this id.
     pub fn contains(&self, id: &JobId) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// How many jobs the table holds.
+    /// The number of jobs, including those that are over but not removed yet.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether the table holds no job.
+    /// Whether there are no jobs, not even some that are over but not removed yet.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// All jobs, in no order.
+    /// All jobs, in no particular order.
     pub fn values(&self) -> impl Iterator<Item = &Job> {
         self.by_id.values()
     }
 
-    /// All jobs to be changed, in no order.
+    /// All jobs for modification, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
         self.by_id.values_mut()
     }
 
-    /// Adds a job.
+    /// Adds a job, or replaces the one with the same id.
     pub(in crate::core) fn insert(&mut self, job: Job) {
         self.by_id.insert(job.spec.job_id.clone(), job);
         self.order_is_stale = true;
     }
 
-    /// Removes a job.
+    /// Removes the job with this id and returns it; `None` if the table does not hold it.
     pub(in crate::core) fn remove(&mut self, id: &JobId) -> Option<Job> {
         let job = self.by_id.remove(id)?;
         self.order_is_stale = true;
@@ -79,17 +81,17 @@
         std::mem::take(&mut self.removed)
     }
 
-    /// Records that the priority of a job has changed.
+    /// Marks the order as stale after the priority of a job has changed.
     pub(in crate::core) fn priority_changed(&mut self) {
         self.order_is_stale = true;
     }
 
-    /// Jobs by priority and arrival, as of the last [`JobTable::sort`].
+    /// Job ids by priority, highest first, and then by acceptance, as of the last [`JobTable::sort`].
     pub(in crate::core) fn scheduling_order(&self) -> &[JobId] {
         &self.scheduling_order
     }
 
-    /// Brings the scheduling order up to date.
+    /// Rebuilds the order if it is stale.
     pub(in crate::core) fn sort(&mut self) {
         if !std::mem::take(&mut self.order_is_stale) {
             return;
--- a/src/core/state/liveness.rs
+++ b/src/core/state/liveness.rs
@@ -1,28 +1,30 @@
-//! Since when missing heartbeats prove anything.
+//! The time from which on missing heartbeats are evidence that machines are silent.
 //!
-//! Invariant: no time during which this process was paused counts as silence of a machine.
+//! Invariant: time during which this process was paused does not count as silence of a machine.
 
 use std::time::{Duration, Instant};
 
-/// Ticks that are further apart than this show that the process was paused.
+/// A longer interval between two ticks shows that the process was paused.
 const MIN_PROCESS_PAUSE: Duration = Duration::from_secs(4);
 
-/// When the term began, when the process last ran and when a heartbeat was last received.
+/// The start of the term, the last tick, the end of the last pause, and the last heartbeat.
 #[derive(Debug)]
 pub struct Liveness {
-    /// When the term began.
+    /// The start of the term on the monotonic clock.
     pub started: Instant,
-    /// The time of day at `started`, in milliseconds since 1970.
+    /// The start of the term on the wall clock, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// When a heartbeat was last received, by any controller.
+    /// When a heartbeat of any machine was last received, directly or through another controller; `None` if
+    /// there was none in this term. A pause of this process moves it to the end of the pause.
     pub(in crate::core) last_heartbeat: Option<Instant>,
     last_tick: Option<Instant>,
-    /// Since when this process has not been paused: heartbeats that were missing before prove nothing.
+    /// The end of the last pause of this process, or the start of the term. Heartbeats missing before it are
+    /// not evidence of anything.
     pub(in crate::core) awake_since: Instant,
 }
 
 impl Liveness {
-    /// A term that begins now.
+    /// A term that starts at `now`; `started_ms` is the same time on the wall clock.
     pub fn new(now: Instant, started_ms: u64) -> Liveness {
         Liveness {
             started: now,
@@ -33,13 +35,13 @@
         }
     }
 
-    /// Records that a tick begins. Returns whether the process was paused since the last one.
+    /// Records the start of a tick. Returns whether the process was paused since the last one.
     pub(in crate::core) fn tick(&mut self, now: Instant) -> bool {
         let last = self.last_tick.replace(now);
         last.is_some_and(|t| now.saturating_duration_since(t) > MIN_PROCESS_PAUSE)
     }
 
-    /// Records that the process was paused until now. Returns false if that is known already.
+    /// Records that the process was paused until `now`. Returns false if this was recorded before.
     pub(in crate::core) fn resume(&mut self, now: Instant) -> bool {
         if self.awake_since == now {
             return false;
@@ -50,8 +52,8 @@
         true
     }
 
-    /// When a time of day was, by the steady clock. The times of day of different controllers agree well
-    /// enough for this.
+    /// Converts a wall-clock time, in milliseconds since the Unix epoch, to the monotonic clock. The time may
+    /// have been recorded by another controller; the wall clocks of controllers agree well enough for this.
     pub(in crate::core) fn instant_of(&self, time_of_day_ms: u64) -> Instant {
         let age = Duration::from_millis(self.started_ms.saturating_sub(time_of_day_ms));
         if age.is_zero() {
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -1,7 +1,8 @@
 //! A machine of the fleet and the tasks that are placed on it.
 //!
-//! Invariants: tasks are placed on a machine only while it is booting or reachable. The lease of a machine counts
-//! as expired only if this term has fenced it, because until then answers of an earlier leader may renew it.
+//! Invariants: placement rounds place tasks on a machine only while it is reachable. The lease of a machine
+//! counts as expired only if this term has fenced it, because until then answers of an earlier leader may
+//! renew it.
 
 use crate::core::model::{
     FencingToken, JobId, MachineId, MachineTypeName, Resources, TaskId, Term, Zone,
@@ -71,11 +72,11 @@
     pub rented_this_term: bool,
     /// The token in the agent's most recent message.
     pub observed_token: FencingToken,
-    /// Set if no task may be placed on the machine until it shows this token. Receiving messages from a machine
-    /// does not prove that answers and commands reach it.
+    /// Set if no task may be placed on the machine until it shows this token. Receiving messages from a
+    /// machine does not prove that answers and commands reach it.
     pub required_token: Option<RequiredToken>,
-    /// Set once an agent that restarted its serial numbers has shown this token. Heartbeats with a lower token
-    /// are those of its predecessor, however high their serial numbers are.
+    /// Set once an agent that restarted its serial numbers has shown this token. Heartbeats with a lower
+    /// token are those of its predecessor, however high their serial numbers are.
     pub min_token: Option<FencingToken>,
     /// Set while the agent may have restarted its serial numbers: a message that shows this token proves it.
     pub restart_probe_token: Option<FencingToken>,
@@ -113,8 +114,8 @@
     pub avoid_until: Option<Instant>,
     /// Jobs whose tasks failed on this machine since a task last completed on it.
     pub failed_jobs: HashSet<JobId>,
-    /// Since when the machine has been in quarantine, because tasks of several jobs failed on it; `None` if it
-    /// is not. No task is placed on it in quarantine, which ends if the jobs turn out to be at fault.
+    /// Since when the machine has been in quarantine, because tasks of several jobs failed on it; `None` if
+    /// it is not. No task is placed on it in quarantine, which ends if the jobs turn out to be at fault.
     pub quarantined_since: Option<Instant>,
     /// The mean natural logarithm of measured over estimated run time on this machine.
     pub log_slowdown: Average,
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Whether answers and commands of this term are known, or for a machine rented in it assumed, to reach the
-    /// machine.
+    /// Whether answers and commands of this term are known, or for a machine rented in it assumed, to reach
+    /// the machine.
     pub fn is_reachable(&self) -> bool {
         (self.fenced || self.rented_this_term) && self.required_token.is_none()
     }
@@ -179,8 +180,8 @@
         self.quarantined_since.is_some()
     }
 
-    /// Blocks placement on the machine until it shows a token that is first sent from now on. Has no effect if a
-    /// token is already required.
+    /// Blocks placement on the machine until it shows a token that is first sent from now on. Has no effect
+    /// if a token is already required.
     pub(in crate::core) fn require_token(&mut self, now: Instant) {
         if self.required_token.is_none() {
             self.token = self.token.next();
@@ -210,16 +211,16 @@
         }
     }
 
-    /// The factor by which tasks run longer on this machine than estimated for its type. It is moved towards 1
-    /// while there are few measurements.
+    /// The factor by which tasks run longer on this machine than estimated for its type. It is moved towards
+    /// 1 while there are few measurements.
     pub fn slowdown(&self) -> f64 {
         let counted = self.log_slowdown.count.min(FULL_WEIGHT_MEASUREMENTS);
         let weight = f64::from(counted) / f64::from(FULL_WEIGHT_MEASUREMENTS);
         let slowdown = (self.log_slowdown.mean * weight)
             .exp()
             .clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-        // Machines of one type differ by 10%, and measurements vary by more. If small differences counted, tasks
-        // would wait for the machine that happened to be measured as the fastest while others are idle.
+        // Machines of one type differ by 10%, and measurements vary by more. If small differences counted,
+        // tasks would wait for the machine that happened to be measured as the fastest while others are idle.
         if AVERAGE_SLOWDOWN_RANGE.contains(&slowdown) {
             1.0
         } else {
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -1,7 +1,7 @@
 //! The state of the cluster as the leader knows it.
 //!
-//! Each component owns its fields and keeps its own invariants; [`ClusterState`] joins them and holds the
-//! steps that need several of them.
+//! Each component owns its fields and maintains its own invariants. [`ClusterState`] combines them and
+//! implements the operations that involve several of them.
 
 mod actions;
 pub(crate) mod attempt;
--- a/src/core/state/outbox.rs
+++ b/src/core/state/outbox.rs
@@ -1,35 +1,35 @@
-//! What is to be sent, gathered until the current event has been handled.
+//! Actions and commands that are collected until the current event has been handled.
 
 use crate::core::model::MachineId;
 use crate::core::state::Action;
 use std::collections::{BTreeSet, VecDeque};
 
-/// A machine whose heartbeat is to be requested.
+/// A machine whose status is to be requested.
 pub(in crate::core) struct PendingProbe {
-    /// The machine.
+    /// The id of the machine.
     pub(in crate::core) machine: MachineId,
-    /// The address at which its agent takes commands.
+    /// The address at which the agent accepts commands, as the cloud lists it.
     pub(in crate::core) endpoint: String,
 }
 
-/// Actions that are ready, and machines to which something is to be sent.
+/// Actions that are ready, and machines to which commands or probes are to be sent.
 #[derive(Default)]
 pub struct Outbox {
-    /// Actions that go out when the current event has been handled.
+    /// Actions that the runtime takes once the current event has been handled.
     actions: Vec<Action>,
-    /// Machines with commands that must not wait for the answer to the next heartbeat.
+    /// Machines with commands that are to be sent directly, without waiting for the next heartbeat.
     pub(in crate::core) urgent_machines: BTreeSet<MachineId>,
-    /// Machines whose heartbeats are to be requested.
+    /// Machines whose status is to be requested, in order; only some are sent in each tick.
     pub(in crate::core) probes: VecDeque<PendingProbe>,
 }
 
 impl Outbox {
-    /// Adds an action.
+    /// Appends an action.
     pub(in crate::core) fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Takes out all actions.
+    /// Takes all actions, in the order in which they were added.
     pub(in crate::core) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -1,39 +1,44 @@
-//! Accounting of the resources that each team's tasks use, by which quotas are enforced.
+//! Accounting of the resources that the tasks of each team use, for the enforcement of quotas.
 //!
-//! An attempt is entered when it is placed, or when its record is found at a failover, and leaves on the
-//! proof that it is off its machine. Tasks that a heartbeat shows although no record names them are counted
-//! until a later heartbeat of the machine, or its end. Invariant: the account is never less than what is
-//! truly on machines, and whatever starts a task checks it first.
+//! An attempt is counted from its assignment, or from the loading of its record at a failover, until it is
+//! proved gone from its machine. Tasks that a heartbeat lists although no record names them are counted until
+//! a later heartbeat of the machine replaces them, or until the machine is removed or its lease expires.
+//!
+//! Invariant: the accounted usage is never less than the actual usage on machines, and every start of a task
+//! checks it first.
 
 use crate::core::model::{MachineId, Resources, TaskId, TeamName};
 use std::collections::HashMap;
 
-/// The resources of one task.
+/// The resources that one task uses, and the team that they are counted for.
 #[derive(Clone, Debug)]
 struct Entry {
     team: TeamName,
     resources: Resources,
 }
 
-/// The sum of a team's entries, and their number: the sum of no entries is zero, without rounding errors.
+/// The sum of a team's entries. Their number is counted so that the sum can be reset to exactly zero, without
+/// rounding errors, when there are no entries left.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     resources: Resources,
     entries: usize,
 }
 
-/// The resources used by all teams.
+/// The resources that the tasks of all teams use.
 #[derive(Debug, Default)]
 pub struct QuotaUsage {
-    /// Attempts on record.
+    /// The entries of recorded attempts.
     attempts: HashMap<TaskId, Entry>,
-    /// Tasks that machines show without a record.
+    /// The entries of tasks that machines list although no record names them.
     unexpected: HashMap<MachineId, Vec<Entry>>,
+    /// The sums of all entries by team.
     totals: HashMap<TeamName, Total>,
 }
 
 impl QuotaUsage {
-    /// Enters the attempt at a task, which may be on a machine from now on. A task has one attempt at a time.
+    /// Adds the attempt at a task, which may be on a machine from now on. It replaces an earlier entry of the
+    /// same task, since a task has at most one active attempt.
     pub fn enter(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
             team: team.clone(),
@@ -45,14 +50,14 @@
         }
     }
 
-    /// Removes the attempt at a task, which is proved off its machine.
+    /// Removes the attempt at a task, which is proved gone from its machine.
     pub fn leave(&mut self, task: &TaskId) {
         if let Some(entry) = self.attempts.remove(task) {
             self.subtract(&entry);
         }
     }
 
-    /// Sets the tasks that a machine shows without a record, in place of those that it showed before.
+    /// Replaces the entries of tasks that a machine lists although no record names them.
     pub fn set_unexpected(&mut self, machine: &MachineId, tasks: &[(TeamName, Resources)]) {
         for entry in self.unexpected.remove(machine).unwrap_or_default() {
             self.subtract(&entry);
@@ -71,7 +76,7 @@
         self.unexpected.insert(machine.clone(), entries);
     }
 
-    /// The resources that a team's tasks use.
+    /// The resources that the tasks of a team use; zero for an unknown team.
     pub fn of(&self, team: &TeamName) -> Resources {
         self.totals
             .get(team)
@@ -79,7 +84,7 @@
             .unwrap_or_default()
     }
 
-    /// The resources that every team's tasks use.
+    /// The resources that tasks use, for each team that has had tasks in this term.
     pub fn by_team(&self) -> HashMap<TeamName, Resources> {
         let totals = self.totals.iter();
         totals
@@ -87,7 +92,7 @@
             .collect()
     }
 
-    /// The resources that a team's tasks use, summed anew entry by entry, as a check of [`QuotaUsage::of`].
+    /// Recomputes the resources that the tasks of a team use from all entries, to verify [`QuotaUsage::of`].
     pub fn recount(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
--- a/src/core/state/recent_usage.rs
+++ b/src/core/state/recent_usage.rs
@@ -1,14 +1,14 @@
-//! The resources that each team has used recently, averaged over time.
+//! A moving average of the resources that each team uses.
 
 use crate::core::model::{Resources, TeamName};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The time constant of the average.
-const AVERAGING_TIME: Duration = Duration::from_secs(20);
+/// The time constant of the exponentially weighted average.
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_secs(20);
 
-/// An exponentially weighted average of each team's usage. Without it, a team whose tasks all end at once
-/// would briefly seem to use nothing.
+/// An exponentially weighted moving average of each team's usage. The current usage alone would briefly show
+/// a team whose tasks all end at once as using nothing.
 #[derive(Debug, Default)]
 pub struct RecentUsage {
     mean: HashMap<TeamName, Resources>,
@@ -16,14 +16,14 @@
 }
 
 impl RecentUsage {
-    /// Adds the present usage of all teams to the average.
+    /// Adds the current usage of all teams to the average. The first call sets the average to it.
     pub(in crate::core) fn update(&mut self, now: Instant, current: HashMap<TeamName, Resources>) {
         let Some(before) = self.updated.replace(now) else {
             self.mean = current;
             return;
         };
-        let passed = now.saturating_duration_since(before).as_secs_f64();
-        let weight = 1.0 - (-passed / AVERAGING_TIME.as_secs_f64()).exp();
+        let elapsed_s = now.saturating_duration_since(before).as_secs_f64();
+        let weight = 1.0 - (-elapsed_s / AVERAGING_TIME_CONSTANT.as_secs_f64()).exp();
         for (team, used) in current {
             let mean = self.mean.entry(team).or_default();
             let mut change = used;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The resources that a team has used on average.
+    /// The average usage of a team; zero for an unknown team.
     pub(in crate::core) fn of(&self, team: &TeamName) -> Resources {
         self.mean.get(team).copied().unwrap_or_default()
     }
--- a/src/core/state/round_schedule.rs
+++ b/src/core/state/round_schedule.rs
@@ -1,20 +1,22 @@
-//! When the periodic work of the leader is due.
+//! Decides when the periodic work of the leader is due.
 //!
-//! Invariant: work that is reported as due counts as done, so that it is due once per interval.
+//! Invariant: work that is reported as due counts as done, so that it is due at most once per interval.
 
 use std::time::{Duration, Instant};
 
-/// The interval between rounds in ticks, by the duration of the last one, within these bounds.
+/// The interval between placement rounds is this multiple of the duration of the last tick, within the two
+/// bounds below.
 const ROUND_INTERVAL_FACTOR: u32 = 5;
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(1500);
-/// The interval between rounds while nothing changes.
+/// The minimum interval between rounds while none is requested.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(1000);
-/// The interval between scaling decisions, and between sweeps over all machines and tasks.
+/// The minimum interval between scaling decisions, which are taken after a placement round.
 const SCALING_INTERVAL: Duration = Duration::from_millis(450);
+/// The minimum interval between sweeps over all machines and tasks.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(450);
 
-/// When rounds, scaling and sweeps were last done, and what asks for the next round.
+/// The times of the last placement round, scaling decision and sweep, and whether a round is requested.
 #[derive(Debug)]
 pub struct RoundSchedule {
     round_requested: bool,
@@ -37,18 +39,19 @@
 }
 
 impl RoundSchedule {
-    /// Something has changed that a placement round should look at.
+    /// Requests a placement round, because something changed that affects placement.
     pub(in crate::core) fn request_round(&mut self) {
         self.round_requested = true;
     }
 
-    /// Sets how long the last tick took: rounds leave most of the processor to heartbeats and requests.
+    /// Sets the duration of the last tick, which determines the interval between rounds. Most of the CPU time
+    /// thus remains for heartbeats and requests.
     pub(in crate::core) fn set_tick_duration(&mut self, duration: Duration) {
         self.round_interval =
             (duration * ROUND_INTERVAL_FACTOR).clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
     }
 
-    /// Whether a placement round is due. If so, it counts as done now.
+    /// Returns whether a placement round is due. If so, it counts as done at `now`.
     pub(in crate::core) fn start_round(&mut self, now: Instant) -> bool {
         let interval = if self.round_requested {
             self.round_interval
@@ -62,12 +65,12 @@
         due
     }
 
-    /// Whether renting and returning are due. If so, they count as done now.
+    /// Returns whether a scaling decision is due. If so, it counts as taken at `now`.
     pub(in crate::core) fn start_scaling(&mut self, now: Instant) -> bool {
         start_if_due(&mut self.last_scaling, SCALING_INTERVAL, now)
     }
 
-    /// Whether a sweep over all machines and tasks is due. If so, it counts as done now.
+    /// Returns whether a sweep over all machines and tasks is due. If so, it counts as done at `now`.
     pub(in crate::core) fn start_sweep(&mut self, now: Instant) -> bool {
         start_if_due(&mut self.last_sweep, SWEEP_INTERVAL, now)
     }
--- a/src/core/state/scheduling_rank.rs
+++ b/src/core/state/scheduling_rank.rs
@@ -1,19 +1,19 @@
-//! What orders a job in the queue: its own rank, or one inherited from the jobs that depend on it.
+//! The rank of a job in scheduling: its own, or the one that it inherits from its dependents.
 
 use crate::core::model::Priority;
 use std::time::Instant;
 
-/// What orders a job in the queue.
+/// The priority and deadline by which a job is scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulingRank {
-    /// The higher goes first.
+    /// Jobs of a higher priority are placed first.
     pub priority: Priority,
-    /// Among jobs of one priority, the earlier goes first.
+    /// When the job should be complete; `None` if neither the job nor a dependent has a deadline.
     pub deadline: Option<Instant>,
 }
 
 impl SchedulingRank {
-    /// The higher priority and the earlier deadline of both.
+    /// Combines the higher priority and the earlier deadline of two ranks.
     #[must_use]
     pub fn max(self, other: SchedulingRank) -> SchedulingRank {
         let deadline = match (self.deadline, other.deadline) {
--- a/src/core/state/task_chunk.rs
+++ b/src/core/state/task_chunk.rs
@@ -1,46 +1,48 @@
-//! The tasks of a job that share one key of the key-value store.
+//! The tasks of a job that share one key in the key-value store.
 //!
-//! Every change raises the version. Invariant: an ended attempt stays held, so that its machine keeps
-//! reporting its end, until the version that records the end is durable.
+//! Every change raises the version of the chunk. Invariant: an ended attempt is held until the version that
+//! records its end is durable. Until then its machine is not told to forget it and keeps reporting the end.
 
 use crate::core::model::AttemptId;
 use crate::core::persistence::records::TASKS_PER_CHUNK;
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// Ends of attempts alone wait this long, so that one write carries several.
+/// A chunk whose only changes are ends of attempts is written after this delay, so that one write contains
+/// several ends.
 const END_BATCHING_DELAY: Duration = Duration::from_millis(4000);
 
-/// An ended attempt whose end is not durable yet.
+/// An ended attempt whose end is not durably recorded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldAttempt {
     /// The task's index in its job.
     pub task_index: u32,
-    /// The attempt that ended.
+    /// The id of the attempt that ended.
     pub attempt: AttemptId,
-    /// The version of the chunk that records the end.
+    /// The first version of the chunk that records the end.
     pub version: u64,
 }
 
-/// What is known, and what is durable, of up to [`TASKS_PER_CHUNK`] tasks of a job.
+/// The state of up to [`TASKS_PER_CHUNK`] tasks of a job, and which version of it is durable.
 #[derive(Clone, Debug, Default)]
 pub struct TaskChunk {
-    /// The revision of its key. 0: it was never written.
+    /// The revision of the chunk's key; 0 if it was never written.
     pub revision: u64,
-    /// Raised by every change.
+    /// The version of the state in memory, which every change raises.
     pub version: u64,
-    /// The newest version that is durable.
+    /// The highest version that is durable.
     pub durable_version: u64,
-    /// Since when it holds ends of attempts that are not written.
+    /// When the oldest end of an attempt was recorded since the last time all changes were durable; `None` if
+    /// there was none.
     pub unwritten_ends_since: Option<Instant>,
-    /// Ended attempts that must not be forgotten before their ends are durable.
+    /// Ended attempts that their machines must not forget yet, because their ends are not durable.
     pub held_attempts: Vec<HeldAttempt>,
-    /// A bit for each task that is done.
+    /// One bit for each task that is done, the first task of the chunk in the lowest bit.
     pub done_bits: u64,
 }
 
 impl TaskChunk {
-    /// The indices of the tasks in a chunk.
+    /// The indices in the job of the tasks in a chunk, which may extend beyond the job's last task.
     pub(in crate::core) fn task_range(chunk: u32) -> Range<u32> {
         chunk * TASKS_PER_CHUNK..chunk.saturating_add(1).saturating_mul(TASKS_PER_CHUNK)
     }
@@ -57,12 +59,13 @@
         newly_done
     }
 
-    /// Whether some change is not durable.
+    /// Whether there are changes that are not durable.
     pub fn is_dirty(&self) -> bool {
         self.version > self.durable_version
     }
 
-    /// Whether a change waits that has to be written now: an intent, or an end that waited long enough.
+    /// Whether the chunk has to be written now: it has changes that are not durable, and it has new intents,
+    /// no unwritten ends of attempts, or ends that have waited for the batching delay.
     pub(in crate::core) fn is_write_due(
         &self,
         now: Instant,
@@ -72,7 +75,7 @@
         self.is_dirty() && (self.unwritten_ends_since.is_none_or(waited) || has_intents())
     }
 
-    /// Records the end of an attempt. Its machine must report it until this version is durable.
+    /// Records the end of an attempt, which is held until the current version is durable.
     pub(in crate::core) fn hold(&mut self, now: Instant, task_index: u32, attempt: AttemptId) {
         let version = self.version;
         self.held_attempts.push(HeldAttempt {
@@ -83,14 +86,14 @@
         self.unwritten_ends_since.get_or_insert(now);
     }
 
-    /// Whether the end of an attempt is not durable yet.
+    /// Whether an attempt has ended and its end is not durable yet.
     pub(in crate::core) fn is_held(&self, task_index: u32, attempt: AttemptId) -> bool {
         self.held_attempts
             .iter()
             .any(|held| held.task_index == task_index && held.attempt == attempt)
     }
 
-    /// Records that a version is durable, under this revision of the key.
+    /// Records that a version is durable, and that the chunk's key was written at `revision`.
     pub(in crate::core) fn written(&mut self, version: u64, revision: u64) {
         self.revision = revision;
         self.durable_version = self.durable_version.max(version);
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -35,7 +35,7 @@
         if phase == TaskPhase::Fetching {
             attempt.last_fetching_at = Some(now);
             if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-                machine.images.fetch_started(now, image, image_gb);
+                machine.images.record_fetch(now, image, image_gb);
             }
             return;
         }
@@ -50,12 +50,12 @@
         let machine_type = self.fleet.machine_type(&heartbeat.machine_type);
         let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
         if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-            machine.images.used(image, image_gb, cache_gb);
+            machine.images.record_use(image, image_gb, cache_gb);
         }
     }
 
-    /// Records how long the fetch of an image took. It is known only if the start of the fetch was observed and
-    /// the machine was fetching no other image at the same time.
+    /// Records how long the fetch of an image took. It is known only if the start of the fetch was observed
+    /// and the machine was fetching no other image at the same time.
     fn measure_fetch(
         &mut self,
         now: Instant,
@@ -149,9 +149,9 @@
     }
 
     /// Adds the run time of a stopped attempt that its checkpoints hold to the task's saved progress. If a
-    /// checkpoint was saved when it stopped, that is the whole run time, otherwise the run time up to the last
-    /// full checkpoint interval. Nothing is added if the job writes no checkpoints or the start of the attempt
-    /// was not observed.
+    /// checkpoint was saved when it stopped, that is the whole run time, otherwise the run time up to the
+    /// last full checkpoint interval. Nothing is added if the job writes no checkpoints or the start of the
+    /// attempt was not observed.
     fn record_checkpoint(
         &mut self,
         now: Instant,
@@ -202,8 +202,8 @@
 }
 
 impl ActiveAttempt {
-    /// Records that the attempt was first observed to run. Returns whether its start was observed, which is the
-    /// case if an earlier phase was observed in this term or this term launched it. Otherwise, as after a
+    /// Records that the attempt was first observed to run. Returns whether its start was observed, which is
+    /// the case if an earlier phase was observed in this term or this term launched it. Otherwise, as after a
     /// failover, it may have started long before.
     fn record_start(
         &mut self,
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -1,8 +1,9 @@
 //! How machines leave the cluster and how attempts are ended from outside: returned machines, expired leases,
 //! overdue cancellations, spot evictions and kills.
 //!
-//! Invariant: an attempt is removed from its machine only on proof that it no longer runs there. In this module
-//! the proof is the cloud's confirmation that the machine is gone, or a lease that has certainly expired.
+//! Invariant: an attempt is removed from its machine only on proof that it no longer runs there. In this
+//! module the proof is the cloud's confirmation that the machine is gone, or a lease that has certainly
+//! expired.
 
 use crate::core::model::{JobId, JobKind, MachineId, Resources, TaskId};
 use crate::core::state::attempt::AttemptEnd;
@@ -16,7 +17,8 @@
 /// 0.05%; the factor allows for four times as much.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// If a task of a cancelled job is not proved gone after this fraction of `cancel_s`, its machine is returned.
+/// If a task of a cancelled job is not proved gone after this fraction of `cancel_s`, its machine is
+/// returned.
 const OVERDUE_FRACTION_OF_CANCEL: f64 = 0.4;
 /// A task with checkpoints is stopped once the time until the eviction is at most this multiple of its
 /// checkpoint duration plus [`CHECKPOINT_LEAD_MARGIN`].
@@ -24,8 +26,8 @@
 const CHECKPOINT_LEAD_MARGIN: Duration = Duration::from_secs(2);
 /// The grace period of such a task ends this long before the eviction, unless its checkpoint takes longer.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
-/// A task without checkpoints is killed at once, to run elsewhere, if its estimated remaining run time exceeds
-/// this multiple of the time until the eviction.
+/// A task without checkpoints is killed at once, to run elsewhere, if its estimated remaining run time
+/// exceeds this multiple of the time until the eviction.
 const UNFINISHABLE_FACTOR: f64 = 1.5;
 /// A kill becomes immediate this long after its grace period has passed.
 const KILL_ESCALATION_DELAY: Duration = Duration::from_secs(2);
@@ -75,8 +77,9 @@
         }
     }
 
-    /// Removes the attempts on machines whose leases have certainly expired. This applies only to machines that
-    /// this term has fenced, because the answers of an earlier leader may still renew the leases of others.
+    /// Removes the attempts on machines whose leases have certainly expired. This applies only to machines
+    /// that this term has fenced, because the answers of an earlier leader may still renew the leases of
+    /// others.
     pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
         let max_lifetime = self.config.lease.mul_f64(LEASE_DRIFT_FACTOR) + LEASE_MARGIN;
         let mut tasks = Vec::new();
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Returns the machines on which tasks of cancelled jobs are not proved gone in time, well before `cancel_s`
-    /// has passed.
+    /// Returns the machines on which tasks of cancelled jobs are not proved gone in time, well before
+    /// `cancel_s` has passed.
     pub(in crate::core) fn return_machines_of_overdue_cancellations(&mut self, now: Instant) {
         let limit = self.config.cancel.mul_f64(OVERDUE_FRACTION_OF_CANCEL);
         let is_overdue = |job: &&Job| {
@@ -118,8 +121,9 @@
         }
     }
 
-    /// Prepares for announced spot evictions. Tasks that have not started running are killed at once, tasks with
-    /// checkpoints are stopped in time to write one, and others are killed at once if they cannot finish.
+    /// Prepares for announced spot evictions. Tasks that have not started running are killed at once, tasks
+    /// with checkpoints are stopped in time to write one, and others are killed at once if they cannot
+    /// finish.
     pub(in crate::core) fn prepare_evictions(&mut self, now: Instant) {
         let mut evicted = Vec::new();
         for machine in self.fleet.machines.values() {
