--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -130,7 +130,7 @@
     /// queue was read again since.
     fn knows_all_before_cancellation(&self, job: &Job) -> bool {
         match (
-            job.cancellation.queue_read_required_after(),
+            job.cancellation.needs_read_after(),
             self.leadership.last_queue_read,
         ) {
             (None, _) => true,
--- a/src/core/state/cancellation.rs
+++ b/src/core/state/cancellation.rs
@@ -24,7 +24,7 @@
 pub struct Cancellation {
     known_since: Option<Instant>,
     marked: bool,
-    queue_read_required_after: Option<Instant>,
+    needs_read_after: Option<Instant>,
 }
 
 impl Cancellation {
@@ -46,19 +46,17 @@
 
     /// The job's records may be removed only once a read of the queue was sent after this time. `None` if
     /// they may be removed without one.
-    pub fn queue_read_required_after(&self) -> Option<Instant> {
-        self.queue_read_required_after
+    pub fn needs_read_after(&self) -> Option<Instant> {
+        self.needs_read_after
     }
 
     /// Records that a source showed the cancellation. Returns whether it was not known before.
     pub(in crate::core) fn record(&mut self, now: Instant, source: CancelSource) -> bool {
         match source {
-            CancelSource::Watch => (self.marked, self.queue_read_required_after) = (true, None),
-            CancelSource::Load => (self.marked, self.queue_read_required_after) = (true, Some(now)),
+            CancelSource::Watch => (self.marked, self.needs_read_after) = (true, None),
+            CancelSource::Load => (self.marked, self.needs_read_after) = (true, Some(now)),
             CancelSource::Peer | CancelSource::JobOutcome if self.is_known() => {}
-            CancelSource::Peer | CancelSource::JobOutcome => {
-                self.queue_read_required_after = Some(now)
-            }
+            CancelSource::Peer | CancelSource::JobOutcome => self.needs_read_after = Some(now),
         }
         let newly_known = !self.is_known();
         self.known_since.get_or_insert(now);
