--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -187,7 +187,7 @@
             self.put_chunk(job, index, value);
         }
         // The tasks of a cancelled job are only ever removed: that needs no condition on its outcome.
-        if self.op_count() > op_count && !job.is_cancelled() && !job.finished {
+        if self.op_count() > op_count && !job.is_cancelled() && !job.done_durable {
             self.expect_outcome(job);
         }
         room
--- a/src/core/persistence/job_completion.rs
+++ b/src/core/persistence/job_completion.rs
@@ -12,7 +12,7 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        job.finished = true;
+        job.done_durable = true;
         self.release_dependents(now, job_id);
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -150,7 +150,7 @@
             return None;
         }
         let job = self.jobs.get(&task.job_id)?;
-        if job.is_cancelled() || job.finished {
+        if job.is_cancelled() || job.done_durable {
             return None;
         }
         let attempt = job.active.get(&task.index)?.id;
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -132,7 +132,7 @@
         let task = job.task(index);
         let resources = job.spec.resources;
         let is_gang = job.spec.kind == JobKind::Gang;
-        let is_over = job.finished && job.active.is_empty();
+        let is_over = job.done_durable && job.active.is_empty();
         self.quota_usage.leave(&task);
         self.takeover.on_attempt_gone(now, &attempt.machine, &task);
         if is_over {
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -30,7 +30,7 @@
     /// What this leader knows about the cancellation of the job.
     pub cancellation: Cancellation,
     /// The outcome `done` is durable.
-    pub finished: bool,
+    pub done_durable: bool,
     /// At least one dependency is not known to be done, so no task may be placed.
     pub blocked: bool,
     /// The number of attempts that fit into the stored value of one chunk.
@@ -86,7 +86,7 @@
             revision,
             outcome_revision: 0,
             cancellation: Cancellation::default(),
-            finished: false,
+            done_durable: false,
             blocked: false,
             max_attempts_per_chunk: TASKS_PER_CHUNK,
             orphaned: false,
@@ -132,12 +132,12 @@
 
     /// Whether no further task of the job may be placed.
     pub fn is_over(&self) -> bool {
-        self.is_cancelled() || self.finished || self.orphaned || self.is_complete()
+        self.is_cancelled() || self.done_durable || self.orphaned || self.is_complete()
     }
 
     /// Whether a dependency was cancelled and the job's own outcome is not known yet.
     pub fn is_orphan(&self) -> bool {
-        self.orphaned && !self.is_cancelled() && !self.finished
+        self.orphaned && !self.is_cancelled() && !self.done_durable
     }
 
     /// Whether the leader should write the outcome of an orphaned job now, because the peer that confirms the
@@ -149,7 +149,7 @@
 
     /// Whether the outcome `done` has to be written now.
     pub fn is_outcome_due(&self) -> bool {
-        !self.is_cancelled() && !self.finished && self.is_complete()
+        !self.is_cancelled() && !self.done_durable && self.is_complete()
     }
 
     /// Returns the chunk of a task for modification, and raises its version.
