--- a/src/core/state/fleet.rs
+++ b/src/core/state/fleet.rs
@@ -44,7 +44,7 @@
     }
 
     /// Removes a machine that was returned. Its id is remembered until at least `max_machines`, and at least
-    /// [`MIN_TOMBSTONES`], others were removed.
+    /// `MIN_TOMBSTONES`, others were removed.
     pub(in crate::core) fn remove(&mut self, id: &MachineId, max_machines: usize) {
         self.machines.remove(id);
         if !self.tombstones.insert(id.clone()) {
--- a/src/core/state/job_table.rs
+++ b/src/core/state/job_table.rs
@@ -1,7 +1,7 @@
 //! The jobs of the cluster, their dependencies, and their order by priority and arrival.
 //!
 //! Invariants: the order is marked as stale whenever a job is added, removed or given another priority, and
-//! the next [`JobTable::sort`] rebuilds it. Every removed job is returned once by [`JobTable::take_removed`].
+//! the next `JobTable::sort` rebuilds it. Every removed job is returned once by [`JobTable::take_removed`].
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::dependencies::Dependencies;
@@ -15,7 +15,7 @@
     by_id: HashMap<JobId, Job>,
     /// The dependency graph of the jobs.
     pub(in crate::core) dependencies: Dependencies,
-    /// Job ids by priority, highest first, and then by acceptance, as of the last [`JobTable::sort`].
+    /// Job ids by priority, highest first, and then by acceptance, as of the last `JobTable::sort`.
     scheduling_order: Vec<JobId>,
     /// The order does not reflect all changes yet.
     order_is_stale: bool,
@@ -32,7 +32,7 @@
     }
 
     /// The job with this id, for modification. Changes of the priority have to be reported with
-    /// [`JobTable::priority_changed`].
+    /// `JobTable::priority_changed`.
     pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.by_id.get_mut(id)
     }
@@ -86,7 +86,7 @@
         self.order_is_stale = true;
     }
 
-    /// Job ids by priority, highest first, and then by acceptance, as of the last [`JobTable::sort`].
+    /// Job ids by priority, highest first, and then by acceptance, as of the last `JobTable::sort`.
     pub(in crate::core) fn scheduling_order(&self) -> &[JobId] {
         &self.scheduling_order
     }
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -84,8 +84,8 @@
     pub known_since: Instant,
     /// When the agent's most recent message was received; before the first one, the same as `known_since`.
     pub last_heartbeat_at: Instant,
-    /// When a heartbeat of the machine was last answered, which renews the lease; `None` if this term has
-    /// answered none.
+    /// The time from which the lease counts: when a heartbeat of the machine was last answered, or when a new
+    /// incarnation or a restart of the agent was first seen. `None` if there was neither in this term.
     pub lease_renewed_at: Option<Instant>,
     /// When the machine was rented; `None` unless it is booting.
     pub booting_since: Option<Instant>,
@@ -108,7 +108,8 @@
     /// Since when no task has been placed on the machine; `None` while there is one or before its first
     /// heartbeat.
     pub idle_since: Option<Instant>,
-    /// The machine is to be emptied, so no further task is placed on it.
+    /// The machine is to be emptied, because it is being replaced or its tasks move to others. No further
+    /// task is placed on it.
     pub draining: bool,
     /// No task is placed on the machine before this time.
     pub avoid_until: Option<Instant>,
