--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -29,7 +29,7 @@
     fn of(job: &Job) -> WriteClass {
         if job.is_orphan() {
             WriteClass::Cascade
-        } else if job.pending_intents > 0 || job.is_outcome_due() {
+        } else if job.pending_intent_count > 0 || job.is_outcome_due() {
             WriteClass::Prompt
         } else {
             WriteClass::Deferred
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -81,7 +81,7 @@
         }
         attempt.durable = true;
         attempt.placed_at = now;
-        job.pending_intents = job.pending_intents.saturating_sub(1);
+        job.pending_intent_count = job.pending_intent_count.saturating_sub(1);
         if !cancelled {
             self.outbox.urgent_machines.insert(attempt.machine.clone());
         }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -71,7 +71,7 @@
     /// The number of tasks that are still to be placed before all other jobs because the job was starved.
     pub boosted_tasks: u32,
     /// The number of attempts whose intents are not durable yet.
-    pub pending_intents: u32,
+    pub pending_intent_count: u32,
 }
 
 impl Job {
@@ -103,7 +103,7 @@
             last_placed: arrived,
             was_starved: false,
             boosted_tasks: 0,
-            pending_intents: 0,
+            pending_intent_count: 0,
         }
     }
 
@@ -182,7 +182,7 @@
         self.active.insert(index, attempt);
         self.last_placed = now;
         self.boosted_tasks = self.boosted_tasks.saturating_sub(1);
-        self.pending_intents += 1;
+        self.pending_intent_count += 1;
         self.touch_chunk(index);
     }
 
@@ -196,7 +196,7 @@
     ) -> Option<ActiveAttempt> {
         let attempt = self.active.remove(&index)?;
         if !attempt.durable {
-            self.pending_intents = self.pending_intents.saturating_sub(1);
+            self.pending_intent_count = self.pending_intent_count.saturating_sub(1);
         }
         self.touch_chunk(index).hold(now, index, attempt.id);
         if end == AttemptEnd::Completed {
@@ -224,7 +224,7 @@
     pub fn dirty_chunks(&self, now: Instant) -> Vec<u32> {
         let is_due = |index: u32, chunk: &TaskChunk| {
             chunk.is_write_due(now, || {
-                self.pending_intents > 0 && self.intents(index).next().is_some()
+                self.pending_intent_count > 0 && self.intents(index).next().is_some()
             })
         };
         let due = self.chunks.iter().filter(|(i, c)| is_due(**i, c));
