--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -2,8 +2,8 @@
 //!
 //! A cancellation is confirmed to the user by the controller that wrote or read the job's outcome. From then
 //! on the job's tasks may run for at most `cancel_s`. A leader that answers a heartbeat renews the machine's
-//! lease and thereby lets all tasks on the machine run on, including those of cancelled jobs that it does not
-//! know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the
+//! lease and thereby lets all tasks on the machine run on, including tasks of jobs whose cancellation it does
+//! not know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the
 //! watermark; otherwise it lets the leases expire. Where the settings leave too little time for this,
 //! heartbeats are still answered up to [`MIN_MAX_AGE`] after the watermark, and `cancel_s` may be exceeded by
 //! [`overshoot`].
@@ -55,8 +55,8 @@
 }
 
 /// The time beyond `cancel` (`cancel_s`) for which a task of a cancelled job may still run if only lease
-/// expiry ends it, because the leader can reach neither the key-value store nor its peers and so does not
-/// know of the cancellation. Zero if lease expiry ends it in time.
+/// expiry ends it: the leader can reach neither the key-value store nor its peers and so does not know of the
+/// cancellation, and the machine cannot be reached to kill the task. Zero if lease expiry ends it in time.
 #[must_use]
 pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
     let bound = WatermarkBound::new(lease, cancel);
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -2,8 +2,9 @@
 //! cancellations.
 //!
 //! Invariant: heartbeats are answered only while the watermark is younger than the bound that
-//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets, so that a
-//! machine lease renewed now ends the tasks of cancelled jobs that the leader does not know of in time.
+//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets. As far as the
+//! settings allow, a machine lease renewed now then expires in time for every cancellation that the leader
+//! does not know of.
 
 use crate::core::leadership::cancellation_watermark::{
     CancellationReport, ClockReading, Watermark,
--- a/src/core/state/attempt.rs
+++ b/src/core/state/attempt.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Restarts the time-outs of the attempt's commands after a pause of this process, during which commands
+    /// Restarts the timeouts of the attempt's commands after a pause of this process, during which commands
     /// may not have been sent.
     pub(in crate::core) fn restart_waiting_times(&mut self, now: Instant) {
         self.launch_sent_at = self.launch_sent_at.map(|_| now);
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -193,7 +193,7 @@
     }
 
     /// Handles the end of a pause of this process, during which its clocks may have advanced by less or more
-    /// than real time. Time-outs start anew for heartbeats that could not be received, for leases whose
+    /// than real time. Timeouts start anew for heartbeats that could not be received, for leases whose
     /// renewal times may be wrong, and for commands that may not have been sent. Time limits on which users
     /// rely, above all those of cancellations, are not extended.
     pub fn on_process_resumed(&mut self, now: Instant) {
