--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -10,7 +10,7 @@
 
 use crate::core::capacity::headroom::HeadroomDemand;
 use crate::core::model::{MachineId, Resources};
-use crate::core::state::failure_attribution::QUARANTINE_PATIENCE;
+use crate::core::state::failure_attribution::QUARANTINE_RETURN_DELAY;
 use crate::core::state::{ClusterState, Machine};
 use std::collections::HashMap;
 use std::fmt;
@@ -37,7 +37,7 @@
 pub(super) enum ReturnReason {
     /// It was not up long after the advertised boot time.
     NeverBooted,
-    /// It has been in quarantine for longer than [`QUARANTINE_PATIENCE`].
+    /// It has been in quarantine for longer than [`QUARANTINE_RETURN_DELAY`].
     Quarantined,
     /// The cloud announced to reclaim it, and no task is left on it.
     SpotEviction,
@@ -153,7 +153,7 @@
     /// Checks whether a machine that has booted is unusable because of quarantine, eviction or lost contact.
     fn check_unusable(&self, now: Instant, machine: &Machine) -> Option<ReturnReason> {
         let is_past_limit =
-            |since: Instant| now.saturating_duration_since(since) > QUARANTINE_PATIENCE;
+            |since: Instant| now.saturating_duration_since(since) > QUARANTINE_RETURN_DELAY;
         if machine.quarantined_since.is_some_and(is_past_limit) {
             return Some(ReturnReason::Quarantined);
         }
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -191,7 +191,7 @@
         }
         // The chunks of a cancelled or finished job contain no new intents, so they need no condition on its
         // outcome.
-        if self.op_count() > op_count && !job.is_cancelled() && !job.finished {
+        if self.op_count() > op_count && !job.is_cancelled() && !job.done_durable {
             self.expect_outcome(job);
         }
         room
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -32,7 +32,7 @@
     fn of(job: &Job) -> WriteClass {
         if job.is_orphan() {
             WriteClass::Cascade
-        } else if job.unlaunched > 0 || job.is_outcome_due() {
+        } else if job.pending_intent_count > 0 || job.is_outcome_due() {
             WriteClass::Prompt
         } else {
             WriteClass::Deferred
@@ -137,7 +137,7 @@
     /// known.
     fn knows_jobs_accepted_before_cancellation(&self, job: &Job) -> bool {
         match (
-            job.cancellation.close_after(),
+            job.cancellation.needs_read_after(),
             self.leadership.last_queue_read,
         ) {
             (None, _) => true,
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -132,7 +132,7 @@
     fn requeue_excess_attempts(&mut self, now: Instant, max_attempts: u32) {
         let mut excess = Vec::new();
         for job in self.jobs.values_mut() {
-            job.chunk_room = max_attempts;
+            job.max_attempts_per_chunk = max_attempts;
             if job.spec.kind == JobKind::Gang {
                 continue;
             }
@@ -145,7 +145,7 @@
             }
         }
         for task in excess {
-            self.attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
+            self.record_attempt_gone(now, &task.job_id, task.index, AttemptEnd::Incomplete);
         }
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -102,7 +102,7 @@
             }
         }
         if rng.gen_bool(0.4) {
-            machine.slowness.add(rng.gen_range(-0.3..0.6));
+            machine.log_slowdown.add(rng.gen_range(-0.3..0.6));
         }
     }
     state
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -150,8 +150,8 @@
     /// Records a leader lease that was granted or renewed for `duration` by a request sent at `requested_at`.
     pub fn set_lease(&self, requested_at: ClockReading, duration: Duration) {
         self.write().lease_expiry = Some(ClockReading {
-            steady: requested_at.steady + duration,
-            day: requested_at.day + duration,
+            monotonic: requested_at.monotonic + duration,
+            wall_clock: requested_at.wall_clock + duration,
         });
     }
 
@@ -160,7 +160,9 @@
     /// first.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
-        let unexpired = |expiry: ClockReading| now.steady < expiry.steady && now.day < expiry.day;
+        let unexpired = |expiry: ClockReading| {
+            now.monotonic < expiry.monotonic && now.wall_clock < expiry.wall_clock
+        };
         state.role == RoleView::Leader(term) && state.lease_expiry.is_some_and(unexpired)
     }
 }
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -137,7 +137,7 @@
     }
 
     fn read_page(&mut self, peer: &Peer) -> Option<ReadPage> {
-        let asked_at = ClockReading::now();
+        let requested_at = ClockReading::now();
         let request = PeerRequest::Cancellations {
             from: self.position,
         };
@@ -152,7 +152,7 @@
             return None;
         };
         let report = CancellationReport {
-            asked_at,
+            requested_at,
             received_at: ClockReading::now(),
             is_continuous: continues,
         };
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -165,7 +165,7 @@
             Some(Ok(())) => {
                 view.record_store_call(true, Instant::now());
                 view.set_lease(requested_at, self.lease_duration);
-                self.leadership.on_lease_renewed(requested_at.steady);
+                self.leadership.on_lease_renewed(requested_at.monotonic);
             }
             Some(Err(StoreError::LeaseNotFound)) | None => {
                 log::warn!("leader lease expired");
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -170,10 +170,10 @@
     let peer_settings = settings.peers.iter();
     let peers = peer_settings.map(|peer| Arc::new(Peer::new(&peer.member, peer.address)));
     let context = NodeContext {
-        store: Arc::new(create_store_client(&settings, &meters, clocks.steady)),
+        store: Arc::new(create_store_client(&settings, &meters, clocks.monotonic)),
         cloud: create_cloud_client(&settings, &meters),
         meters,
-        view: Arc::new(NodeView::new(clocks.steady)),
+        view: Arc::new(NodeView::new(clocks.monotonic)),
         events,
         elector_events,
         cloud_wakeup,
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -110,14 +110,14 @@
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
         let late = self.delay(100, 600);
-        let day = SystemTime::UNIX_EPOCH + (now - self.start);
+        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.start);
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
-        leader
-            .cluster
-            .leadership
-            .set_clocks(ClockReading { steady: now, day });
+        leader.cluster.leadership.set_clocks(ClockReading {
+            monotonic: now,
+            wall_clock,
+        });
         if leader.partitioned_since.is_some() || now < leader.next_queue_read {
             return;
         }
@@ -136,7 +136,10 @@
         leader
             .cluster
             .leadership
-            .on_cancellations_read(ClockReading { steady: now, day });
+            .on_cancellations_read(ClockReading {
+                monotonic: now,
+                wall_clock,
+            });
         for job_id in leader.cluster.unresolved_dependencies() {
             if let Some(outcome) = self.store.outcome(&job_id) {
                 leader.cluster.on_past_outcome(now, &job_id, outcome);
