--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -4,7 +4,7 @@
 use super::request::Request;
 use super::response::CONTINUE;
 use super::socket::{AfterSend, ConnectionSocket};
-use crate::net::request_parser::{parse, Parsed, ParsedRequest, HEAD_LIMIT};
+use crate::net::request_parser::{parse, Parsed, ParsedRequest, MAX_HEAD_BYTES};
 use crate::net::wire::{self, ErrorResponse};
 use mio::net::TcpStream;
 use std::io::ErrorKind;
@@ -88,7 +88,7 @@
 
     /// Reads what the socket has.
     pub fn read(&mut self, buffer: &mut [u8], body_limit: usize, now: Instant) {
-        let max_input = HEAD_LIMIT + body_limit * MAX_CHUNK_OVERHEAD + READ_SIZE;
+        let max_input = MAX_HEAD_BYTES + body_limit * MAX_CHUNK_OVERHEAD + READ_SIZE;
         loop {
             match self.socket.read(buffer) {
                 Ok(0) => break self.disconnected = true,
--- a/src/net/request_parser/body.rs
+++ b/src/net/request_parser/body.rs
@@ -1,6 +1,6 @@
 //! Bodies of requests: of a stated length, or in chunks.
 
-use super::{MalformedRequest, HEAD_LIMIT};
+use super::{MalformedRequest, MAX_HEAD_BYTES};
 
 /// Chunks of one byte each are six bytes on the wire.
 const MAX_CHUNK_OVERHEAD: usize = 8;
@@ -41,7 +41,7 @@
 
 /// Puts a body in chunks together.
 pub(super) fn read_chunked(input: &[u8], limit: usize) -> Result<Body, MalformedRequest> {
-    if input.len() > limit.saturating_mul(MAX_CHUNK_OVERHEAD) + HEAD_LIMIT {
+    if input.len() > limit.saturating_mul(MAX_CHUNK_OVERHEAD) + MAX_HEAD_BYTES {
         return Err(MalformedRequest::BodyTooLong);
     }
     let incomplete = Body::Incomplete {
--- a/src/net/request_parser/mod.rs
+++ b/src/net/request_parser/mod.rs
@@ -5,7 +5,7 @@
 mod body;
 
 /// The longest request line with its headers.
-pub const HEAD_LIMIT: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
 /// Why input is no request. The text is answered with 400, and the connection ends.
@@ -14,7 +14,7 @@
     /// The input does not begin with a request line and headers.
     #[error("not HTTP")]
     NotHttp,
-    /// The head is longer than [`HEAD_LIMIT`].
+    /// The head is longer than [`MAX_HEAD_BYTES`].
     #[error("the headers are too long")]
     HeadersTooLong,
     /// The length is no number, or there are several.
@@ -69,7 +69,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(input) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if input.len() < HEAD_LIMIT => {
+        Ok(httparse::Status::Partial) if input.len() < MAX_HEAD_BYTES => {
             return Ok(Parsed::Incomplete {
                 bytes_needed: input.len() + 1,
                 expects_continue: false,
--- a/tests/request_parser.rs
+++ b/tests/request_parser.rs
@@ -1,6 +1,6 @@
 //! Requests of HTTP/1.1 as a connection brings them.
 
-use cypressgap::net::request_parser::{parse, Parsed, HEAD_LIMIT};
+use cypressgap::net::request_parser::{parse, Parsed, MAX_HEAD_BYTES};
 
 /// Guards against requests split anywhere, and against lengths that lie.
 #[test]
@@ -51,6 +51,6 @@
         let found = parse(text.as_bytes(), 8);
         assert!(found.is_err(), "{text:?}: {found:?}");
     }
-    let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
+    let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(MAX_HEAD_BYTES));
     assert!(parse(long.as_bytes(), 8).is_err());
 }
