--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -110,7 +110,9 @@
         lease: None,
     }];
     // A team that floods the node leaves the others a part of the rate.
-    let reserve = context.fairness.reserve_for(&spec.team, Instant::now());
+    let reserve = context
+        .fairness
+        .reserved_share_for(&spec.team, Instant::now());
     let result =
         context
             .store
--- a/src/api/submission_fairness.rs
+++ b/src/api/submission_fairness.rs
@@ -37,7 +37,7 @@
 impl SubmissionFairness {
     /// Counts one submission, and returns the part of the rate that it must leave to others.
     #[must_use]
-    pub fn reserve_for(&self, team: &TeamName, now: Instant) -> f64 {
+    pub fn reserved_share_for(&self, team: &TeamName, now: Instant) -> f64 {
         let mut recent = self
             .recent
             .lock()
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -240,19 +240,19 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let fairness = SubmissionFairness::default();
     let (flooding_team, other_team) = ("guest".into(), "desk".into());
-    assert_eq!(fairness.reserve_for(&other_team, at(0)), 0.0);
+    assert_eq!(fairness.reserved_share_for(&other_team, at(0)), 0.0);
     let reserves: Vec<f64> = (0..100)
-        .map(|n| fairness.reserve_for(&flooding_team, at(n * 20)))
+        .map(|n| fairness.reserved_share_for(&flooding_team, at(n * 20)))
         .collect();
     assert_eq!(reserves[0], 0.0, "one is no flood");
     assert!(reserves[99] > 0.0);
-    assert_eq!(fairness.reserve_for(&other_team, at(2000)), 0.0);
+    assert_eq!(fairness.reserved_share_for(&other_team, at(2000)), 0.0);
     assert_eq!(
-        fairness.reserve_for(&flooding_team, at(60_000)),
+        fairness.reserved_share_for(&flooding_team, at(60_000)),
         0.0,
         "it is over"
     );
     // Alone, a team may have all of it.
     let fairness = SubmissionFairness::default();
-    assert!((0..100).all(|n| fairness.reserve_for(&flooding_team, at(n * 20)) == 0.0));
+    assert!((0..100).all(|n| fairness.reserved_share_for(&flooding_team, at(n * 20)) == 0.0));
 }
