--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,18 +1,18 @@
-//! Cancelling jobs together with their dependents.
+//! Cancellation of a job and its dependents.
 //!
-//! A job's own outcome becomes durable first. From then on no job that names it can be accepted
-//! unless it is cancelled itself, so a later read of the live index shows all of its dependents. Their
-//! outcomes are written by the confirming node where they fit into one transaction, and by the leader
-//! otherwise.
+//! The outcome of the job itself is written first. Once it is durable, a new job that depends on it is accepted
+//! only as cancelled, so a later read of the index of live jobs shows all live dependents. If the dependents'
+//! outcomes fit into one transaction, the node that confirms the cancellation writes them; otherwise the leader
+//! does.
 //!
-//! Invariant: nobody is told that a job is cancelled before all of its dependents, direct or through
-//! others, have their outcomes. An outage in between then leaves no dependent called live whose
-//! dependency was called cancelled.
+//! Invariant: a job is reported as cancelled only after all of its direct and indirect dependents have
+//! outcomes. After an outage between the two writes, no dependent is therefore reported as live while its
+//! dependency has been reported as cancelled.
 
 use crate::api::context::ApiContext;
-use crate::api::job_lookup::outcome;
+use crate::api::job_lookup::look_up_outcome;
 use crate::api::responses::{job_state, no_such_job, unavailable, ApiResponse, CountsDetail};
-use crate::api::user_requests::STORE_CALL_LIMIT;
+use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, JobRecordReader, JobRecordStatus};
@@ -25,31 +25,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// How often a cancellation that met another change of the job is tried.
+/// The maximum number of attempts to write a job's outcome. An attempt is repeated if the outcome was changed
+/// concurrently or the result of the write is unknown.
 const MAX_ATTEMPTS: usize = 2;
-/// Reads of the live index for one cascade. Each but the last finds dependents that were accepted
-/// since the one before.
+/// The maximum number of reads of the live index for one cascade. Each read after the first finds dependents
+/// that were accepted since the previous one.
 const MAX_INDEX_READS: usize = 4;
-/// How long looking up outcomes may wait for the rate and for answers.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(1200);
-/// When a user whose cancellation is still cascading should come back, in seconds.
+/// The time limit of looking up outcomes, including waits for the store's request rate.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The `Retry-After` value, in seconds, while dependents are still being cancelled.
 const CASCADE_RETRY_AFTER_S: u64 = 1;
 
-/// Whether a cascade cancels the dependents without an outcome.
+/// Whether a cascade writes the outcomes of dependents that have none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CascadeMode {
-    /// Write the outcomes that are missing.
+    /// Cancel the dependents without an outcome.
     Cancel,
-    /// Write nothing.
+    /// Only find out which dependents are cancelled.
     ReadOnly,
 }
 
-/// What is known of the dependents of cancelled jobs.
+/// The result of following the dependents of cancelled jobs (the roots).
 #[derive(Debug, Default)]
 struct Cascade {
-    /// Those of the jobs asked about all of whose dependents are cancelled too.
-    settled: BTreeSet<JobId>,
-    /// Dependents that are cancelled.
+    /// The roots whose dependents, direct and indirect, are all cancelled.
+    fully_cancelled: BTreeSet<JobId>,
+    /// The dependents that were found to be cancelled.
     dependents: BTreeSet<JobId>,
 }
 
@@ -59,23 +60,25 @@
         return Ok(no_such_job());
     };
     for _ in 0..MAX_ATTEMPTS {
-        let Some(found) = outcome(context, &job_id)? else {
+        let Some(found) = look_up_outcome(context, &job_id)? else {
             return Ok(no_such_job());
         };
-        // The revision is 0 while the job is live: its outcome's key is absent.
+        // The revision of a live job is 0, which stands for an absent outcome key.
         let revision = match found.value {
             JobOutcome::Live => found.revision,
-            JobOutcome::Cancelled => return confirm(context, &job_id),
-            JobOutcome::Done => return Ok(state_of(context, &job_id, JobOutcome::Done)),
+            JobOutcome::Cancelled => return confirm_cancellation(context, &job_id),
+            JobOutcome::Done => {
+                return Ok(job_state_without_counts(context, &job_id, JobOutcome::Done))
+            }
         };
         let result = write_outcome(context, &job_id, revision);
         context.record_store_result(&result);
         match result {
             Ok(TransactionOutcome::Applied { .. }) => {
                 log::info!("cancelled job={job_id}");
-                return confirm(context, &job_id);
+                return confirm_cancellation(context, &job_id);
             }
-            // Done or cancelled meanwhile, or of unknown outcome: read it again.
+            // The job ended in the meantime, or the result of the transaction is unknown: read the outcome again.
             Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {}
             Err(e) => return Err(e),
         }
@@ -83,11 +86,16 @@
     Ok(unavailable(context))
 }
 
-fn state_of(context: &ApiContext, job_id: &JobId, outcome: JobOutcome) -> ApiResponse {
+fn job_state_without_counts(
+    context: &ApiContext,
+    job_id: &JobId,
+    outcome: JobOutcome,
+) -> ApiResponse {
     job_state(context, 200, job_id, outcome, CountsDetail::Omitted)
 }
 
-/// Writes the job's own outcome, and the mark by which the leader learns of it.
+/// Writes the job's own outcome, and the mark that notifies the leader, which watches such keys. `revision` is
+/// the expected revision of the outcome's key.
 fn write_outcome(
     context: &ApiContext,
     job_id: &JobId,
@@ -104,10 +112,10 @@
         },
     ];
     let store = &context.store;
-    store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_LIMIT)
+    store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT)
 }
 
-/// The change that cancels the job of this outcome key.
+/// The change that sets the outcome under this key to cancelled.
 pub(super) fn put_cancelled(outcome_key: &str) -> Change<'_> {
     Change::Put {
         key: outcome_key,
@@ -116,163 +124,172 @@
     }
 }
 
-/// Tells the user of a durable cancellation once all dependents are cancelled as well.
-fn confirm(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
+/// Cancels the dependents of a durably cancelled job, and confirms the cancellation once all of them are
+/// cancelled. Until then the response is 503.
+fn confirm_cancellation(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
     let root = BTreeSet::from([job_id.clone()]);
-    let confirmed_before = context.view.final_outcome(job_id).is_some();
-    let cascade = if confirmed_before {
+    let already_confirmed = context.view.final_outcome(job_id).is_some();
+    let cascade = if already_confirmed {
         Ok(Cascade {
-            settled: root,
+            fully_cancelled: root,
             dependents: BTreeSet::new(),
         })
     } else {
-        cascade(context, &root, CascadeMode::Cancel)
+        run_cascade(context, &root, CascadeMode::Cancel)
     };
     let mut cancelled = vec![job_id.clone()];
     if let Ok(found) = &cascade {
         cancelled.extend(found.dependents.iter().cloned());
-        remember_settled(context, found);
+        remember_fully_cancelled(context, found);
     }
-    // The job's tasks are stopped whatever becomes of its dependents.
+    // The leader stops the job's tasks even if the cascade is incomplete or has failed.
     context.cancellation_notifier.notify_leader(&cancelled);
-    if !cascade?.settled.contains(job_id) {
+    if !cascade?.fully_cancelled.contains(job_id) {
         log::info!("dependents are still being cancelled job={job_id}");
         let problem = ApiResponse::problem(503, "dependents are still being cancelled");
         return Ok(problem.with_retry_after(CASCADE_RETRY_AFTER_S));
     }
-    Ok(state_of(context, job_id, JobOutcome::Cancelled))
+    Ok(job_state_without_counts(
+        context,
+        job_id,
+        JobOutcome::Cancelled,
+    ))
 }
 
-fn remember_settled(context: &ApiContext, cascade: &Cascade) {
-    for job_id in &cascade.settled {
+fn remember_fully_cancelled(context: &ApiContext, cascade: &Cascade) {
+    for job_id in &cascade.fully_cancelled {
         context.view.remember_outcome(job_id, JobOutcome::Cancelled);
     }
 }
 
-/// Those of these cancelled jobs that users may be told of. What is found out is remembered.
-pub(super) fn confirmed(
+/// Returns those of these cancelled jobs whose cancellation is confirmed, so that it may be reported to users.
+/// Newly confirmed cancellations are recorded in the view.
+pub(super) fn confirmed_among(
     context: &ApiContext,
     cancelled: &BTreeSet<JobId>,
 ) -> Result<BTreeSet<JobId>, StoreError> {
-    let (mut confirmed, open): (BTreeSet<JobId>, BTreeSet<JobId>) = cancelled
+    let (mut confirmed, unconfirmed): (BTreeSet<JobId>, BTreeSet<JobId>) = cancelled
         .iter()
         .cloned()
         .partition(|job_id| context.view.final_outcome(job_id).is_some());
-    let indexed = still_indexed(context, &open)?;
-    // The leader removes a cancelled job from the index only when its dependents are cancelled.
-    for job_id in open.difference(&indexed) {
+    let indexed = indexed_among(context, &unconfirmed)?;
+    // The leader removes a cancelled job from the index only after all of its dependents are cancelled.
+    for job_id in unconfirmed.difference(&indexed) {
         context.view.remember_outcome(job_id, JobOutcome::Cancelled);
         confirmed.insert(job_id.clone());
     }
     if !indexed.is_empty() {
-        let cascade = cascade(context, &indexed, CascadeMode::ReadOnly)?;
-        remember_settled(context, &cascade);
-        confirmed.extend(cascade.settled);
+        let cascade = run_cascade(context, &indexed, CascadeMode::ReadOnly)?;
+        remember_fully_cancelled(context, &cascade);
+        confirmed.extend(cascade.fully_cancelled);
     }
     Ok(confirmed)
 }
 
-/// Those of these jobs that are still in the index of live jobs.
-fn still_indexed(
+/// Returns those of these jobs that are still in the index of live jobs.
+fn indexed_among(
     context: &ApiContext,
     job_ids: &BTreeSet<JobId>,
 ) -> Result<BTreeSet<JobId>, StoreError> {
-    let reads = outcome_reads(context);
+    let reader = record_reader(context);
     let max_keys = context.config.transaction_limits.status_reads();
-    let mut left: BTreeMap<String, JobId> = job_ids
+    let mut remaining: BTreeMap<String, JobId> = job_ids
         .iter()
         .map(|job_id| (live_job_key(job_id), job_id.clone()))
         .collect();
     let mut indexed = BTreeSet::new();
-    while !left.is_empty() {
-        let absent = left.keys().take(max_keys).map(KeyCondition::absent);
+    while !remaining.is_empty() {
+        let absent = remaining.keys().take(max_keys).map(KeyCondition::absent);
         let expected: Vec<KeyCondition> = absent.collect();
-        let existing = reads.mismatched_keys(&expected)?;
+        let existing = reader.mismatched_keys(&expected)?;
         if existing.is_empty() {
             for condition in &expected {
-                left.remove(&condition.key);
+                remaining.remove(&condition.key);
             }
         }
-        // Perhaps not all of them are named: the others are compared again.
-        indexed.extend(existing.iter().filter_map(|key| left.remove(key)));
+        // The store may name only some of the existing keys. The other keys are compared again.
+        indexed.extend(existing.iter().filter_map(|key| remaining.remove(key)));
     }
     Ok(indexed)
 }
 
-fn outcome_reads(context: &ApiContext) -> BudgetedReader<'_> {
+fn record_reader(context: &ApiContext) -> BudgetedReader<'_> {
     BudgetedReader::new(
         &context.store,
         &context.stop,
         ReadPurpose::UserChange,
-        Instant::now() + LOOKUP_LIMIT,
+        Instant::now() + LOOKUP_TIMEOUT,
     )
 }
 
-/// Follows the dependents of jobs whose cancellation is durable.
-fn cascade(
+/// Follows the dependents of jobs whose own cancellation is durable.
+fn run_cascade(
     context: &ApiContext,
     roots: &BTreeSet<JobId>,
     mode: CascadeMode,
 ) -> Result<Cascade, StoreError> {
-    // Cancelled for certain before the next read of the index begins.
+    // The cancellation of these jobs was durable before the next read of the index begins.
     let mut cancelled = roots.clone();
-    let mut since = Instant::now();
+    let mut min_read_start = Instant::now();
     let mut found = Cascade::default();
     for _ in 0..MAX_INDEX_READS {
         let index = context
             .live_index
-            .read_since(&context.store, &context.stop, since)?;
-        let is_settled = |root: &&JobId| index.descendants([*root]).is_subset(&cancelled);
-        found.settled = roots.iter().filter(is_settled).cloned().collect();
-        let open: Vec<JobId> = index
+            .read_since(&context.store, &context.stop, min_read_start)?;
+        let is_fully_cancelled = |root: &&JobId| index.descendants([*root]).is_subset(&cancelled);
+        found.fully_cancelled = roots.iter().filter(is_fully_cancelled).cloned().collect();
+        let uncancelled: Vec<JobId> = index
             .descendants(roots)
             .difference(&cancelled)
             .cloned()
             .collect();
-        if open.is_empty() {
+        if uncancelled.is_empty() {
             break;
         }
         if mode == CascadeMode::Cancel
-            && cancel_dependents(context, &open)? == DependentsWrite::TooMany
+            && cancel_dependents(context, &uncancelled)? == DependentsWrite::TooMany
         {
             break;
         }
-        let newly_cancelled = cancelled_among(context, &open)?;
+        let newly_cancelled = cancelled_among(context, &uncancelled)?;
         found.dependents.extend(newly_cancelled.iter().cloned());
-        if newly_cancelled.len() < open.len() {
+        if newly_cancelled.len() < uncancelled.len() {
             break;
         }
         cancelled.extend(newly_cancelled);
-        since = Instant::now();
+        min_read_start = Instant::now();
     }
     Ok(found)
 }
 
-/// What became of writing the outcomes of dependents.
+/// The result of trying to write the outcomes of dependents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DependentsWrite {
-    /// Written, or perhaps written by somebody else: a read tells.
+    /// The transaction was sent. The outcomes must be read to see whether this or another node wrote them.
     Attempted,
-    /// They are too many for one transaction, and the leader's to write.
+    /// The dependents do not fit into one transaction; the leader cancels them.
     TooMany,
 }
 
-fn cancel_dependents(context: &ApiContext, open: &[JobId]) -> Result<DependentsWrite, StoreError> {
-    if open.len() > context.config.transaction_limits.changes {
+fn cancel_dependents(
+    context: &ApiContext,
+    dependents: &[JobId],
+) -> Result<DependentsWrite, StoreError> {
+    if dependents.len() > context.config.transaction_limits.changes {
         return Ok(DependentsWrite::TooMany);
     }
-    let keys: Vec<String> = open.iter().map(outcome_key).collect();
+    let keys: Vec<String> = dependents.iter().map(outcome_key).collect();
     let conditions: Vec<KeyCondition> = keys.iter().map(KeyCondition::absent).collect();
     let changes = keys.iter().map(|key| put_cancelled(key)).collect();
     let store = &context.store;
-    match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_LIMIT) {
+    match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT) {
         Ok(TransactionOutcome::Applied { .. }) => {
-            for job_id in open {
+            for job_id in dependents {
                 log::info!("cancelled with a dependency job={job_id}");
             }
             Ok(DependentsWrite::Attempted)
         }
-        // The leader or another node was first with some of them.
+        // The leader or another node has written some of the outcomes, or the result is unknown.
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
             Ok(DependentsWrite::Attempted)
         }
@@ -280,22 +297,23 @@
     }
 }
 
-/// Those of these live jobs that are cancelled by now, up to the first chunk with one that is not.
-fn cancelled_among(context: &ApiContext, live: &[JobId]) -> Result<Vec<JobId>, StoreError> {
+/// Returns those of these accepted jobs that are cancelled. Stops after the first chunk that contains a job
+/// that is not.
+fn cancelled_among(context: &ApiContext, job_ids: &[JobId]) -> Result<Vec<JobId>, StoreError> {
     let mut cancelled = Vec::new();
-    for chunk in live.chunks(context.config.transaction_limits.status_reads()) {
+    for chunk in job_ids.chunks(context.config.transaction_limits.status_reads()) {
         let chunk: BTreeSet<JobId> = chunk.iter().cloned().collect();
         let mut accepted = chunk.clone();
-        let reads = outcome_reads(context);
-        let read = job_status_reads::read_statuses(&reads, &chunk, &mut accepted);
+        let reader = record_reader(context);
+        let read = job_status_reads::read_statuses(&reader, &chunk, &mut accepted);
         if let Some(e) = read.error {
             return Err(e);
         }
-        let before = cancelled.len();
+        let count_before = cancelled.len();
         let cancelled_status = JobRecordStatus::Accepted(JobOutcome::Cancelled);
         let is_cancelled = |job_id: &&JobId| read.statuses.get(*job_id) == Some(&cancelled_status);
         cancelled.extend(chunk.iter().filter(is_cancelled).cloned());
-        if cancelled.len() - before < chunk.len() {
+        if cancelled.len() - count_before < chunk.len() {
             break;
         }
     }
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -1,7 +1,7 @@
-//! What the API's handlers use of a node.
+//! The parts of a node that the API's handlers use.
 //!
-//! `ApiContext` names the stores and the knowledge that handlers read and write. The two traits are what
-//! they need done by the runtime's threads; the runtime implements them, so the API does not depend on it.
+//! `ApiContext` holds the key-value store, the caches and the settings that handlers read and write. The two
+//! traits are calls to the runtime's threads. The runtime implements them, so the API does not depend on it.
 
 use crate::api::live_index::LiveIndex;
 use crate::api::responses::ApiResponse;
@@ -21,17 +21,17 @@
 
 /// The settings that the API uses.
 pub struct ApiConfig {
-    /// The teams that may submit jobs.
+    /// The teams that may submit jobs, with their limits.
     pub teams: Vec<Team>,
-    /// Submissions are refused while there are this many live jobs.
+    /// New jobs are refused while this many jobs or more are live.
     pub max_live_jobs: usize,
-    /// The limits of a transaction in the key-value store.
+    /// The limits of one transaction of the key-value store.
     pub transaction_limits: TransactionLimits,
-    /// Connections that are served at a time.
+    /// The maximum number of open HTTP connections.
     pub max_connections: usize,
-    /// Threads for submissions and cancellations.
+    /// The number of threads that handle submissions and cancellations.
     pub user_threads: usize,
-    /// The interval of the workers' heartbeats.
+    /// The interval at which a worker sends heartbeats.
     pub heartbeat_interval: Duration,
 }
 
@@ -50,75 +50,77 @@
 
 /// A worker's heartbeat as it was received.
 pub struct ReceivedHeartbeat {
-    /// The worker's address.
+    /// The worker's IP address, as seen by this node.
     pub from: IpAddr,
-    /// The heartbeat in the wire's form.
+    /// The request body: the encoded heartbeat, not validated.
     pub body: Vec<u8>,
 }
 
-/// Decides on workers' heartbeats, or has the leader decide.
+/// Answers workers' heartbeats, or relays them to the leader.
 pub trait HeartbeatHandler: Send + Sync {
-    /// The answers, in the order of the heartbeats. `received` is when the first of them was read.
+    /// Returns one response per heartbeat, in the same order. `first_received_at` is when the earliest of
+    /// them was read from its connection.
     fn handle(
         &self,
         heartbeats: Vec<ReceivedHeartbeat>,
-        received: Instant,
+        first_received_at: Instant,
         now: Instant,
     ) -> Vec<ApiResponse>;
 }
 
-/// Makes cancellations known to the leader.
+/// Notifies the leader of cancellations.
 pub trait CancellationNotifier: Send + Sync {
-    /// Tells the leader that these jobs are durably cancelled, before a user is told so. The leader may
-    /// have lost the key-value store, and would start or keep the jobs' tasks. This makes no promise: a
-    /// leader that could not be told reads it from this node later, or answers no more heartbeats
-    /// (`core::leadership::cancellation_watermark`).
+    /// Notifies the leader that these jobs are durably cancelled, before the cancellation is confirmed to the
+    /// user. Without it, a leader that cannot reach the key-value store would keep running the jobs' tasks and
+    /// start new ones. Delivery is not guaranteed: a leader that was not notified reads the cancellations from
+    /// this node later, or stops answering heartbeats (`core::leadership::cancellation_watermark`).
     fn notify_leader(&self, job_ids: &[JobId]);
 }
 
-/// The part of a node that the API's handlers use.
+/// The parts of a node that the API's handlers use. One instance is shared by all API threads.
 pub struct ApiContext {
-    /// The settings.
+    /// The settings that the API uses; constant while the process runs.
     pub config: ApiConfig,
-    /// The key-value store.
+    /// The client of the key-value store, with this node's request budget.
     pub store: Arc<KvStore>,
-    /// What this node knows.
+    /// This node's shared view of leadership, jobs, peers and the key-value store.
     pub view: Arc<NodeView>,
-    /// The other controllers.
+    /// The clients of the other controllers; empty if this is the only one.
     pub peers: Vec<Arc<Peer>>,
-    /// Given when the service ends.
+    /// The signal that ends the API's threads, given when the service stops.
     pub stop: StopSignal,
-    /// Detects pauses of this process.
+    /// Detects pauses of this process, shared with the runtime.
     pub pause_detector: Arc<PauseDetector>,
-    /// Tells the leader of cancellations.
+    /// Notifies the leader of cancellations.
     pub cancellation_notifier: Arc<dyn CancellationNotifier>,
-    /// Limits the part of the rate that one team's submissions may use.
+    /// Limits the share of the change rate that one team's submissions may use.
     pub fairness: SubmissionFairness,
-    /// The last read of the index of live jobs.
+    /// The latest read of the index of live jobs, shared by concurrent cancellations.
     pub live_index: LiveIndex,
 }
 
 impl ApiContext {
-    /// A live peer that reaches the key-value store.
+    /// A live peer that can reach the key-value store, if there is one.
     pub(super) fn peer_with_store(&self) -> Option<&Arc<Peer>> {
         let members = self.view.peers_with_store(Instant::now());
         self.peers.iter().find(|p| members.contains(&p.member))
     }
 
-    /// Whether what is read now may have waited in its socket while this process was paused.
+    /// Whether data read from a socket now may have waited there while this process was paused.
     pub(super) fn just_resumed(&self) -> bool {
         self.pause_detector.just_resumed(ClockReading::now())
     }
 
-    /// Whether this node should be sent users.
+    /// Whether load balancers should send users to this node.
     pub(super) fn is_healthy(&self, now: Instant) -> bool {
         self.view.is_healthy(!self.peers.is_empty(), now)
     }
 
-    /// Records what the result of a call says of the key-value store's health.
+    /// Updates the store's health in the view from the result of a call.
     pub(super) fn record_store_result<T>(&self, result: &Result<T, StoreError>) {
         match result {
-            // Out of the rate or over a limit is no sign of the store's health.
+            // These errors say nothing about the store's health: the rate was exhausted, the lease had ended,
+            // or the request was invalid or exceeded a limit.
             Err(StoreError::RateLimited | StoreError::LeaseNotFound | StoreError::Rejected) => {}
             result => self.view.record_store_call(result.is_ok(), Instant::now()),
         }
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -1,10 +1,11 @@
-//! Lists of dependents, as the version before this one keeps them.
+//! Lists of dependents, kept for peers of the previous version.
 //!
-//! That version finds the dependents of a job in one value, `d/ID`. While a peer of it may serve,
-//! submissions are entered there as well, so that a cancellation which it confirms finds them. A list
-//! that is full stays unchanged: the leader finds the rest, and no submission is refused for it.
+//! The previous version looks up the dependents of a job in one value, `d/ID`. While a peer of that version
+//! may be running, submissions are added to these lists too, so that a cancellation confirmed by that peer
+//! includes them. A list that has reached the size limit is left unchanged and the submission is not refused;
+//! the leader finds the dependents that are missing from it.
 
-use crate::api::user_requests::STORE_CALL_LIMIT;
+use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
 use crate::core::persistence::keys::{dependents_key, outcome_key};
@@ -15,28 +16,28 @@
 use crate::node::transaction_limits::TransactionLimits;
 use std::sync::Arc;
 
-/// Lists written in one transaction: their values count together.
+/// The maximum number of lists written in one transaction, because the sizes of their values add up.
 const MAX_LISTS_PER_TRANSACTION: usize = 8;
 
-/// Whether the lists were left consistent with the outcomes of the dependencies.
+/// The result of adding a job to the lists of its dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum DependentsListOutcome {
-    /// The job is in the lists of its dependencies.
-    Entered,
-    /// A list or an outcome changed meanwhile.
+    /// The job is in the lists of all dependencies whose lists have room for it.
+    Added,
+    /// A list was changed concurrently, a dependency has ended, or the result of a write is unknown.
     Changed,
 }
 
-/// Whether some peer may need the lists.
+/// Whether any peer may be of a version that needs the lists.
 pub fn is_needed(peers: &[Arc<Peer>]) -> bool {
     !peers
         .iter()
         .all(|peer| peer.supports(VERSION_WITH_LIVE_INDEX))
 }
 
-/// Enters a job in the lists of its dependencies, on condition that none of them has an outcome.
-pub(super) fn enter(
+/// Adds a job to the lists of its dependencies, on condition that none of them has an outcome.
+pub(super) fn add_job(
     store: &KvStore,
     limits: TransactionLimits,
     job_id: &JobId,
@@ -44,15 +45,15 @@
 ) -> Result<DependentsListOutcome, StoreError> {
     let lists_per_transaction = limits.changes.clamp(1, MAX_LISTS_PER_TRANSACTION);
     for chunk in dependencies.chunks(lists_per_transaction) {
-        let outcome = enter_chunk(store, limits.value_bytes, job_id, chunk)?;
+        let outcome = add_job_to_lists(store, limits.value_bytes, job_id, chunk)?;
         if outcome == DependentsListOutcome::Changed {
             return Ok(DependentsListOutcome::Changed);
         }
     }
-    Ok(DependentsListOutcome::Entered)
+    Ok(DependentsListOutcome::Added)
 }
 
-fn enter_chunk(
+fn add_job_to_lists(
     store: &KvStore,
     max_list_bytes: usize,
     job_id: &JobId,
@@ -62,7 +63,7 @@
     let mut lists = Vec::new();
     for dependency in dependencies {
         let key = dependents_key(dependency);
-        let entry = store.get::<StoredDependents>(&key, RequestClass::User, STORE_CALL_LIMIT)?;
+        let entry = store.get::<StoredDependents>(&key, RequestClass::User, STORE_CALL_TIMEOUT)?;
         let (mut list, revision) = entry.map_or_else(Default::default, |e| (e.value, e.revision));
         if list.job_ids.contains(&job_id.0) {
             continue;
@@ -76,7 +77,7 @@
         lists.push((key, list));
     }
     if lists.is_empty() {
-        return Ok(DependentsListOutcome::Entered);
+        return Ok(DependentsListOutcome::Added);
     }
     let changes = lists.iter().map(|(key, list)| Change::Put {
         key,
@@ -84,9 +85,9 @@
         lease: None,
     });
     let changes = changes.collect();
-    match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_LIMIT) {
-        Ok(TransactionOutcome::Applied { .. }) => Ok(DependentsListOutcome::Entered),
-        // If it was carried out after all, the next attempt finds the job in the lists.
+    match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT) {
+        Ok(TransactionOutcome::Applied { .. }) => Ok(DependentsListOutcome::Added),
+        // If the transaction was applied despite the error, the next attempt finds the job in the lists.
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
             Ok(DependentsListOutcome::Changed)
         }
--- a/src/api/job_lookup.rs
+++ b/src/api/job_lookup.rs
@@ -1,19 +1,22 @@
-//! Looking up one job for a submission or a cancellation.
+//! Looks up one job for a submission or a cancellation.
 
 use crate::api::cancellation;
 use crate::api::context::ApiContext;
 use crate::api::responses::{job_state, unavailable, ApiResponse, CountsDetail};
-use crate::api::user_requests::STORE_CALL_LIMIT;
+use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::core::model::JobId;
 use crate::core::persistence::records::JobOutcome;
 use crate::net::store::{Acceptance, Entry, StoreError};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// A job's outcome with its key's revision, which is 0 while the job is live. From memory if users may be
-/// told it, else from the key-value store: no node may be behind another. A cancellation that was read
-/// may be told only once it is confirmed (`cancellation`).
-pub(super) fn outcome(
+/// A job's outcome and the revision of its key, which is 0 for a live job and for an outcome from memory.
+/// `None` if the job was never accepted.
+///
+/// An outcome in memory is final and may be reported to users. Otherwise the key-value store is read, so that
+/// no node reports an older state than another one did. A cancellation that was read from the store must
+/// not be reported to users before it is confirmed (`cancellation`).
+pub(super) fn look_up_outcome(
     context: &ApiContext,
     job_id: &JobId,
 ) -> Result<Option<Entry<JobOutcome>>, StoreError> {
@@ -31,7 +34,7 @@
         Acceptance::Unknown
     };
     let store = &context.store;
-    let found = store.job_outcome(job_id, acceptance, STORE_CALL_LIMIT);
+    let found = store.job_outcome(job_id, acceptance, STORE_CALL_TIMEOUT);
     context.record_store_result(&found);
     match found.as_ref().ok().and_then(|entry| entry.as_ref()) {
         Some(entry) if entry.value == JobOutcome::Live && acceptance == Acceptance::Unknown => {
@@ -45,17 +48,19 @@
     found
 }
 
-/// The state of a known job, or `otherwise` for one that was never accepted.
-pub(super) fn known_job(
+/// The response with the state of a job that was accepted, or `fallback` for one that was not. A cancellation
+/// that is not confirmed yet is answered with 503.
+pub(super) fn known_job_response(
     context: &ApiContext,
     job_id: &JobId,
-    otherwise: ApiResponse,
+    fallback: ApiResponse,
 ) -> Result<ApiResponse, StoreError> {
-    let Some(Entry { value: outcome, .. }) = outcome(context, job_id)? else {
-        return Ok(otherwise);
+    let Some(Entry { value: outcome, .. }) = look_up_outcome(context, job_id)? else {
+        return Ok(fallback);
     };
     let cancelled = BTreeSet::from([job_id.clone()]);
-    if outcome == JobOutcome::Cancelled && cancellation::confirmed(context, &cancelled)?.is_empty()
+    if outcome == JobOutcome::Cancelled
+        && cancellation::confirmed_among(context, &cancelled)?.is_empty()
     {
         return Ok(unavailable(context));
     }
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -1,8 +1,8 @@
-//! Reading the index of live jobs for the dependents of a job.
+//! Finds the dependents of a job by reading the index of live jobs.
 //!
-//! A job's record in the index names its dependencies, and it is written by the transaction that
-//! accepts the job. So a read of the index that begins after a job's outcome is durable shows every
-//! dependent that was accepted before: none can be accepted after.
+//! The transaction that accepts a job writes its record to the index, and the record names the job's
+//! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read of
+//! the index that begins after that therefore shows all of its live dependents.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -14,45 +14,50 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long one page of the index may take.
-const PAGE_LIMIT: Duration = Duration::from_millis(800);
-/// How long all pages together may take.
-const READ_LIMIT: Duration = Duration::from_millis(1000);
+/// The time limit of reading one page of the index.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// A page that failed is read again until this much time has passed since the start of the whole read.
+const INDEX_READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What is needed of a live job's record.
+/// The field of a live job's record that is needed here.
 #[derive(Deserialize)]
 struct LiveJob {
     #[serde(default, rename = "needs")]
     dependencies: Vec<String>,
 }
 
-/// The last read of the index. Those who wait for one share it.
+/// The latest read of the index. Concurrent callers wait for one read and share its result.
 #[derive(Default)]
 pub struct LiveIndex {
     last: Mutex<Option<IndexRead>>,
 }
 
+/// The dependents found by one read of the index.
 struct IndexRead {
-    begun: Instant,
+    started_at: Instant,
     dependents: Arc<DependentsIndex>,
 }
 
 impl LiveIndex {
-    /// The dependents of all live jobs, from a read that began no earlier than `since`.
+    /// Returns the dependents of all live jobs, from a read that began at `min_read_start` or later. A cached
+    /// read is reused if it is recent enough.
     pub(super) fn read_since(
         &self,
         store: &KvStore,
         stop: &StopSignal,
-        since: Instant,
+        min_read_start: Instant,
     ) -> Result<Arc<DependentsIndex>, StoreError> {
         let mut last = self.lock();
-        if let Some(recent) = last.as_ref().filter(|read| read.begun >= since) {
+        if let Some(recent) = last
+            .as_ref()
+            .filter(|read| read.started_at >= min_read_start)
+        {
             return Ok(recent.dependents.clone());
         }
-        let begun = Instant::now();
-        let dependents = Arc::new(read(store, stop)?);
+        let started_at = Instant::now();
+        let dependents = Arc::new(read_index(store, stop)?);
         *last = Some(IndexRead {
-            begun,
+            started_at,
             dependents: dependents.clone(),
         });
         Ok(dependents)
@@ -65,11 +70,11 @@
     }
 }
 
-fn read(store: &KvStore, stop: &StopSignal) -> Result<DependentsIndex, StoreError> {
+fn read_index(store: &KvStore, stop: &StopSignal) -> Result<DependentsIndex, StoreError> {
     let options = ListOptions {
         class: RequestClass::User,
-        page_timeout: PAGE_LIMIT,
-        retry_for: READ_LIMIT,
+        page_timeout: PAGE_TIMEOUT,
+        retry_for: INDEX_READ_TIMEOUT,
     };
     let listing = store.list_with_retries::<LiveJob>(LIVE_JOB_PREFIX, options, stop)?;
     let jobs = listing.entries.into_iter().filter_map(|entry| {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The API: what users, workers and load balancers ask of a node, and how it is answered.
+//! The HTTP API of a node: requests from users, workers and load balancers, and the responses to them.
 //!
-//! The handlers stand above the transport (`net`) and are given an `ApiContext`, the part of a node that
-//! they need. What they need of the runtime's threads they call through the traits in `context`.
+//! The handlers build on the transport layer (`net`) and receive an `ApiContext`, the part of a node that
+//! they use. They call the runtime's threads only through the traits in `context`.
 
 pub mod cancellation;
 pub mod context;
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,4 +1,4 @@
-//! The API's responses: their form, and those that several handlers give.
+//! The API's responses, and constructors of those that several handlers return.
 
 use crate::api::context::ApiContext;
 use crate::core::model::JobId;
@@ -7,24 +7,24 @@
 use crate::net::wire::{self, ErrorResponse, JobStatusResponse};
 use std::time::Instant;
 
-/// When to come back, in seconds, after a shortage that passes quickly.
-const RETRY_SOON_S: u64 = 1;
-/// The same while the key-value store is lost to this node.
-const RETRY_STORE_LOST_S: u64 = 3;
+/// The `Retry-After` value, in seconds, of a refusal for a short-lived reason.
+const TRANSIENT_RETRY_AFTER_S: u64 = 1;
+/// The `Retry-After` value, in seconds, while this node cannot reach the key-value store.
+const STORE_UNAVAILABLE_RETRY_AFTER_S: u64 = 3;
 
-/// A response to a request.
+/// A response to an API request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body in the wire form.
+    /// The body, encoded as MessagePack; may be empty.
     pub body: Vec<u8>,
-    /// After how many seconds the client should come back.
+    /// The value of the `Retry-After` header, in seconds; absent if the client should not retry.
     pub retry_after: Option<u64>,
 }
 
 impl ApiResponse {
-    /// A response that need not be asked for again.
+    /// A response without a `Retry-After` header.
     pub fn new(status: u16, body: Vec<u8>) -> ApiResponse {
         ApiResponse {
             status,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A response that says what is wrong.
+    /// An error response whose body carries this message.
     pub fn problem(status: u16, error: &str) -> ApiResponse {
         ApiResponse::new(
             status,
@@ -43,7 +43,7 @@
         )
     }
 
-    /// The same response, with the seconds after which the client should come back.
+    /// Adds a `Retry-After` header with this number of seconds.
     pub fn with_retry_after(mut self, seconds: u64) -> ApiResponse {
         self.retry_after = Some(seconds);
         self
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whether a job's state is answered with the numbers of its tasks.
+/// Whether a job's state includes the numbers of its done and running tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CountsDetail {
     Included,
@@ -66,28 +66,29 @@
     ApiResponse::problem(404, "no such job")
 }
 
-/// 503 while the threads for such requests are busy.
+/// 503 because the queue for such requests is full.
 pub(super) fn busy() -> ApiResponse {
-    ApiResponse::problem(503, "busy").with_retry_after(RETRY_SOON_S)
+    ApiResponse::problem(503, "busy").with_retry_after(TRANSIENT_RETRY_AFTER_S)
 }
 
-/// 503: come back soon after a passing shortage, later when the key-value store is out.
+/// 503. The retry time is longer while this node cannot reach the key-value store.
 pub(super) fn unavailable(context: &ApiContext) -> ApiResponse {
     let retry_after = if context.view.store_ok(Instant::now()) {
-        RETRY_SOON_S
+        TRANSIENT_RETRY_AFTER_S
     } else {
-        RETRY_STORE_LOST_S
+        STORE_UNAVAILABLE_RETRY_AFTER_S
     };
     ApiResponse::problem(503, "not now").with_retry_after(retry_after)
 }
 
-/// 503: when to come back depends on how many others are refused.
+/// 503 because the store's request rate is exhausted. The retry time grows with the recent demand.
 pub(super) fn rate_exhausted(context: &ApiContext) -> ApiResponse {
     let retry_after = context.store.budget().retry_after().as_secs_f64().ceil() as u64;
     ApiResponse::problem(503, "the rate is used up").with_retry_after(retry_after)
 }
 
-/// A job's state.
+/// A response with a job's phase and, if `detail` asks for them, its task counts. Counts that this node does
+/// not have are 0.
 pub(super) fn job_state(
     context: &ApiContext,
     status: u16,
@@ -110,7 +111,7 @@
     ApiResponse::new(status, body)
 }
 
-/// The name on the wire of a job's phase.
+/// The wire name of a job's phase.
 fn phase_name(outcome: JobOutcome, running: u32) -> &'static str {
     match outcome {
         JobOutcome::Live if running > 0 => "running",
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! Which request a method and a path make.
+//! Maps an HTTP method and path to an API route.
 
 use crate::api::responses::ApiResponse;
 use crate::core::model::JobId;
@@ -6,7 +6,7 @@
 const JOBS_PATH: &str = "/api/jobs";
 const JOB_PREFIX: &str = "/api/jobs/";
 
-/// A request, with the job's id as the path names it.
+/// An API route. The job id is as it stands in the path, not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route<'a> {
     HealthCheck,
@@ -16,7 +16,7 @@
     Cancel(&'a str),
 }
 
-/// The route of a request, or the response to one that has none.
+/// Returns the route of a request, or the 404 or 405 response if there is none.
 pub(super) fn route<'a>(method: &str, path: &'a str) -> Result<Route<'a>, ApiResponse> {
     let (allowed_methods, route): (&[&str], Route<'a>) = match path {
         "/up" => (&["GET", "HEAD"], Route::HealthCheck),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The job that the path of a status query names.
-pub(super) fn queried_job(path: &str) -> Option<JobId> {
+/// Returns the id of the job that a status query asks about, if the path contains a valid one.
+pub(super) fn queried_job_id(path: &str) -> Option<JobId> {
     path.strip_prefix(JOB_PREFIX).and_then(JobId::parse)
 }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,15 +1,16 @@
 //! The API server: the threads that answer users, workers and health checks.
 //!
-//! Requests pass through stages with small bounded queues: the listener's thread, then the pool for
-//! heartbeats, for status queries, or for submissions and cancellations. A full queue is answered at
-//! once. Only the users' pools wait for the key-value store, so a slow one never holds heartbeats up, and
-//! a storm of queries no submission; health checks and queries about ended jobs wait for nobody.
+//! The listener's thread passes requests through bounded queues to three thread pools: one for heartbeats,
+//! one for status queries, and one for submissions and cancellations. A request that finds its queue full
+//! is refused at once. Only the two pools for users wait for the key-value store, so a slow store does not
+//! delay heartbeats, and a burst of status queries does not delay submissions. The listener's thread itself
+//! answers health checks, and queries about jobs whose final outcome is in this node's memory.
 
 use crate::api::context::{ApiContext, HeartbeatHandler, ReceivedHeartbeat};
 use crate::api::responses::{busy, job_state, no_such_job, ApiResponse, CountsDetail};
 use crate::api::routes::{route, Route};
 use crate::api::status_queries;
-use crate::api::submission::read_submission;
+use crate::api::submission::parse_submission;
 use crate::api::user_requests;
 use crate::core::model::JobId;
 use crate::net::http_server::{self, Limits, Request};
@@ -19,36 +20,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Heartbeats that wait for a thread, as a part of the connections: after a failover all workers send
-/// at once. One that does not fit is refused, and comes back a second later.
+/// The capacity of the heartbeat queue, per allowed connection. It is large because all workers send at once
+/// after a failover. A heartbeat that finds the queue full is refused, and its worker retries a second later.
 const WAITING_HEARTBEATS_PER_CONNECTION: f64 = 0.5;
-/// Submissions and cancellations that wait for a thread.
+/// The capacity of the queue of submissions and cancellations.
 const MAX_WAITING_USER_REQUESTS: usize = 64;
-/// Threads for heartbeats.
+/// The number of threads that handle heartbeats.
 const HEARTBEAT_THREADS: usize = 4;
-/// Heartbeats that one thread handles at a time.
-pub const HEARTBEAT_BATCH: usize = 48;
-/// A worker waits 4 s for its answer. A heartbeat that has waited for most of that is refused at once.
-const HEARTBEAT_STALE: Duration = Duration::from_millis(2500);
-/// Connections are closed after as many heartbeat intervals without a request.
-const IDLE_HEARTBEAT_INTERVALS: u32 = 8;
-const MIN_IDLE: Duration = Duration::from_secs(60);
+/// The maximum number of heartbeats that one thread handles together.
+pub const MAX_HEARTBEATS_PER_BATCH: usize = 48;
+/// A heartbeat that has been queued for longer than this is refused, because its worker waits only 4 s for
+/// the response.
+const MAX_HEARTBEAT_AGE: Duration = Duration::from_millis(2500);
+/// A connection is closed after this many heartbeat intervals without input, but not before
+/// [`MIN_IDLE_TIMEOUT`].
+const IDLE_TIMEOUT_HEARTBEAT_INTERVALS: u32 = 8;
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-type Spawn<'a> = dyn FnMut(&str, Box<dyn FnOnce() + Send>) -> std::io::Result<()> + 'a;
+/// Starts a thread with a name and a body.
+type SpawnThread<'a> = dyn FnMut(&str, Box<dyn FnOnce() + Send>) -> std::io::Result<()> + 'a;
 
-/// The queues between the listener's thread and the pools.
+/// The queues from the listener's thread to the thread pools.
 struct Queues {
     heartbeats: Sender<Request>,
     user_requests: Sender<Request>,
     status_queries: Sender<Request>,
 }
 
-/// Starts the threads that answer users and workers.
+/// Starts the listener's thread and the thread pools. Fails if a thread cannot be started.
 pub fn serve(
     context: &Arc<ApiContext>,
     heartbeat_handler: &Arc<dyn HeartbeatHandler>,
     listener: TcpListener,
-    spawn: &mut Spawn<'_>,
+    spawn: &mut SpawnThread<'_>,
 ) -> std::io::Result<()> {
     let queues = Queues {
         heartbeats: start_heartbeat_pool(context, heartbeat_handler, spawn)?,
@@ -58,7 +62,8 @@
     let limits = Limits {
         connections: context.config.max_connections,
         body: wire::BODY_LIMIT,
-        idle: (context.config.heartbeat_interval * IDLE_HEARTBEAT_INTERVALS).max(MIN_IDLE),
+        idle: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
+            .max(MIN_IDLE_TIMEOUT),
     };
     let context = context.clone();
     let listen = move || {
@@ -73,7 +78,7 @@
 fn start_heartbeat_pool(
     context: &Arc<ApiContext>,
     handler: &Arc<dyn HeartbeatHandler>,
-    spawn: &mut Spawn<'_>,
+    spawn: &mut SpawnThread<'_>,
 ) -> std::io::Result<Sender<Request>> {
     let capacity = context.config.max_connections as f64 * WAITING_HEARTBEATS_PER_CONNECTION;
     let (sender, queue) = bounded(capacity as usize);
@@ -87,7 +92,7 @@
 
 fn start_user_pool(
     context: &Arc<ApiContext>,
-    spawn: &mut Spawn<'_>,
+    spawn: &mut SpawnThread<'_>,
 ) -> std::io::Result<Sender<Request>> {
     let (sender, queue) = bounded(MAX_WAITING_USER_REQUESTS);
     for _ in 0..context.config.user_threads {
@@ -100,7 +105,7 @@
 
 fn start_query_pool(
     context: &Arc<ApiContext>,
-    spawn: &mut Spawn<'_>,
+    spawn: &mut SpawnThread<'_>,
 ) -> std::io::Result<Sender<Request>> {
     let (sender, queue) = bounded(status_queries::MAX_WAITING_QUERIES);
     for _ in 0..status_queries::QUERY_THREADS {
@@ -111,18 +116,19 @@
     Ok(sender)
 }
 
-/// Answers at once what needs nobody else, and queues the rest.
+/// Answers requests that need no other thread, and queues the others.
 fn dispatch(context: &ApiContext, requests: Vec<Request>, queues: &Queues) {
-    // This thread looks at its sockets twice a second, so the check also keeps the detector's pulse.
+    // The pause detector recognizes a pause only if it is checked often. The listener's thread wakes up at least
+    // twice a second and calls this function whenever requests have arrived, so this is one of the checks.
     let just_resumed = context.just_resumed();
     for mut request in requests {
         let queue = match route(&request.method, &request.path) {
             Ok(Route::HealthCheck) => {
-                let response = health(context, request.received_at);
+                let response = health_response(context, request.received_at);
                 response.send(request);
                 continue;
             }
-            // It waited while this process was paused: its worker has gone on to another node.
+            // The heartbeat waited while this process was paused: its worker has switched to another node.
             Ok(Route::Heartbeat) if just_resumed => {
                 request.reject_stale();
                 continue;
@@ -144,13 +150,13 @@
         if let Err(TrySendError::Full(request) | TrySendError::Disconnected(request)) =
             queue.try_send(request)
         {
-            let response = final_refusal(&request).unwrap_or_else(busy);
+            let response = permanent_refusal(&request).unwrap_or_else(busy);
             response.send(request);
         }
     }
 }
 
-fn health(context: &ApiContext, now: Instant) -> ApiResponse {
+fn health_response(context: &ApiContext, now: Instant) -> ApiResponse {
     if context.is_healthy(now) {
         ApiResponse::new(200, Vec::new())
     } else {
@@ -158,7 +164,7 @@
     }
 }
 
-/// The response to a status query that needs nobody else.
+/// The response to a status query for an invalid id or a job with a final outcome in memory.
 fn answer_from_memory(context: &ApiContext, id: &str) -> Option<ApiResponse> {
     let Some(job_id) = JobId::parse(id) else {
         return Some(no_such_job());
@@ -173,11 +179,12 @@
     ))
 }
 
-/// The refusal of a request that can never succeed, which gets no retry time.
-pub(super) fn final_refusal(request: &Request) -> Option<ApiResponse> {
+/// The refusal, without a `Retry-After` header, of a request that can never succeed. `None` if the request
+/// may succeed later.
+pub(super) fn permanent_refusal(request: &Request) -> Option<ApiResponse> {
     match route(&request.method, &request.path) {
         Err(refusal) => Some(refusal),
-        Ok(Route::Submit) => match read_submission(&request.body) {
+        Ok(Route::Submit) => match parse_submission(&request.body) {
             Err(invalid) if invalid.job_id.is_none() => Some(invalid.response),
             _ => None,
         },
@@ -185,18 +192,18 @@
     }
 }
 
-/// Handles the heartbeats that are waiting together: one event for the core, or one frame to the leader,
-/// serves all of them.
+/// Handles queued heartbeats in batches. One event for the core, or one frame to the leader, carries a whole
+/// batch.
 fn run_heartbeat_pool(handler: &dyn HeartbeatHandler, queue: &Receiver<Request>) {
     while let Ok(first) = queue.recv() {
-        let mut batch = collect_batch(first, queue, HEARTBEAT_BATCH);
+        let mut batch = collect_batch(first, queue, MAX_HEARTBEATS_PER_BATCH);
         let now = Instant::now();
         batch.retain_mut(|request| {
-            let stale = now.saturating_duration_since(request.received_at) > HEARTBEAT_STALE;
-            if stale {
+            let is_stale = now.saturating_duration_since(request.received_at) > MAX_HEARTBEAT_AGE;
+            if is_stale {
                 request.reject_stale();
             }
-            !stale
+            !is_stale
         });
         let heartbeats = batch
             .iter_mut()
@@ -205,18 +212,22 @@
                 body: std::mem::take(&mut request.body),
             })
             .collect();
-        let received = batch.iter().map(|r| r.received_at).min().unwrap_or(now);
-        let responses = handler.handle(heartbeats, received, now);
+        let first_received_at = batch.iter().map(|r| r.received_at).min().unwrap_or(now);
+        let responses = handler.handle(heartbeats, first_received_at, now);
         for (request, response) in batch.into_iter().zip(responses) {
             request.respond_shedding_load(response.status, &response.body, response.retry_after);
         }
     }
 }
 
-/// The first request with those that wait already, up to `max` in all.
-pub(super) fn collect_batch(first: Request, queue: &Receiver<Request>, max: usize) -> Vec<Request> {
+/// Takes the requests that are already queued, and returns them after `first`: at most `max_requests` in all.
+pub(super) fn collect_batch(
+    first: Request,
+    queue: &Receiver<Request>,
+    max_requests: usize,
+) -> Vec<Request> {
     let mut batch = vec![first];
-    while batch.len() < max {
+    while batch.len() < max_requests {
         match queue.try_recv() {
             Ok(request) => batch.push(request),
             Err(_) => break,
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -1,15 +1,15 @@
 //! Users' status queries, answered in batches.
 //!
-//! Queries that come while others are under way wait in a small queue and share the next call to the
-//! key-value store. Each is answered from a read that began after it came, or from a final outcome. When
-//! the store does not answer this node, a peer is asked.
+//! Queries that arrive while others are in progress wait in a bounded queue and share the next call to the
+//! key-value store. Each is answered from a read that began after the query arrived, or from a final outcome in
+//! memory. If this node cannot reach the store, it asks a peer.
 
 use crate::api::cancellation;
 use crate::api::context::ApiContext;
 use crate::api::responses::{job_state, no_such_job, unavailable, ApiResponse, CountsDetail};
-use crate::api::routes::queried_job;
+use crate::api::routes::queried_job_id;
 use crate::api::server::collect_batch;
-use crate::api::user_requests::USER_REQUEST_STALE;
+use crate::api::user_requests::MAX_USER_REQUEST_AGE;
 use crate::core::model::JobId;
 use crate::core::persistence::job_status_reads::{self, JobRecordStatus};
 use crate::core::persistence::records::JobOutcome;
@@ -20,50 +20,54 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Queries that wait for a thread: a storm's worth of a second or so. One more is refused with a retry time.
+/// The capacity of the queue of status queries: about one second of a burst. Further queries are refused with
+/// a `Retry-After` header.
 pub(super) const MAX_WAITING_QUERIES: usize = 512;
-/// Threads for queries: while one batch is under way, the next can be.
+/// The number of threads that answer status queries, so that several batches can be in progress at once.
 pub const QUERY_THREADS: usize = 3;
-/// How long the key-value store may take. A user waits 2 s.
-const STORE_PATIENCE: Duration = Duration::from_millis(1300);
-/// How long a peer may take that asks the store in our place.
-const PEER_PATIENCE: Duration = Duration::from_millis(900);
+/// The time limit of answering from the key-value store, counted from the arrival of the batch's first query.
+/// Users wait 2 s for the response.
+const STORE_LOOKUP_TIMEOUT: Duration = Duration::from_millis(1300);
+/// The time limit of a peer that reads the store on behalf of this node.
+const PEER_LOOKUP_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The statuses that were found, and why others were not.
+/// The result of looking up the statuses of several jobs.
 #[derive(Default)]
 struct Lookup {
     found: HashMap<JobId, JobRecordStatus>,
+    /// Why some jobs are missing from `found`. `None` if the lookup was complete, or if jobs were left out only
+    /// because their cancellation is not confirmed.
     error: Option<StoreError>,
 }
 
-/// Answers status queries, many at a time, until the queue ends.
+/// Answers status queries in batches until the queue is closed.
 pub(super) fn run_pool(context: &ApiContext, queue: &Receiver<Request>) {
     let max_batch = context.config.transaction_limits.status_reads();
     while let Ok(first) = queue.recv() {
-        let until = first.received_at + STORE_PATIENCE;
-        let reads = BudgetedReader::new(
+        let deadline = first.received_at + STORE_LOOKUP_TIMEOUT;
+        let reader = BudgetedReader::new(
             &context.store,
             &context.stop,
             ReadPurpose::StatusQuery,
-            until,
+            deadline,
         );
-        // Those that come while the rate is short go together, once it is not.
+        // Queries that arrive while the store's request rate is exhausted join this batch.
         if context.view.store_ok(Instant::now()) {
-            reads.wait_for_budget();
+            reader.wait_for_budget();
         }
         let batch = collect_batch(first, queue, max_batch);
-        answer(context, &reads, batch);
+        answer_batch(context, &reader, batch);
     }
 }
 
-fn answer(context: &ApiContext, reads: &BudgetedReader<'_>, batch: Vec<Request>) {
+fn answer_batch(context: &ApiContext, reader: &BudgetedReader<'_>, batch: Vec<Request>) {
     let by_job = group_by_job(context, batch);
     let job_ids: BTreeSet<JobId> = by_job.keys().cloned().collect();
-    let found = statuses(context, reads, &job_ids);
+    let found = look_up_with_peer(context, reader, &job_ids);
     for (job_id, requests) in by_job {
         let status = found.get(&job_id).copied();
         for request in requests {
-            // A process that was paused meanwhile must not pass an old answer off as a new one.
+            // If the process was paused in the meantime, the status may be outdated.
             let response = match status {
                 Some(status) if !is_stale(&request) => status_response(context, &job_id, status),
                 _ => unavailable(context),
@@ -73,11 +77,11 @@
     }
 }
 
-/// The queries by the jobs that they ask about. Those that need no lookup are answered.
+/// Groups queries by the job that they ask about. Answers those that are stale or have an invalid job id.
 fn group_by_job(context: &ApiContext, batch: Vec<Request>) -> BTreeMap<JobId, Vec<Request>> {
     let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
     for request in batch {
-        match queried_job(&request.path) {
+        match queried_job_id(&request.path) {
             _ if is_stale(&request) => unavailable(context).send(request),
             Some(job_id) => by_job.entry(job_id).or_default().push(request),
             None => no_such_job().send(request),
@@ -87,7 +91,7 @@
 }
 
 fn is_stale(request: &Request) -> bool {
-    request.received_at.elapsed() > USER_REQUEST_STALE
+    request.received_at.elapsed() > MAX_USER_REQUEST_AGE
 }
 
 fn status_response(context: &ApiContext, job_id: &JobId, status: JobRecordStatus) -> ApiResponse {
@@ -99,13 +103,14 @@
     }
 }
 
-/// The statuses that this node, or a peer in its place, can find out.
-fn statuses(
+/// Looks up statuses at this node and, if that fails for another reason than the rate limit, at a peer. Jobs
+/// whose status could not be determined are absent from the result.
+fn look_up_with_peer(
     context: &ApiContext,
-    reads: &BudgetedReader<'_>,
+    reader: &BudgetedReader<'_>,
     job_ids: &BTreeSet<JobId>,
 ) -> HashMap<JobId, JobRecordStatus> {
-    let Lookup { mut found, error } = look_up(context, reads, job_ids);
+    let Lookup { mut found, error } = look_up(context, reader, job_ids);
     let missing: Vec<&JobId> = job_ids
         .iter()
         .filter(|job_id| !found.contains_key(*job_id))
@@ -116,10 +121,10 @@
     found
 }
 
-/// The statuses that this node can find out itself.
-fn look_up(context: &ApiContext, reads: &BudgetedReader<'_>, job_ids: &BTreeSet<JobId>) -> Lookup {
+/// Looks up statuses in this node's memory and in the key-value store.
+fn look_up(context: &ApiContext, reader: &BudgetedReader<'_>, job_ids: &BTreeSet<JobId>) -> Lookup {
     let mut lookup = Lookup::default();
-    let mut open: BTreeSet<JobId> = BTreeSet::new();
+    let mut unresolved: BTreeSet<JobId> = BTreeSet::new();
     for job_id in job_ids {
         match context.view.final_outcome(job_id) {
             Some(outcome) => {
@@ -128,32 +133,32 @@
                     .insert(job_id.clone(), JobRecordStatus::Accepted(outcome));
             }
             None => {
-                open.insert(job_id.clone());
+                unresolved.insert(job_id.clone());
             }
         }
     }
-    if open.is_empty() {
+    if unresolved.is_empty() {
         return lookup;
     }
     if !context.view.store_ok(Instant::now()) {
         lookup.error = Some(StoreError::Unavailable);
         return lookup;
     }
-    let read = read_records(context, reads, &open);
+    let read = read_records(context, reader, &unresolved);
     lookup.found.extend(read.found);
     lookup.error = read.error;
     lookup
 }
 
-/// Reads the statuses of jobs without a known outcome, and remembers them.
+/// Reads the statuses of jobs without a known outcome from the store, and caches them in the view.
 fn read_records(
     context: &ApiContext,
-    reads: &BudgetedReader<'_>,
-    open: &BTreeSet<JobId>,
+    reader: &BudgetedReader<'_>,
+    job_ids: &BTreeSet<JobId>,
 ) -> Lookup {
-    let mut accepted = context.view.accepted_among(open.iter());
+    let mut accepted = context.view.accepted_among(job_ids.iter());
     let accepted_before = accepted.len();
-    let read = job_status_reads::read_statuses(reads, open, &mut accepted);
+    let read = job_status_reads::read_statuses(reader, job_ids, &mut accepted);
     let (mut found, error) = (read.statuses, read.error);
     if accepted.len() > accepted_before {
         context.view.remember_accepted(accepted.iter());
@@ -167,8 +172,8 @@
     }
 }
 
-/// Leaves out cancelled jobs of which users may not be told yet: not all of their dependents are
-/// cancelled. Returns what kept it from finding out.
+/// Removes cancelled jobs whose cancellation is not confirmed, that is, not all of whose dependents are
+/// cancelled. If the check fails, removes all cancelled jobs and returns the error.
 fn withhold_unconfirmed(
     context: &ApiContext,
     found: &mut HashMap<JobId, JobRecordStatus>,
@@ -183,7 +188,7 @@
     if cancelled.is_empty() {
         return None;
     }
-    let (confirmed, error) = match cancellation::confirmed(context, &cancelled) {
+    let (confirmed, error) = match cancellation::confirmed_among(context, &cancelled) {
         Ok(confirmed) => (confirmed, None),
         Err(e) => (BTreeSet::new(), Some(e)),
     };
@@ -191,14 +196,15 @@
     error
 }
 
-/// Has a peer ask that reaches the key-value store.
+/// Asks a peer that can reach the key-value store, and caches its answers in the view. Returns the statuses that
+/// the peer could determine; none if there is no such peer or the call fails.
 fn ask_peer(context: &ApiContext, job_ids: &[&JobId]) -> HashMap<JobId, JobRecordStatus> {
     let mut found = HashMap::new();
     let Some(peer) = context.peer_with_store() else {
         return found;
     };
     let request = PeerRequest::JobStatuses(job_ids.iter().map(|id| id.0.clone()).collect());
-    let Ok(PeerResponse::JobStatuses(statuses)) = peer.call(&request, PEER_PATIENCE) else {
+    let Ok(PeerResponse::JobStatuses(statuses)) = peer.call(&request, PEER_LOOKUP_TIMEOUT) else {
         return found;
     };
     for (job_id, status) in job_ids.iter().zip(statuses) {
@@ -215,21 +221,22 @@
     found
 }
 
-/// Answers a peer's queries, which are not passed on a second time.
+/// Answers a peer's status queries, one result per job id in `names`, in the same order. They are not forwarded
+/// to another peer. Invalid ids and jobs whose status could not be determined are answered as unknown.
 pub fn answer_peer(context: &ApiContext, names: &[String]) -> Vec<PeerJobStatus> {
     let job_ids: Vec<Option<JobId>> = names.iter().map(|name| JobId::parse(name)).collect();
-    let until = Instant::now() + PEER_PATIENCE;
-    let reads = BudgetedReader::new(
+    let deadline = Instant::now() + PEER_LOOKUP_TIMEOUT;
+    let reader = BudgetedReader::new(
         &context.store,
         &context.stop,
         ReadPurpose::StatusQuery,
-        until,
+        deadline,
     );
     let valid: Vec<JobId> = job_ids.iter().flatten().cloned().collect();
     let mut found = HashMap::new();
     for chunk in valid.chunks(context.config.transaction_limits.status_reads()) {
         let chunk = chunk.iter().cloned().collect();
-        found.extend(look_up(context, &reads, &chunk).found);
+        found.extend(look_up(context, &reader, &chunk).found);
     }
     let status = |job_id: &Option<JobId>| match job_id.as_ref().and_then(|id| found.get(id)) {
         None => PeerJobStatus::Unknown,
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,19 +1,19 @@
-//! Users' submissions: admission, dependencies, and the transaction that accepts a job.
+//! Job submission: admission, resolution of dependencies, and the transaction that accepts a job.
 //!
-//! A job is accepted by one transaction that writes its record into the index of live jobs. The record
-//! names the dependencies that are not done, and the transaction is conditional on that none of them
-//! has an outcome; one that has is looked up again.
+//! One transaction accepts a job by writing its record to the index of live jobs. The record names the
+//! dependencies that are still live, and the transaction requires that none of them has an outcome. If
+//! one of them has ended in the meantime, the transaction fails and the dependencies are resolved again.
 //!
 //! Invariants: a job is durable before its submission is answered with 201. Repeating a submission is
-//! safe: the transaction is also conditional on that the job itself is neither known nor over.
+//! safe, because the transaction also requires that the job is neither live nor ended.
 
 use crate::api::cancellation::put_cancelled;
 use crate::api::context::ApiContext;
 use crate::api::dependents_list::{self, DependentsListOutcome};
-use crate::api::job_lookup::known_job;
+use crate::api::job_lookup::known_job_response;
 use crate::api::responses::{job_state, unavailable, ApiResponse, CountsDetail};
 use crate::api::submission_dependencies::{resolve_dependencies, Dependencies};
-use crate::api::user_requests::STORE_CALL_LIMIT;
+use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::common::rate_limit::RequestClass;
 use crate::core::admission;
 use crate::core::model::{JobId, JobSpec};
@@ -24,25 +24,25 @@
 use crate::net::wire::{self, InvalidField, StoredJob, Submission, SubmissionId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a submission is tried, again because a dependency ended meanwhile.
+/// The maximum number of attempts per submission. An attempt is repeated if a dependency ends during it.
 const MAX_ATTEMPTS: usize = 3;
-/// How long the accepting transaction may take.
-const ACCEPT_LIMIT: Duration = Duration::from_millis(2000);
-/// When a user should come back while there are too many jobs, in seconds.
-const TOO_MANY_JOBS_RETRY_S: u64 = 10;
-/// When a user should come back while the machine types are not known, in seconds.
-const NO_MACHINE_TYPES_RETRY_S: u64 = 1;
+/// The time limit of the transaction that accepts a job.
+const ACCEPT_TRANSACTION_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The `Retry-After` value, in seconds, of a refusal because too many jobs are live.
+const TOO_MANY_JOBS_RETRY_AFTER_S: u64 = 10;
+/// The `Retry-After` value, in seconds, of a refusal because the machine types are not known yet.
+const NO_MACHINE_TYPES_RETRY_AFTER_S: u64 = 1;
 
-/// A submission that is malformed.
+/// A submission that could not be parsed or has an invalid field.
 pub(super) struct InvalidSubmission {
-    /// The job's id, when that much can be read.
+    /// The job's id, if the body contains a valid one.
     pub(super) job_id: Option<JobId>,
-    /// The refusal.
+    /// The 400 response that names the invalid field.
     pub(super) response: ApiResponse,
 }
 
-/// Reads a submission from its wire form.
-pub(super) fn read_submission(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
+/// Decodes and validates the body of a submission. The job's acceptance time is the current time.
+pub(super) fn parse_submission(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -57,23 +57,25 @@
     })
 }
 
-/// What is decided about a submission before its own transaction.
+/// The result of the checks that precede the accepting transaction.
 enum Admission {
-    Answered(ApiResponse),
+    /// The submission is answered without a transaction of its own.
+    Responded(ApiResponse),
+    /// The job passed all checks.
     Accept(Box<PreparedJob>),
 }
 
-/// A job as it is to be stored, and what must hold then.
+/// A job's record, and the conditions of the transaction that stores it.
 struct PreparedJob {
     spec: JobSpec,
     record: StoredJob,
     conditions: Vec<KeyCondition>,
 }
 
-/// What came of one attempt to accept a submission.
-enum Attempt {
-    Answered(ApiResponse),
-    /// A dependency of this job has ended meanwhile.
+/// The result of one attempt to accept a submission.
+enum SubmitAttempt {
+    Responded(ApiResponse),
+    /// A dependency of this job ended between its lookup and the transaction.
     DependencyChanged(JobId),
 }
 
@@ -83,55 +85,62 @@
     loop {
         attempts_left -= 1;
         match try_submit(context, body)? {
-            Attempt::Answered(response) => return Ok(response),
-            Attempt::DependencyChanged(job_id) if attempts_left == 0 => {
-                return known_job(context, &job_id, unavailable(context))
+            SubmitAttempt::Responded(response) => return Ok(response),
+            SubmitAttempt::DependencyChanged(job_id) if attempts_left == 0 => {
+                return known_job_response(context, &job_id, unavailable(context))
             }
-            Attempt::DependencyChanged(_) => {}
+            SubmitAttempt::DependencyChanged(_) => {}
         }
     }
 }
 
-fn try_submit(context: &ApiContext, body: &[u8]) -> Result<Attempt, StoreError> {
+fn try_submit(context: &ApiContext, body: &[u8]) -> Result<SubmitAttempt, StoreError> {
     let PreparedJob {
         spec,
         record,
         conditions,
     } = match admit(context, body)? {
-        Admission::Answered(response) => return Ok(Attempt::Answered(response)),
+        Admission::Responded(response) => return Ok(SubmitAttempt::Responded(response)),
         Admission::Accept(prepared) => *prepared,
     };
     let job_id = &spec.job_id;
     let live = live_job_key(job_id);
-    let own_keys = [outcome_key(job_id), live.clone()];
+    let new_job_keys = [outcome_key(job_id), live.clone()];
     let changes = vec![Change::Put {
         key: &live,
         value: StoredValue::Job(Box::new(record)),
         lease: None,
     }];
-    // A team that floods the node leaves the others a part of the rate.
-    let reserve = context
+    // A team that floods the node must leave a share of the change rate to the other teams.
+    let reserved_share = context
         .fairness
         .reserved_share_for(&spec.team, Instant::now());
-    let result =
-        context
-            .store
-            .transaction_with_reserve(reserve, &conditions, changes, ACCEPT_LIMIT);
+    let result = context.store.transaction_with_reserve(
+        reserved_share,
+        &conditions,
+        changes,
+        ACCEPT_TRANSACTION_TIMEOUT,
+    );
     context.record_store_result(&result);
     match result {
-        Ok(TransactionOutcome::Applied { .. }) => Ok(Attempt::Answered(accepted(context, &spec))),
-        Ok(TransactionOutcome::Failed { keys }) if !keys.iter().any(|k| own_keys.contains(k)) => {
-            Ok(Attempt::DependencyChanged(spec.job_id))
+        Ok(TransactionOutcome::Applied { .. }) => {
+            Ok(SubmitAttempt::Responded(record_acceptance(context, &spec)))
+        }
+        Ok(TransactionOutcome::Failed { keys })
+            if !keys.iter().any(|k| new_job_keys.contains(k)) =>
+        {
+            Ok(SubmitAttempt::DependencyChanged(spec.job_id))
         }
-        // Known already, or accepted by a transaction whose answer was lost: the keys tell.
+        // The job was known before, or the transaction was applied and its response was lost. Its keys
+        // show which.
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
-            known_job(context, job_id, unavailable(context)).map(Attempt::Answered)
+            known_job_response(context, job_id, unavailable(context)).map(SubmitAttempt::Responded)
         }
         Err(e) => Err(e),
     }
 }
 
-fn accepted(context: &ApiContext, spec: &JobSpec) -> ApiResponse {
+fn record_acceptance(context: &ApiContext, spec: &JobSpec) -> ApiResponse {
     context
         .view
         .remember_accepted(std::iter::once(&spec.job_id));
@@ -144,43 +153,43 @@
         spec.expected.as_secs_f64(),
         spec.due.unwrap_or_default().as_secs_f64()
     );
-    created(context, &spec.job_id)
+    created_response(context, &spec.job_id)
 }
 
-/// 201, in the interface's form: a job that was just accepted is live.
-fn created(context: &ApiContext, job_id: &JobId) -> ApiResponse {
+/// The 201 response, which shows the job as live.
+fn created_response(context: &ApiContext, job_id: &JobId) -> ApiResponse {
     let detail = CountsDetail::Omitted;
     job_state(context, 201, job_id, JobOutcome::Live, detail)
 }
 
-/// Everything before a submission's own transaction.
+/// Validates a submission, checks it against the limits and resolves its dependencies.
 fn admit(context: &ApiContext, body: &[u8]) -> Result<Admission, StoreError> {
-    let spec = match read_submission(body) {
+    let spec = match parse_submission(body) {
         Ok(spec) => spec,
         Err(InvalidSubmission { job_id, response }) => {
-            // A job that was accepted stays known, however its repetition is mangled.
+            // A malformed repetition of an accepted submission is answered with the job's state.
             let response = match job_id {
-                Some(job_id) => known_job(context, &job_id, response)?,
+                Some(job_id) => known_job_response(context, &job_id, response)?,
                 None => response,
             };
-            return Ok(Admission::Answered(response));
+            return Ok(Admission::Responded(response));
         }
     };
     let record = StoredJob::from(&spec);
-    if let Some(refusal) = refusal(context, &spec, &record) {
-        return known_job(context, &spec.job_id, refusal).map(Admission::Answered);
+    if let Some(refusal) = find_refusal(context, &spec, &record) {
+        return known_job_response(context, &spec.job_id, refusal).map(Admission::Responded);
     }
     if !context.view.store_ok(Instant::now()) {
         return Err(StoreError::Unavailable);
     }
     if spec.dependencies.is_empty() {
-        let conditions = own_conditions(&spec.job_id);
-        return Ok(accept(spec, record, conditions));
+        let conditions = new_job_conditions(&spec.job_id);
+        return Ok(prepare_job(spec, record, conditions));
     }
-    admit_dependent(context, spec, record)
+    admit_with_dependencies(context, spec, record)
 }
 
-fn accept(spec: JobSpec, record: StoredJob, conditions: Vec<KeyCondition>) -> Admission {
+fn prepare_job(spec: JobSpec, record: StoredJob, conditions: Vec<KeyCondition>) -> Admission {
     Admission::Accept(Box::new(PreparedJob {
         spec,
         record,
@@ -188,41 +197,41 @@
     }))
 }
 
-/// The job is neither known nor over.
-fn own_conditions(job_id: &JobId) -> Vec<KeyCondition> {
+/// The conditions that the job is neither live nor ended.
+fn new_job_conditions(job_id: &JobId) -> Vec<KeyCondition> {
     vec![
         KeyCondition::absent(outcome_key(job_id)),
         KeyCondition::absent(live_job_key(job_id)),
     ]
 }
 
-/// Why a job that is not known yet is not accepted now, or ever.
-fn refusal(context: &ApiContext, spec: &JobSpec, record: &StoredJob) -> Option<ApiResponse> {
+/// The refusal of a new job that cannot be accepted, whether permanently (422) or at present (429, 503).
+fn find_refusal(context: &ApiContext, spec: &JobSpec, record: &StoredJob) -> Option<ApiResponse> {
     let config = &context.config;
     let machine_types = context.view.read().machine_types.clone();
     if machine_types.is_empty() {
         let problem = ApiResponse::problem(503, "machine types are not known yet");
-        return Some(problem.with_retry_after(NO_MACHINE_TYPES_RETRY_S));
+        return Some(problem.with_retry_after(NO_MACHINE_TYPES_RETRY_AFTER_S));
     }
-    if let Err(why) = admission::check_job(spec, &config.teams, &machine_types) {
-        return Some(ApiResponse::problem(422, &why.to_string()));
+    if let Err(error) = admission::check_job(spec, &config.teams, &machine_types) {
+        return Some(ApiResponse::problem(422, &error.to_string()));
     }
     let max_bytes = config.transaction_limits.value_bytes;
-    if let Err(why) = admission::check_record_size(record.size_bound(), max_bytes) {
-        return Some(ApiResponse::problem(422, &why.to_string()));
+    if let Err(error) = admission::check_record_size(record.size_bound(), max_bytes) {
+        return Some(ApiResponse::problem(422, &error.to_string()));
     }
     if context.view.final_outcome(&spec.job_id).is_some() {
         return Some(unavailable(context));
     }
     if context.view.read().live_jobs >= config.max_live_jobs {
         let problem = ApiResponse::problem(429, "too many jobs");
-        return Some(problem.with_retry_after(TOO_MANY_JOBS_RETRY_S));
+        return Some(problem.with_retry_after(TOO_MANY_JOBS_RETRY_AFTER_S));
     }
     None
 }
 
-/// Admits a job that names others.
-fn admit_dependent(
+/// Resolves the dependencies of a job that has some, and prepares its record.
+fn admit_with_dependencies(
     context: &ApiContext,
     spec: JobSpec,
     mut record: StoredJob,
@@ -230,53 +239,55 @@
     let job_id = &spec.job_id;
     let limits = context.config.transaction_limits;
     if context.view.is_accepted(job_id) {
-        return known_job(context, job_id, unavailable(context)).map(Admission::Answered);
+        return known_job_response(context, job_id, unavailable(context)).map(Admission::Responded);
     }
-    let open = match resolve_dependencies(context, job_id, &spec.dependencies)? {
-        Dependencies::Open(open) => open,
+    let live_dependencies = match resolve_dependencies(context, job_id, &spec.dependencies)? {
+        Dependencies::Live(live) => live,
         Dependencies::Cancelled => {
-            return accept_cancelled(context, job_id).map(Admission::Answered)
+            return accept_cancelled(context, job_id).map(Admission::Responded)
         }
         Dependencies::NeverAccepted(dependency) => {
-            let why = format!("Awaits names {dependency}, which was never accepted");
-            let problem = ApiResponse::problem(422, &why);
-            return known_job(context, job_id, problem).map(Admission::Answered);
+            let message = format!("Awaits names {dependency}, which was never accepted");
+            let problem = ApiResponse::problem(422, &message);
+            return known_job_response(context, job_id, problem).map(Admission::Responded);
         }
     };
     let listed = dependents_list::is_needed(&context.peers);
     if listed {
-        let entered = dependents_list::enter(&context.store, limits, job_id, &open)?;
-        if entered == DependentsListOutcome::Changed {
-            return known_job(context, job_id, unavailable(context)).map(Admission::Answered);
+        let outcome = dependents_list::add_job(&context.store, limits, job_id, &live_dependencies)?;
+        if outcome == DependentsListOutcome::Changed {
+            return known_job_response(context, job_id, unavailable(context))
+                .map(Admission::Responded);
         }
     }
-    record.keep_dependencies(&open, listed);
-    let mut conditions = own_conditions(job_id);
+    record.keep_dependencies(&live_dependencies, listed);
+    let mut conditions = new_job_conditions(job_id);
     let max_dependencies = limits.conditions() - conditions.len();
-    // The ends of those beyond are found by the leader.
-    let not_over = open.iter().take(max_dependencies);
-    conditions.extend(not_over.map(|dependency| KeyCondition::absent(outcome_key(dependency))));
-    Ok(accept(spec, record, conditions))
+    // A transaction has room for this many conditions only. The leader detects the end of the other
+    // dependencies.
+    let checked = live_dependencies.iter().take(max_dependencies);
+    conditions.extend(checked.map(|dependency| KeyCondition::absent(outcome_key(dependency))));
+    Ok(prepare_job(spec, record, conditions))
 }
 
-/// A job that names a cancelled one is accepted all the same, and is cancelled. No job can depend on
-/// it yet.
+/// Accepts a job that depends on a cancelled one, and cancels it in the same transaction. It has no
+/// dependents that would have to be cancelled too, because no job can depend on it yet.
 fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
-    let conditions = own_conditions(job_id);
+    let conditions = new_job_conditions(job_id);
     let key = outcome_key(job_id);
     let changes = vec![put_cancelled(&key)];
     let store = &context.store;
-    let result = store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_LIMIT);
+    let result = store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT);
     context.record_store_result(&result);
     match result {
         Ok(TransactionOutcome::Applied { .. }) => {
             context.view.remember_outcome(job_id, JobOutcome::Cancelled);
-            log::info!("accepted, cancelled with a dependency job={job_id}");
-            // From now on a query says that it is cancelled.
-            Ok(created(context, job_id))
+            log::info!("job accepted as cancelled because a dependency is cancelled job={job_id}");
+            // The 201 response shows the job as live; status queries show it as cancelled from now on.
+            Ok(created_response(context, job_id))
         }
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
-            known_job(context, job_id, unavailable(context))
+            known_job_response(context, job_id, unavailable(context))
         }
         Err(e) => Err(e),
     }
--- a/src/api/submission_dependencies.rs
+++ b/src/api/submission_dependencies.rs
@@ -1,4 +1,4 @@
-//! The dependencies of a submission: whether all were accepted, and which are not over.
+//! Looks up the dependencies of a submission: whether all were accepted, and which are still live.
 
 use crate::api::context::ApiContext;
 use crate::core::model::JobId;
@@ -8,19 +8,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// How long looking up dependencies may wait for the rate and for answers.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(1200);
+/// The time limit of looking up dependencies, including waits for the store's request rate.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The statuses of a submission's dependencies, taken together.
+/// The combined status of a submission's dependencies.
 pub(super) enum Dependencies {
-    /// All were accepted, and these are not over.
-    Open(Vec<JobId>),
-    /// One of them is cancelled.
+    /// All were accepted, and these have no outcome yet.
+    Live(Vec<JobId>),
+    /// All were accepted, and at least one of them is cancelled.
     Cancelled,
+    /// This job is not known.
     NeverAccepted(JobId),
 }
 
-/// Looks up the dependencies of a submission.
+/// Looks up the dependencies of a submission. A job that depends on itself has a dependency that was never
+/// accepted.
 pub(super) fn resolve_dependencies(
     context: &ApiContext,
     job_id: &JobId,
@@ -29,12 +31,12 @@
     if dependencies.contains(job_id) {
         return Ok(Dependencies::NeverAccepted(job_id.clone()));
     }
-    let found = statuses(context, dependencies)?;
-    let mut open = Vec::new();
+    let statuses = look_up_statuses(context, dependencies)?;
+    let mut live = Vec::new();
     let mut cancelled = false;
     for dependency in dependencies {
-        match found.get(dependency) {
-            Some(JobRecordStatus::Accepted(JobOutcome::Live)) => open.push(dependency.clone()),
+        match statuses.get(dependency) {
+            Some(JobRecordStatus::Accepted(JobOutcome::Live)) => live.push(dependency.clone()),
             Some(JobRecordStatus::Accepted(JobOutcome::Done)) => {}
             Some(JobRecordStatus::Accepted(JobOutcome::Cancelled)) => cancelled = true,
             Some(JobRecordStatus::NeverAccepted) => {
@@ -46,43 +48,43 @@
     Ok(if cancelled {
         Dependencies::Cancelled
     } else {
-        Dependencies::Open(open)
+        Dependencies::Live(live)
     })
 }
 
-/// The statuses of these jobs; an error if any of them could not be looked up.
-fn statuses(
+/// The statuses of these jobs. Fails if the lookup of any of them fails.
+fn look_up_statuses(
     context: &ApiContext,
     job_ids: &[JobId],
 ) -> Result<HashMap<JobId, JobRecordStatus>, StoreError> {
     let mut found: HashMap<JobId, JobRecordStatus> = HashMap::new();
-    let mut open: Vec<&JobId> = Vec::new();
+    let mut unresolved: Vec<&JobId> = Vec::new();
     for job_id in job_ids {
         match context.view.final_outcome(job_id) {
             Some(outcome) => {
                 found.insert(job_id.clone(), JobRecordStatus::Accepted(outcome));
             }
-            None => open.push(job_id),
+            None => unresolved.push(job_id),
         }
     }
-    let until = Instant::now() + LOOKUP_LIMIT;
-    let reads = BudgetedReader::new(
+    let deadline = Instant::now() + LOOKUP_TIMEOUT;
+    let reader = BudgetedReader::new(
         &context.store,
         &context.stop,
         ReadPurpose::UserChange,
-        until,
+        deadline,
     );
-    for chunk in open.chunks(context.config.transaction_limits.status_reads()) {
+    for chunk in unresolved.chunks(context.config.transaction_limits.status_reads()) {
         let chunk: BTreeSet<JobId> = chunk.iter().map(|job_id| (*job_id).clone()).collect();
         let mut accepted = context.view.accepted_among(chunk.iter());
-        let read = job_status_reads::read_statuses(&reads, &chunk, &mut accepted);
+        let read = job_status_reads::read_statuses(&reader, &chunk, &mut accepted);
         let (mut statuses, error) = (read.statuses, read.error);
         found.extend(
             statuses
                 .iter()
                 .map(|(job_id, status)| (job_id.clone(), *status)),
         );
-        // Users are told of a cancellation only once it is confirmed.
+        // A cancellation is withheld from users until it is confirmed, so the view must not cache it here.
         statuses.retain(|_, status| *status != JobRecordStatus::Accepted(JobOutcome::Cancelled));
         context.view.remember_statuses(&statuses);
         if let Some(e) = error {
--- a/src/api/submission_fairness.rs
+++ b/src/api/submission_fairness.rs
@@ -1,18 +1,18 @@
-//! Keeps a team that floods the node with submissions from using up the rate of all others.
+//! Prevents a team that floods the node with submissions from using up the other teams' change rate.
 
 use crate::core::model::TeamName;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Submissions count for about this long.
-const DECAY_TIME: Duration = Duration::from_secs(5);
-/// Fewer recent submissions than this are no flood.
-const MIN_FLOOD: f64 = 20.0;
-/// A flooding team sends more than this part of all recent submissions.
-const FLOOD_PART: f64 = 0.5;
-/// The part of the rate that a flooding team leaves to the others.
-const FLOOD_RESERVE: f64 = 0.4;
+/// The time after which the weight of a submission has decayed to 1/e.
+const DECAY_TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// A team with at most this many recent submissions, after decay, does not count as flooding.
+const MIN_FLOOD_SUBMISSIONS: f64 = 20.0;
+/// A flooding team sends more than this share of all teams' recent submissions.
+const FLOOD_SHARE_OF_SUBMISSIONS: f64 = 0.5;
+/// The share of the capacity of the node's bucket of user changes that a flooding team must leave to others.
+const RESERVED_SHARE_OF_CHANGE_BUCKET: f64 = 0.4;
 
 /// A count that decays exponentially.
 #[derive(Clone, Copy)]
@@ -24,18 +24,20 @@
 impl DecayingCount {
     fn at(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated_at);
-        self.count * (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
+        self.count * (-age.as_secs_f64() / DECAY_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// Recent submissions by team.
+/// The recent submissions to this node, counted by team.
 #[derive(Default)]
 pub struct SubmissionFairness {
     recent: Mutex<HashMap<TeamName, DecayingCount>>,
 }
 
 impl SubmissionFairness {
-    /// Counts one submission, and returns the part of the rate that it must leave to others.
+    /// Counts one submission of `team`. Returns the share of the capacity of the node's bucket of user
+    /// changes, from 0 to 1, that this submission must leave to others: 0 unless the team is flooding.
+    /// A team that is the only one with submissions never is.
     #[must_use]
     pub fn reserved_share_for(&self, team: &TeamName, now: Instant) -> f64 {
         let mut recent = self
@@ -43,15 +45,17 @@
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let own = recent.get(team).map_or(0.0, |count| count.at(now)) + 1.0;
-        let counted = DecayingCount {
+        let updated = DecayingCount {
             count: own,
             updated_at: now,
         };
-        recent.insert(team.clone(), counted);
+        recent.insert(team.clone(), updated);
         let all: f64 = recent.values().map(|count| count.at(now)).sum();
-        let floods = own > all * FLOOD_PART && own > MIN_FLOOD && recent.len() > 1;
-        if floods {
-            FLOOD_RESERVE
+        let is_flooding = own > all * FLOOD_SHARE_OF_SUBMISSIONS
+            && own > MIN_FLOOD_SUBMISSIONS
+            && recent.len() > 1;
+        if is_flooding {
+            RESERVED_SHARE_OF_CHANGE_BUCKET
         } else {
             0.0
         }
--- a/src/api/user_requests.rs
+++ b/src/api/user_requests.rs
@@ -1,14 +1,15 @@
-//! Submissions and cancellations: handled by this node, or by a peer that reaches the key-value store.
+//! Handles submissions and cancellations at this node, or forwards them to a peer that can reach the key-value
+//! store.
 //!
-//! A request is passed on at most once. Whatever was passed on may be carried out twice: a submission
-//! and a cancellation are idempotent, since their transactions' conditions make the second one find the
-//! first.
+//! A request is forwarded at most once. A forwarded request may be executed twice, at this node and at the peer.
+//! That is safe because submissions and cancellations are idempotent: the conditions of the second transaction
+//! fail, and the handler then finds the result of the first.
 
 use crate::api::cancellation;
 use crate::api::context::ApiContext;
 use crate::api::responses::{busy, rate_exhausted, unavailable, ApiResponse};
 use crate::api::routes::{route, Route};
-use crate::api::server::final_refusal;
+use crate::api::server::permanent_refusal;
 use crate::api::submission;
 use crate::net::http_server::Request;
 use crate::net::peer::{PeerRequest, PeerResponse};
@@ -16,19 +17,20 @@
 use crossbeam::channel::Receiver;
 use std::time::Duration;
 
-/// A user waits 2 s for the answer to a status query, and 5 s for one to a submission.
-pub(super) const USER_REQUEST_STALE: Duration = Duration::from_millis(1800);
-/// How long one call of the key-value store may take.
-pub(super) const STORE_CALL_LIMIT: Duration = Duration::from_millis(1500);
-/// How long a peer may take for its whole answer to what is passed on to it.
-const PEER_CALL_LIMIT: Duration = Duration::from_millis(2000);
+/// A user's request older than this is not handled but refused, because its user waits no longer. Users wait 2 s for the response to a status query, and
+/// 5 s for the response to a submission.
+pub(super) const MAX_USER_REQUEST_AGE: Duration = Duration::from_millis(1800);
+/// The time limit of one call to the key-value store.
+pub(super) const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The time limit of a peer's complete response to a forwarded request.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Answers submissions and cancellations until the queue ends.
+/// Answers submissions and cancellations until the queue is closed.
 pub(super) fn run_pool(context: &ApiContext, queue: &Receiver<Request>) {
     while let Ok(request) = queue.recv() {
-        let stale = request.received_at.elapsed() > USER_REQUEST_STALE;
-        let response = if stale {
-            final_refusal(&request).unwrap_or_else(|| unavailable(context))
+        let is_stale = request.received_at.elapsed() > MAX_USER_REQUEST_AGE;
+        let response = if is_stale {
+            permanent_refusal(&request).unwrap_or_else(|| unavailable(context))
         } else {
             handle(context, &request)
         };
@@ -41,7 +43,7 @@
         Ok(response) => response,
         Err(e) => {
             log::debug!(
-                "request not handled here path={} error=\"{e}\"",
+                "request could not be handled by this node path={} error=\"{e}\"",
                 request.path
             );
             if e == StoreError::RateLimited {
@@ -53,7 +55,8 @@
     }
 }
 
-/// Handles a request that a peer passed on. It is not passed on a second time.
+/// Handles a request that a peer forwarded. It is not forwarded again: the response is 503 if this node cannot
+/// reach the key-value store or its rate is exhausted.
 pub fn handle_for_peer(context: &ApiContext, method: &str, path: &str, body: &[u8]) -> ApiResponse {
     match handle_locally(context, method, path, body) {
         Ok(response) => response,
@@ -62,7 +65,8 @@
     }
 }
 
-/// What this node can do itself. An error says that the key-value store could not be asked.
+/// Handles a request at this node. An error means that a call to the key-value store failed, or was
+/// not sent because the request rate is exhausted.
 fn handle_locally(
     context: &ApiContext,
     method: &str,
@@ -84,7 +88,10 @@
         path: request.path.clone(),
         body: request.body.clone(),
     };
-    match context.peer_with_store()?.call(&forwarded, PEER_CALL_LIMIT) {
+    match context
+        .peer_with_store()?
+        .call(&forwarded, PEER_CALL_TIMEOUT)
+    {
         Ok(PeerResponse::UserRequest {
             status,
             body,
--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -1,8 +1,8 @@
-//! The receiving side of one connection: its input, and the requests in it.
+//! The receiving side of one connection: buffers its input and extracts requests from it.
 
 use super::connection_load::ConnectionLoad;
 use super::request::Request;
-use super::response::CONTINUE;
+use super::response::CONTINUE_RESPONSE;
 use super::socket::{AfterSend, ConnectionSocket};
 use crate::net::request_parser::{parse, Parsed, ParsedRequest, MAX_HEAD_BYTES};
 use crate::net::wire::{self, ErrorResponse};
@@ -12,44 +12,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes that are read from a connection at a time.
-pub(super) const READ_SIZE: usize = 16 * 1024;
-/// A client that has begun a request gets this long to send the rest.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may linger after its last response was sent.
-const LINGER: Duration = Duration::from_secs(2);
-/// A buffer that is empty and larger than this is given back.
-const KEPT_INPUT_CAPACITY: usize = 2048;
-/// A body in chunks of one byte each takes up to so many times its length.
-const MAX_CHUNK_OVERHEAD: usize = 8;
+/// The maximum number of bytes per read from a connection.
+pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The time within which a client must send the rest of a request whose first part was received.
+const REQUEST_COMPLETION_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection whose last response has been sent is closed after this time without input from the client.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// An empty input buffer with a larger capacity than this is deallocated.
+const MAX_RETAINED_INPUT_BYTES: usize = 2048;
+/// An upper bound of the encoded bytes per byte of a body: chunks of one byte each have the largest overhead.
+const MAX_ENCODED_BYTES_PER_BODY_BYTE: usize = 8;
 
 /// One client's connection.
 pub(super) struct Connection {
     socket: Arc<ConnectionSocket>,
     client_ip: IpAddr,
     input: Vec<u8>,
-    /// Nothing is parsed before so many bytes have come.
+    /// The input is not parsed before it has this many bytes.
     bytes_needed: usize,
-    /// The client was told to go on sending after an `Expect: 100-continue`.
+    /// `100 Continue` was sent for the current request, which has an `Expect: 100-continue` header.
     continue_sent: bool,
-    /// The last response is on its way: what still comes is not read as requests.
+    /// The request in progress or answered last is the last one of this connection. Further input is discarded.
     closing: bool,
-    /// The client has closed the connection, or it has failed.
+    /// The client has closed its sending direction, reading has failed, or the client has sent too much input.
     disconnected: bool,
     last_read_at: Instant,
-    /// When the request that is not complete yet began.
-    request_began_at: Option<Instant>,
+    /// When the first part of an incomplete request was parsed. `None` while there is no incomplete request.
+    request_started_at: Option<Instant>,
 }
 
-/// What is due at a connection between its events.
+/// What the periodic sweep must do with a connection.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum SweepAction {
     Nothing,
     Close,
-    /// A request was sent while the one before it was in progress.
-    ReadRequest,
-    /// The client has not completed its request in time.
+    /// The input may hold a complete request that arrived while the previous one was in progress.
+    ParseBufferedRequest,
+    /// The client has not completed its request within [`REQUEST_COMPLETION_TIMEOUT`].
     TimeOut,
 }
 
@@ -64,7 +64,7 @@
             closing: false,
             disconnected: false,
             last_read_at: now,
-            request_began_at: None,
+            request_started_at: None,
         }
     }
 
@@ -76,19 +76,20 @@
         self.last_read_at
     }
 
-    /// Neither a request in progress nor a part of one.
+    /// Whether no request is in progress and no input is buffered.
     pub fn is_idle(&self) -> bool {
         self.input.is_empty() && !self.socket.request_in_progress()
     }
 
-    /// Nothing can be read and nothing is to be answered any more.
+    /// Whether the client has disconnected and no request is in progress.
     pub fn is_finished(&self) -> bool {
         self.disconnected && !self.socket.request_in_progress()
     }
 
-    /// Reads what the socket has.
-    pub fn read(&mut self, buffer: &mut [u8], body_limit: usize, now: Instant) {
-        let max_input = MAX_HEAD_BYTES + body_limit * MAX_CHUNK_OVERHEAD + READ_SIZE;
+    /// Reads all available bytes from the socket.
+    pub fn read(&mut self, buffer: &mut [u8], max_body_bytes: usize, now: Instant) {
+        let max_input =
+            MAX_HEAD_BYTES + max_body_bytes * MAX_ENCODED_BYTES_PER_BODY_BYTE + READ_BUFFER_BYTES;
         loop {
             match self.socket.read(buffer) {
                 Ok(0) => break self.disconnected = true,
@@ -98,11 +99,12 @@
                         self.input.extend_from_slice(&buffer[..length]);
                     }
                     if self.input.len() > max_input {
-                        // Sent without waiting for responses, far more than we take.
+                        // The input exceeds the largest possible request: the client sends further requests
+                        // without waiting for responses.
                         break self.disconnected = true;
                     }
                     if length < buffer.len() {
-                        // The socket is drained: what comes later is another event.
+                        // The socket is drained. Later data causes another event.
                         break;
                     }
                 }
@@ -113,10 +115,11 @@
         }
     }
 
-    /// Takes the next request out of the input, unless the one before it is still in progress.
+    /// Removes the next complete request from the input and returns it. Returns none while the previous request is
+    /// in progress. Answers malformed input with 400.
     pub fn next_request(
         &mut self,
-        body_limit: usize,
+        max_body_bytes: usize,
         load: &Arc<ConnectionLoad>,
         now: Instant,
     ) -> Option<Request> {
@@ -124,22 +127,22 @@
         if !ready || self.input.len() < self.bytes_needed {
             return None;
         }
-        match parse(&self.input, body_limit) {
+        match parse(&self.input, max_body_bytes) {
             Ok(Parsed::Incomplete {
                 bytes_needed,
                 expects_continue,
             }) => {
                 self.bytes_needed = bytes_needed;
-                self.request_began_at.get_or_insert(now);
+                self.request_started_at.get_or_insert(now);
                 if expects_continue && !self.continue_sent {
                     self.continue_sent = true;
-                    self.socket.send(CONTINUE, AfterSend::KeepOpen);
+                    self.socket.send(CONTINUE_RESPONSE, AfterSend::KeepOpen);
                 }
                 None
             }
             Ok(Parsed::Complete(parsed)) => Some(self.take_request(parsed, load, now)),
-            Err(problem) => {
-                self.reject(&problem.to_string(), load, now);
+            Err(error) => {
+                self.reject(&error.to_string(), load, now);
                 None
             }
         }
@@ -152,11 +155,11 @@
         now: Instant,
     ) -> Request {
         self.input.drain(..parsed.length);
-        if self.input.is_empty() && self.input.capacity() > KEPT_INPUT_CAPACITY {
+        if self.input.is_empty() && self.input.capacity() > MAX_RETAINED_INPUT_BYTES {
             self.input = Vec::new();
         }
         self.bytes_needed = 1;
-        self.request_began_at = None;
+        self.request_started_at = None;
         self.continue_sent = false;
         self.closing = !parsed.keep_alive;
         self.socket.begin_request();
@@ -172,9 +175,9 @@
         }
     }
 
-    /// Answers 400 and ends the connection. What still comes is read past, so that the response is not
-    /// lost to a reset.
-    fn reject(&mut self, problem: &str, load: &Arc<ConnectionLoad>, now: Instant) {
+    /// Answers 400 and closes the connection. Further input is read and discarded, because unread input would
+    /// cause a TCP reset on closing, which could discard the response.
+    fn reject(&mut self, message: &str, load: &Arc<ConnectionLoad>, now: Instant) {
         self.closing = true;
         self.input = Vec::new();
         let request = Request {
@@ -188,31 +191,36 @@
             load: load.clone(),
         };
         let body = wire::encode(&ErrorResponse {
-            error: problem.to_owned(),
+            error: message.to_owned(),
         });
         request.respond(400, &body, None);
     }
 
-    /// Answers a request that was not completed in time.
+    /// Rejects a request that was not completed in time.
     pub fn time_out(&mut self, load: &Arc<ConnectionLoad>, now: Instant) {
         self.reject("the request is incomplete", load, now);
     }
 
-    /// What is due without an event of the socket.
-    pub fn sweep(&self, idle_limit: Duration, now: Instant) -> SweepAction {
+    /// Returns what must be done with the connection even if its socket has no event.
+    pub fn sweep(&self, idle_timeout: Duration, now: Instant) -> SweepAction {
         if self.socket.request_in_progress() {
             return SweepAction::Nothing;
         }
-        let quiet = now.saturating_duration_since(self.last_read_at);
+        let time_since_read = now.saturating_duration_since(self.last_read_at);
         let closing = self.closing || self.socket.is_closing();
-        let timed_out = |began: Instant| now.saturating_duration_since(began) > REQUEST_TIMEOUT;
-        if self.disconnected || (closing && quiet > LINGER) || quiet > idle_limit {
+        let timed_out = |started_at: Instant| {
+            now.saturating_duration_since(started_at) > REQUEST_COMPLETION_TIMEOUT
+        };
+        if self.disconnected
+            || (closing && time_since_read > LINGER_TIMEOUT)
+            || time_since_read > idle_timeout
+        {
             SweepAction::Close
         } else if closing {
             SweepAction::Nothing
         } else if self.input.len() >= self.bytes_needed {
-            SweepAction::ReadRequest
-        } else if self.request_began_at.is_some_and(timed_out) {
+            SweepAction::ParseBufferedRequest
+        } else if self.request_started_at.is_some_and(timed_out) {
             SweepAction::TimeOut
         } else {
             SweepAction::Nothing
--- a/src/net/http_server/connection_load.rs
+++ b/src/net/http_server/connection_load.rs
@@ -1,14 +1,16 @@
-//! How many connections are open, for the event loop and for those who respond.
+//! The number of open connections, shared by the event loop and the threads that send responses.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// From this part of the limit on, clients that lose nothing by it are asked to close their connections.
-const HIGH_LOAD: f64 = 0.85;
+/// From this share of the connection limit on, the load is high: the server closes the connection after a
+/// response to a client that can open a new one at no cost.
+const HIGH_WATERMARK_SHARE_OF_LIMIT: f64 = 0.85;
 
-/// The number of open connections against its limit.
+/// The number of open connections and its limits.
 pub(super) struct ConnectionLoad {
     open: AtomicUsize,
     limit: usize,
+    /// The load is high from this number of connections on.
     high_watermark: usize,
 }
 
@@ -17,7 +19,7 @@
         ConnectionLoad {
             open: AtomicUsize::new(0),
             limit,
-            high_watermark: (limit as f64 * HIGH_LOAD) as usize,
+            high_watermark: (limit as f64 * HIGH_WATERMARK_SHARE_OF_LIMIT) as usize,
         }
     }
 
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -1,6 +1,6 @@
-//! The thread of the server: accepts connections, reads from all of them and closes those that are over.
+//! The event loop on the server's thread: accepts connections, reads from them, and closes them.
 
-use super::connection::{Connection, SweepAction, READ_SIZE};
+use super::connection::{Connection, SweepAction, READ_BUFFER_BYTES};
 use super::connection_load::ConnectionLoad;
 use super::request::Request;
 use super::Limits;
@@ -13,25 +13,28 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The interval of the checks of all connections for timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// After a refused accept (no free sockets, for instance) the next one waits for this long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Idle connections closed at a time when there is no room for new ones.
-const EVICTION_BATCH: usize = 16;
-/// Events taken from the system at a time.
-const EVENT_CAPACITY: usize = 512;
+/// The wait before the next attempt if accepting a connection or polling fails, for instance because the process
+/// has no free sockets, or if the connection limit is reached.
+const ERROR_BACKOFF: Duration = Duration::from_millis(100);
+/// The maximum number of idle connections that are closed at once to make room for new ones.
+const MAX_EVICTIONS_AT_ONCE: usize = 16;
+/// The maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 512;
 
-const LISTENER: Token = Token(usize::MAX - 1);
+const LISTENER_TOKEN: Token = Token(usize::MAX - 1);
 
-/// The listener with its connections. A connection's slot is its token.
+/// The listening socket and its connections. A connection's index in `connections`, its slot, is its token.
 pub(super) struct EventLoop {
     listener: TcpListener,
     poll: Poll,
     limits: Limits,
     connections: Vec<Option<Connection>>,
+    /// Slots without a connection.
     free_slots: Vec<usize>,
     load: Arc<ConnectionLoad>,
-    /// Connections wait to be accepted until then.
+    /// When to accept connections again after a failure or at the connection limit.
     accept_again_at: Option<Instant>,
     next_sweep: Instant,
     buffer: Vec<u8>,
@@ -42,7 +45,7 @@
         let poll = Poll::new()?;
         let mut listener = TcpListener::from_std(listener);
         poll.registry()
-            .register(&mut listener, LISTENER, Interest::READABLE)?;
+            .register(&mut listener, LISTENER_TOKEN, Interest::READABLE)?;
         Ok(EventLoop {
             listener,
             poll,
@@ -52,18 +55,18 @@
             load: Arc::new(ConnectionLoad::new(limits.connections)),
             accept_again_at: None,
             next_sweep: Instant::now() + SWEEP_INTERVAL,
-            buffer: vec![0; READ_SIZE],
+            buffer: vec![0; READ_BUFFER_BYTES],
         })
     }
 
-    /// Serves until stopped. `handle` gets the requests that came together.
+    /// Runs until `stop` is given. `handle` receives the requests that were read in one iteration.
     pub fn run(mut self, stop: &StopSignal, mut handle: impl FnMut(Vec<Request>)) {
-        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         while !stop.is_stopped() {
-            if let Err(e) = self.poll.poll(&mut events, Some(self.time_to_wait())) {
+            if let Err(e) = self.poll.poll(&mut events, Some(self.poll_timeout())) {
                 if e.kind() != ErrorKind::Interrupted {
-                    log::warn!("poll for connections failed why=\"{e}\"");
-                    stop.wait(ACCEPT_PAUSE);
+                    log::warn!("poll for connections failed error=\"{e}\"");
+                    stop.wait(ERROR_BACKOFF);
                 }
                 continue;
             }
@@ -75,7 +78,8 @@
             if self.accept_again_at.is_some_and(|t| now >= t) {
                 self.accept(now);
             }
-            // After what had come: a process that was paused must not take its clients for slow.
+            // The sweep follows the reads: after a pause of the process, input that waited in the sockets must be
+            // read before clients are checked for timeouts.
             if now >= self.next_sweep {
                 self.next_sweep = now + SWEEP_INTERVAL;
                 self.sweep(now, &mut requests);
@@ -86,7 +90,7 @@
         }
     }
 
-    fn time_to_wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let due = self
             .accept_again_at
             .map_or(self.next_sweep, |t| t.min(self.next_sweep));
@@ -94,7 +98,7 @@
     }
 
     fn handle_event(&mut self, event: &Event, now: Instant, requests: &mut Vec<Request>) {
-        if event.token() == LISTENER {
+        if event.token() == LISTENER_TOKEN {
             self.accept(now);
             return;
         }
@@ -109,29 +113,29 @@
         }
     }
 
-    /// Accepts all connections that wait, as far as there is room.
+    /// Accepts all waiting connections, up to the connection limit.
     fn accept(&mut self, now: Instant) {
         self.accept_again_at = None;
         loop {
             if !self.make_room() {
-                self.accept_again_at = Some(now + ACCEPT_PAUSE);
+                self.accept_again_at = Some(now + ERROR_BACKOFF);
                 return;
             }
             match self.listener.accept() {
                 Ok((stream, from)) => self.open(stream, from.ip(), now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if gone_before_accepted(&e) => {}
+                Err(e) if is_retryable_accept_error(&e) => {}
                 Err(e) => {
-                    log::warn!("accept failed why=\"{e}\"");
+                    log::warn!("accept failed error=\"{e}\"");
                     self.evict_idle();
-                    self.accept_again_at = Some(now + ACCEPT_PAUSE);
+                    self.accept_again_at = Some(now + ERROR_BACKOFF);
                     return;
                 }
             }
         }
     }
 
-    /// Whether another connection may be opened, once idle ones are closed if need be.
+    /// Closes idle connections if the connection limit is reached. Returns whether another one may be opened.
     fn make_room(&mut self) -> bool {
         if self.load.is_full() {
             self.evict_idle();
@@ -147,7 +151,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registry = self.poll.registry();
         if let Err(e) = registry.register(&mut stream, Token(slot), interest) {
-            log::warn!("connection not registered why=\"{e}\"");
+            log::warn!("connection not registered error=\"{e}\"");
             self.free_slots.push(slot);
             return;
         }
@@ -159,12 +163,12 @@
         if let Some(connection) = self.connections[slot].take() {
             self.load.connection_closed();
             self.free_slots.push(slot);
-            // Whoever still works on a request holds the socket until it has answered.
+            // A request that is still being handled keeps a reference to the socket until it is answered.
             connection.socket().shutdown();
         }
     }
 
-    /// Closes the connections that have been idle for longest.
+    /// Closes the connections that have been idle for the longest time, at most [`MAX_EVICTIONS_AT_ONCE`].
     fn evict_idle(&mut self) {
         let mut idle: Vec<(Instant, usize)> = Vec::new();
         for (slot, connection) in self.connections.iter().enumerate() {
@@ -172,9 +176,9 @@
                 idle.push((connection.last_read_at(), slot));
             }
         }
-        if idle.len() > EVICTION_BATCH {
-            idle.select_nth_unstable(EVICTION_BATCH);
-            idle.truncate(EVICTION_BATCH);
+        if idle.len() > MAX_EVICTIONS_AT_ONCE {
+            idle.select_nth_unstable(MAX_EVICTIONS_AT_ONCE);
+            idle.truncate(MAX_EVICTIONS_AT_ONCE);
         }
         for (_, slot) in idle {
             self.close(slot);
@@ -189,7 +193,7 @@
         self.take_request(slot, now, requests);
     }
 
-    /// Takes a connection's next request, and closes the connection if it is over.
+    /// Takes a connection's next complete request, and closes the connection if it is finished.
     fn take_request(&mut self, slot: usize, now: Instant, requests: &mut Vec<Request>) {
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Does what is due at the connections without an event.
+    /// Checks all connections for timeouts and for requests that are already buffered.
     fn sweep(&mut self, now: Instant, requests: &mut Vec<Request>) {
         for slot in 0..self.connections.len() {
             let Some(connection) = &mut self.connections[slot] else {
@@ -209,14 +213,16 @@
             match connection.sweep(self.limits.idle, now) {
                 SweepAction::Nothing => {}
                 SweepAction::Close => self.close(slot),
-                SweepAction::ReadRequest => self.take_request(slot, now, requests),
+                SweepAction::ParseBufferedRequest => self.take_request(slot, now, requests),
                 SweepAction::TimeOut => connection.time_out(&self.load, now),
             }
         }
     }
 }
 
-fn gone_before_accepted(error: &std::io::Error) -> bool {
+/// Whether an error of `accept` concerns only this call or one connection, so that the next one can be accepted
+/// at once.
+fn is_retryable_accept_error(error: &std::io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
--- a/src/net/http_server/listener.rs
+++ b/src/net/http_server/listener.rs
@@ -4,12 +4,14 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-const BACKLOG: i32 = 1024;
+/// The maximum number of connections that the kernel queues until they are accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The idle time of a connection before the first keep-alive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Binds the listening socket. Accepted sockets inherit its keep-alive, which ends the connections of
-/// machines that vanished.
+/// Binds a non-blocking listening socket. Accepted sockets inherit its TCP keep-alive setting, which ends the
+/// connections of machines that have disappeared.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let domain = Domain::for_address(address);
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
@@ -18,14 +20,15 @@
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL);
     if let Err(e) = socket.set_tcp_keepalive(&keepalive) {
-        log::debug!("TCP keep-alive not set why=\"{e}\"");
+        log::debug!("TCP keep-alive not set error=\"{e}\"");
     }
-    // Inherited too: responses are written in one go and must not wait for acknowledgements.
+    // Accepted sockets inherit this too. A response is passed to the socket as a whole, so Nagle's algorithm would
+    // only delay it until earlier data is acknowledged.
     if let Err(e) = socket.set_nodelay(true) {
-        log::debug!("TCP no-delay not set why=\"{e}\"");
+        log::debug!("TCP no-delay not set error=\"{e}\"");
     }
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -1,13 +1,13 @@
-//! HTTP/1.1 server: one thread accepts, reads and parses for all connections, and hands complete requests
-//! on. Whoever takes a request answers it from its own thread.
+//! HTTP/1.1 server. One thread accepts connections, reads from all of them, and parses requests. It passes
+//! complete requests to a handler, and any thread may send the response.
 //!
-//! Thousands of workers keep a connection each, and any one node may have to carry all of them for a
-//! while. A thread for each would pass what a process may have, so a connection costs its socket and
-//! a few hundred bytes here, and a silent or slow client holds nothing else.
+//! Each of thousands of workers keeps a connection open, and a single node may have to serve all of them for a
+//! while. One thread per connection would exceed the process's thread limit. Here an idle or slow client uses
+//! only a socket and a few hundred bytes.
 //!
-//! Invariants: a connection has one request in progress at a time, so that responses go out in the order
-//! of the requests; each request is answered, with 503 if it is dropped; no more connections are open than
-//! the limit allows.
+//! Invariants: a connection has at most one request in progress, so responses are sent in the order of the
+//! requests. Every request is answered; one that is dropped without a response gets 503. The number of open
+//! connections does not exceed the limit.
 
 use crate::common::stop_signal::StopSignal;
 use std::time::Duration;
@@ -23,18 +23,19 @@
 pub use listener::bind;
 pub use request::Request;
 
-/// What the server allows its clients.
+/// The limits that the server applies to its clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections open at a time.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request's decoded body, in bytes.
     pub body: usize,
-    /// A connection without a request for longer than this is closed.
+    /// A connection without a request in progress is closed after this time without input.
     pub idle: Duration,
 }
 
-/// Serves until stopped. `handle` gets the requests that came together.
+/// Serves `listener` until `stop` is given. `handle` runs on the server's thread and receives the requests that
+/// were read in one iteration of the event loop; it must not block. Fails if the listener cannot be polled.
 pub fn serve(
     listener: std::net::TcpListener,
     limits: Limits,
--- a/src/net/http_server/request.rs
+++ b/src/net/http_server/request.rs
@@ -1,4 +1,4 @@
-//! A complete request, and the ways to answer it.
+//! A complete request and the methods that answer it.
 
 use super::connection_load::ConnectionLoad;
 use super::response::Response;
@@ -7,43 +7,45 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A complete request. One that is dropped unanswered gets 503, so that no client waits in vain.
+/// A complete request. If it is dropped without a response, the client gets 503 instead of waiting for a
+/// response that never comes.
 pub struct Request {
-    /// The method's name.
+    /// The HTTP method, as sent.
     pub method: String,
-    /// The path without the query.
+    /// The path without the query string, not percent-decoded.
     pub path: String,
-    /// The whole body.
+    /// The decoded body; empty if the request has none.
     pub body: Vec<u8>,
-    /// The client's address.
+    /// The IP address of the connection's other end.
     pub client_ip: IpAddr,
-    /// When the request was read.
+    /// When the complete request was taken from the connection's input.
     pub received_at: Instant,
     pub(super) keep_alive: bool,
-    /// None: it has been answered.
+    /// `None` once the request has been answered.
     pub(super) socket: Option<Arc<ConnectionSocket>>,
     pub(super) load: Arc<ConnectionLoad>,
 }
 
 impl Request {
-    /// Answers, with the seconds after which the client should come back.
-    pub fn respond(mut self, status: u16, body: &[u8], retry_after: Option<u64>) {
+    /// Sends a response. `retry_after_s` is the value of the `Retry-After` header, in seconds.
+    pub fn respond(mut self, status: u16, body: &[u8], retry_after_s: Option<u64>) {
         let after = self.after_response();
-        self.send(status, body, retry_after, after);
+        self.send(status, body, retry_after_s, after);
     }
 
-    /// Answers a client that loses nothing by a new connection for its next request: when many are open,
-    /// this one is closed.
-    pub fn respond_shedding_load(mut self, status: u16, body: &[u8], retry_after: Option<u64>) {
+    /// Sends a response to a client that can open a new connection for its next request at no cost. If many
+    /// connections are open, this one is closed after the response.
+    pub fn respond_shedding_load(mut self, status: u16, body: &[u8], retry_after_s: Option<u64>) {
         let after = if self.load.is_high() {
             AfterSend::Close
         } else {
             self.after_response()
         };
-        self.send(status, body, retry_after, after);
+        self.send(status, body, retry_after_s, after);
     }
 
-    /// Answers 503 at once: the request has waited so long that its answer would come too late.
+    /// Answers 503 with a retry time of 1 s, because the request has waited for so long that a response would be
+    /// too late.
     pub fn reject_stale(&mut self) {
         self.reject_unavailable();
     }
@@ -61,19 +63,19 @@
         }
     }
 
-    fn send(&mut self, status: u16, body: &[u8], retry_after: Option<u64>, after: AfterSend) {
+    fn send(&mut self, status: u16, body: &[u8], retry_after_s: Option<u64>, after: AfterSend) {
         let Some(socket) = self.socket.take() else {
             return;
         };
         let response = Response {
             status,
             body,
-            retry_after,
+            retry_after_s,
             after,
             head_only: self.method == "HEAD",
         };
         let bytes = response.encode();
-        // Before the response goes out: the client's next request may come at once.
+        // This precedes the response because the client may send its next request as soon as it has the response.
         socket.end_request();
         socket.send(&bytes, after);
     }
--- a/src/net/http_server/response.rs
+++ b/src/net/http_server/response.rs
@@ -1,35 +1,37 @@
-//! Responses in the form in which they are sent.
+//! Encodes HTTP responses.
 
 use super::socket::AfterSend;
 use std::io::Write;
 
-/// What a typical head takes.
-const HEAD_CAPACITY: usize = 160;
+/// The typical size of the status line and headers, used to allocate the buffer.
+const TYPICAL_HEAD_BYTES: usize = 160;
 
-pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// The interim response that permits a client to send the body.
+pub(super) const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
+/// A response before it is encoded.
 pub(super) struct Response<'a> {
     pub status: u16,
     pub body: &'a [u8],
-    /// Seconds after which the client should come back.
-    pub retry_after: Option<u64>,
+    /// The value of the `Retry-After` header, in seconds; the header is omitted if absent.
+    pub retry_after_s: Option<u64>,
     pub after: AfterSend,
-    /// Whether the request asks for the head alone.
+    /// Whether to omit the body, as for a `HEAD` request.
     pub head_only: bool,
 }
 
 impl Response<'_> {
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_CAPACITY + self.body.len());
-        // Writing to a vector does not fail.
+        let mut bytes = Vec::with_capacity(TYPICAL_HEAD_BYTES + self.body.len());
+        // Writing to a `Vec` cannot fail.
         let _ = write!(
             bytes,
             "HTTP/1.1 {} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.body.len()
         );
-        if let Some(seconds) = self.retry_after {
+        if let Some(seconds) = self.retry_after_s {
             let _ = write!(bytes, "Retry-After: {seconds}\r\n");
         }
         if self.after == AfterSend::Close {
@@ -43,7 +45,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/net/http_server/socket.rs
+++ b/src/net/http_server/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection, shared by the event loop, which reads, and by whoever answers a request.
+//! The socket of a connection. The event loop reads from it, and the thread that answers a request writes to it.
 
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
@@ -6,31 +6,33 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// What becomes of the connection once the bytes have been sent.
+/// What to do with the connection after the bytes have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterSend {
     KeepOpen,
     Close,
 }
 
-/// Bytes that have not been sent yet.
+/// The state of the sending direction.
 #[derive(Default)]
 struct Output {
+    /// Bytes that the socket has not accepted yet.
     pending: Vec<u8>,
-    /// Nothing follows the pending bytes.
+    /// The sending direction is shut down after the pending bytes.
     closing: bool,
+    /// A write has failed; nothing more is sent.
     failed: bool,
 }
 
-/// The socket with its output.
+/// The socket of a connection, with its unsent output.
 pub(super) struct ConnectionSocket {
     stream: TcpStream,
     output: Mutex<Output>,
     request_in_progress: AtomicBool,
 }
 
-/// Capacity that an empty output keeps.
-const KEPT_CAPACITY: usize = 256;
+/// The buffer capacity that is kept when no output is pending.
+const MAX_RETAINED_OUTPUT_BYTES: usize = 256;
 
 impl ConnectionSocket {
     pub fn new(stream: TcpStream) -> ConnectionSocket {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Whether a request of this connection has not been answered yet.
+    /// Whether a request of this connection is still unanswered.
     pub fn request_in_progress(&self) -> bool {
         self.request_in_progress.load(Ordering::Acquire)
     }
@@ -58,7 +60,7 @@
         (&self.stream).read(buffer)
     }
 
-    /// Sends bytes, or keeps them until the socket takes them.
+    /// Sends bytes. Those that the socket does not accept now are buffered and sent later.
     pub fn send(&self, bytes: &[u8], after: AfterSend) {
         let mut output = self.lock();
         output.pending.extend_from_slice(bytes);
@@ -66,7 +68,7 @@
         self.flush(&mut output);
     }
 
-    /// Sends what is pending, as far as the socket takes it.
+    /// Sends as many of the pending bytes as the socket accepts.
     pub fn send_pending(&self) {
         let mut output = self.lock();
         if !output.pending.is_empty() {
@@ -74,12 +76,12 @@
         }
     }
 
-    /// Whether the last response has been handed over.
+    /// Whether the connection's last response has been passed to [`ConnectionSocket::send`].
     pub fn is_closing(&self) -> bool {
         self.lock().closing
     }
 
-    /// Ends the connection at once.
+    /// Shuts the connection down in both directions, without sending pending bytes.
     pub fn shutdown(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -90,8 +92,9 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Sends what the socket takes now. The event loop sends the rest when it takes more: the lock is
-    /// held meanwhile, so its look at the rest comes after this.
+    /// Writes as many pending bytes as the socket accepts now. The event loop sends the rest once the socket is
+    /// writable again. The caller holds the lock on the output during the write, so the event loop sees the
+    /// remaining bytes.
     fn flush(&self, output: &mut Output) {
         let mut sent = 0;
         while sent < output.pending.len() && !output.failed {
@@ -108,7 +111,7 @@
             output.pending.clear();
             self.shutdown();
         } else if output.pending.is_empty() {
-            output.pending.shrink_to(KEPT_CAPACITY);
+            output.pending.shrink_to(MAX_RETAINED_OUTPUT_BYTES);
             if output.closing {
                 let _ = self.stream.shutdown(Shutdown::Write);
             }
--- a/src/net/request_parser/body.rs
+++ b/src/net/request_parser/body.rs
@@ -1,31 +1,32 @@
-//! Bodies of requests: of a stated length, or in chunks.
+//! Decodes request bodies: those with a `Content-Length`, and chunked ones.
 
 use super::{MalformedRequest, MAX_HEAD_BYTES};
 
-/// Chunks of one byte each are six bytes on the wire.
-const MAX_CHUNK_OVERHEAD: usize = 8;
+/// An upper bound of the encoded bytes per byte of a chunked body. A chunk of one byte takes six bytes.
+const MAX_ENCODED_BYTES_PER_BODY_BYTE: usize = 8;
 const LINE_END: &[u8] = b"\r\n";
 
-/// A body at the front of the input.
+/// The result of decoding the body at the start of the input.
 pub(super) enum Body {
     Complete {
+        /// The decoded body.
         bytes: Vec<u8>,
-        /// How many bytes of the input the body takes.
+        /// The number of input bytes that the encoded body takes.
         length: usize,
     },
     Incomplete {
-        /// How long the input must be at least before it is read again.
+        /// The minimum length of the input, in bytes, before decoding is worth another attempt.
         bytes_needed: usize,
     },
 }
 
-/// Reads a body of this length.
+/// Reads a body of `length` bytes, which is not encoded.
 pub(super) fn read_fixed(
     input: &[u8],
     length: usize,
-    limit: usize,
+    max_body_bytes: usize,
 ) -> Result<Body, MalformedRequest> {
-    if length > limit {
+    if length > max_body_bytes {
         return Err(MalformedRequest::BodyTooLong);
     }
     Ok(match input.get(..length) {
@@ -39,9 +40,10 @@
     })
 }
 
-/// Puts a body in chunks together.
-pub(super) fn read_chunked(input: &[u8], limit: usize) -> Result<Body, MalformedRequest> {
-    if input.len() > limit.saturating_mul(MAX_CHUNK_OVERHEAD) + MAX_HEAD_BYTES {
+/// Decodes a chunked body.
+pub(super) fn read_chunked(input: &[u8], max_body_bytes: usize) -> Result<Body, MalformedRequest> {
+    if input.len() > max_body_bytes.saturating_mul(MAX_ENCODED_BYTES_PER_BODY_BYTE) + MAX_HEAD_BYTES
+    {
         return Err(MalformedRequest::BodyTooLong);
     }
     let incomplete = Body::Incomplete {
@@ -50,7 +52,7 @@
     let mut bytes = Vec::new();
     let mut position = 0;
     loop {
-        let Some(chunk) = read_chunk(&input[position..], limit - bytes.len())? else {
+        let Some(chunk) = read_chunk(&input[position..], max_body_bytes - bytes.len())? else {
             return Ok(incomplete);
         };
         position += chunk.length;
@@ -68,16 +70,16 @@
     }
 }
 
-/// One chunk; an empty one is the last.
+/// One chunk. The last chunk of a body is empty.
 struct Chunk<'a> {
     bytes: &'a [u8],
-    /// How many bytes of the input the chunk takes with its size and line ends.
+    /// The number of input bytes that the chunk takes, including its size and line ends.
     length: usize,
 }
 
-/// The chunk at the front of the input. None: it is incomplete.
-fn read_chunk(input: &[u8], limit: usize) -> Result<Option<Chunk<'_>>, MalformedRequest> {
-    let (head, size) = match httparse::parse_chunk_size(input) {
+/// Reads the chunk at the start of the input. Returns `None` if it is incomplete.
+fn read_chunk(input: &[u8], max_chunk_bytes: usize) -> Result<Option<Chunk<'_>>, MalformedRequest> {
+    let (head_length, size) = match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete(found)) => found,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(MalformedRequest::BadChunk),
@@ -85,15 +87,15 @@
     if size == 0 {
         let chunk = Chunk {
             bytes: &[],
-            length: head,
+            length: head_length,
         };
         return Ok(Some(chunk));
     }
     let size = usize::try_from(size).unwrap_or(usize::MAX);
-    if size > limit {
+    if size > max_chunk_bytes {
         return Err(MalformedRequest::BodyTooLong);
     }
-    let end = head + size;
+    let end = head_length + size;
     let Some(line_end) = input.get(end..end + LINE_END.len()) else {
         return Ok(None);
     };
@@ -101,12 +103,12 @@
         return Err(MalformedRequest::BadChunk);
     }
     Ok(Some(Chunk {
-        bytes: &input[head..end],
+        bytes: &input[head_length..end],
         length: end + LINE_END.len(),
     }))
 }
 
-/// How long the trailers are, which are passed over, with the empty line after them. None: they are
+/// The length in bytes of the trailers, which are ignored, with the empty line after them. `None` if they are
 /// incomplete.
 fn trailers_length(input: &[u8]) -> Option<usize> {
     let mut position = 0;
--- a/src/net/request_parser/mod.rs
+++ b/src/net/request_parser/mod.rs
@@ -1,70 +1,70 @@
-//! Parsing of HTTP/1.1 requests, complete or in part, as they come from a connection.
+//! Parses HTTP/1.0 and HTTP/1.1 requests from the input of a connection, which may hold only a part of a request.
 
 use body::Body;
 
 mod body;
 
-/// The longest request line with its headers.
+/// A request line with headers that is still incomplete at this length, in bytes, is rejected.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Why input is no request. The text is answered with 400, and the connection ends.
+/// Why input is not a valid request. The text of the error is sent in the 400 response, and the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedRequest {
-    /// The input does not begin with a request line and headers.
+    /// The input does not start with a valid request line and headers, or has more than 64 headers.
     #[error("not HTTP")]
     NotHttp,
-    /// The head is longer than [`MAX_HEAD_BYTES`].
+    /// The request line with the headers is still incomplete at [`MAX_HEAD_BYTES`].
     #[error("the headers are too long")]
     HeadersTooLong,
-    /// The length is no number, or there are several.
+    /// The value of `Content-Length` is not a number, or several headers have different values.
     #[error("bad Content-Length")]
     BadContentLength,
-    /// Only `chunked` is supported.
+    /// The value of `Transfer-Encoding` is not `chunked`, the only supported one.
     #[error("unknown Transfer-Encoding")]
     UnknownTransferEncoding,
-    /// The length of the body is stated in two ways.
+    /// The request has both headers, so the length of its body is ambiguous.
     #[error("both Content-Length and Transfer-Encoding")]
     ConflictingLengths,
-    /// The body is longer than the limit.
+    /// The body, or the encoded form of a chunked one, is longer than its limit.
     #[error("the body is too long")]
     BodyTooLong,
-    /// A chunk has no size, or does not end after it.
+    /// A chunk does not start with a valid size, or is not followed by a line end.
     #[error("bad chunk")]
     BadChunk,
 }
 
-/// A request as far as it has come.
+/// The result of parsing the input.
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
-    /// More input is needed.
+    /// The input holds only a part of a request.
     Incomplete {
-        /// How long the input must be at least before it is parsed again.
+        /// The minimum length of the input, in bytes, before parsing is worth another attempt.
         bytes_needed: usize,
-        /// The client waits for leave to send the body.
+        /// Whether the client waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// The request is complete.
+    /// The input starts with a complete request.
     Complete(ParsedRequest),
 }
 
-/// A complete request at the front of the input.
+/// A complete request at the start of the input.
 #[derive(Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// The method's name.
+    /// The HTTP method, as sent.
     pub method: String,
-    /// The path without the query.
+    /// The path without the query string, not percent-decoded.
     pub path: String,
-    /// The whole body.
+    /// The decoded body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Whether the connection stays open after the response.
+    /// Whether the client expects the connection to stay open after the response.
     pub keep_alive: bool,
-    /// How many bytes of the input the request takes.
+    /// The number of input bytes that the request takes.
     pub length: usize,
 }
 
-/// Parses the request at the front of the input; its body may be no longer than `body_limit`.
-pub fn parse(input: &[u8], body_limit: usize) -> Result<Parsed, MalformedRequest> {
+/// Parses the request at the start of the input. Its decoded body may have at most `max_body_bytes` bytes.
+pub fn parse(input: &[u8], max_body_bytes: usize) -> Result<Parsed, MalformedRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(input) {
@@ -78,13 +78,13 @@
         Ok(httparse::Status::Partial) => return Err(MalformedRequest::HeadersTooLong),
         Err(_) => return Err(MalformedRequest::NotHttp),
     };
-    let (Some(method), Some(target), Some(version)) =
+    let (Some(method), Some(target), Some(minor_version)) =
         (request.method, request.path, request.version)
     else {
         return Err(MalformedRequest::NotHttp);
     };
-    let head = Head::new(request.headers, version)?;
-    match head.body(&input[head_length..], body_limit)? {
+    let head = Head::new(request.headers, minor_version)?;
+    match head.body(&input[head_length..], max_body_bytes)? {
         Body::Incomplete { bytes_needed } => Ok(Parsed::Incomplete {
             bytes_needed: head_length + bytes_needed,
             expects_continue: head.expects_continue,
@@ -99,7 +99,7 @@
     }
 }
 
-/// What the headers say of the body and the connection.
+/// The headers that determine the length of the body and the handling of the connection.
 struct Head {
     content_length: Option<usize>,
     chunked: bool,
@@ -108,12 +108,14 @@
 }
 
 impl Head {
-    fn new(headers: &[httparse::Header<'_>], version: u8) -> Result<Head, MalformedRequest> {
+    /// Reads the headers. `minor_version` is 0 for HTTP/1.0 and 1 for HTTP/1.1, which differ in the default of
+    /// `keep_alive`.
+    fn new(headers: &[httparse::Header<'_>], minor_version: u8) -> Result<Head, MalformedRequest> {
         let mut head = Head {
             content_length: None,
             chunked: false,
             expects_continue: false,
-            keep_alive: version == 1,
+            keep_alive: minor_version == 1,
         };
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
@@ -125,7 +127,7 @@
                 }
                 head.chunked = true;
             } else if header.name.eq_ignore_ascii_case("connection") {
-                head.set_connection_options(value, version);
+                head.set_connection_options(value, minor_version);
             } else if header.name.eq_ignore_ascii_case("expect") {
                 head.expects_continue = value.eq_ignore_ascii_case("100-continue");
             }
@@ -146,21 +148,21 @@
         }
     }
 
-    fn set_connection_options(&mut self, value: &str, version: u8) {
+    fn set_connection_options(&mut self, value: &str, minor_version: u8) {
         for option in value.split(',').map(str::trim) {
             if option.eq_ignore_ascii_case("close") {
                 self.keep_alive = false;
-            } else if option.eq_ignore_ascii_case("keep-alive") && version == 0 {
+            } else if option.eq_ignore_ascii_case("keep-alive") && minor_version == 0 {
                 self.keep_alive = true;
             }
         }
     }
 
-    fn body(&self, input: &[u8], limit: usize) -> Result<Body, MalformedRequest> {
+    fn body(&self, input: &[u8], max_body_bytes: usize) -> Result<Body, MalformedRequest> {
         if self.chunked {
-            body::read_chunked(input, limit)
+            body::read_chunked(input, max_body_bytes)
         } else {
-            body::read_fixed(input, self.content_length.unwrap_or(0), limit)
+            body::read_fixed(input, self.content_length.unwrap_or(0), max_body_bytes)
         }
     }
 }
