--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,9 +1,9 @@
 //! Cancellation of a job and its dependents.
 //!
-//! The outcome of the job itself is written first. Once it is durable, a new job that depends on it is accepted
-//! only as cancelled, so a later read of the index of live jobs shows all live dependents. If the dependents'
-//! outcomes fit into one transaction, the node that confirms the cancellation writes them; otherwise the leader
-//! does.
+//! The outcome of the job itself is written first. Once it is durable, a new job that depends on it is
+//! accepted only as cancelled, so a later read of the index of live jobs shows all live dependents. If the
+//! dependents' outcomes fit into one transaction, the node that confirms the cancellation writes them;
+//! otherwise the leader does.
 //!
 //! Invariant: a job is reported as cancelled only after all of its direct and indirect dependents have
 //! outcomes. After an outage between the two writes, no dependent is therefore reported as live while its
@@ -28,8 +28,8 @@
 /// The maximum number of attempts to write a job's outcome. An attempt is repeated if the outcome was changed
 /// concurrently or the result of the write is unknown.
 const MAX_ATTEMPTS: usize = 2;
-/// The maximum number of reads of the live index for one cascade. Each read after the first finds dependents
-/// that were accepted since the previous one.
+/// The maximum number of reads of the live index for one cascade. After dependents were cancelled, the index
+/// is read again to find those that were accepted since the previous read.
 const MAX_INDEX_READS: usize = 4;
 /// The time limit of looking up outcomes, including waits for the store's request rate.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -78,7 +78,8 @@
                 log::info!("cancelled job={job_id}");
                 return confirm_cancellation(context, &job_id);
             }
-            // The job ended in the meantime, or the result of the transaction is unknown: read the outcome again.
+            // The job ended in the meantime, or the result of the transaction is unknown: read the outcome
+            // again.
             Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {}
             Err(e) => return Err(e),
         }
@@ -94,8 +95,8 @@
     job_state(context, 200, job_id, outcome, CountsDetail::Omitted)
 }
 
-/// Writes the job's own outcome, and the mark that notifies the leader, which watches such keys. `revision` is
-/// the expected revision of the outcome's key.
+/// Writes the job's own outcome, and the mark that notifies the leader, which watches such keys. `revision`
+/// is the expected revision of the outcome's key.
 fn write_outcome(
     context: &ApiContext,
     job_id: &JobId,
@@ -162,8 +163,8 @@
     }
 }
 
-/// Returns those of these cancelled jobs whose cancellation is confirmed, so that it may be reported to users.
-/// Newly confirmed cancellations are recorded in the view.
+/// Returns those of these cancelled jobs whose cancellation is confirmed, so that it may be reported to
+/// users. Newly confirmed cancellations are recorded in the view.
 pub(super) fn confirmed_among(
     context: &ApiContext,
     cancelled: &BTreeSet<JobId>,
@@ -228,7 +229,7 @@
     roots: &BTreeSet<JobId>,
     mode: CascadeMode,
 ) -> Result<Cascade, StoreError> {
-    // The cancellation of these jobs was durable before the next read of the index begins.
+    // The jobs whose cancellation is durable before the next read of the index begins.
     let mut cancelled = roots.clone();
     let mut min_read_start = Instant::now();
     let mut found = Cascade::default();
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -71,9 +71,9 @@
 /// Notifies the leader of cancellations.
 pub trait CancellationNotifier: Send + Sync {
     /// Notifies the leader that these jobs are durably cancelled, before the cancellation is confirmed to the
-    /// user. Without it, a leader that cannot reach the key-value store would keep running the jobs' tasks and
-    /// start new ones. Delivery is not guaranteed: a leader that was not notified reads the cancellations from
-    /// this node later, or stops answering heartbeats (`core::leadership::cancellation_watermark`).
+    /// user. Without it, a leader that cannot reach the key-value store would keep running the jobs' tasks
+    /// and start new ones. Delivery is not guaranteed: a leader that was not notified reads the cancellations
+    /// from this node later, or stops answering heartbeats (`core::leadership::cancellation_watermark`).
     fn notify_leader(&self, job_ids: &[JobId]);
 }
 
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -1,8 +1,8 @@
 //! Finds the dependents of a job by reading the index of live jobs.
 //!
 //! The transaction that accepts a job writes its record to the index, and the record names the job's
-//! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read of
-//! the index that begins after that therefore shows all of its live dependents.
+//! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read
+//! of the index that begins after that therefore shows all of its live dependents.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -1,8 +1,8 @@
 //! Users' status queries, answered in batches.
 //!
 //! Queries that arrive while others are in progress wait in a bounded queue and share the next call to the
-//! key-value store. Each is answered from a read that began after the query arrived, or from a final outcome in
-//! memory. If this node cannot reach the store, it asks a peer.
+//! key-value store. Each is answered from a read that began after the query arrived, or from a final outcome
+//! in memory. If this node cannot reach the store, it asks a peer.
 
 use crate::api::cancellation;
 use crate::api::context::ApiContext;
@@ -35,8 +35,8 @@
 #[derive(Default)]
 struct Lookup {
     found: HashMap<JobId, JobRecordStatus>,
-    /// Why some jobs are missing from `found`. `None` if the lookup was complete, or if jobs were left out only
-    /// because their cancellation is not confirmed.
+    /// Why some jobs are missing from `found`. `None` if the lookup was complete, or if jobs were left out
+    /// only because their cancellation is not confirmed.
     error: Option<StoreError>,
 }
 
@@ -196,8 +196,8 @@
     error
 }
 
-/// Asks a peer that can reach the key-value store, and caches its answers in the view. Returns the statuses that
-/// the peer could determine; none if there is no such peer or the call fails.
+/// Asks a peer that can reach the key-value store, and caches its answers in the view. Returns the statuses
+/// that the peer could determine; none if there is no such peer or the call fails.
 fn ask_peer(context: &ApiContext, job_ids: &[&JobId]) -> HashMap<JobId, JobRecordStatus> {
     let mut found = HashMap::new();
     let Some(peer) = context.peer_with_store() else {
@@ -221,8 +221,9 @@
     found
 }
 
-/// Answers a peer's status queries, one result per job id in `names`, in the same order. They are not forwarded
-/// to another peer. Invalid ids and jobs whose status could not be determined are answered as unknown.
+/// Answers a peer's status queries, one result per job id in `names`, in the same order. They are not
+/// forwarded to another peer. Invalid ids and jobs whose status could not be determined are answered as
+/// unknown.
 pub fn answer_peer(context: &ApiContext, names: &[String]) -> Vec<PeerJobStatus> {
     let job_ids: Vec<Option<JobId>> = names.iter().map(|name| JobId::parse(name)).collect();
     let deadline = Instant::now() + PEER_LOOKUP_TIMEOUT;
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -263,14 +263,14 @@
     record.keep_dependencies(&live_dependencies, listed);
     let mut conditions = new_job_conditions(job_id);
     let max_dependencies = limits.conditions() - conditions.len();
-    // A transaction has room for this many conditions only. The leader detects the end of the other
-    // dependencies.
+    // The number of conditions in a transaction is limited. The leader detects the end of the dependencies
+    // that are not checked here.
     let checked = live_dependencies.iter().take(max_dependencies);
     conditions.extend(checked.map(|dependency| KeyCondition::absent(outcome_key(dependency))));
     Ok(prepare_job(spec, record, conditions))
 }
 
-/// Accepts a job that depends on a cancelled one, and cancels it in the same transaction. It has no
+/// Accepts a job that depends on a cancelled one as cancelled, by writing only its outcome. It has no
 /// dependents that would have to be cancelled too, because no job can depend on it yet.
 fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
     let conditions = new_job_conditions(job_id);
--- a/src/api/user_requests.rs
+++ b/src/api/user_requests.rs
@@ -1,9 +1,9 @@
-//! Handles submissions and cancellations at this node, or forwards them to a peer that can reach the key-value
-//! store.
+//! Handles submissions and cancellations at this node, or forwards them to a peer that can reach the
+//! key-value store.
 //!
-//! A request is forwarded at most once. A forwarded request may be executed twice, at this node and at the peer.
-//! That is safe because submissions and cancellations are idempotent: the conditions of the second transaction
-//! fail, and the handler then finds the result of the first.
+//! A request is forwarded at most once. A forwarded request may be executed twice, at this node and at the
+//! peer. That is safe because submissions and cancellations are idempotent: the conditions of the second
+//! transaction fail, and the handler then finds the result of the first.
 
 use crate::api::cancellation;
 use crate::api::context::ApiContext;
@@ -17,8 +17,8 @@
 use crossbeam::channel::Receiver;
 use std::time::Duration;
 
-/// A user's request older than this is not handled but refused, because its user waits no longer. Users wait 2 s for the response to a status query, and
-/// 5 s for the response to a submission.
+/// A user's request older than this is not handled but refused, because its user waits no longer. Users wait
+/// 2 s for the response to a status query, and 5 s for the response to a submission.
 pub(super) const MAX_USER_REQUEST_AGE: Duration = Duration::from_millis(1800);
 /// The time limit of one call to the key-value store.
 pub(super) const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -55,8 +55,8 @@
     }
 }
 
-/// Handles a request that a peer forwarded. It is not forwarded again: the response is 503 if this node cannot
-/// reach the key-value store or its rate is exhausted.
+/// Handles a request that a peer forwarded. It is not forwarded again: the response is 503 if this node
+/// cannot reach the key-value store or its rate is exhausted.
 pub fn handle_for_peer(context: &ApiContext, method: &str, path: &str, body: &[u8]) -> ApiResponse {
     match handle_locally(context, method, path, body) {
         Ok(response) => response,
--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -32,9 +32,11 @@
     bytes_needed: usize,
     /// `100 Continue` was sent for the current request, which has an `Expect: 100-continue` header.
     continue_sent: bool,
-    /// The request in progress or answered last is the last one of this connection. Further input is discarded.
+    /// The request in progress or answered last is the last one of this connection. Further input is
+    /// discarded.
     closing: bool,
-    /// The client has closed its sending direction, reading has failed, or the client has sent too much input.
+    /// The client has closed its sending direction, reading has failed, or the client has sent too much
+    /// input.
     disconnected: bool,
     last_read_at: Instant,
     /// When the first part of an incomplete request was parsed. `None` while there is no incomplete request.
@@ -48,7 +50,7 @@
     Nothing,
     Close,
     /// The input may hold a complete request that arrived while the previous one was in progress.
-    ParseBufferedRequest,
+    ParseInput,
     /// The client has not completed its request within [`REQUEST_COMPLETION_TIMEOUT`].
     TimeOut,
 }
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Removes the next complete request from the input and returns it. Returns none while the previous request is
-    /// in progress. Answers malformed input with 400.
+    /// Removes the next complete request from the input and returns it. Returns none while the previous
+    /// request is in progress. Answers malformed input with 400.
     pub fn next_request(
         &mut self,
         max_body_bytes: usize,
@@ -219,7 +221,7 @@
         } else if closing {
             SweepAction::Nothing
         } else if self.input.len() >= self.bytes_needed {
-            SweepAction::ParseBufferedRequest
+            SweepAction::ParseInput
         } else if self.request_started_at.is_some_and(timed_out) {
             SweepAction::TimeOut
         } else {
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -15,8 +15,8 @@
 
 /// The interval of the checks of all connections for timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The wait before the next attempt if accepting a connection or polling fails, for instance because the process
-/// has no free sockets, or if the connection limit is reached.
+/// The wait before the next attempt if accepting a connection or polling fails, for instance because the
+/// process has no free sockets, or if the connection limit is reached.
 const ERROR_BACKOFF: Duration = Duration::from_millis(100);
 /// The maximum number of idle connections that are closed at once to make room for new ones.
 const MAX_EVICTIONS_AT_ONCE: usize = 16;
@@ -78,8 +78,8 @@
             if self.accept_again_at.is_some_and(|t| now >= t) {
                 self.accept(now);
             }
-            // The sweep follows the reads: after a pause of the process, input that waited in the sockets must be
-            // read before clients are checked for timeouts.
+            // The sweep follows the reads: after a pause of the process, input that waited in the sockets
+            // must be read before clients are checked for timeouts.
             if now >= self.next_sweep {
                 self.next_sweep = now + SWEEP_INTERVAL;
                 self.sweep(now, &mut requests);
@@ -213,15 +213,15 @@
             match connection.sweep(self.limits.idle, now) {
                 SweepAction::Nothing => {}
                 SweepAction::Close => self.close(slot),
-                SweepAction::ParseBufferedRequest => self.take_request(slot, now, requests),
+                SweepAction::ParseInput => self.take_request(slot, now, requests),
                 SweepAction::TimeOut => connection.time_out(&self.load, now),
             }
         }
     }
 }
 
-/// Whether an error of `accept` concerns only this call or one connection, so that the next one can be accepted
-/// at once.
+/// Whether an error of `accept` concerns only this call or one connection, so that the next one can be
+/// accepted at once.
 fn is_retryable_accept_error(error: &std::io::Error) -> bool {
     matches!(
         error.kind(),
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 server. One thread accepts connections, reads from all of them, and parses requests. It passes
 //! complete requests to a handler, and any thread may send the response.
 //!
-//! Each of thousands of workers keeps a connection open, and a single node may have to serve all of them for a
-//! while. One thread per connection would exceed the process's thread limit. Here an idle or slow client uses
-//! only a socket and a few hundred bytes.
+//! Each of thousands of workers keeps a connection open, and a single node may have to serve all of them for
+//! a while. One thread per connection would exceed the process's thread limit. Here an idle or slow client
+//! uses only a socket and a few hundred bytes.
 //!
 //! Invariants: a connection has at most one request in progress, so responses are sent in the order of the
 //! requests. Every request is answered; one that is dropped without a response gets 503. The number of open
@@ -34,8 +34,9 @@
     pub idle: Duration,
 }
 
-/// Serves `listener` until `stop` is given. `handle` runs on the server's thread and receives the requests that
-/// were read in one iteration of the event loop; it must not block. Fails if the listener cannot be polled.
+/// Serves `listener` until `stop` is given. `handle` runs on the server's thread and receives the requests
+/// that were read in one iteration of the event loop; it must not block. Fails if the listener cannot be
+/// polled.
 pub fn serve(
     listener: std::net::TcpListener,
     limits: Limits,
--- a/src/net/http_server/request.rs
+++ b/src/net/http_server/request.rs
@@ -44,8 +44,8 @@
         self.send(status, body, retry_after_s, after);
     }
 
-    /// Answers 503 with a retry time of 1 s, because the request has waited for so long that a response would be
-    /// too late.
+    /// Answers 503 with a retry time of 1 s, because the request has waited for so long that a response would
+    /// be too late.
     pub fn reject_stale(&mut self) {
         self.reject_unavailable();
     }
@@ -75,7 +75,8 @@
             head_only: self.method == "HEAD",
         };
         let bytes = response.encode();
-        // This precedes the response because the client may send its next request as soon as it has the response.
+        // This precedes the response because the client may send its next request as soon as it has the
+        // response.
         socket.end_request();
         socket.send(&bytes, after);
     }
--- a/src/net/http_server/socket.rs
+++ b/src/net/http_server/socket.rs
@@ -1,4 +1,5 @@
-//! The socket of a connection. The event loop reads from it, and the thread that answers a request writes to it.
+//! The socket of a connection. The event loop reads from it, and the thread that answers a request writes to
+//! it.
 
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
@@ -92,9 +93,9 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Writes as many pending bytes as the socket accepts now. The event loop sends the rest once the socket is
-    /// writable again. The caller holds the lock on the output during the write, so the event loop sees the
-    /// remaining bytes.
+    /// Writes as many pending bytes as the socket accepts now. The event loop sends the rest once the socket
+    /// is writable again. The caller holds the lock on the output during the write, so the event loop sees
+    /// the remaining bytes.
     fn flush(&self, output: &mut Output) {
         let mut sent = 0;
         while sent < output.pending.len() && !output.failed {
--- a/src/net/request_parser/mod.rs
+++ b/src/net/request_parser/mod.rs
@@ -1,4 +1,5 @@
-//! Parses HTTP/1.0 and HTTP/1.1 requests from the input of a connection, which may hold only a part of a request.
+//! Parses HTTP/1.0 and HTTP/1.1 requests from the input of a connection, which may hold only a part of a
+//! request.
 
 use body::Body;
 
@@ -8,7 +9,8 @@
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// Why input is not a valid request. The text of the error is sent in the 400 response, and the connection is closed.
+/// Why input is not a valid request. The text of the error is sent in the 400 response, and the connection is
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedRequest {
     /// The input does not start with a valid request line and headers, or has more than 64 headers.
@@ -108,8 +110,8 @@
 }
 
 impl Head {
-    /// Reads the headers. `minor_version` is 0 for HTTP/1.0 and 1 for HTTP/1.1, which differ in the default of
-    /// `keep_alive`.
+    /// Reads the headers. `minor_version` is 0 for HTTP/1.0 and 1 for HTTP/1.1, which differ in the default
+    /// of `keep_alive`.
     fn new(headers: &[httparse::Header<'_>], minor_version: u8) -> Result<Head, MalformedRequest> {
         let mut head = Head {
             content_length: None,
