--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -21,7 +21,7 @@
 
 /// The settings that the API uses.
 pub struct ApiConfig {
-    /// The teams that may submit jobs, with their limits.
+    /// The teams that may submit jobs, with their guarantees and limits.
     pub teams: Vec<Team>,
     /// New jobs are refused while this many jobs or more are live.
     pub max_live_jobs: usize,
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -19,7 +19,7 @@
     pub status: u16,
     /// The body, encoded as MessagePack; may be empty.
     pub body: Vec<u8>,
-    /// The value of the `Retry-After` header, in seconds; absent if the client should not retry.
+    /// The value of the `Retry-After` header, in seconds. `None` omits the header.
     pub retry_after: Option<u64>,
 }
 
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -118,7 +118,7 @@
 
 /// Answers requests that need no other thread, and queues the others.
 fn dispatch(context: &ApiContext, requests: Vec<Request>, queues: &Queues) {
-    // The pause detector recognizes a pause only if it is checked often. The listener's thread wakes up at
+    // The pause detector recognises a pause only if it is checked often. The listener's thread wakes up at
     // least twice a second and calls this function whenever requests have arrived, so this is one of the
     // checks.
     let just_resumed = context.just_resumed();
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -35,8 +35,8 @@
 #[derive(Default)]
 struct Lookup {
     found: HashMap<JobId, JobRecordStatus>,
-    /// Why some jobs are missing from `found`. `None` if the lookup was complete, or if jobs were left out
-    /// only because their cancellation is not confirmed.
+    /// The error of a call to the key-value store, because of which jobs may be missing from `found`. Without
+    /// an error, cancelled jobs are still missing if their cancellation is not confirmed.
     error: Option<StoreError>,
 }
 
@@ -51,7 +51,7 @@
             ReadPurpose::StatusQuery,
             deadline,
         );
-        // Queries that arrive while the store's request rate is exhausted join this batch.
+        // Queries that arrive during this wait for the store's request rate join the batch.
         if context.view.store_ok(Instant::now()) {
             reader.wait_for_budget();
         }
@@ -67,7 +67,7 @@
     for (job_id, requests) in by_job {
         let status = found.get(&job_id).copied();
         for request in requests {
-            // If the process was paused in the meantime, the status may be outdated.
+            // A query is stale here if the process was paused during the lookup. Its status may be outdated.
             let response = match status {
                 Some(status) if !is_stale(&request) => status_response(context, &job_id, status),
                 _ => unavailable(context),
--- a/src/api/submission_fairness.rs
+++ b/src/api/submission_fairness.rs
@@ -37,7 +37,7 @@
 impl SubmissionFairness {
     /// Counts one submission of `team`. Returns the share of the capacity of the node's bucket of user
     /// changes, from 0 to 1, that this submission must leave to others: 0 unless the team is flooding.
-    /// A team that is the only one with submissions never is.
+    /// A team never counts as flooding while no other team has sent a submission to this node.
     #[must_use]
     pub fn reserved_share_for(&self, team: &TeamName, now: Instant) -> f64 {
         let mut recent = self
