--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -286,7 +286,7 @@
     match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT) {
         Ok(TransactionOutcome::Applied { .. }) => {
             for job_id in dependents {
-                log::info!("cancelled with a dependency job={job_id}");
+                log::info!("job cancelled because a dependency was cancelled job={job_id}");
             }
             Ok(DependentsWrite::Attempted)
         }
