--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -81,10 +81,12 @@
             (s.config.lease, s.config.cancel) = (lease, cancel_bound);
         }))
     });
-    until("one leads", || nodes.iter().flatten().find_map(leads));
+    until("one leads", || {
+        nodes.iter().flatten().find_map(leading_term)
+    });
     let confirming = nodes
         .iter()
-        .position(|n| n.as_ref().is_some_and(|n| leads(n).is_none()))
+        .position(|n| n.as_ref().is_some_and(|n| leading_term(n).is_none()))
         .expect("a follower");
     let [a, b] = [
         cluster.members[confirming].1,
@@ -141,7 +143,7 @@
     let cluster = TestCluster::new(1);
     let node = cluster.start(0);
     let address = cluster.members[0].1;
-    until("one leads", || leads(&node));
+    until("one leads", || leading_term(&node));
     submit(address, "wk-000600", 1);
     cluster.store.queue_watch_held.store(true, Ordering::SeqCst);
     submit_depending_on(address, "wk-000601", &["wk-000600"]);
@@ -167,7 +169,7 @@
     let cluster = TestCluster::new(1);
     let node = cluster.start(0);
     let address = cluster.members[0].1;
-    until("one leads", || leads(&node));
+    until("one leads", || leading_term(&node));
     submit(address, "wk-000620", 1);
     cluster.store.put(
         "d/wk-000620",
@@ -209,7 +211,7 @@
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
-    until("one leads", || nodes.iter().find_map(leads));
+    until("one leads", || nodes.iter().find_map(leading_term));
     submit(a, "wk-000500", 1);
     let submit_some = |node: SocketAddr, first: u32| {
         let mut accepted = Vec::new();
@@ -330,10 +332,12 @@
                 let mut nodes = [Some(cluster.start(0)), Some(cluster.start(1))];
                 let worker =
                     FakeWorker::start("i-1", Duration::from_millis(300), cluster.members.clone());
-                until("one leads", || nodes.iter().flatten().find_map(leads));
+                until("one leads", || {
+                    nodes.iter().flatten().find_map(leading_term)
+                });
                 let leading = nodes
                     .iter()
-                    .position(|n| n.as_ref().is_some_and(|n| leads(n).is_some()))
+                    .position(|n| n.as_ref().is_some_and(|n| leading_term(n).is_some()))
                     .expect("a leader");
                 let other = cluster.members[1 - leading].1;
                 worker.set_run_time(Duration::from_secs(600));
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -158,7 +158,7 @@
         let orders = |segment: Option<usize>| {
             let workers = self.workers.iter().enumerate();
             let workers = workers.filter(|(n, _)| segment.is_none_or(|s| n % 2 == s));
-            let mut times: Vec<Instant> = workers.flat_map(|(_, w)| w.orders()).collect();
+            let mut times: Vec<Instant> = workers.flat_map(|(_, w)| w.command_times()).collect();
             times.retain(|t| *t >= from);
             times
         };
--- a/tests/end_to_end/failover.rs
+++ b/tests/end_to_end/failover.rs
@@ -16,7 +16,7 @@
     let worker = FakeWorker::start("i-1", Duration::from_secs(6), cluster.members.clone());
     submit(cluster.members[0].1, "wk-000002", 2);
     until("started", || (worker.running() == 2).then_some(()));
-    let leading = |s: &Option<Service>| s.as_ref().and_then(leads).is_some();
+    let leading = |s: &Option<Service>| s.as_ref().and_then(leading_term).is_some();
     let leader = nodes.iter().position(leading).expect("one leads");
     if let Some(n) = nodes[leader].take() {
         n.stop();
@@ -39,7 +39,7 @@
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     submit(cluster.members[0].1, "wk-000007", 2);
     until("started", || (worker.running() == 2).then_some(()));
-    let term = until("it leads", || leads(&early));
+    let term = until("it leads", || leading_term(&early));
     // The earlier process hangs, cut off: its lease is still good, and it believes that it leads.
     let hanging = cluster.store_links[0].clone();
     hanging.partition();
@@ -47,14 +47,14 @@
     cluster.members[0].1 = free_port();
     cluster.peers[0] = free_port();
     let late = cluster.start(0);
-    let next = until("the next life leads", || leads(&late));
+    let next = until("the next life leads", || leading_term(&late));
     assert!(next > term, "a term of its own");
     // What the earlier process still had to write fails on the revision, and it notices.
     hanging.heal();
     until("the early life gives up", || {
-        leads(&early).is_none().then_some(())
+        leading_term(&early).is_none().then_some(())
     });
-    assert_eq!(leads(&late), Some(next));
+    assert_eq!(leading_term(&late), Some(next));
     let address = cluster.members[0].1;
     until("known to the next life", || {
         phase(address, "wk-000007").filter(|p| p == "queued" || p == "running")
@@ -75,7 +75,7 @@
     first.stop();
     cluster.store.unanswered_reads.store(3, Ordering::SeqCst);
     let second = cluster.start(1);
-    until("it leads", || leads(&second));
+    until("it leads", || leading_term(&second));
     let since = Instant::now();
     until("it has loaded", || second.context.view.read().loaded_term);
     assert!(
--- a/tests/end_to_end/jobs.rs
+++ b/tests/end_to_end/jobs.rs
@@ -83,7 +83,7 @@
     let nodes = [cluster.start(0), cluster.start(1)];
     let worker = FakeWorker::start("i-1", Duration::from_millis(300), cluster.members.clone());
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
-    until("one leads", || nodes.iter().find_map(leads));
+    until("one leads", || nodes.iter().find_map(leading_term));
     submit(a, "wk-000200", 1);
     let post = |node, job_id: &str, dependencies: &[&str]| {
         let body = submission_depending_on(job_id, dependencies);
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -11,8 +11,8 @@
 fn a_leader_partitioned_from_store_and_peers_starts_nothing_and_releases_its_workers() {
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
-    until("one leads", || nodes.iter().find_map(leads));
-    let old = nodes.iter().position(|n| leads(n).is_some());
+    until("one leads", || nodes.iter().find_map(leading_term));
+    let old = nodes.iter().position(|n| leading_term(n).is_some());
     let old = old.expect("one leads");
     // The worker sends its heartbeats to the leader itself: by way of the other node, the old leader would hear
     // nothing more of it, and nothing of the next term.
@@ -25,7 +25,7 @@
     until("started", || (worker.running() == 2).then_some(()));
     let heartbeats = nodes[old].context.workers.any(Instant::now());
     assert!(heartbeats, "the worker reports to the leader");
-    let term = leads(&nodes[old]).expect("its term");
+    let term = leading_term(&nodes[old]).expect("its term");
     let (cut_off, other) = (cluster.members[old].1, cluster.members[1 - old].1);
     cluster.partition(old);
     // Its users are told to come back, for what is new and for what is known.
@@ -36,7 +36,7 @@
         (new == 503 && known == 503).then_some(())
     });
     until("the other leads", || {
-        leads(&nodes[1 - old]).filter(|t| *t > term)
+        leading_term(&nodes[1 - old]).filter(|t| *t > term)
     });
     // The new leader's token reaches the worker.
     until("the worker knows the next term", || {
@@ -45,8 +45,8 @@
     // Its next heartbeat there ends the old leadership. It may send them to the other node by now, so one
     // is sent to the old leader.
     until("the old leader gives up", || {
-        worker.heartbeat_to(cut_off);
-        leads(&nodes[old]).is_none().then_some(())
+        worker.send_heartbeat_to(cut_off);
+        leading_term(&nodes[old]).is_none().then_some(())
     });
     submit(other, "wk-000006", 1);
     until("the others serve on", || {
@@ -70,9 +70,9 @@
     let nodes = [cluster.start(0), cluster.start(1)];
     submit(cluster.members[0].1, "wk-000007", 1);
     let follower = until("one leads", || {
-        nodes.iter().position(|n| leads(n).is_none())
+        nodes.iter().position(|n| leading_term(n).is_none())
     });
-    until("the other one too", || leads(&nodes[1 - follower]));
+    until("the other one too", || leading_term(&nodes[1 - follower]));
     cluster.store_links[follower].partition();
     let refused = cluster.members[follower].1;
     // Its health says so, since its peer can serve what it cannot.
@@ -105,7 +105,7 @@
 fn a_node_with_stale_knowledge_names_no_leader() {
     let cluster = TestCluster::new(3);
     let nodes: Vec<Service> = (0..3).map(|n| cluster.start(n)).collect();
-    let leader = |n: &Service| leads(n).is_some();
+    let leader = |n: &Service| leading_term(n).is_some();
     let old = until("one leads", || nodes.iter().position(leader));
     let (follower, third) = ((old + 1) % 3, (old + 2) % 3);
     let knows = |n: usize| {
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -124,13 +124,13 @@
         let nodes = [cluster.start(0), cluster.start(1)];
         let _worker = FakeWorker::start("i-1", Duration::from_millis(400), cluster.members.clone());
         let addresses = [cluster.members[0].1, cluster.members[1].1];
-        until("one leads", || nodes.iter().find_map(leads));
+        until("one leads", || nodes.iter().find_map(leading_term));
         submit(addresses[0], "wk-000900", 1);
         until("it ends", || {
             (phase(addresses[1], "wk-000900")? == "done").then_some(())
         });
         if refused {
-            let follower = nodes.iter().position(|n| leads(n).is_none());
+            let follower = nodes.iter().position(|n| leading_term(n).is_none());
             cluster.store_links[follower.expect("a follower")].partition();
             // Until it knows that the store does not answer it.
             std::thread::sleep(Duration::from_secs(4));
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -27,7 +27,7 @@
         (lost == [503, 503]).then_some(())
     });
     // The leader goes during the outage.
-    let leader = nodes.iter().position(|n| leads(n).is_some());
+    let leader = nodes.iter().position(|n| leading_term(n).is_some());
     let leader = leader.expect("it leads on");
     cluster.store_links[leader].partition();
     for l in &cluster.peer_links {
@@ -67,7 +67,7 @@
     let nodes = [cluster.start(0), cluster.start(1)];
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
-    until("one leads", || nodes.iter().find_map(leads));
+    until("one leads", || nodes.iter().find_map(leading_term));
     submit(a, "wk-000100", 1);
     until("started", || (worker.running() == 1).then_some(()));
     let late = Fault::Late(Duration::from_millis(2500));
@@ -196,7 +196,7 @@
     submit(cluster.members[1].1, "wk-000002", 1);
     until("started", || (worker.running() == 2).then_some(()));
     worker.set_lease(lease);
-    let leading = |n: &Option<Service>| n.as_ref().is_some_and(|n| leads(n).is_some());
+    let leading = |n: &Option<Service>| n.as_ref().is_some_and(|n| leading_term(n).is_some());
     let old = nodes.iter().position(leading).expect("one leads");
     // The peers have come to know each other's frames, and words go on from words.
     until("a watermark that peers keep", || {
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -92,7 +92,7 @@
     let earlier = EarlierNode {
         store: &cluster.store,
     };
-    until("it leads", || leads(&node));
+    until("it leads", || leading_term(&node));
     let wait_for_phase = |job_id: &str, expected: &str| {
         until(job_id, || {
             (phase(address, job_id)? == expected).then_some(())
@@ -155,7 +155,7 @@
     cluster.members[0].1 = free_port();
     cluster.peers[0] = free_port();
     let next = cluster.start(0);
-    until("it leads again", || leads(&next));
+    until("it leads again", || leading_term(&next));
     let fresh = FakeWorker::start("i-2", Duration::from_millis(200), cluster.members.clone());
     until("the last of the chain runs", || {
         let starts = [worker.starts(), fresh.starts()].concat();
--- a/tests/fakes/cloud.rs
+++ b/tests/fakes/cloud.rs
@@ -1,4 +1,4 @@
-//! A fake cloud.
+//! A fake of the cloud API, with one machine type. It has no capacity: every request to rent is refused.
 
 use super::http::serve;
 use super::value::{map, text, Value};
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use tiny_http::Method;
 
-/// Machines that the cloud lists as running: name and endpoint.
+/// The machines that the cloud lists as running, each with its name and its endpoint. Tests add machines.
 pub type CloudListing = Arc<Mutex<Vec<(String, String)>>>;
 
-/// The cloud: one machine type, and the machines that the test starts itself and lists.
+/// Starts the fake and returns its address. It lists the machines in `listed`, whose workers the test starts.
 pub fn start_cloud(listed: CloudListing) -> SocketAddr {
     serve(move |method, url, _| match (method, url) {
         (Method::Get, "/machine_types") => {
-            let kind = map([
+            let machine_type = map([
                 ("Name", text("m8")),
                 ("Vcpus", Value::Float(8.0)),
                 ("Gpus", Value::Float(0.0)),
@@ -25,10 +25,10 @@
                 ("BootS", Value::Float(30.0)),
                 ("Sites", Value::List(vec![text("hall-a")])),
             ]);
-            (200, map([("HostTypes", Value::List(vec![kind]))]))
+            (200, map([("HostTypes", Value::List(vec![machine_type]))]))
         }
         (Method::Get, _) => {
-            let machines = listed.lock().expect("the list");
+            let machines = listed.lock().expect("the lock of the cloud listing");
             let machines = machines.iter().map(|(name, endpoint)| {
                 map([
                     ("Uid", text(name)),
--- a/tests/fakes/link.rs
+++ b/tests/fakes/link.rs
@@ -1,46 +1,51 @@
-//! Network paths that a test can partition.
+//! TCP proxies by which a test partitions the network.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A network path to one address that can be partitioned: open connections then end, new ones are
-/// refused.
+/// A TCP proxy to one address. While it is partitioned, it forwards nothing and closes new connections at
+/// once.
 #[derive(Clone)]
 pub struct Link {
+    /// Where the proxy listens.
     pub address: SocketAddr,
     partitioned: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Link {
-    /// A link to this address, open.
+    /// Starts a proxy to this address, not partitioned.
     pub fn to(target: SocketAddr) -> Link {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a link listens");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the proxy listens");
         let link = Link {
-            address: listener.local_addr().expect("its address"),
+            address: listener.local_addr().expect("the proxy has an address"),
             partitioned: Arc::default(),
-            open: Arc::default(),
+            open_streams: Arc::default(),
         };
-        let accepting = link.clone();
+        let proxy = link.clone();
         std::thread::spawn(move || {
-            for from in listener.incoming().flatten() {
-                if accepting.partitioned.load(Ordering::SeqCst) {
+            for client in listener.incoming().flatten() {
+                if proxy.partitioned.load(Ordering::SeqCst) {
                     continue;
                 }
-                let Ok(to) = TcpStream::connect(target) else {
+                let Ok(server) = TcpStream::connect(target) else {
                     continue;
                 };
-                for (a, b) in [(&from, &to), (&to, &from)] {
-                    let (Ok(mut a), Ok(mut b), Ok(kept)) =
-                        (a.try_clone(), b.try_clone(), a.try_clone())
+                for (source, sink) in [(&client, &server), (&server, &client)] {
+                    let (Ok(mut source), Ok(mut sink), Ok(kept)) =
+                        (source.try_clone(), sink.try_clone(), source.try_clone())
                     else {
                         continue;
                     };
-                    accepting.open.lock().expect("the link").push(kept);
+                    proxy
+                        .open_streams
+                        .lock()
+                        .expect("the lock of the streams")
+                        .push(kept);
                     std::thread::spawn(move || {
-                        let _ = std::io::copy(&mut a, &mut b);
-                        let _ = b.shutdown(Shutdown::Both);
+                        let _ = std::io::copy(&mut source, &mut sink);
+                        let _ = sink.shutdown(Shutdown::Both);
                     });
                 }
             }
@@ -48,14 +53,20 @@
         link
     }
 
-    /// Ends all open connections, and refuses new ones until `heal`.
+    /// Closes all open connections, and each new one at once, until `heal` is called.
     pub fn partition(&self) {
         self.partitioned.store(true, Ordering::SeqCst);
-        for stream in self.open.lock().expect("the link").drain(..) {
+        for stream in self
+            .open_streams
+            .lock()
+            .expect("the lock of the streams")
+            .drain(..)
+        {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
+    /// Accepts and forwards connections again.
     pub fn heal(&self) {
         self.partitioned.store(false, Ordering::SeqCst);
     }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,5 +1,6 @@
-//! Fakes of the key-value store, the cloud and workers, by their published protocol, on loopback. They
-//! serve the end-to-end tests and implement just what those need.
+//! Fakes of the key-value store, the cloud API and the workers, for the end-to-end tests.
+//!
+//! They listen on loopback and implement the parts of the published protocols that these tests use.
 
 mod cloud;
 mod http;
--- a/tests/fakes/process.rs
+++ b/tests/fakes/process.rs
@@ -1,17 +1,20 @@
-//! Whole nodes as processes of their own, which are killed without a signal that they could answer.
+//! Controllers as separate processes. They are ended by SIGKILL, so that none can shut down in order.
 
 use super::test_cluster::TestCluster;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A controller process. It is killed when this goes.
+/// A controller process. It is killed when this value is dropped.
 pub struct NodeProcess {
     child: Child,
+    /// Its settings files, which are removed when this value is dropped.
     files: Vec<PathBuf>,
 }
 
 impl NodeProcess {
-    /// Node `n` of a site, with the platform's settings edited and these operators' settings.
+    /// Starts node `n` of the cluster. `edit` changes the platform's settings, a TOML text; `operators` is the
+    /// text of the operators' settings. The program is the build under test, or the one that `NODE_PROGRAM`
+    /// names.
     pub fn start(
         cluster: &TestCluster,
         n: usize,
@@ -25,31 +28,32 @@
             cluster.members[n].1.port()
         );
         let config = folder.join(format!("{name}.toml"));
-        let own = folder.join(format!("{name}.lisp"));
-        std::fs::write(&config, edit(cluster.config(n))).expect("the settings are written");
-        std::fs::write(&own, operators).expect("the operators' settings are written");
+        let operators_file = folder.join(format!("{name}.lisp"));
+        std::fs::write(&config, edit(cluster.platform_settings(n)))
+            .expect("the settings are written");
+        std::fs::write(&operators_file, operators).expect("the operators' settings are written");
         let program = std::env::var_os("NODE_PROGRAM");
         let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_cypressgap").into());
         let child = Command::new(program)
             .arg("--operators")
-            .arg(&own)
+            .arg(&operators_file)
             .arg("--config")
             .arg(&config)
             .env("LOG_LEVEL", "info")
             .stdin(Stdio::null())
-            .stderr(log_of(&name))
+            .stderr(log_output(&name))
             .spawn()
             .expect("a node starts");
-        let files = vec![config, own];
+        let files = vec![config, operators_file];
         NodeProcess { child, files }
     }
 
-    /// The number of the process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits until it has ended.
     pub fn kill(mut self) {
         self.end();
     }
@@ -69,8 +73,8 @@
     }
 }
 
-/// Logs are kept in the folder that `NODE_LOGS` names, if it does.
-fn log_of(name: &str) -> Stdio {
+/// Where a node's log goes: to a file in the folder that `NODE_LOGS` names, or nowhere if that is not set.
+fn log_output(name: &str) -> Stdio {
     let Some(folder) = std::env::var_os("NODE_LOGS") else {
         return Stdio::null();
     };
--- a/tests/fakes/store.rs
+++ b/tests/fakes/store.rs
@@ -1,6 +1,6 @@
-//! A fake key-value store, with outages and lost or late answers.
+//! A fake key-value store that injects outages, lost responses and delayed transactions.
 
-use super::http::{query, serve, FakeResponse};
+use super::http::{query_parameter, serve, FakeResponse};
 use super::value::{map, text, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,13 +9,14 @@
 use std::time::{Duration, Instant};
 use tiny_http::Method;
 
-/// Longer than any caller waits.
-const NEVER_ANSWERED: Duration = Duration::from_secs(40);
+/// Delay of a response that is to come too late, longer than any caller's timeout.
+const NO_RESPONSE_DELAY: Duration = Duration::from_secs(40);
 
-/// A key's value.
 struct Entry {
     value: Value,
+    /// The revision at which the key was put last.
     revision: u64,
+    /// The lease with whose end the key is deleted. `None`: the key is kept.
     lease: Option<u64>,
 }
 
@@ -24,10 +25,11 @@
     duration: Duration,
 }
 
-/// A change in the log. Without a value: the key was deleted.
+/// A change in the log.
 struct Change {
     revision: u64,
     key: String,
+    /// `None`: the key was deleted.
     value: Option<Value>,
 }
 
@@ -35,36 +37,41 @@
 #[derive(Default)]
 struct StoreState {
     keys: BTreeMap<String, Entry>,
+    /// The revision of the most recent change.
     revision: u64,
     log: Vec<Change>,
+    /// The leases by id.
     leases: BTreeMap<u64, Lease>,
 }
 
 impl StoreState {
-    fn expire(&mut self) {
+    /// Ends the leases that were not renewed in time.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| now.duration_since(lease.renewed_at) > lease.duration)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
     }
+
+    /// Removes a lease and deletes the keys that are attached to it.
     fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let bound: Vec<String> = self
+        let attached: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, v)| v.lease == Some(id))
+            .filter(|(_, entry)| entry.lease == Some(id))
             .map(|(k, _)| k.clone())
             .collect();
-        if !bound.is_empty() {
+        if !attached.is_empty() {
             self.revision += 1;
         }
-        for key in bound {
+        for key in attached {
             self.delete(key);
         }
     }
@@ -73,13 +80,14 @@
         Value::Int(self.revision)
     }
 
+    /// Lists the keys under a prefix, all on one page.
     fn list(&self, url: &str) -> FakeResponse {
-        let (under, from) = (query(url, "Under"), query(url, "From"));
-        let (under, from) = (under.unwrap_or_default(), from.unwrap_or_default());
+        let (prefix, after) = (query_parameter(url, "Under"), query_parameter(url, "From"));
+        let (prefix, after) = (prefix.unwrap_or_default(), after.unwrap_or_default());
         let pairs = self
             .keys
             .iter()
-            .filter(|(k, _)| k.starts_with(&under) && **k > from)
+            .filter(|(k, _)| k.starts_with(&prefix) && **k > after)
             .map(|(k, entry)| {
                 map([
                     ("Path", text(k)),
@@ -109,10 +117,11 @@
         }
     }
 
+    /// The logged changes after a revision to keys under a prefix, as a watch returns them.
     fn changes_after(&self, revision: u64, prefix: &str) -> Vec<Value> {
         let changes = self.log.iter();
         let changes = changes.filter(|c| c.revision > revision && c.key.starts_with(prefix));
-        let entry = |change: &Change| {
+        let encode = |change: &Change| {
             let stamp = Value::Int(change.revision);
             match &change.value {
                 Some(value) => map([
@@ -123,9 +132,10 @@
                 None => map([("Delete", text(&change.key)), ("Stamp", stamp)]),
             }
         };
-        changes.map(entry).collect()
+        changes.map(encode).collect()
     }
 
+    /// Grants a lease, whose id is the new revision.
     fn grant_lease(&mut self, body: &Value) -> FakeResponse {
         self.revision += 1;
         let id = self.revision;
@@ -137,6 +147,7 @@
         (200, map([("Permit", Value::Int(id))]))
     }
 
+    /// Renews a lease. Status 404: it has expired or was never granted.
     fn renew_lease(&mut self, id: u64) -> FakeResponse {
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -147,14 +158,15 @@
         }
     }
 
-    /// A transaction: applied as a whole if all its conditions hold.
+    /// Applies a transaction if each key of its conditions has the expected revision, where 0 means absent.
+    /// Otherwise it changes nothing, and answers with the keys whose conditions failed.
     fn commit(&mut self, body: &Value) -> FakeResponse {
         let failed: Vec<Value> = body
             .list("If")
             .iter()
             .filter(|c| {
-                let found = self.keys.get(&c.text("Path")).map_or(0, |e| e.revision);
-                found != c.int("Stamp")
+                let revision = self.keys.get(&c.text("Path")).map_or(0, |e| e.revision);
+                revision != c.int("Stamp")
             })
             .map(|c| text(&c.text("Path")))
             .collect();
@@ -213,37 +225,42 @@
     }
 }
 
-/// What becomes of a transaction that is not answered.
+/// What happens to a transaction that meets a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It is carried out at once.
+    /// It is applied, and its response is lost.
     AnswerLost,
-    /// It is carried out only after this time, behind newer ones.
+    /// It is applied only after this time, behind newer transactions, and its response is lost.
     Late(Duration),
-    /// It is carried out and answered; then the store is out for everybody.
+    /// It is applied and answered, and then the store becomes unavailable to all nodes.
     UnavailableAfterwards,
 }
 
-/// The store, with a switch for outages.
+/// The store, with the faults that a test injects.
 #[derive(Clone)]
 pub struct FakeStore {
-    ledger: Arc<(Mutex<StoreState>, Condvar)>,
+    /// The state, and a condition variable for its changes.
+    state: Arc<(Mutex<StoreState>, Condvar)>,
+    /// While set, every request is answered with status 503.
     pub unavailable: Arc<AtomicBool>,
-    /// So many of the next transactions that change nothing are not answered in time.
+    /// How many of the next transactions without changes get no response in time. Such transactions only
+    /// compare revisions, and nodes read with them.
     pub unanswered_reads: Arc<AtomicU64>,
-    /// Puts and deletes that a transaction may have; more are answered 400.
+    /// The maximum number of changes in a transaction. One with more is answered with status 400.
     pub max_changes: Arc<AtomicU64>,
-    /// While set, the watch of the queue is not answered.
+    /// While set, watches of the queue (`q/`) are not answered.
     pub queue_watch_held: Arc<AtomicBool>,
-    /// For the next transaction that puts a key with this prefix.
+    /// Faults that are not met yet. Each is for the next transaction that puts a key with its prefix.
     faults: Arc<Mutex<Vec<(&'static str, Fault)>>>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl FakeStore {
+    /// Starts an empty store without faults.
     pub fn start() -> FakeStore {
         let mut store = FakeStore {
-            ledger: Arc::default(),
+            state: Arc::default(),
             unavailable: Arc::default(),
             unanswered_reads: Arc::default(),
             max_changes: Arc::new(AtomicU64::new(u64::MAX)),
@@ -251,12 +268,12 @@
             faults: Arc::default(),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
         };
-        let serving = store.clone();
-        store.address = serve(move |method, url, body| serving.handle(method, url, &body));
+        let handler = store.clone();
+        store.address = serve(move |method, url, body| handler.handle(method, url, &body));
         store
     }
 
-    /// Serves a request, with the faults that the test has set.
+    /// Serves a request, subject to the injected faults.
     fn handle(&self, method: &Method, url: &str, body: &Value) -> FakeResponse {
         if self.unavailable.load(Ordering::SeqCst) {
             return (503, Value::Nil(()));
@@ -264,82 +281,85 @@
         if body.list("Apply").len() as u64 > self.max_changes.load(Ordering::SeqCst) {
             return (400, map([("error", text("too many changes"))]));
         }
-        if url.starts_with("/follow") && query(url, "Under").as_deref() == Some("q/") {
+        if url.starts_with("/follow") && query_parameter(url, "Under").as_deref() == Some("q/") {
             while self.queue_watch_held.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
-        if self.loses(url, body) {
-            std::thread::sleep(NEVER_ANSWERED);
+        if self.takes_unanswered_read(url, body) {
+            std::thread::sleep(NO_RESPONSE_DELAY);
         }
         match take_fault(&self.faults, url, body) {
             Some(Fault::AnswerLost) => {
-                answer(&self.ledger, method, url, body);
-                std::thread::sleep(NEVER_ANSWERED);
+                serve_request(&self.state, method, url, body);
+                std::thread::sleep(NO_RESPONSE_DELAY);
             }
             Some(Fault::Late(after)) => {
                 std::thread::sleep(after);
-                answer(&self.ledger, method, url, body);
-                std::thread::sleep(NEVER_ANSWERED);
+                serve_request(&self.state, method, url, body);
+                std::thread::sleep(NO_RESPONSE_DELAY);
             }
             Some(Fault::UnavailableAfterwards) => {
-                let answered = answer(&self.ledger, method, url, body);
+                let answered = serve_request(&self.state, method, url, body);
                 self.unavailable.store(true, Ordering::SeqCst);
                 return answered;
             }
             None => {}
         }
-        answer(&self.ledger, method, url, body)
+        serve_request(&self.state, method, url, body)
     }
 
-    /// Whether this is one of the transactions without changes that are not answered in time.
-    fn loses(&self, url: &str, body: &Value) -> bool {
-        let left = |n: u64| n.checked_sub(1);
-        let only_compares = url == "/txn" && body.list("Apply").is_empty();
-        only_compares
+    /// Whether this is a transaction without changes that is to get no response, which is counted down.
+    fn takes_unanswered_read(&self, url: &str, body: &Value) -> bool {
+        let decrement = |n: u64| n.checked_sub(1);
+        let is_read = url == "/txn" && body.list("Apply").is_empty();
+        is_read
             && self
                 .unanswered_reads
-                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, left)
+                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
                 .is_ok()
     }
 
-    /// Puts it back to the state that it had at the start: all keys and leases are lost.
+    /// Restores the empty state of the start: all keys and leases are lost, and revisions begin at 0 again.
     pub fn reset(&self) {
-        *self.ledger.0.lock().expect("the ledger") = StoreState::default();
+        *self.state.0.lock().expect("the lock of the store's state") = StoreState::default();
     }
 
+    /// Adds a fault for the next transaction that puts a key with this prefix.
     pub fn inject_fault(&self, prefix: &'static str, fault: Fault) {
         self.faults
             .lock()
-            .expect("the faults")
+            .expect("the lock of the faults")
             .push((prefix, fault));
     }
 
-    /// Faults that no transaction has met yet.
+    /// The number of faults that no transaction has met yet.
     pub fn pending_faults(&self) -> usize {
-        self.faults.lock().expect("the faults").len()
+        self.faults.lock().expect("the lock of the faults").len()
     }
 
-    /// Puts a key, as an earlier process may have left it behind.
+    /// Puts a key directly, for example a record that an earlier leader would have written.
     pub fn put(&self, key: &str, value: Value) {
-        let mut ledger = self.ledger.0.lock().expect("the ledger");
-        ledger.revision += 1;
-        ledger.put(key.to_owned(), value, None);
+        let mut state = self.state.0.lock().expect("the lock of the store's state");
+        state.revision += 1;
+        state.put(key.to_owned(), value, None);
     }
 
-    /// The value of a key.
+    /// The value of a key. `None`: the key is absent.
     pub fn value(&self, key: &str) -> Option<Value> {
-        let ledger = self.ledger.0.lock().expect("the ledger");
-        ledger.keys.get(key).map(|entry| entry.value.clone())
+        let state = self.state.0.lock().expect("the lock of the store's state");
+        state.keys.get(key).map(|entry| entry.value.clone())
     }
 
+    /// The keys under a prefix, in their order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let l = self.ledger.0.lock().expect("the ledger");
-        let keys = l.keys.keys().filter(|k| k.starts_with(prefix));
+        let state = self.state.0.lock().expect("the lock of the store's state");
+        let keys = state.keys.keys().filter(|k| k.starts_with(prefix));
         keys.cloned().collect()
     }
 }
 
+/// Removes and returns the first fault that this request meets.
 fn take_fault(
     faults: &Mutex<Vec<(&'static str, Fault)>>,
     url: &str,
@@ -348,65 +368,73 @@
     if url != "/txn" {
         return None;
     }
-    let puts = body.list("Apply");
-    let mut all = faults.lock().expect("the faults");
-    let met = |p: &str| puts.iter().any(|o| o.text("Put").starts_with(p));
-    let at = all.iter().position(|f| met(f.0))?;
-    Some(all.remove(at).1)
+    let changes = body.list("Apply");
+    let mut faults = faults.lock().expect("the lock of the faults");
+    let is_put = |prefix: &str| changes.iter().any(|c| c.text("Put").starts_with(prefix));
+    let index = faults.iter().position(|fault| is_put(fault.0))?;
+    Some(faults.remove(index).1)
 }
 
-/// Serves one request of the store's protocol.
-fn answer(
-    state: &(Mutex<StoreState>, Condvar),
+/// Serves a request of the store's protocol without faults.
+fn serve_request(
+    shared: &(Mutex<StoreState>, Condvar),
     method: &Method,
     url: &str,
     body: &Value,
 ) -> FakeResponse {
     let path = url.split('?').next().unwrap_or(url);
-    let mut ledger = state.0.lock().expect("the ledger");
-    ledger.expire();
+    let mut state = shared.0.lock().expect("the lock of the store's state");
+    state.expire_leases();
     match (method, path) {
-        (Method::Get, "/store") => ledger.list(url),
-        (Method::Get, "/follow") => follow(ledger, &state.1, url),
-        (Method::Get, path) => ledger.read(path),
-        (Method::Post, "/leases") => ledger.grant_lease(body),
+        (Method::Get, "/store") => state.list(url),
+        (Method::Get, "/follow") => watch(state, &shared.1, url),
+        (Method::Get, path) => state.read(path),
+        (Method::Post, "/leases") => state.grant_lease(body),
         (Method::Post, "/txn") => {
-            let outcome = ledger.commit(body);
-            if outcome.0 == 200 {
-                state.1.notify_all();
+            let response = state.commit(body);
+            if response.0 == 200 {
+                shared.1.notify_all();
             }
-            outcome
+            response
         }
         (Method::Post | Method::Delete, path) => {
             let id = path.split('/').nth(2).and_then(|i| i.parse().ok());
             let id = id.unwrap_or(0u64);
             if method == &Method::Delete {
-                ledger.end_lease(id);
+                state.end_lease(id);
                 return (200, Value::Nil(()));
             }
-            ledger.renew_lease(id)
+            state.renew_lease(id)
         }
         _ => (400, Value::Nil(())),
     }
 }
 
-/// A watch: waits for changes under a prefix after a revision, or until its time is over.
-fn follow(mut ledger: MutexGuard<StoreState>, changed: &Condvar, url: &str) -> FakeResponse {
-    let under = query(url, "Under").unwrap_or_default();
-    let number = |n: &str| query(url, n).and_then(|v| v.parse().ok()).unwrap_or(0u64);
-    let from = number("From");
-    let until = Instant::now() + Duration::from_millis(number("BlockMs"));
+/// Waits for changes after a revision to keys under a prefix, and returns none after the time that the
+/// request gives.
+fn watch(mut state: MutexGuard<StoreState>, changed: &Condvar, url: &str) -> FakeResponse {
+    let prefix = query_parameter(url, "Under").unwrap_or_default();
+    let number = |name: &str| {
+        query_parameter(url, name)
+            .and_then(|v| v.parse().ok())
+            .unwrap_or(0u64)
+    };
+    let after = number("From");
+    let deadline = Instant::now() + Duration::from_millis(number("BlockMs"));
     loop {
-        ledger.expire();
-        let log = ledger.changes_after(from, &under);
-        if !log.is_empty() || Instant::now() >= until {
+        state.expire_leases();
+        let log = state.changes_after(after, &prefix);
+        if !log.is_empty() || Instant::now() >= deadline {
             let answer = [
-                ("LedgerRev", ledger.revision_value()),
+                ("LedgerRev", state.revision_value()),
                 ("Log", Value::List(log)),
             ];
             return (200, map(answer));
         }
-        let pause = Duration::from_millis(20);
-        ledger = changed.wait_timeout(ledger, pause).expect("the ledger").0;
+        let check_interval = Duration::from_millis(20);
+        state = changed
+            .wait_timeout(state, check_interval)
+            .expect("the lock of the store's state")
+            .0;
     }
 }
--- a/tests/fakes/test_cluster.rs
+++ b/tests/fakes/test_cluster.rs
@@ -1,6 +1,7 @@
-//! A cluster of whole nodes on loopback with its fakes, and what its users do.
+//! A cluster of controllers on loopback with its fakes, and requests that users send to it.
 //!
-//! Waits end on what is observed; their limits are far beyond what any machine needs.
+//! A wait ends as soon as its condition holds. Its limit only ends a test that would otherwise hang, and is
+//! far longer than any machine needs.
 
 use super::{call, free_port, map, start_cloud, text, CloudListing, FakeStore, Link, Value};
 use cypressgap::core::model::Term;
@@ -10,17 +11,21 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything, far beyond what any machine needs.
+/// How long a test waits for a condition, far longer than any machine needs.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Waits until `look` finds something, and fails after `WAIT_LIMIT`.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Waits until `check` returns a value, and panics after [`WAIT_LIMIT`]. `condition` completes the message
+/// "timed out waiting until ...".
+pub fn until<T>(condition: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "never came: {what}");
+        assert!(
+            start.elapsed() < WAIT_LIMIT,
+            "timed out waiting until {condition}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -28,26 +33,30 @@
 /// The fakes and addresses that the nodes of a cluster share.
 pub struct TestCluster {
     pub store: FakeStore,
+    /// The address of the cloud API.
     pub cloud: SocketAddr,
     pub cloud_listing: CloudListing,
-    /// The nodes by name, with the addresses that users and workers call.
+    /// The member name of each node, and the address on which it serves users and workers.
     pub members: Vec<(String, SocketAddr)>,
+    /// The addresses on which the nodes listen for their peers.
     pub peers: Vec<SocketAddr>,
-    /// Each node's path to the store, and the other nodes' path to it.
+    /// Each node's path to the store.
     pub store_links: Vec<Link>,
+    /// The path of all other nodes to each node.
     pub peer_links: Vec<Link>,
 }
 
 impl TestCluster {
+    /// Starts the fakes of a cluster and allocates the addresses of its nodes. No node is started.
     pub fn new(nodes: usize) -> TestCluster {
-        let name = |n: usize| (format!("worker-{n}"), free_port());
+        let member = |n: usize| (format!("worker-{n}"), free_port());
         let store = FakeStore::start();
         let cloud_listing = CloudListing::default();
         let peers: Vec<SocketAddr> = (0..nodes).map(|_| free_port()).collect();
         TestCluster {
             cloud: start_cloud(cloud_listing.clone()),
             cloud_listing,
-            members: (0..nodes).map(name).collect(),
+            members: (0..nodes).map(member).collect(),
             store_links: (0..nodes).map(|_| Link::to(store.address)).collect(),
             peer_links: peers.iter().map(|p| Link::to(*p)).collect(),
             peers,
@@ -55,7 +64,7 @@
         }
     }
 
-    /// Partitions a node from the store and, both ways, from the other controller of two.
+    /// Partitions a node from the store, and all nodes from each other.
     pub fn partition(&self, n: usize) {
         self.store_links[n].partition();
         for l in &self.peer_links {
@@ -63,23 +72,23 @@
         }
     }
 
-    /// The platform's settings of a node.
-    pub fn config(&self, n: usize) -> String {
-        let seeds = (0..self.members.len()).filter(|m| *m != n).map(|m| {
+    /// The platform's settings of a node, as a TOML text.
+    pub fn platform_settings(&self, n: usize) -> String {
+        let peers = (0..self.members.len()).filter(|m| *m != n).map(|m| {
             let (member, address) = (&self.members[m].0, self.peer_links[m].address);
             format!(
                 "[[seeds]]\nmember = \"{member}\"\ndomain = \"hall-a\"\naddress = \"{address}\"\n"
             )
         });
         let example = include_str!("../../examples/node.toml");
-        let deployment = example.find("[deployment]").expect("the example");
+        let deployment = example.find("[deployment]").expect("the example settings");
         format!(
             "member = \"{}\"\ndomain = \"hall-a\"\nfront = \"{}\"\npeer_bind = \"{}\"\n{}\
              [endpoints]\ncloud = \"{}\"\nstate = \"{}\"\n{}",
             self.members[n].0,
             self.members[n].1,
             self.peers[n],
-            seeds.collect::<String>(),
+            peers.collect::<String>(),
             self.cloud,
             self.store_links[n].address,
             &example[deployment..]
@@ -91,29 +100,29 @@
         self.start_with(n, |_| {})
     }
 
-    /// As `start`, with edited settings.
+    /// As [`TestCluster::start`], with settings that `edit` has changed.
     pub fn start_with(&self, n: usize, edit: impl Fn(&mut Settings)) -> Service {
         let text = include_str!("../../examples/node.toml");
-        let mut settings = Settings::parse("node.toml", text).expect("the example");
+        let mut settings = Settings::parse("node.toml", text).expect("the example settings");
         settings.member = self.members[n].0.clone();
         settings.http_bind = self.members[n].1;
         settings.peer_bind = self.peers[n];
         settings.store_address = self.store_links[n].address;
         settings.cloud_address = self.cloud;
         settings.config.heartbeat = Duration::from_millis(300);
-        let mut seed = settings.peers[0].clone();
+        let mut peer = settings.peers[0].clone();
         settings.peers.clear();
         for m in (0..self.members.len()).filter(|m| *m != n) {
-            seed.member = self.members[m].0.clone();
-            seed.address = self.peer_links[m].address;
-            settings.peers.push(seed.clone());
+            peer.member = self.members[m].0.clone();
+            peer.address = self.peer_links[m].address;
+            settings.peers.push(peer.clone());
         }
         edit(&mut settings);
-        Service::start(settings).expect("a node starts")
+        Service::start(settings).expect("the node starts")
     }
 }
 
-/// The body of a submission.
+/// The body of a submission of a batch job, whose tasks take 2 CPUs and 4 GB each.
 pub fn submission(job_id: &str, task_count: u64) -> Value {
     map([
         ("Uid", text(job_id)),
@@ -136,9 +145,9 @@
     ])
 }
 
-/// A job's record as the store keeps it.
+/// The stored record of such a job.
 pub fn job_record(job_id: &str, task_count: u64) -> Value {
-    let amounts = [2.0, 0.0, 4.0].map(Value::Float).to_vec();
+    let resources = [2.0, 0.0, 4.0].map(Value::Float).to_vec();
     map([
         ("uid", text(job_id)),
         ("class", text("plain")),
@@ -146,7 +155,7 @@
         ("gang", Value::Bool(false)),
         ("urgency", Value::Int(1)),
         ("shards", Value::Int(task_count)),
-        ("need", Value::List(amounts)),
+        ("need", Value::List(resources)),
         ("types", Value::Nil(())),
         ("site", Value::Nil(())),
         ("same_place", Value::Bool(false)),
@@ -161,35 +170,35 @@
     ])
 }
 
-/// Submits a job until it is accepted or known.
+/// Repeats a submission until the node accepts the job or answers that it is known.
 pub fn submit(node: SocketAddr, job_id: &str, task_count: u64) {
     let body = submission(job_id, task_count);
-    until("accepted", || {
+    until("the job is accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
         matches!(status, 200 | 201).then_some(())
     });
 }
 
-/// The phase that a node answers for a job, if it answers one.
+/// The phase of a job according to a node. `None`: the node did not answer with status 200.
 pub fn phase(node: SocketAddr, job_id: &str) -> Option<String> {
     let (status, body) = call("GET", node, &format!("/api/jobs/{job_id}"), None);
     (status == 200).then(|| body.text("Phase"))
 }
 
-/// The term in which a node leads.
-pub fn leads(s: &Service) -> Option<Term> {
-    match s.context.view.read().role {
+/// The term in which a node leads. `None`: it follows.
+pub fn leading_term(node: &Service) -> Option<Term> {
+    match node.context.view.read().role {
         RoleView::Leader(t) => Some(t),
         RoleView::Follower(_) => None,
     }
 }
 
-/// The body of a submission of one task with dependencies.
+/// The body of a submission of a job with one task and these dependencies.
 pub fn submission_depending_on(job_id: &str, dependencies: &[&str]) -> Value {
-    let mut s = submission(job_id, 1);
-    if let Value::Map(m) = &mut s {
+    let mut body = submission(job_id, 1);
+    if let Value::Map(m) = &mut body {
         let dependencies = dependencies.iter().map(|n| text(n)).collect();
         m.insert("Awaits".to_owned(), Value::List(dependencies));
     }
-    s
+    body
 }
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker, by its published protocol.
+//! A fake worker, which implements the worker's side of the published protocol.
 
 use super::http::{call, serve_at};
 use super::value::{map, text, Value};
@@ -9,174 +9,212 @@
 use std::time::{Duration, Instant};
 use tiny_http::Method;
 
+/// A task that the worker lists, until it is told to forget it.
 #[derive(Clone, Debug, PartialEq)]
-struct RunningTask {
+struct WorkerTask {
     attempt: u64,
     started: Instant,
+    /// `None`: the task still runs.
     exit_reason: Option<&'static str>,
 }
 
 #[derive(Default)]
 struct WorkerState {
-    tasks: BTreeMap<String, RunningTask>,
+    /// The listed tasks by id.
+    tasks: BTreeMap<String, WorkerTask>,
+    /// The highest fencing token received.
     token: u64,
+    /// The id and the attempt of each started task, in the order of the starts.
     starts: Vec<(String, u64)>,
-    /// When it carried out an order.
-    orders: Vec<Instant>,
-    /// Earlier incarnations, and when the last answered heartbeat was sent.
+    /// When each command arrived under a valid token.
+    command_times: Vec<Instant>,
+    /// How often the lease expired. Each expiry begins a new incarnation.
     expired_leases: u64,
-    last_answered: Option<Instant>,
+    /// When the most recent heartbeat that was answered was sent. The lease counts from here.
+    lease_renewed_at: Option<Instant>,
 }
 
-/// One machine: sends heartbeats, and runs each task for as long as the test says.
+/// A worker on its own machine. It sends heartbeats, and each of its tasks ends after a set run time.
 #[derive(Clone)]
 pub struct FakeWorker {
     state: Arc<Mutex<WorkerState>>,
-    serial: Arc<AtomicU64>,
+    next_serial: Arc<AtomicU64>,
     endpoint: String,
     name: String,
-    /// Between two heartbeats.
-    pause: Duration,
-    /// In milliseconds.
-    run: Arc<AtomicU64>,
-    /// In milliseconds; 0: it never runs out.
-    lease: Arc<AtomicU64>,
+    heartbeat_interval: Duration,
+    /// The time after which a task ends as done.
+    run_time_ms: Arc<AtomicU64>,
+    /// 0: the lease never expires.
+    lease_ms: Arc<AtomicU64>,
 }
 
 impl FakeWorker {
-    pub fn start(name: &str, run: Duration, nodes: Vec<(String, SocketAddr)>) -> FakeWorker {
-        let pause = Duration::from_millis(100);
-        FakeWorker::start_at(Ipv4Addr::LOCALHOST, name, run, pause, nodes)
+    /// Starts a worker on 127.0.0.1 that sends its heartbeats every 100 ms, first to the first of the nodes.
+    pub fn start(name: &str, run_time: Duration, nodes: Vec<(String, SocketAddr)>) -> FakeWorker {
+        let heartbeat_interval = Duration::from_millis(100);
+        FakeWorker::start_at(
+            Ipv4Addr::LOCALHOST,
+            name,
+            run_time,
+            heartbeat_interval,
+            nodes,
+        )
     }
 
-    /// With an address of its own, and so long between two heartbeats.
+    /// As [`FakeWorker::start`], on another loopback address and with another interval between heartbeats.
     pub fn start_at(
         address: Ipv4Addr,
         name: &str,
-        run: Duration,
-        pause: Duration,
+        run_time: Duration,
+        heartbeat_interval: Duration,
         nodes: Vec<(String, SocketAddr)>,
     ) -> FakeWorker {
         let state: Arc<Mutex<WorkerState>> = Arc::default();
-        let serial = Arc::new(AtomicU64::new(1));
+        let next_serial = Arc::new(AtomicU64::new(1));
         let mut worker = FakeWorker {
             state,
-            serial,
+            next_serial,
             endpoint: String::new(),
             name: name.to_owned(),
-            pause,
-            run: Arc::new(AtomicU64::new(run.as_millis() as u64)),
-            lease: Arc::default(),
+            heartbeat_interval,
+            run_time_ms: Arc::new(AtomicU64::new(run_time.as_millis() as u64)),
+            lease_ms: Arc::default(),
         };
         let w = worker.clone();
         let address = serve_at(address, move |method, url, body| {
             if method == &Method::Post && url == "/commands" {
                 let executed = w.execute(&body);
                 let status = if executed { 200 } else { 409 };
-                return (status, w.heartbeat());
+                return (status, w.next_heartbeat());
             }
-            (200, w.heartbeat())
+            (200, w.next_heartbeat())
         });
         worker.endpoint = address.to_string();
         let w = worker.clone();
-        std::thread::spawn(move || w.heartbeats(&nodes));
+        std::thread::spawn(move || w.send_heartbeats(&nodes));
         worker
     }
 
+    /// The address on which it receives commands.
     pub fn endpoint(&self) -> String {
         self.endpoint.clone()
     }
 
-    /// From now on its tasks run for this long.
-    pub fn set_run_time(&self, run: Duration) {
-        self.run.store(run.as_millis() as u64, Ordering::SeqCst);
+    /// Sets how long a task runs, also for the tasks that run already.
+    pub fn set_run_time(&self, run_time: Duration) {
+        self.run_time_ms
+            .store(run_time.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// From now on its tasks end when no answered heartbeat was sent for this long.
+    /// Sets the lease and renews it now. All tasks end when no heartbeat sent within that time is answered. Zero:
+    /// the lease never expires.
     pub fn set_lease(&self, lease: Duration) {
-        self.state.lock().expect("the machine").last_answered = Some(Instant::now());
-        self.lease.store(lease.as_millis() as u64, Ordering::SeqCst);
+        self.state
+            .lock()
+            .expect("the lock of the worker's state")
+            .lease_renewed_at = Some(Instant::now());
+        self.lease_ms
+            .store(lease.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Tasks started so far, with their attempts.
+    /// The tasks started so far, each with its attempt.
     pub fn starts(&self) -> Vec<(String, u64)> {
-        self.state.lock().expect("the machine").starts.clone()
+        self.state
+            .lock()
+            .expect("the lock of the worker's state")
+            .starts
+            .clone()
     }
 
-    /// When it carried out orders.
-    pub fn orders(&self) -> Vec<Instant> {
-        self.state.lock().expect("the machine").orders.clone()
+    /// When it received commands under a valid token.
+    pub fn command_times(&self) -> Vec<Instant> {
+        self.state
+            .lock()
+            .expect("the lock of the worker's state")
+            .command_times
+            .clone()
     }
 
-    /// Tasks on the machine that have not ended.
+    /// The number of tasks that run.
     pub fn running(&self) -> usize {
-        let mut state = self.state.lock().expect("the machine");
-        self.expire(&mut state);
+        let mut state = self.state.lock().expect("the lock of the worker's state");
+        self.expire_lease(&mut state);
         state
             .tasks
             .values()
-            .filter(|h| h.exit_reason.is_none())
+            .filter(|task| task.exit_reason.is_none())
             .count()
     }
 
-    /// The tasks on the machine that have not ended.
+    /// The ids of the tasks that run.
     pub fn running_tasks(&self) -> Vec<String> {
-        let mut state = self.state.lock().expect("the machine");
-        self.expire(&mut state);
-        let running = state.tasks.iter().filter(|(_, h)| h.exit_reason.is_none());
-        running.map(|(shard, _)| shard.clone()).collect()
+        let mut state = self.state.lock().expect("the lock of the worker's state");
+        self.expire_lease(&mut state);
+        let running = state
+            .tasks
+            .iter()
+            .filter(|(_, task)| task.exit_reason.is_none());
+        running.map(|(task_id, _)| task_id.clone()).collect()
     }
 
-    /// The highest token that a controller showed it.
+    /// The highest fencing token that it received.
     pub fn token(&self) -> u64 {
-        self.state.lock().expect("the machine").token
+        self.state
+            .lock()
+            .expect("the lock of the worker's state")
+            .token
     }
 
-    /// Sends one heartbeat to this node, wherever the others go. The answer's status.
-    pub fn heartbeat_to(&self, node: SocketAddr) -> u16 {
-        call("POST", node, "/agent/beat", Some(&self.heartbeat())).0
+    /// Sends one additional heartbeat to this node, and returns the status of the answer.
+    pub fn send_heartbeat_to(&self, node: SocketAddr) -> u16 {
+        call("POST", node, "/agent/beat", Some(&self.next_heartbeat())).0
     }
 
-    /// Sessions that ended because the lease ran out.
+    /// How often its lease expired.
     pub fn expired_leases(&self) -> u64 {
-        self.state.lock().expect("the machine").expired_leases
+        self.state
+            .lock()
+            .expect("the lock of the worker's state")
+            .expired_leases
     }
 
-    fn expire(&self, state: &mut WorkerState) {
-        let lease = Duration::from_millis(self.lease.load(Ordering::SeqCst));
-        let spent = |t: Instant| !lease.is_zero() && t.elapsed() > lease;
-        if state.last_answered.is_some_and(spent) {
+    /// Ends all tasks and begins a new incarnation if the lease has expired.
+    fn expire_lease(&self, state: &mut WorkerState) {
+        let lease = Duration::from_millis(self.lease_ms.load(Ordering::SeqCst));
+        let expired = |t: Instant| !lease.is_zero() && t.elapsed() > lease;
+        if state.lease_renewed_at.is_some_and(expired) {
             state.tasks.clear();
             state.expired_leases += 1;
-            state.last_answered = Some(Instant::now());
+            state.lease_renewed_at = Some(Instant::now());
         }
     }
 
+    /// Carries out the commands of a message. False: the message has an outdated fencing token.
     fn execute(&self, body: &Value) -> bool {
-        let mut state = self.state.lock().expect("the machine");
-        self.expire(&mut state);
+        let mut state = self.state.lock().expect("the lock of the worker's state");
+        self.expire_lease(&mut state);
         if body.int("Epoch") < state.token {
             return false;
         }
         state.token = body.int("Epoch");
         for command in body.list("Directives") {
-            let (shard, attempt) = (command.text("Shard"), command.int("Try"));
-            state.orders.push(Instant::now());
+            let (task_id, attempt) = (command.text("Shard"), command.int("Try"));
+            state.command_times.push(Instant::now());
             match command.text("Verb").as_str() {
-                "launch" if !state.tasks.contains_key(&shard) => {
-                    state.starts.push((shard.clone(), attempt));
-                    let task = RunningTask {
+                "launch" if !state.tasks.contains_key(&task_id) => {
+                    state.starts.push((task_id.clone(), attempt));
+                    let task = WorkerTask {
                         attempt,
                         started: Instant::now(),
                         exit_reason: None,
                     };
-                    state.tasks.insert(shard, task);
+                    state.tasks.insert(task_id, task);
                 }
                 "kill" => {
                     if let Some(task) = state
                         .tasks
-                        .get_mut(&shard)
-                        .filter(|h| h.exit_reason.is_none())
+                        .get_mut(&task_id)
+                        .filter(|task| task.exit_reason.is_none())
                     {
                         task.exit_reason = Some("stopped");
                     }
@@ -184,7 +222,7 @@
                 "forget" => {
                     state
                         .tasks
-                        .retain(|s, h| s != &shard || h.attempt != attempt);
+                        .retain(|id, task| id != &task_id || task.attempt != attempt);
                 }
                 _ => {}
             }
@@ -192,33 +230,34 @@
         true
     }
 
-    fn heartbeat(&self) -> Value {
-        let mut state = self.state.lock().expect("the machine");
-        self.expire(&mut state);
-        let run = Duration::from_millis(self.run.load(Ordering::SeqCst));
+    /// The body of the next heartbeat. It lists all tasks, and raises the serial number.
+    fn next_heartbeat(&self) -> Value {
+        let mut state = self.state.lock().expect("the lock of the worker's state");
+        self.expire_lease(&mut state);
+        let run_time = Duration::from_millis(self.run_time_ms.load(Ordering::SeqCst));
         for task in state.tasks.values_mut() {
-            if task.exit_reason.is_none() && task.started.elapsed() >= run {
+            if task.exit_reason.is_none() && task.started.elapsed() >= run_time {
                 task.exit_reason = Some("done");
             }
         }
         let tasks = state
             .tasks
             .iter()
-            .map(|(s, h)| {
-                let phase = if h.exit_reason.is_some() {
+            .map(|(task_id, task)| {
+                let phase = if task.exit_reason.is_some() {
                     "ended"
                 } else {
                     "running"
                 };
-                let mut task = BTreeMap::from([
-                    ("Shard".to_owned(), text(s)),
-                    ("Try".to_owned(), Value::Int(h.attempt)),
+                let mut listed = BTreeMap::from([
+                    ("Shard".to_owned(), text(task_id)),
+                    ("Try".to_owned(), Value::Int(task.attempt)),
                     ("Phase".to_owned(), text(phase)),
                 ]);
-                if let Some(exit_reason) = h.exit_reason {
-                    task.insert("ExitReason".to_owned(), text(exit_reason));
+                if let Some(exit_reason) = task.exit_reason {
+                    listed.insert("ExitReason".to_owned(), text(exit_reason));
                 }
-                Value::Map(task)
+                Value::Map(listed)
             })
             .collect();
         map([
@@ -230,35 +269,36 @@
             ("Tenure", Value::Int(1 + state.expired_leases)),
             (
                 "Serial",
-                Value::Int(self.serial.fetch_add(1, Ordering::SeqCst)),
+                Value::Int(self.next_serial.fetch_add(1, Ordering::SeqCst)),
             ),
             ("Epoch", Value::Int(state.token)),
             ("Shards", Value::List(tasks)),
         ])
     }
 
-    fn heartbeats(&self, nodes: &[(String, SocketAddr)]) {
-        let mut at = 0;
+    /// Sends heartbeats until the process ends, each to the node that is believed to lead.
+    fn send_heartbeats(&self, nodes: &[(String, SocketAddr)]) {
+        let mut target = 0;
         loop {
-            let (sent, heartbeat) = (Instant::now(), self.heartbeat());
-            let (status, body) = call("POST", nodes[at].1, "/agent/beat", Some(&heartbeat));
+            let (sent, heartbeat) = (Instant::now(), self.next_heartbeat());
+            let (status, body) = call("POST", nodes[target].1, "/agent/beat", Some(&heartbeat));
             match status {
                 200 => {
-                    // The answer to a heartbeat of an earlier incarnation is dropped.
+                    // An answer to a heartbeat of an earlier incarnation neither renews the lease nor is executed.
                     let incarnation = Value::Int(1 + self.expired_leases());
                     if heartbeat.get("Tenure") == Some(&incarnation) && self.execute(&body) {
-                        let mut state = self.state.lock().expect("the machine");
-                        state.last_answered = Some(sent);
+                        let mut state = self.state.lock().expect("the lock of the worker's state");
+                        state.lease_renewed_at = Some(sent);
                     }
                 }
                 421 => {
-                    let named = body.text("Controller");
-                    let found = nodes.iter().position(|n| n.0 == named);
-                    at = found.unwrap_or((at + 1) % nodes.len());
+                    let leader = body.text("Controller");
+                    let found = nodes.iter().position(|n| n.0 == leader);
+                    target = found.unwrap_or((target + 1) % nodes.len());
                 }
-                _ => at = (at + 1) % nodes.len(),
+                _ => target = (target + 1) % nodes.len(),
             }
-            std::thread::sleep(self.pause);
+            std::thread::sleep(self.heartbeat_interval);
         }
     }
 }
