--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -1,5 +1,5 @@
-//! All controller processes are killed at once and come back: what runs is started once, and the machines
-//! get no burst of orders. Counted at the fake workers.
+//! All controller processes are killed at once and restarted. Guards against running tasks that are started a
+//! second time, and against bursts of commands to the machines. Both are counted at the fake workers.
 
 use super::fakes::process::NodeProcess;
 use super::fakes::test_cluster::*;
@@ -12,44 +12,49 @@
 
 const NODES: usize = 3;
 const MACHINES: u16 = 40;
-const TASKS_A_JOB: u64 = 40;
-/// Four tasks fill a machine.
-const TASKS_A_MACHINE: u64 = 4;
-/// Orders a second.
-const FLEET: usize = 40;
-const SEGMENT: usize = 25;
+const TASKS_PER_JOB: u64 = 40;
+/// The number of tasks that fill a machine: it has 8 CPUs, and a task takes 2.
+const TASKS_PER_MACHINE: u64 = 4;
+/// The limit on commands to the whole fleet.
+const FLEET_COMMANDS_PER_S: usize = 40;
+/// The limit on commands to the machines of one network segment.
+const SEGMENT_COMMANDS_PER_S: usize = 25;
 
-fn paced(machines: u16) -> String {
+/// Operators' settings with these limits.
+fn settings_with_limits(machines: u16) -> String {
     format!(
         "(cypressgap (max-hosts {machines})
-           (recovery (orders-per-s {FLEET}) (segment-orders-per-s {SEGMENT})))"
+           (recovery (orders-per-s {FLEET_COMMANDS_PER_S}) (segment-orders-per-s {SEGMENT_COMMANDS_PER_S})))"
     )
 }
 
-/// Controllers and machines in two segments.
+/// Controllers, and workers on machines in two network segments.
 struct Deployment {
     cluster: TestCluster,
+    /// The controllers; `None` while one is not running.
     nodes: Vec<Option<NodeProcess>>,
     workers: Vec<FakeWorker>,
+    /// The text of the operators' settings.
     operators: String,
 }
 
 impl Deployment {
     fn start(machines: u16, operators: String) -> Deployment {
         let cluster = TestCluster::new(NODES);
-        let machine = |n: u16| {
-            let [_, last] = (1 + n / 2).to_be_bytes();
-            let address = Ipv4Addr::new(127, 0, 1 + (n % 2) as u8, last);
-            let (run, pause) = (Duration::from_secs(600), Duration::from_millis(300));
+        let start_worker = |n: u16| {
+            let [_, last_octet] = (1 + n / 2).to_be_bytes();
+            let address = Ipv4Addr::new(127, 0, 1 + (n % 2) as u8, last_octet);
+            let (run_time, heartbeat_interval) =
+                (Duration::from_secs(600), Duration::from_millis(300));
             FakeWorker::start_at(
                 address,
                 &format!("i-{n}"),
-                run,
-                pause,
+                run_time,
+                heartbeat_interval,
                 cluster.members.clone(),
             )
         };
-        let workers = (0..machines).map(machine).collect();
+        let workers = (0..machines).map(start_worker).collect();
         let mut deployment = Deployment {
             cluster,
             nodes: Vec::new(),
@@ -81,139 +86,162 @@
         }
     }
 
-    /// The node that leads, by the leader key.
+    /// The index of the node that leads according to the leader key.
     fn leader(&self) -> Option<usize> {
         let member = self.cluster.store.value("ctl/leader")?.text("member");
         self.cluster.members.iter().position(|n| n.0 == member)
     }
 
-    /// Tasks that run, with the machines that they run on. Each on one at most.
+    /// The running tasks, each with the index of its worker. Panics if a task runs on two of them.
     fn running(&self) -> BTreeMap<String, usize> {
         let mut running = BTreeMap::new();
         for (n, worker) in self.workers.iter().enumerate() {
             for task in worker.running_tasks() {
-                let before = running.insert(task.clone(), n);
-                assert_eq!(before, None, "{task} runs twice");
+                let other_worker = running.insert(task.clone(), n);
+                assert_eq!(other_worker, None, "{task} runs twice");
             }
         }
         running
     }
 
-    /// How many tasks fill the fleet.
-    fn all(&self) -> usize {
-        self.workers.len() * TASKS_A_MACHINE as usize
+    /// The number of tasks that fill the fleet.
+    fn task_count(&self) -> usize {
+        self.workers.len() * TASKS_PER_MACHINE as usize
     }
 
+    /// Submits jobs that fill the fleet.
     fn submit_all(&self) {
-        let jobs = self.all() as u64 / TASKS_A_JOB;
+        let jobs = self.task_count() as u64 / TASKS_PER_JOB;
         for job in 1..=jobs {
             submit(
                 self.cluster.members[0].1,
                 &format!("wk-{job:06}"),
-                TASKS_A_JOB,
+                TASKS_PER_JOB,
             );
         }
     }
 
     fn await_all_running(&self) {
-        until("all tasks run", || {
-            (self.running().len() == self.all()).then_some(())
+        wait_until("all tasks run", || {
+            (self.running().len() == self.task_count()).then_some(())
         });
     }
 
-    /// Until the leases of all machines have run out, and everything on them ended.
-    fn let_leases_run_out(&self) {
+    /// Waits until the leases of all workers have expired and all tasks have ended.
+    fn expire_all_leases(&self) {
         for w in &self.workers {
             w.set_lease(Duration::from_millis(700));
         }
-        until("all leases ran out", || {
-            let spent = |w: &FakeWorker| w.running() == 0 && w.expired_leases() > 0;
-            self.workers.iter().all(spent).then_some(())
+        wait_until("all leases have expired", || {
+            let has_expired = |w: &FakeWorker| w.running() == 0 && w.expired_leases() > 0;
+            self.workers.iter().all(has_expired).then_some(())
         });
         for w in &self.workers {
             w.set_lease(Duration::ZERO);
         }
     }
 
-    fn starts(&self) -> usize {
+    /// The number of task starts so far on all workers.
+    fn start_count(&self) -> usize {
         self.workers.iter().map(|w| w.starts().len()).sum()
     }
 
-    /// Until all machines know a later term. Returns it.
+    /// Waits until all workers know a term later than this one, and returns the earliest that they know.
     fn await_term_after(&self, term: Term) -> Term {
-        let terms = || {
+        let earliest_term = || {
             self.workers
                 .iter()
                 .map(|w| FencingToken(w.token()).term())
                 .min()
         };
-        until("the machines know the next term", || {
-            terms().filter(|t| *t > term)
+        wait_until("all workers know the next term", || {
+            earliest_term().filter(|t| *t > term)
         })
     }
 
-    /// The most orders in any such time from some time on, to the fleet and to one segment. Two seconds, in
-    /// the test, since what is sent evenly comes unevenly on a busy machine.
-    fn peaks(&self, from: Instant, time: Duration) -> (usize, usize) {
-        let orders = |segment: Option<usize>| {
+    /// The maximum number of commands within any window of this length after `from`, to the whole fleet and to
+    /// one segment. The test uses a window of two seconds, because commands that are sent at an even rate
+    /// arrive unevenly on a busy machine.
+    fn peak_commands(&self, from: Instant, window: Duration) -> (usize, usize) {
+        let command_times = |segment: Option<usize>| {
             let workers = self.workers.iter().enumerate();
             let workers = workers.filter(|(n, _)| segment.is_none_or(|s| n % 2 == s));
             let mut times: Vec<Instant> = workers.flat_map(|(_, w)| w.command_times()).collect();
             times.retain(|t| *t >= from);
             times
         };
-        let segment = (0..2).map(|s| peak(orders(Some(s)), time)).max();
-        (peak(orders(None), time), segment.unwrap_or(0))
+        let segment = (0..2).map(|s| peak(command_times(Some(s)), window)).max();
+        (peak(command_times(None), window), segment.unwrap_or(0))
     }
 }
 
+/// The controllers are killed and restarted twice: first the workers' leases last, so that no task may be
+/// started again; then all leases expire, so that each task has to be started exactly once more, within the
+/// limits on commands.
 #[test]
 fn all_controllers_are_killed_and_restarted() {
-    let mut deployment = Deployment::start(MACHINES, paced(MACHINES));
+    let mut deployment = Deployment::start(MACHINES, settings_with_limits(MACHINES));
     deployment.submit_all();
     deployment.await_all_running();
-    let all = deployment.all();
-    assert_eq!(deployment.starts(), all);
+    let all = deployment.task_count();
+    assert_eq!(deployment.start_count(), all);
 
-    // Shorter than a lease; the store is back later than they are, and one of them stays cut off it.
+    // No lease expires. The store is available only a second after the controllers start, and one of them
+    // stays partitioned from it.
     let term = deployment.await_term_after(Term(0));
     deployment.kill_all();
-    let out = deployment.cluster.store.unavailable.clone();
-    out.store(true, std::sync::atomic::Ordering::SeqCst);
+    let store_unavailable = deployment.cluster.store.unavailable.clone();
+    store_unavailable.store(true, std::sync::atomic::Ordering::SeqCst);
     deployment.cluster.store_links[0].partition();
     deployment.start_nodes();
     std::thread::sleep(Duration::from_secs(1));
-    out.store(false, std::sync::atomic::Ordering::SeqCst);
+    store_unavailable.store(false, std::sync::atomic::Ordering::SeqCst);
     let term = deployment.await_term_after(term);
     assert_eq!(deployment.running().len(), all);
-    assert_eq!(deployment.starts(), all, "what runs is not started again");
+    assert_eq!(
+        deployment.start_count(),
+        all,
+        "running tasks were started again"
+    );
 
-    // All leases run out meanwhile; and the first leader dies while it starts the tasks again.
+    // All leases expire while the controllers are down, and the first new leader is killed while it starts the
+    // tasks again.
     deployment.kill_all();
-    deployment.let_leases_run_out();
+    deployment.expire_all_leases();
     deployment.cluster.store_links[0].heal();
-    let back = Instant::now();
+    let restarted_at = Instant::now();
     deployment.start_nodes();
-    until("some are started again", || {
-        (deployment.starts() > all + FLEET / 4).then_some(())
+    wait_until("some tasks are started again", || {
+        (deployment.start_count() > all + FLEET_COMMANDS_PER_S / 4).then_some(())
     });
-    let leader = deployment.leader().expect("one leads");
+    let leader = deployment.leader().expect("a node leads");
     if let Some(node) = deployment.nodes[leader].take() {
         node.kill();
     }
     deployment.await_term_after(Term(term.0 + 1));
     deployment.start_node(leader);
     deployment.await_all_running();
-    let (fleet, segment) = deployment.peaks(back, Duration::from_secs(2));
-    println!("orders in two seconds: fleet {fleet}, segment {segment}");
-    assert!(fleet <= 2 * FLEET, "{fleet}");
-    assert!(segment <= 2 * SEGMENT, "{segment}");
-    assert_eq!(deployment.starts(), 2 * all, "each was started once more");
+    let (fleet, segment) = deployment.peak_commands(restarted_at, Duration::from_secs(2));
+    println!("commands in two seconds: fleet {fleet}, segment {segment}");
+    assert!(
+        fleet <= 2 * FLEET_COMMANDS_PER_S,
+        "{fleet} commands in two seconds"
+    );
+    assert!(
+        segment <= 2 * SEGMENT_COMMANDS_PER_S,
+        "{segment} commands in two seconds"
+    );
+    assert_eq!(
+        deployment.start_count(),
+        2 * all,
+        "each task has to be started once more"
+    );
     deployment.kill_all();
 }
 
-/// The store is reset to an earlier state while a task runs. It is neither killed nor started
-/// again, and belongs to its job once its user has submitted that again.
+/// Guards against running tasks that are killed or started again because the store has lost their job, as
+/// after a restore from an old backup. The task continues, and belongs to its job again once the user has
+/// resubmitted the job.
 #[test]
 fn tasks_continue_though_the_store_lost_their_job() {
     let cluster = TestCluster::new(1);
@@ -221,72 +249,76 @@
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     let start = || NodeProcess::start(&cluster, 0, |text| text, "(cypressgap)");
     let term = || FencingToken(worker.token()).term();
-    // Several terms, so that the numbers of the first ones are in use when it begins anew.
+    // Several terms pass, so that the reset store would assign term numbers that the worker has seen already.
     for n in 0..3 {
         let process = start();
-        until("a term begins", || (term() > Term(n)).then_some(()));
+        wait_until("the next term begins", || (term() > Term(n)).then_some(()));
         process.kill();
     }
     let process = start();
     submit(node, "wk-000001", 1);
-    until("the task runs", || (worker.running() == 1).then_some(()));
+    wait_until("the task runs", || (worker.running() == 1).then_some(()));
     let before = term();
     process.kill();
     cluster.store.reset();
     let process = start();
-    until("a later term leads", || (term() > before).then_some(()));
-    // Nobody knows what the task takes and whose it is, so nothing is started beside it.
+    wait_until("the worker knows a later term", || {
+        (term() > before).then_some(())
+    });
+    // The size and the team of the running task are unknown, so no other task is started beside it.
     submit(node, "wk-000002", 1);
     std::thread::sleep(Duration::from_secs(3));
     assert_eq!((worker.running(), worker.starts().len()), (1, 1));
     submit(node, "wk-000001", 1);
-    until("the other job starts", || {
+    wait_until("the other job runs", || {
         (worker.running() == 2).then_some(())
     });
     worker.set_run_time(Duration::from_millis(100));
     for job_id in ["wk-000001", "wk-000002"] {
-        until("done", || (phase(node, job_id)? == "done").then_some(()));
+        wait_until("the job is done", || {
+            (phase(node, job_id)? == "done").then_some(())
+        });
     }
-    assert_eq!(worker.starts().len(), 2, "each was started once");
+    assert_eq!(worker.starts().len(), 2, "each task has to be started once");
     process.kill();
 }
 
-/// Figures for `docs/recovery.md`, for one set of operators' settings, `OPERATORS`; `NODE_PROGRAM` may name
-/// another version's program:
+/// Prints the figures for `docs/recovery.md`. `OPERATORS` is the text of the operators' settings, and
+/// `NODE_PROGRAM` may name the program of another version:
 /// `MACHINES=200 cargo test --release --test end_to_end measure_on_loopback -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement; takes a minute"]
 fn measure_on_loopback() {
-    let text = |name: &str| std::env::var(name).ok();
-    let machines = text("MACHINES").map_or(200, |n| n.parse().expect("a number"));
-    let operators = text("OPERATORS").unwrap_or("(cypressgap)".to_owned());
+    let env_text = |name: &str| std::env::var(name).ok();
+    let machines = env_text("MACHINES").map_or(200, |n| n.parse().expect("a number"));
+    let operators = env_text("OPERATORS").unwrap_or("(cypressgap)".to_owned());
     let mut deployment = Deployment::start(machines, operators);
     deployment.submit_all();
     deployment.await_all_running();
-    for spent in [false, true] {
-        let before = deployment.starts();
+    for leases_expire in [false, true] {
+        let starts_before = deployment.start_count();
         let term = deployment.await_term_after(Term(0));
         deployment.kill_all();
-        if spent {
-            deployment.let_leases_run_out();
+        if leases_expire {
+            deployment.expire_all_leases();
         } else {
             std::thread::sleep(Duration::from_secs(2));
         }
-        let back = Instant::now();
+        let restarted_at = Instant::now();
         deployment.start_nodes();
         deployment.await_term_after(term);
-        let known = back.elapsed();
+        let term_known_after = restarted_at.elapsed();
         deployment.await_all_running();
-        let running = back.elapsed();
+        let all_running_after = restarted_at.elapsed();
         std::thread::sleep(Duration::from_secs(3));
         let second = Duration::from_secs(1);
         println!(
-            "{machines} machines, leases spent {spent}: started {}, orders a second {:?}, \
-             all machines know the term after {:.1} s, all tasks run after {:.1} s",
-            deployment.starts() - before,
-            deployment.peaks(back, second),
-            known.as_secs_f64(),
-            running.as_secs_f64()
+            "{machines} machines, leases expired: {leases_expire}, tasks started: {}, peak commands in a second {:?}, \
+             all workers know the term after {:.1} s, all tasks run after {:.1} s",
+            deployment.start_count() - starts_before,
+            deployment.peak_commands(restarted_at, second),
+            term_known_after.as_secs_f64(),
+            all_running_after.as_secs_f64()
         );
     }
     deployment.kill_all();
--- a/tests/end_to_end/failover.rs
+++ b/tests/end_to_end/failover.rs
@@ -1,4 +1,4 @@
-//! Changes of leader over whole nodes.
+//! Leadership changes.
 
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
@@ -9,62 +9,68 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// Guards against tasks that are lost or started a second time when another node becomes leader.
 #[test]
 fn a_job_survives_a_failover() {
     let cluster = TestCluster::new(2);
     let mut nodes = [Some(cluster.start(0)), Some(cluster.start(1))];
     let worker = FakeWorker::start("i-1", Duration::from_secs(6), cluster.members.clone());
     submit(cluster.members[0].1, "wk-000002", 2);
-    until("started", || (worker.running() == 2).then_some(()));
-    let leading = |s: &Option<Service>| s.as_ref().and_then(leading_term).is_some();
-    let leader = nodes.iter().position(leading).expect("one leads");
+    wait_until("the tasks run", || (worker.running() == 2).then_some(()));
+    let is_leader = |s: &Option<Service>| s.as_ref().and_then(leading_term).is_some();
+    let leader = nodes.iter().position(is_leader).expect("a node leads");
     if let Some(n) = nodes[leader].take() {
         n.stop();
     }
     let other = cluster.members[1 - leader].1;
-    until("the other leads", || {
-        leading(&nodes[1 - leader]).then_some(())
+    wait_until("the other node leads", || {
+        is_leader(&nodes[1 - leader]).then_some(())
     });
-    until("done", || {
+    wait_until("the job is done", || {
         (phase(other, "wk-000002")? == "done").then_some(())
     });
-    // The new leader found the tasks where they were and started none again.
+    // The new leader found the running tasks and started none of them again.
     assert_eq!(worker.starts().len(), 2);
 }
 
+/// Guards against a restarted node that takes the leader key of its earlier process for its own, because both
+/// have the same member name, and leads beside that process in the same term.
 #[test]
-fn a_restarted_node_does_not_take_its_earlier_leadership_for_its_own() {
+fn a_restarted_node_does_not_resume_the_term_of_its_earlier_process() {
     let mut cluster = TestCluster::new(1);
-    let early = cluster.start(0);
+    let earlier = cluster.start(0);
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     submit(cluster.members[0].1, "wk-000007", 2);
-    until("started", || (worker.running() == 2).then_some(()));
-    let term = until("it leads", || leading_term(&early));
-    // The earlier process hangs, cut off: its lease is still good, and it believes that it leads.
-    let hanging = cluster.store_links[0].clone();
-    hanging.partition();
+    wait_until("the tasks run", || (worker.running() == 2).then_some(()));
+    let term = wait_until("the node leads", || leading_term(&earlier));
+    // The earlier process is partitioned from the store. Its lease is still valid, so it considers itself the
+    // leader.
+    let earlier_store_link = cluster.store_links[0].clone();
+    earlier_store_link.partition();
     cluster.store_links[0] = Link::to(cluster.store.address);
     cluster.members[0].1 = free_port();
     cluster.peers[0] = free_port();
-    let late = cluster.start(0);
-    let next = until("the next life leads", || leading_term(&late));
-    assert!(next > term, "a term of its own");
-    // What the earlier process still had to write fails on the revision, and it notices.
-    hanging.heal();
-    until("the early life gives up", || {
-        leading_term(&early).is_none().then_some(())
+    let restarted = cluster.start(0);
+    let next = wait_until("the restarted node leads", || leading_term(&restarted));
+    assert!(next > term, "the restarted node leads in a term of its own");
+    // The pending writes of the earlier process fail, because the revision of the leader key has changed, and
+    // it steps down.
+    earlier_store_link.heal();
+    wait_until("the earlier process steps down", || {
+        leading_term(&earlier).is_none().then_some(())
     });
-    assert_eq!(leading_term(&late), Some(next));
+    assert_eq!(leading_term(&restarted), Some(next));
     let address = cluster.members[0].1;
-    until("known to the next life", || {
+    wait_until("the restarted node knows the job", || {
         phase(address, "wk-000007").filter(|p| p == "queued" || p == "running")
     });
-    assert_eq!(worker.starts().len(), 2, "none was started twice");
-    late.stop();
-    early.stop();
+    assert_eq!(worker.starts().len(), 2, "a task was started twice");
+    restarted.stop();
+    earlier.stop();
 }
 
-/// Guards against a leader that loads for minutes because it waits long for each answer that is lost.
+/// Guards against a new leader that takes minutes to load the cluster state, because it waits long for each
+/// response that is lost. Three reads get no response.
 #[test]
 fn a_loading_leader_retries_unanswered_reads() {
     let cluster = TestCluster::new(2);
@@ -75,24 +81,27 @@
     first.stop();
     cluster.store.unanswered_reads.store(3, Ordering::SeqCst);
     let second = cluster.start(1);
-    until("it leads", || leading_term(&second));
-    let since = Instant::now();
-    until("it has loaded", || second.context.view.read().loaded_term);
+    wait_until("the second node leads", || leading_term(&second));
+    let leads_since = Instant::now();
+    wait_until("the cluster state is loaded", || {
+        second.context.view.read().loaded_term
+    });
     assert!(
-        since.elapsed() < Duration::from_secs(12),
+        leads_since.elapsed() < Duration::from_secs(12),
         "{:?}",
-        since.elapsed()
+        leads_since.elapsed()
     );
     assert_eq!(
         cluster.store.unanswered_reads.load(Ordering::SeqCst),
         0,
-        "they were lost"
+        "all three reads have to be lost"
     );
     second.stop();
 }
 
-/// Guards against nodes that do nothing but refuse heartbeats while the next leader tries to load its
-/// state: heartbeats wait a little for it, and what it has read it keeps.
+/// Guards against nodes that are fully occupied with refusing heartbeats, so that the next leader cannot load
+/// the cluster state. Heartbeats therefore wait a while for a leader before they are refused, and a page of a
+/// list that could not be read is read again without repeating the earlier pages.
 #[test]
 fn heartbeats_wait_for_a_leader_and_failed_page_reads_are_retried() {
     let cluster = TestCluster::new(1);
@@ -118,34 +127,34 @@
         )
         .0
     };
-    let asked = Instant::now();
-    assert_eq!(send_heartbeat(), 503, "nobody leads");
+    let sent_at = Instant::now();
+    assert_eq!(send_heartbeat(), 503, "no node leads");
     assert!(
-        asked.elapsed() >= Duration::from_secs(1),
-        "it waited for that"
+        sent_at.elapsed() >= Duration::from_secs(1),
+        "the heartbeat was refused without waiting for a leader"
     );
-    // A page that cannot be read is asked for until the service is back.
+    // A page that cannot be read is requested again until the store is available.
     let store = &node.context.store;
-    let (limit, stop) = (Duration::from_secs(4), StopSignal::new());
+    let (page_timeout, stop) = (Duration::from_secs(4), StopSignal::new());
     let options = |retry_for| ListOptions {
         class: RequestClass::User,
-        page_timeout: limit,
+        page_timeout,
         retry_for,
     };
-    let list = |patience| {
+    let list_succeeds = |retry_for| {
         store
-            .list_with_retries::<Value>("ctl/", options(patience), &stop)
+            .list_with_retries::<Value>("ctl/", options(retry_for), &stop)
             .is_ok()
     };
-    assert!(!list(Duration::ZERO));
-    let state = cluster.store.clone();
-    let back = std::thread::spawn(move || {
+    assert!(!list_succeeds(Duration::ZERO));
+    let fake_store = cluster.store.clone();
+    let outage_end = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(700));
-        state.unavailable.store(false, Ordering::SeqCst);
+        fake_store.unavailable.store(false, Ordering::SeqCst);
     });
-    assert!(list(WAIT_LIMIT));
-    back.join().expect("the switch");
-    until("the leader answers", || {
+    assert!(list_succeeds(WAIT_LIMIT));
+    outage_end.join().expect("the thread ends the outage");
+    wait_until("a heartbeat is accepted", || {
         (send_heartbeat() == 200).then_some(())
     });
     node.stop();
--- a/tests/end_to_end/heartbeat_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -1,4 +1,5 @@
-//! A large fleet sends its heartbeats all at once to a node that has just come back.
+//! All workers of a large fleet send their heartbeats at once to a node that has just started. Guards against
+//! heartbeats that are never answered, and against memory that grows with their number.
 
 use super::fakes::process::NodeProcess;
 use super::fakes::test_cluster::*;
@@ -7,14 +8,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The number of threads that send heartbeats at the same time.
 const SENDERS: usize = 100;
 
-/// The most memory that a process has held, in KiB.
-fn peak_memory(process: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).expect("its status");
+/// The peak resident memory of a process, in KiB.
+fn peak_memory_kib(process_id: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status"))
+        .expect("the process has a status file");
     let line = status.lines().find(|l| l.starts_with("VmHWM:"));
-    let words = line.and_then(|l| l.split_whitespace().nth(1));
-    words.and_then(|n| n.parse().ok()).expect("a number")
+    let value = line.and_then(|l| l.split_whitespace().nth(1));
+    value
+        .and_then(|n| n.parse().ok())
+        .expect("the peak memory is a number")
 }
 
 fn heartbeat(machine: usize, serial: u64) -> Value {
@@ -31,34 +36,36 @@
     ])
 }
 
-/// Each machine sends heartbeats until it is answered, a second after each refusal. Returns how many it took.
+/// Sends a machine's heartbeats until one is accepted, 200 ms after each refusal, and returns how many were
+/// sent. Panics after 60.
 fn heartbeat_until_answered(node: std::net::SocketAddr, machine: usize) -> usize {
-    for tries in 1..=60 {
-        let body = heartbeat(machine, tries as u64);
+    for sent in 1..=60 {
+        let body = heartbeat(machine, sent as u64);
         if call("POST", node, "/agent/beat", Some(&body)).0 == 200 {
-            return tries;
+            return sent;
         }
         std::thread::sleep(Duration::from_millis(200));
     }
-    panic!("machine {machine} is never answered");
+    panic!("no heartbeat of machine {machine} was accepted");
 }
 
-/// All machines send heartbeats within two seconds at most: each is answered before long, and memory stays bounded.
+/// Sends heartbeats of all machines from [`SENDERS`] threads until each machine has one accepted. Returns the
+/// time that this took, the number of heartbeats sent, and the peak memory of the node in KiB.
 fn flood(machines: usize) -> (Duration, usize, u64) {
     let cluster = TestCluster::new(1);
     let node = cluster.members[0].1;
     let process = NodeProcess::start(&cluster, 0, |text| text, "(cypressgap (max-hosts 10000))");
-    until("the node leads", || {
+    wait_until("the node leads", || {
         cluster.store.value("ctl/leader").map(|_| ())
     });
-    let next = Arc::new(AtomicUsize::new(0));
-    let began = Instant::now();
+    let next_machine = Arc::new(AtomicUsize::new(0));
+    let started_at = Instant::now();
     let senders = (0..SENDERS).map(|_| {
-        let next = next.clone();
+        let next_machine = next_machine.clone();
         std::thread::spawn(move || {
             let mut heartbeats = 0;
             loop {
-                let machine = next.fetch_add(1, Ordering::SeqCst);
+                let machine = next_machine.fetch_add(1, Ordering::SeqCst);
                 if machine >= machines {
                     return heartbeats;
                 }
@@ -67,24 +74,32 @@
         })
     });
     let senders: Vec<_> = senders.collect();
-    let heartbeats = senders.into_iter().map(|s| s.join().expect("answered"));
+    let heartbeats = senders
+        .into_iter()
+        .map(|s| s.join().expect("all heartbeats of the thread are accepted"));
     let heartbeats = heartbeats.sum();
-    (began.elapsed(), heartbeats, peak_memory(process.id()))
+    (
+        started_at.elapsed(),
+        heartbeats,
+        peak_memory_kib(process.id()),
+    )
 }
 
+/// 1000 machines send their heartbeats to a node that has just begun to lead.
 #[test]
 fn a_fleet_that_sends_heartbeats_at_once_is_answered_within_bounded_memory() {
-    let (took, heartbeats, memory) = flood(1000);
-    println!("1000 machines: {took:?}, {heartbeats} reports, {memory} KiB");
-    assert!(memory < 136 * 1024, "{memory} KiB");
+    let (elapsed, heartbeats, memory_kib) = flood(1000);
+    println!("1000 machines: {elapsed:?}, {heartbeats} heartbeats, {memory_kib} KiB");
+    assert!(memory_kib < 136 * 1024, "{memory_kib} KiB");
 }
 
+/// Prints the figures for larger fleets:
 /// `cargo test --release --test end_to_end measure_heartbeat_flood -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn measure_heartbeat_flood() {
     for machines in [1000, 4000, 6000] {
-        let (took, heartbeats, memory) = flood(machines);
-        println!("{machines} machines: {took:?}, {heartbeats} reports, {memory} KiB");
+        let (elapsed, heartbeats, memory_kib) = flood(machines);
+        println!("{machines} machines: {elapsed:?}, {heartbeats} heartbeats, {memory_kib} KiB");
     }
 }
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -1,6 +1,8 @@
-//! Whole nodes over real sockets, against the fakes.
+//! End-to-end tests: complete controllers that communicate over sockets with fakes of the key-value store,
+//! the cloud API and the workers.
 //!
-//! Waits end on what is observed; their limits are far beyond what any machine needs.
+//! A wait ends as soon as its condition holds. Its limit only ends a test that would otherwise hang, and is
+//! far longer than any machine needs.
 
 mod cancellation_cascades;
 mod cold_restart;
--- a/tests/end_to_end/mixed_versions.rs
+++ b/tests/end_to_end/mixed_versions.rs
@@ -1,5 +1,5 @@
-//! Controllers of two builds side by side: `OLD_PROGRAM` names the earlier build, and the present one runs
-//! beside it. Not for CI:
+//! Controllers of two builds in one cluster. `OLD_PROGRAM` names the program of the earlier build. CI does not
+//! run this test:
 //! `OLD_PROGRAM=... cargo test --release --test end_to_end mixed_versions -- --ignored --nocapture`.
 
 use super::fakes::process::NodeProcess;
@@ -12,12 +12,12 @@
 
 const NODES: usize = 3;
 const MACHINES: usize = 12;
-/// How long controllers of both builds run side by side.
-const MIXED_RUN: Duration = Duration::from_secs(300);
-/// A controller is killed this often.
+/// How long controllers of both builds run in one cluster.
+const MIXED_RUN_DURATION: Duration = Duration::from_secs(300);
+/// The time between two kills of the leader.
 const FAILOVER_INTERVAL: Duration = Duration::from_secs(15);
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(700);
-/// Failovers that have to be seen in each direction.
+/// The minimum number of failovers from each build to the other.
 const MIN_FAILOVERS_EACH_WAY: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,23 +26,26 @@
     New,
 }
 
+/// A cluster whose nodes run either build.
 struct MixedCluster {
     cluster: TestCluster,
+    /// The controllers; `None` while one is not running.
     nodes: Vec<Option<NodeProcess>>,
+    /// The build that each node runs when it is started next.
     builds: Vec<Build>,
     workers: Vec<FakeWorker>,
-    /// Every submitted job, and whether its cancellation was confirmed.
+    /// Every submitted job, and whether a node has answered that it is cancelled.
     jobs: BTreeMap<String, bool>,
 }
 
 impl MixedCluster {
     fn start(builds: [Build; NODES]) -> MixedCluster {
         let cluster = TestCluster::new(NODES);
-        let worker = |n: usize| {
-            let run = Duration::from_secs(3);
-            FakeWorker::start(&format!("i-{n}"), run, cluster.members.clone())
+        let start_worker = |n: usize| {
+            let run_time = Duration::from_secs(3);
+            FakeWorker::start(&format!("i-{n}"), run_time, cluster.members.clone())
         };
-        let workers = (0..MACHINES).map(worker).collect();
+        let workers = (0..MACHINES).map(start_worker).collect();
         let mut mixed = MixedCluster {
             cluster,
             nodes: (0..NODES).map(|_| None).collect(),
@@ -78,19 +81,20 @@
         self.cluster.members[n].1
     }
 
-    /// The index of the node that leads, by the leader key.
+    /// The index of the node that leads according to the leader key.
     fn leader(&self) -> Option<usize> {
         let member = self.cluster.store.value("ctl/leader")?.text("member");
         self.cluster.members.iter().position(|m| m.0 == member)
     }
 
+    /// Waits until a node leads, other than this one.
     fn await_leader(&self, other_than: Option<usize>) -> usize {
-        until("a controller leads", || {
+        wait_until("a controller leads", || {
             self.leader().filter(|n| Some(*n) != other_than)
         })
     }
 
-    /// Submits a job at one of the nodes, and cancels each fourth one some time after.
+    /// Submits the next job, at the nodes in turn. At each fourth submission, cancels the job before it.
     fn submit_next(&mut self) {
         let number = self.jobs.len();
         let job_id = format!("wk-{number:06}");
@@ -102,23 +106,25 @@
         }
     }
 
+    /// Requests the cancellation of a job at node `n`, and records whether the job is cancelled.
     fn cancel(&mut self, number: usize, n: usize) {
         let job_id = format!("wk-{number:06}");
         let path = format!("/api/jobs/{job_id}/withdraw");
         let node = self.address(n);
-        let phase = until("the cancellation is answered", || {
+        let phase = wait_until("the cancellation is answered", || {
             let (status, body) = call("POST", node, &path, None);
             (status == 200).then(|| body.text("Phase"))
         });
         self.jobs.insert(job_id, phase == "withdrawn");
     }
 
-    /// Every job ended as it should, and no task was started twice.
+    /// Waits until every node reports each job as cancelled or done, and checks that no task was started twice and
+    /// that each task of a job that is done was started.
     fn check_all_jobs(&self) {
         for (job_id, cancelled) in &self.jobs {
             let expected = if *cancelled { "withdrawn" } else { "done" };
             for n in 0..NODES {
-                until(&format!("{job_id} is {expected} at node {n}"), || {
+                wait_until(&format!("{job_id} is {expected} at node {n}"), || {
                     (phase(self.address(n), job_id)? == expected).then_some(())
                 });
             }
@@ -127,19 +133,21 @@
         for (task, _) in self.workers.iter().flat_map(FakeWorker::starts) {
             *starts.entry(task).or_default() += 1;
         }
-        let twice: Vec<_> = starts.iter().filter(|(_, count)| **count > 1).collect();
-        assert!(twice.is_empty(), "started twice: {twice:?}");
+        let started_twice: Vec<_> = starts.iter().filter(|(_, count)| **count > 1).collect();
+        assert!(started_twice.is_empty(), "started twice: {started_twice:?}");
         for (job_id, cancelled) in &self.jobs {
-            let number: u64 = job_id[3..].parse().expect("a number");
-            let started =
+            let number: u64 = job_id[3..].parse().expect("the job id ends in a number");
+            let started_tasks =
                 (0..1 + number % 3).filter(|task| starts.contains_key(&format!("{job_id}/{task}")));
             if !cancelled {
-                assert_eq!(started.count() as u64, 1 + number % 3, "{job_id}");
+                assert_eq!(started_tasks.count() as u64, 1 + number % 3, "{job_id}");
             }
         }
     }
 }
 
+/// Guards against a build that cannot read the records of the earlier build, or that loses jobs or starts tasks
+/// twice while controllers of both builds take the leadership from each other.
 #[test]
 #[ignore = "needs a second build; takes more than five minutes"]
 fn old_and_new_controllers_serve_side_by_side() {
@@ -147,7 +155,7 @@
     for _ in 0..16 {
         mixed.submit_next();
     }
-    // The new build takes over all that the old one wrote, by the same settings files.
+    // The new build takes over the records of the old build, with the same settings.
     for n in 0..NODES {
         mixed.kill(n);
     }
@@ -164,15 +172,15 @@
         mixed.start_node(n);
     }
     let mut failovers = BTreeMap::new();
-    let started = Instant::now();
-    let mut last_failover = Instant::now();
-    while started.elapsed() < MIXED_RUN {
+    let mixed_since = Instant::now();
+    let mut last_kill = Instant::now();
+    while mixed_since.elapsed() < MIXED_RUN_DURATION {
         mixed.submit_next();
         std::thread::sleep(SUBMISSION_INTERVAL);
-        if last_failover.elapsed() < FAILOVER_INTERVAL {
+        if last_kill.elapsed() < FAILOVER_INTERVAL {
             continue;
         }
-        last_failover = Instant::now();
+        last_kill = Instant::now();
         let leader = mixed.await_leader(None);
         mixed.kill(leader);
         let next = mixed.await_leader(Some(leader));
@@ -191,7 +199,10 @@
         mixed.jobs.len()
     );
     for direction in ["Old to New", "New to Old"] {
-        let seen = failovers.get(direction).copied().unwrap_or(0);
-        assert!(seen >= MIN_FAILOVERS_EACH_WAY, "{direction}: {failovers:?}");
+        let count = failovers.get(direction).copied().unwrap_or(0);
+        assert!(
+            count >= MIN_FAILOVERS_EACH_WAY,
+            "{direction}: {failovers:?}"
+        );
     }
 }
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -1,4 +1,4 @@
-//! Outages of the store, and transactions without an answer.
+//! Outages of the key-value store, and transactions whose response is lost or late.
 
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
@@ -7,13 +7,15 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// Guards against accepted jobs that are lost or never run: the store becomes unavailable right after their
+/// acceptance, and the leader loses its peer as well.
 #[test]
 fn every_accepted_job_ends_and_is_known_once_failures_are_over() {
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
     let worker = FakeWorker::start("i-1", Duration::from_millis(300), cluster.members.clone());
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
-    // Accepted by either node, the last ones just before everything is out.
+    // Both nodes accept jobs, the last ones just before the outage.
     let jobs = ["wk-000011", "wk-000012", "wk-000013", "wk-000014"];
     for (n, job_id) in jobs.iter().enumerate() {
         submit([a, b][n % 2], job_id, 2);
@@ -22,13 +24,13 @@
         .store
         .unavailable
         .store(true, std::sync::atomic::Ordering::SeqCst);
-    until("nobody answers for the state service", || {
-        let lost = [a, b].map(|n| call("GET", n, "/api/jobs/wk-000014", None).0);
-        (lost == [503, 503]).then_some(())
+    wait_until("both nodes refuse queries without the store", || {
+        let statuses = [a, b].map(|n| call("GET", n, "/api/jobs/wk-000014", None).0);
+        (statuses == [503, 503]).then_some(())
     });
-    // The leader goes during the outage.
+    // The leader is partitioned during the outage, and stays without the store when the outage is over.
     let leader = nodes.iter().position(|n| leading_term(n).is_some());
-    let leader = leader.expect("it leads on");
+    let leader = leader.expect("the leader still leads");
     cluster.store_links[leader].partition();
     for l in &cluster.peer_links {
         l.partition();
@@ -42,36 +44,41 @@
     }
     let other = cluster.members[1 - leader].1;
     for job_id in jobs {
-        until("done", || (phase(other, job_id)? == "done").then_some(()));
+        wait_until("the job is done", || {
+            (phase(other, job_id)? == "done").then_some(())
+        });
     }
-    // The one that was cut off knows them too, once it is back.
+    // The partitioned node reports them too, once it reaches the store again.
     cluster.store_links[leader].heal();
     for job_id in jobs {
-        until("known again", || {
+        wait_until("the node reports the job as done", || {
             (phase(cluster.members[leader].1, job_id)? == "done").then_some(())
         });
     }
-    let ran: std::collections::BTreeSet<String> =
+    let started_tasks: std::collections::BTreeSet<String> =
         worker.starts().into_iter().map(|s| s.0).collect();
-    assert_eq!(ran.len(), 8);
+    assert_eq!(started_tasks.len(), 8);
     for n in nodes {
         n.stop();
     }
 }
 
-/// Transactions whose answers are lost, or which are carried out only after newer ones: whoever asks
-/// hears nothing older than what a user was told, and nothing happens twice.
+/// Guards against stale answers and repeated effects when the response of a transaction is lost, or when the
+/// transaction is applied only after newer ones. No node may then report an older phase than a user was told,
+/// and no task may be started twice.
 #[test]
 fn unanswered_transactions_are_reported_correctly() {
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     let [a, b] = [cluster.members[0].1, cluster.members[1].1];
-    until("one leads", || nodes.iter().find_map(leading_term));
+    wait_until("a node leads", || nodes.iter().find_map(leading_term));
     submit(a, "wk-000100", 1);
-    until("started", || (worker.running() == 1).then_some(()));
+    wait_until("the first job runs", || {
+        (worker.running() == 1).then_some(())
+    });
     let late = Fault::Late(Duration::from_millis(2500));
-    // The key whose transaction is not answered, and how.
+    // The job, the prefix of the key whose transaction meets the fault, and the fault.
     let cases = [
         ("wk-000101", "q/l/", Fault::AnswerLost),
         ("wk-000102", "q/l/", late),
@@ -86,35 +93,39 @@
         cluster.store.inject_fault(prefix, fault);
         if prefix == "q/l/" {
             submit(a, job_id, 1);
-            // Accepted is accepted, at every node, for a repetition too.
+            // Once accepted, the job is known to every node, and a repeated submission is answered with 200.
             for _ in 0..40 {
                 for node in [a, b] {
                     assert!(phase(node, job_id).is_some(), "{job_id}: {fault:?}");
-                    let again = call("POST", node, "/api/jobs", Some(&submission(job_id, 1)));
-                    assert_eq!(again.0, 200, "{job_id}: {fault:?}");
+                    let repeated = call("POST", node, "/api/jobs", Some(&submission(job_id, 1)));
+                    assert_eq!(repeated.0, 200, "{job_id}: {fault:?}");
                 }
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
-        until("withdrawn", || {
+        wait_until("the cancellation is confirmed", || {
             let (status, body) = call("POST", a, &path, None);
             (status == 200).then(|| assert_eq!(body.text("Phase"), "withdrawn"))
         });
         for _ in 0..60 {
             for node in [b, a] {
-                let said = phase(node, job_id);
-                assert_eq!(said.as_deref(), Some("withdrawn"), "{job_id}: {fault:?}");
+                let reported = phase(node, job_id);
+                assert_eq!(
+                    reported.as_deref(),
+                    Some("withdrawn"),
+                    "{job_id}: {fault:?}"
+                );
             }
             std::thread::sleep(Duration::from_millis(50));
         }
         assert_eq!(
             cluster.store.pending_faults(),
             0,
-            "{job_id}: the fault was met"
+            "{job_id}: no transaction met the fault"
         );
     }
-    // None of them ran twice, and none runs on.
-    until("only the first is left", || {
+    // No task was started twice, and no task of a cancelled job still runs.
+    wait_until("only the first job runs", || {
         (worker.running() == 1).then_some(())
     });
     let mut starts = worker.starts();
@@ -127,39 +138,39 @@
     }
 }
 
-/// The gap between two failures: the store refuses the leader alone, another node confirms a
-/// cancellation, and then it is out for everybody for longer than `cancel_s`, while the workers go on
-/// reporting to the old leader. The tasks are gone within `cancel_s` all the same, and a plain outage
-/// costs nothing.
+/// Guards against tasks that run for longer than `cancel_s` after their cancellation was confirmed. First only
+/// the leader loses the store, then another node confirms a cancellation, and then the store fails for all
+/// nodes for longer than `cancel_s`, while the workers still send their heartbeats to the old leader. The leader
+/// has to stop the tasks or let their leases expire. An outage of the store alone must not end other tasks.
 #[test]
 fn cancelled_tasks_end_in_time_though_the_leader_cannot_reach_the_store() {
     let cases = [
         Case {
-            name: "a plain outage",
+            name: "an outage of the store alone",
             leader_loses_store_first: false,
             leader_loses_peers: false,
-            confirming_node_ends: false,
+            confirming_node_stops: false,
             other_tasks_survive: true,
         },
         Case {
-            name: "a peer tells it",
+            name: "a peer notifies the leader",
             leader_loses_store_first: true,
             leader_loses_peers: false,
-            confirming_node_ends: false,
+            confirming_node_stops: false,
             other_tasks_survive: true,
         },
         Case {
-            name: "nobody tells it",
+            name: "no peer can notify the leader",
             leader_loses_store_first: true,
             leader_loses_peers: true,
-            confirming_node_ends: false,
+            confirming_node_stops: false,
             other_tasks_survive: false,
         },
         Case {
-            name: "the confirming node ends",
+            name: "the confirming node stops",
             leader_loses_store_first: true,
             leader_loses_peers: true,
-            confirming_node_ends: true,
+            confirming_node_stops: true,
             other_tasks_survive: false,
         },
     ];
@@ -170,14 +181,14 @@
     });
 }
 
-/// What comes before and amid the outage, and what it costs.
+/// The failures before and during the outage, and their effect on tasks that were not cancelled.
 struct Case {
     name: &'static str,
     leader_loses_store_first: bool,
     leader_loses_peers: bool,
-    /// The node that confirms the cancellation ends right afterwards.
-    confirming_node_ends: bool,
-    /// Tasks that were not cancelled outlive the outage.
+    /// The node that confirmed the cancellation stops right after the outage has begun.
+    confirming_node_stops: bool,
+    /// Whether tasks that were not cancelled outlive the outage.
     other_tasks_survive: bool,
 }
 
@@ -187,22 +198,26 @@
     let cluster = TestCluster::new(2);
     let edit = |s: &mut Settings| {
         (s.config.lease, s.config.cancel) = (lease, cancel);
-        // Nobody takes over between the two failures.
+        // Long enough that no other node takes over between the two failures.
         s.operations.leader_lease = Duration::from_secs(30);
     };
     let mut nodes = [0, 1].map(|n| Some(cluster.start_with(n, edit)));
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
     submit(cluster.members[0].1, "wk-000001", 1);
     submit(cluster.members[1].1, "wk-000002", 1);
-    until("started", || (worker.running() == 2).then_some(()));
+    wait_until("the tasks run", || (worker.running() == 2).then_some(()));
     worker.set_lease(lease);
-    let leading = |n: &Option<Service>| n.as_ref().is_some_and(|n| leading_term(n).is_some());
-    let old = nodes.iter().position(leading).expect("one leads");
-    // The peers have come to know each other's frames, and words go on from words.
-    until("a watermark that peers keep", || {
-        let known = |n: &Service| n.context.peers.iter().all(|p| p.supports(2));
-        nodes.iter().flatten().all(known).then_some(())
-    });
+    let is_leader = |n: &Option<Service>| n.as_ref().is_some_and(|n| leading_term(n).is_some());
+    let old = nodes.iter().position(is_leader).expect("a node leads");
+    // The leader reads a peer's cancellation reports only once it knows the peer's protocol version. The reports
+    // move the watermark only after it has passed the time of the peer's first report, hence the wait.
+    wait_until(
+        "the nodes know that their peers report cancellations",
+        || {
+            let knows_versions = |n: &Service| n.context.peers.iter().all(|p| p.supports(2));
+            nodes.iter().flatten().all(knows_versions).then_some(())
+        },
+    );
     std::thread::sleep(Duration::from_secs(7));
     if case.leader_loses_store_first {
         cluster.store_links[old].partition();
@@ -212,52 +227,57 @@
         cluster.peer_links[1].partition();
     }
     let path = "/api/jobs/wk-000001/withdraw";
-    let confirmer = cluster.members[1 - old].1;
-    until("confirmed", || {
-        (call("POST", confirmer, path, None).0 == 200).then_some(())
+    let confirming_node = cluster.members[1 - old].1;
+    wait_until("the cancellation is confirmed", || {
+        (call("POST", confirming_node, path, None).0 == 200).then_some(())
     });
-    let confirmed = Instant::now();
+    let confirmed_at = Instant::now();
     cluster.store.unavailable.store(true, Ordering::SeqCst);
-    if case.confirming_node_ends {
+    if case.confirming_node_stops {
         if let Some(n) = nodes[1 - old].take() {
             n.stop();
         }
     }
-    let left = if case.other_tasks_survive { 1 } else { 0 };
-    until("gone", || (worker.running() <= left).then_some(()));
+    let expected_tasks = if case.other_tasks_survive { 1 } else { 0 };
+    wait_until("the cancelled task has ended", || {
+        (worker.running() <= expected_tasks).then_some(())
+    });
     assert!(
-        confirmed.elapsed() < cancel,
-        "{name}: gone only after {:?}",
-        confirmed.elapsed()
+        confirmed_at.elapsed() < cancel,
+        "{name}: the cancelled task ended only after {:?}",
+        confirmed_at.elapsed()
     );
-    // Well past the time for which a lease may go on unheard.
-    while confirmed.elapsed() < cancel + lease {
+    // Until a lease renewed at the limit would have expired as well.
+    while confirmed_at.elapsed() < cancel + lease {
         std::thread::sleep(Duration::from_millis(100));
-        assert!(worker.running() <= left, "{name}: started again");
+        assert!(
+            worker.running() <= expected_tasks,
+            "{name}: a task was started again"
+        );
     }
-    assert_eq!(worker.running(), left, "{name}");
+    assert_eq!(worker.running(), expected_tasks, "{name}");
     assert_eq!(
         worker.expired_leases() > 0,
         !case.other_tasks_survive,
         "{name}"
     );
-    // The store is back: the other job runs, this one is cancelled and starts no more.
+    // When the store is available again, the other job runs, and the cancelled one is not started again.
     cluster.store.unavailable.store(false, Ordering::SeqCst);
     let links = cluster.store_links.iter().chain(&cluster.peer_links);
     links.for_each(Link::heal);
-    if !case.confirming_node_ends {
-        until("told", || {
-            (phase(confirmer, "wk-000001")? == "withdrawn").then_some(())
+    if !case.confirming_node_stops {
+        wait_until("the job is reported as cancelled", || {
+            (phase(confirming_node, "wk-000001")? == "withdrawn").then_some(())
         });
     }
-    // Its machine may have been given back, with the cancelled task on it: there is another.
+    // The machine may have been returned to the cloud because of the cancelled task, so there is another one.
     let fresh = FakeWorker::start("i-2", Duration::from_secs(600), cluster.members.clone());
-    until("the other job runs", || {
+    wait_until("the other job runs", || {
         (worker.running() + fresh.running() == 1).then_some(())
     });
     let starts = [worker.starts(), fresh.starts()].concat();
-    let first = starts.iter().filter(|s| s.0 == "wk-000001/0").count();
-    assert_eq!(first, 1, "{name}");
+    let cancelled_starts = starts.iter().filter(|s| s.0 == "wk-000001/0").count();
+    assert_eq!(cancelled_starts, 1, "{name}");
     for n in nodes.into_iter().flatten() {
         n.stop();
     }
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -1,11 +1,11 @@
-//! This version beside the one in production: what that one does to the store is done here by
-//! hand, by its layouts, while a node of this version serves.
+//! A node of this version beside a node of the version in production. The tests write to the store what the
+//! production version would write, in its layouts.
 
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
 use std::time::Duration;
 
-/// The version in production, as the store sees it.
+/// A node of the version in production, as seen by the store.
 struct EarlierNode<'a> {
     store: &'a FakeStore,
 }
@@ -16,6 +16,7 @@
         call("GET", self.store.address, &path, None).1.int("Stamp")
     }
 
+    /// Commits a transaction and returns its status. The conditions are keys with their expected revisions.
     fn txn(&self, conditions: &[(&str, u64)], puts: &[(&str, Value)]) -> u16 {
         let conditions = conditions
             .iter()
@@ -30,29 +31,31 @@
         call("POST", self.store.address, "/txn", Some(&body)).0
     }
 
-    /// Enters a job in the list of what it needs, then accepts it: no field says that it is listed.
-    fn accepts(&self, job_id: &str, resources: &str) {
-        let (list, outcome) = (format!("d/{resources}"), format!("j/{resources}"));
-        let names = map([("by", Value::List(vec![text(job_id)]))]);
+    /// Accepts a job as the earlier version does: it first adds the job to the list of the dependency's
+    /// dependents. The job's record has no field that says so.
+    fn accept(&self, job_id: &str, dependency: &str) {
+        let (list, outcome) = (format!("d/{dependency}"), format!("j/{dependency}"));
+        let dependents = map([("by", Value::List(vec![text(job_id)]))]);
         let listed = self.txn(
             &[(&list, self.revision(&list)), (&outcome, 0)],
-            &[(&list, names)],
+            &[(&list, dependents)],
         );
         assert_eq!(listed, 200);
         let (own, live) = (format!("j/{job_id}"), format!("q/l/{job_id}"));
         let accepted = self.txn(
             &[(&own, 0), (&live, 0), (&outcome, 0)],
-            &[(&live, record(job_id, resources))],
+            &[(&live, record_with_dependency(job_id, dependency))],
         );
         assert_eq!(accepted, 200);
     }
 
-    /// Its whole cancellation is one transaction, conditional on the list that it read.
-    fn cancels(&self, job_id: &str, list_revision: u64, dependents: &[&str]) -> u16 {
+    /// Cancels a job and its dependents as the earlier version does: in one transaction, conditional on the
+    /// revision of the list that it read.
+    fn cancel(&self, job_id: &str, list_revision: u64, dependents: &[&str]) -> u16 {
         let list = format!("d/{job_id}");
         let outcomes: Vec<(String, String)> = std::iter::once(&job_id)
             .chain(dependents)
-            .map(|u| (format!("j/{u}"), format!("q/w/{u}")))
+            .map(|id| (format!("j/{id}"), format!("q/w/{id}")))
             .collect();
         let mut conditions = vec![(list.as_str(), list_revision)];
         let mut puts = Vec::new();
@@ -65,24 +68,26 @@
     }
 }
 
-fn record(job_id: &str, resources: &str) -> Value {
+/// The stored record of a job with one dependency.
+fn record_with_dependency(job_id: &str, dependency: &str) -> Value {
     let mut record = job_record(job_id, 1);
     if let Value::Map(fields) = &mut record {
-        fields.insert("needs".to_owned(), Value::List(vec![text(resources)]));
+        fields.insert("needs".to_owned(), Value::List(vec![text(dependency)]));
     }
     record
 }
 
-fn accepts(node: std::net::SocketAddr, job_id: &str, dependencies: &[&str]) {
+fn submit_with_dependencies(node: std::net::SocketAddr, job_id: &str, dependencies: &[&str]) {
     let body = submission_depending_on(job_id, dependencies);
-    until("accepted", || {
+    wait_until("the job is accepted", || {
         let status = call("POST", node, "/api/jobs", Some(&body)).0;
         matches!(status, 200 | 201).then_some(())
     });
 }
 
-/// A node of this version whose peer has never said what it knows, as the version in production has
-/// not until it is asked: it keeps the lists which that one needs.
+/// Guards against dependents that one version accepts and the other does not find when it cancels or completes
+/// their dependency. The peer of the node has never announced its protocol version, so the node treats it as a
+/// peer of the earlier version and keeps the lists of dependents that the earlier version reads.
 #[test]
 fn each_version_finds_what_the_other_accepted_and_cancelled() {
     let cluster = TestCluster::new(2);
@@ -92,79 +97,89 @@
     let earlier = EarlierNode {
         store: &cluster.store,
     };
-    until("it leads", || leading_term(&node));
+    wait_until("the node leads", || leading_term(&node));
     let wait_for_phase = |job_id: &str, expected: &str| {
-        until(job_id, || {
+        wait_until(job_id, || {
             (phase(address, job_id)? == expected).then_some(())
         });
     };
     let cancel = |job_id: &str| {
         let path = format!("/api/jobs/{job_id}/withdraw");
-        until("confirmed", || {
+        wait_until("the cancellation is confirmed", || {
             (call("POST", address, &path, None).0 == 200).then_some(())
         });
     };
     submit(address, "wk-000800", 1);
-    until("started", || (worker.running() == 1).then_some(()));
+    wait_until("the first job runs", || {
+        (worker.running() == 1).then_some(())
+    });
 
-    // The earlier one accepts, this one cancels.
-    earlier.accepts("wk-000801", "wk-000800");
-    accepts(address, "wk-000802", &["wk-000801"]);
+    // The earlier version accepts a job, and this version cancels it with its dependent.
+    earlier.accept("wk-000801", "wk-000800");
+    submit_with_dependencies(address, "wk-000802", &["wk-000801"]);
     wait_for_phase("wk-000801", "queued");
     cancel("wk-000801");
     wait_for_phase("wk-000802", "withdrawn");
     wait_for_phase("wk-000801", "withdrawn");
 
-    // This one accepts while the earlier one, which read the list before, cancels: the transaction
-    // fails, and its repetition finds the dependent.
-    accepts(address, "wk-000810", &["wk-000800"]);
-    accepts(address, "wk-000811", &["wk-000810"]);
-    let read_before = earlier.revision("d/wk-000810");
-    accepts(address, "wk-000812", &["wk-000810"]);
+    // This version accepts a dependent after the earlier version has read the list and before it cancels the
+    // job: the transaction of the earlier version fails, and its retry finds the dependent.
+    submit_with_dependencies(address, "wk-000810", &["wk-000800"]);
+    submit_with_dependencies(address, "wk-000811", &["wk-000810"]);
+    let old_revision = earlier.revision("d/wk-000810");
+    submit_with_dependencies(address, "wk-000812", &["wk-000810"]);
     assert_eq!(
-        earlier.cancels("wk-000810", read_before, &["wk-000811"]),
+        earlier.cancel("wk-000810", old_revision, &["wk-000811"]),
         409
     );
-    let read_now = earlier.revision("d/wk-000810");
+    let new_revision = earlier.revision("d/wk-000810");
     let dependents = ["wk-000811", "wk-000812"];
-    assert_eq!(earlier.cancels("wk-000810", read_now, &dependents), 200);
+    assert_eq!(earlier.cancel("wk-000810", new_revision, &dependents), 200);
     for job_id in ["wk-000810", "wk-000811", "wk-000812"] {
         wait_for_phase(job_id, "withdrawn");
     }
-    // And one that is submitted after it.
-    accepts(address, "wk-000813", &["wk-000810", "wk-000800"]);
+    // A job that is submitted after the cancellation is cancelled too.
+    submit_with_dependencies(address, "wk-000813", &["wk-000810", "wk-000800"]);
     wait_for_phase("wk-000813", "withdrawn");
 
-    // The earlier one, leading, made a `done` durable: what needs it starts here, and not before.
-    accepts(address, "wk-000820", &["wk-000800"]);
-    earlier.accepts("wk-000821", "wk-000820");
+    // The earlier version, as the leader, writes the outcome `done`. The dependent starts here after that, and not
+    // before.
+    submit_with_dependencies(address, "wk-000820", &["wk-000800"]);
+    earlier.accept("wk-000821", "wk-000820");
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(worker.starts().len(), 1, "all but the first wait");
-    let leader = earlier.revision("ctl/leader");
+    assert_eq!(
+        worker.starts().len(),
+        1,
+        "a dependent was started before its dependency was done"
+    );
+    let leader_revision = earlier.revision("ctl/leader");
     let done = map([("p", text("done"))]);
-    // Late, after the next leader's first write: the leader key's revision is another.
-    let late = [("ctl/leader", leader - 1), ("j/wk-000820", 0)];
-    assert_eq!(earlier.txn(&late, &[("j/wk-000820", done.clone())]), 409);
+    // A write that arrives after a change of leader fails, because the leader key has another revision.
+    let outdated = [("ctl/leader", leader_revision - 1), ("j/wk-000820", 0)];
+    assert_eq!(
+        earlier.txn(&outdated, &[("j/wk-000820", done.clone())]),
+        409
+    );
     assert_eq!(
         earlier.txn(&[("j/wk-000820", 0)], &[("j/wk-000820", done)]),
         200
     );
     node.stop();
-    // Another process of this version leads next, with the pipeline half done.
+    // Another process of this version leads next, while the last job of the chain has not run yet.
     let mut cluster = cluster;
     cluster.members[0].1 = free_port();
     cluster.peers[0] = free_port();
     let next = cluster.start(0);
-    until("it leads again", || leading_term(&next));
+    wait_until("the next process leads", || leading_term(&next));
     let fresh = FakeWorker::start("i-2", Duration::from_millis(200), cluster.members.clone());
-    until("the last of the chain runs", || {
+    wait_until("the last job of the chain starts", || {
         let starts = [worker.starts(), fresh.starts()].concat();
         starts.iter().any(|s| s.0 == "wk-000821/0").then_some(())
     });
     let starts = [worker.starts(), fresh.starts()].concat();
     assert!(
         !starts.iter().any(|s| s.0 == "wk-000820/0"),
-        "it is done: {starts:?}"
+        "a job that is done was started: {starts:?}"
     );
     next.stop();
 }
--- a/tests/fakes/test_cluster.rs
+++ b/tests/fakes/test_cluster.rs
@@ -14,9 +14,8 @@
 /// How long a test waits for a condition, far longer than any machine needs.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Waits until `check` returns a value, and panics after [`WAIT_LIMIT`]. `condition` completes the message
-/// "timed out waiting until ...".
-pub fn until<T>(condition: &str, mut check: impl FnMut() -> Option<T>) -> T {
+/// Waits until `check` returns a value, and panics after [`WAIT_LIMIT`] with the text of the condition.
+pub fn wait_until<T>(condition: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = check() {
@@ -24,7 +23,7 @@
         }
         assert!(
             start.elapsed() < WAIT_LIMIT,
-            "timed out waiting until {condition}"
+            "timed out waiting for: {condition}"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -173,7 +172,7 @@
 /// Repeats a submission until the node accepts the job or answers that it is known.
 pub fn submit(node: SocketAddr, job_id: &str, task_count: u64) {
     let body = submission(job_id, task_count);
-    until("the job is accepted", || {
+    wait_until("the job is accepted", || {
         let (status, _) = call("POST", node, "/api/jobs", Some(&body));
         matches!(status, 200 | 201).then_some(())
     });
