--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -159,8 +159,8 @@
         })
     }
 
-    /// The maximum number of commands within any window of this length after `from`, to the whole fleet and to
-    /// one segment. The test uses a window of two seconds, because commands that are sent at an even rate
+    /// The maximum number of commands within any window of this length after `from`, to the whole fleet and
+    /// to one segment. The test uses a window of two seconds, because commands that are sent at an even rate
     /// arrive unevenly on a busy machine.
     fn peak_commands(&self, from: Instant, window: Duration) -> (usize, usize) {
         let command_times = |segment: Option<usize>| {
@@ -204,8 +204,8 @@
         "running tasks were started again"
     );
 
-    // All leases expire while the controllers are down, and the first new leader is killed while it starts the
-    // tasks again.
+    // All leases expire while the controllers are down, and the first new leader is killed while it starts
+    // the tasks again.
     deployment.kill_all();
     deployment.expire_all_leases();
     deployment.cluster.store_links[0].heal();
@@ -313,7 +313,7 @@
         std::thread::sleep(Duration::from_secs(3));
         let second = Duration::from_secs(1);
         println!(
-            "{machines} machines, leases expired: {leases_expire}, tasks started: {}, peak commands in a second {:?}, \
+            "{machines} machines, leases expired {leases_expire}: started {}, peak commands in a second {:?}, \
              all workers know the term after {:.1} s, all tasks run after {:.1} s",
             deployment.start_count() - starts_before,
             deployment.peak_commands(restarted_at, second),
--- a/tests/end_to_end/mixed_versions.rs
+++ b/tests/end_to_end/mixed_versions.rs
@@ -1,5 +1,5 @@
-//! Controllers of two builds in one cluster. `OLD_PROGRAM` names the program of the earlier build. CI does not
-//! run this test:
+//! Controllers of two builds in one cluster. `OLD_PROGRAM` names the program of the earlier build. CI does
+//! not run this test:
 //! `OLD_PROGRAM=... cargo test --release --test end_to_end mixed_versions -- --ignored --nocapture`.
 
 use super::fakes::process::NodeProcess;
@@ -118,8 +118,8 @@
         self.jobs.insert(job_id, phase == "withdrawn");
     }
 
-    /// Waits until every node reports each job as cancelled or done, and checks that no task was started twice and
-    /// that each task of a job that is done was started.
+    /// Waits until every node reports each job as cancelled or done, and checks that no task was started
+    /// twice and that each task of a job that is done was started.
     fn check_all_jobs(&self) {
         for (job_id, cancelled) in &self.jobs {
             let expected = if *cancelled { "withdrawn" } else { "done" };
@@ -146,8 +146,8 @@
     }
 }
 
-/// Guards against a build that cannot read the records of the earlier build, or that loses jobs or starts tasks
-/// twice while controllers of both builds take the leadership from each other.
+/// Guards against a build that cannot read the records of the earlier build, or that loses jobs or starts
+/// tasks twice while controllers of both builds take the leadership from each other.
 #[test]
 #[ignore = "needs a second build; takes more than five minutes"]
 fn old_and_new_controllers_serve_side_by_side() {
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -7,8 +7,8 @@
 use cypressgap::runtime::service::Service;
 use std::time::{Duration, Instant};
 
-/// Guards against a leader that keeps deciding after it lost the store and its peer, and so starts a task that
-/// the next leader starts too, or keeps its workers from the next leader.
+/// Guards against a leader that keeps deciding after it lost the store and its peer, and so starts a task
+/// that the next leader starts too, or keeps its workers from the next leader.
 #[test]
 fn a_leader_partitioned_from_store_and_peers_starts_nothing_and_releases_its_workers() {
     let cluster = TestCluster::new(2);
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// Guards against a node that reports a job as unknown after another node accepted it, or as live after another
-/// node reported its end.
+/// Guards against a node that reports a job as unknown after another node accepted it, or as live after
+/// another node reported its end.
 #[test]
 fn status_reads_are_monotonic_across_nodes() {
     // Whether one node is partitioned from the store, so that its peer reads the store for it.
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -138,10 +138,11 @@
     }
 }
 
-/// Guards against tasks that run for longer than `cancel_s` after their cancellation was confirmed. First only
-/// the leader loses the store, then another node confirms a cancellation, and then the store fails for all
-/// nodes for longer than `cancel_s`, while the workers still send their heartbeats to the old leader. The leader
-/// has to stop the tasks or let their leases expire. An outage of the store alone must not end other tasks.
+/// Guards against tasks that run for longer than `cancel_s` after their cancellation was confirmed. First
+/// only the leader loses the store, then another node confirms a cancellation, and then the store fails for
+/// all nodes for longer than `cancel_s`, while the workers still send their heartbeats to the old leader. The
+/// leader has to stop the tasks or let their leases expire. An outage of the store alone must not end other
+/// tasks.
 #[test]
 fn cancelled_tasks_end_in_time_though_the_leader_cannot_reach_the_store() {
     let cases = [
@@ -209,8 +210,9 @@
     worker.set_lease(lease);
     let is_leader = |n: &Option<Service>| n.as_ref().is_some_and(|n| leading_term(n).is_some());
     let old = nodes.iter().position(is_leader).expect("a node leads");
-    // The leader reads a peer's cancellation reports only once it knows the peer's protocol version. The reports
-    // move the watermark only after it has passed the time of the peer's first report, hence the wait.
+    // The leader reads a peer's cancellation reports only once it knows the peer's protocol version. The
+    // reports move the watermark only after it has passed the time of the peer's first report, hence the
+    // wait.
     wait_until(
         "the nodes know that their peers report cancellations",
         || {
--- a/tests/end_to_end/team_limits.rs
+++ b/tests/end_to_end/team_limits.rs
@@ -1,4 +1,5 @@
-//! A leader that takes over the records of an earlier leader keeps each team within its limit on the machines.
+//! A leader that takes over the records of an earlier leader keeps each team within its limit on the
+//! machines.
 
 use crate::fakes::test_cluster::{job_record, phase, wait_until, TestCluster};
 use crate::fakes::{call, map, text, FakeWorker, Value};
@@ -9,7 +10,8 @@
 const TASK_CPUS: f64 = 2.0;
 /// The limit of the team. It has room for two tasks.
 const LIMIT_CPUS: f64 = 4.0;
-/// The first attempt of term 1, in which the records were written. The term is above the low 28 bits of the id.
+/// The first attempt of term 1, in which the records were written. The term is above the low 28 bits of the
+/// id.
 const EARLIER_TERM_ATTEMPT: u64 = 1 << 28;
 
 fn set_team_limit(settings: &mut Settings) {
@@ -91,9 +93,9 @@
     node.stop();
 }
 
-/// Guards against an unreadable record that is overwritten, or that keeps other jobs from running for good. No
-/// team with a limit starts a task while the tasks of the record may run, so the leader returns the machine
-/// that the record's intents name.
+/// Guards against an unreadable record that is overwritten, or that keeps other jobs from running for good.
+/// No team with a limit starts a task while the tasks of the record may run, so the leader returns the
+/// machine that the record's intents name.
 #[test]
 fn an_unreadable_record_is_kept_and_its_machine_is_returned() {
     let cluster = TestCluster::new(1);
--- a/tests/end_to_end/version_compatibility.rs
+++ b/tests/end_to_end/version_compatibility.rs
@@ -85,9 +85,10 @@
     });
 }
 
-/// Guards against dependents that one version accepts and the other does not find when it cancels or completes
-/// their dependency. The peer of the node has never announced its protocol version, so the node treats it as a
-/// peer of the earlier version and keeps the lists of dependents that the earlier version reads.
+/// Guards against dependents that one version accepts and the other does not find when it cancels or
+/// completes their dependency. The peer of the node has never announced its protocol version, so the node
+/// treats it as a peer of the earlier version and keeps the lists of dependents that the earlier version
+/// reads.
 #[test]
 fn each_version_finds_what_the_other_accepted_and_cancelled() {
     let cluster = TestCluster::new(2);
@@ -142,8 +143,8 @@
     submit_with_dependencies(address, "wk-000813", &["wk-000810", "wk-000800"]);
     wait_for_phase("wk-000813", "withdrawn");
 
-    // The earlier version, as the leader, writes the outcome `done`. The dependent starts here after that, and not
-    // before.
+    // The earlier version, as the leader, writes the outcome `done`. The dependent starts here after that,
+    // and not before.
     submit_with_dependencies(address, "wk-000820", &["wk-000800"]);
     earlier.accept("wk-000821", "wk-000820");
     std::thread::sleep(Duration::from_secs(1));
--- a/tests/fakes/process.rs
+++ b/tests/fakes/process.rs
@@ -12,9 +12,9 @@
 }
 
 impl NodeProcess {
-    /// Starts node `n` of the cluster. `edit` changes the platform's settings, a TOML text; `operators` is the
-    /// text of the operators' settings. The program is the build under test, or the one that `NODE_PROGRAM`
-    /// names.
+    /// Starts node `n` of the cluster. `edit` changes the platform's settings, a TOML text; `operators` is
+    /// the text of the operators' settings. The program is the build under test, or the one that
+    /// `NODE_PROGRAM` names.
     pub fn start(
         cluster: &TestCluster,
         n: usize,
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -106,8 +106,8 @@
             .store(run_time.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Sets the lease and renews it now. All tasks end when no heartbeat sent within that time is answered. Zero:
-    /// the lease never expires.
+    /// Sets the lease and renews it now. All tasks end when no heartbeat sent within that time is answered.
+    /// Zero: the lease never expires.
     pub fn set_lease(&self, lease: Duration) {
         self.state
             .lock()
@@ -284,7 +284,8 @@
             let (status, body) = call("POST", nodes[target].1, "/agent/beat", Some(&heartbeat));
             match status {
                 200 => {
-                    // An answer to a heartbeat of an earlier incarnation neither renews the lease nor is executed.
+                    // An answer to a heartbeat of an earlier incarnation neither renews the lease nor is
+                    // executed.
                     let incarnation = Value::Int(1 + self.expired_leases());
                     if heartbeat.get("Tenure") == Some(&incarnation) && self.execute(&body) {
                         let mut state = self.state.lock().expect("the lock of the worker's state");
