--- a/tests/end_to_end/cancellation_cascades.rs
+++ b/tests/end_to_end/cancellation_cascades.rs
@@ -1,5 +1,5 @@
 //! Cancellation of a job together with its dependents, while the store fails, responses are lost or nodes
-//! stop between the steps.
+//! stop between the writes of the cascade.
 
 use crate::fakes::test_cluster::*;
 use crate::fakes::*;
@@ -202,12 +202,12 @@
         ("no fault", &[]),
         (
             "an acceptance's response is lost",
-            &[("q/l/wk-0005", Fault::AnswerLost)],
+            &[("q/l/wk-0005", Fault::ResponseLost)],
         ),
         ("an acceptance is late", &[("q/l/wk-0005", late)]),
         (
             "the cancellation's response is lost",
-            &[("j/wk-000500", Fault::AnswerLost)],
+            &[("j/wk-000500", Fault::ResponseLost)],
         ),
         ("the cancellation is late", &[("j/wk-000500", late)]),
     ];
@@ -255,7 +255,7 @@
             (cancel(b, "wk-000500") == 200).then_some(())
         });
         for submissions in [first, second] {
-            dependents.extend(submissions.join().expect("the thread submits all jobs"));
+            dependents.extend(submissions.join().expect("the submitting thread finishes"));
         }
     });
     assert!(
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -290,7 +290,7 @@
 #[ignore = "a measurement; takes a minute"]
 fn measure_on_loopback() {
     let env_text = |name: &str| std::env::var(name).ok();
-    let machines = env_text("MACHINES").map_or(200, |n| n.parse().expect("a number"));
+    let machines = env_text("MACHINES").map_or(200, |n| n.parse().expect("MACHINES is a number"));
     let operators = env_text("OPERATORS").unwrap_or("(cypressgap)".to_owned());
     let mut deployment = Deployment::start(machines, operators);
     deployment.submit_all();
--- a/tests/end_to_end/jobs.rs
+++ b/tests/end_to_end/jobs.rs
@@ -166,14 +166,11 @@
     let (_, body) = call("POST", a, "/api/jobs/wk-000200/withdraw", None);
     assert_eq!(body.text("Phase"), "done");
     assert_eq!(phase(b, "wk-000203").as_deref(), Some("done"));
-    wait_until(
-        "cancellation markers, lists and live jobs are removed",
-        || {
-            let left = cluster.store.keys("q/w/").len();
-            let lists = cluster.store.keys("d/").len();
-            (left == 0 && lists <= 1 && cluster.store.keys("q/l/").len() <= 1).then_some(())
-        },
-    );
+    wait_until("lists and live jobs are cleared", || {
+        let left = cluster.store.keys("q/w/").len();
+        let lists = cluster.store.keys("d/").len();
+        (left == 0 && lists <= 1 && cluster.store.keys("q/l/").len() <= 1).then_some(())
+    });
     for n in nodes {
         n.stop();
     }
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -78,7 +78,7 @@
     let cluster = TestCluster::new(2);
     let nodes = [cluster.start(0), cluster.start(1)];
     submit(cluster.members[0].1, "wk-000007", 1);
-    let follower = wait_until("a node leads", || {
+    let follower = wait_until("a node follows", || {
         nodes.iter().position(|n| leading_term(n).is_none())
     });
     wait_until("the other node leads", || {
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -80,9 +80,9 @@
     let late = Fault::Late(Duration::from_millis(2500));
     // The job, the prefix of the key whose transaction meets the fault, and the fault.
     let cases = [
-        ("wk-000101", "q/l/", Fault::AnswerLost),
+        ("wk-000101", "q/l/", Fault::ResponseLost),
         ("wk-000102", "q/l/", late),
-        ("wk-000103", "j/", Fault::AnswerLost),
+        ("wk-000103", "j/", Fault::ResponseLost),
         ("wk-000104", "j/", late),
     ];
     for (job_id, prefix, fault) in cases {
@@ -213,13 +213,10 @@
     // The leader reads a peer's cancellation reports only once it knows the peer's protocol version. The
     // reports move the watermark only after it has passed the time of the peer's first report, hence the
     // wait.
-    wait_until(
-        "the nodes know that their peers report cancellations",
-        || {
-            let knows_versions = |n: &Service| n.context.peers.iter().all(|p| p.supports(2));
-            nodes.iter().flatten().all(knows_versions).then_some(())
-        },
-    );
+    wait_until("the nodes know each other's version", || {
+        let knows_versions = |n: &Service| n.context.peers.iter().all(|p| p.supports(2));
+        nodes.iter().flatten().all(knows_versions).then_some(())
+    });
     std::thread::sleep(Duration::from_secs(7));
     if case.leader_loses_store_first {
         cluster.store_links[old].partition();
--- a/tests/fakes/store.rs
+++ b/tests/fakes/store.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tiny_http::Method;
 
-/// Delay of a response that is to come too late, longer than any caller's timeout.
+/// Delay of a response that has to count as lost. It is longer than the timeout of any caller.
 const NO_RESPONSE_DELAY: Duration = Duration::from_secs(40);
 
 struct Entry {
@@ -229,7 +229,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// It is applied, and its response is lost.
-    AnswerLost,
+    ResponseLost,
     /// It is applied only after this time, behind newer transactions, and its response is lost.
     Late(Duration),
     /// It is applied and answered, and then the store becomes unavailable to all nodes.
@@ -290,7 +290,7 @@
             std::thread::sleep(NO_RESPONSE_DELAY);
         }
         match take_fault(&self.faults, url, body) {
-            Some(Fault::AnswerLost) => {
+            Some(Fault::ResponseLost) => {
                 serve_request(&self.state, method, url, body);
                 std::thread::sleep(NO_RESPONSE_DELAY);
             }
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tiny_http::Method;
 
-/// A task that the worker lists, until it is told to forget it.
+/// A task that the worker lists in its heartbeats, running or ended, until a `forget` command removes it.
 #[derive(Clone, Debug, PartialEq)]
 struct WorkerTask {
     attempt: u64,
