--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -313,8 +313,8 @@
         std::thread::sleep(Duration::from_secs(3));
         let second = Duration::from_secs(1);
         println!(
-            "{machines} machines, leases expired {leases_expire}: started {}, peak commands in a second {:?}, \
-             all workers know the term after {:.1} s, all tasks run after {:.1} s",
+            "{machines} machines, leases expired {leases_expire}: started {}, \
+             peak commands in a second {:?}, all workers know the term after {:.1} s, all tasks run after {:.1} s",
             deployment.start_count() - starts_before,
             deployment.peak_commands(restarted_at, second),
             term_known_after.as_secs_f64(),
--- a/tests/end_to_end/heartbeat_flood.rs
+++ b/tests/end_to_end/heartbeat_flood.rs
@@ -38,7 +38,7 @@
 
 /// Sends a machine's heartbeats until one is accepted, 200 ms after each refusal, and returns how many were
 /// sent. Panics after 60.
-fn heartbeat_until_answered(node: std::net::SocketAddr, machine: usize) -> usize {
+fn heartbeat_until_accepted(node: std::net::SocketAddr, machine: usize) -> usize {
     for sent in 1..=60 {
         let body = heartbeat(machine, sent as u64);
         if call("POST", node, "/agent/beat", Some(&body)).0 == 200 {
@@ -69,7 +69,7 @@
                 if machine >= machines {
                     return heartbeats;
                 }
-                heartbeats += heartbeat_until_answered(node, machine);
+                heartbeats += heartbeat_until_accepted(node, machine);
             }
         })
     });
