--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -57,7 +57,7 @@
     };
     let limits = Limits {
         connections: context.config.max_connections,
-        body: wire::BODY_LIMIT,
+        body: wire::MAX_BODY_BYTES,
         idle: (context.config.heartbeat_interval * IDLE_HEARTBEAT_INTERVALS).max(MIN_IDLE),
     };
     let context = context.clone();
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 /// The longest body that is accepted. The limit is stated for the text form, which is never shorter.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// The longest duration and the largest amount that a submission may name; keeps arithmetic on times far
 /// from overflow.
--- a/src/node/transaction_limits.rs
+++ b/src/node/transaction_limits.rs
@@ -33,6 +33,6 @@
 
     /// The number of jobs whose status can be looked up by one call.
     pub fn status_reads(&self) -> usize {
-        job_status_reads::max_jobs_per_comparison(self.conditions(), wire::BODY_LIMIT)
+        job_status_reads::max_jobs_per_comparison(self.conditions(), wire::MAX_BODY_BYTES)
     }
 }
