--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -68,7 +68,7 @@
             continue;
         }
         list.job_ids.push(job_id.0.clone());
-        if list.size_bound() > max_list_bytes {
+        if list.max_size_bytes() > max_list_bytes {
             continue;
         }
         conditions.push(KeyCondition::at_revision(key.clone(), revision));
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -206,7 +206,7 @@
         return Some(ApiResponse::problem(422, &why.to_string()));
     }
     let max_bytes = config.transaction_limits.value_bytes;
-    if let Err(why) = admission::check_record_size(record.size_bound(), max_bytes) {
+    if let Err(why) = admission::check_record_size(record.max_size_bytes(), max_bytes) {
         return Some(ApiResponse::problem(422, &why.to_string()));
     }
     if context.view.final_outcome(&spec.job_id).is_some() {
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -61,7 +61,7 @@
 impl StoredJob {
     /// An upper bound of the record's size as a value of the store: names and numbers of its fields, and
     /// the texts.
-    pub fn size_bound(&self) -> usize {
+    pub fn max_size_bytes(&self) -> usize {
         const NAMES_AND_NUMBERS: usize = 600;
         let required = [&self.job_id, &self.class, &self.team, &self.image.0];
         let texts = required
@@ -276,7 +276,7 @@
 
 impl StoredDependents {
     /// An upper bound of the record's size as a value of the store.
-    pub fn size_bound(&self) -> usize {
+    pub fn max_size_bytes(&self) -> usize {
         const NAME_AND_BRACKETS: usize = 16;
         let texts = self.job_ids.iter().map(|job_id| text_size_bound(job_id));
         NAME_AND_BRACKETS + texts.sum::<usize>()
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -134,10 +134,10 @@
     let mut kept = stored.clone();
     kept.keep_dependencies(&["wk-000405".into()], false);
     assert_eq!(kept.dependencies(), ["wk-000405"]);
-    assert!(kept.size_bound() < stored.size_bound());
+    assert!(kept.max_size_bytes() < stored.max_size_bytes());
     let many: Vec<&'static str> = vec!["wk-00000000000000000001"; 1];
-    let one = StoredJob::from(&named(&many)).size_bound();
-    let none = StoredJob::from(&named(&[])).size_bound();
+    let one = StoredJob::from(&named(&many)).max_size_bytes();
+    let none = StoredJob::from(&named(&[])).max_size_bytes();
     assert!(one >= none + many[0].len() + 3);
 }
 
@@ -268,7 +268,7 @@
     for (name, types, fits) in cases {
         let mut s = read(&submission()).expect("a submission");
         s.machine_types = Some(types.iter().map(|t| t.as_str().into()).collect());
-        let size = StoredJob::from(&s).size_bound();
+        let size = StoredJob::from(&s).max_size_bytes();
         // The bound holds: this form is shorter than the one that sizes are measured in.
         assert!(size > encode(&StoredJob::from(&s)).len(), "{name}");
         assert_eq!(
