--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadPurpose {
     /// A duty of the leader.
-    LeaderDuty,
+    LeaderWork,
     /// A user's status query. It leaves a part of the rate to submissions and cancellations.
     StatusQuery,
     /// A user's submission or cancellation.
@@ -77,7 +77,7 @@
     fn try_take_budget(&self, now: Instant) -> bool {
         let budget = &self.store.budget;
         match self.purpose {
-            ReadPurpose::LeaderDuty => budget.try_take(RequestClass::Leader, 0, now),
+            ReadPurpose::LeaderWork => budget.try_take(RequestClass::Leader, 0, now),
             ReadPurpose::StatusQuery => budget.try_take_status_query(now),
             ReadPurpose::UserChange => budget.try_take(RequestClass::User, 0, now),
         }
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -38,7 +38,7 @@
         let mut accepted = left.clone();
         loop {
             let until = (Instant::now() + CALL_LIMIT).min(deadline);
-            let reads = BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, until);
+            let reads = BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderWork, until);
             let read = job_status_reads::read_statuses(&reads, &left, &mut accepted);
             left.retain(|job_id| !read.statuses.contains_key(job_id));
             statuses.extend(read.statuses);
@@ -80,7 +80,7 @@
         let reads = BudgetedReader::new(
             &context.store,
             &context.stop,
-            ReadPurpose::LeaderDuty,
+            ReadPurpose::LeaderWork,
             until,
         );
         let read = job_status_reads::read_statuses(&reads, &chunk, &mut BTreeSet::new());
