--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -248,7 +248,7 @@
     context: &Arc<NodeContext>,
     queues: &Queues,
 ) -> std::io::Result<()> {
-    let rate = context.settings.cloud_rate * CLOUD_RATE_PART;
+    let rate = context.settings.cloud_requests_per_s * CLOUD_RATE_PART;
     let rate = Arc::new(TokenBucket::new(rate, CLOUD_BURST_S, Instant::now()));
     let (node, orders) = (context.clone(), queues.cloud_orders.clone());
     let order_rate = rate.clone();
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -93,7 +93,7 @@
     /// Lower rates that the key-value store may come to allow without notice.
     pub next_store_rates: Option<StoreRates>,
     /// Requests a second that the cloud allows.
-    pub cloud_rate: f64,
+    pub cloud_requests_per_s: f64,
     /// Sockets that this process may have open.
     pub max_sockets: usize,
     /// The operators' settings outside the scheduler core.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -63,7 +63,11 @@
             max_clock_skew: Duration::from_secs_f64(deployment.skew_ms / 1000.0),
             store_rates: checks.store_rates(&deployment.store)?,
             next_store_rates: next.rates,
-            cloud_rate: checks.positive("deployment.cloud.rps", deployment.cloud.rps, MAX_RATE)?,
+            cloud_requests_per_s: checks.positive(
+                "deployment.cloud.rps",
+                deployment.cloud.rps,
+                MAX_RATE,
+            )?,
             max_sockets: deployment.quota.max_sockets,
             operations: OperatorSettings::default(),
             config: checks.scheduler_config(deployment, teams, &next.sizes)?,
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -53,7 +53,7 @@
         ("state.next", format!("{next_rates:?}")),
         ("value_kb", p.value_bytes.to_string()),
         ("txn_ops", p.txn_ops.to_string()),
-        ("cloud.rps", s.cloud_rate.to_string()),
+        ("cloud.rps", s.cloud_requests_per_s.to_string()),
         ("list_lag_s", format!("{:?}", p.max_cloud_list_lag)),
         ("max_sockets", s.max_sockets.to_string()),
     ]
