--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -42,7 +42,7 @@
             max_live_jobs: settings.config.tuning.max_live_jobs,
             transaction_limits: TransactionLimits::from(settings),
             max_connections: settings.socket_budget().http,
-            user_threads: settings.operations.api_threads,
+            user_threads: settings.operator_settings.api_threads,
             heartbeat_interval: settings.config.heartbeat,
         }
     }
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -88,7 +88,11 @@
 fn lease_duration(context: &NodeContext) -> Duration {
     let lag = context.max_timer_lag().as_secs_f64() / LAG_DOUBLING_LEASE.as_secs_f64();
     let factor = 1.0 + lag.min(MAX_LEASE_EXTENSION);
-    context.settings.operations.leader_lease.mul_f64(factor)
+    context
+        .settings
+        .operator_settings
+        .leader_lease
+        .mul_f64(factor)
 }
 
 /// The leader key on the new lease, and the term's counter raised.
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -76,7 +76,7 @@
 
     /// Whether this process resumed so recently that a leader's lease may have ended without its knowing.
     pub fn resumed_recently(&self) -> bool {
-        let recently = self.settings.operations.leader_lease * RESUMED_RECENTLY_LEASES;
+        let recently = self.settings.operator_settings.leader_lease * RESUMED_RECENTLY_LEASES;
         self.resumed_at().is_some_and(|at| at.elapsed() < recently)
     }
 
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -57,7 +57,7 @@
             last_tick: now,
             next_publish: now,
             next_share: now,
-            next_summary: now + context.settings.operations.metrics_interval,
+            next_summary: now + context.settings.operator_settings.metrics_interval,
             last_resumed_at: None,
         }
     }
@@ -205,7 +205,7 @@
             return;
         }
         if let Some(cluster) = self.cluster.as_mut() {
-            self.next_summary = now + self.context.settings.operations.metrics_interval;
+            self.next_summary = now + self.context.settings.operator_settings.metrics_interval;
             log_summary(self.context, cluster);
         }
     }
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -78,7 +78,7 @@
 
 impl Elector {
     fn new(context: Arc<NodeContext>) -> Elector {
-        let lease_duration = context.settings.operations.leader_lease;
+        let lease_duration = context.settings.operator_settings.leader_lease;
         let renewal_interval = lease_duration / RENEWALS_PER_LEASE;
         let boot: u64 = rand::thread_rng().gen::<u64>() >> 1;
         Elector {
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -186,7 +186,7 @@
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
     // One for each thread that asks for a user, and for the leader's own duties.
-    let user_connections = settings.operations.api_threads + QUERY_THREADS;
+    let user_connections = settings.operator_settings.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
         connect_timeout: STORE_CONNECT_TIMEOUT,
@@ -232,7 +232,7 @@
     threads.spawn("store-writer", move || {
         store_writer::run(&node, &transactions);
     })?;
-    for _ in 0..context.settings.operations.command_threads {
+    for _ in 0..context.settings.operator_settings.command_threads {
         let (node, commands) = (context.clone(), queues.commands.clone());
         threads.spawn("command-sender", move || {
             command_sender::run(&node, &commands);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -97,7 +97,7 @@
     /// Sockets that this process may have open.
     pub max_sockets: usize,
     /// The operators' settings outside the scheduler core.
-    pub operations: OperatorSettings,
+    pub operator_settings: OperatorSettings,
 }
 
 impl Settings {
@@ -116,7 +116,7 @@
     /// The shares of the process's sockets.
     #[must_use]
     pub fn socket_budget(&self) -> SocketBudget {
-        SocketBudget::new(self.max_sockets, &self.operations)
+        SocketBudget::new(self.max_sockets, &self.operator_settings)
     }
 }
 
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -50,16 +50,20 @@
             return apply_recovery(&mut self.config.recovery, item, lines);
         }
         let number = named_number(item)?;
-        apply_number(&mut self.config.tuning, &mut self.operations, &number)
-            .map_err(|e| Problem::new(line_of(item), e.to_string()))
+        apply_number(
+            &mut self.config.tuning,
+            &mut self.operator_settings,
+            &number,
+        )
+        .map_err(|e| Problem::new(line_of(item), e.to_string()))
     }
 
     fn check_sockets(&self) -> Result<(), Problem> {
         let max_sockets = self.max_sockets;
-        if SocketBudget::suffices(max_sockets, &self.operations) {
+        if SocketBudget::suffices(max_sockets, &self.operator_settings) {
             return Ok(());
         }
-        let threads = self.operations.command_threads + self.operations.api_threads;
+        let threads = self.operator_settings.command_threads + self.operator_settings.api_threads;
         let text = format!("agents and handlers: {threads} are too many for {max_sockets} sockets");
         Err(Problem::new(1, text))
     }
@@ -86,7 +90,7 @@
 
 fn apply_number(
     tuning: &mut Tuning,
-    operations: &mut OperatorSettings,
+    operator_settings: &mut OperatorSettings,
     number: &NamedNumber,
 ) -> Result<(), NumberError> {
     match number.name.as_str() {
@@ -97,10 +101,10 @@
         "max-live-jobs" => tuning.max_live_jobs = number.integer(1.0, 1e6)?,
         "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
         "max-hosts" => tuning.max_machines = number.integer(1.0, 1e5)?,
-        "leader-lease-s" => operations.leader_lease = number.seconds(1.0, 600.0)?,
-        "handlers" => operations.api_threads = number.integer(2.0, 256.0)?,
-        "agents" => operations.command_threads = number.integer(1.0, 64.0)?,
-        "metrics-every-s" => operations.metrics_interval = number.seconds(1.0, 86_400.0)?,
+        "leader-lease-s" => operator_settings.leader_lease = number.seconds(1.0, 600.0)?,
+        "handlers" => operator_settings.api_threads = number.integer(2.0, 256.0)?,
+        "agents" => operator_settings.command_threads = number.integer(1.0, 64.0)?,
+        "metrics-every-s" => operator_settings.metrics_interval = number.seconds(1.0, 86_400.0)?,
         name => return Err(NumberError::UnknownSetting(name.to_owned())),
     }
     Ok(())
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -69,7 +69,7 @@
                 MAX_RATE,
             )?,
             max_sockets: deployment.quota.max_sockets,
-            operations: OperatorSettings::default(),
+            operator_settings: OperatorSettings::default(),
             config: checks.scheduler_config(deployment, teams, &next.sizes)?,
         })
     }
--- a/src/settings/socket_budget.rs
+++ b/src/settings/socket_budget.rs
@@ -28,9 +28,9 @@
 }
 
 impl SocketBudget {
-    pub(super) fn new(max_sockets: usize, operations: &OperatorSettings) -> SocketBudget {
+    pub(super) fn new(max_sockets: usize, operator_settings: &OperatorSettings) -> SocketBudget {
         let workers = max_sockets / WORKER_SHARE_DIVISOR;
-        let reserved = workers + fixed_sockets(operations);
+        let reserved = workers + fixed_sockets(operator_settings);
         SocketBudget {
             http: max_sockets.saturating_sub(reserved).max(MIN_HTTP_SOCKETS),
             workers,
@@ -39,15 +39,15 @@
     }
 
     /// Whether each user of sockets gets its minimum with so many threads.
-    pub(super) fn suffices(max_sockets: usize, operations: &OperatorSettings) -> bool {
+    pub(super) fn suffices(max_sockets: usize, operator_settings: &OperatorSettings) -> bool {
         let workers = max_sockets / WORKER_SHARE_DIVISOR;
-        workers + fixed_sockets(operations) + MIN_HTTP_SOCKETS <= max_sockets
+        workers + fixed_sockets(operator_settings) + MIN_HTTP_SOCKETS <= max_sockets
     }
 }
 
 /// Sockets whose number does not depend on how many the process may have.
-fn fixed_sockets(operations: &OperatorSettings) -> usize {
+fn fixed_sockets(operator_settings: &OperatorSettings) -> usize {
     // Followers deliver as many commands at a time as the leader's command threads send.
-    let commands_under_way = operations.command_threads + operations.api_threads;
+    let commands_under_way = operator_settings.command_threads + operator_settings.api_threads;
     PEER_SOCKETS + OWN_SOCKETS + commands_under_way
 }
--- a/tests/end_to_end/store_outages.rs
+++ b/tests/end_to_end/store_outages.rs
@@ -188,7 +188,7 @@
     let edit = |s: &mut Settings| {
         (s.config.lease, s.config.cancel) = (lease, cancel);
         // Nobody takes over between the two failures.
-        s.operations.leader_lease = Duration::from_secs(30);
+        s.operator_settings.leader_lease = Duration::from_secs(30);
     };
     let mut nodes = [0, 1].map(|n| Some(cluster.start_with(n, edit)));
     let worker = FakeWorker::start("i-1", Duration::from_secs(600), cluster.members.clone());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -131,7 +131,7 @@
         let text = NODE.replace("max_sockets = 3000", &format!("max_sockets = {sockets}"));
         let s = Settings::parse("node.toml", &text).unwrap();
         let parts = s.socket_budget();
-        let o = &s.operations;
+        let o = &s.operator_settings;
         let all = parts.http + parts.workers + parts.peers + o.command_threads + o.api_threads;
         assert!(all < sockets, "{sockets}: {parts:?}");
         // Two followers send to all workers that one node could carry.
@@ -155,7 +155,7 @@
 fn operators_settings() {
     let mut s = Settings::parse("node.toml", NODE).unwrap();
     s.parse_operators("operators.lisp", OPERATORS).unwrap();
-    assert_eq!(s.operations.leader_lease, Duration::from_secs(4));
+    assert_eq!(s.operator_settings.leader_lease, Duration::from_secs(4));
     let cases = [
         ("(cypressgap\n (colour 3))", "line 2", "colour"),
         ("(cypressgap\n\n (handlers 0))", "line 3", "handlers"),
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -61,7 +61,7 @@
 
 /// The fields that the operators' file sets.
 fn operators_rows(s: &Settings) -> Vec<(&'static str, String)> {
-    let (o, t, r) = (&s.operations, &s.config.tuning, &s.config.recovery);
+    let (o, t, r) = (&s.operator_settings, &s.config.tuning, &s.config.recovery);
     let segments = r.segments.iter().map(|s| format!("{} {}", s.name, s.net));
     vec![
         ("summary-every-s", format!("{:?}", t.summary_interval)),
