--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -15,8 +15,8 @@
 pub fn connection_pool(idle_connections: usize) -> ureq::Agent {
     http_client::connection_pool(PoolConfig {
         connect_timeout: CONNECT_TIMEOUT,
-        max_idle: idle_connections,
-        max_idle_per_address: 1,
+        max_idle_connections: idle_connections,
+        max_idle_connections_per_address: 1,
     })
 }
 
@@ -39,7 +39,8 @@
     let address: SocketAddr = endpoint.parse().ok()?;
     let url = format!("http://{address}/commands");
     let response =
-        http_client::exchange(connections, "POST", &url, Some(commands), COMMAND_TIMEOUT).ok()?;
+        http_client::send_request(connections, "POST", &url, Some(commands), COMMAND_TIMEOUT)
+            .ok()?;
     matches!(response.status, 200 | 409).then_some(response.body)
 }
 
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -6,14 +6,14 @@
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::{CloudMachine, MachineId};
 use crate::net::http_client::{HttpClient, HttpResponse};
-use crate::net::wire::{ErrorResponse, MachineList, MachineNames, RentRequest, WireMachineTypes};
+use crate::net::wire::{ErrorResponse, MachineIds, MachineList, RentRequest, WireMachineTypes};
 use std::time::Duration;
 
-const TIMEOUT: Duration = Duration::from_secs(8);
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// Machines on a page of the list.
 const PAGE_SIZE: usize = 500;
 /// The cloud's error where it has no such machines to rent.
-const NO_CAPACITY: &str = "no capacity";
+const NO_CAPACITY_ERROR: &str = "no capacity";
 
 /// A client of the cloud's interface.
 #[derive(Clone)]
@@ -43,7 +43,10 @@
 
     /// Rents machines. The request's idempotency key makes repetitions harmless.
     pub fn rent(&self, request: &RentRequest) -> RentalOutcome {
-        let Ok(response) = self.http.call("POST", "/hosts", Some(request), TIMEOUT) else {
+        let Ok(response) = self
+            .http
+            .call("POST", "/hosts", Some(request), CALL_TIMEOUT)
+        else {
             return RentalOutcome::Unknown;
         };
         match response.status {
@@ -62,12 +65,12 @@
 
     /// Returns machines to the cloud. True: by now they are gone with all that was on them.
     pub fn return_machines(&self, machines: &[MachineId]) -> bool {
-        let request = MachineNames {
+        let request = MachineIds {
             machines: machines.iter().map(|machine| machine.0.clone()).collect(),
         };
         let response = self
             .http
-            .call("POST", "/hosts/return", Some(&request), TIMEOUT);
+            .call("POST", "/hosts/return", Some(&request), CALL_TIMEOUT);
         response.is_ok_and(|r| r.status == 200)
     }
 
@@ -89,13 +92,13 @@
 
     /// None: no answer, or another status than 200.
     fn get(&self, path: &str) -> Option<HttpResponse> {
-        let response = self.http.call::<()>("GET", path, None, TIMEOUT).ok()?;
+        let response = self.http.call::<()>("GET", path, None, CALL_TIMEOUT).ok()?;
         (response.status == 200).then_some(response)
     }
 }
 
 fn rented_machines(response: &HttpResponse) -> RentalOutcome {
-    match response.decode::<MachineNames>() {
+    match response.decode::<MachineIds>() {
         Some(names) => RentalOutcome::Machines(names.machines.into_iter().map(MachineId).collect()),
         None => RentalOutcome::Unknown,
     }
@@ -103,5 +106,5 @@
 
 fn is_out_of_capacity(response: &HttpResponse) -> bool {
     let refusal: Option<ErrorResponse> = response.decode();
-    refusal.is_some_and(|r| r.error == NO_CAPACITY)
+    refusal.is_some_and(|r| r.error == NO_CAPACITY_ERROR)
 }
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -16,7 +16,7 @@
 /// Calls to this path of the key-value store are meant to wait: their time is not a latency.
 const LONG_POLL_PATH: &str = "/follow";
 /// Idle connections that a client keeps in all, for each that it keeps to its address.
-const TOTAL_IDLE_FACTOR: usize = 8;
+const TOTAL_IDLE_LIMIT_FACTOR: usize = 8;
 
 /// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
@@ -26,7 +26,7 @@
     NotSent,
     /// The request may have been executed, or may yet be.
     #[error("no answer")]
-    NoAnswer,
+    NoResponse,
 }
 
 /// A response, whatever its status.
@@ -69,8 +69,8 @@
         HttpClient {
             connections: connection_pool(PoolConfig {
                 connect_timeout: config.connect_timeout,
-                max_idle: config.idle_connections * TOTAL_IDLE_FACTOR,
-                max_idle_per_address: config.idle_connections,
+                max_idle_connections: config.idle_connections * TOTAL_IDLE_LIMIT_FACTOR,
+                max_idle_connections_per_address: config.idle_connections,
             }),
             base_url: format!("http://{}", config.address),
             latency,
@@ -88,7 +88,7 @@
         let url = format!("{}{path}", self.base_url);
         let start = Instant::now();
         let body = body.map(|b| wire::encode(b));
-        let response = exchange(&self.connections, method, &url, body.as_deref(), timeout);
+        let response = send_request(&self.connections, method, &url, body.as_deref(), timeout);
         if !path.starts_with(LONG_POLL_PATH) {
             self.latency.record(start.elapsed());
         }
@@ -100,21 +100,21 @@
 pub(super) struct PoolConfig {
     /// Time limit for a new connection.
     pub connect_timeout: Duration,
-    pub max_idle: usize,
-    pub max_idle_per_address: usize,
+    pub max_idle_connections: usize,
+    pub max_idle_connections_per_address: usize,
 }
 
 pub(super) fn connection_pool(config: PoolConfig) -> ureq::Agent {
     ureq::AgentBuilder::new()
         .timeout_connect(config.connect_timeout)
-        .max_idle_connections(config.max_idle)
-        .max_idle_connections_per_host(config.max_idle_per_address)
+        .max_idle_connections(config.max_idle_connections)
+        .max_idle_connections_per_host(config.max_idle_connections_per_address)
         .redirects(0)
         .build()
 }
 
 /// Sends a request with a body that is encoded already, if any, and waits for the response.
-pub(super) fn exchange(
+pub(super) fn send_request(
     connections: &ureq::Agent,
     method: &str,
     url: &str,
@@ -142,7 +142,7 @@
         .into_reader()
         .take(MAX_RESPONSE_BYTES)
         .read_to_end(&mut body)
-        .map_err(|_| CallError::NoAnswer)?;
+        .map_err(|_| CallError::NoResponse)?;
     Ok(HttpResponse { status, body })
 }
 
@@ -150,7 +150,7 @@
     fn from(error: ureq::Transport) -> Self {
         match error.kind() {
             ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => CallError::NotSent,
-            _ => CallError::NoAnswer,
+            _ => CallError::NoResponse,
         }
     }
 }
--- a/src/net/peer/circuit_breaker.rs
+++ b/src/net/peer/circuit_breaker.rs
@@ -7,7 +7,7 @@
 
 /// So many failures in a row open the circuit.
 const FAILURES_TO_OPEN: u32 = 6;
-const OPEN_FOR: Duration = Duration::from_secs(10);
+const OPEN_DURATION: Duration = Duration::from_secs(10);
 
 #[derive(Default)]
 pub(super) struct CircuitBreaker {
@@ -32,7 +32,7 @@
         }
         self.consecutive_failures.store(0, Ordering::Relaxed);
         if let Ok(mut open_until) = self.open_until.lock() {
-            *open_until = Some(now + OPEN_FOR);
+            *open_until = Some(now + OPEN_DURATION);
         }
     }
 }
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -9,26 +9,26 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+mod demand_meter;
 mod refusals;
-mod usage;
 
+use demand_meter::DemandMeter;
 use refusals::Refusals;
-use usage::Usage;
 
 /// The leader's part of all requests. The rest is the users', node by node.
-const LEADER_REQUESTS: f64 = 0.4;
+const LEADER_REQUEST_RATE_SHARE: f64 = 0.4;
 /// Bursts of one second's worth are allowed; a little less allows for the clocks.
 const BURST_S: f64 = 0.9;
 /// The part of the store's changes a second that is distributed among the nodes.
-const DISTRIBUTED_CHANGES: f64 = 0.97;
+const DISTRIBUTED_CHANGE_RATE_SHARE: f64 = 0.97;
 /// The part of a node's requests that status queries leave to submissions and cancellations.
-const STATUS_QUERY_RESERVE: f64 = 0.4;
+const STATUS_QUERY_RESERVED_SHARE: f64 = 0.4;
 /// Clients that are refused for want of the rate are asked to come back within this time: users give up
 /// after a minute.
 const MIN_RETRY_AFTER_S: f64 = 1.0;
 const MAX_RETRY_AFTER_S: f64 = 4.0;
 /// Rebalancing more often would measure demand over too short a time.
-const MIN_REBALANCE_S: f64 = 0.2;
+const MIN_REBALANCE_INTERVAL_S: f64 = 0.2;
 
 /// The rates that this node keeps to.
 pub struct StoreBudget {
@@ -40,7 +40,7 @@
     reduced_rates: Option<StoreRates>,
     controller_count: f64,
     refusals: Mutex<Refusals>,
-    usage: Mutex<Usage>,
+    demand_meter: Mutex<DemandMeter>,
 }
 
 /// One class of requests: each call takes a request, and as many changes as it makes.
@@ -76,7 +76,7 @@
             reduced_rates: None,
             controller_count,
             refusals: Mutex::default(),
-            usage: Mutex::new(Usage::new(now)),
+            demand_meter: Mutex::new(DemandMeter::new(now)),
         }
     }
 
@@ -136,8 +136,8 @@
         self.leader.reduce(leader_rates(reduced), now);
     }
 
-    fn usage(&self) -> MutexGuard<'_, Usage> {
-        self.usage
+    fn demand_meter(&self) -> MutexGuard<'_, DemandMeter> {
+        self.demand_meter
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -145,20 +145,22 @@
     /// Changes a second that this node asks for, to be sent to its peers.
     #[must_use]
     pub fn demand(&self) -> ChangeRateDemand {
-        self.usage().demand
+        self.demand_meter().demand
     }
 
     /// Distributes the store's changes by the demand of all nodes. `None` stands for a peer whose demand
     /// is not known.
     pub fn rebalance(&self, peers: &[Option<ChangeRateDemand>], now: Instant) {
-        let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGES;
-        let mut usage = self.usage();
-        let elapsed = now.saturating_duration_since(usage.since).as_secs_f64();
-        if elapsed < MIN_REBALANCE_S {
+        let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGE_RATE_SHARE;
+        let mut demand_meter = self.demand_meter();
+        let elapsed_s = now
+            .saturating_duration_since(demand_meter.measured_since)
+            .as_secs_f64();
+        if elapsed_s < MIN_REBALANCE_INTERVAL_S {
             return;
         }
-        let demand = usage.update_demand(elapsed, changes, now);
-        drop(usage);
+        let demand = demand_meter.measure_demand(elapsed_s, changes, now);
+        drop(demand_meter);
         let shares = ChangeRateShares::new(changes, demand, peers);
         self.users.changes.set_rate(shares.users, now);
         self.leader.changes.set_rate(shares.leader, now);
@@ -170,14 +172,14 @@
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
             .requests
-            .try_take_above_reserve(1.0, STATUS_QUERY_RESERVE, now)
+            .try_take_above_reserve(1.0, STATUS_QUERY_RESERVED_SHARE, now)
     }
 
     /// When a user whose change was refused for the rate should come back: by then the recent demand
     /// could be served.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
-        let (demand, rate) = (self.usage().demand.users, self.users.changes.rate());
+        let (demand, rate) = (self.demand_meter().demand.users, self.users.changes.rate());
         let seconds = demand / rate.max(0.1);
         Duration::from_secs_f64(seconds.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S))
     }
@@ -194,18 +196,18 @@
         self.try_take_above_reserve(class, changes, 0.0, now)
     }
 
-    /// Takes a request with this many changes where `reserve`, a part of the bucket of changes, is left
+    /// Takes a request with this many changes where `reserved_share`, a part of the bucket of changes, is left
     /// to others.
     #[must_use]
     pub fn try_take_above_reserve(
         &self,
         class: RequestClass,
         changes: usize,
-        reserve: f64,
+        reserved_share: f64,
         now: Instant,
     ) -> bool {
         if changes > 0 {
-            self.usage().record(class, changes);
+            self.demand_meter().record(class, changes);
         }
         let buckets = match class {
             RequestClass::User => &self.users,
@@ -215,7 +217,7 @@
         let changes_granted = changes == 0
             || buckets
                 .changes
-                .try_take_above_reserve(changes as f64, reserve, now);
+                .try_take_above_reserve(changes as f64, reserved_share, now);
         changes_granted && buckets.requests.try_take_at(1.0, now)
     }
 }
@@ -223,7 +225,7 @@
 /// The rates of one node's users.
 fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
     StoreRates {
-        requests: rates.requests * (1.0 - LEADER_REQUESTS) / controller_count,
+        requests: rates.requests * (1.0 - LEADER_REQUEST_RATE_SHARE) / controller_count,
         changes: rates.changes * (1.0 - LEADER_CHANGE_RATE_SHARE) / controller_count,
     }
 }
@@ -231,7 +233,7 @@
 /// The leader's rates.
 fn leader_rates(rates: StoreRates) -> StoreRates {
     StoreRates {
-        requests: rates.requests * LEADER_REQUESTS,
+        requests: rates.requests * LEADER_REQUEST_RATE_SHARE,
         changes: rates.changes * LEADER_CHANGE_RATE_SHARE,
     }
 }
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -34,7 +34,7 @@
     purpose: ReadPurpose,
     deadline: Instant,
     /// The next call's part of the rate has been taken already.
-    prepaid: Cell<bool>,
+    budget_taken: Cell<bool>,
 }
 
 impl<'a> BudgetedReader<'a> {
@@ -50,7 +50,7 @@
             stop,
             purpose,
             deadline,
-            prepaid: Cell::new(false),
+            budget_taken: Cell::new(false),
         }
     }
 
@@ -63,13 +63,13 @@
     /// Waits for the rate ahead of the first call: requests that come meanwhile can be read with it.
     /// False: the deadline has passed.
     pub fn wait_for_budget(&self) -> bool {
-        while !self.prepaid.get() {
+        while !self.budget_taken.get() {
             let now = Instant::now();
             let taken = self.try_take_budget(now);
             if !taken && (now >= self.deadline || self.stop.wait(RETRY_INTERVAL)) {
                 return false;
             }
-            self.prepaid.set(taken);
+            self.budget_taken.set(taken);
         }
         true
     }
@@ -85,7 +85,7 @@
 
     fn take_budget(&self) -> Result<(), StoreError> {
         if self.wait_for_budget() {
-            self.prepaid.set(false);
+            self.budget_taken.set(false);
             Ok(())
         } else {
             Err(StoreError::RateLimited)
--- a/src/net/store/error.rs
+++ b/src/net/store/error.rs
@@ -4,7 +4,7 @@
 use crate::net::wire::ErrorResponse;
 
 /// The store's error for a transaction that names a lease which has ended.
-const LEASE_NOT_FOUND: &str = "no such lease";
+const LEASE_NOT_FOUND_ERROR: &str = "no such lease";
 
 /// Why a call to the key-value store has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -36,7 +36,7 @@
     /// The error of a transaction that the store answered with 400.
     pub(super) fn rejected_transaction(response: &HttpResponse) -> StoreError {
         let error = response.decode::<ErrorResponse>().map(|p| p.error);
-        if error.as_deref() == Some(LEASE_NOT_FOUND) {
+        if error.as_deref() == Some(LEASE_NOT_FOUND_ERROR) {
             return StoreError::LeaseNotFound;
         }
         log::warn!("key-value store rejected a transaction error={error:?}");
@@ -48,7 +48,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotSent => StoreError::Unavailable,
-            CallError::NoAnswer => StoreError::Unknown,
+            CallError::NoResponse => StoreError::Unknown,
         }
     }
 }
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -117,10 +117,10 @@
         self.transaction_unbudgeted(preconditions, changes, timeout)
     }
 
-    /// A user's transaction that leaves `reserve`, a part of the rate, to others.
+    /// A user's transaction that leaves `reserved_share`, a part of the rate, to others.
     pub fn transaction_with_reserve(
         &self,
-        reserve: f64,
+        reserved_share: f64,
         preconditions: &[KeyCondition],
         changes: Vec<Change<'_>>,
         timeout: Duration,
@@ -128,7 +128,7 @@
         let (class, count) = (RequestClass::User, changes.len());
         if !self
             .budget
-            .try_take_above_reserve(class, count, reserve, Instant::now())
+            .try_take_above_reserve(class, count, reserved_share, Instant::now())
         {
             return Err(StoreError::RateLimited);
         }
--- a/src/net/store/watch.rs
+++ b/src/net/store/watch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// An answer may come so much later than the store was asked to wait.
-const ANSWER_DELAY: Duration = Duration::from_secs(3);
+const MAX_RESPONSE_DELAY: Duration = Duration::from_secs(3);
 
 impl KvStore {
     /// Waits for changes after this revision, for `max_wait` at most.
@@ -22,7 +22,7 @@
             "/follow?Under={prefix}&From={after_revision}&BlockMs={}",
             max_wait.as_millis()
         );
-        let response = self.call_without_body("GET", &path, max_wait + ANSWER_DELAY)?;
+        let response = self.call_without_body("GET", &path, max_wait + MAX_RESPONSE_DELAY)?;
         match response.status {
             200 => response.decode().ok_or(StoreError::Unavailable),
             410 => Err(StoreError::RevisionTooOld),
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -1,6 +1,6 @@
 //! Machine types, rentals and machines in the form of the cloud's interface.
 
-use super::{duration, InvalidField};
+use super::{duration_from_s, InvalidField};
 use crate::core::model::{
     CloudMachine, CloudMachinePhase, MachineId, MachineType, MachineTypeName, Resources, Zone,
 };
@@ -44,7 +44,7 @@
             fetch_gb_per_s: wire.fetch_gb_per_s,
             on_demand_price_per_hour: wire.on_demand_price_per_hour,
             spot_price_per_hour: wire.spot_price_per_hour,
-            advertised_boot_time: duration(wire.boot_s, "BootS")?,
+            advertised_boot_time: duration_from_s(wire.boot_s, "BootS")?,
             zones: wire.zones.iter().cloned().map(Zone).collect(),
         })
     }
@@ -83,7 +83,7 @@
 /// Machines by their ids: those that were rented, or those to return.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct MachineNames {
+pub struct MachineIds {
     /// The machines' ids.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
@@ -135,7 +135,7 @@
             zone: Zone(wire.zone),
             spot: wire.spot,
             phase,
-            age: duration(wire.age_s.max(0.0), "AgeS")?,
+            age: duration_from_s(wire.age_s.max(0.0), "AgeS")?,
         })
     }
 }
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -11,7 +11,7 @@
 mod worker;
 
 pub use cloud::{
-    MachineList, MachineNames, RentRequest, WireCloudMachine, WireMachineType, WireMachineTypes,
+    MachineIds, MachineList, RentRequest, WireCloudMachine, WireMachineType, WireMachineTypes,
 };
 pub use error::InvalidField;
 pub use store::{Change, ListEntry, StoredValue, WatchEvent, WatchResponse};
@@ -36,7 +36,7 @@
 /// from overflow.
 const MAX_AMOUNT: f64 = 1e7;
 /// Deeper nesting of a message is refused.
-const MAX_DEPTH: usize = 32;
+const MAX_NESTING_DEPTH: usize = 32;
 
 /// Encodes a value as MessagePack.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -47,11 +47,11 @@
 /// Decodes a value from MessagePack. None: the bytes are something else.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(bytes);
-    deserializer.set_max_depth(MAX_DEPTH);
+    deserializer.set_max_depth(MAX_NESTING_DEPTH);
     T::deserialize(&mut deserializer).ok()
 }
 
 /// A duration of so many seconds, if it can be represented.
-fn duration(seconds: f64, field: &'static str) -> Result<Duration, InvalidField> {
+fn duration_from_s(seconds: f64, field: &'static str) -> Result<Duration, InvalidField> {
     Duration::try_from_secs_f64(seconds).map_err(|_| InvalidField(field))
 }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -3,7 +3,7 @@
 //! Invariant: each version reads what the version before wrote, and the other way round. Records grow by
 //! optional fields only, and names, order and types of the present fields stay.
 
-use super::{duration, InvalidField};
+use super::{duration_from_s, InvalidField};
 use crate::core::model::{
     AttemptId, JobId, JobKind, JobSpec, MachineId, MachineTypeName, Priority, Resources, TeamName,
     Zone,
@@ -62,14 +62,14 @@
     /// An upper bound of the record's size as a value of the store: names and numbers of its fields, and
     /// the texts.
     pub fn max_size_bytes(&self) -> usize {
-        const NAMES_AND_NUMBERS: usize = 600;
+        const NAMES_AND_NUMBERS_BYTES: usize = 600;
         let required = [&self.job_id, &self.class, &self.team, &self.image.0];
         let texts = required
             .into_iter()
             .chain(&self.zone)
             .chain(self.machine_types.iter().flatten())
             .chain(&self.dependencies);
-        NAMES_AND_NUMBERS + texts.map(|text| text_size_bound(text)).sum::<usize>()
+        NAMES_AND_NUMBERS_BYTES + texts.map(|text| max_text_bytes(text)).sum::<usize>()
     }
 
     /// Leaves only these dependencies: the others are done. `listed_as_dependent`: the job is in the lists of their
@@ -126,8 +126,8 @@
             job_id: JobId::parse(&stored.job_id).ok_or(InvalidField("uid"))?,
             class: stored.class,
             team: TeamName(stored.team),
-            kind: stored_kind(stored.gang),
-            priority: stored_priority(stored.priority),
+            kind: decode_kind(stored.gang),
+            priority: decode_priority(stored.priority),
             task_count: stored.task_count,
             resources: Resources {
                 cpus,
@@ -142,10 +142,12 @@
             allows_spot: stored.allows_spot,
             image,
             image_gb,
-            expected: duration(stored.expected_s, "expected")?,
-            checkpoint_interval: duration(stored.checkpoint_interval_s, "every")?,
-            checkpoint_duration: duration(stored.checkpoint_duration_s, "save")?,
-            due: stored.due_s.and_then(|due| duration(due, "due").ok()),
+            expected: duration_from_s(stored.expected_s, "expected")?,
+            checkpoint_interval: duration_from_s(stored.checkpoint_interval_s, "every")?,
+            checkpoint_duration: duration_from_s(stored.checkpoint_duration_s, "save")?,
+            due: stored
+                .due_s
+                .and_then(|due| duration_from_s(due, "due").ok()),
             dependencies: dependencies.filter_map(|id| JobId::parse(id)).collect(),
             listed_as_dependent: !stored.dependencies.is_empty() && !stored.unlisted,
             accepted_unix_ms: stored.accepted_unix_ms,
@@ -153,7 +155,7 @@
     }
 }
 
-fn stored_kind(gang: bool) -> JobKind {
+fn decode_kind(gang: bool) -> JobKind {
     if gang {
         JobKind::Gang
     } else {
@@ -161,7 +163,7 @@
     }
 }
 
-fn stored_priority(priority: u8) -> Priority {
+fn decode_priority(priority: u8) -> Priority {
     match priority {
         0 => Priority::Idle,
         1 => Priority::Standard,
@@ -172,15 +174,15 @@
 
 /// An upper bound of a text's size in the form in which the store measures values, quotes and comma
 /// included.
-fn text_size_bound(text: &str) -> usize {
-    const QUOTES_AND_COMMA: usize = 3;
-    let character = |c: char| match c {
+fn max_text_bytes(text: &str) -> usize {
+    const QUOTES_AND_COMMA_BYTES: usize = 3;
+    let char_bytes = |c: char| match c {
         '"' | '\\' => 2,
         ' '..='~' => 1,
         // Escaped, in two halves where it must be.
         c => 6 * c.len_utf16(),
     };
-    text.chars().map(character).sum::<usize>() + QUOTES_AND_COMMA
+    text.chars().map(char_bytes).sum::<usize>() + QUOTES_AND_COMMA_BYTES
 }
 
 /// `j/<job id>`: how a job ended.
@@ -277,9 +279,9 @@
 impl StoredDependents {
     /// An upper bound of the record's size as a value of the store.
     pub fn max_size_bytes(&self) -> usize {
-        const NAME_AND_BRACKETS: usize = 16;
-        let texts = self.job_ids.iter().map(|job_id| text_size_bound(job_id));
-        NAME_AND_BRACKETS + texts.sum::<usize>()
+        const NAME_AND_BRACKETS_BYTES: usize = 16;
+        let texts = self.job_ids.iter().map(|job_id| max_text_bytes(job_id));
+        NAME_AND_BRACKETS_BYTES + texts.sum::<usize>()
     }
 }
 
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -95,8 +95,8 @@
         let due = self.due()?;
         Ok(JobSpec {
             job_id,
-            class: text(&self.job_class, "JobClass")?,
-            team: TeamName(text(&self.team, "Owner")?),
+            class: parse_text(&self.job_class, "JobClass")?,
+            team: TeamName(parse_text(&self.team, "Owner")?),
             kind,
             priority,
             task_count,
@@ -106,11 +106,11 @@
             same_place: self.same_place.ok_or(InvalidField("SamePlace"))?,
             spread: self.spread.ok_or(InvalidField("Spread"))?,
             allows_spot: self.allows_spot.ok_or(InvalidField("Preemptible"))?,
-            image: text(&self.image, "ImageRef")?,
-            image_gb: amount(self.image_gb, "PullGb")?,
-            expected: seconds(self.expected_s, "ExpectedS")?,
-            checkpoint_interval: seconds(self.checkpoint_interval_s, "SnapshotEveryS")?,
-            checkpoint_duration: seconds(self.checkpoint_duration_s, "SnapshotS")?,
+            image: parse_text(&self.image, "ImageRef")?,
+            image_gb: parse_amount(self.image_gb, "PullGb")?,
+            expected: parse_seconds(self.expected_s, "ExpectedS")?,
+            checkpoint_interval: parse_seconds(self.checkpoint_interval_s, "SnapshotEveryS")?,
+            checkpoint_duration: parse_seconds(self.checkpoint_duration_s, "SnapshotS")?,
             due,
             dependencies: self.dependencies()?,
             listed_as_dependent: false,
@@ -147,9 +147,9 @@
 
     fn resources(&self) -> Result<Resources, InvalidField> {
         Ok(Resources {
-            cpus: amount(self.cpus, "Vcpus")?,
-            gpus: amount(self.gpus, "Gpus")?,
-            memory_gb: amount(self.memory_gb, "MemoryGb")?,
+            cpus: parse_amount(self.cpus, "Vcpus")?,
+            gpus: parse_amount(self.gpus, "Gpus")?,
+            memory_gb: parse_amount(self.memory_gb, "MemoryGb")?,
         })
     }
 
@@ -166,14 +166,14 @@
     fn zone(&self) -> Result<Option<Zone>, InvalidField> {
         match &self.zone {
             None => Ok(None),
-            some => Ok(Some(Zone(text(some, "Site")?))),
+            some => Ok(Some(Zone(parse_text(some, "Site")?))),
         }
     }
 
     fn due(&self) -> Result<Option<Duration>, InvalidField> {
         match self.due_s {
             None => Ok(None),
-            some => Ok(Some(seconds(some, "DueS")?)),
+            some => Ok(Some(parse_seconds(some, "DueS")?)),
         }
     }
 
@@ -190,22 +190,22 @@
     !text.is_empty() && text.len() <= MAX_TEXT_BYTES
 }
 
-fn text(value: &Option<String>, field: &'static str) -> Result<String, InvalidField> {
+fn parse_text(value: &Option<String>, field: &'static str) -> Result<String, InvalidField> {
     match value {
         Some(text) if is_valid_text(text) => Ok(text.clone()),
         _ => Err(InvalidField(field)),
     }
 }
 
-fn amount(value: Option<f64>, field: &'static str) -> Result<f64, InvalidField> {
+fn parse_amount(value: Option<f64>, field: &'static str) -> Result<f64, InvalidField> {
     match value {
         Some(amount) if (0.0..=MAX_AMOUNT).contains(&amount) => Ok(amount),
         _ => Err(InvalidField(field)),
     }
 }
 
-fn seconds(value: Option<f64>, field: &'static str) -> Result<Duration, InvalidField> {
-    amount(value, field).map(Duration::from_secs_f64)
+fn parse_seconds(value: Option<f64>, field: &'static str) -> Result<Duration, InvalidField> {
+    parse_amount(value, field).map(Duration::from_secs_f64)
 }
 
 /// The state of a job, as its user is told.
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of worker nodes, and the commands that they are sent, in the form of the agents' interface.
 
-use super::{duration, InvalidField};
+use super::{duration_from_s, InvalidField};
 use crate::core::model::{
     AttemptId, ExitReason, FencingToken, Heartbeat, MachineId, MachineTypeName, TaskCommand,
     TaskId, TaskPhase, TaskStatus, Zone,
@@ -55,7 +55,7 @@
         }
         let eviction = wire
             .eviction_s
-            .map(|seconds| duration(seconds.max(0.0), "EvictionS"))
+            .map(|seconds| duration_from_s(seconds.max(0.0), "EvictionS"))
             .transpose()?;
         Ok(Heartbeat {
             machine: MachineId(wire.machine),
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -4,15 +4,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const MAX_SECONDS: f64 = 86_400.0;
+const MAX_DURATION_S: f64 = 86_400.0;
 
 /// Checks fields of one file. Errors name the file and the field.
-pub(super) struct Checks<'a> {
+pub(super) struct FieldChecks<'a> {
     pub path: &'a str,
 }
 
-impl Checks<'_> {
-    pub fn error(&self, field: &str, problem: impl Into<String>) -> SettingsError {
+impl FieldChecks<'_> {
+    pub fn field_error(&self, field: &str, problem: impl Into<String>) -> SettingsError {
         SettingsError::Field {
             path: self.path.to_owned(),
             field: field.to_owned(),
@@ -20,38 +20,42 @@
         }
     }
 
-    pub fn address(&self, field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+    pub fn parse_address(&self, field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
         text.parse()
-            .map_err(|_| self.error(field, format!("'{text}' is not an address and port")))
+            .map_err(|_| self.field_error(field, format!("'{text}' is not an address and port")))
     }
 
     /// A number above 0 and at most `max`.
-    pub fn positive(&self, field: &str, value: f64, max: f64) -> Result<f64, SettingsError> {
+    pub fn check_positive(&self, field: &str, value: f64, max: f64) -> Result<f64, SettingsError> {
         if value.is_finite() && value > 0.0 && value <= max {
             return Ok(value);
         }
-        Err(self.error(field, format!("{value} is not above 0 and at most {max}")))
+        Err(self.field_error(field, format!("{value} is not above 0 and at most {max}")))
     }
 
     /// A duration above 0 and at most a day.
-    pub fn seconds(&self, field: &str, value: f64) -> Result<Duration, SettingsError> {
-        self.positive(field, value, MAX_SECONDS)
+    pub fn check_duration(&self, field: &str, value: f64) -> Result<Duration, SettingsError> {
+        self.check_positive(field, value, MAX_DURATION_S)
             .map(Duration::from_secs_f64)
     }
 
-    pub fn at_least(&self, field: &str, value: f64, min: f64) -> Result<(), SettingsError> {
+    pub fn check_minimum(&self, field: &str, value: f64, min: f64) -> Result<(), SettingsError> {
         if value >= min {
             return Ok(());
         }
         let problem = format!("{value} is below {min}, the least to run with");
-        Err(self.error(field, problem))
+        Err(self.field_error(field, problem))
     }
 
     /// An amount of which 0 stands for none.
-    pub fn optional_amount(&self, field: &str, value: f64) -> Result<Option<f64>, SettingsError> {
+    pub fn check_optional_amount(
+        &self,
+        field: &str,
+        value: f64,
+    ) -> Result<Option<f64>, SettingsError> {
         if value.is_finite() && value >= 0.0 {
             return Ok((value > 0.0).then_some(value));
         }
-        Err(self.error(field, format!("{value} is not an amount")))
+        Err(self.field_error(field, format!("{value} is not an amount")))
     }
 }
--- a/src/settings/expressions.rs
+++ b/src/settings/expressions.rs
@@ -56,34 +56,34 @@
         })
     }
 
-    pub fn seconds(&self, min: f64, max: f64) -> Result<Duration, NumberError> {
+    pub fn duration_within(&self, min: f64, max: f64) -> Result<Duration, NumberError> {
         self.within(min, max).map(Duration::from_secs_f64)
     }
 
     /// A whole number; a fraction is cut off.
-    pub fn integer(&self, min: f64, max: f64) -> Result<usize, NumberError> {
+    pub fn integer_within(&self, min: f64, max: f64) -> Result<usize, NumberError> {
         self.within(min, max).map(|x| x as usize)
     }
 }
 
 /// The line on which an expression begins, from 1.
-pub(super) fn line_of(item: &Ref<'_>) -> usize {
+pub(super) fn start_line(item: &Ref<'_>) -> usize {
     item.span().start().line()
 }
 
 /// The name that an expression is, if it is one.
-pub(super) fn symbol(item: &Ref<'_>) -> Option<String> {
+pub(super) fn symbol_name(item: &Ref<'_>) -> Option<String> {
     item.value().as_symbol().map(str::to_owned)
 }
 
 /// The name that a list begins with.
-pub(super) fn head_of(item: &Ref<'_>) -> Option<String> {
-    symbol(&item.list_iter()?.next()?)
+pub(super) fn head_symbol(item: &Ref<'_>) -> Option<String> {
+    symbol_name(&item.list_iter()?.next()?)
 }
 
 /// `(NAME NUMBER)`.
-pub(super) fn named_number(item: &Ref<'_>) -> Result<NamedNumber, Problem> {
-    let line = line_of(item);
+pub(super) fn parse_named_number(item: &Ref<'_>) -> Result<NamedNumber, Problem> {
+    let line = start_line(item);
     let pair: Vec<lexpr::Value> = item
         .list_iter()
         .map(|l| l.map(|r| r.value().clone()).collect())
@@ -105,18 +105,18 @@
 }
 
 /// `(NAME #t)` or `(NAME #f)`.
-pub(super) fn named_switch(item: &Ref<'_>) -> Result<bool, Problem> {
+pub(super) fn parse_enabled(item: &Ref<'_>) -> Result<bool, Problem> {
     let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
     let value = match parts.as_slice() {
         [_, value] => value.value().as_bool(),
         _ => None,
     };
-    value.ok_or_else(|| Problem::new(line_of(item), "enabled: expected #t or #f"))
+    value.ok_or_else(|| Problem::new(start_line(item), "enabled: expected #t or #f"))
 }
 
 /// `(segment "NAME" "NETWORK")`.
-pub(super) fn named_segment(item: &Ref<'_>) -> Result<NamedSegment, Problem> {
-    let line = line_of(item);
+pub(super) fn parse_named_segment(item: &Ref<'_>) -> Result<NamedSegment, Problem> {
+    let line = start_line(item);
     let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
     let texts = match parts.as_slice() {
         [_, name, network] => name.value().as_str().zip(network.value().as_str()),
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -4,8 +4,8 @@
 //! unknown or out of range is refused with its name and line.
 
 use super::expressions::{
-    head_of, line_of, named_number, named_segment, named_switch, symbol, NamedNumber, NumberError,
-    Problem,
+    head_symbol, parse_enabled, parse_named_number, parse_named_segment, start_line, symbol_name,
+    NamedNumber, NumberError, Problem,
 };
 use super::{OperatorSettings, Settings, SettingsError, SocketBudget};
 use crate::core::model::Tuning;
@@ -34,7 +34,7 @@
         })?;
         let expected = || Problem::new(1, "expected (cypressgap (NAME VALUE) ...)");
         let mut items = root.list_iter().ok_or_else(expected)?;
-        if items.next().and_then(|head| symbol(&head)).as_deref() != Some("cypressgap") {
+        if items.next().and_then(|head| symbol_name(&head)).as_deref() != Some("cypressgap") {
             return Err(expected());
         }
         let mut lines = SettingLines::new();
@@ -46,21 +46,21 @@
     }
 
     fn apply_item(&mut self, item: &Ref<'_>, lines: &mut SettingLines) -> Result<(), Problem> {
-        if head_of(item).as_deref() == Some("recovery") {
+        if head_symbol(item).as_deref() == Some("recovery") {
             return apply_recovery(&mut self.config.recovery, item, lines);
         }
-        let number = named_number(item)?;
+        let number = parse_named_number(item)?;
         apply_number(
             &mut self.config.tuning,
             &mut self.operator_settings,
             &number,
         )
-        .map_err(|e| Problem::new(line_of(item), e.to_string()))
+        .map_err(|e| Problem::new(start_line(item), e.to_string()))
     }
 
     fn check_sockets(&self) -> Result<(), Problem> {
         let max_sockets = self.max_sockets;
-        if SocketBudget::suffices(max_sockets, &self.operator_settings) {
+        if SocketBudget::is_sufficient(max_sockets, &self.operator_settings) {
             return Ok(());
         }
         let threads = self.operator_settings.command_threads + self.operator_settings.api_threads;
@@ -94,17 +94,21 @@
     number: &NamedNumber,
 ) -> Result<(), NumberError> {
     match number.name.as_str() {
-        "summary-every-s" => tuning.summary_interval = number.seconds(1.0, 3600.0)?,
+        "summary-every-s" => tuning.summary_interval = number.duration_within(1.0, 3600.0)?,
         "silent-share" => tuning.silent_lease_fraction = number.within(0.2, 2.0)?,
-        "idle-spot-s" => tuning.spot_idle_timeout = number.seconds(0.0, 86_400.0)?,
-        "idle-ordinary-s" => tuning.on_demand_idle_timeout = number.seconds(0.0, 86_400.0)?,
-        "max-live-jobs" => tuning.max_live_jobs = number.integer(1.0, 1e6)?,
+        "idle-spot-s" => tuning.spot_idle_timeout = number.duration_within(0.0, 86_400.0)?,
+        "idle-ordinary-s" => {
+            tuning.on_demand_idle_timeout = number.duration_within(0.0, 86_400.0)?
+        }
+        "max-live-jobs" => tuning.max_live_jobs = number.integer_within(1.0, 1e6)?,
         "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
-        "max-hosts" => tuning.max_machines = number.integer(1.0, 1e5)?,
-        "leader-lease-s" => operator_settings.leader_lease = number.seconds(1.0, 600.0)?,
-        "handlers" => operator_settings.api_threads = number.integer(2.0, 256.0)?,
-        "agents" => operator_settings.command_threads = number.integer(1.0, 64.0)?,
-        "metrics-every-s" => operator_settings.metrics_interval = number.seconds(1.0, 86_400.0)?,
+        "max-hosts" => tuning.max_machines = number.integer_within(1.0, 1e5)?,
+        "leader-lease-s" => operator_settings.leader_lease = number.duration_within(1.0, 600.0)?,
+        "handlers" => operator_settings.api_threads = number.integer_within(2.0, 256.0)?,
+        "agents" => operator_settings.command_threads = number.integer_within(1.0, 64.0)?,
+        "metrics-every-s" => {
+            operator_settings.metrics_interval = number.duration_within(1.0, 86_400.0)?
+        }
         name => return Err(NumberError::UnknownSetting(name.to_owned())),
     }
     Ok(())
@@ -117,17 +121,17 @@
     lines: &mut SettingLines,
 ) -> Result<(), Problem> {
     for item in form.list_iter().into_iter().flatten().skip(1) {
-        let line = line_of(&item);
-        match head_of(&item).as_deref() {
+        let line = start_line(&item);
+        match head_symbol(&item).as_deref() {
             Some("segment") => {
-                let segment = named_segment(&item)?;
+                let segment = parse_named_segment(&item)?;
                 lines.insert(SettingName::Segment(segment.name.clone()), line);
                 recovery.segments.push(segment);
             }
-            Some("enabled") => recovery.enabled = named_switch(&item)?,
+            Some("enabled") => recovery.enabled = parse_enabled(&item)?,
             _ => {
-                let number = named_number(&item)?;
-                if let Some(name) = checked_together(&number.name) {
+                let number = parse_named_number(&item)?;
+                if let Some(name) = jointly_checked_setting(&number.name) {
                     lines.insert(name, line);
                 }
                 apply_recovery_number(recovery, &number)
@@ -139,7 +143,7 @@
 }
 
 /// The numbers of `(recovery ...)` that are valid or not only together with other settings.
-fn checked_together(name: &str) -> Option<SettingName> {
+fn jointly_checked_setting(name: &str) -> Option<SettingName> {
     match name {
         "orders-per-s" => Some(SettingName::OrdersPerSecond),
         "segment-orders-per-s" => Some(SettingName::SegmentOrdersPerSecond),
@@ -156,10 +160,10 @@
         "segment-orders-per-s" => {
             recovery.segment_orders_per_second = Some(number.within(1.0, 1e6)?);
         }
-        "segment-prefix" => recovery.prefixes.v4 = number.integer(8.0, 32.0)? as u8,
-        "segment-prefix-v6" => recovery.prefixes.v6 = number.integer(16.0, 128.0)? as u8,
+        "segment-prefix" => recovery.prefixes.v4 = number.integer_within(8.0, 32.0)? as u8,
+        "segment-prefix-v6" => recovery.prefixes.v6 = number.integer_within(16.0, 128.0)? as u8,
         "replacements-per-s" => recovery.replacements_per_second = number.within(0.1, 1e4)?,
-        "unrecorded-hold-s" => recovery.unrecorded_hold = number.seconds(2.0, 86_400.0)?,
+        "unrecorded-hold-s" => recovery.unrecorded_hold = number.duration_within(2.0, 86_400.0)?,
         name => return Err(NumberError::UnknownRecoverySetting(name.to_owned())),
     }
     Ok(())
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -2,7 +2,7 @@
 //!
 //! The first field that cannot be used is refused by its name.
 
-use super::checks::Checks;
+use super::checks::FieldChecks;
 use super::platform_file::{
     Deployment, NextStoreLimits, PeerEntry, PlatformFile, SloEntry, StoreLimits, TeamEntry,
     WorkerTimes,
@@ -26,9 +26,9 @@
 const MIN_TXN_OPS: usize = 4;
 const MIN_CLOUD_RPS: f64 = 0.1;
 const MAX_CONTROLLERS: usize = 1000;
-const MAX_RATE: f64 = 1e9;
+const MAX_RATE_PER_S: f64 = 1e9;
 const MAX_VALUE_KB: f64 = 1e6;
-const MAX_SLO_SECONDS: f64 = 1e6;
+const MAX_SLO_S: f64 = 1e6;
 /// With clocks further apart, jobs' ages would be wrong by more than any service-level objective allows.
 const MAX_SKEW_MS: f64 = 60_000.0;
 /// Heartbeats come up to a quarter late, and one may have to be repeated.
@@ -41,9 +41,9 @@
             path: path.to_owned(),
             source: Box::new(e),
         })?;
-        let checks = Checks { path };
+        let checks = FieldChecks { path };
         if file.member.is_empty() {
-            return Err(checks.error("member", "is empty"));
+            return Err(checks.field_error("member", "is empty"));
         }
         checks.check_deployment(&file.deployment)?;
         let next = checks.combine_store_limits(&file.deployment.store)?;
@@ -54,19 +54,19 @@
         Ok(Settings {
             member: file.member,
             zone: Zone(file.zone),
-            http_bind: checks.address("front", &file.http_bind)?,
-            peer_bind: checks.address("peer_bind", &file.peer_bind)?,
+            http_bind: checks.parse_address("front", &file.http_bind)?,
+            peer_bind: checks.parse_address("peer_bind", &file.peer_bind)?,
             peers,
-            cloud_address: checks.address("endpoints.cloud", &file.endpoints.cloud)?,
-            store_address: checks.address("endpoints.state", &file.endpoints.store)?,
+            cloud_address: checks.parse_address("endpoints.cloud", &file.endpoints.cloud)?,
+            store_address: checks.parse_address("endpoints.state", &file.endpoints.store)?,
             controller_count: deployment.controller_count,
             max_clock_skew: Duration::from_secs_f64(deployment.skew_ms / 1000.0),
             store_rates: checks.store_rates(&deployment.store)?,
             next_store_rates: next.rates,
-            cloud_requests_per_s: checks.positive(
+            cloud_requests_per_s: checks.check_positive(
                 "deployment.cloud.rps",
                 deployment.cloud.rps,
-                MAX_RATE,
+                MAX_RATE_PER_S,
             )?,
             max_sockets: deployment.quota.max_sockets,
             operator_settings: OperatorSettings::default(),
@@ -89,17 +89,17 @@
     rates: Option<StoreRates>,
 }
 
-impl Checks<'_> {
+impl FieldChecks<'_> {
     fn check_deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
         if !(0.0..=MAX_SKEW_MS).contains(&deployment.skew_ms) {
-            return Err(self.error("deployment.skew_ms", "must be from 0 to 60000"));
+            return Err(self.field_error("deployment.skew_ms", "must be from 0 to 60000"));
         }
         if !(1..=MAX_CONTROLLERS).contains(&deployment.controller_count) {
-            return Err(self.error("deployment.count", "must be from 1 to 1000"));
+            return Err(self.field_error("deployment.count", "must be from 1 to 1000"));
         }
         let (store, quota) = (&deployment.store, &deployment.quota);
         if store.txn_ops < MIN_TXN_OPS {
-            return Err(self.error("deployment.state.txn_ops", "must be at least 4"));
+            return Err(self.field_error("deployment.state.txn_ops", "must be at least 4"));
         }
         let sockets = quota.max_sockets as f64;
         let ram_mb = quota.ram_mb.unwrap_or(MIN_RAM_MB);
@@ -111,9 +111,9 @@
             ("state.value_kb", store.value_kb, MIN_VALUE_KB),
             ("cloud.rps", deployment.cloud.rps, MIN_CLOUD_RPS),
         ];
-        minimums
-            .iter()
-            .try_for_each(|(field, value, min)| self.at_least(&qualified(field), *value, *min))
+        minimums.iter().try_for_each(|(field, value, min)| {
+            self.check_minimum(&deployment_field(field), *value, *min)
+        })
     }
 
     /// Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
@@ -132,11 +132,11 @@
         let rates = self.next_rates(store, next)?;
         let value_kb = next.value_kb.unwrap_or(store.value_kb);
         let field = "deployment.state.next.value_kb";
-        self.at_least(field, value_kb, MIN_NEXT_VALUE_KB)?;
-        self.positive(field, value_kb, MAX_VALUE_KB)?;
+        self.check_minimum(field, value_kb, MIN_NEXT_VALUE_KB)?;
+        self.check_positive(field, value_kb, MAX_VALUE_KB)?;
         let txn_ops = next.txn_ops.unwrap_or(store.txn_ops);
         let field = "deployment.state.next.txn_ops";
-        self.at_least(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
+        self.check_minimum(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
         Ok(CombinedStoreLimits {
             sizes: StoreSizes {
                 value_kb: value_kb.min(store.value_kb),
@@ -157,10 +157,10 @@
             "deployment.state.next.rps",
             "deployment.state.next.write_rps",
         );
-        self.at_least(requests_field, requests, MIN_STORE_RPS)?;
-        self.at_least(changes_field, changes, MIN_STORE_WRITE_RPS)?;
-        self.positive(requests_field, requests, MAX_RATE)?;
-        self.positive(changes_field, changes, MAX_RATE)?;
+        self.check_minimum(requests_field, requests, MIN_STORE_RPS)?;
+        self.check_minimum(changes_field, changes, MIN_STORE_WRITE_RPS)?;
+        self.check_positive(requests_field, requests, MAX_RATE_PER_S)?;
+        self.check_positive(changes_field, changes, MAX_RATE_PER_S)?;
         Ok(StoreRates {
             requests: requests.min(store.rps),
             changes: changes.min(store.write_rps),
@@ -169,8 +169,12 @@
 
     fn store_rates(&self, store: &StoreLimits) -> Result<StoreRates, SettingsError> {
         Ok(StoreRates {
-            requests: self.positive("deployment.state.rps", store.rps, MAX_RATE)?,
-            changes: self.positive("deployment.state.write_rps", store.write_rps, MAX_RATE)?,
+            requests: self.check_positive("deployment.state.rps", store.rps, MAX_RATE_PER_S)?,
+            changes: self.check_positive(
+                "deployment.state.write_rps",
+                store.write_rps,
+                MAX_RATE_PER_S,
+            )?,
         })
     }
 
@@ -184,7 +188,7 @@
     fn convert_team(&self, entry: &TeamEntry) -> Result<Team, SettingsError> {
         let amount = |field: &str, value: f64| {
             let field = format!("deployment.teams.{field} of {}", entry.name);
-            self.optional_amount(&field, value)
+            self.check_optional_amount(&field, value)
         };
         Ok(Team {
             name: TeamName(entry.name.clone()),
@@ -200,7 +204,7 @@
             let field = format!("seeds address of {}", entry.member);
             Ok(PeerAddress {
                 member: entry.member.clone(),
-                address: self.address(&field, &entry.address)?,
+                address: self.parse_address(&field, &entry.address)?,
             })
         };
         entries.iter().map(peer).collect()
@@ -209,7 +213,7 @@
     fn check_lease(&self, workers: &WorkerTimes) -> Result<(), SettingsError> {
         if workers.lease_s < workers.heartbeat_s * MIN_HEARTBEATS_PER_LEASE {
             let problem = format!("{} is below 2.5 times report_s", workers.lease_s);
-            return Err(self.error("deployment.workers.lease_s", problem));
+            return Err(self.field_error("deployment.workers.lease_s", problem));
         }
         Ok(())
     }
@@ -221,8 +225,10 @@
         sizes: &StoreSizes,
     ) -> Result<SchedulerConfig, SettingsError> {
         let workers = &deployment.workers;
-        let seconds = |field: &str, value: f64| self.seconds(&qualified(field), value);
-        let value_kb = |value: f64| self.positive("deployment.state.value_kb", value, MAX_VALUE_KB);
+        let seconds =
+            |field: &str, value: f64| self.check_duration(&deployment_field(field), value);
+        let value_kb =
+            |value: f64| self.check_positive("deployment.state.value_kb", value, MAX_VALUE_KB);
         Ok(SchedulerConfig {
             teams,
             slos: deployment.slos.iter().map(Slo::from).collect(),
@@ -240,14 +246,13 @@
     }
 }
 
-fn qualified(field: &str) -> String {
+fn deployment_field(field: &str) -> String {
     format!("deployment.{field}")
 }
 
 impl From<&SloEntry> for Slo {
     fn from(entry: &SloEntry) -> Self {
-        let usable =
-            |seconds: &f64| seconds.is_finite() && (0.0..MAX_SLO_SECONDS).contains(seconds);
+        let usable = |seconds: &f64| seconds.is_finite() && (0.0..MAX_SLO_S).contains(seconds);
         Slo {
             kind: entry.kind.clone(),
             class: entry.class.clone(),
--- a/src/settings/socket_budget.rs
+++ b/src/settings/socket_budget.rs
@@ -12,7 +12,7 @@
 /// Connections from peers: each keeps a few for each of its threads that send requests.
 const PEER_SOCKETS: usize = 64;
 /// The key-value store, its watches, the cloud, the listeners, and connections kept open to peers.
-const OWN_SOCKETS: usize = 80;
+const LISTENER_AND_CLIENT_SOCKETS: usize = 80;
 /// Connections from workers, users and health checks, at least.
 const MIN_HTTP_SOCKETS: usize = 32;
 
@@ -39,7 +39,7 @@
     }
 
     /// Whether each user of sockets gets its minimum with so many threads.
-    pub(super) fn suffices(max_sockets: usize, operator_settings: &OperatorSettings) -> bool {
+    pub(super) fn is_sufficient(max_sockets: usize, operator_settings: &OperatorSettings) -> bool {
         let workers = max_sockets / WORKER_SHARE_DIVISOR;
         workers + fixed_sockets(operator_settings) + MIN_HTTP_SOCKETS <= max_sockets
     }
@@ -48,6 +48,6 @@
 /// Sockets whose number does not depend on how many the process may have.
 fn fixed_sockets(operator_settings: &OperatorSettings) -> usize {
     // Followers deliver as many commands at a time as the leader's command threads send.
-    let commands_under_way = operator_settings.command_threads + operator_settings.api_threads;
-    PEER_SOCKETS + OWN_SOCKETS + commands_under_way
+    let concurrent_commands = operator_settings.command_threads + operator_settings.api_threads;
+    PEER_SOCKETS + LISTENER_AND_CLIENT_SOCKETS + concurrent_commands
 }
