--- a/src/net/agent.rs
+++ b/src/net/agent.rs
@@ -1,4 +1,4 @@
-//! Commands sent straight to the agents on worker nodes, between their heartbeats.
+//! Client for the agents on worker nodes: sends commands between the agents' heartbeats.
 
 use crate::core::model::{FencingToken, Heartbeat, TaskCommand};
 use crate::net::http_client::{self, PoolConfig};
@@ -6,12 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time limit for sending commands. A hanging machine must not hold a sender for long: the response to
-/// its next heartbeat carries the commands anyway.
+/// The time limit of a request with commands. It is short so that an unresponsive machine does not block a
+/// sender thread for long: the response to the machine's next heartbeat carries the commands anyway.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Connections to agents, of which so many are kept open while they are idle.
+/// Creates a connection pool for agents. It keeps up to `idle_connections` idle connections open, at most one
+/// of them to each agent.
 pub fn connection_pool(idle_connections: usize) -> ureq::Agent {
     http_client::connection_pool(PoolConfig {
         connect_timeout: CONNECT_TIMEOUT,
@@ -20,7 +21,7 @@
     })
 }
 
-/// Encodes commands as they are sent to an agent.
+/// Encodes the body of a request that sends commands to an agent. `incarnation` is the agent's incarnation.
 pub fn encode_commands(token: FencingToken, incarnation: u64, commands: &[TaskCommand]) -> Vec<u8> {
     wire::encode(&CommandRequest {
         token: token.0,
@@ -29,8 +30,9 @@
     })
 }
 
-/// Sends encoded commands. Returns the agent's encoded heartbeat, whether it has executed the commands
-/// or refused them. None: it did not answer.
+/// Sends commands, as [`encode_commands`] encodes them, to the agent at `endpoint`. The response contains the
+/// agent's encoded heartbeat, whether the agent executed the commands or rejected them. None: `endpoint` is
+/// not an IP address with a port, or the agent sent no such response.
 pub fn send_commands(
     connections: &ureq::Agent,
     endpoint: &str,
@@ -44,7 +46,7 @@
     matches!(response.status, 200 | 409).then_some(response.body)
 }
 
-/// Decodes an agent's heartbeat. None: it is malformed.
+/// Decodes an agent's heartbeat. None: the heartbeat is malformed or has an invalid field.
 pub fn decode_heartbeat(body: &[u8]) -> Option<Heartbeat> {
     let heartbeat: WireHeartbeat = wire::decode(body)?;
     heartbeat.try_into().ok()
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,7 +1,7 @@
-//! Client of the cloud's interface: machine types, rentals, returns and the list of rented machines.
+//! Client of the cloud's API: machine types, rentals, returns and the list of rented machines.
 //!
-//! Invariant: a rental without a clear answer is reported as [`RentalOutcome::Unknown`]; it is repeated
-//! under its idempotency key, so that machines are not rented twice.
+//! Invariant: a rental whose outcome is not known for certain is reported as [`RentalOutcome::Unknown`]. The
+//! caller repeats it with the same idempotency key, so that no machines are rented twice.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::{CloudMachine, MachineId};
@@ -10,38 +10,39 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Machines on a page of the list.
+/// The maximum number of machines on one page of the list.
 const PAGE_SIZE: usize = 500;
-/// The cloud's error where it has no such machines to rent.
+/// The error text of the cloud when it has no machines of the requested kind.
 const NO_CAPACITY_ERROR: &str = "no capacity";
 
-/// A client of the cloud's interface.
+/// A client of the cloud's API. It does not limit its rate; callers do.
 #[derive(Clone)]
 pub struct CloudClient {
     http: HttpClient,
 }
 
-/// A page of the list of rented machines.
+/// One page of the list of rented machines.
 #[derive(Debug, PartialEq)]
 pub struct MachinePage {
-    /// The machines, in the order of their ids. Those that make no sense are left out.
+    /// The machines in the order of their ids. Entries with an invalid field are left out.
     pub machines: Vec<CloudMachine>,
-    /// Whether more pages follow.
+    /// Whether another page follows.
     pub has_next: bool,
 }
 
 impl CloudClient {
-    /// A cloud that is called through this client.
+    /// Creates a client that sends its requests through `http`.
     pub fn new(http: HttpClient) -> CloudClient {
         CloudClient { http }
     }
 
-    /// The machine types on offer. None: no answer that can be read.
+    /// Reads the machine types that the cloud offers. None: the call failed or the response is malformed.
     pub fn machine_types(&self) -> Option<WireMachineTypes> {
         self.get("/machine_types")?.decode()
     }
 
-    /// Rents machines. The request's idempotency key makes repetitions harmless.
+    /// Rents machines. A repeated request rents no further machines, because it has the same idempotency key.
+    /// A request that the cloud rejects as malformed counts as [`RentalOutcome::NoCapacity`].
     pub fn rent(&self, request: &RentRequest) -> RentalOutcome {
         let Ok(response) = self
             .http
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Returns machines to the cloud. True: by now they are gone with all that was on them.
+    /// Returns machines to the cloud. True: the cloud confirmed that the machines, and all tasks on them, are
+    /// gone. False: the machines may or may not have been returned.
     pub fn return_machines(&self, machines: &[MachineId]) -> bool {
         let request = MachineIds {
             machines: machines.iter().map(|machine| machine.0.clone()).collect(),
@@ -74,8 +76,8 @@
         response.is_ok_and(|r| r.status == 200)
     }
 
-    /// The page of rented machines after this id, or the first page after an empty one. None: no answer
-    /// that can be read.
+    /// Reads the page of rented machines whose ids come after `after`; an empty `after` stands for the first
+    /// page. None: the call failed or the response is malformed.
     pub fn list_machines(&self, after: &str) -> Option<MachinePage> {
         let path = if after.is_empty() {
             format!("/hosts?Most={PAGE_SIZE}")
@@ -90,7 +92,7 @@
         })
     }
 
-    /// None: no answer, or another status than 200.
+    /// None: there was no response, or its status is not 200.
     fn get(&self, path: &str) -> Option<HttpResponse> {
         let response = self.http.call::<()>("GET", path, None, CALL_TIMEOUT).ok()?;
         (response.status == 200).then_some(response)
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -1,6 +1,6 @@
-//! HTTP client: one call with its time-outs, MessagePack both ways.
+//! HTTP client with timeouts and a connection pool. Requests and responses are encoded as MessagePack.
 //!
-//! Invariant: an error tells whether the request was certainly not executed or may have been.
+//! Invariant: an error states whether the request was certainly not executed or may have been executed.
 
 use crate::common::metrics::LatencyMeter;
 use crate::net::wire;
@@ -11,51 +11,54 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Answers of the key-value store's lists and watches are longer than bodies of the protocol's own.
+/// The maximum size of a response body; a longer body is truncated. The limit is above
+/// [`wire::MAX_BODY_BYTES`] because the key-value store's responses to lists and watches are longer.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
-/// Calls to this path of the key-value store are meant to wait: their time is not a latency.
+/// The path of watches in the key-value store. The store delays its response until there is a change, so the
+/// duration of these calls is not recorded as latency.
 const LONG_POLL_PATH: &str = "/follow";
-/// Idle connections that a client keeps in all, for each that it keeps to its address.
+/// The limit for all idle connections of a client, as a multiple of its limit for those to the service's
+/// address.
 const TOTAL_IDLE_LIMIT_FACTOR: usize = 8;
 
-/// Why a call has no response.
+/// Why a call failed to return a response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent: the request was certainly not executed.
+    /// No connection was established, so the request was certainly not executed.
     #[error("no connection")]
     NotSent,
-    /// The request may have been executed, or may yet be.
-    #[error("no answer")]
+    /// No complete response arrived. The request may have been executed, or may be executed later.
+    #[error("no response")]
     NoResponse,
 }
 
-/// A response, whatever its status.
+/// A response with any status. Statuses of errors are left to the caller.
 pub struct HttpResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body, not decoded.
+    /// The encoded body.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// Decodes the body from MessagePack. None: it is something else.
+    /// Decodes the body from MessagePack. None: the body is not a MessagePack value of this type.
     pub fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         wire::decode(&self.body)
     }
 }
 
-/// The address of a service and the connections to it.
+/// Configuration of a client: the service's address and the connections to it.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpClientConfig {
-    /// Where the service listens.
+    /// The address at which the service listens.
     pub address: SocketAddr,
-    /// Time limit for a new connection.
+    /// The time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// Idle connections that are kept open.
+    /// The maximum number of idle connections to the service that are kept open.
     pub idle_connections: usize,
 }
 
-/// A client of one service, with its own pool of connections.
+/// A client of one service. Its clones share one connection pool.
 #[derive(Clone)]
 pub struct HttpClient {
     connections: ureq::Agent,
@@ -64,7 +67,7 @@
 }
 
 impl HttpClient {
-    /// A client that records the time of its calls in `latency`.
+    /// Creates a client that records the duration of its calls in `latency`, except for watches.
     pub fn new(config: HttpClientConfig, latency: Arc<LatencyMeter>) -> HttpClient {
         HttpClient {
             connections: connection_pool(PoolConfig {
@@ -77,7 +80,8 @@
         }
     }
 
-    /// Sends a request with a body to encode, if any, and waits for the response.
+    /// Encodes `body` if there is one, sends the request, and waits for the response. `path` includes the
+    /// query, and `timeout` is the time limit of the whole call.
     pub fn call<T: Serialize>(
         &self,
         method: &str,
@@ -96,9 +100,9 @@
     }
 }
 
-/// Connections that are kept open while they are idle.
+/// Limits of a connection pool.
 pub(super) struct PoolConfig {
-    /// Time limit for a new connection.
+    /// The time limit for establishing a connection.
     pub connect_timeout: Duration,
     pub max_idle_connections: usize,
     pub max_idle_connections_per_address: usize,
@@ -113,7 +117,7 @@
         .build()
 }
 
-/// Sends a request with a body that is encoded already, if any, and waits for the response.
+/// Sends a request with an encoded body, if there is one, and waits for the response.
 pub(super) fn send_request(
     connections: &ureq::Agent,
     method: &str,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,9 +1,9 @@
-//! Transport: the protocols towards the key-value store, the cloud, the agents on worker nodes, users and
-//! the other controllers.
+//! The network layer: clients and servers of the protocols that connect this node with the key-value store,
+//! the cloud, the agents on worker nodes, users and the other controllers.
 //!
-//! Nothing is decided here. Forms on the wire and in the store are in [`wire`] and [`peer`]; each other
-//! module is a client or a server of one protocol, with its time-outs, limits and rates. No module here
-//! imports `api` or `runtime`.
+//! This layer makes no scheduling decisions. [`wire`] and [`peer`] define the formats of messages and of
+//! stored records. Every other module is a client or a server of one protocol, with its timeouts, limits and
+//! rates. No module here imports `api` or `runtime`.
 
 pub mod agent;
 pub mod cloud;
--- a/src/net/peer/circuit_breaker.rs
+++ b/src/net/peer/circuit_breaker.rs
@@ -1,14 +1,16 @@
-//! Circuit breaker for commands that go through a peer. A peer that delivers nothing may itself be cut off
-//! from the workers.
+//! Circuit breaker for commands to workers that a peer relays. A peer that fails to deliver them may itself
+//! be disconnected from the workers.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// So many failures in a row open the circuit.
+/// The number of consecutive failures that opens the circuit.
 const FAILURES_TO_OPEN: u32 = 6;
+/// How long the circuit stays open before commands are relayed again.
 const OPEN_DURATION: Duration = Duration::from_secs(10);
 
+/// The circuit is closed at first.
 #[derive(Default)]
 pub(super) struct CircuitBreaker {
     consecutive_failures: AtomicU32,
@@ -16,6 +18,7 @@
 }
 
 impl CircuitBreaker {
+    /// Whether commands may be relayed at `now`.
     pub fn is_closed(&self, now: Instant) -> bool {
         let open_until = self.open_until.lock();
         open_until.map_or(true, |until| until.is_none_or(|t| now >= t))
--- a/src/net/peer/client.rs
+++ b/src/net/peer/client.rs
@@ -1,4 +1,4 @@
-//! Requests to one peer, over a pool of connections.
+//! Client for requests to one peer, with a connection pool.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::extension::FIRST_VERSION;
@@ -9,23 +9,24 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Idle connections that are kept open.
+/// The maximum number of idle connections to a peer that are kept open.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Another controller, as a client sees it.
+/// A client for another controller.
 pub struct Peer {
-    /// The member name that the settings give the peer.
+    /// The peer's member name according to the settings.
     pub member: String,
     address: SocketAddr,
     idle_connections: Mutex<Vec<TcpStream>>,
     command_breaker: CircuitBreaker,
-    /// As the peer announced it last.
+    /// The protocol version that the peer announced last.
     protocol_version: AtomicU32,
 }
 
 impl Peer {
-    /// A peer that has not announced anything yet.
+    /// Creates a client without connections. The peer is assumed to support only the first protocol version
+    /// until it announces a later one.
     pub fn new(member: &str, address: SocketAddr) -> Peer {
         Peer {
             member: member.to_owned(),
@@ -36,39 +37,41 @@
         }
     }
 
-    /// Whether the peer has announced this version of the protocol, or a later one.
+    /// Whether the peer has announced this protocol version or a later one.
     #[must_use]
     pub fn supports(&self, protocol_version: u32) -> bool {
         self.protocol_version.load(Ordering::Relaxed) >= protocol_version
     }
 
-    /// Remembers the version that the peer has announced.
+    /// Records the protocol version that the peer has announced.
     pub fn set_protocol_version(&self, protocol_version: u32) {
         self.protocol_version
             .store(protocol_version, Ordering::Relaxed);
     }
 
-    /// Whether commands to workers may go through this peer.
+    /// Whether this peer may relay commands to workers. False while its circuit breaker is open.
     #[must_use]
     pub fn accepts_commands(&self, now: Instant) -> bool {
         self.command_breaker.is_closed(now)
     }
 
-    /// Records that the peer delivered a command to its worker.
+    /// Records that the peer relayed a command and the worker responded.
     pub fn record_command_delivered(&self) {
         self.command_breaker.record_success();
     }
 
-    /// Records that a command did not reach its worker through this peer.
+    /// Records that the peer failed to relay a command, or that the worker did not respond.
     pub fn record_command_failed(&self, now: Instant) {
         self.command_breaker.record_failure(now);
     }
 
-    /// Sends a request and waits for its response, on an idle connection or on a new one.
+    /// Sends a request over an idle connection or a new one, and waits for the response. `timeout` limits
+    /// each read and write, not the whole call.
     ///
-    /// An idle connection may have died with the peer's earlier incarnation, so a request that fails on
-    /// one without a time-out is sent again. All requests are safe to repeat: a heartbeat has its serial
-    /// number, a submission or cancellation its conditions, and a hello changes nothing the second time.
+    /// An idle connection may have been closed when the peer restarted. If a request fails on an idle
+    /// connection for another reason than a timeout, it is therefore sent again on a new connection. All
+    /// requests are safe to repeat: heartbeats have serial numbers, submissions and cancellations are
+    /// conditional transactions, and a repeated hello has no further effect.
     pub fn call(&self, request: &PeerRequest, timeout: Duration) -> io::Result<PeerResponse> {
         if let Some(connection) = self.take_idle_connection() {
             set_timeouts(&connection, timeout)?;
@@ -88,7 +91,7 @@
         Ok(connection)
     }
 
-    /// Keeps the connection if the request got its response.
+    /// Sends a request over `connection`, which is returned to the pool if the response arrives.
     fn call_on(
         &self,
         mut connection: TcpStream,
--- a/src/net/peer/frame.rs
+++ b/src/net/peer/frame.rs
@@ -1,9 +1,9 @@
-//! Frames: the length of a message in four bytes, least significant first, and the message.
+//! Frames of the peer protocol: the length of a message as a little-endian 32-bit integer, then the message.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io::{self, Read, Write};
 
-/// Far above any frame that is sent; a longer one does not come from a controller.
+/// The maximum length of a message. Controllers send far shorter ones, so a longer message is an error.
 const MAX_FRAME_BYTES: u32 = 1024 * 1024;
 
 /// Writes a message as one frame.
@@ -15,7 +15,8 @@
     writer.write_all(&frame)
 }
 
-/// Reads one frame. An error: it is too long or no message of this type.
+/// Reads one frame and decodes its message. Fails if reading fails, the frame is too long, or its content is
+/// not a message of this type.
 pub fn read_frame<T: BorshDeserialize>(reader: &mut impl Read) -> io::Result<T> {
     let mut length = [0; size_of::<u32>()];
     reader.read_exact(&mut length)?;
--- a/src/net/peer/messages.rs
+++ b/src/net/peer/messages.rs
@@ -1,69 +1,72 @@
-//! Messages between the controllers. The order and types of fields and variants are the wire.
+//! Messages between controllers. The order and the types of fields and variants define the wire format.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// The state that controllers send each other once a second, as a request and as its response.
+/// The status that controllers send each other once a second, both as a request and as its response.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Hello {
-    /// Member name of the sender.
+    /// The sender's member name.
     pub member: String,
-    /// The term that the sender leads in, if it leads.
+    /// The term in which the sender leads. None: the sender does not lead.
     pub leader_term: Option<u64>,
-    /// The highest term that the sender knows of.
+    /// The highest term that the sender has observed.
     pub highest_term: u64,
-    /// Whether the key-value store answers the sender.
+    /// Whether the sender can reach the key-value store.
     pub store_available: bool,
-    /// Number of workers that send their heartbeats to the sender.
+    /// The number of workers that send their heartbeats to the sender.
     pub worker_count: u32,
-    /// Changes a second of the key-value store that the sender's users asked for.
+    /// The rate of changes in the key-value store that the sender recently requested for its users, in
+    /// changes per second.
     pub user_changes_per_s: f64,
-    /// Changes a second of the key-value store that the sender asked for as leader.
+    /// The same rate for the sender's work as the leader.
     pub leader_changes_per_s: f64,
-    /// How late the sender's timers fire, in milliseconds.
+    /// The average delay with which the sender's timers fire, in milliseconds.
     pub timer_lag_ms: u32,
-    /// From the leader: jobs whose counts have changed, for display.
+    /// In the leader's requests: jobs whose task counts have changed since the receiver's last response. The
+    /// counts are only shown to users. Otherwise empty.
     pub progress: Vec<JobProgress>,
-    /// In the leader's requests: jobs that are over. In responses: [`super::HelloExtension`].
+    /// In the leader's requests: ids of jobs that have ended. In responses: the texts of a
+    /// [`super::HelloExtension`].
     pub finished_jobs: Vec<String>,
 }
 
-/// How many tasks of a job are done and running.
+/// The task counts of a live job.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct JobProgress {
     /// The job's id.
     pub job_id: String,
-    /// Tasks that are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// Tasks that are running.
+    /// The number of tasks that are running.
     pub running: u32,
 }
 
-/// A position in the list of cancellations that a controller knows of.
+/// A position in the log of cancellations that a controller keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CancellationPosition {
-    /// Incarnation of the controller: the list begins anew with each.
+    /// The controller's incarnation. A new incarnation starts with an empty log.
     pub incarnation: u64,
-    /// Number of cancellations before this position.
+    /// The number of cancellations in the log before this position.
     pub offset: u64,
 }
 
-/// A request of one controller to another.
+/// A request from one controller to another.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// The state of the sender.
+    /// Reports the sender's status.
     Hello(Hello),
-    /// Workers' heartbeats, as they were received, to be answered by the leader.
+    /// Relays encoded heartbeats of workers to the leader.
     Heartbeats(Vec<Vec<u8>>),
-    /// Commands for a worker, encoded.
+    /// Requests that the receiver relays commands to a worker.
     Command {
-        /// Where the worker takes commands.
+        /// The address at which the worker receives commands.
         endpoint: String,
         /// The encoded commands.
         body: Vec<u8>,
     },
-    /// The states of these jobs, for a controller that the key-value store does not answer.
+    /// Requests the statuses of the jobs with these ids, for a sender that cannot reach the key-value store.
     JobStatuses(Vec<String>),
-    /// A submission or a cancellation, for the same reason.
+    /// Relays a user's submission or cancellation, for the same reason.
     UserRequest {
         /// The HTTP method.
         method: String,
@@ -72,64 +75,64 @@
         /// The encoded body.
         body: Vec<u8>,
     },
-    /// The cancellations that the peer knows of. Only for peers of
-    /// [`super::VERSION_WITH_CANCELLATIONS`], as all that follows.
+    /// Reads a page of the receiver's log of cancellations. This variant and all that follow may be sent only
+    /// to peers that support [`super::VERSION_WITH_CANCELLATIONS`].
     Cancellations {
-        /// Where to continue. None: the peer tells where a reader may begin.
+        /// The position to continue from. None: the response states where to begin.
         from: Option<CancellationPosition>,
     },
-    /// To the leader: users are about to be told that these jobs are cancelled.
+    /// Notifies the leader that the sender is about to confirm to users that these jobs are cancelled.
     Cancelled(Vec<String>),
 }
 
-/// What a peer has found out about a job.
+/// The status of a job according to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerJobStatus {
-    /// The peer could not find it out.
+    /// The peer could not determine the status.
     Unknown,
     /// The job was never accepted.
     NeverAccepted,
-    /// The job is accepted and not over.
+    /// The job was accepted and has not ended.
     Live,
-    /// The job is done.
+    /// All tasks of the job are done.
     Done,
-    /// The job is cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// The response of a controller to a [`PeerRequest`] of the same name.
+/// The response to the [`PeerRequest`] variant of the same name.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerResponse {
-    /// The state of the responder.
+    /// The responder's status.
     Hello(Hello),
-    /// HTTP status and body for each heartbeat, in their order.
+    /// The HTTP status and the body of the response to each heartbeat, in the order of the request.
     Heartbeats(Vec<(u16, Vec<u8>)>),
-    /// The worker's heartbeat, as it was received. None: it did not answer.
+    /// The encoded heartbeat with which the worker responded. None: the worker did not respond.
     Command(Option<Vec<u8>>),
-    /// The states of the jobs, in the order of the request.
+    /// The statuses of the jobs, in the order of the request.
     JobStatuses(Vec<PeerJobStatus>),
-    /// The answer for the user.
+    /// The response to the user's request.
     UserRequest {
         /// The HTTP status.
         status: u16,
         /// The encoded body.
         body: Vec<u8>,
-        /// Seconds after which the user should come back.
+        /// The `Retry-After` value in seconds. None: the response has no such header.
         retry_after: Option<u64>,
     },
-    /// A page of the cancellations that the responder knows of.
+    /// One page of the responder's log of cancellations.
     Cancellations {
-        /// Incarnation of the responder.
+        /// The responder's incarnation.
         incarnation: u64,
-        /// Whether the page continues from the requested position with nothing left out.
+        /// Whether the page starts at the requested position. False: cancellations may be missing before it.
         continues: bool,
-        /// Ids of the cancelled jobs.
+        /// The ids of the cancelled jobs.
         job_ids: Vec<String>,
-        /// Offset to continue from.
+        /// The offset after this page, to continue from.
         next: u64,
-        /// Whether more cancellations are known already.
+        /// Whether the log contains more cancellations after this page.
         more: bool,
     },
-    /// Whether a leader took the cancellations on.
+    /// Whether the responder leads and has accepted the notification.
     Cancelled(bool),
 }
--- a/src/net/peer/mod.rs
+++ b/src/net/peer/mod.rs
@@ -1,9 +1,8 @@
-//! Protocol between the controllers: frames of a length and a `borsh` message, over TCP connections that
-//! are kept open.
+//! The protocol between controllers: length-prefixed `borsh` messages over persistent TCP connections.
 //!
-//! Invariants: `borsh` writes no names, so the order and types of a message's fields and variants are the
-//! wire, and those that an earlier version reads stay as they are; newer messages go only to peers that
-//! have announced a protocol version with them.
+//! Invariants: `borsh` encodes no names, so the order and the types of fields and variants define the wire
+//! format, and those that an earlier version reads must not change. Newer messages are sent only to peers
+//! that have announced a protocol version that includes them.
 
 mod circuit_breaker;
 mod client;
--- a/src/net/store/budget/demand_meter.rs
+++ b/src/net/store/budget/demand_meter.rs
@@ -1,14 +1,16 @@
-//! Changes that this node asks the key-value store for, measured.
+//! Measures the rate of changes that this node requests from the key-value store.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::rate_sharing::ChangeRateDemand;
 use std::time::Instant;
 
-/// Changes asked for since the last rebalancing, and the demand a second before that.
+/// Counts the changes requested since the last measurement, including refused ones.
 pub(super) struct DemandMeter {
     user_changes: usize,
     leader_changes: usize,
+    /// When the present counts started.
     pub measured_since: Instant,
+    /// The result of the last measurement, in changes per second.
     pub demand: ChangeRateDemand,
 }
 
@@ -29,19 +31,20 @@
         }
     }
 
-    /// The mean of the demand before and the usage of the last `elapsed_s` seconds; after a pause only the
-    /// latter counts. Starts to count anew.
+    /// Computes the demand from the previous demand and from the changes counted during the last `elapsed_s`
+    /// seconds. Both have the same weight for up to 1 s; from 2 s on only the counted changes matter. The
+    /// result is at most `max_changes_per_s`. Counting starts again from zero.
     pub fn measure_demand(
         &mut self,
         elapsed_s: f64,
-        max_changes: f64,
+        max_changes_per_s: f64,
         now: Instant,
     ) -> ChangeRateDemand {
         let weight = (elapsed_s / 2.0).clamp(0.5, 1.0);
         let mean = |old: f64, count: usize| old + (count as f64 / elapsed_s - old) * weight;
         self.demand = ChangeRateDemand {
-            users: mean(self.demand.users, self.user_changes).min(max_changes),
-            leader: mean(self.demand.leader, self.leader_changes).min(max_changes),
+            users: mean(self.demand.users, self.user_changes).min(max_changes_per_s),
+            leader: mean(self.demand.leader, self.leader_changes).min(max_changes_per_s),
         };
         (self.user_changes, self.leader_changes, self.measured_since) = (0, 0, now);
         self.demand
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -1,7 +1,7 @@
-//! The rates of requests and changes that a node keeps to at the key-value store.
+//! This node's rate limits for requests to the key-value store and for changes of its keys.
 //!
-//! Users' requests and the leader's work have buckets of their own, so that neither takes what the other
-//! needs. Invariant: all nodes together, one of them leading, stay within the rates that the store allows.
+//! Users' requests and the leader's work have separate token buckets, so that neither can use up the other's
+//! rate. Invariant: all nodes together, of which one leads, stay within the rates that the store allows.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
 use crate::common::rate_sharing::{ChangeRateDemand, ChangeRateShares, LEADER_CHANGE_RATE_SHARE};
@@ -15,35 +15,40 @@
 use demand_meter::DemandMeter;
 use refusals::Refusals;
 
-/// The leader's part of all requests. The rest is the users', node by node.
+/// The leader's share of the store's request rate. The rest is divided evenly among the nodes for their
+/// users.
 const LEADER_REQUEST_RATE_SHARE: f64 = 0.4;
-/// Bursts of one second's worth are allowed; a little less allows for the clocks.
+/// The size of a burst, in seconds' worth of the rate. The store allows bursts of one second; the difference
+/// is a margin for inaccurate clocks.
 const BURST_S: f64 = 0.9;
-/// The part of the store's changes a second that is distributed among the nodes.
+/// The share of the store's rate of changes that is distributed among the nodes.
 const DISTRIBUTED_CHANGE_RATE_SHARE: f64 = 0.97;
-/// The part of a node's requests that status queries leave to submissions and cancellations.
+/// The share of the users' request bucket that status queries leave to submissions and cancellations.
 const STATUS_QUERY_RESERVED_SHARE: f64 = 0.4;
-/// Clients that are refused for want of the rate are asked to come back within this time: users give up
+/// The bounds in seconds of the retry time for users whose request exceeds the rate limit. Users give up
 /// after a minute.
 const MIN_RETRY_AFTER_S: f64 = 1.0;
 const MAX_RETRY_AFTER_S: f64 = 4.0;
-/// Rebalancing more often would measure demand over too short a time.
+/// The minimum interval in seconds between two rebalancings. Over a shorter interval, demand cannot be
+/// measured reliably.
 const MIN_REBALANCE_INTERVAL_S: f64 = 0.2;
 
-/// The rates that this node keeps to.
+/// This node's rate limits at the key-value store. [`StoreBudget::rebalance`] adapts the limits for changes to
+/// the demand of all nodes.
 pub struct StoreBudget {
     users: Buckets,
     leader: Buckets,
-    /// The rates that the deployment allows now.
+    /// The store's present rates, from the settings.
     rates: StoreRates,
-    /// Lower rates that may come into force without notice.
+    /// Lower rates that may come into force at any time without notice.
     reduced_rates: Option<StoreRates>,
     controller_count: f64,
     refusals: Mutex<Refusals>,
     demand_meter: Mutex<DemandMeter>,
 }
 
-/// One class of requests: each call takes a request, and as many changes as it makes.
+/// The token buckets of one class of requests. Each call takes one token from `requests`, and one from
+/// `changes` for each change that it makes.
 struct Buckets {
     requests: TokenBucket,
     changes: TokenBucket,
@@ -65,8 +70,8 @@
 }
 
 impl StoreBudget {
-    /// This node's part of the store's rates. Only one controller leads, so each holds the leader's part
-    /// ready.
+    /// Creates the limits of one of `controller_count` nodes from the store's `rates`. Since only one node
+    /// leads at a time, every node's limits include the leader's whole share.
     pub fn new(rates: StoreRates, controller_count: usize, now: Instant) -> StoreBudget {
         let controller_count = controller_count.max(1) as f64;
         StoreBudget {
@@ -80,7 +85,8 @@
         }
     }
 
-    /// With lower rates that may come into force without notice.
+    /// Adds lower rates that may come into force at any time without notice. None: no such rates are
+    /// announced.
     #[must_use]
     pub fn with_reduced_rates(mut self, reduced_rates: Option<StoreRates>) -> StoreBudget {
         self.reduced_rates = reduced_rates;
@@ -100,14 +106,15 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Whether the reduced rates are in force.
+    /// Whether this node keeps to the reduced rates.
     #[must_use]
     pub fn rates_reduced(&self) -> bool {
         self.refusals().rates_reduced
     }
 
-    /// Records that the store refused a call for its rate. That happens now and then by chance; several
-    /// times in a short while, with reduced rates announced, it shows that these are in force.
+    /// Records that the store refused a call because of its rate limit. An occasional refusal can happen by
+    /// chance. If reduced rates are announced, several refusals within a short time show that these are in
+    /// force, and the limits are reduced.
     pub fn record_refusal(&self, now: Instant) {
         if self.reduced_rates.is_none() {
             return;
@@ -118,7 +125,8 @@
         }
     }
 
-    /// Keeps to the reduced rates from now on, as refusals or a peer showed them to be in force.
+    /// Reduces the limits to the reduced rates, once refusals or a peer show that these are in force. The
+    /// reduction is permanent. Has no effect if no reduced rates are announced.
     pub fn reduce_rates(&self, now: Instant) {
         let Some(reduced) = self.reduced_rates else {
             return;
@@ -142,14 +150,14 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Changes a second that this node asks for, to be sent to its peers.
+    /// The rate of changes that this node requested recently, to be sent to its peers.
     #[must_use]
     pub fn demand(&self) -> ChangeRateDemand {
         self.demand_meter().demand
     }
 
-    /// Distributes the store's changes by the demand of all nodes. `None` stands for a peer whose demand
-    /// is not known.
+    /// Measures this node's demand and sets its rates of changes according to the demand of all nodes. `None`
+    /// stands for a peer whose demand is not known. Has no effect within 0.2 s of the previous measurement.
     pub fn rebalance(&self, peers: &[Option<ChangeRateDemand>], now: Instant) {
         let changes = self.rates_in_force().changes * DISTRIBUTED_CHANGE_RATE_SHARE;
         let mut demand_meter = self.demand_meter();
@@ -166,8 +174,8 @@
         self.leader.changes.set_rate(shares.leader, now);
     }
 
-    /// Takes one request for status queries. They leave a part of the bucket to submissions and
-    /// cancellations, so that no flood of queries holds these up.
+    /// Takes one request for status queries. Queries leave a share of the bucket to submissions and
+    /// cancellations, so that a flood of queries does not delay these. False: the limit is reached.
     #[must_use]
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
@@ -175,8 +183,8 @@
             .try_take_above_reserve(1.0, STATUS_QUERY_RESERVED_SHARE, now)
     }
 
-    /// When a user whose change was refused for the rate should come back: by then the recent demand
-    /// could be served.
+    /// The time after which a user whose change exceeded the rate limit should retry. It is the time that one
+    /// second's recent demand takes at the present rate, within fixed bounds.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         let (demand, rate) = (self.demand_meter().demand.users, self.users.changes.rate());
@@ -184,20 +192,20 @@
         Duration::from_secs_f64(seconds.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S))
     }
 
-    /// Changes that the leader could make now.
+    /// The number of changes that the leader can make now without exceeding its limit.
     #[must_use]
     pub fn leader_changes_left(&self, now: Instant) -> usize {
         self.leader.changes.available_at(now) as usize
     }
 
-    /// Takes a request with this many changes. False: the rate is used up for the moment.
+    /// Takes one request with this many changes. False: the rate limit is reached at the moment.
     #[must_use]
     pub fn try_take(&self, class: RequestClass, changes: usize, now: Instant) -> bool {
         self.try_take_above_reserve(class, changes, 0.0, now)
     }
 
-    /// Takes a request with this many changes where `reserved_share`, a part of the bucket of changes, is left
-    /// to others.
+    /// Takes one request with this many changes, and leaves `reserved_share`, a fraction from 0 to 1 of the
+    /// capacity of the bucket of changes, to others. False: the rate limit is reached at the moment.
     #[must_use]
     pub fn try_take_above_reserve(
         &self,
@@ -213,7 +221,7 @@
             RequestClass::User => &self.users,
             RequestClass::Leader => &self.leader,
         };
-        // What is refused for its changes must not use up requests.
+        // A call that is refused because of its changes must not use up a request.
         let changes_granted = changes == 0
             || buckets
                 .changes
@@ -222,7 +230,7 @@
     }
 }
 
-/// The rates of one node's users.
+/// The rates for the users of one of `controller_count` nodes.
 fn user_rates(rates: StoreRates, controller_count: f64) -> StoreRates {
     StoreRates {
         requests: rates.requests * (1.0 - LEADER_REQUEST_RATE_SHARE) / controller_count,
@@ -230,7 +238,7 @@
     }
 }
 
-/// The leader's rates.
+/// The rates for the leader's work.
 fn leader_rates(rates: StoreRates) -> StoreRates {
     StoreRates {
         requests: rates.requests * LEADER_REQUEST_RATE_SHARE,
--- a/src/net/store/budget/refusals.rs
+++ b/src/net/store/budget/refusals.rs
@@ -1,25 +1,28 @@
-//! Refusals for the rate by the key-value store itself, as evidence that its reduced rates are in force.
+//! Detects from refused calls that the key-value store's reduced rates are in force.
 
 use std::time::{Duration, Instant};
 
-/// So many refusals within [`REFUSAL_WINDOW`] show that the announced rates are in force.
+/// The number of refusals within [`REFUSAL_WINDOW`] that shows that the reduced rates are in force.
 const REFUSALS_TO_REDUCE: u32 = 3;
 const REFUSAL_WINDOW: Duration = Duration::from_secs(10);
-/// Refusals that follow each other sooner have one cause, such as calls that an interruption held back
-/// and let go together.
+/// Refusals within a shorter time of a counted one are not counted. They have the same cause, such as calls
+/// that were delayed by an interruption and then arrived together.
 const MIN_REFUSAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Refusals for the rate by the store itself, and whether they showed the reduced rates to be in force.
+/// Counts the calls that the store refused because of its rate limit.
 #[derive(Default)]
 pub(super) struct Refusals {
+    /// The number of counted refusals since `window_start`.
     count: u32,
     window_start: Option<Instant>,
     last_counted: Option<Instant>,
+    /// Whether the reduced rates are known to be in force. The caller sets it.
     pub rates_reduced: bool,
 }
 
 impl Refusals {
-    /// Counts a refusal. True: there were enough of them to show that the reduced rates are in force.
+    /// Counts a refusal. True: the refusals show that the reduced rates are in force, and `rates_reduced` is
+    /// not set yet.
     pub fn record(&mut self, now: Instant) -> bool {
         let since = |t: Instant| now.saturating_duration_since(t);
         if self
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -1,4 +1,4 @@
-//! Reads that wait for their part of the rate, until a deadline.
+//! Reads of the key-value store that wait for the rate limit until a deadline.
 
 use super::listing::PAGE_SIZE;
 use super::{Entry, KvStore, StoreError, TransactionOutcome};
@@ -13,32 +13,32 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// A read that finds the rate used up waits this long before it tries again.
+/// The pause before a read that the rate limit did not admit tries again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(15);
 
-/// What a read is for, and with it the part of the rate that it takes.
+/// The purpose of a read, which determines the rate limit that applies to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadPurpose {
-    /// A duty of the leader.
+    /// The leader's own work. It counts towards the leader's limit.
     LeaderWork,
-    /// A user's status query. It leaves a part of the rate to submissions and cancellations.
+    /// A user's status query. It leaves a share of the users' limit to submissions and cancellations.
     StatusQuery,
-    /// A user's submission or cancellation.
+    /// A user's submission or cancellation. It may use up the users' limit.
     UserChange,
 }
 
-/// Reads of the key-value store for one purpose.
+/// Reads the key-value store for one purpose, until a deadline.
 pub struct BudgetedReader<'a> {
     store: &'a KvStore,
     stop: &'a StopSignal,
     purpose: ReadPurpose,
     deadline: Instant,
-    /// The next call's part of the rate has been taken already.
+    /// Whether the next call's request has already been taken from the budget.
     budget_taken: Cell<bool>,
 }
 
 impl<'a> BudgetedReader<'a> {
-    /// Reads of `store` until `deadline`, or until `stop`.
+    /// Creates a reader that gives up at `deadline` or when `stop` is signalled.
     pub fn new(
         store: &'a KvStore,
         stop: &'a StopSignal,
@@ -54,14 +54,14 @@
         }
     }
 
-    /// Reads a key. None: it is absent.
+    /// Reads a key. None: the key is absent.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Option<Entry<T>>, StoreError> {
         self.take_budget()?;
         self.store.get_unbudgeted(key, self.timeout())
     }
 
-    /// Waits for the rate ahead of the first call: requests that come meanwhile can be read with it.
-    /// False: the deadline has passed.
+    /// Waits until the rate limit admits the next call, so that the caller can add queries that arrive in the
+    /// meantime to that call. False: the deadline has passed, or the service is stopping.
     pub fn wait_for_budget(&self) -> bool {
         while !self.budget_taken.get() {
             let now = Instant::now();
--- a/src/net/store/error.rs
+++ b/src/net/store/error.rs
@@ -1,39 +1,43 @@
-//! Errors of calls to the key-value store, told apart by what is known of their execution.
+//! Errors of calls to the key-value store. They differ in whether the call may have been executed.
 
 use crate::net::http_client::{CallError, HttpResponse};
 use crate::net::wire::ErrorResponse;
 
-/// The store's error for a transaction that names a lease which has ended.
+/// The store's error text for a transaction with a lease that does not exist or has ended.
 const LEASE_NOT_FOUND_ERROR: &str = "no such lease";
 
-/// Why a call to the key-value store has no result.
+/// Why a call to the key-value store returned no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Not executed: refused, or never sent.
+    /// The store is unreachable, rejected the request, or sent a response that is not valid for it. A request
+    /// that changes keys was not executed.
     #[error("key-value store unavailable")]
     Unavailable,
-    /// Not executed: the rate is used up for the moment. It says nothing of the store's health.
-    #[error("key-value store rate used up")]
+    /// The request was not executed, because of this node's rate limit or the store's own. This does not
+    /// indicate that the store is unhealthy.
+    #[error("key-value store rate limit exceeded")]
     RateLimited,
-    /// May have been executed, or may yet be.
-    #[error("no answer from the key-value store")]
+    /// No usable response arrived. The request may have been executed, or may be executed later.
+    #[error("no response from the key-value store")]
     Unknown,
-    /// Not executed, and never will be as it is: malformed or over a limit.
+    /// The request was not executed because it is malformed or exceeds a limit. Repeating it unchanged fails
+    /// again.
     #[error("request rejected by the key-value store")]
     Rejected,
-    /// The answer has another form than was asked for.
+    /// The response cannot be decoded, for example because a record has a form that this version does not
+    /// know.
     #[error("unreadable record in the key-value store")]
     Unreadable,
-    /// The lease has ended, or never was granted.
+    /// The lease has ended or was never granted.
     #[error("no such lease")]
     LeaseNotFound,
-    /// Changes before the watch's revision are no longer kept: list again.
+    /// The store no longer keeps the changes after the watch's revision. The keys must be listed again.
     #[error("watch revision too old")]
     RevisionTooOld,
 }
 
 impl StoreError {
-    /// The error of a transaction that the store answered with 400.
+    /// The error for a transaction that the store rejected with status 400.
     pub(super) fn rejected_transaction(response: &HttpResponse) -> StoreError {
         let error = response.decode::<ErrorResponse>().map(|p| p.error);
         if error.as_deref() == Some(LEASE_NOT_FOUND_ERROR) {
--- a/src/net/store/leases.rs
+++ b/src/net/store/leases.rs
@@ -1,5 +1,5 @@
-//! Leases, which only the leader and candidates hold. A key that is written with a lease is removed with
-//! the lease's end.
+//! Leases of the key-value store. Only the leader and candidates hold leases. A key that is written with a
+//! lease is removed when the lease ends.
 
 use super::{KvStore, StoreError};
 use crate::common::rate_limit::RequestClass;
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl KvStore {
-    /// Grants a lease that expires after `duration` unless it is renewed.
+    /// Requests a lease that expires after `duration` unless it is renewed. Returns the lease's id. `timeout`
+    /// is the time limit of the call.
     pub fn grant_lease(&self, duration: Duration, timeout: Duration) -> Result<u64, StoreError> {
         self.take_budget(RequestClass::Leader, 0)?;
         let request = LeaseRequest {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Renews a lease for its whole duration.
+    /// Renews a lease for the whole duration with which it was granted.
     pub fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
         self.take_budget(RequestClass::Leader, 0)?;
         let path = format!("/leases/{lease}/extend");
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Ends a lease, and removes the keys that were written with it.
+    /// Ends a lease, which removes the keys that were written with it. The status of the store's response is
+    /// ignored.
     pub fn revoke_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
         self.take_budget(RequestClass::Leader, 0)?;
         self.call_without_body("DELETE", &format!("/leases/{lease}"), timeout)
--- a/src/net/store/listing.rs
+++ b/src/net/store/listing.rs
@@ -1,4 +1,4 @@
-//! Listings of the keys under a prefix, page by page.
+//! Listing of all keys with a prefix, page by page.
 
 use super::{KvStore, StoreError};
 use crate::common::rate_limit::RequestClass;
@@ -7,33 +7,33 @@
 use serde::de::DeserializeOwned;
 use std::time::{Duration, Instant};
 
-/// Keys of a page, the most that the store gives.
+/// The number of keys requested per page, which is the store's maximum.
 pub(super) const PAGE_SIZE: usize = 1000;
-/// Before a page that could not be read is asked for again.
+/// The pause before a page that could not be read is requested again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// All keys under a prefix.
+/// All keys with a prefix, and their values.
 #[derive(Debug)]
 pub struct Listing<T> {
-    /// The keys in their order.
+    /// The keys and values, in the order of the keys.
     pub entries: Vec<ListEntry<T>>,
-    /// The revision from which a watch misses nothing: that of the first page.
+    /// The store's revision when the first page was read. A watch that starts there misses no change.
     pub revision: u64,
 }
 
-/// How a listing is read.
+/// Options for listing keys.
 #[derive(Clone, Copy, Debug)]
 pub struct ListOptions {
-    /// Whose part of the rate the pages take.
+    /// The class whose rate limit applies to the requests for pages.
     pub class: RequestClass,
-    /// Time limit of the call for one page.
+    /// The time limit of the request for one page.
     pub page_timeout: Duration,
-    /// How long pages that fail are asked for again.
+    /// How long after the start of the listing failed pages are requested again.
     pub retry_for: Duration,
 }
 
 impl KvStore {
-    /// All keys under a prefix.
+    /// Lists all keys with a prefix. `timeout` limits both each request and the time for retries.
     pub fn list<T: DeserializeOwned>(
         &self,
         prefix: &str,
@@ -48,9 +48,9 @@
         self.list_with_retries(prefix, options, &StopSignal::new())
     }
 
-    /// All keys under a prefix. Pages that fail are asked for again, so that a node that is busy or short
-    /// of the rate does not read the earlier pages again and again. A watch from the first page's
-    /// revision makes up for what changes meanwhile.
+    /// Lists all keys with a prefix. A failed page is requested again, so that a node that is busy or at its
+    /// rate limit does not have to start over with the first page each time. Pages may be from different
+    /// revisions; a watch from the first page's revision shows the changes made in the meantime.
     pub fn list_with_retries<T: DeserializeOwned>(
         &self,
         prefix: &str,
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -1,11 +1,10 @@
-//! Client of the consensus-backed key-value store, within the rates that are this node's part.
+//! Client of the consensus-backed key-value store. It keeps to this node's share of the store's rates.
 //!
-//! Invariants: a transaction that may have been executed without an answer is reported as
-//! [`StoreError::Unknown`], never as failed; each call takes its part of the rate before it is sent, and
-//! is not sent without it.
+//! Invariants: a transaction that received no response but may have been executed is reported as
+//! [`StoreError::Unknown`], never as failed. A call is sent only after it was admitted by the rate limit.
 //!
-//! Here are single keys and transactions; leases, listings, watches and reads that wait for the rate are
-//! in modules of their own.
+//! This module contains reads of single keys and transactions. Leases, listings, watches and reads that wait
+//! for the rate limit have modules of their own.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::model::JobId;
@@ -34,40 +33,40 @@
 pub use error::StoreError;
 pub use listing::{ListOptions, Listing};
 
-/// The result of a transaction that was answered.
+/// The result of a transaction to which the store responded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
-    /// The changes were made.
+    /// All conditions held, and the changes were made.
     Applied {
-        /// The revision that the written keys have got.
+        /// The new revision of the written keys.
         revision: u64,
     },
-    /// Conditions did not hold, and nothing was changed.
+    /// At least one condition did not hold, and nothing was changed.
     Failed {
-        /// Keys with other revisions; perhaps not all of them.
+        /// Keys whose revisions differ from their conditions. The list may be incomplete.
         keys: Vec<String>,
     },
 }
 
-/// The value of a key, as it was read.
+/// A key's value and revision at the time of a read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry<T> {
-    /// The value.
+    /// The decoded value.
     pub value: T,
     /// The revision of the key's latest change.
     pub revision: u64,
 }
 
-/// Whether it is known that a job was accepted.
+/// Whether the caller knows that a job was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// The job was accepted for certain.
+    /// The job was certainly accepted.
     Known,
     /// The job may never have been accepted.
     Unknown,
 }
 
-/// A client of the key-value store.
+/// A client of the key-value store. Its clones share the connection pool and the rate limits.
 #[derive(Clone)]
 pub struct KvStore {
     client: HttpClient,
@@ -75,7 +74,7 @@
 }
 
 impl KvStore {
-    /// A store that is called through `client` within `budget`.
+    /// Creates a client that sends its requests through `client` and keeps to the limits of `budget`.
     pub fn new(client: HttpClient, budget: StoreBudget) -> KvStore {
         KvStore {
             client,
@@ -83,18 +82,18 @@
         }
     }
 
-    /// Changes that the leader could make now.
+    /// The number of changes that the leader can make now without exceeding its rate limit.
     #[must_use]
     pub fn leader_changes_left(&self) -> usize {
         self.budget.leader_changes_left(Instant::now())
     }
 
-    /// The rates that are this node's part.
+    /// This node's rate limits.
     pub fn budget(&self) -> &StoreBudget {
         &self.budget
     }
 
-    /// Reads a key. None: it is absent.
+    /// Reads a key on behalf of `class`. None: the key is absent.
     pub fn get<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -105,7 +104,8 @@
         self.get_unbudgeted(key, timeout)
     }
 
-    /// A compare-and-swap transaction: the changes are made if each key has its revision (0: absent).
+    /// Executes a compare-and-swap transaction: either all changes are made or none. They are made if every
+    /// key in `preconditions` has the expected revision, where 0 stands for an absent key.
     pub fn transaction(
         &self,
         preconditions: &[KeyCondition],
@@ -117,7 +117,8 @@
         self.transaction_unbudgeted(preconditions, changes, timeout)
     }
 
-    /// A user's transaction that leaves `reserved_share`, a part of the rate, to others.
+    /// Executes a user's transaction if it leaves `reserved_share`, a fraction from 0 to 1 of this node's
+    /// bucket of changes for users, to other users.
     pub fn transaction_with_reserve(
         &self,
         reserved_share: f64,
@@ -135,7 +136,7 @@
         self.transaction_unbudgeted(preconditions, changes, timeout)
     }
 
-    /// Carries out a transaction of the leader.
+    /// Executes a transaction of the leader.
     pub fn commit(
         &self,
         batch: &WriteBatch,
@@ -145,8 +146,10 @@
         self.transaction(&batch.conditions, changes, RequestClass::Leader, timeout)
     }
 
-    /// A job's outcome with the revision of its key, 0 while it has none. None: the job was never
-    /// accepted. The outcome's key outlives the job's: unless the acceptance is known, it is read first.
+    /// Reads a job's outcome and the revision of the outcome's key, which is 0 while the job is live. None:
+    /// the job was never accepted. Unless the acceptance is known, the job's key in the index of live jobs is
+    /// read first: it is removed only after the outcome was written, so a job that ends between the two reads
+    /// is still found.
     pub fn job_outcome(
         &self,
         job_id: &JobId,
@@ -180,7 +183,8 @@
         }
     }
 
-    /// One call. Answers that say that the request was not executed are errors.
+    /// Sends a request that the rate limit has admitted. Responses with status 429 or 503, after which the
+    /// request was not executed, are errors.
     fn call<T: Serialize>(
         &self,
         method: &str,
@@ -208,7 +212,7 @@
         self.call::<()>(method, path, None, timeout)
     }
 
-    /// Reads a key for a caller that has taken its part of the rate.
+    /// Reads a key. The caller has already taken the request from the budget.
     fn get_unbudgeted<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -228,7 +232,7 @@
         }
     }
 
-    /// A transaction for a caller that has taken its part of the rate.
+    /// Executes a transaction. The caller has already taken the request and its changes from the budget.
     fn transaction_unbudgeted(
         &self,
         preconditions: &[KeyCondition],
--- a/src/net/store/watch.rs
+++ b/src/net/store/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: the changes under a prefix after a revision, by long polling.
+//! Watches: reads the changes of all keys with a prefix by long polling.
 
 use super::{KvStore, StoreError};
 use crate::common::rate_limit::RequestClass;
@@ -6,11 +6,12 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// An answer may come so much later than the store was asked to wait.
+/// How much longer than the requested wait the store's response may take.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_secs(3);
 
 impl KvStore {
-    /// Waits for changes after this revision, for `max_wait` at most.
+    /// Waits until keys with `prefix` have changed after `after_revision`, for `max_wait` at most. If nothing
+    /// has changed, the response contains no events.
     pub fn watch<T: DeserializeOwned>(
         &self,
         prefix: &str,
