--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -33,8 +33,8 @@
 /// measured reliably.
 const MIN_REBALANCE_INTERVAL_S: f64 = 0.2;
 
-/// This node's rate limits at the key-value store. [`StoreBudget::rebalance`] adapts the limits for changes to
-/// the demand of all nodes.
+/// This node's rate limits at the key-value store. [`StoreBudget::rebalance`] adapts the limits for changes
+/// to the demand of all nodes.
 pub struct StoreBudget {
     users: Buckets,
     leader: Buckets,
--- a/src/net/wire/cloud.rs
+++ b/src/net/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! Machine types, rentals and machines in the form of the cloud's interface.
+//! Formats of the cloud's API: machine types, rentals and lists of machines.
 
 use super::{duration_from_s, InvalidField};
 use crate::core::model::{
@@ -6,7 +6,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A machine type that the cloud offers.
+/// A machine type that the cloud offers. Prices are per hour.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireMachineType {
@@ -50,58 +50,60 @@
     }
 }
 
-/// The answer to `GET /machine_types`; also the record in which the types outlive the cloud's outages.
+/// The response to `GET /machine_types`. It is also stored in the key-value store, so that the machine types
+/// are known during outages of the cloud.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireMachineTypes {
-    /// The types on offer.
+    /// The machine types that the cloud offers.
     #[serde(rename = "HostTypes")]
     pub machine_types: Vec<WireMachineType>,
 }
 
-/// `POST /hosts`: a request to rent machines of one type in one zone.
+/// `POST /hosts`: rents machines of one type in one zone.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RentRequest {
-    /// Makes repetitions harmless: the cloud rents only once for one key.
+    /// Identifies the rental. The cloud carries out only one rental for a key, so requests can be repeated.
     #[serde(rename = "Claim")]
     pub idempotency_key: String,
-    /// Name of the machine type.
+    /// The name of the machine type.
     #[serde(rename = "HostType")]
     pub machine_type: String,
-    /// Zone in which the machines are wanted.
+    /// The zone in which the machines are to run.
     #[serde(rename = "Site")]
     pub zone: String,
-    /// Whether the machines are spot machines, which the cloud may take back.
+    /// Whether to rent spot machines, which the cloud may evict.
     #[serde(rename = "Preemptible")]
     pub spot: bool,
-    /// How many machines are wanted.
+    /// The number of machines. The cloud may rent fewer.
     #[serde(rename = "Number")]
     pub count: u32,
 }
 
-/// Machines by their ids: those that were rented, or those to return.
+/// Ids of machines: in the response to a rental those that were rented, in `POST /hosts/return` those to
+/// return.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineIds {
-    /// The machines' ids.
+    /// The ids that the cloud assigned to the machines.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
 
-/// The answer to `GET /hosts`: a page of the rented machines.
+/// The response to `GET /hosts`: one page of the list of rented machines.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineList {
-    /// The machines of this page.
+    /// The machines on this page, in the order of their ids.
     #[serde(rename = "Hosts")]
     pub machines: Vec<WireCloudMachine>,
-    /// Whether more pages follow.
+    /// Whether another page follows.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// A rented machine in the cloud's list.
+/// A rented machine in the cloud's list. It has no endpoint while it boots.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireCloudMachine {
--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Messages as they are sent and records as they are stored, with their conversions to the domain's types.
+//! Formats of messages and of stored records, and their conversions to and from the types of the core.
 //!
-//! Names and forms here are those of the interfaces and of earlier versions: a field is renamed with
-//! `serde(rename)`, and its place in a record stays.
+//! The outer names and the layouts are fixed by the interfaces and by earlier versions. A field whose Rust
+//! name differs keeps its outer name by `serde(rename)`, and the order of fields in a record does not change.
 
 mod cloud;
 mod error;
@@ -29,29 +29,32 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The longest body that is accepted. The limit is stated for the text form, which is never shorter.
+/// The maximum size of a request body. The protocol states this limit for the text form of a body; here it is
+/// applied to the MessagePack form.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The longest duration and the largest amount that a submission may name; keeps arithmetic on times far
-/// from overflow.
+/// The maximum value of durations (in seconds) and of amounts of resources in a submission. It keeps
+/// arithmetic on times far from overflow.
 const MAX_AMOUNT: f64 = 1e7;
-/// Deeper nesting of a message is refused.
+/// The maximum nesting depth of a message. Messages with deeper nesting are rejected.
 const MAX_NESTING_DEPTH: usize = 32;
 
-/// Encodes a value as MessagePack.
+/// Encodes a value as MessagePack, with the names of fields.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding into memory fails only for types that cannot be represented; ours all can.
+    // Encoding into memory fails only for types that MessagePack cannot represent. No type here is one.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes a value from MessagePack. None: the bytes are something else.
+/// Decodes a value from MessagePack. None: the bytes are not a MessagePack value of this type, or nested too
+/// deeply.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(bytes);
     deserializer.set_max_depth(MAX_NESTING_DEPTH);
     T::deserialize(&mut deserializer).ok()
 }
 
-/// A duration of so many seconds, if it can be represented.
+/// Converts seconds into a duration. Fails for values that a duration cannot represent, such as negative
+/// ones; the error names `field`.
 fn duration_from_s(seconds: f64, field: &'static str) -> Result<Duration, InvalidField> {
     Duration::try_from_secs_f64(seconds).map_err(|_| InvalidField(field))
 }
--- a/src/net/wire/store.rs
+++ b/src/net/wire/store.rs
@@ -1,4 +1,4 @@
-//! Requests to the key-value store and its answers, in the form in which they are sent.
+//! Formats of requests to the key-value store and of its responses.
 
 use super::{
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
@@ -8,12 +8,12 @@
 use crate::core::persistence::write_batch::{KeyCondition, WriteOp};
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction: the key has this revision.
+/// A condition of a transaction: the key must have this revision.
 #[derive(Serialize)]
 pub(in crate::net) struct Precondition<'a> {
     #[serde(rename = "Path")]
     pub key: &'a str,
-    /// 0 for a key that must be absent.
+    /// 0: the key must be absent.
     #[serde(rename = "Stamp")]
     pub revision: u64,
 }
@@ -27,25 +27,25 @@
     }
 }
 
-/// A change of one key in a transaction.
+/// A change of one key in a transaction. The kind of change is the name of the field with the key.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Change<'a> {
     /// Writes a key.
     Put {
-        /// The key.
+        /// The key to write.
         #[serde(rename = "Put")]
         key: &'a str,
-        /// The value that replaces the key's present one.
+        /// The new value, which replaces any present one.
         #[serde(rename = "V")]
         value: StoredValue,
-        /// The lease with whose end the key is removed.
+        /// The id of the lease whose end removes the key. None: the key stays until it is deleted.
         #[serde(rename = "Permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Removes a key.
     Delete {
-        /// The key.
+        /// The key to remove.
         #[serde(rename = "Delete")]
         key: &'a str,
     },
@@ -64,25 +64,25 @@
     }
 }
 
-/// A value of any kind that the controllers write.
+/// A value that controllers write to the key-value store.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum StoredValue {
-    /// The intents of a chunk of tasks.
+    /// The finished tasks and the launch intents of a chunk of a job's tasks.
     Chunk(StoredChunk),
-    /// How a job ended.
+    /// A job's outcome.
     JobOutcome(StoredOutcome),
-    /// Measured run times and fetch rates.
+    /// The summary of measured run times and fetch rates.
     History(StoredHistory),
-    /// An accepted job, in the index of live jobs.
+    /// An accepted job's record in the index of live jobs.
     Job(Box<StoredJob>),
-    /// The leader's record.
+    /// The record that names the leader.
     Leader(StoredLeader),
-    /// The dependents of a job, for earlier versions.
+    /// The list of a job's dependents, for nodes of the previous version.
     Dependents(StoredDependents),
-    /// The counter of terms, or the mark of a cancelled job.
+    /// The number of the latest term, or the mark of a cancelled job.
     Number(u64),
-    /// The machine types that the cloud offers.
+    /// The machine types, as the cloud last listed them.
     Types(WireMachineTypes),
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// `POST /txn`
+/// `POST /txn`: makes all changes if all preconditions hold, and otherwise none.
 #[derive(Serialize)]
 pub(in crate::net) struct TransactionRequest<'a> {
     #[serde(rename = "If")]
@@ -105,7 +105,8 @@
     pub changes: Vec<Change<'a>>,
 }
 
-/// The answer to a transaction, carried out or not.
+/// The response to a transaction. It has a revision if the changes were made, and otherwise the keys whose
+/// preconditions failed.
 #[derive(Deserialize)]
 pub(in crate::net) struct TransactionResponse {
     #[serde(rename = "LedgerRev")]
@@ -114,7 +115,7 @@
     pub failed_keys: Vec<String>,
 }
 
-/// `GET /store/<key>`
+/// The response to `GET /store/<key>`.
 #[derive(Deserialize)]
 pub(in crate::net) struct GetResponse<T> {
     #[serde(rename = "V")]
@@ -123,7 +124,7 @@
     pub revision: u64,
 }
 
-/// `GET /store`: a page of the keys under a prefix.
+/// The response to `GET /store`: one page of the keys with a prefix.
 #[derive(Deserialize)]
 pub(in crate::net) struct ListResponse<T> {
     #[serde(rename = "Pairs")]
@@ -135,13 +136,13 @@
     pub revision: u64,
 }
 
-/// A key with its value, as it is listed.
+/// A key and its value in a list.
 #[derive(Debug, Deserialize)]
 pub struct ListEntry<T> {
-    /// The key.
+    /// The full key, including the prefix.
     #[serde(rename = "Path")]
     pub key: String,
-    /// The key's value.
+    /// The decoded value.
     #[serde(rename = "V")]
     pub value: T,
     /// The revision of the key's latest change.
@@ -149,44 +150,44 @@
     pub revision: u64,
 }
 
-/// `POST /leases`
+/// `POST /leases`: requests a lease that expires after this time unless it is renewed.
 #[derive(Serialize)]
 pub(in crate::net) struct LeaseRequest {
     #[serde(rename = "LifeMs")]
     pub duration_ms: u64,
 }
 
-/// A lease that was granted.
+/// The response to a granted lease, with the lease's id.
 #[derive(Deserialize)]
 pub(in crate::net) struct LeaseResponse {
     #[serde(rename = "Permit")]
     pub lease: u64,
 }
 
-/// `GET /follow`: the changes after a revision.
+/// The response to `GET /follow`: the changes after a revision.
 #[derive(Deserialize)]
 pub struct WatchResponse<T> {
-    /// The revision up to which all changes are in the answer: where the watch continues.
+    /// The revision up to which the response contains all changes. The watch continues from there.
     #[serde(rename = "LedgerRev")]
     pub revision: u64,
-    /// The changes, oldest first.
+    /// The changes, oldest first. Empty: nothing changed while the store waited.
     #[serde(rename = "Log", default = "Vec::new")]
     pub events: Vec<WatchEvent<T>>,
 }
 
-/// One change of a watched key.
+/// One change of a watched key. Either `put` or `delete` is present.
 #[derive(Deserialize)]
 pub struct WatchEvent<T> {
-    /// The key that was written.
+    /// The key that was written. None: the change removed a key.
     #[serde(rename = "Put")]
     pub put: Option<String>,
-    /// The key that was removed.
+    /// The key that was removed. None: the change wrote a key.
     #[serde(rename = "Delete")]
     pub delete: Option<String>,
-    /// The value that was written.
+    /// The value that was written. None: the change removed a key.
     #[serde(rename = "V")]
     pub value: Option<T>,
-    /// The revision that the key has got.
+    /// The revision of the change. None: the store stated none, which is possible for a removed key.
     #[serde(rename = "Stamp")]
     pub revision: Option<u64>,
 }
--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -1,7 +1,7 @@
-//! Records of the key-value store.
+//! Formats of the records in the key-value store.
 //!
-//! Invariant: each version reads what the version before wrote, and the other way round. Records grow by
-//! optional fields only, and names, order and types of the present fields stay.
+//! Invariant: each version can read the records of the previous version, and the previous version can read
+//! its records. New fields must be optional, and the names, order and types of existing fields do not change.
 
 use super::{duration_from_s, InvalidField};
 use crate::core::model::{
@@ -12,7 +12,7 @@
 use crate::core::placement::history::HistorySummary;
 use serde::{Deserialize, Serialize};
 
-/// `q/l/<job id>`: an accepted job.
+/// `q/l/<job id>`: the specification of an accepted job. Durations are in seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredJob {
     #[serde(rename = "uid")]
@@ -25,7 +25,7 @@
     priority: u8,
     #[serde(rename = "shards")]
     task_count: u32,
-    /// Processors, graphics processors and memory of a task.
+    /// The CPUs, the GPUs and the memory in GB that each task requests.
     #[serde(rename = "need")]
     resources: (f64, f64, f64),
     #[serde(rename = "types")]
@@ -36,7 +36,7 @@
     spread: bool,
     #[serde(rename = "spot")]
     allows_spot: bool,
-    /// Name and size of the image.
+    /// The name of the image and its size in GB.
     image: (String, f64),
     #[serde(rename = "expected")]
     expected_s: f64,
@@ -48,19 +48,19 @@
     due_s: Option<f64>,
     #[serde(rename = "at")]
     accepted_unix_ms: u64,
-    /// Dependencies that were not over when the job was accepted. Earlier versions know no such field,
-    /// and jobs without dependencies are written as they were.
+    /// The ids of the dependencies that had not ended when the job was accepted. Earlier versions do not know
+    /// this field, so it is omitted if the job has no dependencies.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     dependencies: Vec<String>,
-    /// The job is in no list of dependents. The version before this one enters each job and knows no such
-    /// field.
+    /// Whether the job has dependencies but is in no list of dependents. The previous version does not know
+    /// this field, because it enters every job in the lists; the field is omitted if it is false.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     unlisted: bool,
 }
 
 impl StoredJob {
-    /// An upper bound of the record's size as a value of the store: names and numbers of its fields, and
-    /// the texts.
+    /// An upper bound of the record's size as a value of the key-value store, in bytes. It is a fixed size
+    /// for the names of fields and the numbers, plus the sizes of the texts.
     pub fn max_size_bytes(&self) -> usize {
         const NAMES_AND_NUMBERS_BYTES: usize = 600;
         let required = [&self.job_id, &self.class, &self.team, &self.image.0];
@@ -72,14 +72,14 @@
         NAMES_AND_NUMBERS_BYTES + texts.map(|text| max_text_bytes(text)).sum::<usize>()
     }
 
-    /// Leaves only these dependencies: the others are done. `listed_as_dependent`: the job is in the lists of their
-    /// dependents.
+    /// Keeps only the dependencies in `open`, since the others are done. `listed_as_dependent` states whether
+    /// the job was entered in the lists of dependents of those in `open`.
     pub fn keep_dependencies(&mut self, open: &[JobId], listed_as_dependent: bool) {
         self.dependencies = open.iter().map(|job_id| job_id.0.clone()).collect();
         self.unlisted = !open.is_empty() && !listed_as_dependent;
     }
 
-    /// Ids of the jobs that this one depends on.
+    /// The ids of the jobs that this one depends on. Those that had ended when it was accepted are left out.
     pub fn dependencies(&self) -> &[String] {
         &self.dependencies
     }
@@ -172,20 +172,20 @@
     }
 }
 
-/// An upper bound of a text's size in the form in which the store measures values, quotes and comma
-/// included.
+/// An upper bound in bytes of a text's size in the text form by which the store measures values, including
+/// quotes and a comma.
 fn max_text_bytes(text: &str) -> usize {
     const QUOTES_AND_COMMA_BYTES: usize = 3;
     let char_bytes = |c: char| match c {
         '"' | '\\' => 2,
         ' '..='~' => 1,
-        // Escaped, in two halves where it must be.
+        // `\uXXXX`, which is needed twice for characters that UTF-16 encodes as a surrogate pair.
         c => 6 * c.len_utf16(),
     };
     text.chars().map(char_bytes).sum::<usize>() + QUOTES_AND_COMMA_BYTES
 }
 
-/// `j/<job id>`: how a job ended.
+/// `j/<job id>`: a job's outcome.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredOutcome {
     #[serde(rename = "p")]
@@ -222,17 +222,17 @@
     }
 }
 
-/// `i/<job id>/<chunk>`: the intents of a chunk of tasks.
+/// `i/<job id>/<chunk>`: the finished tasks and the launch intents of a chunk of a job's tasks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredChunk {
-    /// A bit for each task that is done.
+    /// A bit mask with one bit per task of the chunk, set if the task is done.
     #[serde(rename = "d")]
     done: u64,
     #[serde(rename = "a")]
     active: Vec<StoredAttempt>,
 }
 
-/// The task's index in the job, the attempt's number and the machine's id.
+/// The task's index in the job, the attempt id and the machine's id.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredAttempt(u32, u64, String);
 
@@ -268,16 +268,16 @@
     }
 }
 
-/// `d/<job id>`: jobs that depend on this one. Kept only for the version before this one.
+/// `d/<job id>`: the list of jobs that depend on this one. It is kept only for nodes of the previous version.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StoredDependents {
-    /// Ids of the dependents.
+    /// The ids of the dependents, in the order in which they were entered.
     #[serde(rename = "by")]
     pub job_ids: Vec<String>,
 }
 
 impl StoredDependents {
-    /// An upper bound of the record's size as a value of the store.
+    /// An upper bound of the record's size as a value of the key-value store, in bytes.
     pub fn max_size_bytes(&self) -> usize {
         const NAME_AND_BRACKETS_BYTES: usize = 16;
         let texts = self.job_ids.iter().map(|job_id| max_text_bytes(job_id));
@@ -285,19 +285,20 @@
     }
 }
 
-/// `ctl/leader`: the leader's record, which is removed when its lease ends.
+/// `ctl/leader`: the record that names the leader. The store removes it when the leader's lease ends.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredLeader {
-    /// Member name of the leader.
+    /// The leader's member name.
     pub member: String,
-    /// Random number of the process, which tells it from an earlier one of the same member.
+    /// A random number that distinguishes the leader's process from earlier processes of the same member.
     pub boot: u64,
-    /// Number of the leader's term.
+    /// The number of the leader's term.
     pub term: u64,
 }
 
-/// `h/summary`: measured run times and fetch rates. Each entry is the hash of what was measured, the
-/// value and the number of samples.
+/// `h/summary`: averages of measured run times in seconds (`runs`), of the logarithm of measured over
+/// expected run time (`bias`), and of measured over nominal fetch rate (`fetch`). Each entry consists of a
+/// hash of the parameters of what was measured, the mean, and the number of samples.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredHistory {
     runs: Vec<(u64, f64, u32)>,
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -1,4 +1,4 @@
-//! Users' submissions, and what users are answered.
+//! Formats of users' submissions and of the responses to users.
 
 use super::{InvalidField, MAX_AMOUNT};
 use crate::core::model::{
@@ -8,20 +8,24 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// The maximum number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
+/// The maximum length of a text field.
 const MAX_TEXT_BYTES: usize = 200;
+/// The maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 100;
 
-/// `POST /api/jobs`. Fields that the user may or should not leave out are checked by [`Submission::to_spec`].
+/// `POST /api/jobs`: submits a job. All fields are optional here; [`Submission::to_spec`] checks which of
+/// them are missing or invalid.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Submission {
-    /// The job's id.
+    /// The id that the user chose for the job.
     #[serde(rename = "Uid")]
     pub job_id: Option<String>,
-    /// The job's class.
+    /// The class of the job. Service-level objectives apply to classes.
     pub job_class: Option<String>,
-    /// The team that owns the job.
+    /// The team whose quota the tasks count towards.
     #[serde(rename = "Owner")]
     pub team: Option<String>,
     /// `batch`, `service` or `group`.
@@ -29,61 +33,62 @@
     /// `production`, `high`, `standard` or `idle`.
     #[serde(rename = "Urgency")]
     pub priority: Option<String>,
-    /// Number of tasks.
+    /// The number of tasks, from 1 to 100,000.
     #[serde(rename = "Shards")]
     pub task_count: Option<u64>,
-    /// Processors of each task.
+    /// The CPUs that each task requests.
     #[serde(rename = "Vcpus")]
     pub cpus: Option<f64>,
-    /// Graphics processors of each task.
+    /// The GPUs that each task requests.
     pub gpus: Option<f64>,
-    /// Memory of each task.
+    /// The memory in GB that each task requests.
     pub memory_gb: Option<f64>,
-    /// Name of the image.
+    /// The name of the image that the tasks run.
     #[serde(rename = "ImageRef")]
     pub image: Option<String>,
-    /// Size of the image.
+    /// The size of the image in GB.
     #[serde(rename = "PullGb")]
     pub image_gb: Option<f64>,
-    /// Machine types that the job may run on. None: all.
+    /// The machine types that the job may run on. None: all.
     #[serde(rename = "HostTypes")]
     pub machine_types: Option<Vec<String>>,
-    /// Zone that the job must run in, if any.
+    /// The zone that the job must run in. None: any zone.
     #[serde(rename = "Site")]
     pub zone: Option<String>,
-    /// Whether all tasks run in one zone.
+    /// Whether all tasks must run in the same zone.
     pub same_place: Option<bool>,
     /// Whether the tasks are spread over zones.
     pub spread: Option<bool>,
     /// Whether the job may run on spot machines.
     #[serde(rename = "Preemptible")]
     pub allows_spot: Option<bool>,
-    /// How long the user expects a task to run.
+    /// The run time of one task that the user expects, in seconds.
     pub expected_s: Option<f64>,
-    /// How often a running task writes a checkpoint.
+    /// The interval in seconds at which a running task writes checkpoints. 0: it writes none.
     #[serde(rename = "SnapshotEveryS")]
     pub checkpoint_interval_s: Option<f64>,
-    /// How long a task takes to write a checkpoint when it is stopped.
+    /// How many seconds a task takes to write a checkpoint when it is stopped.
     #[serde(rename = "SnapshotS")]
     pub checkpoint_duration_s: Option<f64>,
-    /// When the job should be done, from its submission.
+    /// The time in seconds from acceptance within which the job should complete. None: it has no deadline.
     pub due_s: Option<f64>,
-    /// Jobs that have to be done before this one starts.
+    /// The ids of the jobs that must complete before any task of this job starts. None: no dependencies.
     #[serde(rename = "Awaits")]
     pub dependencies: Option<Vec<String>>,
 }
 
-/// Only the id, of a submission that is otherwise malformed.
+/// The id of a submission of which other fields may be malformed.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SubmissionId {
-    /// The job's id.
+    /// The id that the user chose for the job. None: the submission has no id.
     #[serde(rename = "Uid")]
     pub job_id: Option<String>,
 }
 
 impl Submission {
-    /// The job with its time of acceptance, or the first field that is missing or invalid.
+    /// Converts the submission into a job's specification. `accepted_unix_ms` is the time of acceptance in
+    /// milliseconds since the Unix epoch. The error names the first field that is missing or invalid.
     pub fn to_spec(&self, accepted_unix_ms: u64) -> Result<JobSpec, InvalidField> {
         let job_id = self.job_id.as_deref().and_then(JobId::parse);
         let job_id = job_id.ok_or(InvalidField("Uid"))?;
@@ -120,8 +125,9 @@
 
     fn kind(&self) -> Result<JobKind, InvalidField> {
         match self.job_kind.as_deref() {
-            // `service` is not in the protocol's list, yet the users' own trial submits it: tasks that
-            // run until they are cancelled. They are placed like independent ones (docs/questions.md).
+            // The protocol does not list `service`, but the users' own trial submits such jobs. Their
+            // tasks run until they are cancelled, and are placed independently like those of `batch`
+            // (docs/questions.md).
             Some("batch" | "service") => Ok(JobKind::Batch),
             Some("group") => Ok(JobKind::Gang),
             _ => Err(InvalidField("JobKind")),
@@ -177,7 +183,7 @@
         }
     }
 
-    /// In the order of their ids; one that is named twice counts once.
+    /// The dependencies, sorted by id and without duplicates.
     fn dependencies(&self) -> Result<Vec<JobId>, InvalidField> {
         let names = self.dependencies.iter().flatten();
         let job_ids: Option<BTreeSet<JobId>> = names.map(|name| JobId::parse(name)).collect();
@@ -208,26 +214,26 @@
     parse_amount(value, field).map(Duration::from_secs_f64)
 }
 
-/// The state of a job, as its user is told.
+/// The state of a job, in the response to a submission, cancellation or status query.
 #[derive(Serialize)]
 pub struct JobStatusResponse {
-    /// The job's id.
+    /// The id that the user chose for the job.
     #[serde(rename = "Uid")]
     pub job_id: String,
-    /// `queued`, `running`, `done` or `withdrawn`.
+    /// `queued`, `running`, `done` or `withdrawn`, the last of which stands for a cancelled job.
     #[serde(rename = "Phase")]
     pub phase: &'static str,
-    /// Tasks that are done.
+    /// The number of tasks that are done. None: the response includes no counts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that are running.
+    /// The number of tasks that are running. None: the response includes no counts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// The body of a refusal, by this program or by another service.
+/// The body of an error response from this program, the key-value store or the cloud.
 #[derive(Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What is wrong.
+    /// A text that describes the error.
     pub error: String,
 }
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of worker nodes, and the commands that they are sent, in the form of the agents' interface.
+//! Formats of the agents' interface: heartbeats of worker nodes and commands to them.
 
 use super::{duration_from_s, InvalidField};
 use crate::core::model::{
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// `POST /agent/beat`, and the answer to a [`CommandRequest`].
+/// A heartbeat: the body of `POST /agent/beat` and of the response to a [`CommandRequest`].
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireHeartbeat {
@@ -46,8 +46,8 @@
 impl TryFrom<WireHeartbeat> for Heartbeat {
     type Error = InvalidField;
 
-    /// A task that cannot be read makes the whole heartbeat invalid: leaving it out would look like proof
-    /// that it is gone.
+    /// An invalid task makes the whole heartbeat invalid. If the task were left out, its absence would be
+    /// taken as proof that it is no longer on the machine.
     fn try_from(wire: WireHeartbeat) -> Result<Heartbeat, InvalidField> {
         let mut tasks = Vec::with_capacity(wire.tasks.len());
         for task in wire.tasks {
@@ -113,7 +113,7 @@
     }
 }
 
-/// A command for one task of a worker.
+/// A command for one attempt of a task on a worker.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WireCommand {
@@ -146,38 +146,39 @@
     }
 }
 
-/// The leader's answer to a heartbeat.
+/// The leader's response to a heartbeat. It renews the worker's lease.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatResponse {
-    /// The leader's fencing token.
+    /// The fencing token by which the agent rejects messages of earlier leaders.
     #[serde(rename = "Epoch")]
     pub token: u64,
-    /// Commands for the worker's tasks.
+    /// The commands for the agent.
     #[serde(rename = "Directives")]
     pub commands: Vec<WireCommand>,
 }
 
-/// `POST /commands` of a worker: commands that do not wait for its next heartbeat.
+/// `POST /commands` of an agent: commands that do not wait for the worker's next heartbeat.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CommandRequest {
-    /// The leader's fencing token.
+    /// The fencing token by which the agent rejects messages of earlier leaders.
     #[serde(rename = "Epoch")]
     pub token: u64,
-    /// The agent's incarnation that the commands are for.
+    /// The incarnation of the agent for which the commands are meant.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Commands for the worker's tasks.
+    /// The commands for the agent.
     #[serde(rename = "Directives")]
     pub commands: Vec<WireCommand>,
 }
 
-/// The answer to a heartbeat that another controller should get.
+/// The response to a heartbeat that the worker should send to another controller, which need not be the
+/// leader.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaderRedirect {
-    /// That controller's member name, if it is known.
+    /// The member name of that controller. None: it is not known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the settings files. Each names the file and the setting or line to mend.
+//! Errors in the settings files. Each error names the file, and the setting or the line to correct.
 
 /// Why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// Reading the file failed.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// Path of the file.
+        /// The path of the file.
         path: String,
-        /// The error of the file system.
+        /// The error from the file system.
         source: std::io::Error,
     },
-    /// The platform's file is not TOML, or lacks a field.
+    /// The platform's file is not valid TOML, a required field is missing, or a field has the wrong type.
     #[error("{path}: {source}")]
     Toml {
-        /// Path of the file.
+        /// The path of the file.
         path: String,
-        /// The parser's error, with its position.
+        /// The parser's error, which states the position in the file.
         source: Box<toml::de::Error>,
     },
-    /// A field of the platform's file has a value that cannot be used.
+    /// A field of the platform's file has an invalid value.
     #[error("{path}: {field}: {problem}")]
     Field {
-        /// Path of the file.
+        /// The path of the file.
         path: String,
-        /// The field with its table.
+        /// The field's name, with the names of its tables.
         field: String,
         /// What is wrong with the value.
         problem: String,
@@ -32,11 +32,11 @@
     /// The operators' file is malformed, or a setting in it is unknown or out of range.
     #[error("{path}: line {line}: {problem}")]
     Operators {
-        /// Path of the file.
+        /// The path of the file.
         path: String,
-        /// The line of the faulty expression, from 1.
+        /// The line on which the invalid expression starts, counted from 1.
         line: usize,
-        /// The setting and what is wrong with it.
+        /// The setting's name and what is wrong with it.
         problem: String,
     },
 }
--- a/src/settings/expressions.rs
+++ b/src/settings/expressions.rs
@@ -1,14 +1,16 @@
-//! Expressions of the operators' settings file: names with a number, a switch or a segment. Errors name the
-//! line.
+//! Parses single expressions of the operators' settings file: a setting's name with a number or a boolean, or
+//! a named segment. Errors state the line.
 
 use cypressgap_recovery::segments::NamedSegment;
 use cypressgap_recovery::settings::parse_segment;
 use lexpr::datum::Ref;
 use std::time::Duration;
 
-/// What is wrong, and in which line.
+/// An invalid expression or setting.
 pub(super) struct Problem {
+    /// The line on which the expression starts, counted from 1.
     pub line: usize,
+    /// What is wrong, with the name of the setting if it is known.
     pub text: String,
 }
 
@@ -21,10 +23,10 @@
     }
 }
 
-/// Why a number cannot be used.
+/// Why a named number is not a valid setting.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum NumberError {
-    #[error("{name}: {value} is not from {min} to {max}")]
+    #[error("{name}: {value} is outside the range from {min} to {max}")]
     OutOfRange {
         name: String,
         value: f64,
@@ -37,13 +39,14 @@
     UnknownRecoverySetting(String),
 }
 
-/// A named number, to be checked against the bounds of its setting.
+/// A name and a number that are not checked yet: the name may be unknown, or the number out of range.
 pub(super) struct NamedNumber {
     pub name: String,
     pub value: f64,
 }
 
 impl NamedNumber {
+    /// The number, if it is from `min` to `max`.
     pub fn within(&self, min: f64, max: f64) -> Result<f64, NumberError> {
         if self.value >= min && self.value <= max {
             return Ok(self.value);
@@ -56,32 +59,33 @@
         })
     }
 
+    /// The number as a duration in seconds, if it is from `min` to `max`.
     pub fn duration_within(&self, min: f64, max: f64) -> Result<Duration, NumberError> {
         self.within(min, max).map(Duration::from_secs_f64)
     }
 
-    /// A whole number; a fraction is cut off.
+    /// The number rounded down to an integer, if it is from `min` to `max`.
     pub fn integer_within(&self, min: f64, max: f64) -> Result<usize, NumberError> {
         self.within(min, max).map(|x| x as usize)
     }
 }
 
-/// The line on which an expression begins, from 1.
+/// The line on which an expression starts, counted from 1.
 pub(super) fn start_line(item: &Ref<'_>) -> usize {
     item.span().start().line()
 }
 
-/// The name that an expression is, if it is one.
+/// The name of the symbol that an expression consists of. None: it is not a symbol.
 pub(super) fn symbol_name(item: &Ref<'_>) -> Option<String> {
     item.value().as_symbol().map(str::to_owned)
 }
 
-/// The name that a list begins with.
+/// The name of the symbol that starts a list. None: the expression is not such a list.
 pub(super) fn head_symbol(item: &Ref<'_>) -> Option<String> {
     symbol_name(&item.list_iter()?.next()?)
 }
 
-/// `(NAME NUMBER)`.
+/// Parses `(NAME NUMBER)`.
 pub(super) fn parse_named_number(item: &Ref<'_>) -> Result<NamedNumber, Problem> {
     let line = start_line(item);
     let pair: Vec<lexpr::Value> = item
@@ -104,7 +108,7 @@
     })
 }
 
-/// `(NAME #t)` or `(NAME #f)`.
+/// Parses `(enabled #t)` or `(enabled #f)`.
 pub(super) fn parse_enabled(item: &Ref<'_>) -> Result<bool, Problem> {
     let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
     let value = match parts.as_slice() {
@@ -114,7 +118,7 @@
     value.ok_or_else(|| Problem::new(start_line(item), "enabled: expected #t or #f"))
 }
 
-/// `(segment "NAME" "NETWORK")`.
+/// Parses `(segment "NAME" "NETWORK")`.
 pub(super) fn parse_named_segment(item: &Ref<'_>) -> Result<NamedSegment, Problem> {
     let line = start_line(item);
     let parts: Vec<Ref<'_>> = item.list_iter().into_iter().flatten().collect();
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,10 +1,9 @@
-//! Settings of one node: the platform's TOML file, and the operators' own S-expressions.
+//! The settings of one node, from the platform's TOML file and the operators' file of S-expressions.
 //!
-//! Unknown fields of the platform's file are ignored; missing ones and values out of range are refused.
-//! In the operators' file everything unknown is refused, with its name and line.
+//! In the platform's file, unknown fields are ignored; a missing required field or an invalid value is an
+//! error. In the operators' file, an unknown setting is an error too; it names the setting and the line.
 //!
-//! This module holds the settings in the form in which the node uses them. The modules below read the
-//! two files into it.
+//! This module defines the settings in the form in which the node uses them. Its submodules parse the files.
 
 use crate::core::model::{SchedulerConfig, Zone};
 use std::net::SocketAddr;
@@ -23,34 +22,35 @@
 pub use error::SettingsError;
 pub use socket_budget::SocketBudget;
 
-/// A controller other than this one.
+/// Another controller, according to the settings.
 #[derive(Clone, Debug)]
 pub struct PeerAddress {
-    /// The peer's member name.
+    /// The peer's unique name among the controllers.
     pub member: String,
-    /// Where the peer listens for other controllers.
+    /// The address at which the peer listens for other controllers.
     pub address: SocketAddr,
 }
 
-/// The rates that the key-value store allows to all controllers together.
+/// The rates that the key-value store allows for all controllers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreRates {
-    /// Requests a second, those with changes included.
+    /// Requests per second, including those that make changes.
     pub requests: f64,
-    /// Changed keys a second.
+    /// Changes per second. A change writes or deletes one key.
     pub changes: f64,
 }
 
-/// Operators' settings outside the scheduler core.
+/// The operators' settings for everything except the scheduler core; see `Default` for the values that apply
+/// otherwise.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// Duration of the leader's lease.
+    /// How long the leader's lease lasts without a renewal.
     pub leader_lease: Duration,
-    /// Threads that answer API requests.
+    /// The number of threads that respond to submissions, cancellations and similar API requests.
     pub api_threads: usize,
-    /// Threads that send commands to workers.
+    /// The number of threads that send commands to workers.
     pub command_threads: usize,
-    /// How often a summary of the metrics is logged.
+    /// The interval at which a summary of the metrics is logged.
     pub metrics_interval: Duration,
 }
 
@@ -65,55 +65,56 @@
     }
 }
 
-/// All settings of one node.
+/// All settings of one node. Those from the operators' file have default values until it is read.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This node's name among the controllers.
+    /// This node's unique name among the controllers.
     pub member: String,
-    /// The zone that this node runs in.
+    /// The zone in which this node runs.
     pub zone: Zone,
-    /// Where the node listens for users and workers.
+    /// The address at which the node listens for users and workers.
     pub http_bind: SocketAddr,
-    /// Where the node listens for other controllers.
+    /// The address at which the node listens for other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
     pub peers: Vec<PeerAddress>,
-    /// The cloud's interface.
+    /// The address of the cloud's API.
     pub cloud_address: SocketAddr,
-    /// The key-value store.
+    /// The address of the key-value store.
     pub store_address: SocketAddr,
-    /// Number of controllers, this one included.
+    /// The number of controllers, including this one.
     pub controller_count: usize,
-    /// How far the time of day may be from the true one.
+    /// How far this node's time of day may be from the correct time.
     pub max_clock_skew: Duration,
-    /// Configuration of the scheduler core.
+    /// The configuration of the scheduler core.
     pub config: SchedulerConfig,
-    /// The rates that the key-value store allows.
+    /// The rates that the key-value store allows at present.
     pub store_rates: StoreRates,
-    /// Lower rates that the key-value store may come to allow without notice.
+    /// Lower rates that the key-value store may apply later, without notice. None: no such rates are
+    /// announced.
     pub next_store_rates: Option<StoreRates>,
-    /// Requests a second that the cloud allows.
+    /// The rate of requests that the cloud allows, in requests per second.
     pub cloud_requests_per_s: f64,
-    /// Sockets that this process may have open.
+    /// The maximum number of open sockets of this process.
     pub max_sockets: usize,
-    /// The operators' settings outside the scheduler core.
+    /// The operators' settings for everything except the scheduler core.
     pub operator_settings: OperatorSettings,
 }
 
 impl Settings {
-    /// Reads the platform's settings file.
+    /// Reads and checks the platform's settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = read(path)?;
         Settings::parse(&path.display().to_string(), &text)
     }
 
-    /// Reads the operators' settings file over the values in force.
+    /// Reads and checks the operators' settings file, and replaces the values of the settings that it names.
     pub fn load_operators(&mut self, path: &Path) -> Result<(), SettingsError> {
         let text = read(path)?;
         self.parse_operators(&path.display().to_string(), &text)
     }
 
-    /// The shares of the process's sockets.
+    /// Computes how the process's sockets are divided among their uses.
     #[must_use]
     pub fn socket_budget(&self) -> SocketBudget {
         SocketBudget::new(self.max_sockets, &self.operator_settings)
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -1,7 +1,8 @@
-//! The operators' own settings: an S-expression of names and values.
+//! Parses the operators' settings file, which consists of one S-expression:
 //!
-//! `(cypressgap (NAME NUMBER) ... (recovery (NAME VALUE) ... (segment "NAME" "NETWORK") ...))`. Everything
-//! unknown or out of range is refused with its name and line.
+//! `(cypressgap (NAME NUMBER) ... (recovery (NAME VALUE) ... (segment "NAME" "NETWORK") ...))`
+//!
+//! An unknown setting and a value out of range are errors; they name the setting and its line.
 
 use super::expressions::{
     head_symbol, parse_enabled, parse_named_number, parse_named_segment, start_line, symbol_name,
@@ -13,11 +14,12 @@
 use lexpr::datum::Ref;
 use std::collections::HashMap;
 
-/// Lines of the settings that are checked together once all are read.
+/// The lines of the settings that are checked against each other after all settings have been read.
 type SettingLines = HashMap<SettingName, usize>;
 
 impl Settings {
-    /// Reads the operators' settings over the values in force; `path` is named in errors.
+    /// Parses the text of the operators' settings file, and replaces the values of the settings that it
+    /// names. `path` is only used in errors. After an error, some of the values may already be replaced.
     pub fn parse_operators(&mut self, path: &str, text: &str) -> Result<(), SettingsError> {
         self.apply_operators(text)
             .map_err(|problem| SettingsError::Operators {
@@ -64,11 +66,11 @@
             return Ok(());
         }
         let threads = self.operator_settings.command_threads + self.operator_settings.api_threads;
-        let text = format!("agents and handlers: {threads} are too many for {max_sockets} sockets");
+        let text = format!("agents and handlers: {threads} threads are too many for {max_sockets} sockets");
         Err(Problem::new(1, text))
     }
 
-    /// The settings of recovery against each other and against the deployment's.
+    /// Checks the settings of recovery against each other and against those of the deployment.
     fn check_recovery(&self, lines: &SettingLines) -> Result<(), Problem> {
         let deployment = Deployment {
             cancellation_deadline: self.config.cancel,
@@ -114,7 +116,8 @@
     Ok(())
 }
 
-/// `(recovery ...)`. The lines of settings that are checked together later go into `lines`.
+/// Applies `(recovery ...)`. The lines of settings that are checked against each other later are added to
+/// `lines`.
 fn apply_recovery(
     recovery: &mut RecoverySettings,
     form: &Ref<'_>,
@@ -142,7 +145,7 @@
     Ok(())
 }
 
-/// The numbers of `(recovery ...)` that are valid or not only together with other settings.
+/// The setting in `(recovery ...)` with this name, if its validity depends on other settings.
 fn jointly_checked_setting(name: &str) -> Option<SettingName> {
     match name {
         "orders-per-s" => Some(SettingName::OrdersPerSecond),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's settings file, checked and turned into [`Settings`].
+//! Checks the platform's settings file and converts it into [`Settings`].
 //!
-//! The first field that cannot be used is refused by its name.
+//! The first invalid field is reported as an error with the name of the field.
 
 use super::checks::FieldChecks;
 use super::platform_file::{
@@ -13,15 +13,18 @@
 use std::time::Duration;
 
 const MIN_SOCKETS: usize = 256;
-/// A process with its threads and no work takes some 8 MB.
+/// An idle process with all its threads uses about 8 MB.
 const MIN_RAM_MB: f64 = 32.0;
-/// A leader renews its lease and watches two prefixes within its part; every node reads for its users.
+/// The leader's share has to suffice for renewals of its lease and for watches of two prefixes, and each node
+/// needs requests for its users' reads.
 const MIN_STORE_RPS: f64 = 10.0;
-/// A job's outcome takes two changes of the leader's part, an acceptance two of a node's.
+/// The end of a job takes two changes from the leader's share: its outcome is written, and its key in the
+/// index of live jobs is removed. A cancellation takes two changes from the share of a node's users.
 const MIN_STORE_WRITE_RPS: f64 = 6.0;
-/// A job, or 64 tasks' intents, fit into one value.
+/// A job's record or the intents of 64 tasks fit into one value of this size.
 const MIN_VALUE_KB: f64 = 6.0;
-/// The store's values may become this small: a chunk of intents fits.
+/// The announced limit for values may be this low: a chunk's intents still fit, if it has fewer attempts at a
+/// time.
 const MIN_NEXT_VALUE_KB: f64 = 2.0;
 const MIN_TXN_OPS: usize = 4;
 const MIN_CLOUD_RPS: f64 = 0.1;
@@ -29,13 +32,14 @@
 const MAX_RATE_PER_S: f64 = 1e9;
 const MAX_VALUE_KB: f64 = 1e6;
 const MAX_SLO_S: f64 = 1e6;
-/// With clocks further apart, jobs' ages would be wrong by more than any service-level objective allows.
+/// If clocks were further apart, the ages of jobs would be wrong by more than any service-level objective
+/// allows.
 const MAX_SKEW_MS: f64 = 60_000.0;
-/// Heartbeats come up to a quarter late, and one may have to be repeated.
+/// A heartbeat may be late by up to a quarter of the interval, and one may have to be repeated.
 const MIN_HEARTBEATS_PER_LEASE: f64 = 2.5;
 
 impl Settings {
-    /// Reads the text of the platform's settings file; `path` is named in errors.
+    /// Parses the text of the platform's settings file and checks its values. `path` is only used in errors.
     pub fn parse(path: &str, text: &str) -> Result<Settings, SettingsError> {
         let file: PlatformFile = toml::from_str(text).map_err(|e| SettingsError::Toml {
             path: path.to_owned(),
@@ -43,7 +47,7 @@
         })?;
         let checks = FieldChecks { path };
         if file.member.is_empty() {
-            return Err(checks.field_error("member", "is empty"));
+            return Err(checks.field_error("member", "must not be empty"));
         }
         checks.check_deployment(&file.deployment)?;
         let next = checks.combine_store_limits(&file.deployment.store)?;
@@ -75,17 +79,20 @@
     }
 }
 
-/// The sizes that transactions must keep to.
+/// The size limits of the key-value store.
 struct StoreSizes {
+    /// The maximum size of one value, in KiB.
     value_kb: f64,
+    /// The maximum number of changes in one transaction.
     txn_ops: usize,
 }
 
-/// What the present limits of the store and those announced for later come to together.
+/// The limits that follow from the store's present limits and from those announced for later.
 struct CombinedStoreLimits {
-    /// The smaller ones, from the start.
+    /// The smaller of the present and the announced sizes, which apply from the start.
     sizes: StoreSizes,
-    /// The lower ones, to fall to when refusals show that the announced ones are in force.
+    /// The lower of the present and the announced rates, which apply once refusals show that the announced
+    /// ones are in force. None: no limits are announced.
     rates: Option<StoreRates>,
 }
 
@@ -116,8 +123,8 @@
         })
     }
 
-    /// Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
-    /// announced ones are in force.
+    /// Combines the present and the announced limits of the store. Smaller sizes apply from the start; lower
+    /// rates apply only once refusals show that the announced ones are in force.
     fn combine_store_limits(
         &self,
         store: &StoreLimits,
--- a/src/settings/platform_file.rs
+++ b/src/settings/platform_file.rs
@@ -1,5 +1,5 @@
-//! The form of the platform's settings file, field by field as in the TOML. Nothing is checked here but
-//! types and presence.
+//! The structure of the platform's TOML settings file. Only the types and the presence of fields are checked
+//! here.
 
 use serde::Deserialize;
 
@@ -50,7 +50,8 @@
     pub quota: ProcessQuota,
 }
 
-/// `[[deployment.teams]]`: 0 stands for no guarantee and for no limit.
+/// `[[deployment.teams]]`: guaranteed resources, and limits in the fields that end with `_max`. 0 stands for
+/// no guarantee or no limit.
 #[derive(Deserialize)]
 pub(super) struct TeamEntry {
     pub name: String,
@@ -72,7 +73,7 @@
     pub within_s: Option<f64>,
 }
 
-/// `[deployment.workers]`
+/// `[deployment.workers]`: intervals and time limits in seconds.
 #[derive(Deserialize)]
 pub(super) struct WorkerTimes {
     #[serde(rename = "report_s")]
@@ -83,7 +84,8 @@
     pub cancel_s: f64,
 }
 
-/// `[deployment.state]`
+/// `[deployment.state]`: limits of the key-value store: requests and changes per second, the size of a value
+/// in KiB, and changes per transaction.
 #[derive(Deserialize)]
 pub(super) struct StoreLimits {
     pub rps: f64,
@@ -93,8 +95,8 @@
     pub next: Option<NextStoreLimits>,
 }
 
-/// `[deployment.state.next]`: the limits that the store will have from some moment on. What is absent
-/// stays as it is.
+/// `[deployment.state.next]`: limits that the store will apply from some later time on. A limit that is
+/// absent does not change.
 #[derive(Deserialize)]
 pub(super) struct NextStoreLimits {
     pub rps: Option<f64>,
@@ -103,14 +105,15 @@
     pub txn_ops: Option<usize>,
 }
 
-/// `[deployment.cloud]`
+/// `[deployment.cloud]`: requests per second that the cloud allows, and how far its list of machines may lag
+/// behind.
 #[derive(Deserialize)]
 pub(super) struct CloudLimits {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
-/// `[deployment.quota]`
+/// `[deployment.quota]`: the resources that this process may use.
 #[derive(Deserialize)]
 pub(super) struct ProcessQuota {
     pub max_sockets: usize,
--- a/src/settings/warnings.rs
+++ b/src/settings/warnings.rs
@@ -1,10 +1,10 @@
-//! Settings that the node runs with, although it cannot keep all its limits with them.
+//! Warnings about settings with which the node runs, but cannot guarantee all time limits.
 
 use super::Settings;
 use crate::core::leadership::cancellation_watermark::{self, WatermarkBound};
 
 impl Settings {
-    /// A text for each setting that the node runs with, but not without loss.
+    /// A text for each setting that prevents a guarantee. Empty: all time limits can be guaranteed.
     #[must_use]
     pub fn warnings(&self) -> Vec<String> {
         self.cancellation_warning().into_iter().collect()
@@ -17,9 +17,9 @@
         }
         let overshoot = cancellation_watermark::overshoot(lease, cancel);
         Some(format!(
-            "deployment.workers.cancel_s: {:.1} is so close to lease_s, {:.1}, that the tasks of a \
-             cancelled job may outlast it by {:.1} s where their leader has lost the state service \
-             and its peers",
+            "deployment.workers.cancel_s: {:.1} is too close to lease_s, {:.1}: the tasks of a \
+             cancelled job may run {:.1} s longer than cancel_s if their leader has lost the state \
+             service and its peers",
             cancel.as_secs_f64(),
             lease.as_secs_f64(),
             overshoot.as_secs_f64()
