--- a/src/net/wire/mod.rs
+++ b/src/net/wire/mod.rs
@@ -23,7 +23,9 @@
     StoredChunk, StoredDependents, StoredHistory, StoredJob, StoredLeader, StoredOutcome,
 };
 pub use user::{ErrorResponse, JobStatusResponse, Submission, SubmissionId};
-pub use worker::{CommandRequest, HeartbeatResponse, LeaderRedirect, WireCommand, WireHeartbeat};
+pub use worker::{
+    CommandRequest, HeartbeatRedirect, HeartbeatResponse, WireCommand, WireHeartbeat,
+};
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/net/wire/worker.rs
+++ b/src/net/wire/worker.rs
@@ -177,7 +177,7 @@
 /// leader.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct LeaderRedirect {
+pub struct HeartbeatRedirect {
     /// The member name of that controller. None: it is not known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::api::responses::ApiResponse;
 use crate::core::model::Heartbeat;
 use crate::net::peer::{PeerRequest, PeerResponse};
-use crate::net::wire::{self, HeartbeatResponse, LeaderRedirect, WireCommand, WireHeartbeat};
+use crate::net::wire::{self, HeartbeatRedirect, HeartbeatResponse, WireCommand, WireHeartbeat};
 use crate::node::view::RoleView;
 use crate::runtime::context::NodeContext;
 use crate::runtime::events::{Event, HeartbeatReply};
@@ -223,7 +223,7 @@
 }
 
 fn redirect_to(member: String) -> ApiResponse {
-    let redirect = LeaderRedirect {
+    let redirect = HeartbeatRedirect {
         controller: Some(member),
     };
     ApiResponse::new(421, wire::encode(&redirect))
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -23,8 +23,9 @@
     }
 
     pub fn parse_address(&self, field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-        text.parse()
-            .map_err(|_| self.field_error(field, format!("'{text}' is not an IP address with a port")))
+        text.parse().map_err(|_| {
+            self.field_error(field, format!("'{text}' is not an IP address with a port"))
+        })
     }
 
     /// Checks that a number is above 0 and at most `max`.
@@ -59,6 +60,9 @@
         if value.is_finite() && value >= 0.0 {
             return Ok((value > 0.0).then_some(value));
         }
-        Err(self.field_error(field, format!("{value} must be a finite number and at least 0")))
+        Err(self.field_error(
+            field,
+            format!("{value} must be a finite number and at least 0"),
+        ))
     }
 }
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -66,7 +66,9 @@
             return Ok(());
         }
         let threads = self.operator_settings.command_threads + self.operator_settings.api_threads;
-        let text = format!("agents and handlers: {threads} threads are too many for {max_sockets} sockets");
+        let text = format!(
+            "agents and handlers: {threads} threads are too many for {max_sockets} sockets"
+        );
         Err(Problem::new(1, text))
     }
 
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -91,7 +91,7 @@
         })
     };
     let wire_commands = || commands().iter().map(WireCommand::from).collect();
-    let elsewhere = |controller| encode(&LeaderRedirect { controller });
+    let elsewhere = |controller| encode(&HeartbeatRedirect { controller });
     let written = [
         ("state", state(Some(5), Some(16))),
         ("state without counts", state(None, None)),
