--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -9,11 +9,11 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-mod demand_meter;
 mod refusals;
+mod usage;
 
-use demand_meter::DemandMeter;
 use refusals::Refusals;
+use usage::DemandMeter;
 
 /// The leader's share of the store's request rate. The rest is divided evenly among the nodes for their
 /// users.
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -14,7 +14,7 @@
 }
 
 impl FieldChecks<'_> {
-    pub fn field_error(&self, field: &str, problem: impl Into<String>) -> SettingsError {
+    pub fn error(&self, field: &str, problem: impl Into<String>) -> SettingsError {
         SettingsError::Field {
             path: self.path.to_owned(),
             field: field.to_owned(),
@@ -23,9 +23,8 @@
     }
 
     pub fn parse_address(&self, field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-        text.parse().map_err(|_| {
-            self.field_error(field, format!("'{text}' is not an IP address with a port"))
-        })
+        text.parse()
+            .map_err(|_| self.error(field, format!("'{text}' is not an IP address and port")))
     }
 
     /// Checks that a number is above 0 and at most `max`.
@@ -33,7 +32,7 @@
         if value.is_finite() && value > 0.0 && value <= max {
             return Ok(value);
         }
-        Err(self.field_error(field, format!("{value} must be above 0 and at most {max}")))
+        Err(self.error(field, format!("{value} must be above 0 and at most {max}")))
     }
 
     /// Checks that a duration in seconds is above 0 and at most one day.
@@ -43,12 +42,12 @@
     }
 
     /// Checks that a number is at least `min`.
-    pub fn check_minimum(&self, field: &str, value: f64, min: f64) -> Result<(), SettingsError> {
+    pub fn check_min(&self, field: &str, value: f64, min: f64) -> Result<(), SettingsError> {
         if value >= min {
             return Ok(());
         }
         let problem = format!("{value} is below the minimum of {min}");
-        Err(self.field_error(field, problem))
+        Err(self.error(field, problem))
     }
 
     /// Checks an amount for which 0 means that it is not set. Returns `None` for 0.
@@ -60,7 +59,7 @@
         if value.is_finite() && value >= 0.0 {
             return Ok((value > 0.0).then_some(value));
         }
-        Err(self.field_error(
+        Err(self.error(
             field,
             format!("{value} must be a finite number and at least 0"),
         ))
--- a/src/settings/expressions.rs
+++ b/src/settings/expressions.rs
@@ -60,12 +60,12 @@
     }
 
     /// The number as a duration in seconds, if it is from `min` to `max`.
-    pub fn duration_within(&self, min: f64, max: f64) -> Result<Duration, NumberError> {
+    pub fn to_duration(&self, min: f64, max: f64) -> Result<Duration, NumberError> {
         self.within(min, max).map(Duration::from_secs_f64)
     }
 
     /// The number rounded down to an integer, if it is from `min` to `max`.
-    pub fn integer_within(&self, min: f64, max: f64) -> Result<usize, NumberError> {
+    pub fn to_integer(&self, min: f64, max: f64) -> Result<usize, NumberError> {
         self.within(min, max).map(|x| x as usize)
     }
 }
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -94,25 +94,21 @@
 
 fn apply_number(
     tuning: &mut Tuning,
-    operator_settings: &mut OperatorSettings,
+    operators: &mut OperatorSettings,
     number: &NamedNumber,
 ) -> Result<(), NumberError> {
     match number.name.as_str() {
-        "summary-every-s" => tuning.summary_interval = number.duration_within(1.0, 3600.0)?,
+        "summary-every-s" => tuning.summary_interval = number.to_duration(1.0, 3600.0)?,
         "silent-share" => tuning.silent_lease_fraction = number.within(0.2, 2.0)?,
-        "idle-spot-s" => tuning.spot_idle_timeout = number.duration_within(0.0, 86_400.0)?,
-        "idle-ordinary-s" => {
-            tuning.on_demand_idle_timeout = number.duration_within(0.0, 86_400.0)?
-        }
-        "max-live-jobs" => tuning.max_live_jobs = number.integer_within(1.0, 1e6)?,
+        "idle-spot-s" => tuning.spot_idle_timeout = number.to_duration(0.0, 86_400.0)?,
+        "idle-ordinary-s" => tuning.on_demand_idle_timeout = number.to_duration(0.0, 86_400.0)?,
+        "max-live-jobs" => tuning.max_live_jobs = number.to_integer(1.0, 1e6)?,
         "headroom-jobs" => tuning.headroom_jobs = number.within(0.0, 100.0)?,
-        "max-hosts" => tuning.max_machines = number.integer_within(1.0, 1e5)?,
-        "leader-lease-s" => operator_settings.leader_lease = number.duration_within(1.0, 600.0)?,
-        "handlers" => operator_settings.api_threads = number.integer_within(2.0, 256.0)?,
-        "agents" => operator_settings.command_threads = number.integer_within(1.0, 64.0)?,
-        "metrics-every-s" => {
-            operator_settings.metrics_interval = number.duration_within(1.0, 86_400.0)?
-        }
+        "max-hosts" => tuning.max_machines = number.to_integer(1.0, 1e5)?,
+        "leader-lease-s" => operators.leader_lease = number.to_duration(1.0, 600.0)?,
+        "handlers" => operators.api_threads = number.to_integer(2.0, 256.0)?,
+        "agents" => operators.command_threads = number.to_integer(1.0, 64.0)?,
+        "metrics-every-s" => operators.metrics_interval = number.to_duration(1.0, 86_400.0)?,
         name => return Err(NumberError::UnknownSetting(name.to_owned())),
     }
     Ok(())
@@ -165,10 +161,10 @@
         "segment-orders-per-s" => {
             recovery.segment_orders_per_second = Some(number.within(1.0, 1e6)?);
         }
-        "segment-prefix" => recovery.prefixes.v4 = number.integer_within(8.0, 32.0)? as u8,
-        "segment-prefix-v6" => recovery.prefixes.v6 = number.integer_within(16.0, 128.0)? as u8,
+        "segment-prefix" => recovery.prefixes.v4 = number.to_integer(8.0, 32.0)? as u8,
+        "segment-prefix-v6" => recovery.prefixes.v6 = number.to_integer(16.0, 128.0)? as u8,
         "replacements-per-s" => recovery.replacements_per_second = number.within(0.1, 1e4)?,
-        "unrecorded-hold-s" => recovery.unrecorded_hold = number.duration_within(2.0, 86_400.0)?,
+        "unrecorded-hold-s" => recovery.unrecorded_hold = number.to_duration(2.0, 86_400.0)?,
         name => return Err(NumberError::UnknownRecoverySetting(name.to_owned())),
     }
     Ok(())
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -47,7 +47,7 @@
         })?;
         let checks = FieldChecks { path };
         if file.member.is_empty() {
-            return Err(checks.field_error("member", "must not be empty"));
+            return Err(checks.error("member", "must not be empty"));
         }
         checks.check_deployment(&file.deployment)?;
         let next = checks.combine_store_limits(&file.deployment.store)?;
@@ -99,14 +99,14 @@
 impl FieldChecks<'_> {
     fn check_deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
         if !(0.0..=MAX_SKEW_MS).contains(&deployment.skew_ms) {
-            return Err(self.field_error("deployment.skew_ms", "must be from 0 to 60000"));
+            return Err(self.error("deployment.skew_ms", "must be from 0 to 60000"));
         }
         if !(1..=MAX_CONTROLLERS).contains(&deployment.controller_count) {
-            return Err(self.field_error("deployment.count", "must be from 1 to 1000"));
+            return Err(self.error("deployment.count", "must be from 1 to 1000"));
         }
         let (store, quota) = (&deployment.store, &deployment.quota);
         if store.txn_ops < MIN_TXN_OPS {
-            return Err(self.field_error("deployment.state.txn_ops", "must be at least 4"));
+            return Err(self.error("deployment.state.txn_ops", "must be at least 4"));
         }
         let sockets = quota.max_sockets as f64;
         let ram_mb = quota.ram_mb.unwrap_or(MIN_RAM_MB);
@@ -118,9 +118,9 @@
             ("state.value_kb", store.value_kb, MIN_VALUE_KB),
             ("cloud.rps", deployment.cloud.rps, MIN_CLOUD_RPS),
         ];
-        minimums.iter().try_for_each(|(field, value, min)| {
-            self.check_minimum(&deployment_field(field), *value, *min)
-        })
+        minimums
+            .iter()
+            .try_for_each(|(field, value, min)| self.check_min(&field_path(field), *value, *min))
     }
 
     /// Combines the present and the announced limits of the store. Smaller sizes apply from the start; lower
@@ -139,11 +139,11 @@
         let rates = self.next_rates(store, next)?;
         let value_kb = next.value_kb.unwrap_or(store.value_kb);
         let field = "deployment.state.next.value_kb";
-        self.check_minimum(field, value_kb, MIN_NEXT_VALUE_KB)?;
+        self.check_min(field, value_kb, MIN_NEXT_VALUE_KB)?;
         self.check_positive(field, value_kb, MAX_VALUE_KB)?;
         let txn_ops = next.txn_ops.unwrap_or(store.txn_ops);
         let field = "deployment.state.next.txn_ops";
-        self.check_minimum(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
+        self.check_min(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
         Ok(CombinedStoreLimits {
             sizes: StoreSizes {
                 value_kb: value_kb.min(store.value_kb),
@@ -164,8 +164,8 @@
             "deployment.state.next.rps",
             "deployment.state.next.write_rps",
         );
-        self.check_minimum(requests_field, requests, MIN_STORE_RPS)?;
-        self.check_minimum(changes_field, changes, MIN_STORE_WRITE_RPS)?;
+        self.check_min(requests_field, requests, MIN_STORE_RPS)?;
+        self.check_min(changes_field, changes, MIN_STORE_WRITE_RPS)?;
         self.check_positive(requests_field, requests, MAX_RATE_PER_S)?;
         self.check_positive(changes_field, changes, MAX_RATE_PER_S)?;
         Ok(StoreRates {
@@ -220,7 +220,7 @@
     fn check_lease(&self, workers: &WorkerTimes) -> Result<(), SettingsError> {
         if workers.lease_s < workers.heartbeat_s * MIN_HEARTBEATS_PER_LEASE {
             let problem = format!("{} is below 2.5 times report_s", workers.lease_s);
-            return Err(self.field_error("deployment.workers.lease_s", problem));
+            return Err(self.error("deployment.workers.lease_s", problem));
         }
         Ok(())
     }
@@ -232,8 +232,7 @@
         sizes: &StoreSizes,
     ) -> Result<SchedulerConfig, SettingsError> {
         let workers = &deployment.workers;
-        let seconds =
-            |field: &str, value: f64| self.check_duration(&deployment_field(field), value);
+        let seconds = |field: &str, value: f64| self.check_duration(&field_path(field), value);
         let value_kb =
             |value: f64| self.check_positive("deployment.state.value_kb", value, MAX_VALUE_KB);
         Ok(SchedulerConfig {
@@ -253,7 +252,7 @@
     }
 }
 
-fn deployment_field(field: &str) -> String {
+fn field_path(field: &str) -> String {
     format!("deployment.{field}")
 }
 
