--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -52,8 +52,8 @@
     /// this field, so it is omitted if the job has no dependencies.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     dependencies: Vec<String>,
-    /// Whether the job has dependencies but is in no list of dependents. The previous version does not know
-    /// this field, because it enters every job in the lists; the field is omitted if it is false.
+    /// Whether the job has dependencies but is in no list of dependents. Omitted if false. The previous
+    /// version enters every job in the lists and does not know this field.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     unlisted: bool,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -46,7 +46,7 @@
 pub struct OperatorSettings {
     /// How long the leader's lease lasts without a renewal.
     pub leader_lease: Duration,
-    /// The number of threads that respond to submissions, cancellations and similar API requests.
+    /// The number of threads that handle users' submissions and cancellations.
     pub api_threads: usize,
     /// The number of threads that send commands to workers.
     pub command_threads: usize,
