--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -23,8 +23,8 @@
 const MIN_STORE_WRITE_RPS: f64 = 6.0;
 /// A job's record or the intents of 64 tasks fit into one value of this size.
 const MIN_VALUE_KB: f64 = 6.0;
-/// The announced limit for values may be this low: a chunk's intents still fit, because the number of attempts
-/// per chunk is limited according to the size of a value.
+/// The announced limit for values may be this low: a chunk's intents still fit, because the number of
+/// attempts per chunk is limited according to the size of a value.
 const MIN_NEXT_VALUE_KB: f64 = 2.0;
 const MIN_TXN_OPS: usize = 4;
 const MIN_CLOUD_RPS: f64 = 0.1;
