--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -69,7 +69,7 @@
             continue;
         }
         list.job_ids.push(job_id.0.clone());
-        if list.size_bound() > max_list_bytes {
+        if list.max_size_bytes() > max_list_bytes {
             continue;
         }
         conditions.push(KeyCondition::at_revision(key.clone(), revision));
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -217,7 +217,7 @@
         return Some(ApiResponse::problem(422, &error.to_string()));
     }
     let max_bytes = config.transaction_limits.value_bytes;
-    if let Err(error) = admission::check_record_size(record.size_bound(), max_bytes) {
+    if let Err(error) = admission::check_record_size(record.max_size_bytes(), max_bytes) {
         return Some(ApiResponse::problem(422, &error.to_string()));
     }
     if context.view.final_outcome(&spec.job_id).is_some() {
--- a/src/node/transaction_limits.rs
+++ b/src/node/transaction_limits.rs
@@ -33,6 +33,6 @@
 
     /// Maximum number of jobs whose status can be read with one call. The size of the request limits it, too.
     pub fn status_reads(&self) -> usize {
-        job_status_reads::max_jobs_per_comparison(self.conditions(), wire::BODY_LIMIT)
+        job_status_reads::max_jobs_per_comparison(self.conditions(), wire::MAX_BODY_BYTES)
     }
 }
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -93,7 +93,11 @@
     let relative_lag =
         context.max_timer_lag().as_secs_f64() / TIMER_LAG_DOUBLING_LEASE.as_secs_f64();
     let factor = 1.0 + relative_lag.min(MAX_LEASE_EXTENSION_FACTOR);
-    context.settings.operations.leader_lease.mul_f64(factor)
+    context
+        .settings
+        .operator_settings
+        .leader_lease
+        .mul_f64(factor)
 }
 
 /// The changes that attach the leader key to the new lease and increase the term counter.
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -193,7 +193,7 @@
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
     // One connection for each thread that serves users' requests, in addition to those for the leader's work.
-    let user_connections = settings.operations.api_threads + QUERY_THREADS;
+    let user_connections = settings.operator_settings.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
         connect_timeout: STORE_CONNECT_TIMEOUT,
@@ -240,7 +240,7 @@
     threads.spawn("store-writer", move || {
         store_writer::run(&node, &transactions);
     })?;
-    for _ in 0..context.settings.operations.command_threads {
+    for _ in 0..context.settings.operator_settings.command_threads {
         let (node, commands) = (context.clone(), receivers.commands.clone());
         threads.spawn("command-sender", move || {
             command_sender::run(&node, &commands);
@@ -256,7 +256,7 @@
     context: &Arc<NodeContext>,
     receivers: &Receivers,
 ) -> std::io::Result<()> {
-    let rate = context.settings.cloud_rate * CLOUD_RATE_FRACTION;
+    let rate = context.settings.cloud_requests_per_s * CLOUD_RATE_FRACTION;
     let rate = Arc::new(TokenBucket::new(rate, CLOUD_BURST_S, Instant::now()));
     let (node, orders) = (context.clone(), receivers.cloud_orders.clone());
     let order_rate = rate.clone();
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -41,7 +41,7 @@
         loop {
             let call_deadline = (Instant::now() + CALL_TIMEOUT).min(deadline);
             let reader =
-                BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderDuty, call_deadline);
+                BudgetedReader::new(&context.store, stop, ReadPurpose::LeaderWork, call_deadline);
             let read = job_status_reads::read_statuses(&reader, &remaining, &mut accepted);
             remaining.retain(|job_id| !read.statuses.contains_key(job_id));
             statuses.extend(read.statuses);
@@ -83,7 +83,7 @@
         let reader = BudgetedReader::new(
             &context.store,
             &context.stop,
-            ReadPurpose::LeaderDuty,
+            ReadPurpose::LeaderWork,
             call_deadline,
         );
         let read = job_status_reads::read_statuses(&reader, &chunk, &mut BTreeSet::new());
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's settings file, checked and turned into [`Settings`].
+//! Checks the platform's settings file and converts it into [`Settings`].
 //!
-//! The first field that cannot be used is refused by its name.
+//! The first invalid field is reported as an error with the name of the field.
 
-use super::checks::Checks;
+use super::checks::FieldChecks;
 use super::platform_file::{
     Deployment, NextStoreLimits, PeerEntry, PlatformFile, SloEntry, StoreLimits, TeamEntry,
     WorkerTimes,
@@ -13,37 +13,41 @@
 use std::time::Duration;
 
 const MIN_SOCKETS: usize = 256;
-/// A process with its threads and no work takes some 8 MB.
+/// An idle process with all its threads uses about 8 MB.
 const MIN_RAM_MB: f64 = 32.0;
-/// A leader renews its lease and watches two prefixes within its part; every node reads for its users.
+/// The leader's share has to suffice for renewals of its lease and for watches of two prefixes, and each node
+/// needs requests for its users' reads.
 const MIN_STORE_RPS: f64 = 10.0;
-/// A job's outcome takes two changes of the leader's part, an acceptance two of a node's.
+/// The end of a job takes two changes from the leader's share: its outcome is written, and its key in the
+/// index of live jobs is removed. A cancellation takes two changes from the share of a node's users.
 const MIN_STORE_WRITE_RPS: f64 = 6.0;
-/// A job, or 64 tasks' intents, fit into one value.
+/// A job's record or the intents of 64 tasks fit into one value of this size.
 const MIN_VALUE_KB: f64 = 6.0;
-/// The store's values may become this small: a chunk of intents fits.
+/// The announced limit for values may be this low: a chunk's intents still fit, because the number of
+/// attempts per chunk is limited according to the size of a value.
 const MIN_NEXT_VALUE_KB: f64 = 2.0;
 const MIN_TXN_OPS: usize = 4;
 const MIN_CLOUD_RPS: f64 = 0.1;
 const MAX_CONTROLLERS: usize = 1000;
-const MAX_RATE: f64 = 1e9;
+const MAX_RATE_PER_S: f64 = 1e9;
 const MAX_VALUE_KB: f64 = 1e6;
-const MAX_SLO_SECONDS: f64 = 1e6;
-/// With clocks further apart, jobs' ages would be wrong by more than any service-level objective allows.
+const MAX_SLO_S: f64 = 1e6;
+/// If clocks were further apart, the ages of jobs would be wrong by more than any service-level objective
+/// allows.
 const MAX_SKEW_MS: f64 = 60_000.0;
-/// Heartbeats come up to a quarter late, and one may have to be repeated.
+/// A heartbeat may be late by up to a quarter of the interval, and one may have to be repeated.
 const MIN_HEARTBEATS_PER_LEASE: f64 = 2.5;
 
 impl Settings {
-    /// Reads the text of the platform's settings file; `path` is named in errors.
+    /// Parses the text of the platform's settings file and checks its values. `path` is only used in errors.
     pub fn parse(path: &str, text: &str) -> Result<Settings, SettingsError> {
         let file: PlatformFile = toml::from_str(text).map_err(|e| SettingsError::Toml {
             path: path.to_owned(),
             source: Box::new(e),
         })?;
-        let checks = Checks { path };
+        let checks = FieldChecks { path };
         if file.member.is_empty() {
-            return Err(checks.error("member", "is empty"));
+            return Err(checks.error("member", "must not be empty"));
         }
         checks.check_deployment(&file.deployment)?;
         let next = checks.combine_store_limits(&file.deployment.store)?;
@@ -54,38 +58,45 @@
         Ok(Settings {
             member: file.member,
             zone: Zone(file.zone),
-            http_bind: checks.address("front", &file.http_bind)?,
-            peer_bind: checks.address("peer_bind", &file.peer_bind)?,
+            http_bind: checks.parse_address("front", &file.http_bind)?,
+            peer_bind: checks.parse_address("peer_bind", &file.peer_bind)?,
             peers,
-            cloud_address: checks.address("endpoints.cloud", &file.endpoints.cloud)?,
-            store_address: checks.address("endpoints.state", &file.endpoints.store)?,
+            cloud_address: checks.parse_address("endpoints.cloud", &file.endpoints.cloud)?,
+            store_address: checks.parse_address("endpoints.state", &file.endpoints.store)?,
             controller_count: deployment.controller_count,
             max_clock_skew: Duration::from_secs_f64(deployment.skew_ms / 1000.0),
             store_rates: checks.store_rates(&deployment.store)?,
             next_store_rates: next.rates,
-            cloud_rate: checks.positive("deployment.cloud.rps", deployment.cloud.rps, MAX_RATE)?,
+            cloud_requests_per_s: checks.check_positive(
+                "deployment.cloud.rps",
+                deployment.cloud.rps,
+                MAX_RATE_PER_S,
+            )?,
             max_sockets: deployment.quota.max_sockets,
-            operations: OperatorSettings::default(),
+            operator_settings: OperatorSettings::default(),
             config: checks.scheduler_config(deployment, teams, &next.sizes)?,
         })
     }
 }
 
-/// The sizes that transactions must keep to.
+/// The size limits of the key-value store.
 struct StoreSizes {
+    /// The maximum size of one value, in KiB.
     value_kb: f64,
+    /// The maximum number of changes in one transaction.
     txn_ops: usize,
 }
 
-/// What the present limits of the store and those announced for later come to together.
+/// The limits that follow from the store's present limits and from those announced for later.
 struct CombinedStoreLimits {
-    /// The smaller ones, from the start.
+    /// The smaller of the present and the announced sizes, which apply from the start.
     sizes: StoreSizes,
-    /// The lower ones, to fall to when refusals show that the announced ones are in force.
+    /// The lower of the present and the announced rates, which apply once refusals show that the announced
+    /// ones are in force. None: no limits are announced.
     rates: Option<StoreRates>,
 }
 
-impl Checks<'_> {
+impl FieldChecks<'_> {
     fn check_deployment(&self, deployment: &Deployment) -> Result<(), SettingsError> {
         if !(0.0..=MAX_SKEW_MS).contains(&deployment.skew_ms) {
             return Err(self.error("deployment.skew_ms", "must be from 0 to 60000"));
@@ -109,11 +120,11 @@
         ];
         minimums
             .iter()
-            .try_for_each(|(field, value, min)| self.at_least(&qualified(field), *value, *min))
+            .try_for_each(|(field, value, min)| self.check_min(&field_path(field), *value, *min))
     }
 
-    /// Sizes keep to the smaller of both sets from the start; rates fall when refusals show that the
-    /// announced ones are in force.
+    /// Combines the present and the announced limits of the store. Smaller sizes apply from the start; lower
+    /// rates apply only once refusals show that the announced ones are in force.
     fn combine_store_limits(
         &self,
         store: &StoreLimits,
@@ -128,11 +139,11 @@
         let rates = self.next_rates(store, next)?;
         let value_kb = next.value_kb.unwrap_or(store.value_kb);
         let field = "deployment.state.next.value_kb";
-        self.at_least(field, value_kb, MIN_NEXT_VALUE_KB)?;
-        self.positive(field, value_kb, MAX_VALUE_KB)?;
+        self.check_min(field, value_kb, MIN_NEXT_VALUE_KB)?;
+        self.check_positive(field, value_kb, MAX_VALUE_KB)?;
         let txn_ops = next.txn_ops.unwrap_or(store.txn_ops);
         let field = "deployment.state.next.txn_ops";
-        self.at_least(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
+        self.check_min(field, txn_ops as f64, MIN_TXN_OPS as f64)?;
         Ok(CombinedStoreLimits {
             sizes: StoreSizes {
                 value_kb: value_kb.min(store.value_kb),
@@ -153,10 +164,10 @@
             "deployment.state.next.rps",
             "deployment.state.next.write_rps",
         );
-        self.at_least(requests_field, requests, MIN_STORE_RPS)?;
-        self.at_least(changes_field, changes, MIN_STORE_WRITE_RPS)?;
-        self.positive(requests_field, requests, MAX_RATE)?;
-        self.positive(changes_field, changes, MAX_RATE)?;
+        self.check_min(requests_field, requests, MIN_STORE_RPS)?;
+        self.check_min(changes_field, changes, MIN_STORE_WRITE_RPS)?;
+        self.check_positive(requests_field, requests, MAX_RATE_PER_S)?;
+        self.check_positive(changes_field, changes, MAX_RATE_PER_S)?;
         Ok(StoreRates {
             requests: requests.min(store.rps),
             changes: changes.min(store.write_rps),
@@ -165,8 +176,12 @@
 
     fn store_rates(&self, store: &StoreLimits) -> Result<StoreRates, SettingsError> {
         Ok(StoreRates {
-            requests: self.positive("deployment.state.rps", store.rps, MAX_RATE)?,
-            changes: self.positive("deployment.state.write_rps", store.write_rps, MAX_RATE)?,
+            requests: self.check_positive("deployment.state.rps", store.rps, MAX_RATE_PER_S)?,
+            changes: self.check_positive(
+                "deployment.state.write_rps",
+                store.write_rps,
+                MAX_RATE_PER_S,
+            )?,
         })
     }
 
@@ -180,7 +195,7 @@
     fn convert_team(&self, entry: &TeamEntry) -> Result<Team, SettingsError> {
         let amount = |field: &str, value: f64| {
             let field = format!("deployment.teams.{field} of {}", entry.name);
-            self.optional_amount(&field, value)
+            self.check_optional_amount(&field, value)
         };
         Ok(Team {
             name: TeamName(entry.name.clone()),
@@ -196,7 +211,7 @@
             let field = format!("seeds address of {}", entry.member);
             Ok(PeerAddress {
                 member: entry.member.clone(),
-                address: self.address(&field, &entry.address)?,
+                address: self.parse_address(&field, &entry.address)?,
             })
         };
         entries.iter().map(peer).collect()
@@ -217,8 +232,9 @@
         sizes: &StoreSizes,
     ) -> Result<SchedulerConfig, SettingsError> {
         let workers = &deployment.workers;
-        let seconds = |field: &str, value: f64| self.seconds(&qualified(field), value);
-        let value_kb = |value: f64| self.positive("deployment.state.value_kb", value, MAX_VALUE_KB);
+        let seconds = |field: &str, value: f64| self.check_duration(&field_path(field), value);
+        let value_kb =
+            |value: f64| self.check_positive("deployment.state.value_kb", value, MAX_VALUE_KB);
         Ok(SchedulerConfig {
             teams,
             slos: deployment.slos.iter().map(Slo::from).collect(),
@@ -236,14 +252,13 @@
     }
 }
 
-fn qualified(field: &str) -> String {
+fn field_path(field: &str) -> String {
     format!("deployment.{field}")
 }
 
 impl From<&SloEntry> for Slo {
     fn from(entry: &SloEntry) -> Self {
-        let usable =
-            |seconds: &f64| seconds.is_finite() && (0.0..MAX_SLO_SECONDS).contains(seconds);
+        let usable = |seconds: &f64| seconds.is_finite() && (0.0..MAX_SLO_S).contains(seconds);
         Slo {
             kind: entry.kind.clone(),
             class: entry.class.clone(),
