--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -9,6 +9,7 @@
 #[test]
 fn admission_cases() {
     let types = [machine_type("m8", 8.0)];
+    // Name, change to a job of two tasks with 4 CPUs each, and expected result.
     let cases: [(&str, Edit, Result<(), AdmissionError>); 8] = [
         ("fits", |_| {}, Ok(())),
         (
@@ -32,12 +33,12 @@
             Err(AdmissionError::NoSuitableMachineType),
         ),
         (
-            "an array over the limit as a whole",
+            "an array that exceeds the limit as a whole",
             |job| job.task_count = 90,
             Ok(()),
         ),
         (
-            "a gang over the limit",
+            "a gang that exceeds the limit",
             |job| {
                 job.kind = JobKind::Gang;
                 job.task_count = 9;
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -1,4 +1,5 @@
-//! A cancellation takes all dependents with it, within a bound, and leaves only outcomes behind.
+//! Cancellation cascades: all dependents of a cancelled job are cancelled within a time limit, and afterwards
+//! only the outcomes of the jobs remain in the key-value store.
 
 use crate::common::dependency_jobs::{job_depending_on, job_id, job_ids};
 use crate::common::keys::Keys;
@@ -10,7 +11,8 @@
 use cypressgap::core::state::CancelSource;
 use std::time::{Duration, SystemTime};
 
-fn queue_read(fixture: &mut ClusterFixture) {
+/// The leader has read the queue now, with all cancellations and acceptances in it.
+fn complete_queue_read(fixture: &mut ClusterFixture) {
     let day = SystemTime::UNIX_EPOCH;
     fixture
         .cluster
@@ -21,14 +23,14 @@
         });
 }
 
-/// A leader whose share of the changes is 36 a second, with all of a thousand dependents to cancel and
-/// a burst of other work: it takes the outcomes' number over its share, and the records that show a
-/// cascade to be unfinished go only after it.
+/// Guards against a cascade that takes too long. A leader that may make 36 changes per second has to cancel a
+/// thousand dependents during a burst of other work: the outcomes are written first, at the full rate. The
+/// records that show that the cascade is not complete are removed only after all outcomes are written.
 #[test]
 fn a_thousand_dependents_are_cancelled_within_the_bound() {
     const DEPENDENTS: u32 = 1000;
-    const CHANGES_A_SECOND: u32 = 36;
-    // Whether they form one chain or a fan.
+    const CHANGES_PER_SECOND: u32 = 36;
+    // Whether the dependents form one chain, or all depend directly on the root.
     for chain in [true, false] {
         let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
@@ -45,13 +47,13 @@
         fixture.cluster.on_cancel_marked(fixture.now, &job_id(0));
         let start = fixture.now;
         let mut outcomes = 0;
-        let mut allowed = 0.0;
+        let mut write_allowance = 0.0;
         while outcomes < DEPENDENTS {
             fixture.pass(Duration::from_millis(150));
-            allowed += f64::from(CHANGES_A_SECOND) * 0.15;
-            let before = keys.changes;
+            write_allowance += f64::from(CHANGES_PER_SECOND) * 0.15;
+            let changes_before = keys.changes;
             let root_indexed = keys.all.contains(&live_job_key(&job_id(0)));
-            for op in keys.tick(&mut fixture, allowed as usize) {
+            for op in keys.tick(&mut fixture, write_allowance as usize) {
                 if matches!(
                     op,
                     WriteOp::Put(_, RecordValue::JobOutcome(JobOutcome::Cancelled))
@@ -59,31 +61,38 @@
                     outcomes += 1;
                 }
             }
-            allowed -= (keys.changes - before) as f64;
-            assert!(root_indexed, "chain {chain}: {outcomes} are cancelled");
-            assert!(fixture.now - start < secs(60), "chain {chain}: {outcomes}");
+            write_allowance -= (keys.changes - changes_before) as f64;
+            assert!(
+                root_indexed,
+                "chain {chain}: the root's record was removed after {outcomes} outcomes"
+            );
+            assert!(
+                fixture.now - start < secs(60),
+                "chain {chain}: only {outcomes} outcomes in 60 s"
+            );
         }
-        // Its share, the grace for the node that confirms, and what else was written meanwhile.
-        let bound = secs(u64::from(DEPENDENTS / CHANGES_A_SECOND) + 5);
+        // The time for the outcomes at the leader's rate, and 5 s for the delay that is left to the peer that
+        // confirms the cancellation and for other writes.
+        let bound = secs(u64::from(DEPENDENTS / CHANGES_PER_SECOND) + 5);
         assert!(
             fixture.now - start < bound,
             "chain {chain}: {:?}",
             fixture.now - start
         );
-        queue_read(&mut fixture);
+        complete_queue_read(&mut fixture);
         for _ in 0..2000 {
             fixture.pass(secs(1));
-            queue_read(&mut fixture);
+            complete_queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
-        let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
-        let left: Vec<&String> = keys.all.iter().filter(left).collect();
+        let is_transient = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
+        let remaining: Vec<&String> = keys.all.iter().filter(is_transient).collect();
         assert!(
-            !left
+            !remaining
                 .iter()
                 .any(|k| k.as_str() <= live_job_key(&job_id(DEPENDENTS)).as_str()
                     && k.starts_with("q/")),
-            "chain {chain}: {left:?}"
+            "chain {chain}: {remaining:?}"
         );
         assert!(
             !fixture.cluster.jobs.contains(&job_id(0))
@@ -92,38 +101,45 @@
     }
 }
 
-/// The leader leaves dependents to the node that confirms for a moment, and to nobody for long; the
-/// job's own records stay until it has surely heard of all that was accepted before.
+/// Guards against a dependent that is never cancelled because it becomes known only after the records of the
+/// cancelled job were removed: they stay until the leader knows of all jobs that were accepted before the
+/// cancellation. The leader writes the outcomes of dependents itself, but leaves them for a short time to the
+/// peer that confirms the cancellation, so that they are not written twice.
 #[test]
 fn when_a_cancelled_jobs_records_are_removed() {
-    // What the leader hears -> when its records go: at once, or only after a later read of the queue.
+    // How the leader learns of the cancellation, and whether it removes the records at once or only after a
+    // later read of the queue.
     let cases = [
         (CancelSource::Watch, true),
         (CancelSource::Load, false),
         (CancelSource::Peer, false),
         (CancelSource::JobOutcome, false),
     ];
-    for (source, at_once) in cases {
+    for (source, removed_at_once) in cases {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(job_depending_on(1, &[]));
-        queue_read(&mut fixture);
+        complete_queue_read(&mut fixture);
         fixture.pass(secs(1));
         fixture
             .cluster
             .on_cancelled(fixture.now, &job_id(1), source);
         fixture.settle();
-        assert_eq!(fixture.cluster.jobs.is_empty(), at_once, "{source:?}");
-        // A dependent that was accepted before, heard of only now.
+        assert_eq!(
+            fixture.cluster.jobs.is_empty(),
+            removed_at_once,
+            "{source:?}"
+        );
+        // A dependent that was accepted before the cancellation becomes known only now.
         fixture.job(job_depending_on(2, &[1]));
-        queue_read(&mut fixture);
+        complete_queue_read(&mut fixture);
         fixture.settle();
-        queue_read(&mut fixture);
+        complete_queue_read(&mut fixture);
         fixture.settle();
         assert!(fixture.cluster.jobs.is_empty(), "{source:?}");
     }
-    // Told that a dependent is cancelled already, it writes no outcome.
-    for is_told in [true, false] {
+    // If a peer reports in time that a dependent is cancelled, the leader writes no outcome for it.
+    for reported_by_peer in [true, false] {
         let mut fixture = ClusterFixture::new();
         fixture.job(job_depending_on(1, &[]));
         fixture.job(job_depending_on(2, &[1]));
@@ -132,26 +148,31 @@
         let mut keys = Keys::default();
         for step in 0..20 {
             fixture.pass(Duration::from_millis(150));
-            if is_told && step == 2 {
+            if reported_by_peer && step == 2 {
                 fixture
                     .cluster
                     .on_cancelled(fixture.now, &job_id(2), CancelSource::Peer);
             }
             written.extend(keys.tick(&mut fixture, 24));
         }
-        let outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
-        assert_eq!(written.iter().any(outcome), !is_told, "told {is_told}");
+        let is_outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
+        assert_eq!(
+            written.iter().any(is_outcome),
+            !reported_by_peer,
+            "reported by a peer: {reported_by_peer}"
+        );
     }
 }
 
-/// Thousands of chains pass: what is left of them is their outcomes, and nothing in the cluster state.
+/// Guards against records and memory that accumulate while chains of jobs come and are cancelled: only their
+/// outcomes remain in the key-value store, and nothing remains in the cluster state.
 #[test]
 fn chains_leave_only_their_outcomes() {
-    // With lists of dependents, as earlier versions keep them, or without.
+    // Whether the key-value store holds lists of dependents, as earlier versions write them.
     for listed_as_dependent in [false, true] {
         let mut fixture = ClusterFixture::new();
         let mut keys = Keys::default();
-        let mut most = 0;
+        let mut most_keys = 0;
         for chain in 0..2000u32 {
             let first = chain * 3 + 1;
             for n in first..first + 3 {
@@ -168,7 +189,7 @@
                     .cluster
                     .on_cancel_marked(fixture.now, &job_id(first));
             } else {
-                // Their ends were found by the next leader.
+                // The leader finds the outcomes of the jobs, as after a failover.
                 (first..first + 3).for_each(|n| {
                     fixture
                         .cluster
@@ -177,28 +198,36 @@
             }
             for _ in 0..4 {
                 fixture.pass(Duration::from_millis(600));
-                queue_read(&mut fixture);
+                complete_queue_read(&mut fixture);
                 keys.tick(&mut fixture, 24);
             }
-            let live = keys.all.iter().filter(|k| !k.starts_with("j/")).count();
-            most = most.max(live);
+            let key_count = keys.all.iter().filter(|k| !k.starts_with("j/")).count();
+            most_keys = most_keys.max(key_count);
         }
         for _ in 0..100 {
             fixture.pass(secs(1));
-            queue_read(&mut fixture);
+            complete_queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
-        let left = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
-        let left: Vec<&String> = keys.all.iter().filter(left).collect();
-        assert_eq!(left, Vec::<&String>::new(), "listed {listed_as_dependent}");
-        assert!(most < 60, "listed {listed_as_dependent}: {most}");
+        let is_transient = |key: &&String| !key.starts_with("j/") && !key.starts_with("h/");
+        let remaining: Vec<&String> = keys.all.iter().filter(is_transient).collect();
+        assert_eq!(
+            remaining,
+            Vec::<&String>::new(),
+            "listed {listed_as_dependent}"
+        );
+        assert!(
+            most_keys < 60,
+            "listed {listed_as_dependent}: {most_keys} keys besides outcomes"
+        );
         assert!(
             fixture.cluster.jobs.is_empty() && fixture.cluster.unresolved_dependencies().is_empty()
         );
     }
 }
 
-/// A list found at takeover goes when its job does, or at once if that is over.
+/// Guards against lists of dependents that are never removed. A new leader removes a list that it finds
+/// together with the list's job, or at once if that job is over.
 #[test]
 fn dependents_lists_found_at_failover_are_removed() {
     for live in [true, false] {
@@ -219,6 +248,9 @@
             fixture.pass(secs(1));
             keys.tick(&mut fixture, 24);
         }
-        assert!(!keys.all.contains(&dependents_key(&job_id(1))), "{live}");
+        assert!(
+            !keys.all.contains(&dependents_key(&job_id(1))),
+            "live {live}"
+        );
     }
 }
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -1,4 +1,5 @@
-//! Cancellations that the leader may not know of: how long it may renew leases without having read them.
+//! The watermark of cancellations: how long a leader may renew leases while it may not know of cancellations
+//! that were confirmed elsewhere.
 
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::{
@@ -13,7 +14,8 @@
 
 #[test]
 fn watermark_age_limit() {
-    // lease_s, cancel_s -> the patience in whole seconds, and whether leases alone keep the rule.
+    // `lease_s`, `cancel_s`, the maximum age of the watermark in whole seconds, and whether the expiry of
+    // leases alone ends cancelled tasks in time.
     let cases = [
         (34.0, 54.0, 17, true),
         (22.0, 47.0, 22, true),
@@ -23,14 +25,14 @@
         (30.0, 30.0, 6, false),
         (60.0, 20.0, 6, false),
     ];
-    for (lease, cancel, whole, keeps) in cases {
+    for (lease, cancel, max_age_s, ends_in_time) in cases {
         let (lease, cancel) = (fractional_secs(lease), fractional_secs(cancel));
         let bound = WatermarkBound::new(lease, cancel);
         let found = (bound.max_age.as_secs(), bound.ends_tasks_in_time);
-        assert_eq!(found, (whole, keeps), "{lease:?} {cancel:?}");
+        assert_eq!(found, (max_age_s, ends_in_time), "{lease:?} {cancel:?}");
         assert!(bound.max_age >= MIN_MAX_AGE);
-        if keeps {
-            // A lease renewed at the last moment ends in time, on clocks that drift.
+        if ends_in_time {
+            // A lease that is renewed at the last moment expires in time, even if the clocks drift by 0.1%.
             assert!(bound.max_age + lease.mul_f64(1.001) < cancel.mul_f64(0.999));
         }
     }
@@ -40,149 +42,154 @@
     Duration::from_secs_f64(s)
 }
 
-/// What happens at which second of a term that began with a read at second 0.
+/// An event in a term that began with a read of the key-value store at second 0. All times are in seconds.
 #[derive(Clone, Copy)]
 enum Event {
+    /// A read of the key-value store, and when it was sent.
     Read(u64),
-    /// A peer's word: asked, came, and whether it goes on from the one before.
-    Told(&'static str, u64, u64, bool),
+    /// A report: the peer, when it was requested, when it was received, and whether it continues the peer's
+    /// previous report without a gap.
+    Report(&'static str, u64, u64, bool),
 }
 
 #[test]
 fn the_watermark_is_the_time_up_to_which_all_cancellations_are_known() {
     use Event::*;
+    // Name, peers, events, and the time of the watermark after them.
     let cases: [(&str, &[&str], &[Event], u64); 11] = [
-        ("nothing is heard", &["b", "c"], &[], 0),
+        ("no reads and no reports", &["b", "c"], &[], 0),
         (
-            "reads count from their asking",
+            "a read counts from when it was sent",
             &["b"],
             &[Read(5), Read(9)],
             9,
         ),
         (
-            "an older read after a newer one",
+            "a read that was sent before a previous one",
             &["b"],
             &[Read(9), Read(5)],
             9,
         ),
         (
-            "first words cover nothing before a read",
+            "first reports cover nothing without a later read",
             &["b"],
-            &[Told("b", 1, 2, false), Told("b", 8, 8, true)],
+            &[Report("b", 1, 2, false), Report("b", 8, 8, true)],
             0,
         ),
         (
-            "a read joins the words to what was known",
+            "a read after the first report makes later reports count",
             &["b"],
-            &[Told("b", 1, 2, false), Read(3), Told("b", 8, 9, true)],
+            &[Report("b", 1, 2, false), Read(3), Report("b", 8, 9, true)],
             8,
         ),
         (
-            "the oldest of all peers' words",
+            "the earliest time that the reports of all peers cover",
             &["b", "c"],
             &[
-                Told("b", 1, 1, false),
-                Told("c", 1, 2, false),
+                Report("b", 1, 1, false),
+                Report("c", 1, 2, false),
                 Read(3),
-                Told("b", 20, 20, true),
-                Told("c", 11, 11, true),
+                Report("b", 20, 20, true),
+                Report("c", 11, 11, true),
             ],
             11,
         ),
         (
-            "a silent peer holds it back",
+            "a silent peer holds the watermark back",
             &["b", "c"],
-            &[Told("b", 1, 1, false), Read(3), Told("b", 30, 30, true)],
+            &[Report("b", 1, 1, false), Read(3), Report("b", 30, 30, true)],
             3,
         ),
         (
-            "a new life does not speak for the one before",
+            "a restarted peer does not report what it confirmed before",
             &["b"],
             &[
-                Told("b", 1, 1, false),
+                Report("b", 1, 1, false),
                 Read(3),
-                Told("b", 10, 10, true),
-                Told("b", 14, 15, false),
-                Told("b", 40, 40, true),
+                Report("b", 10, 10, true),
+                Report("b", 14, 15, false),
+                Report("b", 40, 40, true),
             ],
             10,
         ),
         (
-            "until a read shows what that one confirmed",
+            "a read shows what a peer confirmed before its restart",
             &["b"],
             &[
-                Told("b", 1, 1, false),
-                Told("b", 14, 15, false),
+                Report("b", 1, 1, false),
+                Report("b", 14, 15, false),
                 Read(16),
-                Told("b", 40, 40, true),
+                Report("b", 40, 40, true),
             ],
             40,
         ),
         (
-            "a read asked for before the new life was heard does not",
+            "a read sent before a restarted peer's first report does not show it",
             &["b"],
             &[
-                Told("b", 1, 1, false),
-                Told("b", 14, 16, false),
+                Report("b", 1, 1, false),
+                Report("b", 14, 16, false),
                 Read(15),
-                Told("b", 40, 40, true),
+                Report("b", 40, 40, true),
             ],
             15,
         ),
         (
-            "strangers count for nothing",
+            "reports of nodes that are not peers are ignored",
             &["b"],
-            &[Told("x", 1, 1, false), Read(2), Told("x", 9, 9, true)],
+            &[Report("x", 1, 1, false), Read(2), Report("x", 9, 9, true)],
             2,
         ),
     ];
     let start = ClockReading::now();
     let at = |s: u64| start.at(start.steady + secs(s));
-    for (name, peers, happens, expected) in cases {
-        let mut fixture = Watermark::new(at(0), peers.iter().map(std::string::ToString::to_string));
-        for machine in happens {
-            match *machine {
-                Read(asked) => fixture.record_read(at(asked)),
-                Told(peer, asked, came, continues) => {
+    for (name, peers, events, expected) in cases {
+        let mut watermark =
+            Watermark::new(at(0), peers.iter().map(std::string::ToString::to_string));
+        for event in events {
+            match *event {
+                Read(asked) => watermark.record_read(at(asked)),
+                Report(peer, asked, received, continues) => {
                     let report = CancellationReport {
                         asked_at: at(asked),
-                        received_at: at(came),
+                        received_at: at(received),
                         is_continuous: continues,
                     };
-                    fixture.record_report(peer, report);
+                    watermark.record_report(peer, report);
                 }
             }
         }
-        assert_eq!(fixture.age(at(100)), secs(100 - expected), "{name}");
-        assert!(fixture.is_fresh(at(expected + 9), secs(10)), "{name}");
-        assert!(!fixture.is_fresh(at(expected + 10), secs(10)), "{name}");
+        assert_eq!(watermark.age(at(100)), secs(100 - expected), "{name}");
+        assert!(watermark.is_fresh(at(expected + 9), secs(10)), "{name}");
+        assert!(!watermark.is_fresh(at(expected + 10), secs(10)), "{name}");
     }
-    // Whoever has no peers confirms everything itself.
+    // A node without peers confirms all cancellations itself.
     assert!(Watermark::new(at(0), []).is_fresh(at(1000), secs(10)));
 }
 
-/// Guards against a process that was paused, whose steady clock stood with it.
+/// Guards against a watermark that looks fresh after a pause of the process, because the steady clock stopped
+/// during the pause.
 #[test]
 fn the_clock_that_advanced_further_counts() {
     let start = ClockReading::now();
-    let fixture = Watermark::new(start, ["b".to_owned()]);
+    let watermark = Watermark::new(start, ["b".to_owned()]);
     let later = |steady: u64, day: u64| ClockReading {
         steady: start.steady + secs(steady),
         day: start.day + secs(day),
     };
-    assert!(fixture.is_fresh(later(9, 9), secs(10)));
-    assert!(!fixture.is_fresh(later(2, 10), secs(10)));
-    assert!(!fixture.is_fresh(later(10, 2), secs(10)));
-    // A time of day set back says nothing.
+    assert!(watermark.is_fresh(later(9, 9), secs(10)));
+    assert!(!watermark.is_fresh(later(2, 10), secs(10)));
+    assert!(!watermark.is_fresh(later(10, 2), secs(10)));
+    // If the time of day was set back, the steady clock counts.
     let back = ClockReading {
         steady: start.steady + secs(9),
         day: start.day - secs(50),
     };
-    assert!(fixture.is_fresh(back, secs(10)));
+    assert!(watermark.is_fresh(back, secs(10)));
 }
 
-/// A running task on a machine of a leader with one peer.
-fn fixture_past_the_watermark() -> (ClusterFixture, AttemptId) {
+/// A leader with one peer, which has read all cancellations now, and one attempt launched on machine `i-1`.
+fn fixture_with_peer() -> (ClusterFixture, AttemptId) {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -196,18 +203,19 @@
     (fixture, attempt)
 }
 
-/// The gap: without the store and its peers' word a leader answers only while a lease
-/// renewed then ends in time. What reports show is taken, and kills go out by themselves.
+/// Guards against a cancelled task that runs on because its leader, cut off from the key-value store and from
+/// its peers, keeps renewing its lease. The leader answers heartbeats only while a lease that is renewed then
+/// expires in time. After that it still applies their content, and sends kills as direct commands.
 #[test]
 fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
-    let (mut fixture, attempt) = fixture_past_the_watermark();
+    let (mut fixture, attempt) = fixture_with_peer();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
     fixture.heartbeat("i-1", 2, tasks());
-    // The process runs all the while.
+    // The process keeps running, so no pause is detected.
     fixture.run(bound.max_age.as_secs() - 1);
     fixture.heartbeat("i-1", 3, tasks());
-    let answered = fixture.cluster.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
+    let last_renewal = fixture.cluster.fleet.machines[&MachineId::from("i-1")].lease_renewed_at;
     fixture.run(2);
     let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .token
@@ -219,25 +227,25 @@
     );
     let machine = &fixture.cluster.fleet.machines[&MachineId::from("i-1")];
     assert_eq!(
-        machine.lease_renewed_at, answered,
-        "no lease is renewed in the books"
+        machine.lease_renewed_at, last_renewal,
+        "no lease renewal is recorded"
     );
     assert_eq!(
         (machine.serial, machine.last_heartbeat_at),
         (4, fixture.now),
-        "yet it was heard"
+        "the heartbeat is applied"
     );
-    // A late copy's answer would renew a lease too.
+    // The answer to a late copy of a heartbeat would renew the lease too.
     let copy = heartbeat_from("i-1", 1, 2, token, tasks());
     assert_eq!(
         fixture.cluster.on_heartbeat(fixture.now, copy),
         HeartbeatDecision::Withheld
     );
-    // A peer's word about the job: the kill goes straight to the machine.
+    // The cancellation becomes known: the kill is sent to the machine as a direct command.
     fixture
         .cluster
         .on_cancel_marked(fixture.now, &"wk-000001".into());
-    let kills = |actions: &[Action]| {
+    let sends_kill = |actions: &[Action]| {
         actions.iter().any(|a| match a {
             Action::Send { commands, .. } => commands
                 .iter()
@@ -245,11 +253,11 @@
             _ => false,
         })
     };
-    assert!(kills(&fixture.cluster.tick(fixture.now)));
-    // The lease runs out, and with it what was there.
+    assert!(sends_kill(&fixture.cluster.tick(fixture.now)));
+    // The lease expires, which ends the task.
     fixture.run(31);
     assert_eq!(fixture.active("wk-000001", 0), None);
-    // The store is back: reports are answered again.
+    // The store can be read again, so heartbeats are answered.
     let read = ClockReading {
         steady: fixture.now,
         day: SystemTime::now(),
@@ -259,8 +267,9 @@
     fixture.heartbeat("i-1", 9, vec![]);
 }
 
-/// A leader without the store launches nothing, not even what was durable before: the job
-/// may have been cancelled since. It is launched as soon as the leadership is certain again.
+/// Guards against launches of cancelled jobs. A leader that cannot reach the key-value store launches
+/// nothing, not even attempts whose intents are durable, because their job may have been cancelled since.
+/// They are launched once its leadership is confirmed again.
 #[test]
 fn launches_wait_for_a_confirmed_leadership() {
     let mut fixture = ClusterFixture::new();
@@ -268,46 +277,46 @@
     fixture.cluster.set_leadership_confirmed(false);
     fixture.job(spec("wk-000001", 1, 4.0));
     assert_eq!(launches(&fixture.settle()), vec![]);
-    let (_, in_answer) = fixture.heartbeat("i-1", 2, vec![]);
-    assert_eq!(in_answer, vec![]);
+    let (_, commands) = fixture.heartbeat("i-1", 2, vec![]);
+    assert_eq!(commands, vec![]);
     assert!(
         fixture.active("wk-000001", 0).is_some(),
-        "its intent is durable"
+        "the attempt with its durable intent is kept"
     );
     fixture.cluster.set_leadership_confirmed(true);
     assert_eq!(launches(&fixture.cluster.flush(fixture.now)).len(), 1);
 }
 
 #[test]
-fn a_nodes_cancellations_are_read_by_position() {
+fn the_cancellation_log_of_a_node_is_read_by_position() {
     let view = NodeView::new(Instant::now());
     let job_id = |n: u32| JobId::from(format!("wk-{n:06}").as_str());
-    let learn = |from: u32, to: u32| {
+    let record_cancelled = |from: u32, to: u32| {
         for n in from..to {
             view.remember_outcome(&job_id(n), JobOutcome::Cancelled);
         }
     };
-    learn(0, 3);
+    record_cancelled(0, 3);
     let position = |incarnation, offset| {
         Some(CancellationPosition {
             incarnation,
             offset,
         })
     };
-    // The first look covers nothing; it tells where to begin.
+    // The first read returns no cancellations, only the position from which to continue.
     let first = view.cancellations(None);
     assert_eq!((first.continues, first.job_ids.len()), (false, 0));
     assert!(!first.more);
-    learn(0, 5);
+    record_cancelled(0, 5);
     view.remember_outcome(&job_id(900), JobOutcome::Done);
     let page = view.cancellations(position(first.incarnation, first.next));
     assert_eq!(
         page.job_ids,
         vec![job_id(3), job_id(4)],
-        "each once, and only those"
+        "each cancellation once, and no other outcome"
     );
     assert!(page.continues && !page.more);
-    // Another life's position, and one that is not kept any more or not reached yet.
+    // Positions that cannot be continued: of another incarnation, beyond the end, and no longer kept.
     assert!(
         !view
             .cancellations(position(first.incarnation ^ 1, 0))
@@ -318,33 +327,34 @@
             .cancellations(position(first.incarnation, 99))
             .continues
     );
-    learn(1_000, 31_000);
+    record_cancelled(1_000, 31_000);
     assert!(
         !view
             .cancellations(position(first.incarnation, page.next))
             .continues
     );
-    // Many come in parts, with nothing left out.
+    // Many cancellations are returned in pages, without a gap.
     let mut at = view.cancellations(None).next - 12_000;
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     loop {
-        let p = view.cancellations(position(first.incarnation, at));
-        assert!(p.continues);
-        got.extend(p.job_ids);
-        at = p.next;
-        if !p.more {
+        let page = view.cancellations(position(first.incarnation, at));
+        assert!(page.continues);
+        received.extend(page.job_ids);
+        at = page.next;
+        if !page.more {
             break;
         }
     }
     let expected: Vec<JobId> = (19_000..31_000).map(job_id).collect();
-    assert_eq!(got, expected);
+    assert_eq!(received, expected);
 }
 
-/// What leases alone guarantee, for pairs of settings: how old the watermark may be for a heartbeat to be
-/// answered, and by how much a cancelled task may then outlast the bound.
+/// What the expiry of leases alone guarantees, for pairs of settings: how old the watermark may be for a
+/// heartbeat to be answered, and by how much a cancelled task may then outlast `cancel_s`.
 #[test]
 fn cancellation_bounds_of_each_pair_of_settings() {
-    // `lease_s` and `cancel_s` -> the watermark's age and the overshoot, in tenths of a second.
+    // `lease_s` and `cancel_s` in seconds, then the maximum age of the watermark and the overshoot in tenths
+    // of a second.
     let cases = [
         (22, 47, 229, 0),
         (34, 54, 178, 0),
@@ -357,12 +367,16 @@
         (10, 18, 60, 1),
     ];
     let tenths = |d: Duration| (d.as_secs_f64() * 10.0).round() as u64;
-    for (lease, cancel, age, over) in cases {
+    for (lease, cancel, max_age_tenths, overshoot_tenths) in cases {
         let (lease, cancel) = (secs(lease), secs(cancel));
         let bound = WatermarkBound::new(lease, cancel);
-        assert_eq!(tenths(bound.max_age), age, "{lease:?} {cancel:?}");
+        assert_eq!(
+            tenths(bound.max_age),
+            max_age_tenths,
+            "{lease:?} {cancel:?}"
+        );
         let overshoot = cancellation_watermark::overshoot(lease, cancel);
-        assert_eq!(tenths(overshoot), over, "{lease:?} {cancel:?}");
+        assert_eq!(tenths(overshoot), overshoot_tenths, "{lease:?} {cancel:?}");
         assert_eq!(
             bound.ends_tasks_in_time,
             overshoot < Duration::from_millis(1),
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -6,6 +6,7 @@
 use cypressgap::core::state::Action;
 use std::time::Duration;
 
+/// The rentals among the actions of a leader: idempotency key, whether spot, and number of machines.
 fn rentals(actions: &[Action]) -> Vec<(String, bool, u32)> {
     let rent = |a: &Action| match a {
         Action::Rent {
@@ -19,8 +20,8 @@
     actions.iter().filter_map(rent).collect()
 }
 
-/// A leader whose machines are all known: none.
-fn renting() -> ClusterFixture {
+/// A leader without machines, far enough into its term that it knows this and may rent some.
+fn fixture_without_machines() -> ClusterFixture {
     let mut fixture = ClusterFixture::new();
     fixture.pass(secs(10));
     fixture
@@ -28,39 +29,45 @@
 
 #[test]
 fn machines_are_rented_once_for_pending_work() {
-    let mut fixture = renting();
+    let mut fixture = fixture_without_machines();
     fixture.job(spec("wk-000001", 3, 4.0));
     let first = rentals(&fixture.settle());
-    let number: u32 = first.iter().map(|r| r.2).sum();
-    assert_eq!(number, 2, "three tasks of half a machine each");
+    let machine_count: u32 = first.iter().map(|r| r.2).sum();
+    assert_eq!(machine_count, 2, "three tasks of half a machine each");
     assert!(first.iter().all(|r| r.1), "spot is cheaper and allowed");
     assert!(first.iter().all(|r| r.0.starts_with("t3-")), "{first:?}");
-    assert_eq!(rentals(&fixture.settle()), vec![], "asked for already");
+    assert_eq!(rentals(&fixture.settle()), vec![], "already requested");
     let names: Vec<MachineId> = vec!["i-8".into(), "i-9".into()];
-    let mut left = names.clone();
+    let mut unassigned = names.clone();
     for (idempotency_key, _, n) in &first {
-        let given = left.split_off(left.len() - *n as usize);
+        let rented = unassigned.split_off(unassigned.len() - *n as usize);
         fixture.cluster.on_rental_result(
             fixture.now,
             idempotency_key,
-            RentalOutcome::Machines(given),
+            RentalOutcome::Machines(rented),
         );
     }
-    assert_eq!(rentals(&fixture.settle()), vec![], "coming up");
+    assert_eq!(
+        rentals(&fixture.settle()),
+        vec![],
+        "the machines are booting"
+    );
 }
 
-/// Guards against ordinary machines at several times the price for work that is meant to run when idle.
+/// Guards against on-demand machines, which cost several times as much as spot machines, being rented for
+/// jobs that are only meant to use idle resources.
 #[test]
-fn ordinary_machines_are_not_rented_for_idle_priority() {
-    for (priority, expensive) in [(Priority::Idle, false), (Priority::Standard, true)] {
-        let mut fixture = renting();
+fn on_demand_machines_are_not_rented_for_idle_priority() {
+    // The priority of the waiting job, and whether on-demand machines are requested for it.
+    for (priority, requests_on_demand) in [(Priority::Idle, false), (Priority::Standard, true)] {
+        let mut fixture = fixture_without_machines();
         fixture.heartbeat("i-1", 1, vec![]);
         let mut long = spec("wk-000001", 1, 8.0);
         long.expected = secs(3000);
         fixture.job(long);
         let first = fixture.settle();
         let (_, t, a) = launches(&first)[0].clone();
-        // Asked for while the machine had not reported: the cloud has none.
+        // The cloud has no capacity for what was requested meanwhile.
         for (idempotency_key, ..) in rentals(&first) {
             fixture.cluster.on_rental_result(
                 fixture.now,
@@ -71,12 +78,12 @@
         let mut waits = spec("wk-000002", 1, 8.0);
         waits.priority = priority;
         fixture.job(waits);
-        let mut asked = Vec::new();
+        let mut spot_requests = Vec::new();
         for n in 0..80 {
             let running = shown(&t.job_id.0, t.index, a, TaskPhase::Running);
             fixture.heartbeat("i-1", n + 2, vec![running]);
             for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
-                asked.push(spot);
+                spot_requests.push(spot);
                 fixture.cluster.on_rental_result(
                     fixture.now,
                     &idempotency_key,
@@ -85,16 +92,20 @@
             }
         }
         assert!(
-            asked.contains(&true),
-            "{priority:?}: cheap ones are asked for"
+            spot_requests.contains(&true),
+            "{priority:?}: spot machines are requested"
+        );
+        assert_eq!(
+            spot_requests.contains(&false),
+            requests_on_demand,
+            "{priority:?}"
         );
-        assert_eq!(asked.contains(&false), expensive, "{priority:?}");
     }
 }
 
 #[test]
 fn a_rental_of_unknown_outcome_is_repeated_under_its_idempotency_key_and_a_refused_one_is_not() {
-    let mut fixture = renting();
+    let mut fixture = fixture_without_machines();
     fixture.job(spec("wk-000001", 1, 4.0));
     let first = rentals(&fixture.settle());
     fixture
@@ -106,56 +117,64 @@
         .cluster
         .on_rental_result(fixture.now, &first[0].0, RentalOutcome::NoCapacity);
     let other = rentals(&fixture.settle());
-    assert_ne!(other[0].0, first[0].0, "another kind, another key");
+    assert_ne!(
+        other[0].0, first[0].0,
+        "a request for another offer has another key"
+    );
 }
 
-/// Guards against whole machines kept idle for jobs that can wait for a boot.
+/// Guards against machines that are kept idle as headroom for classes whose jobs can wait until a machine has
+/// booted.
 #[test]
 fn classes_with_reserved_headroom() {
-    // The promised start, whether the class has deadlines, and whether a machine is kept ready.
+    // The class's objective for the start of its tasks in seconds, whether the class has an objective for
+    // deadlines, and whether a machine is rented as headroom for it.
     let cases = [
         (Some(5), false, true),
         (Some(600), false, false),
         (Some(600), true, true),
         (None, true, false),
     ];
-    for (start, deadline, kept) in cases {
-        let aim = |kind: &str, within| Slo {
+    for (start, deadline, has_headroom) in cases {
+        let slo = |kind: &str, within| Slo {
             kind: kind.into(),
             class: Some("quick".into()),
             within,
         };
         let mut scheduler_config = config();
         scheduler_config.slos = start
-            .map(|s| aim("wait", Some(secs(s))))
+            .map(|s| slo("wait", Some(secs(s))))
             .into_iter()
             .collect();
         if deadline {
-            scheduler_config.slos.push(aim("deadline", None));
+            scheduler_config.slos.push(slo("deadline", None));
         }
-        // No replacement is looked for where ordinary machines cost no more.
+        // On-demand machines that cost no more than spot machines are not replaced.
         let mut t = machine_type("m8", 8.0);
         t.on_demand_price_per_hour = t.spot_price_per_hour;
         let mut fixture = ClusterFixture::with(scheduler_config, vec![t]);
         fixture.pass(secs(10));
         fixture.heartbeat("i-1", 1, vec![]);
-        // It takes the whole of the only machine.
+        // The job uses all of the only machine.
         let mut job = spec("wk-000001", 1, 8.0);
         job.class = "quick".into();
         fixture.job(job);
         let rented = rentals(&fixture.settle());
-        assert_eq!(!rented.is_empty(), kept, "{start:?}, deadline {deadline}");
+        assert_eq!(
+            !rented.is_empty(),
+            has_headroom,
+            "{start:?}, deadline {deadline}"
+        );
     }
 }
 
 #[test]
 fn silent_machines_are_returned_unless_all_fall_silent() {
-    // Spot jobs aside: one machine with a given history among others that send heartbeats.
-    let mut fixture = renting();
+    let mut fixture = fixture_without_machines();
     for machine in ["i-1", "i-2", "i-3"] {
         fixture.heartbeat(machine, 1, vec![]);
     }
-    // All three fall silent together: the fault is on our side.
+    // All three fall silent at once, so the cause is more likely the leader's network than the machines.
     fixture.pass(secs(25));
     let returned = |fixture: &ClusterFixture| {
         fixture
@@ -171,7 +190,7 @@
     }
     fixture.settle();
     assert_eq!(returned(&fixture), 0);
-    // One alone is returned.
+    // A machine that is silent while the others send heartbeats is returned.
     for machine in ["i-2", "i-3"] {
         fixture.heartbeat(machine, 2, vec![]);
     }
@@ -186,7 +205,7 @@
 
 #[test]
 fn a_listed_machine_is_adopted_and_a_failed_one_returned() {
-    let mut fixture = renting();
+    let mut fixture = fixture_without_machines();
     let listed = |id: &str, phase| CloudMachine {
         id: id.into(),
         endpoint: "127.0.0.1:9".into(),
@@ -211,15 +230,16 @@
         |a: &&Action| matches!(a, Action::Probe { machine, .. } if machine == &"i-2".into());
     assert_eq!(actions.iter().filter(probes).count(), 1);
     fixture.cluster.on_returned(fixture.now, &["i-3".into()]);
-    // The list lags: what was returned does not come back.
+    // The list lags behind: a returned machine that it still shows is not added again.
     fixture.cluster.on_machine_list(fixture.now, &list);
     assert!(!fixture.cluster.fleet.machines.contains_key(&"i-3".into()));
 }
 
-/// Guards against a new leader that rents a second fleet before it has heard the first one.
+/// Guards against a new leader that rents a second fleet before the machines of the first one have reported.
 #[test]
 fn nothing_is_rented_while_most_machines_are_silent() {
-    for (quiet, rents) in [(2, true), (6, false)] {
+    // The number of silent machines out of 8, and whether machines are rented.
+    for (silent, rents) in [(2, true), (6, false)] {
         let types = vec![machine_type("m8", 8.0), machine_type("large", 8.0)];
         let mut fixture = ClusterFixture::with(config(), types);
         let names: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
@@ -227,15 +247,15 @@
             fixture.heartbeat(n, 1, vec![]);
         }
         fixture.pass(secs(8));
-        for n in &names[quiet..] {
+        for n in &names[silent..] {
             fixture.heartbeat(n, 2, vec![]);
         }
-        // None of the eight would do.
+        // The job requires a type that none of the eight machines has.
         let mut job = spec("wk-000001", 2, 8.0);
         job.machine_types = Some(vec!["large".into()]);
         fixture.job(job);
         let rented = fixture.settle();
         let rented = rented.iter().any(|a| matches!(a, Action::Rent { .. }));
-        assert_eq!(rented, rents, "{quiet} of 8 quiet");
+        assert_eq!(rented, rents, "{silent} of 8 silent");
     }
 }
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -10,6 +10,7 @@
 };
 use cypressgap::core::state::Action;
 
+/// Loads a chunk of a job: a bit set of its finished tasks, and its active tasks with their machines.
 fn load_intents(fixture: &mut ClusterFixture, job_id: &str, done: u64, active: &[(u32, &str)]) {
     let active = active
         .iter()
@@ -21,6 +22,7 @@
         .load_chunk(fixture.now, &job_id.into(), 0, value, 90);
 }
 
+/// The status of a running task that was loaded by `load_intents`.
 fn running(job_id: &str, index: u32) -> TaskStatus {
     shown(
         job_id,
@@ -30,25 +32,27 @@
     )
 }
 
-/// A team at its limit, its jobs cancelled on machines that are cut off or hang, and a new leader: what
-/// may still be there counts for the limit until it is proved gone, however it goes.
+/// Guards against a team that exceeds its limit after a failover: its cancelled tasks are on machines that
+/// are cut off or hang, and may still run there. They count for the limit until one of these proofs that they
+/// are gone.
 #[test]
 fn cancelled_tasks_on_silent_machines_count_for_the_teams_limit_until_proved_gone() {
     enum Proof {
         Returned,
         NewIncarnation,
-        AnswersAndEnds,
+        HeartbeatWithoutTask,
     }
     for proof in [
         Proof::Returned,
         Proof::NewIncarnation,
-        Proof::AnswersAndEnds,
+        Proof::HeartbeatWithoutTask,
     ] {
         let mut fixture = ClusterFixture::with(
             config(),
             vec![machine_type("m8", 8.0), machine_type("m32", 32.0)],
         );
-        // Red may use 32: four tasks of eight, on machines that this leader has not known yet.
+        // Four tasks of 8 CPUs use all of red's limit of 32 CPUs. Their machines are not known to this leader
+        // yet.
         fixture.job(spec("wk-000001", 4, 8.0));
         let on = [(0, "i-1"), (1, "i-2"), (2, "i-3"), (3, "i-4")];
         load_intents(&mut fixture, "wk-000001", 0, &on);
@@ -58,11 +62,15 @@
         fixture.job(spec("wk-000002", 1, 8.0));
         fixture.heartbeat("i-9", 1, vec![]);
         fixture.heartbeat("i-9", 2, vec![]);
-        assert_eq!(launches(&fixture.settle()), vec![], "the limit is full");
+        assert_eq!(
+            launches(&fixture.settle()),
+            vec![],
+            "the team is at its limit"
+        );
         match proof {
             Proof::Returned => fixture.cluster.on_returned(fixture.now, &["i-1".into()]),
-            Proof::NewIncarnation | Proof::AnswersAndEnds => {
-                // A duplicate from before, then the machine itself.
+            Proof::NewIncarnation | Proof::HeartbeatWithoutTask => {
+                // A late duplicate from an earlier term, then a heartbeat of this term.
                 let old = FencingToken::first(Term(TERM.0 - 1)).0;
                 let copy = heartbeat_from("i-1", 1, 3, old, vec![]);
                 fixture.cluster.on_heartbeat(fixture.now, copy);
@@ -85,25 +93,25 @@
             }
         }
         let launched = launches(&fixture.settle());
-        assert_eq!(launched.len(), 1, "room for one");
+        assert_eq!(launched.len(), 1, "the limit allows one task");
         assert_eq!(launched[0].1.job_id, "wk-000002".into());
     }
 }
 
-/// Tasks of one job that end far apart, with a change of leader between: done is said once all are,
-/// and none is run again.
+/// Guards against ends of tasks that are lost at a failover. The tasks of a job end far apart, one of them
+/// under the earlier leader: the job is recorded as done only once all have ended, and none is run again.
 #[test]
 fn task_ends_survive_a_failover() {
     let mut fixture = ClusterFixture::new();
     fixture.job(spec("wk-000001", 3, 2.0));
-    // One ended under the leader before, one runs, one was never sent.
+    // Task 0 ended under the earlier leader, task 1 runs, and task 2 was never launched.
     load_intents(&mut fixture, "wk-000001", 0b001, &[(1, "i-1")]);
     fixture.heartbeat("i-1", 1, vec![running("wk-000001", 1)]);
     let launched = launches(&fixture.settle());
     let started: Vec<u32> = launched.iter().map(|l| l.1.index).collect();
     assert_eq!(started, vec![2]);
     let last = launched[0].2;
-    let done = |a: &[Action]| {
+    let records_done = |a: &[Action]| {
         a.iter().any(|a| match a {
             Action::Store(b) => b.ops.iter().any(|o| {
                 matches!(
@@ -125,10 +133,10 @@
     );
     for second in 0..60 {
         fixture.pass(secs(1));
-        let left = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
-        fixture.heartbeat("i-1", 10 + second, left);
+        let still_running = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
+        fixture.heartbeat("i-1", 10 + second, still_running);
         let actions = fixture.cluster.tick(fixture.now);
-        assert!(!done(&actions), "one task still runs");
+        assert!(!records_done(&actions), "one task still runs");
         for a in actions {
             if let Action::Store(_) = a {
                 fixture.revision += 1;
@@ -140,14 +148,14 @@
     }
     fixture.heartbeat("i-1", 90, vec![ended(2, last)]);
     let written = fixture.batch().expect("the outcome");
-    assert!(done(&[Action::Store(written)]));
+    assert!(records_done(&[Action::Store(written)]));
 }
 
-/// The end of a job's last task meets its cancellation: whichever outcome is written first stands, and the
-/// other one is not written over it.
+/// Guards against an outcome that is overwritten when the last task of a job ends while the job is being
+/// cancelled: the outcome that is written first stands.
 #[test]
 fn completion_and_cancellation_exclude_each_other() {
-    // Whether the cancellation's outcome was there when done was to be written.
+    // Whether the outcome `cancelled` exists when the leader writes `done`.
     for cancelled_first in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
@@ -178,24 +186,27 @@
             WriteOutcome::Applied { revision: 777 }
         };
         fixture.cluster.on_write_outcome(fixture.now, outcome);
-        // What comes later of the other outcome changes nothing.
+        // A cancellation that becomes known afterwards changes nothing.
         fixture
             .cluster
             .on_cancel_marked(fixture.now, &"wk-000001".into());
-        for attempt in fixture.settle() {
-            let Action::Store(b) = attempt else { continue };
-            let again = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
-            assert!(!b.ops.iter().any(again), "{cancelled_first}");
+        for action in fixture.settle() {
+            let Action::Store(b) = action else { continue };
+            let is_outcome = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::JobOutcome(_)));
+            assert!(
+                !b.ops.iter().any(is_outcome),
+                "cancelled first: {cancelled_first}"
+            );
         }
         assert!(
             fixture.cluster.jobs.is_empty(),
-            "{cancelled_first}: nothing is left"
+            "cancelled first: {cancelled_first}: no job remains"
         );
     }
 }
 
-/// A leader that has just taken over, with machines that cannot be reached: what was cancelled there
-/// costs the machine well before the time is over, also when its heartbeats come and nothing reaches it.
+/// Guards against a cancelled task that outlasts `cancel_s` on a machine that a new leader cannot reach: the
+/// machine is returned in half that time, also if its heartbeats arrive and only answers and commands do not.
 #[test]
 fn unreachable_machines_with_cancelled_tasks_are_returned_in_time() {
     for heartbeats in [false, true] {
@@ -217,26 +228,36 @@
             }
             fixture.heartbeat("i-8", second, vec![]);
             fixture.heartbeat("i-9", second, vec![]);
-            let back = |a: &Action| matches!(a, Action::Return { machines } if machines.contains(&"i-1".into()));
-            if returned.is_none() && fixture.cluster.tick(fixture.now).iter().any(back) {
+            let returns_machine = |a: &Action| matches!(a, Action::Return { machines } if machines.contains(&"i-1".into()));
+            if returned.is_none()
+                && fixture
+                    .cluster
+                    .tick(fixture.now)
+                    .iter()
+                    .any(returns_machine)
+            {
                 returned = Some(second);
             }
         }
-        let at = returned.unwrap_or_else(|| panic!("{heartbeats}: never returned"));
-        assert!(at <= cancel / 2, "{heartbeats}: only after {at} s");
+        let at = returned.unwrap_or_else(|| panic!("heartbeats {heartbeats}: never returned"));
+        assert!(
+            at <= cancel / 2,
+            "heartbeats {heartbeats}: returned only after {at} s"
+        );
         assert!(
             fixture.active("wk-000001", 0).is_some(),
-            "not gone before the answer"
+            "the task counts until the cloud confirms the return"
         );
     }
 }
 
-/// One-task jobs come four a second for minutes, a quarter of them cancelled soon after: all others run,
-/// none starts after its cancellation, and what is held of them is bounded by those that live.
+/// Guards against jobs that are lost or start after their cancellation, and against state that accumulates.
+/// Four jobs with one task each arrive per second for four minutes, and a quarter of them are cancelled soon
+/// after.
 #[test]
 fn a_stream_of_small_jobs_leaves_nothing_behind() {
     const SECONDS: u64 = 240;
-    const A_SECOND: u64 = 4;
+    const JOBS_PER_SECOND: u64 = 4;
     let mut scheduler_config = config();
     scheduler_config.teams[0].cpus_max = None;
     let mut fleet = SimulatedFleet::new(scheduler_config, 12, 8.0);
@@ -244,11 +265,11 @@
     let mut cancelled = Vec::new();
     let mut most_jobs = 0;
     for second in 0..SECONDS {
-        for n in 0..A_SECOND {
-            let number = second * A_SECOND + n;
+        for n in 0..JOBS_PER_SECOND {
+            let number = second * JOBS_PER_SECOND + n;
             let job_id = format!("wk-{number:06}");
             fleet.fixture.job(spec(&job_id, 1, 1.0));
-            // Now one that has just come, now one that may be running.
+            // The job that is cancelled has either just arrived or may be running already.
             let victim = number.saturating_sub(if number % 8 == 0 { 0 } else { 12 });
             if number % 4 == 0 && victim % 4 == 0 {
                 let victim = JobId::from(format!("wk-{victim:06}").as_str());
@@ -269,18 +290,22 @@
     }
     assert!(
         fleet.fixture.cluster.jobs.is_empty(),
-        "{} are left",
+        "{} jobs remain",
         fleet.fixture.cluster.jobs.len()
     );
-    assert!(most_jobs < 150, "{most_jobs} at a time");
-    assert!(cancelled.len() > 100, "{}", cancelled.len());
+    assert!(most_jobs < 150, "{most_jobs} live jobs at a time");
+    assert!(cancelled.len() > 100, "{} cancelled", cancelled.len());
     for (job_id, starts) in &cancelled {
-        let now = fleet.launched.get(job_id).copied().unwrap_or_default();
-        assert_eq!(now, *starts, "{job_id} started after its cancellation");
+        let starts_now = fleet.launched.get(job_id).copied().unwrap_or_default();
+        assert_eq!(
+            starts_now, *starts,
+            "{job_id} started after its cancellation"
+        );
     }
-    for number in 0..SECONDS * A_SECOND {
+    for number in 0..SECONDS * JOBS_PER_SECOND {
         let job_id = JobId::from(format!("wk-{number:06}").as_str());
-        let over = cancelled.iter().any(|c| c.0 == job_id) || fleet.done.get(&job_id) == Some(&1);
-        assert!(over, "{job_id} was lost");
+        let is_over =
+            cancelled.iter().any(|c| c.0 == job_id) || fleet.done.get(&job_id) == Some(&1);
+        assert!(is_over, "{job_id} was lost");
     }
 }
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -1,5 +1,5 @@
-//! Jobs that fail everywhere (crash loops), machines that fail every job (quarantine), and telling the two
-//! apart.
+//! Jobs that fail on every machine (crash loops), machines on which every job fails (quarantine), and how the
+//! two are told apart.
 
 use crate::common::fleet::SimulatedFleet;
 use crate::common::*;
@@ -13,29 +13,29 @@
     scheduler_config
 }
 
-/// Guards against broken jobs that were launched whole again and again, and against machines that were
-/// given back for their failures; and against sound jobs held up by faulty machines.
+/// Guards against broken jobs whose tasks are all launched again and again, against healthy machines that are
+/// returned because such jobs failed on them, and against healthy jobs that faulty machines hold up.
 #[test]
 fn broken_jobs_cost_little_and_faulty_machines_are_found() {
-    // Name, broken jobs, faulty machines of 40, most launches beyond the first of each broken task,
-    // machines that must be found faulty.
+    // Name, number of broken jobs out of 12, number of faulty machines out of 40, maximum number of launches
+    // of a broken job beyond the first of each task, and minimum number of faulty machines that are returned.
     let cases = [
-        ("all well", 0, 0, 0, 0),
+        ("no faults", 0, 0, 0, 0),
         ("one broken job", 1, 0, 8, 0),
         ("many broken jobs", 6, 0, 8, 0),
         ("a few faulty machines", 0, 3, 0, 3),
         ("many faulty machines", 0, 14, 0, 10),
-        ("both", 3, 8, 12, 5),
+        ("broken jobs and faulty machines", 3, 8, 12, 5),
     ];
-    for (name, broken, faulty, most, found) in cases {
+    for (name, broken_jobs, faulty_machines, max_relaunches, min_found) in cases {
         let mut fleet = SimulatedFleet::new(config_without_limits(), 40, 8.0);
-        fleet.faulty = (0..faulty)
+        fleet.faulty = (0..faulty_machines)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
-        let all = fleet.on.len();
+        let machine_count = fleet.on.len();
         for n in 0..12 {
             let job_id = format!("wk-{n:06}");
-            if n % 2 == 1 && n / 2 < broken {
+            if n % 2 == 1 && n / 2 < broken_jobs {
                 fleet.broken.push(JobId(job_id.clone()));
             }
             fleet.fixture.job(spec(&job_id, 80, 1.0));
@@ -48,30 +48,34 @@
             if fleet.broken.contains(&job_id) {
                 let launched = fleet.launched.get(&job_id).copied().unwrap_or(0);
                 assert!(
-                    launched <= 80 + most,
+                    launched <= 80 + max_relaunches,
                     "{name}: {job_id} launched {launched}"
                 );
-                assert!(launched >= 3, "{name}: {job_id} was given up");
+                assert!(launched >= 3, "{name}: {job_id} is no longer retried");
                 assert!(
                     fleet.fixture.cluster.jobs.contains(&job_id),
-                    "{name}: known all along"
+                    "{name}: {job_id} was removed"
                 );
             } else {
                 assert_eq!(fleet.done.get(&job_id), Some(&80), "{name}: {job_id}");
             }
         }
-        let gone: Vec<_> = fleet
+        let returned: Vec<_> = fleet
             .faulty
             .iter()
             .filter(|h| !fleet.on.contains_key(h))
             .collect();
-        assert!(gone.len() >= found, "{name}: {} found", gone.len());
+        assert!(
+            returned.len() >= min_found,
+            "{name}: {} found",
+            returned.len()
+        );
         assert_eq!(
-            fleet.on.len() + gone.len(),
-            all,
-            "{name}: no sound machine went"
+            fleet.on.len() + returned.len(),
+            machine_count,
+            "{name}: no healthy machine was returned"
         );
-        // Withdrawn, a broken job ends at once.
+        // A broken job ends soon after its cancellation.
         for job_id in fleet.broken.clone() {
             fleet
                 .fixture
@@ -86,20 +90,27 @@
 }
 
 #[test]
-fn a_sound_job_is_not_slowed_by_faulty_machines() {
-    // All of its first machines but one fail everything: what runs on the last clears it.
+fn a_healthy_job_is_not_held_up_by_faulty_machines() {
+    // Nine of the twelve machines fail every task. A task that keeps running on one of the others shows that
+    // the job can run, which clears the suspicion.
     let mut fleet = SimulatedFleet::new(config_without_limits(), 12, 8.0);
     fleet.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
     fleet.fixture.job(spec("wk-000001", 96, 1.0));
-    let mut cleared = None;
+    let mut cleared_after_s = None;
     for second in 0..60 {
         fleet.second(|_| secs(30));
         let job = fleet.fixture.cluster.jobs.get(&"wk-000001".into());
-        if second > 2 && cleared.is_none() && job.is_some_and(|j| !j.crash_loop.is_suspected()) {
-            cleared = Some(second);
+        if second > 2
+            && cleared_after_s.is_none()
+            && job.is_some_and(|j| !j.crash_loop.is_suspected())
+        {
+            cleared_after_s = Some(second);
         }
     }
-    assert!(cleared.is_some_and(|s| s < 15), "{cleared:?}");
+    assert!(
+        cleared_after_s.is_some_and(|s| s < 15),
+        "{cleared_after_s:?}"
+    );
     assert!(fleet.done.get(&"wk-000001".into()).copied().unwrap_or(0) >= 24);
 }
 
@@ -117,7 +128,7 @@
         .crash_loop
         .is_suspected());
     let before = fleet.rented;
-    // The machines fill up with other work, and the urgent one's tries find no room.
+    // Another job fills the machines, so the retries of the urgent job find no free resources.
     fleet.fixture.job(spec("wk-000002", 32, 1.0));
     fleet.fixture.cluster.config.tuning.max_machines = 1000;
     for _ in 0..60 {
@@ -137,11 +148,11 @@
     fixture.job(spec("wk-000002", 1, 4.0));
     let launched = launches(&fixture.settle());
     assert_eq!(launched.len(), 2);
-    let ends = launched
+    let failures = launched
         .iter()
         .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
-    fixture.heartbeat("i-1", 5, ends);
+    fixture.heartbeat("i-1", 5, failures);
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].is_quarantined());
 
     let mut fixture = ClusterFixture::new();
@@ -150,18 +161,21 @@
         fixture.heartbeat(machine, 1, vec![]);
         let launched = launches(&fixture.settle());
         assert_eq!(launched.len(), 1, "{machine}");
-        assert_eq!(&launched[0].0 .0, machine, "not where it failed before");
-        let end = shown(
+        assert_eq!(
+            &launched[0].0 .0, machine,
+            "not on a machine where it failed before"
+        );
+        let failure = shown(
             "wk-000001",
             0,
             launched[0].2,
             TaskPhase::Ended(ExitReason::Failed),
         );
-        fixture.heartbeat(machine, 5, vec![end]);
-        let held = fixture.cluster.jobs[&JobId::from("wk-000001")]
+        fixture.heartbeat(machine, 5, vec![failure]);
+        let backs_off = fixture.cluster.jobs[&JobId::from("wk-000001")]
             .crash_loop
             .backoff_until
             .is_some();
-        assert_eq!(held, n == 2);
+        assert_eq!(backs_off, n == 2);
     }
 }
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -1,4 +1,5 @@
-//! Dependencies between jobs: which job is blocked, which may start, and how blocked ones are resolved.
+//! Dependencies between jobs: which job is blocked, which may start, and when the status of unknown
+//! dependencies is looked up.
 
 use crate::common::dependency_jobs::{job_depending_on, job_id, job_ids};
 use crate::common::*;
@@ -13,14 +14,17 @@
 #[test]
 fn dependency_graph_cases() {
     enum Event {
+        /// A job is added: its dependencies, and the state that results.
         Add(u32, &'static [u32], DependencyState),
+        /// A job is done: the jobs that become ready.
         Done(u32, &'static [u32]),
+        /// A job is cancelled: the jobs that are orphaned.
         Cancelled(u32, &'static [u32]),
     }
     use DependencyState::*;
     use Event::*;
     let cases: [(&str, &[Event]); 8] = [
-        ("no needs", &[Add(1, &[], Ready)]),
+        ("no dependencies", &[Add(1, &[], Ready)]),
         (
             "a chain",
             &[
@@ -32,11 +36,11 @@
             ],
         ),
         (
-            "two needs, the second ends it",
+            "two dependencies, ready after the second one",
             &[Add(3, &[1, 2], Blocked), Done(2, &[]), Done(1, &[3])],
         ),
         (
-            "what ended before it was known",
+            "dependencies that ended before the job was added",
             &[
                 Done(1, &[]),
                 Add(2, &[1], Ready),
@@ -45,7 +49,7 @@
             ],
         ),
         (
-            "a cancellation takes all behind it, once each",
+            "a cancellation orphans all direct and indirect dependents, each once",
             &[
                 Add(2, &[1], Blocked),
                 Add(3, &[1], Blocked),
@@ -57,7 +61,7 @@
             ],
         ),
         (
-            "a link of the chain is cancelled, what it needs is not",
+            "a job in the middle of a chain is cancelled, its dependency is not",
             &[
                 Add(2, &[1], Blocked),
                 Add(3, &[2], Blocked),
@@ -66,11 +70,11 @@
             ],
         ),
         (
-            "one need cancelled, the other done later",
+            "one dependency is cancelled, the other is done later",
             &[Add(3, &[1, 2], Blocked), Cancelled(1, &[3]), Done(2, &[])],
         ),
         (
-            "dependents are known before what they need",
+            "dependents are added before their dependencies",
             &[Add(3, &[2], Blocked), Add(2, &[1], Blocked), Done(1, &[2])],
         ),
     ];
@@ -105,16 +109,18 @@
     assert_eq!(graph.unresolved(|n| *n == job_id(1)), job_ids(&[2]));
 }
 
-fn ended(n: u32, a: AttemptId) -> Vec<TaskStatus> {
+/// The tasks in a heartbeat that shows that the only task of job `n` has completed.
+fn ended(n: u32, attempt: AttemptId) -> Vec<TaskStatus> {
     vec![shown(
         &job_id(n).0,
         0,
-        a,
+        attempt,
         TaskPhase::Ended(ExitReason::Completed),
     )]
 }
 
-/// Started only after the durable `done`, not on the heartbeat that shows the last task's end.
+/// Guards against a job that starts before its dependency's outcome `done` is durable: the heartbeat that
+/// shows the end of the dependency's last task is not enough.
 #[test]
 fn a_blocked_job_starts_only_after_the_durable_end_of_its_dependencies() {
     let mut fixture = ClusterFixture::new();
@@ -127,7 +133,7 @@
     let blocked = &fixture.cluster.jobs[&job_id(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
     fixture.heartbeat("i-1", 2, ended(1, launched[0].2));
-    // The outcome's transaction gets no answer for a while.
+    // For a while it stays unknown whether the outcome was written.
     let outcome = fixture.batch().expect("the outcome");
     let done = |o: &WriteOp| {
         matches!(
@@ -155,20 +161,24 @@
     assert_eq!(launched[0].1.job_id, job_id(2));
     assert!(
         fixture.cluster.jobs[&job_id(2)].arrived >= before,
-        "it waits from now on"
+        "its wait counts from now on"
     );
 }
 
-/// A new leader knows of what is needed only what it finds: live, done, cancelled, or nothing yet.
+/// Guards against a new leader that starts a job although it does not know that the job's dependency is done.
+/// Job 3 depends on job 2, and job 2 on job 1, of which the leader knows only the outcome that it finds, if
+/// any.
 #[test]
-fn a_new_leader_blocks_what_it_does_not_know_to_be_done() {
-    // How the needed job is found -> whether the other starts, and whether its outcome is written.
+fn a_new_leader_blocks_jobs_whose_dependencies_it_does_not_know_to_be_done() {
+    // The outcome of job 1 that is found, whether job 2 starts, and whether jobs 2 and 3 are recorded as
+    // cancelled.
     let cases = [
         (None, false, false),
         (Some(JobOutcome::Done), true, false),
         (Some(JobOutcome::Cancelled), false, true),
     ];
     for (found, starts, cancelled) in cases {
+        // Whether the outcome is found before the dependents become known.
         for known_before in [false, true] {
             let mut fixture = ClusterFixture::new();
             fixture.heartbeat("i-1", 1, vec![]);
@@ -207,20 +217,28 @@
                 let serial = 10 + fixture.revision;
                 fixture.heartbeat("i-1", serial, vec![]);
             }
-            let begun = launched.iter().any(|l| l.1.job_id == job_id(2));
-            assert_eq!(begun, starts, "{found:?} {known_before}");
+            let has_started = launched.iter().any(|l| l.1.job_id == job_id(2));
+            assert_eq!(
+                has_started, starts,
+                "{found:?}, known before: {known_before}"
+            );
             assert!(
                 !launched.iter().any(|l| l.1.job_id == job_id(3)),
                 "{found:?}"
             );
-            let both = written.len() == 2 && written.iter().all(|v| v.1 == JobOutcome::Cancelled);
-            assert_eq!(both, cancelled, "{found:?} {known_before}: {written:?}");
+            let both_cancelled =
+                written.len() == 2 && written.iter().all(|v| v.1 == JobOutcome::Cancelled);
+            assert_eq!(
+                both_cancelled, cancelled,
+                "{found:?}, known before: {known_before}: {written:?}"
+            );
         }
     }
 }
 
 #[test]
 fn descendants_in_an_index_of_live_jobs() {
+    // Jobs and their dependencies.
     let jobs: [(u32, &[u32]); 6] = [
         (2, &[1]),
         (3, &[2]),
@@ -233,6 +251,7 @@
         jobs.iter()
             .map(|(n, dependencies)| (job_id(*n), job_ids(dependencies))),
     );
+    // Jobs, and all jobs that depend on them directly or through others.
     let cases: [(&[u32], &[u32]); 6] = [
         (&[1], &[2, 3, 4, 5]),
         (&[3], &[5]),
@@ -251,14 +270,14 @@
 fn unresolved_dependencies_are_queried_with_backoff() {
     let mut backoff = Backoff::default();
     let start = ClusterFixture::new().now;
-    let mut asked = 0;
+    let mut lookups = 0;
     for tenth in 0..6000 {
         let due = backoff.due(&job_ids(&[1]), start + Duration::from_millis(100 * tenth));
-        asked += due.len();
+        lookups += due.len();
     }
-    // Ten minutes: seven doublings, then once a minute.
-    assert!((10..=20).contains(&asked), "{asked}");
-    // What was resolved meanwhile begins anew, and another job is asked about at once.
+    // Within ten minutes the interval is doubled seven times, and then there is one lookup per minute.
+    assert!((10..=20).contains(&lookups), "{lookups}");
+    // Another job is looked up at once, and so is the first one again after it was not unknown for a while.
     let later = start + secs(601);
     assert_eq!(backoff.due(&job_ids(&[2]), later), job_ids(&[2]));
     assert_eq!(backoff.due(&job_ids(&[1, 2]), later), job_ids(&[1]));
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -7,11 +7,11 @@
 
 #[test]
 fn a_late_duplicate_heartbeat_changes_nothing() {
-    // The duplicate's incarnation, serial, and whether it lists the task.
+    // Name, the duplicate's incarnation and serial, and whether it lists the task.
     let cases = [
         ("the last heartbeat again", 1, 5, true),
         ("one from before the launch", 1, 1, false),
-        ("an early one of the session", 1, 2, false),
+        ("an early one of the incarnation", 1, 2, false),
     ];
     for (name, incarnation, serial, listed) in cases {
         let mut fixture = ClusterFixture::new();
@@ -20,22 +20,23 @@
         let attempt = launches(&fixture.settle())[0].2;
         let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 5, tasks());
-        let (answered, token) = {
+        let (last_renewal, token) = {
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
             (machine.lease_renewed_at, machine.token)
         };
-        // From seconds to well over a lease later.
+        // The duplicate arrives again 2 s, 12 s and 31 s after the original, at last when the lease has
+        // nearly expired.
         for late in [2, 10, 19] {
             fixture.run(late);
             let old = if listed { tasks() } else { vec![] };
             let duplicate = heartbeat_from("i-1", incarnation, serial, token.0, old);
             let answer = fixture.cluster.on_heartbeat(fixture.now, duplicate);
-            let none =
+            let is_without_commands =
                 matches!(answer, HeartbeatDecision::Accept { commands, .. } if commands.is_empty());
-            assert!(none, "{name}: nothing is ordered on its word");
+            assert!(is_without_commands, "{name}: it causes no command");
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
             assert_eq!(
-                machine.lease_renewed_at, answered,
+                machine.lease_renewed_at, last_renewal,
                 "{name}: renews no lease"
             );
             assert_eq!((machine.incarnation, machine.serial), (1, 5), "{name}");
@@ -45,7 +46,7 @@
                 "{name}"
             );
         }
-        // The lease runs out as if no duplicate had come.
+        // The lease expires as if no duplicate had arrived.
         fixture.run(1);
         assert_eq!(fixture.active("wk-000001", 0), None, "{name}");
     }
@@ -53,7 +54,7 @@
 
 #[test]
 fn a_duplicate_from_before_the_term_admits_no_machine_and_moves_no_task() {
-    // The duplicate lists the loaded task or does not: neither is believed.
+    // Whether the duplicate lists the loaded task. Neither proves anything.
     for listed in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.job(spec("wk-000001", 1, 4.0));
@@ -74,7 +75,7 @@
         let before = FencingToken::first(Term(TERM.0 - 1)).0;
         let duplicate = heartbeat_from("i-1", 1, 40, before, tasks);
         fixture.cluster.on_heartbeat(fixture.now, duplicate);
-        // A machine that was returned in an earlier term seems to report too.
+        // Another duplicate is from a machine that was returned in an earlier term.
         fixture
             .cluster
             .on_heartbeat(fixture.now, heartbeat_from("i-3", 1, 9, before, vec![]));
@@ -88,15 +89,15 @@
         if !listed {
             fixture.pass(secs(40));
             fixture.cluster.tick(fixture.now);
-            let still = fixture.active("wk-000001", 0);
+            let attempt_on_record = fixture.active("wk-000001", 0);
             assert_eq!(
-                still,
+                attempt_on_record,
                 Some((first_machine(), attempt)),
-                "no lease of ours ran out"
+                "this term renewed no lease whose expiry would prove anything"
             );
             continue;
         }
-        // Once it shows this term's token it is a machine like any other.
+        // Once a heartbeat carries a token of this term, the machine is given tasks like any other.
         let machine = &fixture.cluster.fleet.machines[&first_machine()];
         let live = heartbeat_from(
             "i-1",
@@ -113,31 +114,31 @@
     }
 }
 
-/// Guards against a task that ran twice: an earlier leader had launched the same attempt again in the
-/// machine's second incarnation. Duplicates of heartbeats of both incarnations, kept for the next leader, seemed to
-/// prove it gone.
+/// Guards against a task that runs twice. An earlier leader launched the same attempt again in the machine's
+/// second incarnation, and late duplicates of heartbeats of both incarnations reached the next leader, for
+/// which they seemed to prove that the task was gone.
 #[test]
 fn duplicates_from_before_the_term_prove_nothing_whatever_their_incarnation() {
     let attempt = AttemptId(7);
     let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let ended = |exit| vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
-    // The duplicates in the order of their coming: incarnation, serial, tasks.
+    // The duplicates in the order of their arrival: incarnation, serial, and listed tasks.
     type Duplicates = Vec<(u64, u64, Vec<TaskStatus>)>;
     let cases: [(&str, Duplicates); 4] = [
         (
-            "empty ones of two sessions",
+            "without tasks, of both incarnations",
             vec![(1, 40, vec![]), (2, 1, vec![])],
         ),
         (
-            "it ran in the first",
+            "running in the first incarnation",
             vec![(1, 40, running()), (2, 1, vec![])],
         ),
         (
-            "stopped in the first",
+            "stopped in the first incarnation",
             vec![(1, 40, ended(ExitReason::Stopped { stored: false }))],
         ),
         (
-            "failed in the first",
+            "failed in the first incarnation",
             vec![(1, 40, ended(ExitReason::Failed))],
         ),
     ];
@@ -163,7 +164,8 @@
                 "{name}"
             );
         }
-        // The machine itself, once it shows this term's token: it runs there, or is proved gone.
+        // Heartbeats with a token of this term: the task runs there, and then a new incarnation proves it
+        // gone.
         let token = fixture.cluster.fleet.machines[&first_machine()].token.0;
         let live = heartbeat_from("i-1", 2, 50, token, running());
         fixture.cluster.on_heartbeat(fixture.now, live);
@@ -174,7 +176,10 @@
         );
         let live = heartbeat_from("i-1", 3, 51, token, vec![]);
         fixture.cluster.on_heartbeat(fixture.now, live);
-        assert!(fixture.active("wk-000001", 0).is_none(), "{name}: a proof");
+        assert!(
+            fixture.active("wk-000001", 0).is_none(),
+            "{name}: the new incarnation is a proof"
+        );
     }
 }
 
@@ -195,7 +200,7 @@
 }
 
 #[test]
-fn a_machine_restarted_under_its_name_is_accepted_and_its_predecessor_is_not() {
+fn a_machine_restarted_under_its_id_is_accepted_and_its_predecessor_is_not() {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -206,15 +211,18 @@
         vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     let old = fixture.cluster.fleet.machines[&first_machine()].token.0;
-    // Its heartbeats count from the beginning; at first they look like duplicates.
+    // Its serials start again, so that its heartbeats look like duplicates at first.
     fixture.pass(secs(9));
     let HeartbeatDecision::Accept { token, .. } = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]))
     else {
-        panic!("refused");
+        panic!("the heartbeat was not accepted");
     };
-    assert!(token.0 > old, "a token that no copy can show");
+    assert!(
+        token.0 > old,
+        "a token that no copy of an earlier heartbeat carries"
+    );
     assert!(fixture.active("wk-000001", 0).is_some());
     fixture.pass(secs(1));
     fixture
@@ -225,12 +233,12 @@
         2,
         "accepted again"
     );
-    let now_on = fixture.active("wk-000001", 0);
+    let attempt_on_record = fixture.active("wk-000001", 0);
     assert!(
-        now_on.is_none_or(|n| n.1 != attempt),
+        attempt_on_record.is_none_or(|n| n.1 != attempt),
         "its old task is gone"
     );
-    // A duplicate of the predecessor's counts higher and yet says nothing.
+    // A duplicate of the predecessor's heartbeat has a higher serial and is still ignored.
     let duplicate = heartbeat_from(
         "i-1",
         1,
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -1,4 +1,4 @@
-//! A task that a new leader loads stays where it may be until a proof.
+//! Tasks that a new leader loads stay assigned to their machines until they are proved gone.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -8,9 +8,9 @@
 
 /// A new leader that loaded one intent for `i-1`.
 fn taken_over() -> (ClusterFixture, AttemptId) {
-    let mut patient = config();
-    patient.tuning.on_demand_idle_timeout = secs(1000);
-    let mut fixture = ClusterFixture::with(patient, vec![machine_type("m8", 8.0)]);
+    let mut scheduler_config = config();
+    scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
+    let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let attempt = AttemptId(7);
     let value = ChunkValue {
@@ -24,24 +24,29 @@
 }
 
 #[test]
-fn a_new_leader_leaves_a_loaded_task_where_it_may_be() {
+fn a_new_leader_keeps_a_loaded_task_on_its_machine() {
     let (mut fixture, attempt) = taken_over();
     fixture.heartbeat("i-2", 1, vec![]);
-    assert_eq!(launches(&fixture.settle()), vec![], "i-1 may have it");
-    // The first heartbeat lacks it, and may be a late copy: nothing is ordered by it.
+    assert_eq!(
+        launches(&fixture.settle()),
+        vec![],
+        "the task may be on i-1"
+    );
+    // The first heartbeat does not list the task, but may be a late copy: it causes no command.
     let heartbeat = heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
     let HeartbeatDecision::Accept { token, commands } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
     else {
-        panic!("refused");
+        panic!("the heartbeat was not accepted");
     };
     assert_eq!((token.term(), commands), (TERM, vec![]));
-    // One of this term's does not: the command may be in flight, so the same attempt is sent again.
+    // A heartbeat of this term does not list it either. The launch may still be in flight, so the same
+    // attempt is launched again.
     let heartbeat = heartbeat_from("i-1", 1, 41, token.0, vec![]);
     let HeartbeatDecision::Accept { commands, .. } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
     else {
-        panic!("refused");
+        panic!("the heartbeat was not accepted");
     };
     let launch = TaskCommand::Launch {
         task: task("wk-000001", 0),
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -1,4 +1,4 @@
-//! Failover: what a new leader makes of the records that it loads and of what machines report.
+//! Failover: how a new leader reconciles the records that it loads with the tasks that machines report.
 
 mod loaded_tasks;
 mod order_pacing;
@@ -24,10 +24,11 @@
     shown("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
 }
 
-/// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
-fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, on_record: u32) -> ClusterFixture {
+/// A new leader that loaded these jobs, and intents for the first `intent_count` tasks of job `wk-000001`,
+/// with task `n` on machine `i-n`.
+fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, intent_count: u32) -> ClusterFixture {
     let active =
-        (0..on_record).map(|n| Intent::new(n, EARLIER_ATTEMPT, MachineId(format!("i-{n}"))));
+        (0..intent_count).map(|n| Intent::new(n, EARLIER_ATTEMPT, MachineId(format!("i-{n}"))));
     let chunk = StoredJobChunk {
         job_id: job_id(),
         index: 0,
@@ -50,17 +51,18 @@
     fixture
 }
 
+/// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
-fn launched_index(d: &TaskCommand) -> Option<u32> {
-    match d {
+fn launched_index(command: &TaskCommand) -> Option<u32> {
+    match command {
         TaskCommand::Launch { task, .. } => Some(task.index),
         _ => None,
     }
 }
 
-fn is_kill(d: &TaskCommand) -> bool {
-    matches!(d, TaskCommand::Kill { .. })
+fn is_kill(command: &TaskCommand) -> bool {
+    matches!(command, TaskCommand::Kill { .. })
 }
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -1,4 +1,4 @@
-//! Rate limits on orders to machines after a cold restart.
+//! Rate limits on commands to machines after a cold restart.
 
 use super::{is_kill, job_id, launched_index, running, taken_over};
 use crate::common::*;
@@ -9,7 +9,8 @@
 use cypressgap_recovery::settings::parse_segment;
 use std::time::Duration;
 
-/// Machines in two segments, all of whose work is proved absent at once: orders by the second.
+/// Guards against a burst of commands after a cold restart: all tasks of machines in two network segments are
+/// proved absent at once, and their launches keep to the limit in every second.
 #[test]
 fn launches_after_a_cold_restart_keep_to_the_rate_limit() {
     const MACHINES: u32 = 60;
@@ -17,7 +18,7 @@
     scheduler_config.teams = vec![team("red", 1000.0, 1000.0)];
     scheduler_config.recovery.orders_per_second = Some(20.0);
     scheduler_config.recovery.segment_orders_per_second = Some(10.0);
-    let rack = parse_segment("10.0.1.0/24").expect("a network");
+    let rack = parse_segment("10.0.1.0/24").expect("a valid network");
     scheduler_config.recovery.segments.push(NamedSegment {
         name: "rack".to_owned(),
         net: rack,
@@ -27,12 +28,12 @@
         vec![spec("wk-000001", MACHINES, 4.0)],
         MACHINES,
     );
-    let mut by_second: Vec<usize> = Vec::new();
+    let mut launches_by_second: Vec<usize> = Vec::new();
     let mut started = std::collections::BTreeSet::new();
     for step in 0..100u64 {
         fixture.pass(Duration::from_millis(100));
         if step % 10 == 0 {
-            by_second.push(0);
+            launches_by_second.push(0);
         }
         let mut launched: Vec<u32> = Vec::new();
         for action in fixture.cluster.tick(fixture.now) {
@@ -71,16 +72,20 @@
                 launched.extend(commands.iter().filter_map(launched_index));
             }
         }
-        *by_second.last_mut().expect("a second") += launched.len();
+        *launches_by_second.last_mut().expect("a second") += launched.len();
         started.extend(launched);
     }
-    assert!(by_second.iter().all(|n| *n <= 20), "{by_second:?}");
-    assert_eq!(started.len(), MACHINES as usize, "{by_second:?}");
-    let total: usize = by_second.iter().sum();
-    assert_eq!(total, MACHINES as usize, "each is launched once");
+    assert!(
+        launches_by_second.iter().all(|n| *n <= 20),
+        "{launches_by_second:?}"
+    );
+    assert_eq!(started.len(), MACHINES as usize, "{launches_by_second:?}");
+    let total: usize = launches_by_second.iter().sum();
+    assert_eq!(total, MACHINES as usize, "each task is launched once");
 }
 
-/// A pace far too slow for the fleet: all kills of a cancelled job are out well before `cancel_s`.
+/// Guards against rate limits that delay the kills of a cancelled job beyond `cancel_s`: all of them are sent
+/// well before that, even if the limit is far too low for the fleet.
 #[test]
 fn kills_of_a_cancelled_job_go_out_in_time_whatever_the_rate_limit() {
     const MACHINES: u32 = 40;
@@ -96,7 +101,7 @@
     let mut killed = std::collections::BTreeSet::new();
     let mut heartbeat_all = |fixture: &mut ClusterFixture, serial: u64| {
         for n in 0..MACHINES {
-            // One machine stays unheard, so the takeover goes on.
+            // One machine sends no heartbeats, so that the takeover does not end.
             let machine = format!("i-{n}");
             if n + 1 < MACHINES {
                 let (_, commands) = fixture.heartbeat(&machine, serial, vec![running(n)]);
@@ -108,11 +113,11 @@
     heartbeat_all(&mut fixture, 1);
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
     fixture.pass(secs(2));
-    assert!(heartbeat_all(&mut fixture, 2) < 10, "at the pace");
+    assert!(heartbeat_all(&mut fixture, 2) < 10, "within the rate limit");
     fixture.pass(secs(14));
     assert_eq!(
         heartbeat_all(&mut fixture, 3),
         MACHINES as usize - 1,
-        "at 0.3 of cancel_s"
+        "all after 0.3 of cancel_s"
     );
 }
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -5,17 +5,18 @@
 use cypressgap::core::model::*;
 use cypressgap::core::state::Action;
 
-/// Twenty machines that send heartbeats every three seconds. From then on those for which `silent` holds are
-/// silent for so long. Returns the world, and which machines went back meanwhile.
+/// Twenty machines send a first heartbeat, and then all but those for which `silent` holds send one every 3 s
+/// for `seconds`. Returns the fixture, the machines that were returned and the number of machines that were
+/// rented.
 fn after_silence(
     scheduler_config: SchedulerConfig,
     jobs: Vec<JobSpec>,
     silent: fn(u32) -> bool,
-    time: u64,
+    seconds: u64,
 ) -> (ClusterFixture, Vec<MachineId>, u32) {
     let mut fixture = taken_over(scheduler_config, jobs, 0);
     let (mut returned, mut rented) = (Vec::new(), 0);
-    for second in 0..=time {
+    for second in 0..=seconds {
         for n in (0..20).filter(|n| second == 0 || (second % 3 == 0 && !silent(*n))) {
             let machine = format!("i-{n}");
             let token = fixture
@@ -40,35 +41,49 @@
     (fixture, returned, rented)
 }
 
-/// One machine, a whole segment, one in each segment; for how long -> how many go back. Silence is noticed
-/// after 18 s, leases last 30 s.
+/// Guards against a whole segment whose machines are returned although only its network fails. Silence is
+/// detected after 18 s, and leases last 30 s.
 #[test]
 fn machines_of_a_silent_segment_are_not_returned_one_after_another() {
+    // Name, the machines that are silent, for how many seconds, whether the recovery limits are enabled, and
+    // how many machines are returned.
     type Case = (&'static str, fn(u32) -> bool, u64, bool, usize);
     let cases: [Case; 6] = [
         ("one machine", |n| n == 3, 26, true, 1),
         ("a segment", |n| n < 8, 26, true, 0),
-        ("a segment, past its leases", |n| n < 8, 40, true, 8),
-        ("a segment, switched off", |n| n < 8, 26, false, 8),
-        ("some of each", |n| n % 7 == 0, 26, true, 3),
+        (
+            "a segment, after its leases have expired",
+            |n| n < 8,
+            40,
+            true,
+            8,
+        ),
+        (
+            "a segment, recovery limits disabled",
+            |n| n < 8,
+            26,
+            false,
+            8,
+        ),
+        ("machines of several segments", |n| n % 7 == 0, 26, true, 3),
         ("nearly all", |n| n > 1, 26, true, 0),
     ];
-    for (name, silent, time, enabled, expected) in cases {
+    for (name, silent, seconds, enabled, expected) in cases {
         let mut scheduler_config = config();
         scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
         scheduler_config.recovery.enabled = enabled;
-        let (_, returned, _) = after_silence(scheduler_config, vec![], silent, time);
+        let (_, returned, _) = after_silence(scheduler_config, vec![], silent, seconds);
         assert_eq!(returned.len(), expected, "{name}: {returned:?}");
     }
 }
 
 #[test]
 fn replacements_for_a_silent_segment_are_rented_at_a_limited_rate() {
-    let rented = |silent: fn(u32) -> bool, pace: f64| {
+    let rented = |silent: fn(u32) -> bool, replacements_per_s: f64| {
         let mut scheduler_config = config();
         scheduler_config.teams = vec![team("red", 1000.0, 4000.0)];
         scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
-        scheduler_config.recovery.replacements_per_second = pace;
+        scheduler_config.recovery.replacements_per_second = replacements_per_s;
         let (mut fixture, _, _) = after_silence(scheduler_config, vec![], silent, 24);
         fixture.job(spec("wk-000001", 400, 8.0));
         let mut rented = 0;
@@ -84,6 +99,6 @@
     };
     let segment = |n: u32| n < 8;
     assert!(rented(|_| false, 2.0) > 50, "nothing is silent");
-    let paced = rented(segment, 2.0);
-    assert!((1..=8).contains(&paced), "{paced}");
+    let limited = rented(segment, 2.0);
+    assert!((1..=8).contains(&limited), "{limited} rented");
 }
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -1,5 +1,5 @@
-//! Stored intents that a new leader finds: an intent may outlive its attempt, and the room in the team's
-//! limit, or the zone, may be taken by then.
+//! Stored intents that a new leader finds. An intent may outlive its attempt, and by then other attempts may
+//! have used up the team's limit or have chosen another zone.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -12,7 +12,7 @@
 
 const ATTEMPT: AttemptId = AttemptId(7);
 
-/// Tasks on record as sent to a machine.
+/// A chunk with intents for these tasks, which must belong to one chunk, on a machine.
 fn stored_intents(job_id: &str, tasks: &[u32], machine: &str) -> StoredJobChunk {
     let active = tasks
         .iter()
@@ -28,7 +28,7 @@
     }
 }
 
-/// A job of so many tasks of 4 processors for the team "red", whose limit is 8.
+/// A live job whose tasks request 4 CPUs each, of team "red", which has a limit of 8 CPUs.
 fn stored_job(job_id: &str, task_count: u32) -> StoredLiveJob {
     StoredLiveJob {
         spec: spec(job_id, task_count, 4.0),
@@ -48,9 +48,9 @@
     fixture
 }
 
-/// The tasks that a machine's heartbeat is answered with launches of.
+/// The tasks that are launched by the commands in the answer to a heartbeat.
 fn launched_tasks(commands: &[TaskCommand]) -> Vec<TaskId> {
-    let launch = |d: &TaskCommand| match d {
+    let launch = |command: &TaskCommand| match command {
         TaskCommand::Launch { task, .. } => Some(task.clone()),
         _ => None,
     };
@@ -61,19 +61,22 @@
     shown(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
+/// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.of(&"red".into()).cpus
 }
 
+/// Guards against a team that exceeds its limit after a failover. Each of two jobs has intents for the whole
+/// limit: the attempts of the first were gone and the second used the limit, but the leader failed before it
+/// removed the intents of the first.
 #[test]
 fn a_stored_intent_beyond_the_limit_is_not_launched() {
-    // Both jobs are on record with a whole limit each: the first gave its room to the second, and its
-    // record was still there when the leader ended. What i-1 shows -> launched, and used after that.
+    // Name, the tasks that i-1 lists, and the CPUs that count for the limit after that.
     let cases: [(&str, Vec<TaskStatus>, f64); 4] = [
-        ("neither came", vec![], 8.0),
-        ("one runs after all", vec![running("wk-000001", 0)], 12.0),
+        ("neither runs", vec![], 8.0),
+        ("one still runs", vec![running("wk-000001", 0)], 12.0),
         (
-            "both run after all",
+            "both still run",
             vec![running("wk-000001", 0), running("wk-000001", 1)],
             16.0,
         ),
@@ -88,7 +91,7 @@
             8.0,
         ),
     ];
-    for (name, on_first, used) in cases {
+    for (name, on_first, used_cpus) in cases {
         let mut fixture = fixture_after_failover(StoredSnapshot {
             jobs: vec![stored_job("wk-000001", 2), stored_job("wk-000002", 2)],
             chunks: vec![
@@ -97,11 +100,7 @@
             ],
             ..StoredSnapshot::default()
         });
-        assert_eq!(
-            usage_of_red(&fixture),
-            16.0,
-            "{name}: all that is on record counts"
-        );
+        assert_eq!(usage_of_red(&fixture), 16.0, "{name}: all intents count");
         let (_, commands) = fixture.heartbeat("i-1", 1, on_first);
         assert_eq!(launched_tasks(&commands), vec![], "{name}");
         let on_second = vec![running("wk-000002", 0), running("wk-000002", 1)];
@@ -109,15 +108,15 @@
         assert_eq!(launched_tasks(&commands), vec![], "{name}");
         assert_eq!(
             usage_of_red(&fixture),
-            used,
-            "{name}: what is proved absent leaves"
+            used_cpus,
+            "{name}: tasks that are proved absent no longer count"
         );
         assert_eq!(launches(&fixture.settle()), vec![], "{name}");
     }
 }
 
 #[test]
-fn what_was_not_launched_beyond_the_limit_starts_once_there_is_room() {
+fn a_task_held_back_by_the_limit_starts_once_the_limit_allows_it() {
     let mut fixture = fixture_after_failover(StoredSnapshot {
         jobs: vec![stored_job("wk-000001", 1), stored_job("wk-000002", 2)],
         chunks: vec![
@@ -139,10 +138,10 @@
         TaskPhase::Ended(ExitReason::Completed),
     );
     fixture.heartbeat("i-2", 2, vec![ended, running("wk-000002", 1)]);
-    let stored_intents = launches(&fixture.settle());
-    assert_eq!(stored_intents.len(), 1);
-    assert_eq!(stored_intents[0].1, task("wk-000001", 0));
-    assert_ne!(stored_intents[0].2, ATTEMPT, "as a new attempt");
+    let launched = launches(&fixture.settle());
+    assert_eq!(launched.len(), 1);
+    assert_eq!(launched[0].1, task("wk-000001", 0));
+    assert_ne!(launched[0].2, ATTEMPT, "as a new attempt");
 }
 
 #[test]
@@ -155,7 +154,7 @@
         ],
         ..StoredSnapshot::default()
     });
-    // It shows no token of this term: what was sent before the term may still come.
+    // The heartbeat carries no token of this term, so commands from before the term may still arrive.
     let before = FencingToken::first(fixture.cluster.term).0 - 1;
     let heartbeat = heartbeat_from("i-1", 1, 1, before, vec![]);
     let answer = fixture.cluster.on_heartbeat(fixture.now, heartbeat);
@@ -177,9 +176,9 @@
 
 #[test]
 fn a_stored_intent_in_another_zone_is_not_launched() {
-    // Tasks of one job that has to stay in one zone, or be spread, in chunks of their own: the first
-    // record outlived its attempt, and the job went on in the other zone.
-    // One zone, spread, zone of the second machine -> the first is launched.
+    // The job has to stay in one zone or to be spread over zones, and its tasks are in two chunks. The intent
+    // for task 64 on i-1, in zone a, outlived its attempt; the other tasks run on i-2. Whether the job stays
+    // in one zone, whether it is spread, zone of i-2, whether task 64 may be launched.
     let cases = [
         (true, false, "b", false),
         (true, false, "a", true),
@@ -187,14 +186,14 @@
         (false, true, "b", true),
     ];
     for (same_place, spread, zone, allowed) in cases {
-        let mut over_two_chunks = stored_job("wk-000001", 66);
-        over_two_chunks.spec.team = "grey".into();
-        over_two_chunks.spec.resources = resources(0.1);
-        over_two_chunks.spec.same_place = same_place;
-        over_two_chunks.spec.spread = spread;
+        let mut job = stored_job("wk-000001", 66);
+        job.spec.team = "grey".into();
+        job.spec.resources = resources(0.1);
+        job.spec.same_place = same_place;
+        job.spec.spread = spread;
         let others: Vec<u32> = (0..33).collect();
         let mut fixture = fixture_after_failover(StoredSnapshot {
-            jobs: vec![over_two_chunks],
+            jobs: vec![job],
             chunks: vec![
                 stored_intents("wk-000001", &others, "i-2"),
                 stored_intents("wk-000001", &[64], "i-1"),
@@ -209,19 +208,19 @@
         heartbeat.zone = zone.into();
         fixture.cluster.on_heartbeat(fixture.now, heartbeat);
         let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-        let launch = !launched_tasks(&commands).is_empty();
-        assert_eq!(launch, allowed, "{same_place} {spread} {zone}");
-        let held = fixture.active("wk-000001", 64).is_some();
-        assert_eq!(held, allowed, "{same_place} {spread} {zone}");
+        let is_launched = !launched_tasks(&commands).is_empty();
+        assert_eq!(is_launched, allowed, "{same_place} {spread} {zone}");
+        let is_on_record = fixture.active("wk-000001", 64).is_some();
+        assert_eq!(is_on_record, allowed, "{same_place} {spread} {zone}");
     }
 }
 
 #[test]
-fn an_unknown_zone_holds_a_launch_back() {
-    let mut bound = stored_job("wk-000001", 2);
-    bound.spec.same_place = true;
+fn a_launch_waits_while_the_zone_of_another_task_is_unknown() {
+    let mut job = stored_job("wk-000001", 2);
+    job.spec.same_place = true;
     let mut fixture = fixture_after_failover(StoredSnapshot {
-        jobs: vec![bound],
+        jobs: vec![job],
         chunks: vec![StoredJobChunk {
             value: ChunkValue {
                 done: 0,
@@ -238,7 +237,7 @@
     assert_eq!(launched_tasks(&commands), vec![]);
     assert!(
         fixture.active("wk-000001", 0).is_some(),
-        "it keeps its place"
+        "the attempt is kept"
     );
     fixture.heartbeat("i-2", 1, vec![running("wk-000001", 1)]);
     let (_, commands) = fixture.heartbeat("i-1", 2, vec![]);
@@ -247,32 +246,40 @@
 
 #[test]
 fn members_of_a_gang_that_is_done_count_until_they_are_proved_gone() {
-    // The first member's end marks all done. Its outcome is durable, or not yet.
+    // The end of the first member marks all members as done. Whether the job's outcome is durable already.
     for durable in [false, true] {
         let mut gang = stored_job("wk-000001", 2);
         gang.spec.kind = JobKind::Gang;
         let mut members = stored_intents("wk-000001", &[1], "i-1");
         members.value.done = 0b11;
-        let over = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
+        let outcome = durable.then(|| (JobId::from("wk-000001"), JobOutcome::Done));
         let mut fixture = fixture_after_failover(StoredSnapshot {
             jobs: vec![gang, stored_job("wk-000002", 2)],
-            outcomes: over.into_iter().collect(),
+            outcomes: outcome.into_iter().collect(),
             chunks: vec![members],
             ..StoredSnapshot::default()
         });
         assert_eq!(usage_of_red(&fixture), 4.0);
         fixture.heartbeat("i-2", 1, vec![]);
-        let stored_intents = launches(&fixture.settle());
-        assert_eq!(stored_intents.len(), 1, "room for one beside the member");
+        let launched = launches(&fixture.settle());
+        assert_eq!(
+            launched.len(),
+            1,
+            "the limit allows one task beside the member"
+        );
         let first = shown(
             "wk-000002",
-            stored_intents[0].1.index,
-            stored_intents[0].2,
+            launched[0].1.index,
+            launched[0].2,
             TaskPhase::Running,
         );
         fixture.heartbeat("i-2", 2, vec![first]);
         let (_, commands) = fixture.heartbeat("i-1", 1, vec![]);
-        assert_eq!(launched_tasks(&commands), vec![], "it is not started again");
+        assert_eq!(
+            launched_tasks(&commands),
+            vec![],
+            "the member is not started again"
+        );
         assert_eq!(usage_of_red(&fixture), 4.0, "proved gone");
         assert_eq!(launches(&fixture.settle()).len(), 1);
         assert!(!fixture.cluster.jobs.contains(&JobId::from("wk-000001")));
@@ -281,16 +288,16 @@
 
 #[test]
 fn an_unrecorded_task_counts_while_it_is_reported() {
-    // Of an array it is adopted, of a gang it is killed.
+    // An unrecorded task of an array is adopted, and one of a gang is killed.
     for adopted in [true, false] {
         let mut fixture = limited_fixture();
         fixture.heartbeat("i-1", 1, vec![running("wk-000001", 0)]);
-        assert_eq!(usage_of_red(&fixture), 0.0, "nothing is known of its job");
-        let mut late = spec("wk-000001", 1, 4.0);
+        assert_eq!(usage_of_red(&fixture), 0.0, "its job is not known yet");
+        let mut job = spec("wk-000001", 1, 4.0);
         if !adopted {
-            late.kind = JobKind::Gang;
+            job.kind = JobKind::Gang;
         }
-        fixture.job(late);
+        fixture.job(job);
         let (_, commands) = fixture.heartbeat("i-1", 2, vec![running("wk-000001", 0)]);
         let killed = matches!(commands[..], [TaskCommand::Kill { .. }]);
         assert_eq!(killed, !adopted, "{commands:?}");
@@ -299,25 +306,29 @@
         assert_eq!(usage_of_red(&fixture), 4.0);
         fixture.job(spec("wk-000002", 2, 4.0));
         fixture.heartbeat("i-2", 1, vec![]);
-        assert_eq!(launches(&fixture.settle()).len(), 1, "room for one more");
+        assert_eq!(
+            launches(&fixture.settle()).len(),
+            1,
+            "the limit allows one more task"
+        );
         fixture.heartbeat("i-1", 3, vec![]);
         assert_eq!(usage_of_red(&fixture), 4.0);
     }
 }
 
 #[test]
-fn a_team_without_settings_or_above_its_limit_starts_nothing_and_hinders_nobody() {
-    let mut unknown = stored_job("wk-000001", 2);
-    unknown.spec.team = "gone".into();
+fn a_team_without_settings_or_above_its_limit_starts_nothing_and_blocks_no_other_team() {
+    let mut job_of_unknown_team = stored_job("wk-000001", 2);
+    job_of_unknown_team.spec.team = "gone".into();
     let mut fixture = fixture_after_failover(StoredSnapshot {
         jobs: vec![
-            unknown,
+            job_of_unknown_team,
             stored_job("wk-000002", 4),
             stored_job("wk-000003", 1),
         ],
         chunks: vec![
             stored_intents("wk-000001", &[0], "i-1"),
-            // The limit was 16 when these were started.
+            // The team's limit was 16 CPUs when these tasks were started.
             stored_intents("wk-000002", &[0, 1, 2], "i-2"),
         ],
         ..StoredSnapshot::default()
@@ -338,8 +349,8 @@
 }
 
 #[test]
-fn an_unreadable_record_counts_for_all_that_it_may_hold() {
-    // Its machines are known from its intents, or they cannot be read either.
+fn an_unreadable_job_blocks_limited_teams_until_its_machines_are_returned() {
+    // Whether the intents of the unreadable job can be read, which show its machines.
     for intents_readable in [true, false] {
         let job_id = JobId::from("wk-000001");
         let mut fixture = fixture_after_failover(StoredSnapshot {
@@ -354,7 +365,11 @@
         });
         fixture.heartbeat("i-2", 1, vec![]);
         let actions = fixture.settle();
-        assert_eq!(launches(&actions), vec![], "the team is not known");
+        assert_eq!(
+            launches(&actions),
+            vec![],
+            "the team of the unreadable job is not known"
+        );
         let returned = actions.iter().any(|a| {
             let machines = vec![MachineId::from("i-1")];
             *a == cypressgap::core::state::Action::Return { machines }
@@ -374,26 +389,30 @@
     fixture.job(spec("wk-000001", 1, 4.0));
     let launch = launches(&fixture.settle());
     let attempt = launch[0].2;
-    let given = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
+    let token_before = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
     let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
     fixture.heartbeat("i-1", 2, vec![run]);
-    // Restarted within a heartbeat's interval, it counts from the beginning and has seen no token. A copy
-    // of the launch would find the same incarnation, and the attempt forgotten.
+    // The machine is restarted within a heartbeat interval: its serials start again, and it has received no
+    // token. A late copy of the launch would fit its incarnation, and it no longer knows the attempt.
     fixture.pass(secs(1));
     let answer = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]));
     let HeartbeatDecision::Accept { token, commands } = answer else {
-        panic!("refused: {answer:?}");
+        panic!("the heartbeat was not accepted: {answer:?}");
     };
-    assert!(token > given, "{token:?} shuts out {given:?}");
+    assert!(
+        token > token_before,
+        "{token:?} invalidates {token_before:?}"
+    );
     assert_eq!(commands, vec![]);
-    // Its next heartbeat shows that token, so it is believed although it counts below the last one.
+    // Its next heartbeat carries that token, so it is accepted although its serial is lower than the last
+    // one.
     let heartbeat = heartbeat_from("i-1", 1, 2, token.0, vec![]);
     fixture.cluster.on_heartbeat(fixture.now, heartbeat);
-    let held = fixture.active("wk-000001", 0);
+    let on_record = fixture.active("wk-000001", 0);
     assert_ne!(
-        held.map(|(_, a)| a),
+        on_record.map(|(_, a)| a),
         Some(attempt),
         "the old attempt is gone"
     );
@@ -402,37 +421,39 @@
 #[test]
 fn quota_usage_is_the_sum_of_its_entries() {
     let teams: [TeamName; 3] = ["red".into(), "blue".into(), "grey".into()];
-    let mut account = QuotaUsage::default();
-    let mut drawn: u64 = 1;
-    let mut draw = |below: u64| {
-        drawn = drawn
+    let mut usage = QuotaUsage::default();
+    let mut random_state: u64 = 1;
+    let mut random_below = |bound: u64| {
+        random_state = random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        (drawn >> 33) % below
+        (random_state >> 33) % bound
     };
     for _ in 0..200_000 {
-        let task = task("wk-000001", draw(300) as u32);
-        let team = &teams[draw(3) as usize];
-        let resources = resources(0.1 * (1 + draw(99)) as f64);
-        let machine = MachineId(format!("i-{}", draw(5)));
-        match draw(5) {
-            0 | 1 => account.enter(task, team, resources),
-            2 | 3 => account.leave(&task),
+        let task = task("wk-000001", random_below(300) as u32);
+        let team = &teams[random_below(3) as usize];
+        let resources = resources(0.1 * (1 + random_below(99)) as f64);
+        let machine = MachineId(format!("i-{}", random_below(5)));
+        match random_below(5) {
+            0 | 1 => usage.enter(task, team, resources),
+            2 | 3 => usage.leave(&task),
             _ => {
-                account
-                    .set_unexpected(&machine, &vec![(team.clone(), resources); draw(3) as usize]);
+                usage.set_unexpected(
+                    &machine,
+                    &vec![(team.clone(), resources); random_below(3) as usize],
+                );
             }
         }
     }
     for team in &teams {
-        let difference = account.of(team).cpus - account.recount(team).cpus;
+        let difference = usage.of(team).cpus - usage.recount(team).cpus;
         assert!(difference.abs() < 1e-7, "{team}: {difference}");
     }
-    // What leaves twice, or was never entered, takes nothing away.
-    let before = account.of(&teams[0]).cpus;
-    account.enter(task("wk-000002", 0), &teams[0], resources(2.0));
-    account.leave(&task("wk-000002", 0));
-    account.leave(&task("wk-000002", 0));
-    account.leave(&task("wk-000003", 0));
-    assert!((account.of(&teams[0]).cpus - before).abs() < 1e-9);
+    // A task that leaves twice, or that was never entered, changes nothing.
+    let before = usage.of(&teams[0]).cpus;
+    usage.enter(task("wk-000002", 0), &teams[0], resources(2.0));
+    usage.leave(&task("wk-000002", 0));
+    usage.leave(&task("wk-000002", 0));
+    usage.leave(&task("wk-000003", 0));
+    assert!((usage.of(&teams[0]).cpus - before).abs() < 1e-9);
 }
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts on record that no heartbeat has confirmed: they hold their place and their team's room.
+//! Attempts on record that no heartbeat has confirmed: they keep their resources and count for their team's
+//! limit.
 
 use super::{is_kill, job_id, launched_index, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
 use crate::common::*;
@@ -9,8 +10,9 @@
 };
 use cypressgap_recovery::attempt_state::AttemptState;
 
-/// Attempts on record hold their places while their machine is silent, within its lease and past it, and
-/// until a proof: a machine that was never answered in this term may have had its lease renewed by another.
+/// Guards against a task that runs twice because its machine is silent. The attempt stays on record until it
+/// is proved gone. The expiry of the lease proves that only for a machine that was answered in this term: the
+/// lease of any other may have been renewed by another leader.
 #[test]
 fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
     let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
@@ -32,22 +34,28 @@
     assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Silent));
     assert_eq!(usage_of_red(&fixture), 8.0, "silence proves nothing");
-    // The lease of the one that was answered runs out after 30 s and the drift; the other is not fenced.
+    // The lease of i-0, which was answered, has expired after 30 s and the clock drift. i-1 has shown no
+    // token of this term.
     for _ in 0..4 {
         fixture.pass(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!((state(&fixture, 0), usage_of_red(&fixture)), (None, 4.0));
     assert!(fixture.active("wk-000001", 1).is_some());
-    // Back with its earlier boot's report, and then with one of its new incarnation.
+    // A late duplicate of a heartbeat from an earlier term proves nothing, the return of the machine does.
     let late = heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
     fixture.cluster.on_heartbeat(fixture.now, late);
     assert!(fixture.active("wk-000001", 1).is_some(), "a late duplicate");
     fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
-    assert_eq!(usage_of_red(&fixture), 0.0, "the cloud's word is a proof");
+    assert_eq!(
+        usage_of_red(&fixture),
+        0.0,
+        "the confirmed return is a proof"
+    );
 }
 
-/// Of a gang that was heard of by half, the rest is neither launched again nor given away.
+/// Guards against a gang that is taken apart while only half of it has reported: the other half is neither
+/// launched elsewhere nor are its resources given to other tasks.
 #[test]
 fn a_gang_confirmed_by_half_waits_for_the_other_half() {
     let mut gang = spec("wk-000001", 2, 4.0);
@@ -74,7 +82,7 @@
     let mut fixture = taken_over(scheduler_config, jobs, 2);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
-    // One proves to be gone: its own launch comes first, as the same attempt.
+    // One attempt is proved absent: the same attempt is launched again before any other task.
     let (_, commands) = fixture.heartbeat("i-0", 1, vec![]);
     assert_eq!(
         commands
@@ -86,10 +94,11 @@
     assert_eq!(usage_of_red(&fixture), 8.0);
 }
 
-/// What ended while nobody listened -> whether the job that waited for it starts.
+/// Guards against a job that waits forever because its dependency ended while there was no leader.
 #[test]
 fn a_dependency_that_ended_without_a_leader_is_known() {
-    for (end, starts) in [
+    // The stored outcome of the dependency, and the number of tasks that start.
+    for (outcome, starts) in [
         (Some(JobOutcome::Done), 1),
         (Some(JobOutcome::Cancelled), 0),
         (None, 0),
@@ -102,17 +111,21 @@
                 spec: dependent,
                 revision: 50,
             }],
-            dependency_outcomes: end.map(|e| ("wk-000099".into(), e)).into_iter().collect(),
+            dependency_outcomes: outcome
+                .map(|e| ("wk-000099".into(), e))
+                .into_iter()
+                .collect(),
             ..StoredSnapshot::default()
         };
         fixture.cluster.take_over(fixture.now, snapshot);
         fixture.heartbeat("i-9", 1, vec![]);
-        assert_eq!(launches(&fixture.settle()).len(), starts, "{end:?}");
+        assert_eq!(launches(&fixture.settle()).len(), starts, "{outcome:?}");
     }
 }
 
-/// Confirmed in the last second before the fault, by its outcome or by its mark: what runs is killed with the
-/// first heartbeat, what does not is never launched again.
+/// Guards against a cancellation that is lost when the leader fails just after it was confirmed, by the job's
+/// outcome or by its cancellation mark: a running task is killed in the answer to the first heartbeat, and a
+/// task that does not run is never launched again.
 #[test]
 fn a_cancellation_confirmed_just_before_the_failover_holds() {
     for marked in [true, false] {
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks that run though no record names them: adopted, killed, or held until their job is known.
+//! Unrecorded tasks, which run although no record names them: they are adopted, killed, or held until their
+//! job is known.
 
 use super::{is_kill, job_id, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
 use crate::common::*;
@@ -8,21 +9,27 @@
 use cypressgap::core::reconciliation::stored_snapshot::StoredSnapshot;
 use cypressgap::core::state::HeartbeatDecision;
 
-/// A task runs though no record names it. What the job or the machine is like -> adopted.
+/// Guards against the loss of work that runs without a record, and against adopted tasks that break a limit
+/// or a constraint of their job.
 #[test]
 fn unrecorded_work_of_a_live_job_is_adopted_where_a_launch_would_be_allowed() {
     type Edit = fn(&mut JobSpec, &mut Heartbeat);
+    // Name, change to the job or to the heartbeat, and whether the task is adopted.
     let cases: [(&str, Edit, bool); 7] = [
-        ("plain", |_, _| {}, true),
-        ("a gang", |s, _| s.kind = JobKind::Gang, false),
+        ("no constraint", |_, _| {}, true),
+        ("a gang member", |s, _| s.kind = JobKind::Gang, false),
         (
-            "another type",
+            "a job for another machine type",
             |s, _| s.machine_types = Some(vec!["m9".into()]),
             false,
         ),
-        ("another zone", |s, _| s.zone = Some("b".into()), false),
         (
-            "not for spot",
+            "a job for another zone",
+            |s, _| s.zone = Some("b".into()),
+            false,
+        ),
+        (
+            "a job that does not allow spot machines",
             |s, r| (s.allows_spot, r.spot) = (false, true),
             false,
         ),
@@ -32,51 +39,58 @@
             false,
         ),
         (
-            "waits for others",
+            "a blocked job",
             |s, _| s.dependencies = vec!["wk-000099".into()],
             false,
         ),
     ];
     for (name, edit, adopted) in cases {
         let mut job = spec("wk-000001", 2, 4.0);
-        let mut r = heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
-        edit(&mut job, &mut r);
+        let mut heartbeat =
+            heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
+        edit(&mut job, &mut heartbeat);
         let cpus = job.resources.cpus;
         let mut fixture = taken_over(config(), vec![job], 0);
         let HeartbeatDecision::Accept { commands, .. } =
-            fixture.cluster.on_heartbeat(fixture.now, r)
+            fixture.cluster.on_heartbeat(fixture.now, heartbeat)
         else {
-            panic!("{name}: refused");
+            panic!("{name}: the heartbeat was not accepted");
         };
         assert_eq!(commands.iter().any(is_kill), !adopted, "{name}");
         assert_eq!(fixture.active("wk-000001", 1).is_some(), adopted, "{name}");
-        assert_eq!(usage_of_red(&fixture), cpus, "{name}: it counts either way");
+        assert_eq!(
+            usage_of_red(&fixture),
+            cpus,
+            "{name}: the task counts either way"
+        );
     }
 }
 
 #[test]
-fn an_adopted_task_is_on_record_before_long_and_ends_like_any_other() {
+fn an_adopted_task_is_recorded_soon_and_killed_like_any_other() {
     let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     fixture.heartbeat("i-9", 1, vec![running(1)]);
     let started = launches(&fixture.settle());
     assert!(started.iter().all(|l| l.1.index == 0), "{started:?}");
     assert!(fixture.cluster.jobs[&job_id()].active[&1].durable);
-    // Cancelled, it is killed where it is.
+    // After the cancellation of its job it is killed.
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
     let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(1)]);
     assert!(commands.iter().any(is_kill));
     assert_eq!(usage_of_red(&fixture), 4.0 + 4.0 * started.len() as f64);
 }
 
-/// Late duplicates adopt nothing, nor does what this term itself gave up; a record elsewhere goes first.
+/// Guards against wrong adoptions: of tasks in late duplicates, of attempts that this term itself gave up,
+/// and of tasks that are on record on another machine.
 #[test]
-fn what_is_not_adopted_is_killed() {
+fn unrecorded_tasks_that_are_not_adopted_are_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
-    let own = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
+    let given_up = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
     let first_token = FencingToken::first(TERM).0;
+    // Name, token of the heartbeat, and the task that it lists.
     for (name, token, task) in [
         ("a late duplicate", old_token, running(1)),
-        ("this term's attempt", first_token, own),
+        ("an attempt that this term gave up", first_token, given_up),
         ("on record elsewhere", first_token, running(0)),
         ("no such task", first_token, running(2)),
     ] {
@@ -85,31 +99,34 @@
         let HeartbeatDecision::Accept { commands, .. } =
             fixture.cluster.on_heartbeat(fixture.now, heartbeat)
         else {
-            panic!("{name}: refused");
+            panic!("{name}: the heartbeat was not accepted");
         };
         assert!(commands.iter().any(is_kill), "{name}");
         assert!(fixture.active("wk-000001", 1).is_none(), "{name}");
     }
 }
 
-/// The store was put back: a job that it does not know runs. No team with a limit starts
-/// anything, the machine takes nothing, and only two answers and a while later it is killed.
+/// Guards against exceeded limits and lost work after the key-value store was restored to an earlier state: a
+/// task runs whose job the store does not know. No team with a limit starts anything, the machine gets no
+/// other task, and the task is killed only after two lookups that do not find the job, and after the time for
+/// which it is held.
 #[test]
 fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
     let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    let lost = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
-    let lost_job_id = JobId::from("wk-000077");
-    let (_, commands) = fixture.heartbeat("i-9", 1, vec![lost()]);
+    let unknown_task = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    let unknown_job_id = JobId::from("wk-000077");
+    let (_, commands) = fixture.heartbeat("i-9", 1, vec![unknown_task()]);
     fixture.heartbeat("i-8", 1, vec![]);
     assert!(commands.is_empty());
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
+    // Serial of the heartbeat, seconds before the lookup, and whether the task is killed.
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         fixture.pass(secs(after));
         fixture.cluster.on_job_statuses(
             fixture.now,
-            &[(lost_job_id.clone(), JobRecordStatus::NeverAccepted)],
+            &[(unknown_job_id.clone(), JobRecordStatus::NeverAccepted)],
         );
-        let (_, commands) = fixture.heartbeat("i-9", serial, vec![lost()]);
+        let (_, commands) = fixture.heartbeat("i-9", serial, vec![unknown_task()]);
         assert_eq!(commands.iter().any(is_kill), killed, "{serial}");
         assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
     }
@@ -119,11 +136,11 @@
     assert_eq!(
         launches(&fixture.settle()).len(),
         2,
-        "nothing unknown is left"
+        "no unknown task remains"
     );
 }
 
-/// The acceptance is heard of late, after a machine has shown the job's task.
+/// Guards against the loss of a task whose job becomes known only after a machine has listed the task.
 #[test]
 fn a_job_learned_of_late_keeps_its_tasks() {
     let mut fixture = taken_over(config(), vec![], 0);
@@ -146,7 +163,8 @@
     );
 }
 
-/// A machine takes nothing while it holds work of unknown size, whatever the team.
+/// Guards against an overloaded machine: while it runs a task whose resources are not known, it gets no other
+/// task, even of a team without a limit.
 #[test]
 fn a_machine_with_work_of_unknown_size_takes_nothing() {
     let mut scheduler_config = config();
@@ -155,8 +173,8 @@
         ..team("red", 8.0, 8.0)
     }];
     let mut fixture = taken_over(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
-    let lost = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
-    fixture.heartbeat("i-9", 1, vec![lost]);
+    let unknown_task = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    fixture.heartbeat("i-9", 1, vec![unknown_task]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     fixture.heartbeat("i-9", 2, vec![]);
     assert_eq!(launches(&fixture.settle()).len(), 1);
@@ -168,12 +186,13 @@
     fixture.heartbeat("i-9", 1, vec![running(1)]);
     assert!(!fixture.cluster.jobs[&job_id()].active[&1].durable);
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
-    assert_eq!(usage_of_red(&fixture), 4.0, "it may be there");
+    assert_eq!(usage_of_red(&fixture), 4.0, "the task may still run");
     let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(1)]);
     assert!(commands.iter().any(is_kill));
 }
 
-/// Its record cannot be read, and the store says that it is live: nothing is known against it.
+/// Guards against kills of tasks whose job record cannot be read: the store shows that the job is live, so
+/// there is no reason to kill them.
 #[test]
 fn work_of_a_job_whose_record_cannot_be_read_is_held() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -3,11 +3,12 @@
 use crate::common::*;
 use cypressgap::core::state::Action;
 
-fn returned(actions: &[Action]) -> bool {
+fn returns_first_machine(actions: &[Action]) -> bool {
     returned_machines(actions).contains(&first_machine())
 }
 
-/// Heartbeats that arrive at their interval while no answer or command reaches the worker.
+/// Sends heartbeats of `i-1` every 2 s for this many seconds, always with the same token, as if no answer or
+/// command reached the worker. Returns the leader's actions.
 fn heartbeats_without_answers(
     fixture: &mut ClusterFixture,
     seconds: u64,
@@ -15,21 +16,21 @@
     serial: u64,
     token: u64,
 ) -> Vec<Action> {
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     for n in 0..seconds / 2 {
         let heartbeat = heartbeat_from("i-1", incarnation, serial + n, token, vec![]);
         fixture.cluster.on_heartbeat(fixture.now, heartbeat);
-        // The others are well: the fault is not on our side.
+        // The other machines send heartbeats as usual, so the fault is not the leader's.
         for machine in ["i-8", "i-9"] {
             fixture.heartbeat(machine, 100 + fixture.revision * 50 + n, vec![]);
         }
-        out.extend(fixture.settle());
+        actions.extend(fixture.settle());
     }
     fixture.revision += 1;
-    out
+    actions
 }
 
-/// A deployment with one free machine, which takes the first task, and two that are taken.
+/// A fleet with one free machine, `i-1`, which gets the next task, and two fully used ones.
 fn one_free_machine() -> ClusterFixture {
     let mut scheduler_config = config();
     scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
@@ -51,7 +52,7 @@
     fixture.job(spec("wk-000001", 1, 4.0));
     let launched = launches(&fixture.settle());
     assert_eq!(launched[0].0, first_machine());
-    // Its heartbeats go on without the task, with the token of before.
+    // Its heartbeats go on with the earlier token and do not list the task.
     let first = heartbeats_without_answers(&mut fixture, 6, 1, 10, token);
     fixture.job(spec("wk-000002", 1, 4.0));
     let more = heartbeats_without_answers(&mut fixture, 4, 1, 20, token);
@@ -66,7 +67,10 @@
     let mut all = first;
     all.extend(more);
     all.extend(heartbeats_without_answers(&mut fixture, 24, 1, 40, token));
-    assert!(returned(&all), "returned well before two leases");
+    assert!(
+        returns_first_machine(&all),
+        "returned well before two leases"
+    );
     assert_eq!(
         fixture.active("wk-000001", 0).unwrap().0,
         first_machine(),
@@ -78,7 +82,7 @@
 
 #[test]
 fn a_new_incarnation_behind_an_inbound_partition_frees_its_tasks_but_gets_no_new_ones() {
-    // Whether the new incarnation shows the token that was raised for it -> whether it gets work.
+    // Whether the new incarnation carries the token that was raised for it. Only then it gets new tasks.
     for is_reached in [false, true] {
         let mut fixture = one_free_machine();
         fixture.job(spec("wk-000001", 1, 4.0));
@@ -86,17 +90,18 @@
         let token = fixture.cluster.fleet.machines[&first_machine()].token.0;
         let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
         fixture.cluster.on_heartbeat(fixture.now, fresh);
-        let moved = fixture.active("wk-000001", 0).is_none_or(|a| a.1 != old);
-        assert!(moved, "the later session proves the task gone");
+        let is_gone = fixture.active("wk-000001", 0).is_none_or(|a| a.1 != old);
+        assert!(is_gone, "the later incarnation proves the task gone");
         assert_eq!(launches(&fixture.settle()), vec![]);
-        let shown = if is_reached {
+        let observed_token = if is_reached {
             fixture.cluster.fleet.machines[&first_machine()].token.0
         } else {
             token
         };
-        fixture
-            .cluster
-            .on_heartbeat(fixture.now, heartbeat_from("i-1", 2, 2, shown, vec![]));
+        fixture.cluster.on_heartbeat(
+            fixture.now,
+            heartbeat_from("i-1", 2, 2, observed_token, vec![]),
+        );
         assert_eq!(launches(&fixture.settle()).len(), usize::from(is_reached));
     }
 }
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -1,4 +1,5 @@
-//! Intent before launch: a task is launched only once its intent is durable, in a term that still holds.
+//! Intent before launch: a task is launched only once its intent is durable, and only in the term that wrote
+//! it.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -26,7 +27,8 @@
     let batch = fixture.batch().expect("an intent is written");
     let keys: Vec<&str> = batch.conditions.iter().map(|c| c.key.as_str()).collect();
     let job_id = JobId::from("wk-000001");
-    // On the term, the intent's own revision, and the job's not being cancelled.
+    // The write is conditional on the term, on the revision of the intent's chunk, and on the job having no
+    // outcome.
     assert!(keys.contains(&LEADER_KEY));
     assert!(keys.contains(&chunk_key(&job_id, 0).as_str()));
     assert!(keys.contains(&outcome_key(&job_id).as_str()));
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn a_write_of_unknown_outcome_that_was_applied_is_repeated_on_its_revision() {
+fn a_write_of_unknown_outcome_that_was_applied_is_repeated_on_the_new_revision() {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn a_job_found_cancelled_by_its_intents_write_is_never_launched() {
+fn a_job_whose_intent_write_finds_it_cancelled_is_never_launched() {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 2, 4.0));
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn attempts_are_unique_over_terms() {
+fn attempt_ids_are_unique_across_terms() {
     let mut seen = std::collections::HashSet::new();
     for term in 1..4 {
         let now = std::time::Instant::now();
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership: election, the leader lease, and what a leader does that may have been replaced.
+//! Leadership: election, the leader lease, and what a leader does that may have been superseded.
 
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
@@ -10,7 +10,7 @@
 
 #[test]
 fn leader_election_cases() {
-    let renew = secs(1);
+    let renewal_interval = secs(1);
     let record = |member: &str, boot, term, revision| LeaderRecord {
         member: member.into(),
         boot,
@@ -18,46 +18,54 @@
         revision,
     };
     let now = Instant::now();
-    // What the leader key shows to a follower `m0` of boot 1.
+    // Name, the leader key as read by the follower `m0` of boot 1, and its next step.
     let cases = [
         ("absent", None, Step::Campaign { revision: 0 }),
-        ("another", Some(record("m1", 5, 4, 40)), Step::Wait),
         (
-            "our own earlier life",
+            "of another member",
+            Some(record("m1", 5, 4, 40)),
+            Step::Wait,
+        ),
+        (
+            "of an earlier process of this member",
             Some(record("m0", 9, 4, 40)),
             Step::Campaign { revision: 40 },
         ),
-        // Guards against nodes that all wait for a lease that nobody renews.
+        // Guards against nodes that all wait for the holder of a lease that no process renews.
         (
-            "our own, by a campaign whose answer was lost",
+            "of this process, from a campaign whose response was lost",
             Some(record("m0", 1, 4, 40)),
             Step::Campaign { revision: 40 },
         ),
     ];
     for (name, key, step) in cases {
-        let mut leadership = Leadership::new("m0", renew);
+        let mut leadership = Leadership::new("m0", renewal_interval);
         assert_eq!(leadership.on_leader_key(now, key), step, "{name}");
     }
-    // What a leader of term 4 makes of what it sees.
+    // Name, the leader key as read by the leader of term 4, and its next step.
     let cases: [(&str, Option<LeaderRecord>, Step); 4] = [
-        ("itself", Some(record("m0", 1, 4, 40)), Step::Wait),
+        ("of this leader", Some(record("m0", 1, 4, 40)), Step::Wait),
         ("an old read", Some(record("m1", 5, 3, 30)), Step::Wait),
-        ("a newer one", Some(record("m1", 5, 5, 50)), Step::StepDown),
-        ("its key gone", None, Step::StepDown),
+        (
+            "of a newer leader",
+            Some(record("m1", 5, 5, 50)),
+            Step::StepDown,
+        ),
+        ("absent", None, Step::StepDown),
     ];
     for (name, key, step) in cases {
-        let mut leadership = Leadership::new("m0", renew);
+        let mut leadership = Leadership::new("m0", renewal_interval);
         leadership.on_campaign_won(now, Term(4), 40);
         assert_eq!(leadership.on_leader_key(now, key), step, "{name}");
     }
-    let mut leadership = Leadership::new("m0", renew);
+    let mut leadership = Leadership::new("m0", renewal_interval);
     leadership.on_campaign_won(now, Term(4), 40);
     assert_eq!(leadership.on_term(Term(4)), Step::Wait);
     assert_eq!(leadership.next_step(now + secs(2)), Step::Renew);
-    // Renewals that fail leave it leading: the store may be out for all.
+    // The node keeps leading while renewals fail, because the store may be unavailable to all nodes.
     assert!(matches!(leadership.role(), Role::Leader { .. }));
     assert_eq!(leadership.on_term(Term(5)), Step::StepDown);
-    let mut leadership = Leadership::new("m0", renew);
+    let mut leadership = Leadership::new("m0", renewal_interval);
     leadership.on_leader_key(now, None);
     leadership.on_campaign_lost(now, secs(1));
     assert_eq!(leadership.next_step(now), Step::Wait);
@@ -65,8 +73,9 @@
         leadership.next_step(now + secs(2)),
         Step::Campaign { revision: 0 }
     );
-    // Given up, a term is left to others for a while; a word about an earlier term changes nothing.
-    let mut leadership = Leadership::new("m0", renew);
+    // After the node has resigned, it leaves the leadership to others for a while. A resignation from an
+    // earlier term changes nothing.
+    let mut leadership = Leadership::new("m0", renewal_interval);
     leadership.on_campaign_won(now, Term(4), 40);
     assert_eq!(leadership.resign(now, Term(3), secs(9)), Step::Wait);
     assert_eq!(leadership.resign(now, Term(4), secs(9)), Step::StepDown);
@@ -78,11 +87,12 @@
 }
 
 #[test]
-fn a_leader_lease_holds_only_while_both_clocks_agree() {
+fn a_leader_lease_expires_by_the_clock_that_advanced_further() {
     let start = ClockReading::now();
-    // Seconds passed by each clock.
+    // Seconds that passed by the steady clock and by the time of day, and whether the lease of 3 s still
+    // holds.
     let cases = [(1, 1, true), (4, 4, false), (1, 40, false), (40, 1, false)];
-    for (steady, by_day, leads) in cases {
+    for (steady, by_day, holds) in cases {
         let view = NodeView::new(start.steady);
         view.set_leadership(RoleView::Leader(TERM), None, TERM);
         assert!(!view.holds_leader_lease(TERM, start), "never renewed");
@@ -93,15 +103,15 @@
         };
         assert_eq!(
             view.holds_leader_lease(TERM, now),
-            leads,
+            holds,
             "{steady} {by_day}"
         );
         assert!(!view.holds_leader_lease(Term(9), now));
     }
 }
 
-/// Guards against a leader that lost the network, took its machines for silent, and had the returns
-/// carried out when it was back: by then they worked for its successor.
+/// Guards against a superseded leader that returns machines of its successor. It lost the network and took
+/// its machines for silent, and its requests to return them were carried out once the network was back.
 #[test]
 fn an_unconfirmed_leader_returns_only_machines_with_cancelled_tasks() {
     for cancelled in [false, true] {
@@ -109,41 +119,45 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.heartbeat("i-2", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
-        let l = launches(&fixture.settle());
-        let (on, a) = (l[0].0.clone(), l[0].2);
-        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
-        fixture.heartbeat(&on.0, 2, tasks);
+        let launched = launches(&fixture.settle());
+        let (machine, attempt) = (launched[0].0.clone(), launched[0].2);
+        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        fixture.heartbeat(&machine.0, 2, tasks);
         fixture.cluster.set_leadership_confirmed(false);
         if cancelled {
             fixture
                 .cluster
                 .on_cancel_marked(fixture.now, &"wk-000001".into());
         }
-        let gone: Vec<MachineId> = (0..13)
+        let returned: Vec<MachineId> = (0..13)
             .flat_map(|_| returned_machines(&fixture.settle()))
             .collect();
-        let expected = if cancelled { vec![on] } else { vec![] };
-        assert_eq!(gone, expected, "cancelled {cancelled}");
-        // Once it is the leader for certain, what is still silent goes.
+        let expected = if cancelled { vec![machine] } else { vec![] };
+        assert_eq!(returned, expected, "cancelled {cancelled}");
+        // Once its leadership is confirmed, it returns the machines that are still silent.
         fixture.cluster.set_leadership_confirmed(true);
-        assert_eq!(returned_machines(&fixture.settle()).len(), 2 - gone.len());
+        assert_eq!(
+            returned_machines(&fixture.settle()).len(),
+            2 - returned.len()
+        );
     }
 }
 
-/// Guards against a leader that keeps the leadership while no heartbeat comes through to it.
+/// Guards against a leader that keeps the leadership while no heartbeat reaches it.
 #[test]
 fn a_leader_without_heartbeats_is_detected() {
-    // Whether a machine reported, whether there is one, and from when on it is missed.
+    // Name, whether a machine has sent heartbeats, whether there is a machine, and the second from which on
+    // the leader counts as without heartbeats.
     let cases = [
         ("sent heartbeats once", true, true, 9..=9),
         ("never sent any", false, true, 34..=34),
         ("no machines", false, false, 0..=0),
     ];
-    for (name, sends_heartbeats, any, from) in cases {
+    for (name, sends_heartbeats, has_machine, detected_at) in cases {
         let mut fixture = ClusterFixture::new();
         if sends_heartbeats {
             fixture.heartbeat("i-1", 1, vec![]);
-        } else if any {
+        } else if has_machine {
             fixture.job(spec("wk-000001", 1, 4.0));
             let value = ChunkValue {
                 done: 0,
@@ -158,6 +172,6 @@
                 .cluster
                 .is_without_heartbeats(fixture.now + secs(*s))
         });
-        assert_eq!(first, any.then_some(*from.start()), "{name}");
+        assert_eq!(first, has_machine.then_some(*detected_at.start()), "{name}");
     }
 }
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -1,4 +1,4 @@
-//! Whether a node declares itself healthy, and the latencies that it reports.
+//! Whether a node reports itself as healthy, and the latencies that it reports.
 
 use crate::common::*;
 use cypressgap::common::metrics::LatencyMeter;
@@ -8,16 +8,33 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_node_is_unhealthy_only_when_a_peer_can_do_better() {
-    // Seconds that the store has failed us, what a peer says and how long ago.
+fn a_node_without_the_store_is_unhealthy_unless_its_peers_lack_it_too() {
+    // Name, for how many seconds calls to the store have been failing, whether a peer's last status said that
+    // it reaches the store and how many seconds ago, and whether the node is healthy.
     let cases = [
-        ("all well", None, None, true),
-        ("a moment's trouble", Some(1), Some((true, 0)), true),
-        ("lost to us alone", Some(5), Some((true, 1)), false),
-        ("lost to all", Some(5), Some((false, 1)), true),
-        // It is then most likely the one that is cut off, and would keep its users from the others.
-        ("no recent status", Some(5), Some((true, 30)), false),
-        ("no status ever", Some(5), None, false),
+        ("no failure", None, None, true),
+        ("a short failure", Some(1), Some((true, 0)), true),
+        (
+            "the store is lost to this node alone",
+            Some(5),
+            Some((true, 1)),
+            false,
+        ),
+        (
+            "the store is lost to all nodes",
+            Some(5),
+            Some((false, 1)),
+            true,
+        ),
+        // Without recent statuses this node is most likely the one that is cut off. If it claimed to be
+        // healthy, its users would not turn to other nodes.
+        (
+            "no recent status of a peer",
+            Some(5),
+            Some((true, 30)),
+            false,
+        ),
+        ("no status of a peer at all", Some(5), None, false),
     ];
     for (name, failing, peer, healthy) in cases {
         let start = Instant::now();
@@ -28,33 +45,33 @@
             view.record_store_call(false, now - secs(s));
         }
         if let Some((ok, ago)) = peer {
-            let word = PeerStatus {
+            let status = PeerStatus {
                 received_at: now - secs(ago),
                 store_ok: ok,
                 workers: 0,
                 demand: ChangeRateDemand::default(),
                 timer_lag: secs(0),
             };
-            view.record_peer("worker-1", word);
+            view.record_peer("worker-1", status);
         }
         assert_eq!(view.is_healthy(true, now), healthy, "{name}");
         if peer.is_none() {
-            assert!(view.is_healthy(false, now), "{name}, and there are none");
+            assert!(view.is_healthy(false, now), "{name}, without peers");
         }
     }
 }
 
 #[test]
 fn latency_meters_report_percentiles_and_reset() {
-    let m = LatencyMeter::new();
+    let meter = LatencyMeter::new();
     for ms in 1..=100 {
-        m.record(Duration::from_millis(ms));
+        meter.record(Duration::from_millis(ms));
     }
-    let summary = m.take_summary();
+    let summary = meter.take_summary();
     assert_eq!(summary.count, 100);
     assert!((49.0..52.0).contains(&summary.p50_ms) && (94.0..97.0).contains(&summary.p95_ms));
     assert_eq!(
-        m.take_log_fields("calls"),
+        meter.take_log_fields("calls"),
         "calls=0 calls_ms_p50=0.0 calls_ms_p95=0.0"
     );
 }
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -9,9 +9,10 @@
 
 #[test]
 fn machines_eligible_for_a_job() {
-    // The machine offered is an ordinary m8 in zone a.
+    // The only machine is an on-demand m8 in zone a. Name, change to a job of two tasks, and how many of them
+    // start.
     let cases: [(&str, Edit, usize); 6] = [
-        ("anything", |_| {}, 2),
+        ("no constraint", |_| {}, 2),
         ("type", |job| job.machine_types = Some(vec!["m9".into()]), 0),
         ("zone", |job| job.zone = Some("b".into()), 0),
         ("spread: half of two", |job| job.spread = true, 1),
@@ -33,7 +34,8 @@
         fixture.job(job);
         assert_eq!(launches(&fixture.settle()).len(), expected, "{name}");
     }
-    // Spot machines only for those that allow them; one zone once a task has chosen it.
+    // An on-demand machine in zone a and a spot machine in zone b. Whether the job allows spot machines,
+    // whether it has to stay in one zone, and how many of its three tasks start.
     for (allows_spot, same_place, expected) in
         [(true, false, 3), (false, false, 1), (true, true, 1)]
     {
@@ -51,8 +53,8 @@
         if same_place {
             assert!(launched.windows(2).all(|p| p[0].0 == p[1].0));
         } else {
-            let ordinary = launched.iter().filter(|l| l.0 == "i-1".into()).count();
-            assert_eq!(launched.len() - ordinary > 0, allows_spot);
+            let on_demand = launched.iter().filter(|l| l.0 == "i-1".into()).count();
+            assert_eq!(launched.len() - on_demand > 0, allows_spot);
             assert!(launched.len() >= expected.min(2), "{}", launched.len());
         }
     }
@@ -63,7 +65,7 @@
     let mut fixture = ClusterFixture::with(config(), vec![machine_type("m8", 64.0)]);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 20, 4.0));
-    // 32 CPUs at most: eight tasks, whatever else is free.
+    // The limit of 32 CPUs allows eight tasks, although more resources are free.
     assert_eq!(launches(&fixture.settle()).len(), 8);
     fixture
         .cluster
@@ -72,7 +74,7 @@
     assert_eq!(
         launches(&fixture.settle()),
         vec![],
-        "the cancelled may still run"
+        "the cancelled tasks may still run"
     );
     fixture.cluster.on_returned(fixture.now, &["i-1".into()]);
     fixture.heartbeat("i-2", 1, vec![]);
@@ -81,7 +83,7 @@
 
 #[test]
 fn placement_weighs_availability_run_time_and_image_fetch() {
-    // Machine 1 has the image; machine 2 is empty. A busy machine's room comes later.
+    // i-1 has cached the image and is half used; i-2 is empty.
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -104,8 +106,9 @@
 
 #[test]
 fn no_task_waits_for_a_busy_machine_that_is_a_little_better() {
-    // The busy machine's lead over the idle one: seconds until it is free, its measured speed.
-    for (rest, slowness, waits) in [(1, 0.0, false), (1, -0.2, false), (0, -0.3, false)] {
+    // Seconds until the busy machine is free, its measured slowness (negative: faster than expected), and
+    // whether the task waits for it.
+    for (remaining_s, slowness, waits) in [(1, 0.0, false), (1, -0.2, false), (0, -0.3, false)] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         let mut job = spec("wk-000001", 1, 8.0);
@@ -114,7 +117,7 @@
         let attempt = launches(&fixture.settle())[0].2;
         let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
-        fixture.pass(secs(10 - rest));
+        fixture.pass(secs(10 - remaining_s));
         fixture.heartbeat("i-1", 3, running());
         fixture.heartbeat("i-2", 1, vec![]);
         for _ in 0..4 {
@@ -138,28 +141,28 @@
         });
         fixture.job(spec("wk-000002", 1, 4.0));
         let launched = launches(&fixture.settle());
-        assert_eq!(launched.is_empty(), waits, "{rest} {slowness}");
+        assert_eq!(launched.is_empty(), waits, "{remaining_s} {slowness}");
         assert_eq!(launched[0].0, "i-2".into());
     }
 }
 
 #[test]
-fn a_slow_machine_is_placed_last_among_equals() {
+fn a_slow_machine_is_chosen_last_among_equals() {
     let mut fixture = ClusterFixture::new();
-    for (n, machine) in ["i-1", "i-2"].iter().enumerate() {
-        fixture.heartbeat(machine, 1, vec![]);
-        let h = fixture
+    for (n, machine_id) in ["i-1", "i-2"].iter().enumerate() {
+        fixture.heartbeat(machine_id, 1, vec![]);
+        let machine = fixture
             .cluster
             .fleet
             .machines
-            .get_mut(&MachineId::from(*machine))
+            .get_mut(&MachineId::from(*machine_id))
             .unwrap();
-        h.images.push(CachedImage {
+        machine.images.push(CachedImage {
             image: ImageKey::of("img-1"),
             size_gb: 2.0,
         });
         for _ in 0..4 {
-            h.slowness.add(if n == 0 { 1.5 } else { 0.0 });
+            machine.slowness.add(if n == 0 { 1.5 } else { 0.0 });
         }
     }
     fixture.job(spec("wk-000001", 1, 4.0));
@@ -170,22 +173,22 @@
 fn a_gang_starts_whole_with_one_attempt_and_ends_whole() {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
-    let mut s = spec("wk-000001", 3, 4.0);
-    s.kind = JobKind::Gang;
-    fixture.job(s);
+    let mut gang = spec("wk-000001", 3, 4.0);
+    gang.kind = JobKind::Gang;
+    fixture.job(gang);
     assert_eq!(
         launches(&fixture.settle()),
         vec![],
-        "two of three have room"
+        "only two of the three members fit"
     );
     fixture.heartbeat("i-2", 1, vec![]);
     let launched = launches(&fixture.settle());
     assert_eq!(launched.len(), 3);
     assert!(launched.iter().all(|l| l.2 == launched[0].2));
-    let on = |h: &str| {
+    let launched_on = |machine: &str| {
         launched
             .iter()
-            .filter(|l| l.0 == h.into())
+            .filter(|l| l.0 == machine.into())
             .collect::<Vec<_>>()
     };
     let ended = |exit| {
@@ -193,11 +196,11 @@
             shown("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
         }
     };
-    // One lost member ends the attempt: the others are stopped, and only then it starts anew.
+    // The loss of one member ends the attempt: the others are stopped, and only then the gang starts again.
     fixture.heartbeat(
         "i-2",
         2,
-        on("i-2")
+        launched_on("i-2")
             .iter()
             .map(ended(ExitReason::GangMemberEnded))
             .collect(),
@@ -207,7 +210,7 @@
     fixture.heartbeat(
         "i-1",
         2,
-        on("i-1")
+        launched_on("i-1")
             .iter()
             .map(ended(ExitReason::GangMemberEnded))
             .collect(),
@@ -215,7 +218,7 @@
     let again = launches(&fixture.settle());
     assert_eq!(again.len(), 3);
     assert_ne!(again[0].2, launched[0].2);
-    // All are done when one is, counted once each.
+    // When one member completes, all members are done, and each counts once.
     let done: Vec<_> = again.iter().filter(|l| l.0 == "i-1".into()).collect();
     fixture.heartbeat(
         "i-1",
@@ -232,6 +235,7 @@
 fn large_machines_are_reserved_only_for_far_larger_tasks_that_fit() {
     let large = machine_type("m64", 64.0);
     let small = machine_type("m8", 8.0);
+    // Name, resources of the waiting tasks, CPUs of the task, machine type, and whether it is reserved.
     let cases = [
         ("nothing waits", vec![], 2.0, &large, false),
         (
@@ -256,14 +260,14 @@
             false,
         ),
     ];
-    for (name, waiting, cpus, t, expected) in cases {
+    for (name, waiting, cpus, machine_type, expected) in cases {
         assert_eq!(
-            is_wanted_by_larger_tasks(&waiting, &resources(cpus), t),
+            is_wanted_by_larger_tasks(&waiting, &resources(cpus), machine_type),
             expected,
             "{name}"
         );
     }
-    // With room on both kinds, the small task leaves the large machine alone while one waits.
+    // The small task fits on both types, and is not placed on the large machine while a larger task waits.
     let mut unlimited = config();
     unlimited.teams[0].cpus_max = None;
     let mut fixture = ClusterFixture::with(unlimited, vec![small, large]);
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -6,73 +6,76 @@
 type Edit = fn(&mut JobSpec);
 
 #[test]
-fn no_task_is_preempted_for_one_that_would_not_take_the_room() {
-    // Size of the claimant's image, cached only where more urgent work ends soon -> stopped.
-    for (gb, stopped) in [(1.0, true), (40.0, false)] {
+fn no_task_is_preempted_for_one_that_would_be_placed_elsewhere() {
+    // Size of the waiting task's image in GB, and whether the long task is preempted for it. The image is
+    // cached only on the machine whose high-priority task ends soon; if it is large, the waiting task starts
+    // there.
+    for (image_gb, preempted) in [(1.0, true), (40.0, false)] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.heartbeat("i-2", 1, vec![]);
-        let mut soon = spec("wk-000001", 1, 8.0);
-        soon.priority = Priority::High;
-        soon.expected = secs(50);
-        fixture.job(soon);
-        let one = launches(&fixture.settle())[0].clone();
-        let mut long = spec("wk-000002", 1, 8.0);
-        long.expected = secs(500);
-        long.image = "img-2".into();
-        fixture.job(long);
-        let two = launches(&fixture.settle())[0].clone();
-        assert_ne!(one.0, two.0);
+        let mut ends_soon = spec("wk-000001", 1, 8.0);
+        ends_soon.priority = Priority::High;
+        ends_soon.expected = secs(50);
+        fixture.job(ends_soon);
+        let first = launches(&fixture.settle())[0].clone();
+        let mut ends_late = spec("wk-000002", 1, 8.0);
+        ends_late.expected = secs(500);
+        ends_late.image = "img-2".into();
+        fixture.job(ends_late);
+        let second = launches(&fixture.settle())[0].clone();
+        assert_ne!(first.0, second.0);
         let mut serial = 5;
-        let mut run = |fixture: &mut ClusterFixture| {
-            for (machine, t, a) in [&one, &two] {
+        let mut send_heartbeats = |fixture: &mut ClusterFixture| {
+            for (machine, t, a) in [&first, &second] {
                 let running = vec![shown(&t.job_id.0, 0, *a, TaskPhase::Running)];
                 fixture.heartbeat(&machine.0, serial, running);
             }
             serial += 1;
         };
-        run(&mut fixture);
+        send_heartbeats(&mut fixture);
         fixture.pass(secs(43));
-        run(&mut fixture);
-        let mut claimant = spec("wk-000003", 1, 8.0);
-        claimant.priority = Priority::High;
-        claimant.image_gb = gb;
-        claimant.expected = secs(10);
-        fixture.job(claimant);
+        send_heartbeats(&mut fixture);
+        let mut waiting = spec("wk-000003", 1, 8.0);
+        waiting.priority = Priority::High;
+        waiting.image_gb = image_gb;
+        waiting.expected = secs(10);
+        fixture.job(waiting);
         fixture.settle();
-        let kill = fixture.cluster.jobs[&JobId::from("wk-000002")].active[&0]
+        let is_killed = fixture.cluster.jobs[&JobId::from("wk-000002")].active[&0]
             .kill_request
             .is_some();
-        assert_eq!(kill, stopped, "{gb}");
+        assert_eq!(is_killed, preempted, "image of {image_gb} GB");
     }
 }
 
 #[test]
 fn preemption_cases() {
-    // Seconds that the victim ran, edits of the victim and of the claimant -> stopped.
+    // Name, seconds that the victim has run, changes to the victim's job and to the waiting job, and whether
+    // the victim is preempted.
     let high: Edit = |job| job.priority = Priority::High;
     let blue: Edit = |job| job.team = "blue".into();
     let cases: [(&str, u64, Edit, Edit, bool); 6] = [
         ("higher priority", 40, |_| {}, high, true),
         ("same priority", 40, |_| {}, |_| {}, false),
         (
-            "a start still promised",
+            "the start of the victim is protected",
             10,
             |job| job.class = "quick".into(),
             high,
             false,
         ),
         (
-            "a guarantee against borrowed room",
+            "a team within its guarantee against one that borrows",
             40,
             |job| job.team = "grey".into(),
             blue,
             true,
         ),
-        ("a guarantee against a guarantee", 40, |_| {}, blue, false),
-        ("about to end by itself", 59, |_| {}, high, false),
+        ("two teams within their guarantees", 40, |_| {}, blue, false),
+        ("the victim is about to end", 59, |_| {}, high, false),
     ];
-    for (name, ran, victim, claimant, stopped) in cases {
+    for (name, ran_s, victim, waiting, preempted) in cases {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
         let mut job = spec("wk-000001", 1, 8.0);
@@ -81,15 +84,15 @@
         let attempt = launches(&fixture.settle())[0].2;
         let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
-        fixture.pass(secs(ran));
+        fixture.pass(secs(ran_s));
         fixture.heartbeat("i-1", 3, running());
         let mut job = spec("wk-000002", 1, 8.0);
-        claimant(&mut job);
+        waiting(&mut job);
         fixture.job(job);
         fixture.settle();
-        let kill = fixture.cluster.jobs[&JobId::from("wk-000001")].active[&0]
+        let is_killed = fixture.cluster.jobs[&JobId::from("wk-000001")].active[&0]
             .kill_request
             .is_some();
-        assert_eq!(kill, stopped, "{name}");
+        assert_eq!(is_killed, preempted, "{name}");
     }
 }
--- a/tests/scheduler/priority_inheritance.rs
+++ b/tests/scheduler/priority_inheritance.rs
@@ -4,10 +4,10 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 
-/// What is needed takes the priority of what needs it, and a deadline from which that one's run is
-/// taken off, in whichever order they are heard of.
+/// A dependency inherits the priority of its dependent, and the dependent's deadline minus its expected run
+/// time, in whichever order the jobs become known.
 #[test]
-fn priority_and_deadlines_go_up_the_chain() {
+fn priorities_and_deadlines_are_inherited_along_a_chain() {
     for last_first in [false, true] {
         let mut fixture = ClusterFixture::new();
         let mut last = job_depending_on(3, &[2]);
@@ -41,24 +41,27 @@
     }
 }
 
-/// What a pipeline's end asks of what it needs, for all shapes of pipelines, and as ends come and go.
+/// Inherited priorities and deadlines for all shapes of pipelines, before and after jobs of them are
+/// cancelled.
 #[test]
 fn inherited_priorities_and_deadlines_follow_the_ends_of_dependency_chains() {
     use Priority::*;
+    // Jobs: number, dependencies, own priority, and own deadline in seconds after arrival.
     type Jobs = &'static [(u32, &'static [u32], Priority, Option<u64>)];
-    // The jobs with what they need, their own priority and deadline; which are cancelled then; and the
-    // ranks before and after that.
+    // Ranks: job number, resulting priority, and resulting deadline in seconds after arrival.
     type Ranks = &'static [(u32, Priority, Option<u64>)];
     struct Case {
         name: &'static str,
         jobs: Jobs,
         cancelled: &'static [u32],
+        /// The ranks before the cancellation.
         before: Ranks,
+        /// The ranks after it.
         after: Ranks,
     }
     let cases = [
         Case {
-            name: "a diamond: the nearer deadline counts for what both need",
+            name: "a diamond: the common dependency inherits the earlier deadline",
             jobs: &[
                 (1, &[], Idle, None),
                 (2, &[1], Idle, Some(400)),
@@ -78,7 +81,7 @@
             ],
         },
         Case {
-            name: "a fan-in: each of what it needs, whatever its own rank",
+            name: "a fan-in: each dependency inherits, unless its own rank is higher",
             jobs: &[
                 (1, &[], Idle, None),
                 (2, &[], Production, Some(100)),
@@ -89,7 +92,7 @@
             after: &[(1, Idle, None), (2, Production, Some(100))],
         },
         Case {
-            name: "one of two ends goes, the other stays",
+            name: "one of two dependents is cancelled",
             jobs: &[
                 (1, &[], Idle, None),
                 (2, &[1], High, Some(200)),
@@ -100,7 +103,7 @@
             after: &[(1, Standard, Some(440))],
         },
         Case {
-            name: "a cancelled middle takes its end along, which other branches lose too",
+            name: "cancelling a job in the middle cancels its dependent, whose rank the other branch loses",
             jobs: &[
                 (1, &[], Idle, None),
                 (2, &[], Idle, None),
@@ -116,7 +119,7 @@
             after: &[(1, Idle, None), (2, Idle, None)],
         },
         Case {
-            name: "an urgent end behind idle work",
+            name: "an urgent job that depends on idle ones",
             jobs: &[
                 (1, &[], Idle, None),
                 (2, &[1], Idle, None),
@@ -128,7 +131,7 @@
         },
     ];
     for case in cases {
-        // In the order of submission, and as a new leader may read them.
+        // In the order of submission, and in reverse, as a new leader may read them.
         for reversed in [false, true] {
             let mut fixture = ClusterFixture::new();
             let mut jobs = case.jobs.to_vec();
@@ -141,27 +144,31 @@
                 job.due = due.map(secs);
                 fixture.job(job);
             }
-            let ranks = |fixture: &ClusterFixture, expected: Ranks, when: &str| {
+            let assert_ranks = |fixture: &ClusterFixture, expected: Ranks, when: &str| {
                 for (n, priority, due) in expected {
                     let job = &fixture.cluster.jobs[&job_id(*n)];
-                    let why = format!("{} ({when}, reversed {reversed}): {n}", case.name);
-                    assert_eq!(job.spec.priority, *priority, "{why}");
-                    assert_eq!(job.deadline, due.map(|d| job.arrived + secs(d)), "{why}");
+                    let message = format!("{} ({when}, reversed {reversed}): {n}", case.name);
+                    assert_eq!(job.spec.priority, *priority, "{message}");
+                    assert_eq!(
+                        job.deadline,
+                        due.map(|d| job.arrived + secs(d)),
+                        "{message}"
+                    );
                 }
             };
             fixture.settle();
-            ranks(&fixture, case.before, "before");
+            assert_ranks(&fixture, case.before, "before");
             for n in case.cancelled {
                 fixture.cluster.on_cancel_marked(fixture.now, &job_id(*n));
             }
             fixture.settle();
-            ranks(&fixture, case.after, "after");
+            assert_ranks(&fixture, case.after, "after");
         }
     }
 }
 
-/// Each job above a change is looked at once a round, however long the chain and however many the
-/// dependents.
+/// Guards against rounds that take too long: the rank of each job upstream of a change is computed once per
+/// round, however long the chain and however many the dependents.
 #[test]
 fn the_cost_of_priority_inheritance_is_bounded() {
     const CHAIN: u32 = 1000;
@@ -169,7 +176,7 @@
     let mut fixture = ClusterFixture::new();
     for n in (0..CHAIN).rev() {
         let mut job = job_depending_on(n, &if n > 0 { vec![n - 1] } else { vec![] });
-        // Each end asks for more than the one before it: the worst that can come.
+        // The worst case: each job requires an earlier deadline than its dependency has.
         job.due = Some(secs(u64::from(100_000 - n)));
         fixture.job(job);
     }
@@ -177,7 +184,7 @@
     assert_eq!(
         fixture.cluster.jobs.priorities_computed,
         u64::from(CHAIN),
-        "a chain, from its end"
+        "a chain that is added from its end"
     );
     let mut fixture = ClusterFixture::new();
     fixture.job(job_depending_on(0, &[]));
@@ -188,7 +195,7 @@
         u64::from(FAN) + 1,
         "a fan"
     );
-    // One more, and one less: the one that they all need, and the one itself.
+    // A further dependent: its own rank and that of the common dependency. Its cancellation: only the latter.
     fixture.job(job_depending_on(FAN + 1, &[0]));
     fixture.settle();
     assert_eq!(fixture.cluster.jobs.priorities_computed, u64::from(FAN) + 3);
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -7,7 +7,8 @@
 use cypressgap::node::pause_detector::PauseDetector;
 use std::time::Duration;
 
-/// Guards against a process that was paused and takes its own silence for the machines'.
+/// Guards against a process that was paused and takes the machines for silent, although it could not receive
+/// their heartbeats.
 #[test]
 fn a_paused_process_does_not_take_machines_for_silent() {
     for paused in [false, true] {
@@ -17,42 +18,43 @@
         let attempt = launches(&fixture.settle())[0].2;
         let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks);
-        let mut gone = Vec::new();
+        let mut returned = Vec::new();
         for _ in 0..12 {
             fixture.pass(secs(2));
             if !paused {
-                gone.extend(returned_machines(&fixture.settle()));
+                returned.extend(returned_machines(&fixture.settle()));
             }
         }
-        gone.extend(returned_machines(&fixture.settle()));
-        assert_eq!(gone.is_empty(), paused, "paused: {paused}");
+        returned.extend(returned_machines(&fixture.settle()));
+        assert_eq!(returned.is_empty(), paused, "paused: {paused}");
         assert!(!paused || !fixture.cluster.is_without_heartbeats(fixture.now));
     }
 }
 
-/// Guards against a process that takes what waited while it was paused for news of now.
+/// Guards against a process that takes messages that waited during its pause for current ones.
 #[test]
 fn process_pauses_are_detected() {
-    // Seconds that passed by the steady clock and by the time of day since the last look.
+    // Name, seconds since the last check by the steady clock and by the time of day, and whether that is a
+    // pause.
     let cases: [(&str, f64, f64, bool); 7] = [
-        ("a usual look", 0.5, 0.5, false),
-        ("a busy processor", 3.0, 3.0, false),
-        ("both clocks went on", 20.0, 20.0, true),
-        ("the steady clock paused too", 0.1, 20.0, true),
-        ("only the steady clock went on", 20.0, 0.1, true),
-        ("the time of day wandered", 0.5, 0.8, false),
+        ("a usual check", 0.5, 0.5, false),
+        ("a busy process", 3.0, 3.0, false),
+        ("a pause, both clocks advanced", 20.0, 20.0, true),
+        ("a pause, the steady clock stopped", 0.1, 20.0, true),
+        ("only the steady clock advanced", 20.0, 0.1, true),
+        ("the time of day drifted", 0.5, 0.8, false),
         ("the time of day was set back", 0.5, -60.0, true),
     ];
     for (name, steady, day, is_pause) in cases {
         let start = ClockReading::now();
         let detector = PauseDetector::new(Duration::from_millis(100), start);
-        let moved = Duration::from_secs_f64(day.abs());
+        let day_step = Duration::from_secs_f64(day.abs());
         let now = ClockReading {
             steady: start.steady + Duration::from_secs_f64(steady),
             day: if day < 0.0 {
-                start.day - moved
+                start.day - day_step
             } else {
-                start.day + moved
+                start.day + day_step
             },
         };
         assert_eq!(detector.just_resumed(now), is_pause, "{name}");
@@ -66,13 +68,14 @@
             day: now.day + secs(1),
         };
         assert!(!detector.just_resumed(later), "{name}, a second later");
-        // A thread that read its clock before another one looked changes nothing.
+        // A check by a thread that read its clocks before the last check of another thread changes nothing.
         assert_eq!(detector.check(start).is_some(), is_pause, "{name}");
     }
 }
 
-/// Guards against leases judged by a clock that went on while nothing could be answered: a task was
-/// moved while it ran. And against kills whose grace was over before they were sent.
+/// Guards against leases that expire during a pause, in which the process could not answer heartbeats: their
+/// tasks would be moved while they still run. Also guards against kills whose grace period ends before they
+/// are sent.
 #[test]
 fn a_paused_process_expires_no_lease_that_it_could_not_renew() {
     for resumed in [false, true] {
@@ -82,7 +85,7 @@
         let attempt = launches(&fixture.settle())[0].2;
         let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks.clone());
-        // An order to stop with some grace has not gone out yet.
+        // A kill with a grace period is not sent yet.
         let job = fixture.cluster.jobs.get_mut(&"wk-000001".into()).unwrap();
         job.active.get_mut(&0).unwrap().kill_request = Some(KillRequest {
             grace_period: secs(6),
@@ -92,30 +95,30 @@
         if resumed {
             fixture.cluster.on_process_resumed(fixture.now);
         } else {
-            // As if it had run and ticked all the time.
+            // As if the process had been running all the time.
             for _ in 0..20 {
                 fixture.settle();
             }
         }
         fixture.settle();
-        let paused = fixture.active("wk-000001", 0).is_some();
+        let is_active = fixture.active("wk-000001", 0).is_some();
         assert_eq!(
-            paused, resumed,
-            "its lease is over only for who could answer"
+            is_active, resumed,
+            "the lease expires only if the process could answer"
         );
         if resumed {
             let kill = fixture.cluster.jobs[&JobId::from("wk-000001")].active[&0]
                 .kill_request
                 .clone();
             assert_eq!(kill.unwrap().grace_period, secs(6));
-            // Its next heartbeat is heard as if nothing had been.
+            // The next heartbeat is processed as if there had been no pause.
             let (_, commands) = fixture.heartbeat("i-1", 3, tasks);
-            let graceful = |d: &TaskCommand| matches!(d, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
-            assert!(commands.iter().any(graceful), "{commands:?}");
+            let is_graceful_kill = |c: &TaskCommand| matches!(c, TaskCommand::Kill { grace_period, .. } if *grace_period > secs(0));
+            assert!(commands.iter().any(is_graceful_kill), "{commands:?}");
             assert!(fixture.cluster.fleet.machines[&first_machine()]
                 .required_token
                 .is_none());
-            // In the end the lease counts again.
+            // After the pause the lease expires as usual.
             fixture.pass(secs(1));
             for _ in 0..20 {
                 fixture.settle();
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -8,9 +8,10 @@
 
 #[test]
 fn queue_order_cases() {
-    // Two jobs compete for one place; the second to arrive wins only with the stated edge.
+    // Two jobs compete for one machine. Name, changes to the first and to the second job, and whether the
+    // second one starts first.
     let cases: [(&str, Edit, Edit, bool); 4] = [
-        ("arrival", |_| {}, |_| {}, false),
+        ("order of arrival", |_| {}, |_| {}, false),
         (
             "priority",
             |_| {},
@@ -24,7 +25,7 @@
             true,
         ),
         (
-            "the other is late beyond help",
+            "the first cannot meet its deadline any more",
             |job| {
                 job.task_count = 3;
                 job.due = Some(secs(30));
@@ -50,8 +51,8 @@
 
 #[test]
 fn work_within_the_guarantee_goes_before_borrowed_work_however_long_that_waited() {
-    // It may stop borrowed work: if that were placed first, one would be stopped for the other in
-    // every round. Of the borrowed job only its turn, an eighth, goes first.
+    // Work within the guarantee may preempt borrowed work: if the latter were placed first, one of its tasks
+    // would be preempted in every round. Of the starved borrowing job only an eighth of the tasks goes first.
     let mut fixture = ClusterFixture::new();
     let mut job = spec("wk-000001", 8, 8.0);
     job.team = "grey".into();
@@ -64,18 +65,19 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.heartbeat("i-2", 1, vec![]);
     let launched = launches(&fixture.settle());
-    let of = |job_id: &str| {
+    let launches_of = |job_id: &str| {
         launched
             .iter()
             .filter(|l| l.1.job_id == job_id.into())
             .count()
     };
-    assert_eq!((of("wk-000001"), of("wk-000002")), (1, 1));
+    assert_eq!((launches_of("wk-000001"), launches_of("wk-000002")), (1, 1));
 }
 
 #[test]
 fn small_jobs_go_first_while_jobs_with_deadlines_are_late() {
-    // Whether the late job has a deadline of its own -> the small one of two overtakes.
+    // Whether the late job has a deadline of its own, and whether the shorter one of the two other jobs
+    // overtakes the longer one.
     for (deadline, overtakes) in [(true, true), (false, false)] {
         let mut scheduler_config = config();
         scheduler_config.slos.push(Slo {
@@ -104,25 +106,25 @@
 #[test]
 fn large_jobs_do_not_starve_behind_endless_smaller_or_higher_priority_work() {
     type Edit = fn(&mut JobSpec);
-    // What the endless small jobs are, what the large one is.
+    // Name, changes to the endless small jobs and to the large job.
     let cases: [(&str, Edit, Edit); 4] = [
         (
-            "of higher priority",
+            "small jobs of higher priority",
             |job| job.priority = Priority::High,
             |_| {},
         ),
         (
-            "punctual, while the large one is late",
+            "small jobs on time, while the large one is late",
             |job| job.due = Some(secs(100_000)),
             |job| job.due = Some(secs(1)),
         ),
         (
-            "within their team's guarantee",
+            "small jobs within their team's guarantee",
             |job| job.team = "blue".into(),
             |job| job.team = "grey".into(),
         ),
         (
-            "of higher priority, the large one's tasks fill a machine",
+            "small jobs of higher priority, tasks of the large one that fill a machine",
             |job| job.priority = Priority::High,
             |job| {
                 job.task_count = 16;
@@ -143,7 +145,8 @@
         let tasks = job.task_count;
         let start = fleet.fixture.now;
         for second in 0..600u32 {
-            // Always twice of what the machines can take.
+            // 8 CPUs of tasks that run for 8 s arrive every second, as much as the 64 CPUs of the fleet can
+            // run.
             for n in 0..2 {
                 let mut job = spec(&format!("wk-{:06}", second * 2 + n), 2, 2.0);
                 job.expected = secs(8);
@@ -156,8 +159,8 @@
                 job.accepted_unix_ms = 10_000;
                 fleet.fixture.job(job.clone());
             }
-            fleet.second(|u| {
-                if u.0 == "wk-900000" {
+            fleet.second(|job_id| {
+                if job_id.0 == "wk-900000" {
                     secs(20)
                 } else {
                     secs(8)
@@ -165,19 +168,22 @@
             });
         }
         let job_id = JobId::from("wk-900000");
-        let begun = fleet.begun.get(&job_id).map(|t| t.duration_since(start));
+        let started_after = fleet.begun.get(&job_id).map(|t| t.duration_since(start));
         assert!(
-            begun.is_some_and(|t| t < secs(240 + 10)),
-            "{name}: begun after {begun:?}"
+            started_after.is_some_and(|t| t < secs(240 + 10)),
+            "{name}: started after {started_after:?}"
         );
         let done = fleet.done.get(&job_id).copied().unwrap_or(0);
         assert!(done * 2 >= tasks, "{name}: {done} of {tasks} done");
-        let smalls: u32 = fleet
+        let small_done: u32 = fleet
             .done
             .iter()
             .filter(|d| d.0 != &job_id)
             .map(|d| d.1)
             .sum();
-        assert!(smalls > 400, "{name}: the others go on too: {smalls}");
+        assert!(
+            small_done > 400,
+            "{name}: the small jobs also go on: {small_done} done"
+        );
     }
 }
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -1,4 +1,4 @@
-//! Rate limits of the key-value store, and how nodes, teams and kinds of requests share them.
+//! Rate limits of the key-value store, and how nodes, teams and classes of requests share them.
 
 use crate::common::*;
 use cypressgap::api::submission_fairness::SubmissionFairness;
@@ -15,21 +15,21 @@
         requests: 100.0,
         changes: 40.0,
     };
-    let taken = |budget: &StoreBudget, rank, writes| {
+    let taken = |budget: &StoreBudget, class, writes| {
         (0..100)
-            .filter(|_| budget.try_take(rank, writes, now))
+            .filter(|_| budget.try_take(class, writes, now))
             .count()
     };
     let budget = StoreBudget::new(rates, 2, now);
     let users = taken(&budget, RequestClass::User, 2);
-    assert_eq!(users, 3, "of 8 changes a second, a second's burst");
-    // What users have used up leaves the leader its part, and the reverse.
+    assert_eq!(users, 3, "a burst of one second at 8 changes per second");
+    // When the users have used up their budget, the leader still has its own, and the other way round.
     let leader = taken(&budget, RequestClass::Leader, 2);
     assert!(leader > 2 * users, "{leader}");
     let budget = StoreBudget::new(rates, 2, now);
     taken(&budget, RequestClass::Leader, 2);
     assert_eq!(taken(&budget, RequestClass::User, 2), users);
-    // All nodes together stay within the rates, one of them leading.
+    // All nodes together, one of which leads, stay within the rates.
     let (mut requests, mut changes) = (0, 0);
     for leads in [true, false] {
         let budget = StoreBudget::new(rates, 2, now);
@@ -44,27 +44,29 @@
     }
     assert!((80..=100).contains(&requests), "{requests}");
     assert!((30..=40).contains(&changes), "{changes}");
-    // More than a bucket holds goes through when it is full, and is paid back.
-    let budget = TokenBucket::new(10.0, 1.0, now);
-    assert!(budget.try_take_at(25.0, now));
-    assert!(!budget.try_take_at(1.0, now + secs(1)));
-    assert!(budget.try_take_at(1.0, now + secs(2)));
+    // A request that exceeds the capacity of a bucket is admitted when the bucket is full, which leaves a
+    // debt.
+    let bucket = TokenBucket::new(10.0, 1.0, now);
+    assert!(bucket.try_take_at(25.0, now));
+    assert!(!bucket.try_take_at(1.0, now + secs(1)));
+    assert!(bucket.try_take_at(1.0, now + secs(2)));
 }
 
-/// Rates that were announced hold once the service refuses several calls in a short while, and stay. A
-/// refusal now and then, or without an announcement, says nothing.
+/// Reduced rates that were announced come into force once the key-value store refuses several calls within a
+/// short time, and stay in force. Rare refusals, or refusals without an announcement, have no effect.
 #[test]
 fn announced_rates_apply_once_refusals_show_it() {
-    // Milliseconds between refusals, how many, whether lower rates were announced -> whether they hold.
+    // Milliseconds between refusals, number of refusals, whether reduced rates were announced, and whether
+    // they come into force.
     let cases = [
         (1000, 2, true, false),
         (1000, 3, true, true),
         (6000, 9, true, false),
         (1000, 9, false, false),
-        // Calls that were held back together are refused together.
+        // Calls that an interruption held back are refused together, and count as one refusal.
         (10, 40, true, false),
     ];
-    for (apart, refusals, announced, holds) in cases {
+    for (interval_ms, refusals, announced, reduced) in cases {
         let start = Instant::now();
         let budget = StoreBudget::new(
             StoreRates {
@@ -79,14 +81,14 @@
             changes: 42.0,
         }));
         for n in 0..refusals {
-            budget.record_refusal(start + Duration::from_millis(apart * n));
+            budget.record_refusal(start + Duration::from_millis(interval_ms * n));
         }
         assert_eq!(
             budget.rates_reduced(),
-            holds,
-            "{apart} {refusals} {announced}"
+            reduced,
+            "{interval_ms} ms, {refusals} refusals, announced {announced}"
         );
-        // A minute of calls, as fast as they are let through.
+        // One minute of calls, as fast as the budget admits them.
         let begin = start + Duration::from_secs(100);
         let mut sent = 0;
         for step in 0..6_000 {
@@ -94,15 +96,18 @@
             if step % 50 == 0 {
                 budget.rebalance(&[None, None], now);
             }
-            for rank in [RequestClass::Leader, RequestClass::User] {
-                sent += u32::from(budget.try_take(rank, 1, now));
+            for class in [RequestClass::Leader, RequestClass::User] {
+                sent += u32::from(budget.try_take(class, 1, now));
             }
         }
-        let most = if holds { 42 * 61 } else { 60 * 61 };
-        assert!(sent <= most, "{sent} changes");
-        assert!(sent > most / 2, "{sent} changes: most of them are used");
+        let max_changes = if reduced { 42 * 61 } else { 60 * 61 };
+        assert!(sent <= max_changes, "{sent} changes");
+        assert!(
+            sent > max_changes / 2,
+            "{sent} changes: at least half of the rate is used"
+        );
     }
-    // A peer's word suffices.
+    // The report of a peer is sufficient.
     let budget = StoreBudget::new(
         StoreRates {
             requests: 200.0,
@@ -131,19 +136,21 @@
         now,
     );
     while budget.try_take_status_query(now) {}
-    let rest = (0..100)
+    let submissions = (0..100)
         .filter(|_| budget.try_take(RequestClass::User, 1, now))
         .count();
-    assert!(rest >= 5, "{rest}");
-    // And they go on by turns.
+    assert!(submissions >= 5, "{submissions}");
+    // Status queries are admitted again a second later.
     assert!(budget.try_take_status_query(now + secs(1)));
 }
 
 #[test]
 fn unused_write_budget_is_lent_to_other_nodes() {
-    let d = |users, leader| Some(ChangeRateDemand { users, leader });
-    let quiet = d(0.0, 0.0);
-    // Name, own demand, the peers', at least and at most for its users, the same as leader.
+    let demand = |users, leader| Some(ChangeRateDemand { users, leader });
+    let no_demand = demand(0.0, 0.0);
+    // Name, own demand of users and leader, demand of each peer (`None`: not heard from), minimum and maximum
+    // share of this node's users, and minimum and maximum share of this node if it leads. All in changes per
+    // second.
     type Case = (
         &'static str,
         (f64, f64),
@@ -155,33 +162,33 @@
         (
             "a flood here",
             (60.0, 10.0),
-            [quiet, quiet],
+            [no_demand, no_demand],
             [40.0, 48.0],
             [36.0, 36.1],
         ),
         (
             "a flood here, the leader busy",
             (60.0, 50.0),
-            [quiet, quiet],
+            [no_demand, no_demand],
             [22.0, 24.0],
             [36.0, 36.1],
         ),
         (
             "a flood everywhere",
             (60.0, 10.0),
-            [d(60.0, 0.0), d(60.0, 0.0)],
+            [demand(60.0, 0.0), demand(60.0, 0.0)],
             [14.0, 16.0],
             [36.0, 36.1],
         ),
         (
             "a busy leader alone",
             (0.0, 36.0),
-            [quiet, quiet],
+            [no_demand, no_demand],
             [4.0, 8.1],
             [56.0, 57.1],
         ),
         (
-            "nobody is heard",
+            "no peer is heard from",
             (60.0, 0.0),
             [None, None],
             [8.0, 20.0],
@@ -190,18 +197,25 @@
         (
             "the leader elsewhere is busy",
             (5.0, 0.0),
-            [d(0.0, 50.0), quiet],
+            [demand(0.0, 50.0), no_demand],
             [20.0, 24.0],
             [50.0, 51.0],
         ),
     ];
     for (name, (users, leader), peers, of_users, of_leader) in cases {
         let shares = ChangeRateShares::new(60.0, ChangeRateDemand { users, leader }, &peers);
-        let (u, l) = (shares.users, shares.leader);
-        assert!(of_users[0] <= u && u <= of_users[1], "{name}: users {u}");
-        assert!(of_leader[0] <= l && l <= of_leader[1], "{name}: leader {l}");
+        let (users, leader) = (shares.users, shares.leader);
+        assert!(
+            of_users[0] <= users && users <= of_users[1],
+            "{name}: users {users}"
+        );
+        assert!(
+            of_leader[0] <= leader && leader <= of_leader[1],
+            "{name}: leader {leader}"
+        );
     }
-    // Within some looks a node under a flood has what nobody else uses, and later gives it back.
+    // Within some rebalancings a node under a flood gets the share that no other node uses, and later gives
+    // it back.
     let start = Instant::now();
     let budget = StoreBudget::new(
         StoreRates {
@@ -211,25 +225,28 @@
         3,
         start,
     );
-    let second = |n: u64, of: u64| {
+    let changes_in_second = |n: u64, attempts: u64| {
         let mut taken = 0;
         for step in 0..100 {
             let now = start + secs(n) + Duration::from_millis(step * 10);
-            if step % (100 / of) == 0 && budget.try_take(RequestClass::User, 1, now) {
+            if step % (100 / attempts) == 0 && budget.try_take(RequestClass::User, 1, now) {
                 taken += 1;
             }
             if step % 50 == 0 {
-                budget.rebalance(&[quiet, quiet], now);
+                budget.rebalance(&[no_demand, no_demand], now);
             }
         }
         taken
     };
-    let first = second(0, 50);
-    let fifth = (1..6).fold(0, |_, n| second(n, 50));
-    assert!(first < 40 && fifth >= 45, "{first} then {fifth}");
+    let first = changes_in_second(0, 50);
+    let sixth = (1..6).fold(0, |_, n| changes_in_second(n, 50));
+    assert!(
+        first < 40 && sixth >= 45,
+        "{first} in the first second, {sixth} in the sixth"
+    );
     assert!(budget.demand().users > 40.0);
     (6..16).for_each(|n| {
-        second(n, 1);
+        changes_in_second(n, 1);
     });
     assert!(budget.demand().users < 5.0);
 }
@@ -244,15 +261,15 @@
     let reserves: Vec<f64> = (0..100)
         .map(|n| fairness.reserve_for(&flooding_team, at(n * 20)))
         .collect();
-    assert_eq!(reserves[0], 0.0, "one is no flood");
+    assert_eq!(reserves[0], 0.0, "one submission is no flood");
     assert!(reserves[99] > 0.0);
     assert_eq!(fairness.reserve_for(&other_team, at(2000)), 0.0);
     assert_eq!(
         fairness.reserve_for(&flooding_team, at(60_000)),
         0.0,
-        "it is over"
+        "the flood is over"
     );
-    // Alone, a team may have all of it.
+    // A team that is the only one to submit may use the whole rate.
     let fairness = SubmissionFairness::default();
     assert!((0..100).all(|n| fairness.reserve_for(&flooding_team, at(n * 20)) == 0.0));
 }
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -11,29 +11,34 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A store as status queries see it. `keys_per_answer`: how many differing keys it names at a time.
+/// A fake of the records in the key-value store, as status queries read them.
 struct FakeRecords {
+    /// The keys in the index of live jobs.
     live: BTreeSet<String>,
     outcomes_by_key: BTreeMap<String, JobOutcome>,
+    /// The maximum number of mismatched keys in an answer.
     keys_per_answer: usize,
-    page: usize,
+    /// The maximum number of outcomes in a page.
+    page_size: usize,
+    /// The number of calls so far.
     calls: Cell<usize>,
-    out_after: usize,
+    /// The number of calls that succeed; all later ones fail.
+    calls_before_outage: usize,
 }
 
 impl FakeRecords {
-    fn called(&self) -> Result<(), &'static str> {
+    fn count_call(&self) -> Result<(), &'static str> {
         self.calls.set(self.calls.get() + 1);
-        (self.calls.get() <= self.out_after)
+        (self.calls.get() <= self.calls_before_outage)
             .then_some(())
-            .ok_or("out")
+            .ok_or("unavailable")
     }
 }
 
 impl JobRecordReader for FakeRecords {
     type Error = &'static str;
     fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, &'static str> {
-        self.called()?;
+        self.count_call()?;
         let exists = |k: &String| self.live.contains(k) || self.outcomes_by_key.contains_key(k);
         let mismatched = expected
             .iter()
@@ -44,12 +49,12 @@
             .collect())
     }
     fn outcomes_after(&self, key: &str) -> Result<OutcomePage, &'static str> {
-        self.called()?;
+        self.count_call()?;
         let after = self
             .outcomes_by_key
             .iter()
             .filter(|(k, _)| k.as_str() > key);
-        let page: Vec<_> = after.clone().take(self.page).collect();
+        let page: Vec<_> = after.clone().take(self.page_size).collect();
         let more = after.count() > page.len();
         let entries = page.into_iter().map(|(key, outcome)| OutcomeEntry {
             key: key.clone(),
@@ -61,7 +66,7 @@
         })
     }
     fn outcome(&self, key: &str) -> Result<Option<JobOutcome>, &'static str> {
-        self.called()?;
+        self.count_call()?;
         Ok(self.outcomes_by_key.get(key).copied())
     }
 }
@@ -70,9 +75,9 @@
     JobId(format!("wk-{n:06}"))
 }
 
-/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled and not yet closed, 160 to 169
+/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled with keys in the index, 160 to 169
 /// recorded as live by earlier versions; others were never accepted.
-fn fake_records(keys_per_answer: usize, page: usize) -> FakeRecords {
+fn fake_records(keys_per_answer: usize, page_size: usize) -> FakeRecords {
     let outcome = |n: u32| match n {
         100..=149 => Some(JobOutcome::Done),
         150..=159 => Some(JobOutcome::Cancelled),
@@ -88,9 +93,9 @@
             .filter_map(|n| Some((outcome_key(&job_id(n)), outcome(n)?)))
             .collect(),
         keys_per_answer,
-        page,
+        page_size,
         calls: Cell::new(0),
-        out_after: usize::MAX,
+        calls_before_outage: usize::MAX,
     }
 }
 
@@ -105,17 +110,24 @@
 
 #[test]
 fn many_status_queries_cost_few_calls_and_are_answered_correctly() {
-    // Name, jobs asked about, how many of them are known as accepted, keys named at a time, outcomes
-    // on a page, calls at most.
+    // Name, queried jobs, the number below which all accepted jobs are known as accepted, mismatched keys per
+    // answer, outcomes per page, and maximum number of calls.
     type Case = (&'static str, Vec<u32>, u32, usize, usize, usize);
     let cases: [Case; 9] = [
         ("all live and known", (0..100).collect(), 100, 999, 99, 1),
-        ("a new node", (0..100).collect(), 0, 999, 99, 2),
+        (
+            "a new node, which knows of no job",
+            (0..100).collect(),
+            0,
+            999,
+            99,
+            2,
+        ),
         ("one was done", (50..101).collect(), 101, 999, 99, 3),
         ("many were done", (50..150).collect(), 150, 999, 99, 3),
         ("more than a page", (50..150).collect(), 150, 999, 20, 5),
         ("far apart", vec![100, 149, 155], 0, 999, 5, 4),
-        ("nobody submitted them", (300..400).collect(), 0, 999, 99, 1),
+        ("never accepted", (300..400).collect(), 0, 999, 99, 1),
         (
             "of all kinds",
             (0..200).step_by(3).collect(),
@@ -124,58 +136,61 @@
             99,
             4,
         ),
-        ("one key named at a time", vec![1, 101, 155], 200, 1, 99, 5),
+        (
+            "one mismatched key per answer",
+            vec![1, 101, 155],
+            200,
+            1,
+            99,
+            5,
+        ),
     ];
-    for (name, queried, known, keys_per_answer, page, calls) in cases {
-        let records = fake_records(keys_per_answer, page);
+    for (name, queried, known_below, keys_per_answer, page_size, max_calls) in cases {
+        let records = fake_records(keys_per_answer, page_size);
         let queried: BTreeSet<u32> = queried.into_iter().collect();
-        let mut accepted = (0..known)
+        let mut accepted = (0..known_below)
             .filter(|n| expected_status(*n) != JobRecordStatus::NeverAccepted)
             .map(job_id)
             .collect();
         let job_ids = queried.iter().map(|n| job_id(*n)).collect();
-        let StatusRead {
-            statuses: found,
-            error: trouble,
-        } = job_status_reads::read_statuses(&records, &job_ids, &mut accepted);
-        assert_eq!(trouble, None, "{name}");
+        let StatusRead { statuses, error } =
+            job_status_reads::read_statuses(&records, &job_ids, &mut accepted);
+        assert_eq!(error, None, "{name}");
         for n in &queried {
             assert_eq!(
-                found.get(&job_id(*n)),
+                statuses.get(&job_id(*n)),
                 Some(&expected_status(*n)),
                 "{name}: job {n}"
             );
         }
         assert!(
-            records.calls.get() <= calls,
+            records.calls.get() <= max_calls,
             "{name}: {} calls",
             records.calls.get()
         );
     }
 }
 
-/// Guards against an answer where the store gave none: what could not be asked is left out.
+/// Guards against guessed statuses: jobs whose status could not be read are left out.
 #[test]
 fn statuses_that_could_not_be_read_are_left_out() {
-    for out_after in 0..4 {
+    for calls_before_outage in 0..4 {
         for keys_per_answer in [1, 999] {
             let mut records = fake_records(keys_per_answer, 2);
-            records.out_after = out_after;
+            records.calls_before_outage = calls_before_outage;
             let job_ids = (0..200).step_by(7).map(job_id).collect();
-            let StatusRead {
-                statuses: found,
-                error: trouble,
-            } = job_status_reads::read_statuses(&records, &job_ids, &mut BTreeSet::new());
+            let StatusRead { statuses, error } =
+                job_status_reads::read_statuses(&records, &job_ids, &mut BTreeSet::new());
             assert!(
-                trouble.is_some() || keys_per_answer == 1,
-                "{out_after} {keys_per_answer}"
+                error.is_some() || keys_per_answer == 1,
+                "{calls_before_outage} {keys_per_answer}"
             );
-            for (u, status) in found {
-                let n: u32 = u.0[3..].parse().expect("a number");
+            for (job_id, status) in statuses {
+                let n: u32 = job_id.0[3..].parse().expect("a number");
                 assert_eq!(
                     status,
                     expected_status(n),
-                    "job {n} after {out_after} calls"
+                    "job {n} after {calls_before_outage} calls"
                 );
             }
         }
