--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -1,4 +1,4 @@
-//! The leader's transactions: their size, their order, and what becomes of a refused one.
+//! The leader's transactions: their size, their order, and how a refused one is repeated.
 
 use crate::common::dependency_jobs::{job_depending_on, job_id};
 use crate::common::*;
@@ -12,9 +12,9 @@
 
 #[test]
 fn large_jobs_are_written_in_chunks_within_a_transactions_limits() {
-    let mut big = config();
-    big.teams[0].cpus_max = None;
-    let mut fixture = ClusterFixture::with(big, vec![machine_type("m8", 10_000.0)]);
+    let mut scheduler_config = config();
+    scheduler_config.teams[0].cpus_max = None;
+    let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 10_000.0)]);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 100_000, 1.0));
     for _ in 0..20 {
@@ -47,14 +47,14 @@
             .cluster
             .load_chunk(fixture.now, &job_id, index, done, 90);
     }
-    let first = fixture.batch().expect("the end is recorded");
-    assert_eq!(first.ops.len(), 1, "the outcome at once");
+    let first = fixture.batch().expect("the outcome is written");
+    assert_eq!(first.ops.len(), 1, "the outcome alone");
     fixture
         .cluster
         .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 200 });
     let mut removed = 0;
     let start = fixture.now;
-    // With the place in the index.
+    // 20 chunks, and the key in the index of live jobs.
     while removed < 21 {
         fixture.cluster.set_write_allowance(8);
         let batch = fixture.batch().expect("the rest follows");
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn a_transaction_is_no_larger_than_the_rate_has_room_for_and_intents_go_first() {
+fn a_transaction_stays_within_the_write_allowance_and_intents_go_first() {
     let mut scheduler_config = config();
     scheduler_config.teams[0].cpus_max = None;
     let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 64.0)]);
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let ended = launches(&fixture.settle())[0].2;
-    // An ending of the older job is unwritten; four others have intents.
+    // The end of the first job's attempt is not written yet, and four other jobs have intents to be written.
     fixture.heartbeat(
         "i-1",
         2,
@@ -103,12 +103,12 @@
     fixture.cluster.set_write_allowance(0);
     assert_eq!(fixture.batch(), None);
     fixture.cluster.set_write_allowance(3);
-    let first = fixture.batch().expect("what there is room for");
+    let first = fixture.batch().expect("a transaction within the allowance");
     assert_eq!(first.ops.len(), 3);
     let old = chunk_key(&"wk-000001".into(), 0);
     assert!(
         !first.conditions.iter().any(|c| c.key == old),
-        "endings wait"
+        "the end of the attempt is written later"
     );
     fixture
         .cluster
@@ -120,8 +120,9 @@
 
 #[test]
 fn a_chunk_of_intents_fits_into_small_values() {
-    for (bytes, room) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
-        assert_eq!(attempts_per_chunk(bytes), room, "{bytes}");
+    // Maximum size of a value in bytes, and how many attempts fit into a chunk.
+    for (bytes, attempts) in [(2048, 62), (1024, 30), (8192, 64), (100, 8)] {
+        assert_eq!(attempts_per_chunk(bytes), attempts, "{bytes}");
     }
     let mut scheduler_config = config();
     scheduler_config.value_bytes = 2048;
@@ -139,11 +140,12 @@
     assert_eq!(value.active.len(), 62);
 }
 
-/// What the store refuses for its size is not sent again as it was, and nothing of it is lost.
+/// Guards against a transaction that the store refuses for its size and that is sent again unchanged or is
+/// lost.
 #[test]
 fn a_refused_transaction_is_sent_in_parts() {
-    // The limits that hold, unannounced: changes a transaction, and attempts a value.
-    for (most_ops, most_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
+    // The store's limits, which the leader does not know: changes per transaction, and attempts per value.
+    for (max_ops, max_attempts) in [(24, 64), (5, 64), (2, 64), (24, 16), (3, 8)] {
         let mut scheduler_config = config();
         scheduler_config.teams[0].cpus_max = None;
         let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m99", 500.0)]);
@@ -171,12 +173,12 @@
                             .on_command_response(fixture.now, &machine, None);
                     }
                     Action::Store(batch) => {
-                        let too_long = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::Chunk(c)) if c.active.len() > most_attempts);
+                        let is_too_long = |o: &WriteOp| matches!(o, WriteOp::Put(_, RecordValue::Chunk(c)) if c.active.len() > max_attempts);
                         let outcome =
-                            if batch.ops.len() > most_ops || batch.ops.iter().any(too_long) {
+                            if batch.ops.len() > max_ops || batch.ops.iter().any(is_too_long) {
                                 assert!(
                                     !refused.contains(&batch.ops),
-                                    "sent again as it was: {most_ops} {most_attempts}"
+                                    "sent again unchanged: {max_ops} {max_attempts}"
                                 );
                                 refused.push(batch.ops);
                                 WriteOutcome::Refused
@@ -192,10 +194,16 @@
                 }
             }
         }
-        let why = format!("{most_ops} changes, {most_attempts} attempts");
-        let small = launched.iter().filter(|t| t.job_id != job_id(1)).count();
-        assert_eq!(small, 27, "{why}: each job but the cancelled one");
-        assert!(launched.len() > small, "{why}: the large one too");
-        assert!(refused.len() < 12, "{why}: {}", refused.len());
+        let limits = format!("{max_ops} changes, {max_attempts} attempts");
+        let small_jobs_launched = launched.iter().filter(|t| t.job_id != job_id(1)).count();
+        assert_eq!(
+            small_jobs_launched, 27,
+            "{limits}: each job but the cancelled one"
+        );
+        assert!(
+            launched.len() > small_jobs_launched,
+            "{limits}: tasks of the large job too"
+        );
+        assert!(refused.len() < 12, "{limits}: {} refusals", refused.len());
     }
 }
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -10,22 +10,30 @@
 
 #[test]
 fn what_proves_a_cancelled_task_gone() {
-    // Incarnation, serial, token relative to the host's, task listed -> still held to be there.
+    // Name; incarnation and serial of the heartbeat; its token relative to the machine's current one; whether
+    // it lists the task; whether the task stays on record.
     let cases = [
         ("an older heartbeat", 1, 1, 0, false, true),
         (
-            "a newer one, token not past the launch",
+            "a newer heartbeat, token not above the launch's",
             1,
             9,
             -2,
             false,
             true,
         ),
-        ("token past the launch, task listed", 1, 9, 0, true, true),
-        ("token past the launch, task absent", 1, 9, 0, false, false),
+        ("token above the launch's, task listed", 1, 9, 0, true, true),
+        (
+            "token above the launch's, task not listed",
+            1,
+            9,
+            0,
+            false,
+            false,
+        ),
         ("a later incarnation", 2, 1, -2, false, false),
     ];
-    for (name, incarnation, serial, token_offset, listed, held) in cases {
+    for (name, incarnation, serial, token_offset, listed, on_record) in cases {
         let (mut fixture, attempt) = launched_task();
         fixture
             .cluster
@@ -33,7 +41,7 @@
         fixture
             .cluster
             .on_cancel_marked(fixture.now, &"wk-000001".into());
-        // The kill goes out with a raised token, so that no duplicate of the launch comes after it.
+        // The kill carries a raised token, so that a late duplicate of the launch is rejected.
         fixture.settle();
         let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
             .token
@@ -46,7 +54,11 @@
         };
         let heartbeat = heartbeat_from("i-1", incarnation, serial, token as u64, tasks);
         fixture.cluster.on_heartbeat(fixture.now, heartbeat);
-        assert_eq!(fixture.active("wk-000001", 0).is_some(), held, "{name}");
+        assert_eq!(
+            fixture.active("wk-000001", 0).is_some(),
+            on_record,
+            "{name}"
+        );
     }
 }
 
@@ -55,12 +67,12 @@
     for (fenced, gone) in [(true, true), (false, false)] {
         let (mut fixture, _) = launched_task();
         fixture.heartbeat("i-1", 5, vec![]);
-        // Fenced: it has shown this term's token, and from then on only we renew its lease.
+        // Fenced: the machine has shown a token of this term, so that only this leader renews its lease.
         for machine in fixture.cluster.fleet.machines.values_mut() {
             machine.fenced = fenced;
             machine.returning = true;
         }
-        // Ticking all the while: who was paused could not have answered either.
+        // The process ticks all the time, because a lease does not expire during a pause of the process.
         fixture.run(30);
         assert!(fixture.active("wk-000001", 0).is_some(), "fenced {fenced}");
         fixture.pass(secs(2));
@@ -79,7 +91,8 @@
     fixture.heartbeat("i-1", 5, vec![]);
     let machine = MachineId::from("i-1");
     let lease = config().lease;
-    // Its answers were lost: the worker began a new incarnation, of which a direct answer tells.
+    // The answers to the worker were lost, so it began a new incarnation, which a response to direct commands
+    // shows.
     fixture.pass(lease);
     let token = fixture.cluster.fleet.machines[&machine].token.0;
     let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
@@ -89,21 +102,25 @@
     assert_eq!(
         launches(&fixture.settle()),
         vec![],
-        "does anything reach it?"
+        "nothing shows yet that commands reach the machine"
     );
     let token = fixture.cluster.fleet.machines[&machine].token.0;
-    let shows = heartbeat_from("i-1", 2, 2, token, vec![]);
+    let with_new_token = heartbeat_from("i-1", 2, 2, token, vec![]);
     fixture
         .cluster
-        .on_command_response(fixture.now, &machine, Some(shows));
+        .on_command_response(fixture.now, &machine, Some(with_new_token));
     let launched = launches(&fixture.settle());
-    assert_eq!(launched.len(), 1, "the old session's task starts anew");
+    assert_eq!(
+        launched.len(),
+        1,
+        "the task of the old incarnation starts again"
+    );
     let (_, task, attempt) = launched[0].clone();
     fixture.pass(secs(5));
     fixture.cluster.tick(fixture.now);
     let (on, still) = fixture
         .active(&task.job_id.0, task.index)
-        .expect("it runs there");
+        .expect("the task is on record");
     assert_eq!((on, still), (machine, attempt));
 }
 
@@ -136,7 +153,7 @@
 }
 
 #[test]
-fn a_heartbeat_overtaken_by_a_direct_answer_still_renews_the_lease() {
+fn a_heartbeat_overtaken_by_a_command_response_still_renews_the_lease() {
     let (mut fixture, attempt) = launched_task();
     let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .token
@@ -146,7 +163,7 @@
     fixture
         .cluster
         .on_command_response(fixture.now, &"i-1".into(), Some(direct));
-    // Sent before the command, arriving after it: its list without the task proves nothing.
+    // A heartbeat that was sent before the command and arrives after the response to it proves nothing.
     let (_, commands) = fixture.heartbeat("i-1", 7, vec![]);
     assert_eq!(commands, vec![]);
     assert!(fixture.active("wk-000001", 0).is_some());
@@ -168,7 +185,7 @@
         )]
     };
     let (before, commands) = fixture.heartbeat("i-1", 5, done());
-    assert_eq!(commands, vec![], "not written yet");
+    assert_eq!(commands, vec![], "the end is not durable yet");
     fixture.settle();
     let (after, commands) = fixture.heartbeat("i-1", 6, done());
     let forget = TaskCommand::Forget {
@@ -176,14 +193,15 @@
         attempt,
     };
     assert_eq!(commands, vec![forget]);
-    // A late copy of the launch would start the task again: the raised token shuts it out.
+    // Without the raised token, a late copy of the launch would start the task again.
     assert!(after > before);
 }
 
 #[test]
 fn effects_of_each_exit_reason() {
     let stored = ExitReason::Stopped { stored: true };
-    // End, done, waits again, host avoided for a while, job held back.
+    // Exit reason, whether the task is done, whether it waits again, whether the machine is avoided for a
+    // while, and whether the job backs off.
     let cases = [
         (ExitReason::Completed, true, false, false, false),
         (stored, false, true, false, false),
@@ -192,17 +210,21 @@
         (ExitReason::EarlierAttemptRunning, false, true, true, false),
         (ExitReason::UnknownTask, false, true, false, true),
     ];
-    for (exit, done, waits, avoided, held_back) in cases {
+    for (exit, done, waits, avoided, backs_off) in cases {
         let (mut fixture, attempt) = launched_task();
         fixture.heartbeat(
             "i-1",
             5,
             vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
         );
-        let j = &fixture.cluster.jobs[&JobId::from("wk-000001")];
-        assert_eq!(j.done_count == 1, done, "{exit:?}");
-        assert_eq!(j.pending(9) == vec![0], waits, "{exit:?}");
-        assert_eq!(j.crash_loop.backoff_until.is_some(), held_back, "{exit:?}");
+        let job = &fixture.cluster.jobs[&JobId::from("wk-000001")];
+        assert_eq!(job.done_count == 1, done, "{exit:?}");
+        assert_eq!(job.pending(9) == vec![0], waits, "{exit:?}");
+        assert_eq!(
+            job.crash_loop.backoff_until.is_some(),
+            backs_off,
+            "{exit:?}"
+        );
         let machine = &fixture.cluster.fleet.machines[&MachineId::from("i-1")];
         assert_eq!(machine.avoid_until.is_some(), avoided, "{exit:?}");
     }
@@ -220,15 +242,21 @@
         TaskPhase::Ended(ExitReason::Completed),
     );
     fixture.pass(secs(2));
-    let (before, d) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
-    assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
+    let (before, commands) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
+    assert!(
+        matches!(commands[..], [TaskCommand::Forget { .. }]),
+        "{commands:?}"
+    );
     assert!(fixture.cluster.jobs_to_look_up().contains(&job_id));
     fixture.cluster.on_job_statuses(
         fixture.now,
         &[(job_id, JobRecordStatus::Accepted(JobOutcome::Done))],
     );
-    let (token, d) = fixture.heartbeat("i-1", 2, vec![running()]);
-    assert!(matches!(d[..], [TaskCommand::Kill { .. }]), "{d:?}");
+    let (token, commands) = fixture.heartbeat("i-1", 2, vec![running()]);
+    assert!(
+        matches!(commands[..], [TaskCommand::Kill { .. }]),
+        "{commands:?}"
+    );
     assert!(token > before, "no late command starts it again");
 }
 
@@ -260,7 +288,7 @@
     let batch = fixture.batch().unwrap();
     let condition = KeyCondition::absent(outcome_key(&"wk-000001".into()));
     assert!(batch.conditions.contains(&condition));
-    assert_eq!(batch.ops.len(), 1, "its place in the index goes later");
+    assert_eq!(batch.ops.len(), 1, "its key in the index is removed later");
     fixture
         .cluster
         .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 300 });
--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -1,5 +1,5 @@
-//! Teams without a guarantee beside others: what they get, and what they must not take; and the limit on
-//! ordinary starts while the controllers lag.
+//! Teams without a guarantee: what they get beside other teams, and what they must leave to them. Also the
+//! limit on starts of ordinary tasks while the controllers cannot keep up.
 
 use crate::common::fleet::SimulatedFleet;
 use crate::common::*;
@@ -9,7 +9,7 @@
 /// Two teams without a guarantee or limit, `red` and `grey`, and `blue` with a guarantee.
 fn teams_config() -> SchedulerConfig {
     let mut scheduler_config = config();
-    let blank = |name: &str, cpus| Team {
+    let team_without_limit = |name: &str, cpus| Team {
         name: name.into(),
         cpus,
         cpus_max: None,
@@ -17,9 +17,9 @@
         gpus_max: None,
     };
     scheduler_config.teams = vec![
-        blank("red", None),
-        blank("grey", None),
-        blank("blue", Some(16.0)),
+        team_without_limit("red", None),
+        team_without_limit("grey", None),
+        team_without_limit("blue", Some(16.0)),
     ];
     scheduler_config
 }
@@ -39,10 +39,11 @@
     job
 }
 
-/// Guards against one huge job of small tasks that fills every gap: tasks that need a whole machine
-/// waited until it was over.
+/// Guards against a huge job of small tasks that uses all resources as soon as they are free, so that tasks
+/// that need a whole machine wait until it is over.
 #[test]
 fn a_huge_job_of_small_tasks_takes_no_more_than_its_share_while_others_wait() {
+    // Team and priority of a job whose tasks need a whole machine each.
     for (team, priority) in [
         ("red", Priority::Standard),
         ("blue", Priority::Standard),
@@ -62,34 +63,34 @@
         fleet
             .fixture
             .job(job_of_team("wk-000002", team, 10, 8.0, priority));
-        let (before, came) = (fleet.done[&"wk-000001".into()], fleet.fixture.now);
-        let mut all = None;
+        let (done_before, arrived) = (fleet.done[&"wk-000001".into()], fleet.fixture.now);
+        let mut launched_after = None;
         for _ in 0..90 {
-            fleet.second(|u| {
-                if u.0 == "wk-000001" {
+            fleet.second(|job_id| {
+                if job_id.0 == "wk-000001" {
                     secs(7)
                 } else {
                     secs(20)
                 }
             });
             if fleet.launched.get(&"wk-000002".into()) >= Some(&10) {
-                all.get_or_insert(fleet.fixture.now - came);
+                launched_after.get_or_insert(fleet.fixture.now - arrived);
             }
         }
         let name = format!("{team} {priority:?}");
         assert!(
-            all.is_some_and(|d| d < secs(75)),
-            "{name}: all begun after {all:?}"
+            launched_after.is_some_and(|d| d < secs(75)),
+            "{name}: all launched after {launched_after:?}"
         );
-        let guest = fleet.done[&"wk-000001".into()] - before;
-        assert!(guest > 200, "{name}: the other team goes on, {guest} done");
+        let done = fleet.done[&"wk-000001".into()] - done_before;
+        assert!(done > 200, "{name}: the huge job goes on, {done} done");
     }
 }
 
-/// Guards against idle work that is never begun, or stopped again and again, beside endless work of
-/// higher priority.
+/// Guards against jobs of idle priority that never start, or are preempted again and again, beside endless
+/// work of higher priority.
 #[test]
-fn idle_priority_work_without_a_guarantee_begins_and_is_not_preempted_needlessly() {
+fn idle_priority_work_without_a_guarantee_starts_and_is_not_preempted_needlessly() {
     let mut scheduler_config = teams_config();
     scheduler_config.teams[0].cpus = Some(1000.0);
     let mut fleet = SimulatedFleet::new(scheduler_config, 10, 8.0);
@@ -103,20 +104,24 @@
                 .fixture
                 .job(job_of_team(&job_id, "red", 40, 1.0, Priority::High));
         }
-        fleet.second(|u| {
-            if u.0 == "wk-000001" {
+        fleet.second(|job_id| {
+            if job_id.0 == "wk-000001" {
                 secs(60)
             } else {
                 secs(8)
             }
         });
     }
-    let guest = &JobId::from("wk-000001");
-    let begun = fleet.begun.get(guest).copied().expect("it begins");
+    let idle_job = &JobId::from("wk-000001");
+    let begun = fleet
+        .begun
+        .get(idle_job)
+        .copied()
+        .expect("the idle job starts");
     assert!(begun < fleet.fixture.now - secs(60));
     let (launched, done) = (
-        fleet.launched[guest],
-        fleet.done.get(guest).copied().unwrap_or(0),
+        fleet.launched[idle_job],
+        fleet.done.get(idle_job).copied().unwrap_or(0),
     );
     assert!(
         done >= 5 && launched <= 60,
@@ -124,11 +129,12 @@
     );
 }
 
-/// Guards against nodes that drown: a huge job of short tasks on thousands of machines had reports and
-/// users unanswered and leases run out.
+/// Guards against overloaded nodes: with a huge job of short tasks on thousands of machines, heartbeats and
+/// user requests were not answered and leases expired.
 #[test]
 fn ordinary_starts_are_limited_by_timer_lag() {
-    // Milliseconds that timers are late, for seconds; starts that are wanted a second; then the bound.
+    // Name; phases, each with the timer lag in milliseconds and its length in seconds; wanted starts per
+    // second; range of the limit at the end in starts per second (`None`: no limit).
     type Case = (
         &'static str,
         &'static [(u64, u64)],
@@ -136,37 +142,42 @@
         Option<(f64, f64)>,
     );
     let cases: [Case; 6] = [
-        ("all timely", &[(20, 60)], 500, None),
-        ("a little late", &[(250, 60)], 500, None),
+        ("timers on time", &[(20, 60)], 500, None),
+        ("timers a little late", &[(250, 60)], 500, None),
         (
-            "late for a moment",
+            "timers late for a moment",
             &[(20, 20), (600, 1)],
             500,
             Some((300.0, 500.0)),
         ),
         (
-            "late for long",
+            "timers late for long",
             &[(20, 20), (600, 30)],
             500,
             Some((20.0, 30.0)),
         ),
         (
-            "for ever: it goes on",
+            "timers always late: starts never stop",
             &[(1500, 600)],
             500,
             Some((20.0, 20.1)),
         ),
-        ("timely again", &[(20, 20), (600, 5), (20, 60)], 500, None),
+        (
+            "timers on time again",
+            &[(20, 20), (600, 5), (20, 60)],
+            500,
+            None,
+        ),
     ];
     for (name, phases, wanted, bound) in cases {
         let mut start_limiter = StartLimiter::default();
         let mut now = std::time::Instant::now();
         let mut started = 0;
-        for (late, seconds) in phases {
+        for (lag_ms, seconds) in phases {
             started = 0;
             for _ in 0..seconds * 5 {
                 now += std::time::Duration::from_millis(200);
-                start_limiter.observe_timer_lag(now, std::time::Duration::from_millis(*late));
+                start_limiter.observe_timer_lag(now, std::time::Duration::from_millis(*lag_ms));
                 start_limiter.refill(now);
                 let n = start_limiter.available().min(wanted / 5);
                 start_limiter.consume(n);
@@ -175,9 +186,12 @@
         }
         match (start_limiter.limit(), bound) {
             (None, None) => assert!(started >= wanted, "{name}"),
-            (Some(b), Some((least, most))) => {
-                assert!((least..=most).contains(&b), "{name}: {b}");
-                assert!(started >= 10, "{name}: it never stops, {started}");
+            (Some(limit), Some((least, most))) => {
+                assert!((least..=most).contains(&limit), "{name}: {limit}");
+                assert!(
+                    started >= 10,
+                    "{name}: starts never stop, {started} started"
+                );
             }
             other => panic!("{name}: {other:?}"),
         }
@@ -185,7 +199,7 @@
 }
 
 #[test]
-fn high_priority_and_guaranteed_work_is_not_held_by_the_start_limit() {
+fn high_priority_and_guaranteed_work_is_not_held_back_by_the_start_limit() {
     let mut fleet = SimulatedFleet::new(teams_config(), 10, 8.0);
     fleet.fixture.job(job_of_team(
         "wk-000001",
@@ -204,7 +218,7 @@
         1.0,
         Priority::Standard,
     ));
-    // Late all the time: the controllers cannot follow.
+    // The timers are always late: the controllers cannot keep up.
     for _ in 0..3 {
         for _ in 0..10 {
             fleet.fixture.now += std::time::Duration::from_millis(100);
--- a/tests/scheduler/worker_distribution.rs
+++ b/tests/scheduler/worker_distribution.rs
@@ -10,7 +10,8 @@
 fn workers_are_balanced_over_nodes_without_oscillation() {
     let start = Instant::now();
     let ip = |n: u8| IpAddr::V4(Ipv4Addr::new(10, 1, 0, n));
-    // Own workers, own leader (None: this node leads), peers' counts -> where one more goes.
+    // Name, number of workers of this node `a`, the leader (`None`: this node), numbers of workers of the
+    // peers `b` and `c`, and the node to which a worker is redirected.
     type Case = (
         &'static str,
         u8,
@@ -19,7 +20,7 @@
         Option<&'static str>,
     );
     let cases: [Case; 5] = [
-        ("the leader keeps a small part", 90, None, [0, 5], Some("b")),
+        ("a leader with too many", 90, None, [0, 5], Some("b")),
         (
             "a follower with far too many",
             90,
@@ -31,39 +32,54 @@
         ("a leader in balance", 12, None, [40, 40], None),
         ("few in all", 6, Some("b"), [0, 0], None),
     ];
-    for (name, here, leader, there, expected) in cases {
-        let w = WorkerDistribution::new(secs(3));
-        for n in 0..here {
-            w.record(ip(n), start);
+    for (name, own_workers, leader, peer_workers, expected) in cases {
+        let distribution = WorkerDistribution::new(secs(3));
+        for n in 0..own_workers {
+            distribution.record(ip(n), start);
         }
         let live = |member: &str, workers| LivePeer {
             member: member.to_owned(),
             workers,
         };
-        let peers = [live("b", there[0]), live("c", there[1])];
+        let peers = [live("b", peer_workers[0]), live("c", peer_workers[1])];
         let live_nodes = LiveNodes {
             own: "a",
             leader: leader.unwrap_or("a"),
             peers: &peers,
         };
-        let to = w.redirect_target(ip(0), &live_nodes, start);
-        assert_eq!(to.as_deref(), expected, "{name}");
-        // Back at once: it could not reach the other. Another one goes in its place.
+        let target = distribution.redirect_target(ip(0), &live_nodes, start);
+        assert_eq!(target.as_deref(), expected, "{name}");
+        // A worker that returns at once could not reach the other node, so it stays. Another one is
+        // redirected.
         let soon = start + secs(1);
-        w.record(ip(0), soon);
-        assert_eq!(w.redirect_target(ip(0), &live_nodes, soon), None, "{name}");
+        distribution.record(ip(0), soon);
         assert_eq!(
-            w.redirect_target(ip(1), &live_nodes, soon).is_some(),
-            to.is_some()
+            distribution.redirect_target(ip(0), &live_nodes, soon),
+            None,
+            "{name}"
+        );
+        assert_eq!(
+            distribution
+                .redirect_target(ip(1), &live_nodes, soon)
+                .is_some(),
+            target.is_some()
         );
     }
-    let w = WorkerDistribution::new(secs(3));
-    w.record(ip(1), start);
+    let distribution = WorkerDistribution::new(secs(3));
+    distribution.record(ip(1), start);
     let alone = LiveNodes {
         own: "a",
         leader: "a",
         peers: &[],
     };
-    assert_eq!(w.redirect_target(ip(1), &alone, start), None, "no peer");
-    assert_eq!(w.count(start + secs(60)), 0, "gone since");
+    assert_eq!(
+        distribution.redirect_target(ip(1), &alone, start),
+        None,
+        "no peer"
+    );
+    assert_eq!(
+        distribution.count(start + secs(60)),
+        0,
+        "removed after a time without heartbeats"
+    );
 }
