--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -104,7 +104,7 @@
 /// Guards against a dependent that is never cancelled because it becomes known only after the records of the
 /// cancelled job were removed: they stay until the leader knows of all jobs that were accepted before the
 /// cancellation. The leader writes the outcomes of dependents itself, but leaves them for a short time to the
-/// peer that confirms the cancellation, so that they are not written twice.
+/// peer that confirms the cancellation.
 #[test]
 fn when_a_cancelled_jobs_records_are_removed() {
     // How the leader learns of the cancellation, and whether it removes the records at once or only after a
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -207,7 +207,7 @@
 /// its peers, keeps renewing its lease. The leader answers heartbeats only while a lease that is renewed then
 /// expires in time. After that it still applies their content, and sends kills as direct commands.
 #[test]
-fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
+fn heartbeats_are_processed_but_not_answered_once_the_watermark_is_too_old() {
     let (mut fixture, attempt) = fixture_with_peer();
     let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
     let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -27,6 +27,8 @@
     fixture
 }
 
+/// Guards against machines that are rented twice for the same tasks, while a rental is pending or its
+/// machines are booting.
 #[test]
 fn machines_are_rented_once_for_pending_work() {
     let mut fixture = fixture_without_machines();
@@ -103,6 +105,8 @@
     }
 }
 
+/// Guards against a second rental when the outcome of the first one is unknown: the cloud recognizes the
+/// repeated request by its idempotency key.
 #[test]
 fn a_rental_of_unknown_outcome_is_repeated_under_its_idempotency_key_and_a_refused_one_is_not() {
     let mut fixture = fixture_without_machines();
@@ -168,6 +172,7 @@
     }
 }
 
+/// Guards against a fleet that is returned because the leader itself is cut off from it.
 #[test]
 fn silent_machines_are_returned_unless_all_fall_silent() {
     let mut fixture = fixture_without_machines();
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -33,8 +33,9 @@
 }
 
 /// Guards against a team that exceeds its limit after a failover: its cancelled tasks are on machines that
-/// are cut off or hang, and may still run there. They count for the limit until one of these proofs that they
-/// are gone.
+/// are cut off or hang, and may still run there. They count for the limit until they are proved gone: by the
+/// return of the machine, by a new incarnation, or by a heartbeat with a raised token that does not list
+/// them.
 #[test]
 fn cancelled_tasks_on_silent_machines_count_for_the_teams_limit_until_proved_gone() {
     enum Proof {
@@ -206,7 +207,7 @@
 }
 
 /// Guards against a cancelled task that outlasts `cancel_s` on a machine that a new leader cannot reach: the
-/// machine is returned in half that time, also if its heartbeats arrive and only answers and commands do not.
+/// machine is returned within half of it, also if its heartbeats arrive and only answers and commands do not.
 #[test]
 fn unreachable_machines_with_cancelled_tasks_are_returned_in_time() {
     for heartbeats in [false, true] {
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -277,7 +277,7 @@
     }
     // Within ten minutes the interval is doubled seven times, and then there is one lookup per minute.
     assert!((10..=20).contains(&lookups), "{lookups}");
-    // Another job is looked up at once, and so is the first one again after it was not unknown for a while.
+    // Another job is looked up at once, and so is the first one when it becomes unknown again.
     let later = start + secs(601);
     assert_eq!(backoff.due(&job_ids(&[2]), later), job_ids(&[2]));
     assert_eq!(backoff.due(&job_ids(&[1, 2]), later), job_ids(&[1]));
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -24,7 +24,7 @@
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
             (machine.lease_renewed_at, machine.token)
         };
-        // The duplicate arrives again 2 s, 12 s and 31 s after the original, at last when the lease has
+        // The duplicate arrives again 2 s, 12 s and 31 s after the last heartbeat, at last when the lease has
         // nearly expired.
         for late in [2, 10, 19] {
             fixture.run(late);
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -7,7 +7,7 @@
 use cypressgap::core::state::{Action, HeartbeatDecision};
 
 /// A new leader that loaded one intent for `i-1`.
-fn taken_over() -> (ClusterFixture, AttemptId) {
+fn fixture_after_takeover() -> (ClusterFixture, AttemptId) {
     let mut scheduler_config = config();
     scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
     let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
@@ -23,9 +23,11 @@
     (fixture, attempt)
 }
 
+/// Guards against a task that runs twice after a failover: a heartbeat that does not list a loaded task is no
+/// proof that it is gone, because its launch may still be in flight.
 #[test]
 fn a_new_leader_keeps_a_loaded_task_on_its_machine() {
-    let (mut fixture, attempt) = taken_over();
+    let (mut fixture, attempt) = fixture_after_takeover();
     fixture.heartbeat("i-2", 1, vec![]);
     assert_eq!(
         launches(&fixture.settle()),
@@ -55,9 +57,11 @@
     assert_eq!(commands, vec![launch]);
 }
 
+/// Guards against a task that runs twice because its machine does not report to the new leader: the task is
+/// moved only once the cloud has confirmed the return of the machine.
 #[test]
 fn a_new_leader_returns_a_machine_without_heartbeats_and_moves_its_task_only_then() {
-    let (mut fixture, _) = taken_over();
+    let (mut fixture, _) = fixture_after_takeover();
     let mut returned = false;
     for _ in 0..20 {
         fixture.pass(secs(2));
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -26,7 +26,11 @@
 
 /// A new leader that loaded these jobs, and intents for the first `intent_count` tasks of job `wk-000001`,
 /// with task `n` on machine `i-n`.
-fn taken_over(config: SchedulerConfig, jobs: Vec<JobSpec>, intent_count: u32) -> ClusterFixture {
+fn fixture_after_takeover(
+    config: SchedulerConfig,
+    jobs: Vec<JobSpec>,
+    intent_count: u32,
+) -> ClusterFixture {
     let active =
         (0..intent_count).map(|n| Intent::new(n, EARLIER_ATTEMPT, MachineId(format!("i-{n}"))));
     let chunk = StoredJobChunk {
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -1,6 +1,6 @@
 //! Rate limits on commands to machines after a cold restart.
 
-use super::{is_kill, job_id, launched_index, running, taken_over};
+use super::{fixture_after_takeover, is_kill, job_id, launched_index, running};
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::write_batch::WriteOutcome;
@@ -23,7 +23,7 @@
         name: "rack".to_owned(),
         net: rack,
     });
-    let mut fixture = taken_over(
+    let mut fixture = fixture_after_takeover(
         scheduler_config,
         vec![spec("wk-000001", MACHINES, 4.0)],
         MACHINES,
@@ -93,7 +93,7 @@
     scheduler_config.teams = vec![team("red", 1000.0, 1000.0)];
     scheduler_config.recovery.orders_per_second = Some(1.0);
     scheduler_config.recovery.segment_orders_per_second = Some(1.0);
-    let mut fixture = taken_over(
+    let mut fixture = fixture_after_takeover(
         scheduler_config,
         vec![spec("wk-000001", MACHINES, 4.0)],
         MACHINES,
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -1,6 +1,6 @@
 //! Network segments that fall silent: their machines are not returned or replaced all at once.
 
-use super::taken_over;
+use super::fixture_after_takeover;
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::state::Action;
@@ -8,13 +8,13 @@
 /// Twenty machines send a first heartbeat, and then all but those for which `silent` holds send one every 3 s
 /// for `seconds`. Returns the fixture, the machines that were returned and the number of machines that were
 /// rented.
-fn after_silence(
+fn run_with_silent_machines(
     scheduler_config: SchedulerConfig,
     jobs: Vec<JobSpec>,
     silent: fn(u32) -> bool,
     seconds: u64,
 ) -> (ClusterFixture, Vec<MachineId>, u32) {
-    let mut fixture = taken_over(scheduler_config, jobs, 0);
+    let mut fixture = fixture_after_takeover(scheduler_config, jobs, 0);
     let (mut returned, mut rented) = (Vec::new(), 0);
     for second in 0..=seconds {
         for n in (0..20).filter(|n| second == 0 || (second % 3 == 0 && !silent(*n))) {
@@ -72,11 +72,12 @@
         let mut scheduler_config = config();
         scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
         scheduler_config.recovery.enabled = enabled;
-        let (_, returned, _) = after_silence(scheduler_config, vec![], silent, seconds);
+        let (_, returned, _) = run_with_silent_machines(scheduler_config, vec![], silent, seconds);
         assert_eq!(returned.len(), expected, "{name}: {returned:?}");
     }
 }
 
+/// Guards against a burst of rentals that replaces a silent segment whose machines are likely to come back.
 #[test]
 fn replacements_for_a_silent_segment_are_rented_at_a_limited_rate() {
     let rented = |silent: fn(u32) -> bool, replacements_per_s: f64| {
@@ -84,7 +85,7 @@
         scheduler_config.teams = vec![team("red", 1000.0, 4000.0)];
         scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
         scheduler_config.recovery.replacements_per_second = replacements_per_s;
-        let (mut fixture, _, _) = after_silence(scheduler_config, vec![], silent, 24);
+        let (mut fixture, _, _) = run_with_silent_machines(scheduler_config, vec![], silent, 24);
         fixture.job(spec("wk-000001", 400, 8.0));
         let mut rented = 0;
         for _ in 0..4 {
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -144,6 +144,7 @@
     assert_ne!(launched[0].2, ATTEMPT, "as a new attempt");
 }
 
+/// Guards against resources that a late duplicate of a heartbeat frees although a launch may still arrive.
 #[test]
 fn a_heartbeat_that_may_be_a_duplicate_frees_nothing() {
     let mut fixture = fixture_after_failover(StoredSnapshot {
@@ -174,6 +175,8 @@
     assert_eq!(launched_tasks(&commands), both);
 }
 
+/// Guards against a job that is spread over zones wrongly after a failover, because an intent that outlived
+/// its attempt is launched again.
 #[test]
 fn a_stored_intent_in_another_zone_is_not_launched() {
     // The job has to stay in one zone or to be spread over zones, and its tasks are in two chunks. The intent
@@ -244,6 +247,8 @@
     assert_eq!(launched_tasks(&commands), vec![task("wk-000001", 0)]);
 }
 
+/// Guards against a team that exceeds its limit because the remaining members of a completed gang are not
+/// counted.
 #[test]
 fn members_of_a_gang_that_is_done_count_until_they_are_proved_gone() {
     // The end of the first member marks all members as done. Whether the job's outcome is durable already.
@@ -348,6 +353,8 @@
     assert_eq!(usage_of_red(&fixture), 12.0);
 }
 
+/// Guards against a team that exceeds its limit because tasks of a job whose record cannot be read are not
+/// counted. While such tasks may run, no team with a limit starts anything.
 #[test]
 fn an_unreadable_job_blocks_limited_teams_until_its_machines_are_returned() {
     // Whether the intents of the unreadable job can be read, which show its machines.
@@ -382,6 +389,8 @@
     }
 }
 
+/// Guards against a task that runs twice: a late copy of its launch reaches the machine after a restart, when
+/// the task has been placed elsewhere.
 #[test]
 fn a_restarted_machine_takes_no_command_from_before_its_restart() {
     let mut fixture = limited_fixture();
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -1,7 +1,9 @@
 //! Attempts on record that no heartbeat has confirmed: they keep their resources and count for their team's
 //! limit.
 
-use super::{is_kill, job_id, launched_index, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
+use super::{
+    fixture_after_takeover, is_kill, job_id, launched_index, running, usage_of_red, EARLIER_ATTEMPT,
+};
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome};
@@ -15,7 +17,7 @@
 /// lease of any other may have been renewed by another leader.
 #[test]
 fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
-    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 2);
+    let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 2);
     fixture.heartbeat("i-0", 1, vec![running(0)]);
     let state = |fixture: &ClusterFixture, n: u32| {
         let machine = MachineId(format!("i-{n}"));
@@ -60,7 +62,7 @@
 fn a_gang_confirmed_by_half_waits_for_the_other_half() {
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
-    let mut fixture = taken_over(config(), vec![gang], 2);
+    let mut fixture = fixture_after_takeover(config(), vec![gang], 2);
     let waiting = shown("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
     fixture.heartbeat("i-0", 1, vec![waiting]);
     fixture.heartbeat("i-9", 1, vec![]);
@@ -79,7 +81,7 @@
     let mut scheduler_config = config();
     scheduler_config.teams = vec![team("red", 8.0, 8.0)];
     let jobs = vec![spec("wk-000001", 2, 4.0), spec("wk-000002", 2, 4.0)];
-    let mut fixture = taken_over(scheduler_config, jobs, 2);
+    let mut fixture = fixture_after_takeover(scheduler_config, jobs, 2);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     // One attempt is proved absent: the same attempt is launched again before any other task.
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -1,7 +1,7 @@
 //! Unrecorded tasks, which run although no record names them: they are adopted, killed, or held until their
 //! job is known.
 
-use super::{is_kill, job_id, running, taken_over, usage_of_red, EARLIER_ATTEMPT};
+use super::{fixture_after_takeover, is_kill, job_id, running, usage_of_red, EARLIER_ATTEMPT};
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::job_status_reads::JobRecordStatus;
@@ -50,7 +50,7 @@
             heartbeat_from("i-9", 1, 1, FencingToken::first(TERM).0, vec![running(1)]);
         edit(&mut job, &mut heartbeat);
         let cpus = job.resources.cpus;
-        let mut fixture = taken_over(config(), vec![job], 0);
+        let mut fixture = fixture_after_takeover(config(), vec![job], 0);
         let HeartbeatDecision::Accept { commands, .. } =
             fixture.cluster.on_heartbeat(fixture.now, heartbeat)
         else {
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_adopted_task_is_recorded_soon_and_killed_like_any_other() {
-    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     fixture.heartbeat("i-9", 1, vec![running(1)]);
     let started = launches(&fixture.settle());
     assert!(started.iter().all(|l| l.1.index == 0), "{started:?}");
@@ -94,7 +94,7 @@
         ("on record elsewhere", first_token, running(0)),
         ("no such task", first_token, running(2)),
     ] {
-        let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 1);
+        let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 1);
         let heartbeat = heartbeat_from("i-9", 1, 1, token, vec![task]);
         let HeartbeatDecision::Accept { commands, .. } =
             fixture.cluster.on_heartbeat(fixture.now, heartbeat)
@@ -111,8 +111,8 @@
 /// other task, and the task is killed only after two lookups that do not find the job, and after the time for
 /// which it is held.
 #[test]
-fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
-    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+fn work_of_a_job_that_the_store_does_not_know_is_held_and_counts() {
+    let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     let unknown_task = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     let unknown_job_id = JobId::from("wk-000077");
     let (_, commands) = fixture.heartbeat("i-9", 1, vec![unknown_task()]);
@@ -142,8 +142,8 @@
 
 /// Guards against the loss of a task whose job becomes known only after a machine has listed the task.
 #[test]
-fn a_job_learned_of_late_keeps_its_tasks() {
-    let mut fixture = taken_over(config(), vec![], 0);
+fn a_job_that_becomes_known_late_keeps_its_tasks() {
+    let mut fixture = fixture_after_takeover(config(), vec![], 0);
     let (_, commands) = fixture.heartbeat("i-9", 1, vec![running(0)]);
     assert!(commands.is_empty());
     fixture.cluster.on_job_statuses(
@@ -172,7 +172,7 @@
         cpus_max: None,
         ..team("red", 8.0, 8.0)
     }];
-    let mut fixture = taken_over(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
+    let mut fixture = fixture_after_takeover(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
     let unknown_task = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     fixture.heartbeat("i-9", 1, vec![unknown_task]);
     assert_eq!(launches(&fixture.settle()), vec![]);
@@ -180,9 +180,11 @@
     assert_eq!(launches(&fixture.settle()).len(), 1);
 }
 
+/// Guards against a cancelled task that runs on because it was adopted just before: the record of the
+/// adoption is not durable yet, but the task is running.
 #[test]
 fn an_adopted_task_is_killed_though_its_record_is_not_durable_yet() {
-    let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
+    let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
     fixture.heartbeat("i-9", 1, vec![running(1)]);
     assert!(!fixture.cluster.jobs[&job_id()].active[&1].durable);
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -20,7 +20,7 @@
     for n in 0..seconds / 2 {
         let heartbeat = heartbeat_from("i-1", incarnation, serial + n, token, vec![]);
         fixture.cluster.on_heartbeat(fixture.now, heartbeat);
-        // The other machines send heartbeats as usual, so the fault is not the leader's.
+        // The other machines send heartbeats as usual, so this is no shared outage.
         for machine in ["i-8", "i-9"] {
             fixture.heartbeat(machine, 100 + fixture.revision * 50 + n, vec![]);
         }
@@ -45,6 +45,8 @@
     fixture
 }
 
+/// Guards against tasks that are lost for long on a machine that receives nothing: its heartbeats arrive, so
+/// it is not silent, but no launch reaches it. Its outdated token shows that.
 #[test]
 fn a_machine_behind_an_inbound_partition_gets_no_more_work_and_is_returned() {
     let mut fixture = one_free_machine();
@@ -80,6 +82,8 @@
     assert_eq!(fixture.active("wk-000001", 0), None);
 }
 
+/// Guards against launches to a machine whose new incarnation receives nothing. The later incarnation proves
+/// the earlier tasks gone, but does not show that commands arrive.
 #[test]
 fn a_new_incarnation_behind_an_inbound_partition_frees_its_tasks_but_gets_no_new_ones() {
     // Whether the new incarnation carries the token that was raised for it. Only then it gets new tasks.
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -1,5 +1,5 @@
-//! Intent before launch: a task is launched only once its intent is durable, and only in the term that wrote
-//! it.
+//! Intent before launch: a task is launched only once its intent is durable, and only while the
+//! leader's term lasts.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -19,6 +19,8 @@
     }
 }
 
+/// Guards against a task that runs without a record: the next leader would not know of it and launch it
+/// again.
 #[test]
 fn nothing_is_launched_before_its_intent_is_durable() {
     let mut fixture = ClusterFixture::new();
@@ -47,6 +49,8 @@
     assert!(matches!(commands[..], [TaskCommand::Launch { .. }]));
 }
 
+/// Guards against a leader that takes its own write, whose outcome was unknown, for that of another leader
+/// and cannot write the chunk any more.
 #[test]
 fn a_write_of_unknown_outcome_that_was_applied_is_repeated_on_the_new_revision() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_node_without_the_store_is_unhealthy_unless_its_peers_lack_it_too() {
+fn a_node_without_the_store_is_unhealthy_unless_its_peers_lost_it_too() {
     // Name, for how many seconds calls to the store have been failing, whether a peer's last status said that
     // it reaches the store and how many seconds ago, and whether the node is healthy.
     let cases = [
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -35,7 +35,8 @@
         assert_eq!(launches(&fixture.settle()).len(), expected, "{name}");
     }
     // An on-demand machine in zone a and a spot machine in zone b. Whether the job allows spot machines,
-    // whether it has to stay in one zone, and how many of its three tasks start.
+    // whether it has to stay in one zone, and how many of its three tasks start at least. The check caps this
+    // number at 2 and leaves out the last row.
     for (allows_spot, same_place, expected) in
         [(true, false, 3), (false, false, 1), (true, true, 1)]
     {
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Guards against endless preemptions between borrowed work that waited for long and work within a guarantee.
 #[test]
 fn work_within_the_guarantee_goes_before_borrowed_work_however_long_that_waited() {
     // Work within the guarantee may preempt borrowed work: if the latter were placed first, one of its tasks
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -153,12 +153,14 @@
             .map(job_id)
             .collect();
         let job_ids = queried.iter().map(|n| job_id(*n)).collect();
-        let StatusRead { statuses, error } =
-            job_status_reads::read_statuses(&records, &job_ids, &mut accepted);
-        assert_eq!(error, None, "{name}");
+        let StatusRead {
+            statuses: found_statuses,
+            error: read_error,
+        } = job_status_reads::read_statuses(&records, &job_ids, &mut accepted);
+        assert_eq!(read_error, None, "{name}");
         for n in &queried {
             assert_eq!(
-                statuses.get(&job_id(*n)),
+                found_statuses.get(&job_id(*n)),
                 Some(&expected_status(*n)),
                 "{name}: job {n}"
             );
@@ -179,13 +181,15 @@
             let mut records = fake_records(keys_per_answer, 2);
             records.calls_before_outage = calls_before_outage;
             let job_ids = (0..200).step_by(7).map(job_id).collect();
-            let StatusRead { statuses, error } =
-                job_status_reads::read_statuses(&records, &job_ids, &mut BTreeSet::new());
+            let StatusRead {
+                statuses: found_statuses,
+                error: read_error,
+            } = job_status_reads::read_statuses(&records, &job_ids, &mut BTreeSet::new());
             assert!(
-                error.is_some() || keys_per_answer == 1,
+                read_error.is_some() || keys_per_answer == 1,
                 "{calls_before_outage} {keys_per_answer}"
             );
-            for (job_id, status) in statuses {
+            for (job_id, status) in found_statuses {
                 let n: u32 = job_id.0[3..].parse().expect("a number");
                 assert_eq!(
                     status,
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -8,6 +8,8 @@
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOutcome};
 use cypressgap::core::state::HeartbeatDecision;
 
+/// Guards against a task that runs on after it was taken for gone: a heartbeat that does not list it proves
+/// that only if no late copy of the launch can start the task any more.
 #[test]
 fn what_proves_a_cancelled_task_gone() {
     // Name; incarnation and serial of the heartbeat; its token relative to the machine's current one; whether
@@ -62,6 +64,8 @@
     }
 }
 
+/// Guards against a task that runs twice because it is moved before the lease of its silent machine has
+/// expired.
 #[test]
 fn a_task_stays_with_a_silent_machine_until_its_lease_has_certainly_run_out() {
     for (fenced, gone) in [(true, true), (false, false)] {
@@ -85,6 +89,8 @@
     }
 }
 
+/// Guards against a running task of a new incarnation that is taken for gone because the lease of the old one
+/// has expired.
 #[test]
 fn a_new_incarnations_lease_is_not_counted_from_the_old_ones_last_answer() {
     let (mut fixture, _) = launched_task();
@@ -152,6 +158,8 @@
     );
 }
 
+/// Guards against a lease that expires although heartbeats arrive, because each is overtaken by the response
+/// to a direct command.
 #[test]
 fn a_heartbeat_overtaken_by_a_command_response_still_renews_the_lease() {
     let (mut fixture, attempt) = launched_task();
@@ -173,6 +181,8 @@
     );
 }
 
+/// Guards against the end of a task that is lost because the worker forgets it before its record is durable,
+/// and against a forgotten task that a late copy of its launch starts again.
 #[test]
 fn a_task_is_forgotten_only_once_its_end_is_durable_and_then_with_a_raised_token() {
     let (mut fixture, attempt) = launched_task();
