--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -68,7 +68,7 @@
         long.expected = secs(3000);
         fixture.job(long);
         let first = fixture.settle();
-        let (_, t, a) = launches(&first)[0].clone();
+        let (_, task, attempt) = launches(&first)[0].clone();
         // The cloud has no capacity for what was requested meanwhile.
         for (idempotency_key, ..) in rentals(&first) {
             fixture.cluster.on_rental_result(
@@ -82,7 +82,7 @@
         fixture.job(waits);
         let mut spot_requests = Vec::new();
         for n in 0..80 {
-            let running = shown(&t.job_id.0, t.index, a, TaskPhase::Running);
+            let running = shown(&task.job_id.0, task.index, attempt, TaskPhase::Running);
             fixture.heartbeat("i-1", n + 2, vec![running]);
             for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
                 spot_requests.push(spot);
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -175,8 +175,8 @@
     assert_eq!(launched_tasks(&commands), both);
 }
 
-/// Guards against a job that is spread over zones wrongly after a failover, because an intent that outlived
-/// its attempt is launched again.
+/// Guards against a job that breaks its zone constraint after a failover because an intent that outlived its
+/// attempt is launched again.
 #[test]
 fn a_stored_intent_in_another_zone_is_not_launched() {
     // The job has to stay in one zone or to be spread over zones, and its tasks are in two chunks. The intent
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -49,8 +49,8 @@
     assert!(matches!(commands[..], [TaskCommand::Launch { .. }]));
 }
 
-/// Guards against a leader that takes its own write, whose outcome was unknown, for that of another leader
-/// and cannot write the chunk any more.
+/// Guards against a leader that cannot write a chunk any more because its own write, whose outcome was
+/// unknown, has changed the revision of that chunk.
 #[test]
 fn a_write_of_unknown_outcome_that_was_applied_is_repeated_on_the_new_revision() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -27,8 +27,8 @@
         assert_ne!(first.0, second.0);
         let mut serial = 5;
         let mut send_heartbeats = |fixture: &mut ClusterFixture| {
-            for (machine, t, a) in [&first, &second] {
-                let running = vec![shown(&t.job_id.0, 0, *a, TaskPhase::Running)];
+            for (machine, task, attempt) in [&first, &second] {
+                let running = vec![shown(&task.job_id.0, 0, *attempt, TaskPhase::Running)];
                 fixture.heartbeat(&machine.0, serial, running);
             }
             serial += 1;
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -148,7 +148,7 @@
 fn unused_write_budget_is_lent_to_other_nodes() {
     let demand = |users, leader| Some(ChangeRateDemand { users, leader });
     let no_demand = demand(0.0, 0.0);
-    // Name, own demand of users and leader, demand of each peer (`None`: not heard from), minimum and maximum
+    // Name, own demand of users and leader, demand of each peer (`None`: no report), minimum and maximum
     // share of this node's users, and minimum and maximum share of this node if it leads. All in changes per
     // second.
     type Case = (
@@ -188,7 +188,7 @@
             [56.0, 57.1],
         ),
         (
-            "no peer is heard from",
+            "no peer reports",
             (60.0, 0.0),
             [None, None],
             [8.0, 20.0],
