--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -1,4 +1,4 @@
-//! A task that a new leader loads stays where it may be until a proof.
+//! Tasks that a new leader loads stay assigned to their machines until they are proved gone.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -7,10 +7,10 @@
 use cypressgap::core::state::{Action, HeartbeatDecision};
 
 /// A new leader that loaded one intent for `i-1`.
-fn taken_over() -> (ClusterFixture, AttemptId) {
-    let mut patient = config();
-    patient.tuning.on_demand_idle_timeout = secs(1000);
-    let mut fixture = ClusterFixture::with(patient, vec![machine_type("m8", 8.0)]);
+fn fixture_after_takeover() -> (ClusterFixture, AttemptId) {
+    let mut scheduler_config = config();
+    scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
+    let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", 8.0)]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let attempt = AttemptId(7);
     let value = ChunkValue {
@@ -23,25 +23,32 @@
     (fixture, attempt)
 }
 
+/// Guards against a task that runs twice after a failover: a heartbeat that does not list a loaded task is no
+/// proof that it is gone, because its launch may still be in flight.
 #[test]
-fn a_new_leader_leaves_a_loaded_task_where_it_may_be() {
-    let (mut fixture, attempt) = taken_over();
+fn a_new_leader_keeps_a_loaded_task_on_its_machine() {
+    let (mut fixture, attempt) = fixture_after_takeover();
     fixture.heartbeat("i-2", 1, vec![]);
-    assert_eq!(launches(&fixture.settle()), vec![], "i-1 may have it");
-    // The first heartbeat lacks it, and may be a late copy: nothing is ordered by it.
+    assert_eq!(
+        launches(&fixture.settle()),
+        vec![],
+        "the task may be on i-1"
+    );
+    // The first heartbeat does not list the task, but may be a late copy: it causes no command.
     let heartbeat = heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
     let HeartbeatDecision::Accept { token, commands } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
     else {
-        panic!("refused");
+        panic!("the heartbeat was not accepted");
     };
     assert_eq!((token.term(), commands), (TERM, vec![]));
-    // One of this term's does not: the command may be in flight, so the same attempt is sent again.
+    // A heartbeat of this term does not list it either. The launch may still be in flight, so the same
+    // attempt is launched again.
     let heartbeat = heartbeat_from("i-1", 1, 41, token.0, vec![]);
     let HeartbeatDecision::Accept { commands, .. } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
     else {
-        panic!("refused");
+        panic!("the heartbeat was not accepted");
     };
     let launch = TaskCommand::Launch {
         task: task("wk-000001", 0),
@@ -50,9 +57,11 @@
     assert_eq!(commands, vec![launch]);
 }
 
+/// Guards against a task that runs twice because its machine does not report to the new leader: the task is
+/// moved only once the cloud has confirmed the return of the machine.
 #[test]
 fn a_new_leader_returns_a_machine_without_heartbeats_and_moves_its_task_only_then() {
-    let (mut fixture, _) = taken_over();
+    let (mut fixture, _) = fixture_after_takeover();
     let mut returned = false;
     for _ in 0..20 {
         fixture.pass(secs(2));
