--- a/tests/stored_formats/main.rs
+++ b/tests/stored_formats/main.rs
@@ -1,8 +1,10 @@
-//! What is stored and sent, byte for byte: records and keys of the store, frames between the
-//! controllers, bodies of requests and answers, and the settings files.
+//! Golden tests of all formats that leave the process: records and keys of the store, frames between the
+//! controllers, bodies of requests and responses, and the settings files.
 //!
-//! Names of types and fields may change, these bytes may not. They stand in the `.txt` files here, a row for
-//! each value. `tests/version_compatibility.rs` has the bytes of the frames that it puts together field by field.
+//! They guard against renaming a type or field that is written out under its own name: earlier versions,
+//! workers, the cloud and users would no longer understand it. The expected bytes are in the `.txt` files of
+//! this directory, one row for each value. `tests/version_compatibility.rs` checks further frames against
+//! bytes that it assembles field by field.
 
 mod calls;
 #[path = "../common/mod.rs"]
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -1,6 +1,6 @@
-//! Frames between the controllers, and bodies of users, workers and the cloud.
+//! Frames between the controllers, and bodies of requests and responses of users, workers and the cloud.
 
-use crate::golden::{read, Golden};
+use crate::golden::{read, GoldenFile};
 use crate::values::*;
 use cypressgap::api::responses::ApiResponse;
 use cypressgap::core::model::*;
@@ -8,19 +8,21 @@
 use cypressgap::net::peer::{read_frame, write_frame, HelloExtension, PeerRequest, PeerResponse};
 use cypressgap::net::wire::*;
 
+/// Guards against frames that change with a type of the program, so that controllers of different versions no
+/// longer understand each other.
 #[test]
 fn frames_between_controllers() {
-    let mut golden = Golden::of(include_str!("frames.txt"));
+    let mut golden = GoldenFile::parse(include_str!("frames.txt"));
     fn frame<T: borsh::BorshSerialize>(message: &T) -> Vec<u8> {
-        let mut out = Vec::new();
-        write_frame(&mut out, message).expect("written");
-        out
+        let mut bytes = Vec::new();
+        write_frame(&mut bytes, message).expect("a written frame");
+        bytes
     }
-    let ask = PeerRequest::Hello(hello());
-    golden.both("hello of a follower", ask, frame, |mut b| {
-        read_frame(&mut b).expect("read")
+    let request = PeerRequest::Hello(hello());
+    golden.check_round_trip("hello of a follower", request, frame, |mut bytes| {
+        read_frame(&mut bytes).expect("a valid frame")
     });
-    let replies = [
+    let responses = [
         (
             "hello with all that may be said",
             PeerResponse::Hello(hello()),
@@ -45,21 +47,23 @@
             },
         ),
     ];
-    for (name, reply) in replies {
-        golden.both(name, reply, frame, |mut b| {
-            read_frame(&mut b).expect("read")
+    for (name, response) in responses {
+        golden.check_round_trip(name, response, frame, |mut bytes| {
+            read_frame(&mut bytes).expect("a valid frame")
         });
     }
     let extension = HelloExtension::decode(&["frames 2".into(), "next rates".into()]);
     assert!(extension.store_rates_reduced);
-    golden.finish();
+    golden.check_all_used();
 }
 
+/// Guards against bodies whose names or values change with a type of the program, so that users, workers or the
+/// cloud no longer understand them.
 #[test]
 fn bodies_of_users_workers_and_the_cloud() {
-    let mut golden = Golden::of(include_str!("bodies.txt"));
-    // What is only read.
-    let accepted = job().accepted_unix_ms;
+    let mut golden = GoldenFile::parse(include_str!("bodies.txt"));
+    // The controllers only decode these bodies.
+    let accepted_unix_ms = job().accepted_unix_ms;
     let submissions = [
         ("submission", job()),
         ("submission of a service", plain_job(Priority::High)),
@@ -67,22 +71,22 @@
         ("submission idle", plain_job(Priority::Idle)),
     ];
     for (name, spec) in submissions {
-        let submission: Submission = read(&golden.sample(name));
-        assert_eq!(submission.to_spec(accepted), Ok(spec), "{name}");
+        let submission: Submission = read(&golden.bytes(name));
+        assert_eq!(submission.to_spec(accepted_unix_ms), Ok(spec), "{name}");
     }
-    let malformed = golden.sample("submission malformed");
+    let malformed = golden.bytes("submission malformed");
     assert!(decode::<Submission>(&malformed).is_none());
     assert_eq!(read::<SubmissionId>(&malformed).job_id, Some(job_id().0));
-    let read_heartbeat = agent::decode_heartbeat(&golden.sample("report"));
-    assert_eq!(read_heartbeat, Some(heartbeat()));
-    let short: WireMachineTypes = read(&golden.sample("types in short"));
+    let decoded_heartbeat = agent::decode_heartbeat(&golden.bytes("report"));
+    assert_eq!(decoded_heartbeat, Some(heartbeat()));
+    let without_optional_fields: WireMachineTypes = read(&golden.bytes("types in short"));
     let expected = Some(machine_type(0.0, 0.0, 0.0));
     assert_eq!(
-        MachineType::try_from(&short.machine_types[0]).ok(),
+        MachineType::try_from(&without_optional_fields.machine_types[0]).ok(),
         expected
     );
-    // What is only written.
-    let state = |done, running| {
+    // The controllers only encode these bodies.
+    let job_status = |done, running| {
         encode(&JobStatusResponse {
             job_id: job_id().0,
             phase: "running",
@@ -91,10 +95,10 @@
         })
     };
     let wire_commands = || commands().iter().map(WireCommand::from).collect();
-    let elsewhere = |controller| encode(&LeaderRedirect { controller });
-    let written = [
-        ("state", state(Some(5), Some(16))),
-        ("state without counts", state(None, None)),
+    let redirect = |controller| encode(&LeaderRedirect { controller });
+    let encoded = [
+        ("state", job_status(Some(5), Some(16))),
+        ("state without counts", job_status(None, None)),
         ("problem", ApiResponse::problem(404, "no such job").body),
         (
             "heartbeat answer",
@@ -104,11 +108,11 @@
             }),
         ),
         ("commands", agent::encode_commands(token(), 2, &commands())),
-        ("elsewhere", elsewhere(Some("10.1.0.1:8080".into()))),
-        ("elsewhere unknown", elsewhere(None)),
+        ("elsewhere", redirect(Some("10.1.0.1:8080".into()))),
+        ("elsewhere unknown", redirect(None)),
     ];
-    for (name, bytes) in written {
-        golden.written(name, &bytes);
+    for (name, bytes) in encoded {
+        golden.check_encoding(name, &bytes);
     }
-    golden.finish();
+    golden.check_all_used();
 }
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -1,7 +1,7 @@
-//! Records and keys of the store.
+//! Records and keys of the store, and ids and idempotency keys that outlive a leader.
 
 use crate::common::{spec, ClusterFixture};
-use crate::golden::{read, Golden};
+use crate::golden::{read, GoldenFile};
 use crate::values::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::keys;
@@ -13,9 +13,11 @@
 use cypressgap::net::store::StoredValue;
 use cypressgap::net::wire::*;
 
+/// Guards against records that change with a type of the program: controllers of earlier versions, and this one
+/// after an update, could no longer read what is stored.
 #[test]
-fn records_of_the_state_service() {
-    let mut golden = Golden::of(include_str!("records.txt"));
+fn stored_records() {
+    let mut golden = GoldenFile::parse(include_str!("records.txt"));
     let jobs = [
         ("job", job()),
         ("job in lists", listed_job()),
@@ -23,9 +25,9 @@
         ("job of idle urgency", plain_job(Priority::Idle)),
     ];
     for (name, spec) in jobs {
-        let write = |spec: &JobSpec| encode(&StoredValue::Job(Box::new(spec.into())));
-        golden.both(name, spec, write, |b| {
-            JobSpec::try_from(read::<StoredJob>(b)).expect("a job")
+        let encode_value = |spec: &JobSpec| encode(&StoredValue::Job(Box::new(spec.into())));
+        golden.check_round_trip(name, spec, encode_value, |bytes| {
+            JobSpec::try_from(read::<StoredJob>(bytes)).expect("a job")
         });
     }
     let outcomes = [
@@ -34,53 +36,61 @@
         ("verdict cancelled", JobOutcome::Cancelled),
     ];
     for (name, outcome) in outcomes {
-        let write = |v: &JobOutcome| encode(&StoredValue::from(&RecordValue::JobOutcome(*v)));
-        golden.both(name, outcome, write, |b| {
-            JobOutcome::try_from(&read::<StoredOutcome>(b)).expect("a verdict")
+        let encode_value =
+            |outcome: &JobOutcome| encode(&StoredValue::from(&RecordValue::JobOutcome(*outcome)));
+        golden.check_round_trip(name, outcome, encode_value, |bytes| {
+            JobOutcome::try_from(&read::<StoredOutcome>(bytes)).expect("an outcome")
         });
     }
-    let write = |c: &ChunkValue| encode(&StoredValue::from(&RecordValue::Chunk(c.clone())));
-    golden.both("chunk", chunk(), write, |b| read::<StoredChunk>(b).into());
-    let write = |s: &HistorySummary| encode(&StoredValue::from(&RecordValue::History(s.clone())));
-    golden.both("history", summary(), write, |b| {
-        read::<StoredHistory>(b).into()
+    let encode_value =
+        |chunk: &ChunkValue| encode(&StoredValue::from(&RecordValue::Chunk(chunk.clone())));
+    golden.check_round_trip("chunk", chunk(), encode_value, |bytes| {
+        read::<StoredChunk>(bytes).into()
+    });
+    let encode_value = |summary: &HistorySummary| {
+        encode(&StoredValue::from(&RecordValue::History(summary.clone())))
+    };
+    golden.check_round_trip("history", summary(), encode_value, |bytes| {
+        read::<StoredHistory>(bytes).into()
     });
     let dependents = vec!["wk-000415".to_owned(), "wk-000416".to_owned()];
-    let write = |job_ids: &Vec<String>| {
+    let encode_value = |job_ids: &Vec<String>| {
         let job_ids = job_ids.clone();
         encode(&StoredValue::Dependents(StoredDependents { job_ids }))
     };
-    golden.both("dependents", dependents, write, |b| {
-        read::<StoredDependents>(b).job_ids
+    golden.check_round_trip("dependents", dependents, encode_value, |bytes| {
+        read::<StoredDependents>(bytes).job_ids
     });
     let leader = ("worker-1".to_owned(), 77, 4);
-    let write = |(member, boot, term): &(String, u64, u64)| {
+    let encode_value = |(member, boot, term): &(String, u64, u64)| {
         encode(&StoredValue::Leader(StoredLeader {
             member: member.clone(),
             boot: *boot,
             term: *term,
         }))
     };
-    golden.both("leader", leader, write, |b| {
-        let leader: StoredLeader = read(b);
+    golden.check_round_trip("leader", leader, encode_value, |bytes| {
+        let leader: StoredLeader = read(bytes);
         (leader.member, leader.boot, leader.term)
     });
-    // A term's number and the mark of a cancelled job.
-    let write = |n: &u64| encode(&StoredValue::Number(*n));
-    golden.both("term", 70_000, write, read);
-    golden.both("cancel mark", 1, write, read);
-    // As the cloud named them.
-    let types: WireMachineTypes = read(&golden.sample("types"));
+    // The counter of terms and the marker of a cancelled job are stored as plain numbers.
+    let encode_value = |number: &u64| encode(&StoredValue::Number(*number));
+    golden.check_round_trip("term", 70_000, encode_value, read);
+    golden.check_round_trip("cancel mark", 1, encode_value, read);
+    // Machine types are stored in the form in which the cloud lists them.
+    let types: WireMachineTypes = read(&golden.bytes("types"));
     assert_eq!(
         MachineType::try_from(&types.machine_types[0]),
         Ok(machine_type(8.0, 50.0, 0.5))
     );
-    golden.written("types", &encode(&StoredValue::Types(types)));
-    golden.finish();
+    golden.check_encoding("types", &encode(&StoredValue::Types(types)));
+    golden.check_all_used();
 }
 
+/// Guards against keys, ids or hashes that are composed in another way than by earlier versions: what those have
+/// stored would no longer be found.
 #[test]
-fn keys_of_the_state_service() {
+fn stored_keys_and_ids() {
     let job_id = job_id();
     let keys = [
         (keys::live_job_key(&job_id), "q/l/wk-000412"),
@@ -100,19 +110,19 @@
         (keys::INTENT_PREFIX.into(), "i/"),
         (keys::DEPENDENTS_PREFIX.into(), "d/"),
     ];
-    for (key, golden) in keys {
-        assert_eq!(key, golden);
+    for (key, expected) in keys {
+        assert_eq!(key, expected);
     }
     assert_eq!(TASKS_PER_CHUNK, 64);
     let chunk = keys::parse_chunk_key("i/wk-000412/12");
     assert_eq!(chunk, Some((job_id, 12)));
     assert_eq!(TaskId::parse("wk-000412/7"), Some(task(7)));
     assert_eq!(task(7).to_string(), "wk-000412/7");
-    // Numbers that say which term gave them out.
+    // The number of an attempt or a token contains the term in which it was issued.
     assert_eq!((attempt(9).0, attempt(9).term()), (0x4000_0009, Term(4)));
     assert_eq!((token().0, token().term()), (0x400_0001, Term(4)));
-    // The keys of the history's entries, which are hashes.
-    let measured = HistorySummary {
+    // The entries of the history are stored under hashes of their parameters.
+    let summary = HistorySummary {
         runs: vec![
             (5_998_537_374_547_088_920, 240.0, 1),
             (10_532_779_575_999_557_262, 240.0, 1),
@@ -123,21 +133,21 @@
     let mut history = History::default();
     history.record_run(&job(), &"g8".into(), secs(240.0));
     history.record_fetch(&"g8".into(), 1.0, 6.25, secs(12.5));
-    assert_eq!(history.summary(10), Some(measured.clone()));
+    assert_eq!(history.summary(10), Some(summary.clone()));
     let mut loaded = History::default();
-    loaded.load(&measured);
-    let other = JobSpec {
+    loaded.load(&summary);
+    let unmeasured_job = JobSpec {
         expected: secs(60.0),
         ..job()
     };
     assert_eq!(loaded.run_time(&job(), &"g8".into()), secs(240.0));
-    assert_eq!(loaded.run_time(&other, &"g8".into()), secs(60.0));
+    assert_eq!(loaded.run_time(&unmeasured_job, &"g8".into()), secs(60.0));
     assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
-    // A rental's claim, which the cloud keeps.
-    let mut world = ClusterFixture::new();
-    world.pass(secs(10.0));
-    world.job(spec("wk-000001", 1, 4.0));
-    let idempotency_keys = world
+    // The idempotency key of a rental, which the cloud keeps.
+    let mut fixture = ClusterFixture::new();
+    fixture.pass(secs(10.0));
+    fixture.job(spec("wk-000001", 1, 4.0));
+    let idempotency_keys = fixture
         .settle()
         .into_iter()
         .filter_map(|action| match action {
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -1,4 +1,4 @@
-//! One builder for each type whose values are stored or sent.
+//! Sample values of the types that are stored or sent, one function for each sample.
 
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent};
@@ -6,17 +6,17 @@
 use cypressgap::net::peer::{Hello, HelloExtension};
 use std::time::Duration;
 
-/// A time in seconds.
-pub fn secs(s: f64) -> Duration {
-    Duration::from_secs_f64(s)
+/// A duration in seconds.
+pub fn secs(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds)
 }
 
-/// The id of the job.
+/// The id of all sample jobs.
 pub fn job_id() -> JobId {
     "wk-000412".into()
 }
 
-/// A task of the job.
+/// The task with this index, from 0, of the sample job.
 pub fn task(index: u32) -> TaskId {
     TaskId {
         job_id: job_id(),
@@ -24,17 +24,17 @@
     }
 }
 
-/// An attempt of a term.
+/// The id of the attempt with this number in term 4.
 pub fn attempt(number: u64) -> AttemptId {
     AttemptId::of(Term(4), number)
 }
 
-/// A token of that term.
+/// The second fencing token of term 4.
 pub fn token() -> FencingToken {
     FencingToken::first(Term(4)).next()
 }
 
-/// A job that makes use of all fields.
+/// A job with a value in every optional field.
 pub fn job() -> JobSpec {
     JobSpec {
         job_id: job_id(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The same job, entered in lists of dependents.
+/// The job of [`job`] with high priority, and entered in the list of dependents of each of its dependencies.
 pub fn listed_job() -> JobSpec {
     JobSpec {
         priority: Priority::High,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A job without what may be left out.
+/// A batch job without the optional fields.
 pub fn plain_job(priority: Priority) -> JobSpec {
     JobSpec {
         kind: JobKind::Batch,
@@ -90,17 +90,17 @@
     }
 }
 
-/// Tasks of the job, the last one of the chunk done.
+/// A chunk in which the tasks 0, 2 and 63, the last one, are done, and the tasks 1 and 3 are active.
 pub fn chunk() -> ChunkValue {
-    let active =
+    let intent =
         |index: u32, machine: &str| Intent::new(index, attempt(index.into()), machine.into());
     ChunkValue {
         done: 1 << 63 | 5,
-        active: vec![active(1, "i-000231"), active(3, "i-000232")],
+        active: vec![intent(1, "i-000231"), intent(3, "i-000232")],
     }
 }
 
-/// What was measured, with the largest key that there may be.
+/// Measured run times and fetch ratios. One of the keys is the largest possible one.
 pub fn summary() -> HistorySummary {
     HistorySummary {
         runs: vec![(u64::MAX, 61.5, 40), (7, 2.0, 1)],
@@ -109,7 +109,7 @@
     }
 }
 
-/// A machine type with these amounts of what the cloud may leave out.
+/// A machine type with these values in the fields that the cloud may omit.
 pub fn machine_type(gpus: f64, cache_gb: f64, fetch_gb_per_s: f64) -> MachineType {
     MachineType {
         name: "g8".into(),
@@ -127,7 +127,7 @@
     }
 }
 
-/// What a follower says that the store does not answer.
+/// The hello of a follower that the store does not answer.
 pub fn hello() -> Hello {
     Hello {
         member: "worker-2".into(),
@@ -143,7 +143,7 @@
     }
 }
 
-/// A report with a task in each state that a worker may name.
+/// A heartbeat with one task in each phase and with each exit reason that a worker can report.
 pub fn heartbeat() -> Heartbeat {
     let exits = [
         ExitReason::Completed,
@@ -156,16 +156,16 @@
         ExitReason::UnknownTask,
         ExitReason::Failed,
     ];
-    let under_way = [
+    let active_phases = [
         TaskPhase::Fetching,
         TaskPhase::WaitingForGang,
         TaskPhase::Running,
         TaskPhase::Checkpointing,
     ];
-    let phases = under_way.into_iter().chain(exits.map(TaskPhase::Ended));
-    let tasks = phases.enumerate().map(|(n, phase)| TaskStatus {
-        task: task(n as u32),
-        attempt: attempt(n as u64),
+    let phases = active_phases.into_iter().chain(exits.map(TaskPhase::Ended));
+    let tasks = phases.enumerate().map(|(index, phase)| TaskStatus {
+        task: task(index as u32),
+        attempt: attempt(index as u64),
         phase,
     });
     Heartbeat {
@@ -182,7 +182,7 @@
     }
 }
 
-/// A command of each kind.
+/// One command of each kind.
 pub fn commands() -> Vec<TaskCommand> {
     let (task, attempt) = (task(7), attempt(9));
     vec![
