--- a/tests/request_parser.rs
+++ b/tests/request_parser.rs
@@ -1,11 +1,13 @@
-//! Requests of HTTP/1.1 as a connection brings them.
+//! The parser of HTTP/1.1 requests, given the bytes that a connection has received so far.
 
 use cypressgap::net::request_parser::{parse, Parsed, HEAD_LIMIT};
 
-/// Guards against requests split anywhere, and against lengths that lie.
+/// Guards against a request that is misread because it arrives in parts, and against body lengths that are
+/// invalid, contradictory or above the limit.
 #[test]
-fn requests_are_parsed_however_they_are_cut() {
-    let whole: &[(&str, &str, &str, bool)] = &[
+fn complete_partial_and_malformed_requests() {
+    // The request, its path, its body, and whether the connection stays open after it.
+    let valid: &[(&str, &str, &str, bool)] = &[
         ("GET /up HTTP/1.1\r\n\r\n", "/up", "", true),
         ("GET /up?x=1 HTTP/1.1\r\nConnection: close\r\n\r\n", "/up", "", false),
         ("GET /up HTTP/1.0\r\n\r\n", "/up", "", false),
@@ -18,25 +20,25 @@
             true,
         ),
     ];
-    for (text, path, body, keep) in whole {
-        for cut in 0..text.len() {
-            let part = parse(&text.as_bytes()[..cut], 8);
+    for (text, path, body, keep_alive) in valid {
+        for length in 0..text.len() {
+            let parsed = parse(&text.as_bytes()[..length], 8);
             assert!(
-                matches!(part, Ok(Parsed::Incomplete { .. })),
-                "{text:?} cut at {cut}"
+                matches!(parsed, Ok(Parsed::Incomplete { .. })),
+                "the first {length} bytes of {text:?}"
             );
         }
-        let next = format!("{text}GET / HTTP/1.1\r\n");
-        let Ok(Parsed::Complete(request)) = parse(next.as_bytes(), 8) else {
-            panic!("{text:?} is whole");
+        let with_next_request = format!("{text}GET / HTTP/1.1\r\n");
+        let Ok(Parsed::Complete(request)) = parse(with_next_request.as_bytes(), 8) else {
+            panic!("{text:?} is not parsed as complete");
         };
         assert_eq!(
             (request.path.as_str(), &request.body[..], request.keep_alive),
-            (*path, body.as_bytes(), *keep)
+            (*path, body.as_bytes(), *keep_alive)
         );
         assert_eq!(request.length, text.len(), "{text:?}");
     }
-    let bad = [
+    let malformed = [
         "nonsense\r\n\r\n",
         "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n",
         "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
@@ -47,10 +49,10 @@
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
     ];
-    for text in bad {
-        let found = parse(text.as_bytes(), 8);
-        assert!(found.is_err(), "{text:?}: {found:?}");
+    for text in malformed {
+        let parsed = parse(text.as_bytes(), 8);
+        assert!(parsed.is_err(), "{text:?}: {parsed:?}");
     }
-    let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
-    assert!(parse(long.as_bytes(), 8).is_err());
+    let head_too_long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
+    assert!(parse(head_too_long.as_bytes(), 8).is_err());
 }
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -1,10 +1,13 @@
-//! No team's tasks use more than its limit, whatever fails: counted from what is on the machines.
+//! Simulations that check that no team's tasks use more than the team's limit, whatever fails. The usage is
+//! counted from the tasks that are on the machines, not from a leader's own state.
 //!
-//! Each seed draws a whole deployment with its faults. The same run checks that no task runs twice, too
-//! early, in a second zone or long after its cancellation, and that the newest leader accounts for
-//! everything that is on a machine.
+//! Each seed determines a simulated deployment and its faults. The same runs check that no task runs twice at
+//! a time, starts before its dependencies are done, runs in a second zone despite `same_place`, or runs
+//! longer than the limit `cancel_s` after its cancellation, and that the newest leader accounts for every
+//! task on a machine.
 //!
-//! A longer search, by hand: `FIRST_SEED=1000 SEEDS=5000 cargo test --release --test team_limits -- --nocapture`.
+//! To run more seeds by hand:
+//! `FIRST_SEED=1000 SEEDS=5000 cargo test --release --test team_limits -- --nocapture`.
 
 mod common;
 mod simulation;
@@ -18,52 +21,60 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-const STEPS_A_SECOND: u64 = 10;
-const SECONDS: u64 = 120;
+const STEPS_PER_SECOND: u64 = 10;
+const SIMULATED_SECONDS: u64 = 120;
 const MACHINES: usize = 24;
 
-/// Seeds that break the limit where `core/launch_check` allows every launch from a record
-/// (`docs/incidents/team-over-its-limit.md`).
-const WITHOUT_THE_CHECK: [u64; 3] = [703, 2403, 2679];
-const WITHOUT_THE_CHECK_LEADERS_END: [u64; 4] = [12, 812, 1075, 1076];
+/// Seeds with which a team exceeds its limit if `core/reconciliation/launch_check` allows the launch of every
+/// recorded attempt (`docs/incidents/team-over-its-limit.md`).
+const REGRESSION_SEEDS_ALL_FAULTS: [u64; 3] = [703, 2403, 2679];
+/// The same for [`FaultRates::leader_crashes`].
+const REGRESSION_SEEDS_LEADER_CRASHES: [u64; 4] = [12, 812, 1075, 1076];
 
-/// Plays a seed until something breaks. Returns what broke.
-fn play(seed: u64, fault_rates: FaultRates) -> Vec<String> {
+/// Runs the simulation of a seed until an invariant is violated. Returns the violations of that step, or an
+/// empty list if the whole run has none.
+fn run_seed(seed: u64, fault_rates: FaultRates) -> Vec<String> {
     let mut simulation = Simulation::new(seed, MACHINES, fault_rates);
-    for _ in 0..SECONDS * STEPS_A_SECOND {
-        let mut broken = simulation.step();
-        broken.extend(simulation.unaccounted_tasks());
-        if !broken.is_empty() {
-            return broken;
+    for _ in 0..SIMULATED_SECONDS * STEPS_PER_SECOND {
+        let mut violations = simulation.step();
+        violations.extend(simulation.unaccounted_tasks());
+        if !violations.is_empty() {
+            return violations;
         }
     }
-    assert!(simulation.tasks_done() > 0, "seed {seed} did no work");
+    assert!(
+        simulation.tasks_done() > 0,
+        "seed {seed}: no task was completed"
+    );
     Vec::new()
 }
 
-fn number(name: &str) -> Option<u64> {
+/// The number in an environment variable, or `None` if the variable is not set.
+fn env_number(name: &str) -> Option<u64> {
     let text = std::env::var(name).ok()?;
     Some(text.parse().expect("a whole number"))
 }
 
-/// The seeds to play: those that CI plays, or those of a search by hand.
-fn seeds(known: &[u64]) -> Vec<u64> {
-    match number("SEEDS") {
+/// The seeds to run: those that the environment variables select for a search by hand, otherwise the seeds
+/// that CI runs, which are the first six and the regression seeds.
+fn seeds(regression_seeds: &[u64]) -> Vec<u64> {
+    match env_number("SEEDS") {
         Some(count) => {
-            let first = number("FIRST_SEED").unwrap_or(1);
+            let first = env_number("FIRST_SEED").unwrap_or(1);
             (first..first + count).collect()
         }
-        None => (1..=6).chain(known.iter().copied()).collect(),
+        None => (1..=6).chain(regression_seeds.iter().copied()).collect(),
     }
 }
 
-fn search(name: &str, fault_rates: fn() -> FaultRates, known: &[u64]) {
+/// Runs all seeds with these faults. Fails with the list of the seeds in which an invariant was violated.
+fn run_seeds(name: &str, fault_rates: fn() -> FaultRates, regression_seeds: &[u64]) {
     let mut failed = Vec::new();
-    let seeds = seeds(known);
+    let seeds = seeds(regression_seeds);
     for seed in &seeds {
-        let broken = play(*seed, fault_rates());
-        if !broken.is_empty() {
-            println!("{name}, seed {seed}: {broken:?}");
+        let violations = run_seed(*seed, fault_rates());
+        if !violations.is_empty() {
+            println!("{name}, seed {seed}: {violations:?}");
             failed.push(*seed);
         }
     }
@@ -71,25 +82,38 @@
     assert!(failed.is_empty(), "{name}: these seeds failed: {failed:?}");
 }
 
+/// Guards against launches from records of attempts that have ended: the resources of such an attempt may
+/// have been given to other tasks, so that its launch exceeds the team's limit.
 #[test]
 fn limits_hold_under_all_faults() {
-    search("all faults", FaultRates::frequent, &WITHOUT_THE_CHECK);
+    run_seeds(
+        "all faults",
+        FaultRates::frequent,
+        &REGRESSION_SEEDS_ALL_FAULTS,
+    );
 }
 
+/// Guards against the same failure while leaders crash every few seconds, before they have removed the
+/// records of ended attempts, and while writes are lost or late.
 #[test]
-fn limits_hold_while_leaders_end_every_few_seconds() {
-    let known = &WITHOUT_THE_CHECK_LEADERS_END;
-    search("leaders crash", FaultRates::leader_crashes, known);
+fn limits_hold_while_leaders_crash_every_few_seconds() {
+    let regression_seeds = &REGRESSION_SEEDS_LEADER_CRASHES;
+    run_seeds(
+        "leaders crash",
+        FaultRates::leader_crashes,
+        regression_seeds,
+    );
 }
 
-/// A machine in a zone that runs these tasks of a job of 4 processors a task.
-fn machine(name: &str, zone: &str, dependencies: Option<&str>, tasks: &[u32]) -> Worker {
+/// A worker in a zone that runs these tasks of a `same_place` job, which has 4 CPUs for each task and depends
+/// on at most one other job.
+fn worker_with_tasks(name: &str, zone: &str, dependency: Option<&str>, tasks: &[u32]) -> Worker {
     let now = Instant::now();
-    let kind = ("m8".into(), resources(8.0));
-    let mut worker = Worker::new(name.into(), kind, zone.into(), false, now);
+    let type_and_capacity = ("m8".into(), resources(8.0));
+    let mut worker = Worker::new(name.into(), type_and_capacity, zone.into(), false, now);
     let mut job = spec("wk-000001", 4, 4.0);
     job.same_place = true;
-    job.dependencies = dependencies.into_iter().map(Into::into).collect();
+    job.dependencies = dependency.into_iter().map(Into::into).collect();
     let job = Arc::new(job);
     for index in tasks {
         let task = TaskId {
@@ -106,10 +130,11 @@
     worker
 }
 
+/// Guards against a check that reports nothing, with which the simulations would pass whatever happens.
 #[test]
 fn the_invariant_checks_detect_each_violation() {
-    // The rule, and what breaks it: the second machine's zone and tasks, what the job needs, and how
-    // long ago it was cancelled.
+    // The violation that is expected, if any; the second worker's zone and tasks; the job's dependency; how
+    // many seconds ago the job was cancelled. The first worker runs task 0 in zone a.
     type Case<'a> = (
         Option<&'a str>,
         &'a str,
@@ -126,23 +151,23 @@
         (Some("wrong_place"), "b", &[1], None, None),
         (Some("too_early"), "a", &[1], Some("wk-000009"), None),
     ];
-    for (rule, zone, tasks, dependencies, cancelled) in cases {
+    for (expected, zone, tasks, dependency, cancelled_seconds_ago) in cases {
         let now = Instant::now() + secs(100);
         let mut invariants = InvariantChecker::default();
-        if let Some(ago) = cancelled {
+        if let Some(seconds) = cancelled_seconds_ago {
             invariants
                 .cancelled
-                .insert("wk-000001".into(), now - secs(ago));
+                .insert("wk-000001".into(), now - secs(seconds));
         }
         let workers = [
-            machine("i-1", "a", dependencies, &[0]),
-            machine("i-2", zone, dependencies, tasks),
+            worker_with_tasks("i-1", "a", dependency, &[0]),
+            worker_with_tasks("i-2", zone, dependency, tasks),
         ];
         let teams = [team("red", 0.0, 8.0)];
-        let broken = invariants.check(now, workers.iter(), &teams, secs(50), |_| None);
-        let found = broken.first().map(String::as_str);
-        match rule {
-            Some(rule) => assert!(found.is_some_and(|f| f.starts_with(rule)), "{broken:?}"),
+        let violations = invariants.check(now, workers.iter(), &teams, secs(50), |_| None);
+        let found = violations.first().map(String::as_str);
+        match expected {
+            Some(name) => assert!(found.is_some_and(|f| f.starts_with(name)), "{violations:?}"),
             None => assert_eq!(found, None),
         }
     }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -1,7 +1,8 @@
-//! Versions side by side: what the earlier ones read and write, by their layout.
+//! Compatibility of this version with earlier ones that run at the same time: the layouts of stored records
+//! and of frames between controllers.
 //!
-//! The samples are written by hand from the layouts of the version that `production` in
-//! `deploy/service.toml` names and of the one before it, not with this version's types.
+//! The samples are assembled by hand, not with this version's types. Their layouts are those of the
+//! production version, which `production` in `deploy/service.toml` names, and of the version before it.
 
 use cypressgap::core::model::JobSpec;
 #[path = "fakes/value.rs"]
@@ -19,7 +20,7 @@
 use serde::Serialize;
 use value::{map, text, Value};
 
-/// What the production version keeps of a job.
+/// The record of a job in the layout of the production version.
 fn job_record() -> Value {
     map([
         ("uid", text("wk-000412")),
@@ -53,105 +54,110 @@
     ])
 }
 
+/// Guards against records that one of two versions that run at the same time cannot read, and against fields
+/// that are lost when this version rewrites a record of the production version.
 #[test]
-fn records_of_the_version_in_production_are_read_and_written_as_they_are() {
-    fn both<T: Serialize + serde::de::DeserializeOwned>(record: Value) {
-        let read: T = decode(&encode(&record)).expect("it is read");
-        let again: Value = decode(&encode(&read)).expect("it is written");
-        assert_eq!(again, record);
+fn records_of_the_production_version_round_trip_unchanged() {
+    fn check_round_trip<T: Serialize + serde::de::DeserializeOwned>(record: Value) {
+        let decoded: T = decode(&encode(&record)).expect("a valid record");
+        let rewritten: Value = decode(&encode(&decoded)).expect("a valid value");
+        assert_eq!(rewritten, record);
     }
-    both::<StoredJob>(job_record());
-    both::<StoredOutcome>(map([("p", text("withdrawn"))]));
-    both::<StoredLeader>(map([
+    check_round_trip::<StoredJob>(job_record());
+    check_round_trip::<StoredOutcome>(map([("p", text("withdrawn"))]));
+    check_round_trip::<StoredLeader>(map([
         ("member", text("worker-1")),
         ("boot", Value::Int(77)),
         ("term", Value::Int(4)),
     ]));
     let attempt = Value::List(vec![Value::Int(3), Value::Int(1 << 30), text("i-000231")]);
-    both::<StoredChunk>(map([
+    check_round_trip::<StoredChunk>(map([
         ("d", Value::Int(5)),
         ("a", Value::List(vec![attempt])),
     ]));
     let run = Value::List(vec![Value::Int(9), Value::Float(1.5), Value::Int(2)]);
-    both::<StoredHistory>(map([
+    check_round_trip::<StoredHistory>(map([
         ("runs", Value::List(vec![run])),
         ("bias", Value::List(vec![])),
         ("fetch", Value::List(vec![])),
     ]));
-    let stored: StoredJob = decode(&encode(&job_record())).expect("it is read");
+    let stored: StoredJob = decode(&encode(&job_record())).expect("a valid record");
     let spec = JobSpec::try_from(stored).expect("a job");
     assert_eq!((spec.task_count, spec.dependencies.len()), (16, 0));
-    // A job that awaits others has one field more, which the oldest version passes over. The version
-    // in production writes it, and enters the job in a list of each dependency.
-    both::<StoredDependents>(map([(
+    // A job with dependencies has one more field. The version before the production version ignores it. The
+    // production version writes it, and also enters the job in the list of dependents of each dependency.
+    check_round_trip::<StoredDependents>(map([(
         "by",
         Value::List(vec![text("wk-000412"), text("wk-000415")]),
     )]));
-    let mut awaits = spec.clone();
-    awaits.dependencies = vec!["wk-000398".into()];
-    awaits.listed_as_dependent = true;
-    let Value::Map(mut listed_as_dependent) = job_record() else {
+    let mut dependent_job = spec.clone();
+    dependent_job.dependencies = vec!["wk-000398".into()];
+    dependent_job.listed_as_dependent = true;
+    let Value::Map(mut record) = job_record() else {
         panic!("not a map");
     };
-    listed_as_dependent.insert("needs".into(), Value::List(vec![text("wk-000398")]));
-    both::<StoredJob>(Value::Map(listed_as_dependent.clone()));
-    let read: StoredJob =
-        decode(&encode(&Value::Map(listed_as_dependent.clone()))).expect("it is read");
-    assert_eq!(JobSpec::try_from(read).as_ref(), Ok(&awaits));
-    let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    assert_eq!(written, Value::Map(listed_as_dependent.clone()));
-    // This version says where it enters none; the versions before pass over that.
-    awaits.listed_as_dependent = false;
-    let written: Value = decode(&encode(&StoredJob::from(&awaits))).expect("a map");
-    listed_as_dependent.insert("unlisted".into(), Value::Bool(true));
-    assert_eq!(written, Value::Map(listed_as_dependent));
+    record.insert("needs".into(), Value::List(vec![text("wk-000398")]));
+    check_round_trip::<StoredJob>(Value::Map(record.clone()));
+    let decoded: StoredJob = decode(&encode(&Value::Map(record.clone()))).expect("a valid record");
+    assert_eq!(JobSpec::try_from(decoded).as_ref(), Ok(&dependent_job));
+    let written: Value = decode(&encode(&StoredJob::from(&dependent_job))).expect("a map");
+    assert_eq!(written, Value::Map(record.clone()));
+    // If this version enters a job in no list of dependents, it states that in a field of the record, which
+    // earlier versions ignore.
+    dependent_job.listed_as_dependent = false;
+    let written: Value = decode(&encode(&StoredJob::from(&dependent_job))).expect("a map");
+    record.insert("unlisted".into(), Value::Bool(true));
+    assert_eq!(written, Value::Map(record));
 }
 
-/// Bytes of a `borsh` frame, put together field by field.
+/// The body of a `borsh` frame, assembled field by field.
 #[derive(Clone, Default)]
-struct Bytes(Vec<u8>);
+struct BorshBytes(Vec<u8>);
 
-impl Bytes {
-    fn variant(n: u8) -> Bytes {
-        Bytes(vec![n])
+impl BorshBytes {
+    /// Begins with the index of an enum variant.
+    fn variant(index: u8) -> BorshBytes {
+        BorshBytes(vec![index])
     }
-    fn u8(mut self, n: u8) -> Bytes {
+    fn u8(mut self, n: u8) -> BorshBytes {
         self.0.push(n);
         self
     }
-    fn u16(mut self, n: u16) -> Bytes {
+    fn u16(mut self, n: u16) -> BorshBytes {
         self.0.extend(n.to_le_bytes());
         self
     }
-    fn u32(mut self, n: u32) -> Bytes {
+    fn u32(mut self, n: u32) -> BorshBytes {
         self.0.extend(n.to_le_bytes());
         self
     }
-    fn u64(mut self, n: u64) -> Bytes {
+    fn u64(mut self, n: u64) -> BorshBytes {
         self.0.extend(n.to_le_bytes());
         self
     }
-    fn f64(mut self, x: f64) -> Bytes {
+    fn f64(mut self, x: f64) -> BorshBytes {
         self.0.extend(x.to_le_bytes());
         self
     }
-    fn bytes(self, b: &[u8]) -> Bytes {
-        let mut s = self.u32(b.len() as u32);
-        s.0.extend(b);
-        s
+    fn bytes(self, bytes: &[u8]) -> BorshBytes {
+        let mut with_length = self.u32(bytes.len() as u32);
+        with_length.0.extend(bytes);
+        with_length
     }
-    fn text(self, t: &str) -> Bytes {
-        self.bytes(t.as_bytes())
+    fn text(self, text: &str) -> BorshBytes {
+        self.bytes(text.as_bytes())
     }
+    /// The frame: the length of the body, and the body.
     fn frame(&self) -> Vec<u8> {
-        let mut out = (self.0.len() as u32).to_le_bytes().to_vec();
-        out.extend(&self.0);
-        out
+        let mut frame = (self.0.len() as u32).to_le_bytes().to_vec();
+        frame.extend(&self.0);
+        frame
     }
 }
 
-fn hello_bytes(variant: u8, over: &[&str]) -> Bytes {
-    let b = Bytes::variant(variant)
+/// The bytes of [`hello`] as a request or response in the layout of the production version.
+fn hello_bytes(variant: u8, finished_jobs: &[&str]) -> BorshBytes {
+    let hello = BorshBytes::variant(variant)
         .text("worker-1")
         .u8(1)
         .u64(4)
@@ -165,8 +171,10 @@
         .text("wk-000001")
         .u32(1)
         .u32(2)
-        .u32(over.len() as u32);
-    over.iter().fold(b, |b, o| b.text(o))
+        .u32(finished_jobs.len() as u32);
+    finished_jobs
+        .iter()
+        .fold(hello, |bytes, job_id| bytes.text(job_id))
 }
 
 fn hello(finished_jobs: Vec<String>) -> Hello {
@@ -188,30 +196,32 @@
     }
 }
 
+/// Guards against frames that a controller of the production version cannot read or misreads, because the
+/// order or the types of fields or variants have changed.
 #[test]
-fn frames_of_the_version_in_production_keep_their_layout() {
-    let asks = [
+fn frames_keep_the_layout_of_the_production_version() {
+    let requests = [
         (
             hello_bytes(0, &["wk-000002"]),
             PeerRequest::Hello(hello(vec!["wk-000002".into()])),
         ),
         (
-            Bytes::variant(1).u32(2).bytes(&[1, 2]).bytes(&[]),
+            BorshBytes::variant(1).u32(2).bytes(&[1, 2]).bytes(&[]),
             PeerRequest::Heartbeats(vec![vec![1, 2], vec![]]),
         ),
         (
-            Bytes::variant(2).text("10.1.0.232:9000").bytes(&[7]),
+            BorshBytes::variant(2).text("10.1.0.232:9000").bytes(&[7]),
             PeerRequest::Command {
                 endpoint: "10.1.0.232:9000".into(),
                 body: vec![7],
             },
         ),
         (
-            Bytes::variant(3).u32(1).text("wk-000003"),
+            BorshBytes::variant(3).u32(1).text("wk-000003"),
             PeerRequest::JobStatuses(vec!["wk-000003".into()]),
         ),
         (
-            Bytes::variant(4)
+            BorshBytes::variant(4)
                 .text("POST")
                 .text("/api/jobs")
                 .bytes(&[9, 9]),
@@ -222,11 +232,11 @@
             },
         ),
         (
-            Bytes::variant(5).u8(0),
+            BorshBytes::variant(5).u8(0),
             PeerRequest::Cancellations { from: None },
         ),
         (
-            Bytes::variant(5).u8(1).u64(77).u64(12),
+            BorshBytes::variant(5).u8(1).u64(77).u64(12),
             PeerRequest::Cancellations {
                 from: Some(CancellationPosition {
                     incarnation: 77,
@@ -235,31 +245,31 @@
             },
         ),
         (
-            Bytes::variant(6).u32(1).text("wk-000003"),
+            BorshBytes::variant(6).u32(1).text("wk-000003"),
             PeerRequest::Cancelled(vec!["wk-000003".into()]),
         ),
     ];
-    for (old, new) in asks {
-        let frame = old.frame();
+    for (expected, message) in requests {
+        let frame = expected.frame();
         assert_eq!(
             read_frame::<PeerRequest>(&mut frame.as_slice()).unwrap(),
-            new
+            message
         );
-        assert_eq!(borsh::to_vec(&new).unwrap(), old.0, "{new:?}");
+        assert_eq!(borsh::to_vec(&message).unwrap(), expected.0, "{message:?}");
     }
-    let replies = [
+    let responses = [
         (hello_bytes(0, &[]), PeerResponse::Hello(hello(vec![]))),
         (
-            Bytes::variant(1).u32(1).u16(200).bytes(&[1]),
+            BorshBytes::variant(1).u32(1).u16(200).bytes(&[1]),
             PeerResponse::Heartbeats(vec![(200, vec![1])]),
         ),
-        (Bytes::variant(2).u8(0), PeerResponse::Command(None)),
+        (BorshBytes::variant(2).u8(0), PeerResponse::Command(None)),
         (
-            Bytes::variant(2).u8(1).bytes(&[3]),
+            BorshBytes::variant(2).u8(1).bytes(&[3]),
             PeerResponse::Command(Some(vec![3])),
         ),
         (
-            Bytes::variant(3).u32(5).u8(0).u8(1).u8(2).u8(3).u8(4),
+            BorshBytes::variant(3).u32(5).u8(0).u8(1).u8(2).u8(3).u8(4),
             PeerResponse::JobStatuses(vec![
                 PeerJobStatus::Unknown,
                 PeerJobStatus::NeverAccepted,
@@ -269,7 +279,7 @@
             ]),
         ),
         (
-            Bytes::variant(4).u16(503).bytes(&[]).u8(1).u64(3),
+            BorshBytes::variant(4).u16(503).bytes(&[]).u8(1).u64(3),
             PeerResponse::UserRequest {
                 status: 503,
                 body: vec![],
@@ -277,7 +287,7 @@
             },
         ),
         (
-            Bytes::variant(5)
+            BorshBytes::variant(5)
                 .u64(77)
                 .u8(1)
                 .u32(1)
@@ -292,23 +302,24 @@
                 more: false,
             },
         ),
-        (Bytes::variant(6).u8(1), PeerResponse::Cancelled(true)),
+        (BorshBytes::variant(6).u8(1), PeerResponse::Cancelled(true)),
     ];
-    for (old, new) in replies {
-        let frame = old.frame();
+    for (expected, message) in responses {
+        let frame = expected.frame();
         assert_eq!(
             read_frame::<PeerResponse>(&mut frame.as_slice()).unwrap(),
-            new
+            message
         );
-        assert_eq!(borsh::to_vec(&new).unwrap(), old.0, "{new:?}");
+        assert_eq!(borsh::to_vec(&message).unwrap(), expected.0, "{message:?}");
     }
 }
 
-/// Newer frames go only to peers that said they know them. The oldest version says nothing, and heeds
-/// nothing in the list where it is said; the version in production says 2, and perhaps that the next
-/// rates hold.
+/// Guards against messages that an earlier peer does not know. A controller sends newer messages only to
+/// peers whose hello response states a sufficient protocol version. The version before the production version
+/// states none and ignores the list that holds these statements. The production version states version 2 and,
+/// where it applies, that the store's reduced rates are in force.
 #[test]
-fn frames_that_an_earlier_peer_understands() {
+fn hello_responses_state_the_protocol_version() {
     let cases: [(&[&str], u32); 6] = [
         (&[], 1),
         (&["wk-000001", "wk-000002"], 1),
@@ -317,24 +328,24 @@
         (&["wk-000001", "frames 7"], 7),
         (&["frames many"], 1),
     ];
-    for (over, known) in cases {
-        let over: Vec<String> = over.iter().map(std::string::ToString::to_string).collect();
+    for (texts, version) in cases {
+        let texts: Vec<String> = texts.iter().map(std::string::ToString::to_string).collect();
         assert_eq!(
-            HelloExtension::decode(&over).protocol_version,
-            known,
-            "{over:?}"
+            HelloExtension::decode(&texts).protocol_version,
+            version,
+            "{texts:?}"
         );
     }
     for store_rates_reduced in [false, true] {
-        let said = HelloExtension::current(store_rates_reduced).encode();
+        let extension = HelloExtension::current(store_rates_reduced).encode();
         let expected = HelloExtension {
             protocol_version: 3,
             store_rates_reduced,
         };
-        assert_eq!(HelloExtension::decode(&said), expected);
-        // The production version reads the answer that says so as it stands.
-        let texts: Vec<&str> = said.iter().map(String::as_str).collect();
-        let new = borsh::to_vec(&PeerResponse::Hello(hello(said.clone()))).unwrap();
-        assert_eq!(new, hello_bytes(0, &texts).0);
+        assert_eq!(HelloExtension::decode(&extension), expected);
+        // The statements do not change the layout of the response, so the production version can read it.
+        let texts: Vec<&str> = extension.iter().map(String::as_str).collect();
+        let bytes = borsh::to_vec(&PeerResponse::Hello(hello(extension.clone()))).unwrap();
+        assert_eq!(bytes, hello_bytes(0, &texts).0);
     }
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,4 +1,4 @@
-//! Bodies from outside, well-formed and not.
+//! Validation of bodies and frames from outside: submissions, heartbeats and messages of peers.
 
 use cypressgap::core::admission::check_record_size;
 use cypressgap::core::model::*;
@@ -7,184 +7,205 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// A MessagePack value.
 #[derive(Clone, Serialize)]
 #[serde(untagged)]
-enum V {
-    T(&'static str),
-    F(f64),
-    I(i64),
-    B(bool),
-    N(Option<()>),
-    L(Vec<V>),
-    M(BTreeMap<&'static str, V>),
+enum Value {
+    Text(&'static str),
+    Float(f64),
+    Int(i64),
+    Bool(bool),
+    Nil(Option<()>),
+    List(Vec<Value>),
+    Map(BTreeMap<&'static str, Value>),
 }
 
-fn submission() -> BTreeMap<&'static str, V> {
+/// The fields of a valid submission.
+fn submission_fields() -> BTreeMap<&'static str, Value> {
     BTreeMap::from([
-        ("Uid", V::T("wk-000412")),
-        ("JobClass", V::T("train")),
-        ("Owner", V::T("vision")),
-        ("JobKind", V::T("group")),
-        ("Urgency", V::T("high")),
-        ("Shards", V::I(16)),
-        ("Vcpus", V::F(8.0)),
-        ("Gpus", V::F(1.0)),
-        ("MemoryGb", V::F(64.0)),
-        ("ImageRef", V::T("img-07")),
-        ("PullGb", V::F(6.2)),
-        ("HostTypes", V::L(vec![V::T("g8")])),
-        ("Site", V::N(None)),
-        ("SamePlace", V::B(true)),
-        ("Spread", V::B(false)),
-        ("Preemptible", V::B(true)),
-        ("ExpectedS", V::F(240.0)),
-        ("SnapshotEveryS", V::F(30.0)),
-        ("SnapshotS", V::F(4.0)),
-        ("DueS", V::F(900.0)),
+        ("Uid", Value::Text("wk-000412")),
+        ("JobClass", Value::Text("train")),
+        ("Owner", Value::Text("vision")),
+        ("JobKind", Value::Text("group")),
+        ("Urgency", Value::Text("high")),
+        ("Shards", Value::Int(16)),
+        ("Vcpus", Value::Float(8.0)),
+        ("Gpus", Value::Float(1.0)),
+        ("MemoryGb", Value::Float(64.0)),
+        ("ImageRef", Value::Text("img-07")),
+        ("PullGb", Value::Float(6.2)),
+        ("HostTypes", Value::List(vec![Value::Text("g8")])),
+        ("Site", Value::Nil(None)),
+        ("SamePlace", Value::Bool(true)),
+        ("Spread", Value::Bool(false)),
+        ("Preemptible", Value::Bool(true)),
+        ("ExpectedS", Value::Float(240.0)),
+        ("SnapshotEveryS", Value::Float(30.0)),
+        ("SnapshotS", Value::Float(4.0)),
+        ("DueS", Value::Float(900.0)),
     ])
 }
 
-fn read(m: &BTreeMap<&'static str, V>) -> Result<JobSpec, InvalidField> {
-    decode::<Submission>(&encode(m))
+/// Decodes and validates a submission that is accepted at the time 7.
+fn parse_submission(fields: &BTreeMap<&'static str, Value>) -> Result<JobSpec, InvalidField> {
+    decode::<Submission>(&encode(fields))
         .ok_or(InvalidField("body"))
-        .and_then(|s| s.to_spec(7))
+        .and_then(|submission| submission.to_spec(7))
 }
 
+/// Guards against a job that is accepted with values with which it cannot be scheduled or that its record
+/// cannot hold, and against valid submissions that are rejected.
 #[test]
 fn submissions_are_validated() {
-    let spec = read(&submission()).unwrap();
+    let spec = parse_submission(&submission_fields()).unwrap();
     assert_eq!((spec.task_count, spec.kind), (16, JobKind::Gang));
-    // What the store gives back is the same job.
+    // The stored record is decoded as the same job.
     let stored: StoredJob = decode(&encode(&StoredJob::from(&spec))).unwrap();
     assert_eq!(JobSpec::try_from(stored), Ok(spec));
 
-    let fine = [
-        ("Vcpus", V::I(8)),
-        ("DueS", V::N(None)),
-        ("HostTypes", V::N(None)),
-        ("Novelty", V::M(BTreeMap::from([("a", V::I(1))]))),
-        ("SnapshotEveryS", V::F(0.0)),
-        ("Shards", V::I(100_000)),
-        ("Awaits", V::N(None)),
-        ("Awaits", V::L(vec![])),
+    let valid = [
+        ("Vcpus", Value::Int(8)),
+        ("DueS", Value::Nil(None)),
+        ("HostTypes", Value::Nil(None)),
+        (
+            "Novelty",
+            Value::Map(BTreeMap::from([("a", Value::Int(1))])),
+        ),
+        ("SnapshotEveryS", Value::Float(0.0)),
+        ("Shards", Value::Int(100_000)),
+        ("Awaits", Value::Nil(None)),
+        ("Awaits", Value::List(vec![])),
     ];
-    for (field, value) in fine {
-        let mut m = submission();
-        m.insert(field, value);
-        assert!(read(&m).is_ok(), "{field}");
+    for (field, value) in valid {
+        let mut fields = submission_fields();
+        fields.insert(field, value);
+        assert!(parse_submission(&fields).is_ok(), "{field}");
     }
     for field in ["Site", "DueS", "HostTypes"] {
-        let mut m = submission();
-        m.remove(field);
-        assert!(read(&m).is_ok(), "{field} may be omitted");
+        let mut fields = submission_fields();
+        fields.remove(field);
+        assert!(parse_submission(&fields).is_ok(), "{field} may be omitted");
     }
-    let bad = [
-        ("Uid", V::T("job-1")),
-        ("Uid", V::T("wk-")),
-        ("Uid", V::T("wk-12/3")),
-        ("Uid", V::I(412)),
-        ("JobKind", V::T("swarm")),
-        ("Urgency", V::T("soon")),
-        ("Shards", V::I(0)),
-        ("Shards", V::I(-1)),
-        ("Shards", V::I(100_001)),
-        ("Shards", V::F(2.5)),
-        ("Vcpus", V::F(-1.0)),
-        ("Vcpus", V::F(f64::NAN)),
-        ("MemoryGb", V::F(f64::INFINITY)),
-        ("ExpectedS", V::F(1e300)),
-        ("DueS", V::F(-1.0)),
-        ("HostTypes", V::T("g8")),
-        ("ImageRef", V::T("")),
-        ("Spread", V::N(None)),
-        ("SamePlace", V::I(1)),
-        ("Awaits", V::T("wk-000398")),
-        ("Awaits", V::I(1)),
-        ("Awaits", V::L(vec![V::T("wk-000398"), V::T("two")])),
-        ("Awaits", V::L(vec![V::I(398)])),
+    let invalid = [
+        ("Uid", Value::Text("job-1")),
+        ("Uid", Value::Text("wk-")),
+        ("Uid", Value::Text("wk-12/3")),
+        ("Uid", Value::Int(412)),
+        ("JobKind", Value::Text("swarm")),
+        ("Urgency", Value::Text("soon")),
+        ("Shards", Value::Int(0)),
+        ("Shards", Value::Int(-1)),
+        ("Shards", Value::Int(100_001)),
+        ("Shards", Value::Float(2.5)),
+        ("Vcpus", Value::Float(-1.0)),
+        ("Vcpus", Value::Float(f64::NAN)),
+        ("MemoryGb", Value::Float(f64::INFINITY)),
+        ("ExpectedS", Value::Float(1e300)),
+        ("DueS", Value::Float(-1.0)),
+        ("HostTypes", Value::Text("g8")),
+        ("ImageRef", Value::Text("")),
+        ("Spread", Value::Nil(None)),
+        ("SamePlace", Value::Int(1)),
+        ("Awaits", Value::Text("wk-000398")),
+        ("Awaits", Value::Int(1)),
+        (
+            "Awaits",
+            Value::List(vec![Value::Text("wk-000398"), Value::Text("two")]),
+        ),
+        ("Awaits", Value::List(vec![Value::Int(398)])),
     ];
-    for (field, value) in bad {
-        let mut m = submission();
-        m.insert(field, value);
-        assert!(read(&m).is_err(), "{field}");
+    for (field, value) in invalid {
+        let mut fields = submission_fields();
+        fields.insert(field, value);
+        assert!(parse_submission(&fields).is_err(), "{field}");
     }
     let optional = ["Site", "DueS", "HostTypes"];
-    for field in submission().keys().filter(|f| !optional.contains(f)) {
-        let mut m = submission();
-        m.remove(field);
-        assert!(read(&m).is_err(), "{field} is missing");
+    for field in submission_fields().keys().filter(|f| !optional.contains(f)) {
+        let mut fields = submission_fields();
+        fields.remove(field);
+        assert!(parse_submission(&fields).is_err(), "{field} is missing");
     }
 }
 
+/// Guards against a dependency that is counted twice, and against a record whose size bound leaves the
+/// dependencies out, so that the store would reject it.
 #[test]
 fn dependencies_of_a_submission() {
-    let named = |names: &[&'static str]| {
-        let mut m = submission();
-        m.insert("Awaits", V::L(names.iter().map(|n| V::T(n)).collect()));
-        read(&m).unwrap()
+    let with_dependencies = |job_ids: &[&'static str]| {
+        let mut fields = submission_fields();
+        fields.insert(
+            "Awaits",
+            Value::List(job_ids.iter().map(|id| Value::Text(id)).collect()),
+        );
+        parse_submission(&fields).unwrap()
     };
-    // Each counts once, however often it is named.
-    let spec = named(&["wk-000405", "wk-000398", "wk-000405"]);
+    // A dependency counts once, even if the submission names it several times.
+    let spec = with_dependencies(&["wk-000405", "wk-000398", "wk-000405"]);
     let expected: Vec<JobId> = vec!["wk-000398".into(), "wk-000405".into()];
     assert_eq!(spec.dependencies, expected);
     let stored = StoredJob::from(&spec);
-    let back: StoredJob = decode(&encode(&stored)).unwrap();
-    assert_eq!(JobSpec::try_from(back), Ok(spec));
-    // Only what is not over stays in the record, and all of it counts for the record's size.
-    let mut kept = stored.clone();
-    kept.keep_dependencies(&["wk-000405".into()], false);
-    assert_eq!(kept.dependencies(), ["wk-000405"]);
-    assert!(kept.size_bound() < stored.size_bound());
-    let many: Vec<&'static str> = vec!["wk-00000000000000000001"; 1];
-    let one = StoredJob::from(&named(&many)).size_bound();
-    let none = StoredJob::from(&named(&[])).size_bound();
-    assert!(one >= none + many[0].len() + 3);
+    let decoded: StoredJob = decode(&encode(&stored)).unwrap();
+    assert_eq!(JobSpec::try_from(decoded), Ok(spec));
+    // Only dependencies that have not ended stay in the record, and each of them counts for the record's
+    // size.
+    let mut reduced = stored.clone();
+    reduced.keep_dependencies(&["wk-000405".into()], false);
+    assert_eq!(reduced.dependencies(), ["wk-000405"]);
+    assert!(reduced.size_bound() < stored.size_bound());
+    let job_ids: Vec<&'static str> = vec!["wk-00000000000000000001"; 1];
+    let size_with_one = StoredJob::from(&with_dependencies(&job_ids)).size_bound();
+    let size_without = StoredJob::from(&with_dependencies(&[])).size_bound();
+    assert!(size_with_one >= size_without + job_ids[0].len() + 3);
 }
 
+/// Guards against a body that is accepted although it is not a submission, or that exhausts the stack by its
+/// depth.
 #[test]
-fn malformed_submission_bodies() {
-    let deep = [vec![0x91u8; 5000], vec![0xc0]].concat();
+fn malformed_submission_bodies_are_rejected() {
+    let deeply_nested = [vec![0x91u8; 5000], vec![0xc0]].concat();
     let cases: [&[u8]; 6] = [
         b"",
         b"\xc1",
         b"{\"Uid\":1}",
         &[0x93, 1, 2, 3],
         &[0x81],
-        &deep,
+        &deeply_nested,
     ];
     for body in cases {
-        let m = decode::<Submission>(body).ok_or(InvalidField("body"));
-        assert!(m.and_then(|s| s.to_spec(0)).is_err(), "{body:?}");
+        let submission = decode::<Submission>(body).ok_or(InvalidField("body"));
+        assert!(submission.and_then(|s| s.to_spec(0)).is_err(), "{body:?}");
     }
 }
 
+/// Guards against heartbeats that are misread, and against a task that is taken for ended because its entry
+/// cannot be read.
 #[test]
 fn heartbeats_are_validated() {
-    let task = |name, phase, why: Option<&'static str>| {
-        let mut m = BTreeMap::from([
-            ("Shard", V::T(name)),
-            ("Try", V::I(2)),
-            ("Phase", V::T(phase)),
+    let task = |task_id, phase, exit_reason: Option<&'static str>| {
+        let mut fields = BTreeMap::from([
+            ("Shard", Value::Text(task_id)),
+            ("Try", Value::Int(2)),
+            ("Phase", Value::Text(phase)),
         ]);
-        if let Some(w) = why {
-            m.insert("ExitReason", V::T(w));
+        if let Some(reason) = exit_reason {
+            fields.insert("ExitReason", Value::Text(reason));
         }
-        V::M(m)
+        Value::Map(fields)
     };
-    let heartbeat = |tasks: Vec<V>| {
-        let m = BTreeMap::from([
-            ("Host", V::T("i-000231")),
-            ("Endpoint", V::T("10.1.0.232:9000")),
-            ("HostType", V::T("g8")),
-            ("Site", V::T("a")),
-            ("Preemptible", V::B(true)),
-            ("Tenure", V::I(1)),
-            ("Serial", V::I(88)),
-            ("Epoch", V::I(41)),
-            ("EvictionS", V::N(None)),
-            ("Shards", V::L(tasks)),
+    let heartbeat = |tasks: Vec<Value>| {
+        let fields = BTreeMap::from([
+            ("Host", Value::Text("i-000231")),
+            ("Endpoint", Value::Text("10.1.0.232:9000")),
+            ("HostType", Value::Text("g8")),
+            ("Site", Value::Text("a")),
+            ("Preemptible", Value::Bool(true)),
+            ("Tenure", Value::Int(1)),
+            ("Serial", Value::Int(88)),
+            ("Epoch", Value::Int(41)),
+            ("EvictionS", Value::Nil(None)),
+            ("Shards", Value::List(tasks)),
         ]);
-        decode::<WireHeartbeat>(&encode(&m)).and_then(|r| Heartbeat::try_from(r).ok())
+        decode::<WireHeartbeat>(&encode(&fields)).and_then(|wire| Heartbeat::try_from(wire).ok())
     };
     let cases = [
         ("fetching", None, Some(TaskPhase::Fetching)),
@@ -203,18 +224,20 @@
         ("ended", None, None),
         ("sleeping", None, None),
     ];
-    for (phase, why, expected) in cases {
-        let read = heartbeat(vec![task("wk-000412/3", phase, why)]);
-        assert_eq!(read.map(|r| r.tasks[0].phase), expected, "{phase}");
+    for (phase, exit_reason, expected) in cases {
+        let decoded = heartbeat(vec![task("wk-000412/3", phase, exit_reason)]);
+        assert_eq!(decoded.map(|h| h.tasks[0].phase), expected, "{phase}");
     }
-    // Leaving an unreadable task out would look like proof that it is gone.
-    let odd = heartbeat(vec![
+    // A task that cannot be read makes the whole heartbeat invalid. A heartbeat without it would count as
+    // proof that the task has ended.
+    let with_invalid_task = heartbeat(vec![
         task("wk-000412/3", "running", None),
         task("x", "running", None),
     ]);
-    assert_eq!(odd, None);
+    assert_eq!(with_invalid_task, None);
 }
 
+/// Guards against frames of a peer that are cut off, too long or of an unknown type and are not rejected.
 #[test]
 fn peer_frames_are_validated() {
     let hello = PeerRequest::Hello(Hello {
@@ -233,44 +256,54 @@
         }],
         finished_jobs: vec![],
     });
-    let mut wire = Vec::new();
-    write_frame(&mut wire, &hello).unwrap();
+    let mut bytes = Vec::new();
+    write_frame(&mut bytes, &hello).unwrap();
     assert_eq!(
-        read_frame::<PeerRequest>(&mut wire.as_slice()).unwrap(),
+        read_frame::<PeerRequest>(&mut bytes.as_slice()).unwrap(),
         hello
     );
-    let bad: [&[u8]; 3] = [
-        &wire[..wire.len() - 1],
+    let invalid: [&[u8]; 3] = [
+        &bytes[..bytes.len() - 1],
         &[255, 255, 255, 255, 0],
         &[1, 0, 0, 0, 9],
     ];
-    for frame in bad {
+    for frame in invalid {
         assert!(read_frame::<PeerRequest>(&mut &frame[..]).is_err());
     }
 }
 
-/// Guards against a job that is taken for an outage of the store because its value is refused.
+/// Guards against accepting a job whose record is too long for a value of the store. The store would reject
+/// the record, and the rejection would be taken for an outage of the store.
 #[test]
-fn a_job_spec_too_long_for_a_stored_value_is_refused() {
-    let long = |n: usize, c: char| {
-        (0..n)
+fn a_job_too_long_for_a_stored_value_is_rejected() {
+    let long_names = |count: usize, c: char| {
+        (0..count)
             .map(|_| c.to_string().repeat(200))
             .collect::<Vec<_>>()
     };
-    // Machine types named, and whether 8 KiB hold them.
+    // The names of machine types in a job, and whether its record fits into 8 KiB.
     let cases = [
         ("none", vec![], true),
-        ("some", long(20, 'a'), true),
-        ("many", long(45, 'a'), false),
-        ("few that are escaped", long(10, '\u{1}'), false),
-        ("few beyond the plane", long(5, '\u{1F600}'), false),
+        ("some", long_names(20, 'a'), true),
+        ("many", long_names(45, 'a'), false),
+        (
+            "few with escaped characters",
+            long_names(10, '\u{1}'),
+            false,
+        ),
+        (
+            "few outside the basic multilingual plane",
+            long_names(5, '\u{1F600}'),
+            false,
+        ),
     ];
     for (name, types, fits) in cases {
-        let mut s = read(&submission()).expect("a submission");
-        s.machine_types = Some(types.iter().map(|t| t.as_str().into()).collect());
-        let size = StoredJob::from(&s).size_bound();
-        // The bound holds: this form is shorter than the one that sizes are measured in.
-        assert!(size > encode(&StoredJob::from(&s)).len(), "{name}");
+        let mut spec = parse_submission(&submission_fields()).expect("a valid submission");
+        spec.machine_types = Some(types.iter().map(|name| name.as_str().into()).collect());
+        let size = StoredJob::from(&spec).size_bound();
+        // The encoded form is shorter than the form in which the store measures sizes, so it must be below
+        // the bound.
+        assert!(size > encode(&StoredJob::from(&spec)).len(), "{name}");
         assert_eq!(
             check_record_size(size, 8 * 1024).is_ok(),
             fits,
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -1,5 +1,5 @@
-//! Jobs that are bound to one zone or spread over zones: where their tasks may start, also while the
-//! machines of a zone are lost, and what a round with them costs.
+//! Jobs with a zone constraint (`same_place` or `spread`): the zones in which their tasks may start, also
+//! while machines are lost or not known yet, and the duration of scheduling rounds with such jobs.
 
 mod common;
 
@@ -12,24 +12,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-fn two_zones(cpus: f64) -> ClusterFixture {
+/// A leader that can rent machines of one type, with this many CPUs, in the zones a and b. The first team has
+/// no limit on CPUs.
+fn two_zone_cluster(cpus: f64) -> ClusterFixture {
     let mut scheduler_config = config();
     scheduler_config.teams[0].cpus_max = None;
-    let mut kind = machine_type("m32", cpus);
-    kind.zones = vec!["a".into(), "b".into()];
-    ClusterFixture::with(scheduler_config, vec![kind])
+    let mut offered_type = machine_type("m32", cpus);
+    offered_type.zones = vec!["a".into(), "b".into()];
+    ClusterFixture::with(scheduler_config, vec![offered_type])
 }
 
+/// The zone of a machine in these tests: a for even machine numbers, b for odd ones.
 fn zone_of(machine: &str) -> &'static str {
-    let n: u32 = machine[2..].parse().expect("a number");
-    if n % 2 == 0 {
+    let number: u32 = machine[2..].parse().expect("a machine number");
+    if number % 2 == 0 {
         "a"
     } else {
         "b"
     }
 }
 
-/// A report at the host's token, as a heartbeat: its directives.
+/// Delivers a heartbeat from a machine in its zone. The heartbeat carries the token that the leader sends
+/// with its next message to the machine, or the first token of the term if the leader does not know the
+/// machine.
 fn heartbeat_in_zone(
     fixture: &mut ClusterFixture,
     machine: &str,
@@ -42,23 +47,25 @@
         .fleet
         .machines
         .get(&MachineId::from(machine));
-    let token = known.map_or(FencingToken::first(fixture.cluster.term).0, |h| h.token.0);
+    let token = known.map_or(FencingToken::first(fixture.cluster.term).0, |m| m.token.0);
     let mut heartbeat = heartbeat_from(machine, incarnation, serial, token, tasks);
     heartbeat.machine_type = "m32".into();
     heartbeat.zone = zone_of(machine).into();
     fixture.cluster.on_heartbeat(fixture.now, heartbeat);
 }
 
-fn zone_bound_job(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
+/// A job with a zone constraint: all tasks in one zone if `same_place`, otherwise spread over zones.
+fn zone_constrained_job(job_id: &str, task_count: u32, same_place: bool) -> JobSpec {
     let mut job = spec(job_id, task_count, 8.0);
     (job.same_place, job.spread) = (same_place, !same_place);
     job
 }
 
+/// Guards against a task that starts in a zone which the constraints of its job exclude.
 #[test]
 fn zones_permitted_for_a_job() {
-    // Whether it is bound to one zone, spread, and has how many tasks; the zones in which it starts one
-    // after the other, with whether that changes where the next may start; then where it may.
+    // The values of `same_place` and `spread`, the number of tasks, the zones in which tasks are started one
+    // after the other, each with whether that changes the permitted zones, and finally the permitted zones.
     type Starts = &'static [(&'static str, bool)];
     let cases: [(bool, bool, u32, Starts, &[&str]); 8] = [
         (false, false, 9, &[("a", false), ("b", false)], &["a", "b"]),
@@ -82,113 +89,123 @@
             &[],
         ),
     ];
-    for (same_place, spread, task_count, starts, allowed) in cases {
+    for (same_place, spread, task_count, starts, expected_zones) in cases {
         let mut job = spec("wk-000001", task_count, 1.0);
         (job.same_place, job.spread) = (same_place, spread);
         let mut zones = ZoneUse::default();
         for (zone, changes) in starts {
-            let why = format!("{same_place} {spread} {starts:?}");
-            assert_eq!(zones.add_task(&job, &Zone::from(*zone)), *changes, "{why}");
+            let context = format!("{same_place} {spread} {starts:?}");
+            assert_eq!(
+                zones.add_task(&job, &Zone::from(*zone)),
+                *changes,
+                "{context}"
+            );
         }
         for zone in ["a", "b"] {
-            let may = permits(&job, &zones, &"m32".into(), &zone.into(), true);
-            assert_eq!(may, allowed.contains(&zone), "{starts:?} {zone}");
+            let permitted = permits(&job, &zones, &"m32".into(), &zone.into(), true);
+            assert_eq!(
+                permitted,
+                expected_zones.contains(&zone),
+                "{starts:?} {zone}"
+            );
         }
     }
 }
 
-/// How the machines of the zone in use are lost.
+/// How machines in use are lost. No commands reach a lost machine. Except after `Returned`, it comes back in
+/// a new incarnation and without tasks once its lease has expired.
 #[derive(Clone, Copy, Debug)]
-enum Loss {
-    /// They hang, and go on in their incarnation.
+enum MachineLoss {
+    /// The tasks keep running, but the machine sends no heartbeats.
     Hang,
-    /// They hear nobody: they report on until their lease runs out.
-    NoHeartbeats,
-    /// They are gone, and come back under their names.
+    /// An inbound partition: the machine sends heartbeats until its lease expires.
+    InboundPartition,
+    /// The tasks end at once, and the machine sends no heartbeats.
     Restarted,
-    /// The cloud has taken them.
+    /// The tasks end at once, and the cloud confirms that the machine is gone.
     Returned,
 }
 
-/// A job bound to one zone loses machines there: until each lost task is proved gone, none of its tasks
-/// starts in the other zone, and no task starts twice at a time. An array finds its way to the end.
+/// Guards against unsafe launches after a `same_place` job has lost machines: as long as a lost task is not
+/// proved to have ended, none of the job's tasks may start in the other zone, and no task may start a second
+/// time. The job still has to finish.
 #[test]
-fn jobs_bound_to_a_zone_lose_machines() {
+fn a_same_place_job_finishes_in_one_zone_despite_lost_machines() {
     for loss in [
-        Loss::Hang,
-        Loss::NoHeartbeats,
-        Loss::Restarted,
-        Loss::Returned,
+        MachineLoss::Hang,
+        MachineLoss::InboundPartition,
+        MachineLoss::Restarted,
+        MachineLoss::Returned,
     ] {
-        let mut fixture = two_zones(16.0);
+        let mut fixture = two_zone_cluster(16.0);
         let machines: Vec<String> = (0..8).map(|n| format!("i-{n}")).collect();
-        for h in &machines {
-            heartbeat_in_zone(&mut fixture, h, 1, 1, vec![]);
+        for id in &machines {
+            heartbeat_in_zone(&mut fixture, id, 1, 1, vec![]);
         }
-        fixture.job(zone_bound_job("wk-000001", 8, true));
-        // What is on each machine, the truth of the matter.
-        let mut on: BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>> = BTreeMap::new();
-        let mut done: BTreeSet<u32> = BTreeSet::new();
-        let mut incarnation: BTreeMap<String, u64> =
-            machines.iter().map(|h| (h.clone(), 1)).collect();
+        fixture.job(zone_constrained_job("wk-000001", 8, true));
+        // The tasks that actually run on each machine, with their attempts and start times.
+        let mut running: BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>> = BTreeMap::new();
+        let mut completed: BTreeSet<u32> = BTreeSet::new();
+        let mut incarnations: BTreeMap<String, u64> =
+            machines.iter().map(|id| (id.clone(), 1)).collect();
         let mut serial = 10;
         let mut lost: BTreeSet<String> = BTreeSet::new();
-        let (run, lease) = (secs(20), fixture.cluster.config.lease);
+        let (run_time, lease) = (secs(20), fixture.cluster.config.lease);
         let start = fixture.now;
         while !fixture.cluster.jobs.is_empty() && fixture.now - start < secs(400) {
             fixture.pass(secs(1));
             serial += 1;
             let second = (fixture.now - start).as_secs();
             if second == 8 {
-                // Half of the machines in use.
-                let used = on.iter().filter(|(_, tasks)| !tasks.is_empty());
-                lost = used.map(|(h, _)| h.clone()).take(2).collect();
+                // Two of the four machines in use are lost.
+                let in_use = running.iter().filter(|(_, tasks)| !tasks.is_empty());
+                lost = in_use.map(|(id, _)| id.clone()).take(2).collect();
                 assert!(!lost.is_empty(), "{loss:?}");
                 match loss {
-                    Loss::Returned => {
-                        let gone: Vec<MachineId> =
-                            lost.iter().map(|h| MachineId(h.clone())).collect();
+                    MachineLoss::Returned => {
+                        let returned: Vec<MachineId> =
+                            lost.iter().map(|id| MachineId(id.clone())).collect();
                         lost.iter()
-                            .for_each(|h| on.entry(h.clone()).or_default().clear());
-                        fixture.cluster.on_returned(fixture.now, &gone);
+                            .for_each(|id| running.entry(id.clone()).or_default().clear());
+                        fixture.cluster.on_returned(fixture.now, &returned);
                     }
-                    Loss::Restarted => {
+                    MachineLoss::Restarted => {
                         lost.iter()
-                            .for_each(|h| on.entry(h.clone()).or_default().clear());
+                            .for_each(|id| running.entry(id.clone()).or_default().clear());
                     }
-                    Loss::Hang | Loss::NoHeartbeats => {}
+                    MachineLoss::Hang | MachineLoss::InboundPartition => {}
                 }
             }
             if !lost.is_empty() && fixture.now - start == secs(8) + lease {
-                // Their leases have run out: a new incarnation, with nothing on it.
-                if !matches!(loss, Loss::Returned) {
-                    for h in std::mem::take(&mut lost) {
-                        on.entry(h.clone()).or_default().clear();
-                        *incarnation.entry(h).or_default() += 1;
+                // The leases have expired: the machines start a new incarnation without tasks.
+                if !matches!(loss, MachineLoss::Returned) {
+                    for id in std::mem::take(&mut lost) {
+                        running.entry(id.clone()).or_default().clear();
+                        *incarnations.entry(id).or_default() += 1;
                     }
                 }
             }
-            for h in &machines {
-                let away = lost.contains(h);
-                if away && !matches!(loss, Loss::NoHeartbeats) {
+            for id in &machines {
+                let is_lost = lost.contains(id);
+                if is_lost && !matches!(loss, MachineLoss::InboundPartition) {
                     continue;
                 }
                 let mut listed = Vec::new();
-                for (index, (attempt, began)) in on.entry(h.clone()).or_default() {
-                    let over = fixture.now - *began >= run;
-                    let phase = if over {
-                        done.insert(*index);
+                for (index, (attempt, started_at)) in running.entry(id.clone()).or_default() {
+                    let is_complete = fixture.now - *started_at >= run_time;
+                    let phase = if is_complete {
+                        completed.insert(*index);
                         TaskPhase::Ended(ExitReason::Completed)
                     } else {
                         TaskPhase::Running
                     };
                     listed.push(shown("wk-000001", *index, *attempt, phase));
                 }
-                heartbeat_in_zone(&mut fixture, h, incarnation[h], serial, listed);
+                heartbeat_in_zone(&mut fixture, id, incarnations[id], serial, listed);
             }
             let actions = fixture.cluster.tick(fixture.now);
-            for a in actions {
-                match a {
+            for action in actions {
+                match action {
                     Action::Store(_) => {
                         fixture.revision += 1;
                         let revision = fixture.revision;
@@ -205,13 +222,13 @@
                         if lost.contains(&machine.0) {
                             continue;
                         }
-                        for d in commands {
-                            carry_out(&fixture, &mut on, &machine.0, d, loss);
+                        for command in commands {
+                            execute_command(&fixture, &mut running, &machine.0, command, loss);
                         }
                     }
                     Action::Return { machines } => {
-                        for h in &machines {
-                            on.entry(h.0.clone()).or_default().clear();
+                        for id in &machines {
+                            running.entry(id.0.clone()).or_default().clear();
                         }
                         fixture.cluster.on_returned(fixture.now, &machines);
                     }
@@ -219,89 +236,103 @@
                 }
             }
         }
-        assert_eq!(done.len(), 8, "{loss:?}: all tasks ended");
-        assert!(fixture.cluster.jobs.is_empty(), "{loss:?}: the job is over");
+        assert_eq!(completed.len(), 8, "{loss:?}: number of completed tasks");
+        assert!(
+            fixture.cluster.jobs.is_empty(),
+            "{loss:?}: the job has not finished"
+        );
     }
 }
 
-fn carry_out(
+/// Carries out a command on a machine. Checks before a launch that the task runs on no other machine, and
+/// that no task of the job runs in another zone.
+fn execute_command(
     fixture: &ClusterFixture,
-    on: &mut BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>>,
+    running: &mut BTreeMap<String, BTreeMap<u32, (AttemptId, Instant)>>,
     machine: &str,
-    d: TaskCommand,
-    loss: Loss,
+    command: TaskCommand,
+    loss: MachineLoss,
 ) {
-    match d {
+    match command {
         TaskCommand::Launch { task, attempt } => {
-            let others = on.iter().filter(|(h, _)| h.as_str() != machine);
-            for (h, tasks) in others {
+            let others = running.iter().filter(|(id, _)| id.as_str() != machine);
+            for (id, tasks) in others {
                 assert!(
                     !tasks.contains_key(&task.index),
-                    "{loss:?}: {task} twice, on {h}"
+                    "{loss:?}: {task} is launched while it runs on {id}"
+                );
+                let in_other_zone = !tasks.is_empty() && zone_of(id) != zone_of(machine);
+                assert!(
+                    !in_other_zone,
+                    "{loss:?}: {task} is launched in another zone than that of {id}"
                 );
-                let elsewhere = !tasks.is_empty() && zone_of(h) != zone_of(machine);
-                assert!(!elsewhere, "{loss:?}: {task} in another zone than on {h}");
             }
-            let tasks = on.entry(machine.to_owned()).or_default();
+            let tasks = running.entry(machine.to_owned()).or_default();
             tasks.entry(task.index).or_insert((attempt, fixture.now));
         }
         TaskCommand::Kill { task, .. } | TaskCommand::Forget { task, .. } => {
-            on.entry(machine.to_owned())
+            running
+                .entry(machine.to_owned())
                 .or_default()
                 .remove(&task.index);
         }
     }
 }
 
-/// How long the rounds take that place a job of 700 tasks on 900 machines.
+/// The total duration of the rounds that place a job on 900 machines, and the number of its tasks that are
+/// placed.
 fn time_rounds(job: JobSpec) -> (Duration, usize) {
-    let mut fixture = two_zones(32.0);
+    let mut fixture = two_zone_cluster(32.0);
     for n in 0..900 {
         heartbeat_in_zone(&mut fixture, &format!("i-{n}"), 1, 1, vec![]);
     }
     fixture.cluster.tick(fixture.now);
     fixture.job(job);
-    let mut took = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for _ in 0..4 {
         fixture.pass(secs(2));
-        let began = Instant::now();
+        let started_at = Instant::now();
         fixture.cluster.tick(fixture.now);
-        took += began.elapsed();
+        elapsed += started_at.elapsed();
     }
     let job = &fixture.cluster.jobs[&JobId::from("wk-000001")];
     let zones: BTreeSet<&str> = job.active.values().map(|a| zone_of(&a.machine.0)).collect();
     if job.spec.same_place {
-        assert_eq!(zones.len(), 1, "one zone");
+        assert_eq!(zones.len(), 1, "zones of a job with same_place");
     }
-    (took, job.active.len())
+    (elapsed, job.active.len())
 }
 
-/// Guards against ranking all machines anew for each task of such a job, and against walking all of its
-/// tasks for each machine: a leader spent minutes of processor time on it.
+/// Guards against ranking all machines again for each task of a job with a zone constraint, and against
+/// iterating over all tasks of the job for each machine: a leader spent minutes of processor time on that.
 #[test]
-fn a_round_with_a_zone_bound_job_costs_little_more_than_one_without() {
+fn zone_constraints_do_not_multiply_the_cost_of_rounds() {
     const TASKS: u32 = 700;
-    let (plain, placed) = time_rounds(spec("wk-000001", TASKS, 8.0));
+    let (unconstrained, placed) = time_rounds(spec("wk-000001", TASKS, 8.0));
     assert_eq!(placed, TASKS as usize);
     for same_place in [true, false] {
-        let (zone_bound_job, placed) = time_rounds(zone_bound_job("wk-000001", TASKS, same_place));
-        assert_eq!(placed, TASKS as usize, "same place {same_place}");
-        println!("same_place={same_place} untied={plain:?} tied={zone_bound_job:?}");
-        // It was some hundred times as much.
+        let (constrained, placed) =
+            time_rounds(zone_constrained_job("wk-000001", TASKS, same_place));
+        assert_eq!(placed, TASKS as usize, "same_place {same_place}");
+        println!(
+            "same_place={same_place} unconstrained={unconstrained:?} constrained={constrained:?}"
+        );
+        // With the fault, rounds with the constrained job took some hundred times as long.
         assert!(
-            zone_bound_job < plain * 12,
-            "same place {same_place}: {zone_bound_job:?}, untied {plain:?}"
+            constrained < unconstrained * 12,
+            "same_place {same_place}: {constrained:?}, without a constraint {unconstrained:?}"
         );
     }
 }
 
-/// A new leader knows of a task on a machine that it has not known yet, whose zone could be any: until it
-/// knows, none of the job's tasks starts, and then only where the job may.
+/// Guards against a launch by a new leader that violates a zone constraint. The leader has read the records
+/// of two attempts on a machine from which it has no heartbeat yet, so their zone is unknown. Until it is
+/// known, no other task of the job may start, and after that only in a permitted zone.
 #[test]
-fn tasks_in_zones_not_known_yet_keep_their_siblings_back() {
+fn tasks_in_unknown_zones_block_launches_of_their_job() {
     for same_place in [true, false] {
-        let mut fixture = two_zones(32.0);
-        fixture.job(zone_bound_job("wk-000001", 3, same_place));
+        let mut fixture = two_zone_cluster(32.0);
+        fixture.job(zone_constrained_job("wk-000001", 3, same_place));
         let active = vec![
             Intent::new(0, AttemptId(100), MachineId::from("i-9")),
             Intent::new(1, AttemptId(101), MachineId::from("i-9")),
@@ -313,29 +344,29 @@
         for machine in ["i-2", "i-3"] {
             heartbeat_in_zone(&mut fixture, machine, 1, 1, vec![]);
         }
-        let started = |actions: &[Action]| {
+        let launches_of_third_task = |actions: &[Action]| {
             let launched = launches(actions).into_iter().map(|l| (l.0, l.1.index));
             launched.filter(|l| l.1 == 2).collect::<Vec<_>>()
         };
         assert_eq!(
-            started(&fixture.settle()),
+            launches_of_third_task(&fixture.settle()),
             vec![],
-            "same place {same_place}"
+            "same_place {same_place}"
         );
-        let listed = [0, 1].map(|i| {
-            let attempt = AttemptId(100 + u64::from(i));
-            shown("wk-000001", i, attempt, TaskPhase::Running)
+        let listed = [0, 1].map(|index| {
+            let attempt = AttemptId(100 + u64::from(index));
+            shown("wk-000001", index, attempt, TaskPhase::Running)
         });
         heartbeat_in_zone(&mut fixture, "i-9", 1, 1, listed.to_vec());
         for machine in ["i-2", "i-3"] {
             heartbeat_in_zone(&mut fixture, machine, 1, 2, vec![]);
         }
-        // Two of three run in zone b: the third belongs there, or must go to the other one.
+        // Two of three tasks run in zone b. The third has to start there, or in zone a if the job is spread.
         let zone = if same_place { "b" } else { "a" };
-        let zones: Vec<&str> = started(&fixture.settle())
+        let zones: Vec<&str> = launches_of_third_task(&fixture.settle())
             .iter()
             .map(|l| zone_of(&l.0 .0))
             .collect();
-        assert_eq!(zones, [zone], "same place {same_place}");
+        assert_eq!(zones, [zone], "same_place {same_place}");
     }
 }
