--- a/tests/stored_formats/golden.rs
+++ b/tests/stored_formats/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files. Each row holds the name of a value, ` = ` and the bytes in which the value is encoded, in the
-//! notation of `escape_ascii`: bytes that are not printable are written as `\xNN`.
+//! Golden files. Each row holds the name of a value, ` = ` and the bytes in which the value is encoded, in
+//! the notation of `escape_ascii`: bytes that are not printable are written as `\xNN`.
 
 use cypressgap::net::wire::decode;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/stored_formats/messages.rs
+++ b/tests/stored_formats/messages.rs
@@ -57,8 +57,8 @@
     golden.check_all_used();
 }
 
-/// Guards against bodies whose names or values change with a type of the program, so that users, workers or the
-/// cloud no longer understand them.
+/// Guards against bodies whose names or values change with a type of the program, so that users, workers or
+/// the cloud no longer understand them.
 #[test]
 fn bodies_of_users_workers_and_the_cloud() {
     let mut golden = GoldenFile::parse(include_str!("bodies.txt"));
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -13,8 +13,8 @@
 use cypressgap::net::store::StoredValue;
 use cypressgap::net::wire::*;
 
-/// Guards against records that change with a type of the program: controllers of earlier versions, and this one
-/// after an update, could no longer read what is stored.
+/// Guards against records that change with a type of the program: controllers of earlier versions, and this
+/// one after an update, could no longer read what is stored.
 #[test]
 fn stored_records() {
     let mut golden = GoldenFile::parse(include_str!("records.txt"));
@@ -87,8 +87,8 @@
     golden.check_all_used();
 }
 
-/// Guards against keys, ids or hashes that are composed in another way than by earlier versions: what those have
-/// stored would no longer be found.
+/// Guards against keys, ids or hashes that are composed in another way than by earlier versions: what those
+/// have stored would no longer be found.
 #[test]
 fn stored_keys_and_ids() {
     let job_id = job_id();
--- a/tests/stored_formats/settings.rs
+++ b/tests/stored_formats/settings.rs
@@ -116,8 +116,8 @@
     ]
 }
 
-/// Guards against a name that is no longer read, or sets another field: renaming a field of the program must not
-/// change the names in the settings files.
+/// Guards against a name that is no longer read, or sets another field: renaming a field of the program must
+/// not change the names in the settings files.
 #[test]
 fn settings_files_set_all_fields() {
     let mut golden = GoldenFile::parse(include_str!("settings.txt"));
