--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -147,7 +147,7 @@
     }
 }
 
-pub fn shown(job_id: &str, index: u32, attempt: AttemptId, phase: TaskPhase) -> TaskStatus {
+pub fn task_status(job_id: &str, index: u32, attempt: AttemptId, phase: TaskPhase) -> TaskStatus {
     TaskStatus {
         task: task(job_id, index),
         attempt,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -63,7 +63,7 @@
                     } else {
                         TaskPhase::Running
                     };
-                    shown(&t.job_id.0, t.index, *a, phase)
+                    task_status(&t.job_id.0, t.index, *a, phase)
                 })
                 .collect();
             let (_, commands) = self.fixture.heartbeat(&h.0, self.serial, listed);
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -201,7 +201,7 @@
 #[test]
 fn past_the_watermark_heartbeats_are_processed_but_not_answered() {
     let (mut fixture, attempt) = fixture_past_the_watermark();
-    let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+    let tasks = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
     let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
     fixture.heartbeat("i-1", 2, tasks());
     // The process runs all the while.
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -73,7 +73,7 @@
         fixture.job(waits);
         let mut asked = Vec::new();
         for n in 0..80 {
-            let running = shown(&t.job_id.0, t.index, a, TaskPhase::Running);
+            let running = task_status(&t.job_id.0, t.index, a, TaskPhase::Running);
             fixture.heartbeat("i-1", n + 2, vec![running]);
             for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
                 asked.push(spot);
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -22,7 +22,7 @@
 }
 
 fn running(job_id: &str, index: u32) -> TaskStatus {
-    shown(
+    task_status(
         job_id,
         index,
         AttemptId(100 + u64::from(index)),
@@ -114,18 +114,18 @@
             _ => false,
         })
     };
-    let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
+    let ended = |i, a| task_status("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
     fixture.heartbeat(
         "i-1",
         2,
         vec![
             ended(1, AttemptId(101)),
-            shown("wk-000001", 2, last, TaskPhase::Running),
+            task_status("wk-000001", 2, last, TaskPhase::Running),
         ],
     );
     for second in 0..60 {
         fixture.pass(secs(1));
-        let left = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
+        let left = vec![task_status("wk-000001", 2, last, TaskPhase::Running)];
         fixture.heartbeat("i-1", 10 + second, left);
         let actions = fixture.cluster.tick(fixture.now);
         assert!(!done(&actions), "one task still runs");
@@ -156,7 +156,7 @@
         fixture.heartbeat(
             "i-1",
             2,
-            vec![shown(
+            vec![task_status(
                 "wk-000001",
                 0,
                 attempt,
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -139,7 +139,7 @@
     assert_eq!(launched.len(), 2);
     let ends = launched
         .iter()
-        .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
+        .map(|(_, t, a)| task_status(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
     fixture.heartbeat("i-1", 5, ends);
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].is_quarantined());
@@ -151,7 +151,7 @@
         let launched = launches(&fixture.settle());
         assert_eq!(launched.len(), 1, "{machine}");
         assert_eq!(&launched[0].0 .0, machine, "not where it failed before");
-        let end = shown(
+        let end = task_status(
             "wk-000001",
             0,
             launched[0].2,
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -106,7 +106,7 @@
 }
 
 fn ended(n: u32, a: AttemptId) -> Vec<TaskStatus> {
-    vec![shown(
+    vec![task_status(
         &job_id(n).0,
         0,
         a,
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -18,7 +18,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 4.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 5, tasks());
         let (answered, token) = {
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
@@ -67,7 +67,7 @@
             .cluster
             .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
         let tasks = if listed {
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
@@ -103,7 +103,7 @@
             1,
             41,
             machine.token.0,
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
         );
         fixture.cluster.on_heartbeat(fixture.now, live);
         let sent = launches(&fixture.settle());
@@ -119,8 +119,8 @@
 #[test]
 fn duplicates_from_before_the_term_prove_nothing_whatever_their_incarnation() {
     let attempt = AttemptId(7);
-    let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let ended = |exit| vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
+    let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
+    let ended = |exit| vec![task_status("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
     // The duplicates in the order of their coming: incarnation, serial, tasks.
     type Duplicates = Vec<(u64, u64, Vec<TaskStatus>)>;
     let cases: [(&str, Duplicates); 4] = [
@@ -203,7 +203,7 @@
     fixture.heartbeat(
         "i-1",
         90,
-        vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+        vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     let old = fixture.cluster.fleet.machines[&first_machine()].token.0;
     // Its heartbeats count from the beginning; at first they look like duplicates.
@@ -236,7 +236,7 @@
         1,
         95,
         old,
-        vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+        vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     fixture.cluster.on_heartbeat(fixture.now, duplicate);
     assert_eq!(fixture.cluster.fleet.machines[&first_machine()].serial, 2);
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -21,7 +21,7 @@
 }
 
 fn running(index: u32) -> TaskStatus {
-    shown("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
+    task_status("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
 }
 
 /// A leader that found `jobs` accepted, and task `n` of the first on record at machine `i-n`.
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -58,7 +58,7 @@
 }
 
 fn running(job_id: &str, index: u32) -> TaskStatus {
-    shown(job_id, index, ATTEMPT, TaskPhase::Running)
+    task_status(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
@@ -82,7 +82,7 @@
             [0, 1]
                 .map(|i| {
                     let stopped = ExitReason::Stopped { stored: false };
-                    shown("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
+                    task_status("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
                 })
                 .to_vec(),
             8.0,
@@ -132,7 +132,7 @@
         1,
         vec![running("wk-000002", 0), running("wk-000002", 1)],
     );
-    let ended = shown(
+    let ended = task_status(
         "wk-000002",
         0,
         ATTEMPT,
@@ -264,7 +264,7 @@
         fixture.heartbeat("i-2", 1, vec![]);
         let stored_intents = launches(&fixture.settle());
         assert_eq!(stored_intents.len(), 1, "room for one beside the member");
-        let first = shown(
+        let first = task_status(
             "wk-000002",
             stored_intents[0].1.index,
             stored_intents[0].2,
@@ -375,7 +375,7 @@
     let launch = launches(&fixture.settle());
     let attempt = launch[0].2;
     let given = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
-    let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
+    let run = task_status("wk-000001", 0, attempt, TaskPhase::Running);
     fixture.heartbeat("i-1", 2, vec![run]);
     // Restarted within a heartbeat's interval, it counts from the beginning and has seen no token. A copy
     // of the launch would find the same incarnation, and the attempt forgotten.
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -53,7 +53,7 @@
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
     let mut fixture = taken_over(config(), vec![gang], 2);
-    let waiting = shown("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
+    let waiting = task_status("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
     fixture.heartbeat("i-0", 1, vec![waiting]);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -72,7 +72,7 @@
 #[test]
 fn what_is_not_adopted_is_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
-    let own = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
+    let own = task_status("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
     let first_token = FencingToken::first(TERM).0;
     for (name, token, task) in [
         ("a late duplicate", old_token, running(1)),
@@ -97,7 +97,7 @@
 #[test]
 fn work_of_a_job_that_the_state_service_does_not_know_is_held_and_counts() {
     let mut fixture = taken_over(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    let lost = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    let lost = || task_status("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     let lost_job_id = JobId::from("wk-000077");
     let (_, commands) = fixture.heartbeat("i-9", 1, vec![lost()]);
     fixture.heartbeat("i-8", 1, vec![]);
@@ -155,7 +155,7 @@
         ..team("red", 8.0, 8.0)
     }];
     let mut fixture = taken_over(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
-    let lost = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    let lost = task_status("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     fixture.heartbeat("i-9", 1, vec![lost]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     fixture.heartbeat("i-9", 2, vec![]);
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -111,7 +111,7 @@
         fixture.job(spec("wk-000001", 1, 8.0));
         let l = launches(&fixture.settle());
         let (on, a) = (l[0].0.clone(), l[0].2);
-        let tasks = vec![shown("wk-000001", 0, a, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, a, TaskPhase::Running)];
         fixture.heartbeat(&on.0, 2, tasks);
         fixture.cluster.set_leadership_confirmed(false);
         if cancelled {
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -86,7 +86,7 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
     let attempt = launches(&fixture.settle())[0].2;
-    let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+    let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
     fixture.heartbeat("i-1", 2, running());
     fixture.heartbeat("i-2", 1, vec![]);
     fixture.job(spec("wk-000002", 1, 4.0));
@@ -112,7 +112,7 @@
         job.expected = secs(10);
         fixture.job(job);
         let attempt = launches(&fixture.settle())[0].2;
-        let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
         fixture.pass(secs(10 - rest));
         fixture.heartbeat("i-1", 3, running());
@@ -190,7 +190,7 @@
     };
     let ended = |exit| {
         move |l: &&(MachineId, TaskId, AttemptId)| {
-            shown("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
+            task_status("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
         }
     };
     // One lost member ends the attempt: the others are stopped, and only then it starts anew.
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -26,7 +26,7 @@
         let mut serial = 5;
         let mut run = |fixture: &mut ClusterFixture| {
             for (machine, t, a) in [&one, &two] {
-                let running = vec![shown(&t.job_id.0, 0, *a, TaskPhase::Running)];
+                let running = vec![task_status(&t.job_id.0, 0, *a, TaskPhase::Running)];
                 fixture.heartbeat(&machine.0, serial, running);
             }
             serial += 1;
@@ -79,7 +79,7 @@
         victim(&mut job);
         fixture.job(job);
         let attempt = launches(&fixture.settle())[0].2;
-        let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
         fixture.pass(secs(ran));
         fixture.heartbeat("i-1", 3, running());
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -15,7 +15,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks);
         let mut gone = Vec::new();
         for _ in 0..12 {
@@ -80,7 +80,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks.clone());
         // An order to stop with some grace has not gone out yet.
         let job = fixture.cluster.jobs.get_mut(&"wk-000001".into()).unwrap();
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -79,7 +79,7 @@
     fixture.heartbeat(
         "i-1",
         2,
-        vec![shown(
+        vec![task_status(
             "wk-000001",
             0,
             ended,
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -40,7 +40,7 @@
             .0 as i64
             + token_offset;
         let tasks = if listed {
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
@@ -141,7 +141,7 @@
     let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .token
         .0;
-    let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+    let running = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
     let direct = heartbeat_from("i-1", 1, 8, token, running);
     fixture
         .cluster
@@ -160,7 +160,7 @@
 fn a_task_is_forgotten_only_once_its_end_is_durable_and_then_with_a_raised_token() {
     let (mut fixture, attempt) = launched_task();
     let done = || {
-        vec![shown(
+        vec![task_status(
             "wk-000001",
             0,
             attempt,
@@ -197,7 +197,7 @@
         fixture.heartbeat(
             "i-1",
             5,
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
         );
         let j = &fixture.cluster.jobs[&JobId::from("wk-000001")];
         assert_eq!(j.done_count == 1, done, "{exit:?}");
@@ -212,8 +212,8 @@
 fn an_unknown_task_is_killed_once_its_job_is_known_to_be_over_and_an_unknown_end_forgotten() {
     let mut fixture = ClusterFixture::new();
     let job_id = JobId::from("wk-000009");
-    let running = || shown("wk-000009", 0, AttemptId(3), TaskPhase::Running);
-    let ended = shown(
+    let running = || task_status("wk-000009", 0, AttemptId(3), TaskPhase::Running);
+    let ended = task_status(
         "wk-000009",
         1,
         AttemptId(3),
@@ -240,7 +240,7 @@
         .on_cancel_marked(fixture.now, &"wk-000001".into());
     for serial in 10..30 {
         fixture.pass(secs(1));
-        let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let running = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", serial, running);
         fixture.settle();
     }
@@ -250,7 +250,7 @@
 #[test]
 fn a_done_job_is_recorded_only_while_it_has_no_outcome() {
     let (mut fixture, attempt) = launched_task();
-    let done = shown(
+    let done = task_status(
         "wk-000001",
         0,
         attempt,
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -182,7 +182,7 @@
                     } else {
                         TaskPhase::Running
                     };
-                    listed.push(shown("wk-000001", *index, *attempt, phase));
+                    listed.push(task_status("wk-000001", *index, *attempt, phase));
                 }
                 heartbeat_in_zone(&mut fixture, h, incarnation[h], serial, listed);
             }
@@ -324,7 +324,7 @@
         );
         let listed = [0, 1].map(|i| {
             let attempt = AttemptId(100 + u64::from(i));
-            shown("wk-000001", i, attempt, TaskPhase::Running)
+            task_status("wk-000001", i, attempt, TaskPhase::Running)
         });
         heartbeat_in_zone(&mut fixture, "i-9", 1, 1, listed.to_vec());
         for machine in ["i-2", "i-3"] {
