--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -9,12 +9,12 @@
 
 /// The keys that the store holds of jobs, as the leader's transactions change them.
 #[derive(Default)]
-pub struct Keys {
+pub struct StoreKeys {
     pub all: BTreeSet<String>,
     pub changes: usize,
 }
 
-impl Keys {
+impl StoreKeys {
     pub fn accept(&mut self, fixture: &mut ClusterFixture, spec: JobSpec) {
         self.all.insert(live_job_key(&spec.job_id));
         if spec.listed_as_dependent {
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -1,7 +1,7 @@
 //! A cancellation takes all dependents with it, within a bound, and leaves only outcomes behind.
 
 use crate::common::dependency_jobs::{job_depending_on, job_id, job_ids};
-use crate::common::keys::Keys;
+use crate::common::keys::StoreKeys;
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::persistence::keys::{cancel_mark_key, dependents_key, live_job_key};
@@ -31,7 +31,7 @@
     // Whether they form one chain or a fan.
     for chain in [true, false] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         fixture.heartbeat("i-1", 1, vec![]);
         keys.accept(&mut fixture, job_depending_on(0, &[]));
         for n in 1..=DEPENDENTS {
@@ -129,7 +129,7 @@
         fixture.job(job_depending_on(2, &[1]));
         fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         let mut written = Vec::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         for step in 0..20 {
             fixture.pass(Duration::from_millis(150));
             if is_told && step == 2 {
@@ -150,7 +150,7 @@
     // With lists of dependents, as earlier versions keep them, or without.
     for listed_as_dependent in [false, true] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         let mut most = 0;
         for chain in 0..2000u32 {
             let first = chain * 3 + 1;
@@ -203,7 +203,7 @@
 fn dependents_lists_found_at_failover_are_removed() {
     for live in [true, false] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         keys.all.insert(dependents_key(&job_id(1)));
         if live {
             fixture.job(job_depending_on(1, &[]));
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -1,7 +1,7 @@
 //! Failures that coincide with cancellations, task ends and a change of leader.
 
 use crate::common::fleet::SimulatedFleet;
-use crate::common::keys::Keys;
+use crate::common::keys::StoreKeys;
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome, RecordValue};
@@ -240,7 +240,7 @@
     let mut scheduler_config = config();
     scheduler_config.teams[0].cpus_max = None;
     let mut fleet = SimulatedFleet::new(scheduler_config, 12, 8.0);
-    let mut keys = Keys::default();
+    let mut keys = StoreKeys::default();
     let mut cancelled = Vec::new();
     let mut most_jobs = 0;
     for second in 0..SECONDS {
