--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -12,7 +12,7 @@
     pub fixture: ClusterFixture,
     pub serial: u64,
     pub on: BTreeMap<MachineId, Vec<(TaskId, AttemptId, Instant)>>,
-    pub begun: HashMap<JobId, Instant>,
+    pub first_launch: HashMap<JobId, Instant>,
     pub done: HashMap<JobId, u32>,
     /// Jobs that fail everywhere, and machines that fail everything.
     pub broken: Vec<JobId>,
@@ -31,7 +31,7 @@
             fixture,
             serial: 0,
             on: on.collect(),
-            begun: HashMap::new(),
+            first_launch: HashMap::new(),
             done: HashMap::new(),
             broken: Vec::new(),
             faulty: Vec::new(),
@@ -70,7 +70,7 @@
             for d in commands {
                 match d {
                     TaskCommand::Launch { task, attempt } => {
-                        self.begun.entry(task.job_id.clone()).or_insert(now);
+                        self.first_launch.entry(task.job_id.clone()).or_insert(now);
                         *self.launched.entry(task.job_id.clone()).or_default() += 1;
                         tasks.push((task, attempt, now));
                     }
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -165,10 +165,13 @@
             });
         }
         let job_id = JobId::from("wk-900000");
-        let begun = fleet.begun.get(&job_id).map(|t| t.duration_since(start));
+        let first_launch = fleet
+            .first_launch
+            .get(&job_id)
+            .map(|t| t.duration_since(start));
         assert!(
-            begun.is_some_and(|t| t < secs(240 + 10)),
-            "{name}: begun after {begun:?}"
+            first_launch.is_some_and(|t| t < secs(240 + 10)),
+            "{name}: begun after {first_launch:?}"
         );
         let done = fleet.done.get(&job_id).copied().unwrap_or(0);
         assert!(done * 2 >= tasks, "{name}: {done} of {tasks} done");
--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -112,8 +112,8 @@
         });
     }
     let guest = &JobId::from("wk-000001");
-    let begun = fleet.begun.get(guest).copied().expect("it begins");
-    assert!(begun < fleet.fixture.now - secs(60));
+    let first_launch = fleet.first_launch.get(guest).copied().expect("it begins");
+    assert!(first_launch < fleet.fixture.now - secs(60));
     let (launched, done) = (
         fleet.launched[guest],
         fleet.done.get(guest).copied().unwrap_or(0),
