--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -27,7 +27,7 @@
         ("many faulty machines", 0, 14, 0, 10),
         ("both", 3, 8, 12, 5),
     ];
-    for (name, broken, faulty, most, found) in cases {
+    for (name, failing_jobs, faulty, most, found) in cases {
         let mut fleet = SimulatedFleet::new(config_without_limits(), 40, 8.0);
         fleet.faulty = (0..faulty)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
@@ -35,8 +35,8 @@
         let all = fleet.on.len();
         for n in 0..12 {
             let job_id = format!("wk-{n:06}");
-            if n % 2 == 1 && n / 2 < broken {
-                fleet.broken.push(JobId(job_id.clone()));
+            if n % 2 == 1 && n / 2 < failing_jobs {
+                fleet.failing_jobs.push(JobId(job_id.clone()));
             }
             fleet.fixture.job(spec(&job_id, 80, 1.0));
         }
@@ -45,7 +45,7 @@
         }
         for n in 0..12 {
             let job_id = JobId(format!("wk-{n:06}"));
-            if fleet.broken.contains(&job_id) {
+            if fleet.failing_jobs.contains(&job_id) {
                 let launched = fleet.launched.get(&job_id).copied().unwrap_or(0);
                 assert!(
                     launched <= 80 + most,
@@ -72,7 +72,7 @@
             "{name}: no sound machine went"
         );
         // Withdrawn, a broken job ends at once.
-        for job_id in fleet.broken.clone() {
+        for job_id in fleet.failing_jobs.clone() {
             fleet
                 .fixture
                 .cluster
@@ -106,7 +106,7 @@
 #[test]
 fn nothing_is_rented_or_preempted_for_a_job_in_a_crash_loop() {
     let mut fleet = SimulatedFleet::new(config_without_limits(), 4, 8.0);
-    fleet.broken.push("wk-000001".into());
+    fleet.failing_jobs.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
     urgent.priority = Priority::Production;
     fleet.fixture.job(urgent);
