--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -16,7 +16,7 @@
     pub done: HashMap<JobId, u32>,
     /// Jobs that fail everywhere, and machines that fail everything.
     pub failing_jobs: Vec<JobId>,
-    pub faulty: Vec<MachineId>,
+    pub faulty_machines: Vec<MachineId>,
     pub launched: HashMap<JobId, u32>,
     pub rented: u32,
 }
@@ -34,7 +34,7 @@
             first_launch: HashMap::new(),
             done: HashMap::new(),
             failing_jobs: Vec::new(),
-            faulty: Vec::new(),
+            faulty_machines: Vec::new(),
             launched: HashMap::new(),
             rented: 0,
         }
@@ -55,7 +55,8 @@
                 .iter()
                 .map(|(t, a, since)| {
                     let over = now - *since >= runs(&t.job_id);
-                    let fails = self.failing_jobs.contains(&t.job_id) || self.faulty.contains(h);
+                    let fails =
+                        self.failing_jobs.contains(&t.job_id) || self.faulty_machines.contains(h);
                     let phase = if fails {
                         TaskPhase::Ended(ExitReason::Failed)
                     } else if over {
@@ -78,7 +79,9 @@
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt));
                     }
                     TaskCommand::Forget { task, attempt } => {
-                        if !self.failing_jobs.contains(&task.job_id) && !self.faulty.contains(h) {
+                        if !self.failing_jobs.contains(&task.job_id)
+                            && !self.faulty_machines.contains(h)
+                        {
                             *self.done.entry(task.job_id.clone()).or_default() += 1;
                         }
                         tasks.retain(|t| (&t.0, t.1) != (&task, attempt));
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -27,9 +27,9 @@
         ("many faulty machines", 0, 14, 0, 10),
         ("both", 3, 8, 12, 5),
     ];
-    for (name, failing_jobs, faulty, most, found) in cases {
+    for (name, failing_jobs, faulty_machines, most, found) in cases {
         let mut fleet = SimulatedFleet::new(config_without_limits(), 40, 8.0);
-        fleet.faulty = (0..faulty)
+        fleet.faulty_machines = (0..faulty_machines)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
         let all = fleet.on.len();
@@ -61,7 +61,7 @@
             }
         }
         let gone: Vec<_> = fleet
-            .faulty
+            .faulty_machines
             .iter()
             .filter(|h| !fleet.on.contains_key(h))
             .collect();
@@ -89,7 +89,7 @@
 fn a_sound_job_is_not_slowed_by_faulty_machines() {
     // All of its first machines but one fail everything: what runs on the last clears it.
     let mut fleet = SimulatedFleet::new(config_without_limits(), 12, 8.0);
-    fleet.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
+    fleet.faulty_machines = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
     fleet.fixture.job(spec("wk-000001", 96, 1.0));
     let mut cleared = None;
     for second in 0..60 {
