--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -11,7 +11,7 @@
 pub struct SimulatedFleet {
     pub fixture: ClusterFixture,
     pub serial: u64,
-    pub on: BTreeMap<MachineId, Vec<(TaskId, AttemptId, Instant)>>,
+    pub tasks_by_machine: BTreeMap<MachineId, Vec<(TaskId, AttemptId, Instant)>>,
     pub first_launch: HashMap<JobId, Instant>,
     pub done: HashMap<JobId, u32>,
     /// Jobs that fail everywhere, and machines that fail everything.
@@ -26,11 +26,11 @@
         let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", cpus)]);
         fixture.cluster.config.tuning.max_machines = machines;
         fixture.cluster.config.tuning.on_demand_idle_timeout = secs(100_000);
-        let on = (0..machines).map(|n| (MachineId(format!("i-{n:02}")), vec![]));
+        let tasks_by_machine = (0..machines).map(|n| (MachineId(format!("i-{n:02}")), vec![]));
         SimulatedFleet {
             fixture,
             serial: 0,
-            on: on.collect(),
+            tasks_by_machine: tasks_by_machine.collect(),
             first_launch: HashMap::new(),
             done: HashMap::new(),
             failing_jobs: Vec::new(),
@@ -50,7 +50,7 @@
         let mut ticks = Vec::new();
         self.serial += 1;
         let now = self.fixture.now;
-        for (h, tasks) in &mut self.on {
+        for (h, tasks) in &mut self.tasks_by_machine {
             let listed = tasks
                 .iter()
                 .map(|(t, a, since)| {
@@ -114,7 +114,7 @@
                     Action::Rent { .. } => self.rented += 1,
                     Action::Return { machines } => {
                         for h in &machines {
-                            self.on.remove(h);
+                            self.tasks_by_machine.remove(h);
                         }
                         self.fixture
                             .cluster
--- a/tests/measure_rounds.rs
+++ b/tests/measure_rounds.rs
@@ -70,6 +70,6 @@
     let placed: u32 = fleet.launched.values().sum();
     println!(
         "tasks launched={placed} running={}",
-        fleet.on.values().map(Vec::len).sum::<usize>()
+        fleet.tasks_by_machine.values().map(Vec::len).sum::<usize>()
     );
 }
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -32,7 +32,7 @@
         fleet.faulty_machines = (0..faulty_machines)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
-        let all = fleet.on.len();
+        let all = fleet.tasks_by_machine.len();
         for n in 0..12 {
             let job_id = format!("wk-{n:06}");
             if n % 2 == 1 && n / 2 < failing_jobs {
@@ -63,11 +63,11 @@
         let gone: Vec<_> = fleet
             .faulty_machines
             .iter()
-            .filter(|h| !fleet.on.contains_key(h))
+            .filter(|h| !fleet.tasks_by_machine.contains_key(h))
             .collect();
         assert!(gone.len() >= found, "{name}: {} found", gone.len());
         assert_eq!(
-            fleet.on.len() + gone.len(),
+            fleet.tasks_by_machine.len() + gone.len(),
             all,
             "{name}: no sound machine went"
         );
