--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -25,7 +25,7 @@
                 config,
                 TermStart {
                     term: TERM,
-                    leader_revision: REVISION,
+                    leader_revision: LEADER_REVISION,
                     machine_types: types,
                     started_at: now,
                     started_ms: 0,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,7 +15,7 @@
 
 pub const TERM: Term = Term(3);
 
-pub const REVISION: u64 = 50;
+pub const LEADER_REVISION: u64 = 50;
 
 pub fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -73,7 +73,7 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 1, 4.0));
     fixture.batch().unwrap();
-    let conflicts = vec![conflict(LEADER_KEY, REVISION + 9, None)];
+    let conflicts = vec![conflict(LEADER_KEY, LEADER_REVISION + 9, None)];
     let status = fixture
         .cluster
         .on_write_outcome(fixture.now, WriteOutcome::Failed { conflicts });
@@ -106,7 +106,7 @@
                 config(),
                 TermStart {
                     term: Term(term),
-                    leader_revision: REVISION,
+                    leader_revision: LEADER_REVISION,
                     machine_types: types,
                     started_at: now,
                     started_ms: 0,
