--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -36,14 +36,14 @@
         }
     }
 
-    pub fn pass(&mut self, d: Duration) {
+    pub fn advance(&mut self, d: Duration) {
         self.now += d;
     }
 
     /// So many seconds in which the process runs and hears nothing. What it would send is lost.
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.pass(secs(1));
+            self.advance(secs(1));
             self.cluster.tick(self.now);
         }
     }
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -47,7 +47,7 @@
         let mut outcomes = 0;
         let mut allowed = 0.0;
         while outcomes < DEPENDENTS {
-            fixture.pass(Duration::from_millis(150));
+            fixture.advance(Duration::from_millis(150));
             allowed += f64::from(CHANGES_A_SECOND) * 0.15;
             let before = keys.changes;
             let root_indexed = keys.all.contains(&live_job_key(&job_id(0)));
@@ -72,7 +72,7 @@
         );
         queue_read(&mut fixture);
         for _ in 0..2000 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
@@ -108,7 +108,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(job_depending_on(1, &[]));
         queue_read(&mut fixture);
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         fixture
             .cluster
             .on_cancelled(fixture.now, &job_id(1), source);
@@ -131,7 +131,7 @@
         let mut written = Vec::new();
         let mut keys = StoreKeys::default();
         for step in 0..20 {
-            fixture.pass(Duration::from_millis(150));
+            fixture.advance(Duration::from_millis(150));
             if is_told && step == 2 {
                 fixture
                     .cluster
@@ -176,7 +176,7 @@
                 });
             }
             for _ in 0..4 {
-                fixture.pass(Duration::from_millis(600));
+                fixture.advance(Duration::from_millis(600));
                 queue_read(&mut fixture);
                 keys.tick(&mut fixture, 24);
             }
@@ -184,7 +184,7 @@
             most = most.max(live);
         }
         for _ in 0..100 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
@@ -210,13 +210,13 @@
         }
         fixture.cluster.load_dependents_list(&job_id(1));
         for _ in 0..10 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             keys.tick(&mut fixture, 24);
         }
         assert_eq!(keys.all.contains(&dependents_key(&job_id(1))), live);
         fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         for _ in 0..10 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             keys.tick(&mut fixture, 24);
         }
         assert!(!keys.all.contains(&dependents_key(&job_id(1))), "{live}");
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -22,7 +22,7 @@
 /// A leader whose machines are all known: none.
 fn renting() -> ClusterFixture {
     let mut fixture = ClusterFixture::new();
-    fixture.pass(secs(10));
+    fixture.advance(secs(10));
     fixture
 }
 
@@ -100,7 +100,7 @@
     fixture
         .cluster
         .on_rental_result(fixture.now, &first[0].0, RentalOutcome::Unknown);
-    fixture.pass(secs(3));
+    fixture.advance(secs(3));
     assert_eq!(rentals(&fixture.settle()), first);
     fixture
         .cluster
@@ -137,7 +137,7 @@
         let mut t = machine_type("m8", 8.0);
         t.on_demand_price_per_hour = t.spot_price_per_hour;
         let mut fixture = ClusterFixture::with(scheduler_config, vec![t]);
-        fixture.pass(secs(10));
+        fixture.advance(secs(10));
         fixture.heartbeat("i-1", 1, vec![]);
         // It takes the whole of the only machine.
         let mut job = spec("wk-000001", 1, 8.0);
@@ -156,7 +156,7 @@
         fixture.heartbeat(machine, 1, vec![]);
     }
     // All three fall silent together: the fault is on our side.
-    fixture.pass(secs(25));
+    fixture.advance(secs(25));
     let returned = |fixture: &ClusterFixture| {
         fixture
             .cluster
@@ -178,7 +178,7 @@
     for machine in fixture.cluster.fleet.machines.values_mut() {
         machine.idle_since = None;
     }
-    fixture.pass(Duration::from_millis(1100));
+    fixture.advance(Duration::from_millis(1100));
     fixture.settle();
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].returning);
     assert_eq!(returned(&fixture), 1);
@@ -226,7 +226,7 @@
         for n in &names {
             fixture.heartbeat(n, 1, vec![]);
         }
-        fixture.pass(secs(8));
+        fixture.advance(secs(8));
         for n in &names[quiet..] {
             fixture.heartbeat(n, 2, vec![]);
         }
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -124,7 +124,7 @@
         ],
     );
     for second in 0..60 {
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         let left = vec![task_status("wk-000001", 2, last, TaskPhase::Running)];
         fixture.heartbeat("i-1", 10 + second, left);
         let actions = fixture.cluster.tick(fixture.now);
@@ -209,7 +209,7 @@
         let old = FencingToken::first(Term(TERM.0 - 1)).0;
         let mut returned = None;
         for second in 1..cancel {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             if heartbeats && second % 3 == 0 {
                 let tasks = vec![running("wk-000001", 0)];
                 let heartbeat = heartbeat_from("i-1", 1, 10 + second, old, tasks);
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -140,7 +140,7 @@
         fixture
             .cluster
             .on_write_outcome(fixture.now, WriteOutcome::Unknown);
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         let actions = fixture.cluster.tick(fixture.now);
         assert_eq!(launches(&actions), vec![], "not durable yet");
         fixture.heartbeat("i-1", 100 + fixture.revision, vec![]);
@@ -186,7 +186,7 @@
             let mut written = Vec::new();
             let mut launched = Vec::new();
             for _ in 0..20 {
-                fixture.pass(secs(1));
+                fixture.advance(secs(1));
                 for a in fixture.cluster.tick(fixture.now) {
                     if let Action::Store(b) = &a {
                         for o in &b.ops {
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -86,7 +86,7 @@
             0
         );
         if !listed {
-            fixture.pass(secs(40));
+            fixture.advance(secs(40));
             fixture.cluster.tick(fixture.now);
             let still = fixture.active("wk-000001", 0);
             assert_eq!(
@@ -184,7 +184,7 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.cluster.on_returned(fixture.now, &[first_machine()]);
     for late in [1, 30, 300] {
-        fixture.pass(secs(late));
+        fixture.advance(secs(late));
         let duplicate = heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
         assert_eq!(
             fixture.cluster.on_heartbeat(fixture.now, duplicate),
@@ -207,7 +207,7 @@
     );
     let old = fixture.cluster.fleet.machines[&first_machine()].token.0;
     // Its heartbeats count from the beginning; at first they look like duplicates.
-    fixture.pass(secs(9));
+    fixture.advance(secs(9));
     let HeartbeatDecision::Accept { token, .. } = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]))
@@ -216,7 +216,7 @@
     };
     assert!(token.0 > old, "a token that no copy can show");
     assert!(fixture.active("wk-000001", 0).is_some());
-    fixture.pass(secs(1));
+    fixture.advance(secs(1));
     fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 2, token.0, vec![]));
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -55,7 +55,7 @@
     let (mut fixture, _) = taken_over();
     let mut returned = false;
     for _ in 0..20 {
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         for n in 0..3 {
             fixture.heartbeat("i-2", 100 + fixture.revision * 10 + n, vec![]);
         }
--- a/tests/scheduler/failover/order_pacing.rs
+++ b/tests/scheduler/failover/order_pacing.rs
@@ -30,7 +30,7 @@
     let mut by_second: Vec<usize> = Vec::new();
     let mut started = std::collections::BTreeSet::new();
     for step in 0..100u64 {
-        fixture.pass(Duration::from_millis(100));
+        fixture.advance(Duration::from_millis(100));
         if step % 10 == 0 {
             by_second.push(0);
         }
@@ -107,9 +107,9 @@
     };
     heartbeat_all(&mut fixture, 1);
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
-    fixture.pass(secs(2));
+    fixture.advance(secs(2));
     assert!(heartbeat_all(&mut fixture, 2) < 10, "at the pace");
-    fixture.pass(secs(14));
+    fixture.advance(secs(14));
     assert_eq!(
         heartbeat_all(&mut fixture, 3),
         MACHINES as usize - 1,
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -28,7 +28,7 @@
             heartbeat.endpoint = format!("10.0.{}.{n}:9", n / 8);
             fixture.cluster.on_heartbeat(fixture.now, heartbeat);
         }
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         for action in fixture.cluster.tick(fixture.now) {
             match action {
                 Action::Return { machines } => returned.extend(machines),
@@ -73,7 +73,7 @@
         fixture.job(spec("wk-000001", 400, 8.0));
         let mut rented = 0;
         for _ in 0..4 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             for action in fixture.cluster.tick(fixture.now) {
                 if let Action::Rent { number, .. } = action {
                     rented += number;
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -379,7 +379,7 @@
     fixture.heartbeat("i-1", 2, vec![run]);
     // Restarted within a heartbeat's interval, it counts from the beginning and has seen no token. A copy
     // of the launch would find the same incarnation, and the attempt forgotten.
-    fixture.pass(secs(1));
+    fixture.advance(secs(1));
     let answer = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]));
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -26,7 +26,7 @@
     assert_eq!(state(&fixture, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Unreported));
     for _ in 0..8 {
-        fixture.pass(secs(3));
+        fixture.advance(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
@@ -34,7 +34,7 @@
     assert_eq!(usage_of_red(&fixture), 8.0, "silence proves nothing");
     // The lease of the one that was answered runs out after 30 s and the drift; the other is not fenced.
     for _ in 0..4 {
-        fixture.pass(secs(3));
+        fixture.advance(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!((state(&fixture, 0), usage_of_red(&fixture)), (None, 4.0));
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -104,7 +104,7 @@
     assert!(commands.is_empty());
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
-        fixture.pass(secs(after));
+        fixture.advance(secs(after));
         fixture.cluster.on_job_statuses(
             fixture.now,
             &[(lost_job_id.clone(), JobRecordStatus::NeverAccepted)],
@@ -189,7 +189,7 @@
             fixture.now,
             &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
         );
-        fixture.pass(secs(10));
+        fixture.advance(secs(10));
     }
     assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
 }
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -114,7 +114,7 @@
         let attempt = launches(&fixture.settle())[0].2;
         let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
-        fixture.pass(secs(10 - rest));
+        fixture.advance(secs(10 - rest));
         fixture.heartbeat("i-1", 3, running());
         fixture.heartbeat("i-2", 1, vec![]);
         for _ in 0..4 {
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -32,7 +32,7 @@
             serial += 1;
         };
         run(&mut fixture);
-        fixture.pass(secs(43));
+        fixture.advance(secs(43));
         run(&mut fixture);
         let mut claimant = spec("wk-000003", 1, 8.0);
         claimant.priority = Priority::High;
@@ -81,7 +81,7 @@
         let attempt = launches(&fixture.settle())[0].2;
         let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
-        fixture.pass(secs(ran));
+        fixture.advance(secs(ran));
         fixture.heartbeat("i-1", 3, running());
         let mut job = spec("wk-000002", 1, 8.0);
         claimant(&mut job);
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -19,7 +19,7 @@
         fixture.heartbeat("i-1", 2, tasks);
         let mut gone = Vec::new();
         for _ in 0..12 {
-            fixture.pass(secs(2));
+            fixture.advance(secs(2));
             if !paused {
                 gone.extend(returned_machines(&fixture.settle()));
             }
@@ -88,7 +88,7 @@
             grace_period: secs(6),
             since: fixture.now,
         });
-        fixture.pass(secs(45));
+        fixture.advance(secs(45));
         if resumed {
             fixture.cluster.on_process_resumed(fixture.now);
         } else {
@@ -116,7 +116,7 @@
                 .required_token
                 .is_none());
             // In the end the lease counts again.
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             for _ in 0..20 {
                 fixture.settle();
             }
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -56,7 +56,7 @@
     let mut job = spec("wk-000001", 8, 8.0);
     job.team = "grey".into();
     fixture.job(job);
-    fixture.pass(secs(200));
+    fixture.advance(secs(200));
     let mut job = spec("wk-000002", 1, 8.0);
     job.team = "blue".into();
     job.accepted_unix_ms = 200_000;
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -18,7 +18,7 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.job(spec("wk-000001", 100_000, 1.0));
     for _ in 0..20 {
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         let serial = fixture.revision;
         fixture.heartbeat("i-1", serial, vec![]);
         if let Some(b) = fixture.batch() {
@@ -98,7 +98,7 @@
         job.class = "other".into();
         fixture.job(job);
     }
-    fixture.pass(secs(5));
+    fixture.advance(secs(5));
     fixture.heartbeat("i-1", 3, vec![]);
     fixture.cluster.set_write_allowance(0);
     assert_eq!(fixture.batch(), None);
@@ -157,7 +157,7 @@
         let mut refused = Vec::new();
         let mut launched = BTreeSet::new();
         for _ in 0..400 {
-            fixture.pass(Duration::from_millis(150));
+            fixture.advance(Duration::from_millis(150));
             for action in fixture.cluster.tick(fixture.now) {
                 launched.extend(
                     launches(std::slice::from_ref(&action))
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -63,7 +63,7 @@
         // Ticking all the while: who was paused could not have answered either.
         fixture.run(30);
         assert!(fixture.active("wk-000001", 0).is_some(), "fenced {fenced}");
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         fixture.cluster.tick(fixture.now);
         assert_eq!(
             fixture.active("wk-000001", 0).is_none(),
@@ -80,7 +80,7 @@
     let machine = MachineId::from("i-1");
     let lease = config().lease;
     // Its answers were lost: the worker began a new incarnation, of which a direct answer tells.
-    fixture.pass(lease);
+    fixture.advance(lease);
     let token = fixture.cluster.fleet.machines[&machine].token.0;
     let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
     fixture
@@ -99,7 +99,7 @@
     let launched = launches(&fixture.settle());
     assert_eq!(launched.len(), 1, "the old session's task starts anew");
     let (_, task, attempt) = launched[0].clone();
-    fixture.pass(secs(5));
+    fixture.advance(secs(5));
     fixture.cluster.tick(fixture.now);
     let (on, still) = fixture
         .active(&task.job_id.0, task.index)
@@ -219,7 +219,7 @@
         AttemptId(3),
         TaskPhase::Ended(ExitReason::Completed),
     );
-    fixture.pass(secs(2));
+    fixture.advance(secs(2));
     let (before, d) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
     assert!(matches!(d[..], [TaskCommand::Forget { .. }]), "{d:?}");
     assert!(fixture.cluster.jobs_to_look_up().contains(&job_id));
@@ -239,7 +239,7 @@
         .cluster
         .on_cancel_marked(fixture.now, &"wk-000001".into());
     for serial in 10..30 {
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         let running = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", serial, running);
         fixture.settle();
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -135,7 +135,7 @@
     assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
     // A rental's claim, which the cloud keeps.
     let mut world = ClusterFixture::new();
-    world.pass(secs(10.0));
+    world.advance(secs(10.0));
     world.job(spec("wk-000001", 1, 4.0));
     let idempotency_keys = world
         .settle()
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -136,7 +136,7 @@
         let (run, lease) = (secs(20), fixture.cluster.config.lease);
         let start = fixture.now;
         while !fixture.cluster.jobs.is_empty() && fixture.now - start < secs(400) {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             serial += 1;
             let second = (fixture.now - start).as_secs();
             if second == 8 {
@@ -263,7 +263,7 @@
     fixture.job(job);
     let mut took = Duration::ZERO;
     for _ in 0..4 {
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         let began = Instant::now();
         fixture.cluster.tick(fixture.now);
         took += began.elapsed();
