--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -74,7 +74,8 @@
         for back in returns {
             for fault_rates in [FaultRates::none(), FaultRates::frequent()] {
                 seed += 1;
-                let mut simulation = Simulation::with(seed, 24, fault_rates, paced(600.0, 600.0));
+                let mut simulation =
+                    Simulation::with_config(seed, 24, fault_rates, paced(600.0, 600.0));
                 let mut broken = play(&mut simulation, secs(30));
                 simulation.crash_all_controllers(outage);
                 if let Return::Dying(after) = back {
@@ -106,12 +107,15 @@
     let mut all: Vec<Instant> = Vec::new();
     let mut segments: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
     for worker in simulation.workers.values() {
-        let orders = worker.orders.iter().filter(|t| time.contains(t));
+        let command_times = worker.command_times.iter().filter(|t| time.contains(t));
         let address = simulation::worker::endpoint(&worker.id);
         let address = address.parse().expect("an address");
         let segment = worker_segment(address);
-        segments.entry(segment).or_default().extend(orders.clone());
-        all.extend(orders);
+        segments
+            .entry(segment)
+            .or_default()
+            .extend(command_times.clone());
+        all.extend(command_times);
     }
     let second = secs(1);
     let worst = segments.into_values().map(|times| peak(times, second));
@@ -134,7 +138,8 @@
         let mut scheduler_config = paced(FLEET, SEGMENT);
         scheduler_config.teams = vec![team("red", 2000.0, 2000.0)];
         scheduler_config.tuning.max_machines = 100;
-        let mut simulation = Simulation::with(seed, 100, FaultRates::none(), scheduler_config);
+        let mut simulation =
+            Simulation::with_config(seed, 100, FaultRates::none(), scheduler_config);
         simulation.submits_jobs = false;
         simulation.fixed_run_time = Some(secs(12));
         simulation.submit_jobs(150, "red", 40, 1.0);
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -82,7 +82,7 @@
 
 fn run(seed: u64, machines: usize, outage: Duration, enabled: bool) -> Figures {
     let mut simulation =
-        Simulation::with(seed, machines, FaultRates::none(), fleet(machines, enabled));
+        Simulation::with_config(seed, machines, FaultRates::none(), fleet(machines, enabled));
     simulation.submits_jobs = false;
     simulation.fixed_run_time = Some(secs(150));
     let jobs = machines as f64 * TASKS_A_MACHINE / f64::from(TASKS_A_JOB);
@@ -121,11 +121,11 @@
     }
     let mut segments: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
     for w in simulation.workers.values() {
-        let orders = w.orders.iter().filter(|t| **t >= back);
+        let command_times = w.command_times.iter().filter(|t| **t >= back);
         segments
             .entry(segment(&endpoint(&w.id)))
             .or_default()
-            .extend(orders);
+            .extend(command_times);
     }
     let all = segments.values().flatten().copied().collect();
     let worst = segments.into_values().map(|times| peak(times, secs(1)));
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -17,10 +17,10 @@
 impl Simulation {
     /// Starts a machine, in the zones by turns.
     pub(super) fn add_machine(&mut self, boot: Duration, spot: bool) -> MachineId {
-        self.machines += 1;
-        let id = MachineId(format!("i-{:04}", self.machines));
-        let zone = ZONES[self.machines as usize % ZONES.len()];
-        let t = &self.types[0];
+        self.machine_count += 1;
+        let id = MachineId(format!("i-{:04}", self.machine_count));
+        let zone = ZONES[self.machine_count as usize % ZONES.len()];
+        let t = &self.machine_types[0];
         let kind = (t.name.clone(), t.capacity);
         let worker = Worker::new(id.clone(), kind, zone.into(), spot, self.now + boot);
         self.workers.insert(id.clone(), worker);
@@ -52,7 +52,7 @@
     /// A leader asks the cloud to take machines back.
     pub(super) fn return_machines(&mut self, id: u64, machines: Vec<MachineId>) {
         let lost = self.rng.gen_bool(self.fault_rates.lost_returns);
-        let carried_out = self.rng.gen_bool(0.5);
+        let is_carried_out = self.rng.gen_bool(0.5);
         let after = self.delay(50, 800);
         if !lost {
             let leader = Some(id);
@@ -65,7 +65,7 @@
             confirmed: false,
         };
         self.schedule(secs(5), failed);
-        if carried_out {
+        if is_carried_out {
             let leader = None;
             self.schedule(after, Event::Return { machines, leader });
         }
@@ -73,10 +73,10 @@
 
     /// Now and then the cloud lists its machines; the list reaches the leaders with a delay.
     pub(super) fn list_machines(&mut self) {
-        if self.now < self.next_list {
+        if self.now < self.next_listing_at {
             return;
         }
-        self.next_list = self.now + LIST_INTERVAL;
+        self.next_listing_at = self.now + LIST_INTERVAL;
         let now = self.now;
         let listed = self.workers.values().map(|w| CloudMachine {
             id: w.id.clone(),
@@ -144,7 +144,7 @@
 
     pub(super) fn cloud_listed(&mut self, listed: &[CloudMachine]) {
         let now = self.now;
-        for leader in self.leaders.iter_mut().filter(|l| l.ready <= now) {
+        for leader in self.leaders.iter_mut().filter(|l| l.ready_at <= now) {
             leader.cluster.on_machine_list(now, listed);
         }
     }
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -71,7 +71,7 @@
 
 impl Simulation {
     /// Delivers all messages whose time has come, in their order.
-    pub(super) fn deliver(&mut self) {
+    pub(super) fn deliver_due_messages(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
                 return;
@@ -111,7 +111,7 @@
                 leader,
                 boot_count,
             } => {
-                if self.command_applies(&machine, boot_count) {
+                if self.is_command_deliverable(&machine, boot_count) {
                     self.deliver_command(machine, token, incarnation, commands, leader);
                 }
             }
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -112,17 +112,17 @@
                 worker.outbound_partition_until = Some(until);
             }
         }
-        self.disturb_machines(&rates);
-        self.disturb_leaders(&rates);
+        self.inject_machine_faults(&rates);
+        self.inject_leader_faults(&rates);
     }
 
     /// Evictions, losses and restarts of machines.
-    fn disturb_machines(&mut self, rates: &FaultRates) {
+    fn inject_machine_faults(&mut self, rates: &FaultRates) {
         if self.occurs(rates.eviction_notice) {
             let at = self.now + self.delay(4_000, 12_000);
             let now = self.now;
             if let Some(worker) = self.random_worker() {
-                worker.eviction = worker.eviction.or(Some(at));
+                worker.eviction_at = worker.eviction_at.or(Some(at));
                 worker.schedule_heartbeat(now);
             }
         }
@@ -148,12 +148,12 @@
     }
 
     /// All leaders end, or the newest loses the store.
-    fn disturb_leaders(&mut self, rates: &FaultRates) {
+    fn inject_leader_faults(&mut self, rates: &FaultRates) {
         if self.occurs(rates.leader_crash) {
             self.leaders.clear();
             let after = self.delay(500, 6_000);
-            self.next_leader = Some(self.now + after);
-            self.note("all leaders end".to_owned());
+            self.next_leader_at = Some(self.now + after);
+            self.append_to_log("all leaders end".to_owned());
         } else if self.occurs(rates.leader_partition) {
             let now = self.now;
             if let Some(l) = self
@@ -163,8 +163,8 @@
             {
                 l.partitioned_since = Some(now);
                 let after = LEADER_LEASE + self.delay(100, 3_000);
-                self.next_leader = Some(now + after);
-                self.note("the leader loses the store".to_owned());
+                self.next_leader_at = Some(now + after);
+                self.append_to_log("the leader loses the store".to_owned());
             }
         }
     }
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -14,9 +14,9 @@
         let now = self.now;
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
-            let every = self.delay(2250, 3750);
+            let interval = self.delay(2250, 3750);
             let is_duplicated = self.rng.gen_bool(self.fault_rates.duplicate_heartbeats);
-            let forward = self.delay(5, 60);
+            let request_delay = self.delay(5, 60);
             let duplicate_delay = self.delay(2000, 40_000);
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
@@ -25,8 +25,8 @@
                 continue;
             }
             let is_lost = is_active(worker.outbound_partition_until, now);
-            let held = worker.partitioned_until.filter(|until| now < *until);
-            let Some(heartbeat) = worker.due_heartbeat(now, every) else {
+            let held_until = worker.partitioned_until.filter(|until| now < *until);
+            let Some(heartbeat) = worker.take_due_heartbeat(now, interval) else {
                 continue;
             };
             if is_lost {
@@ -41,7 +41,7 @@
                 };
                 self.schedule(duplicate_delay, event);
             }
-            let after = held.map_or(forward, |until| until - now + forward);
+            let after = held_until.map_or(request_delay, |until| until - now + request_delay);
             let event = Event::Heartbeat {
                 heartbeat,
                 sent_at,
@@ -54,17 +54,17 @@
     /// The leader that a worker's heartbeat reaches: mostly the newest.
     pub(super) fn heartbeat_recipient(&mut self) -> Option<u64> {
         let now = self.now;
-        let ready: Vec<u64> = self
+        let ready_leaders: Vec<u64> = self
             .leaders
             .iter()
-            .filter(|l| l.ready <= now)
+            .filter(|l| l.ready_at <= now)
             .map(|l| l.id)
             .collect();
-        let old = ready.len() > 1 && self.rng.gen_bool(0.3);
-        if old {
-            ready.first().copied()
+        let reaches_oldest = ready_leaders.len() > 1 && self.rng.gen_bool(0.3);
+        if reaches_oldest {
+            ready_leaders.first().copied()
         } else {
-            ready.last().copied()
+            ready_leaders.last().copied()
         }
     }
 
@@ -77,29 +77,29 @@
     ) {
         let machine = heartbeat.machine.clone();
         let incarnation = heartbeat.incarnation;
-        let back = self.delay(5, 60);
+        let answer_delay = self.delay(5, 60);
         let now = self.now;
         let Some(id) = self.heartbeat_recipient() else {
             if expects_answer {
-                self.schedule(back, Event::HeartbeatRefusal { machine, sent_at });
+                self.schedule(answer_delay, Event::HeartbeatRefusal { machine, sent_at });
             }
             return;
         };
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let given = leader.cluster.on_heartbeat(now, heartbeat);
-        if matches!(given, HeartbeatDecision::Superseded(_)) {
+        let decision = leader.cluster.on_heartbeat(now, heartbeat);
+        if matches!(decision, HeartbeatDecision::Superseded(_)) {
             self.depose(id);
         }
         if expects_answer {
             self.schedule(
-                back,
+                answer_delay,
                 Event::HeartbeatAnswer {
                     machine,
                     sent_at,
                     incarnation,
-                    answer: given,
+                    answer: decision,
                 },
             );
         }
@@ -120,7 +120,7 @@
         if is_active(worker.inbound_partition_until, now) {
             return;
         }
-        if let Some(until) = delivery_delayed_until(worker, now) {
+        if let Some(until) = delayed_until(worker, now) {
             let event = Event::HeartbeatAnswer {
                 machine,
                 sent_at,
@@ -132,7 +132,14 @@
         }
         match answer {
             HeartbeatDecision::Accept { token, commands } => {
-                worker.on_answer(now, sent_at, incarnation, token, &commands, &self.uploads);
+                worker.on_answer(
+                    now,
+                    sent_at,
+                    incarnation,
+                    token,
+                    &commands,
+                    &self.shared_storage,
+                );
             }
             _ => worker.on_refusal(now, sent_at),
         }
@@ -140,7 +147,7 @@
 
     /// Whether a command finds the machine since the same boot, or since a later boot that a leader has
     /// answered. No fencing token shuts out what comes in between.
-    pub(super) fn command_applies(&self, machine: &MachineId, boot_count: u64) -> bool {
+    pub(super) fn is_command_deliverable(&self, machine: &MachineId, boot_count: u64) -> bool {
         let worker = self.workers.get(machine);
         worker.is_some_and(|w| w.boot_count == boot_count || w.token > FencingToken(0))
     }
@@ -155,14 +162,14 @@
         leader: Option<u64>,
     ) {
         let now = self.now;
-        let back = self.delay(5, 60);
+        let answer_delay = self.delay(5, 60);
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
         if is_active(worker.inbound_partition_until, now) || now < worker.up_at {
             return;
         }
-        if let Some(until) = delivery_delayed_until(worker, now) {
+        if let Some(until) = delayed_until(worker, now) {
             // Its sender no longer waits by then, or soon will not.
             let event = Event::Command {
                 machine,
@@ -175,21 +182,21 @@
             self.schedule(until - now, event);
             return;
         }
-        worker.on_command(now, token, incarnation, &commands, &self.uploads);
-        let heartbeat = Some(worker.heartbeat(now));
+        worker.on_command(now, token, incarnation, &commands, &self.shared_storage);
+        let heartbeat = Some(worker.make_heartbeat(now));
         if let Some(leader) = leader {
             let event = Event::CommandAnswered {
                 machine,
                 leader,
                 heartbeat,
             };
-            self.schedule(back, event);
+            self.schedule(answer_delay, event);
         }
     }
 }
 
 /// Until when messages to a machine are held up.
-fn delivery_delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
+fn delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
     [worker.paused_until, worker.partitioned_until]
         .into_iter()
         .flatten()
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     /// Where tasks were at the last check.
-    on: BTreeMap<TaskId, BTreeSet<MachineId>>,
+    previous_machines: BTreeMap<TaskId, BTreeSet<MachineId>>,
     /// When the cancellation of these jobs was confirmed to users.
     pub cancelled: BTreeMap<JobId, Instant>,
 }
@@ -25,29 +25,34 @@
         now: Instant,
         workers: impl Iterator<Item = &'a Worker>,
         teams: &[Team],
-        cancel: Duration,
+        cancellation_deadline: Duration,
         outcome: impl Fn(&JobId) -> Option<JobOutcome>,
     ) -> Vec<String> {
         let mut violations = Vec::new();
-        let mut used: BTreeMap<TeamName, Resources> = BTreeMap::new();
-        let mut on: BTreeMap<TaskId, BTreeSet<MachineId>> = BTreeMap::new();
-        let mut zones: BTreeMap<JobId, BTreeSet<Zone>> = BTreeMap::new();
+        let mut used_by_team: BTreeMap<TeamName, Resources> = BTreeMap::new();
+        let mut machines_by_task: BTreeMap<TaskId, BTreeSet<MachineId>> = BTreeMap::new();
+        let mut zones_by_job: BTreeMap<JobId, BTreeSet<Zone>> = BTreeMap::new();
         for worker in workers {
             for ((task, _), state) in worker.tasks.iter().filter(|(_, t)| t.occupies_machine()) {
-                let sum = used.entry(state.spec.team.clone()).or_default();
+                let sum = used_by_team.entry(state.spec.team.clone()).or_default();
                 sum.add(&state.spec.resources);
-                let machines = on.entry(task.clone()).or_default();
+                let machines = machines_by_task.entry(task.clone()).or_default();
                 machines.insert(worker.id.clone());
                 if state.spec.same_place {
-                    let zones = zones.entry(task.job_id.clone()).or_default();
+                    let zones = zones_by_job.entry(task.job_id.clone()).or_default();
                     zones.insert(worker.zone.clone());
                 }
-                let since = self.cancelled.get(&task.job_id);
-                if since.is_some_and(|since| now > *since + cancel) {
+                let cancelled_at = self.cancelled.get(&task.job_id);
+                if cancelled_at
+                    .is_some_and(|cancelled_at| now > *cancelled_at + cancellation_deadline)
+                {
                     violations.push(format!("ran_cancelled: {task} on {}", worker.id));
                 }
-                let began = !self.on.get(task).is_some_and(|h| h.contains(&worker.id));
-                if began
+                let is_new_on_machine = !self
+                    .previous_machines
+                    .get(task)
+                    .is_some_and(|machines| machines.contains(&worker.id));
+                if is_new_on_machine
                     && state
                         .spec
                         .dependencies
@@ -58,20 +63,23 @@
                 }
             }
         }
-        for (task, machines) in on.iter().filter(|(_, machines)| machines.len() > 1) {
+        for (task, machines) in machines_by_task
+            .iter()
+            .filter(|(_, machines)| machines.len() > 1)
+        {
             violations.push(format!("ran_twice: {task} on {machines:?}"));
         }
-        for (job_id, zones) in zones.iter().filter(|(_, zones)| zones.len() > 1) {
+        for (job_id, zones) in zones_by_job.iter().filter(|(_, zones)| zones.len() > 1) {
             violations.push(format!("wrong_place: {job_id} in {zones:?}"));
         }
         for team in teams {
-            let sum = used.get(&team.name).copied().unwrap_or_default();
+            let sum = used_by_team.get(&team.name).copied().unwrap_or_default();
             let limit = team.cpus_max.unwrap_or(f64::INFINITY);
             if sum.cpus > limit + RESOURCE_EPSILON {
                 violations.push(format!("quota: {} uses {} of {limit}", team.name, sum.cpus));
             }
         }
-        self.on = on;
+        self.previous_machines = machines_by_task;
         violations
     }
 }
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -1,7 +1,7 @@
 //! Leaders with the real core: election, reading the queue, and carrying out what they decide.
 
 use super::events::Event;
-use super::store::Queued;
+use super::store::QueueChange;
 use super::worker::HEARTBEAT_TIMEOUT;
 use super::{ms, Simulation};
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
@@ -20,10 +20,10 @@
     pub(super) id: u64,
     pub(super) cluster: ClusterState,
     /// It acts from here on; before, it loads.
-    pub(super) ready: Instant,
+    pub(super) ready_at: Instant,
     pub(super) queue_revision: u64,
-    pub(super) next_queue_read: Instant,
-    pub(super) next_tick: Instant,
+    pub(super) next_queue_read_at: Instant,
+    pub(super) next_tick_at: Instant,
     /// Since when it cannot reach the store.
     pub(super) partitioned_since: Option<Instant>,
 }
@@ -32,8 +32,8 @@
     /// All controllers end; the first is back after this time.
     pub fn crash_all_controllers(&mut self, outage: Duration) {
         self.leaders.clear();
-        self.next_leader = Some(self.now + outage);
-        self.note(format!(
+        self.next_leader_at = Some(self.now + outage);
+        self.append_to_log(format!(
             "all controllers end for {} s",
             outage.as_secs_f64()
         ));
@@ -41,7 +41,7 @@
 
     /// The newest leader's cluster state, once it acts.
     pub fn leader_state(&self) -> Option<&ClusterState> {
-        let newest = self.leaders.last().filter(|l| l.ready <= self.now)?;
+        let newest = self.leaders.last().filter(|l| l.ready_at <= self.now)?;
         Some(&newest.cluster)
     }
 
@@ -52,21 +52,21 @@
 
     /// A leader that found a newer term stops.
     pub(super) fn depose(&mut self, id: u64) {
-        self.note(format!("leader {id} steps down"));
+        self.append_to_log(format!("leader {id} steps down"));
         self.leaders.retain(|l| l.id != id);
     }
 
     /// Starts the next leader when it is due, and lets each leader that has loaded act.
     pub(super) fn run_leaders(&mut self) {
-        if self.next_leader.is_some_and(|at| at <= self.now) {
-            self.next_leader = None;
+        if self.next_leader_at.is_some_and(|at| at <= self.now) {
+            self.next_leader_at = None;
             self.start_leader();
         }
         let now = self.now;
         let ids: Vec<u64> = self
             .leaders
             .iter()
-            .filter(|l| l.ready <= now)
+            .filter(|l| l.ready_at <= now)
             .map(|l| l.id)
             .collect();
         for id in ids {
@@ -80,28 +80,28 @@
         let now = self.now;
         let revision = self.store.take_leadership();
         self.last_term += 1;
-        let elapsed = (now - self.start).as_millis() as u64;
+        let elapsed_ms = (now - self.started_at).as_millis() as u64;
         let mut cluster = ClusterState::new(
             self.config.clone(),
             TermStart {
                 term: Term(self.last_term),
                 leader_revision: revision,
-                machine_types: self.types.clone(),
+                machine_types: self.machine_types.clone(),
                 started_at: now,
-                started_ms: elapsed,
+                started_ms: elapsed_ms,
             },
         );
         cluster.take_over(now, self.store.snapshot());
-        let ready = now + self.delay(0, 1500);
+        let ready_at = now + self.delay(0, 1500);
         let id = self.last_term;
-        self.note(format!("leader {id} takes over"));
+        self.append_to_log(format!("leader {id} takes over"));
         self.leaders.push(Leader {
             id,
             cluster,
-            ready,
+            ready_at,
             queue_revision: self.store.revision(),
-            next_queue_read: now,
-            next_tick: ready,
+            next_queue_read_at: now,
+            next_tick_at: ready_at,
             partitioned_since: None,
         });
     }
@@ -110,7 +110,7 @@
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
         let late = self.delay(100, 600);
-        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.start);
+        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.started_at);
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
@@ -118,14 +118,14 @@
             monotonic: now,
             wall_clock,
         });
-        if leader.partitioned_since.is_some() || now < leader.next_queue_read {
+        if leader.partitioned_since.is_some() || now < leader.next_queue_read_at {
             return;
         }
-        leader.next_queue_read = now + late;
-        for queued in self.store.queued_after(leader.queue_revision) {
+        leader.next_queue_read_at = now + late;
+        for queued in self.store.queue_changes_after(leader.queue_revision) {
             match queued {
-                Queued::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
-                Queued::Cancelled(job_id) => {
+                QueueChange::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
+                QueueChange::Cancelled(job_id) => {
                     leader
                         .cluster
                         .on_cancelled(now, &job_id, CancelSource::Watch);
@@ -154,13 +154,15 @@
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let certain = leader
+        let leadership_confirmed = leader
             .partitioned_since
             .is_none_or(|t| now < t + LEADER_LEASE);
-        leader.cluster.set_leadership_confirmed(certain);
+        leader
+            .cluster
+            .set_leadership_confirmed(leadership_confirmed);
         leader.cluster.set_write_allowance(allowance);
-        let actions = if now >= leader.next_tick {
-            leader.next_tick = now + ms(200);
+        let actions = if now >= leader.next_tick_at {
+            leader.next_tick_at = now + ms(200);
             leader.cluster.tick(now)
         } else {
             leader.cluster.flush(now)
@@ -173,20 +175,20 @@
     /// Hands an action of the core to the party that it concerns.
     pub(super) fn perform(&mut self, id: u64, action: Action) {
         match action {
-            Action::Store(batch) => self.write(id, batch),
+            Action::Store(batch) => self.send_transaction(id, batch),
             Action::Send {
                 machine,
                 token,
                 incarnation,
                 commands,
                 ..
-            } => self.command(id, machine, token, incarnation, commands),
+            } => self.send_commands(id, machine, token, incarnation, commands),
             Action::Probe {
                 machine,
                 token,
                 incarnation,
                 ..
-            } => self.command(id, machine, token, incarnation, Vec::new()),
+            } => self.send_commands(id, machine, token, incarnation, Vec::new()),
             Action::Rent {
                 idempotency_key,
                 spot,
@@ -198,22 +200,22 @@
     }
 
     /// Sends a transaction to the store. It may be lost, late, or applied without an answer.
-    pub(super) fn write(&mut self, id: u64, batch: WriteBatch) {
-        let cut = self
+    pub(super) fn send_transaction(&mut self, id: u64, batch: WriteBatch) {
+        let is_partitioned = self
             .leader(id)
             .is_some_and(|l| l.partitioned_since.is_some());
         let lost = self.rng.gen_bool(self.fault_rates.lost_writes);
         let late = self.rng.gen_bool(self.fault_rates.late_writes);
-        let carried_out = self.rng.gen_bool(0.5);
-        let there = self.delay(5, 300);
+        let is_applied = self.rng.gen_bool(0.5);
+        let request_delay = self.delay(5, 300);
         let answer_delay = self.delay(5, 100);
-        if !(cut || lost || late) {
+        if !(is_partitioned || lost || late) {
             let write = Event::Write {
                 batch,
                 leader: Some(id),
                 answer_delay,
             };
-            self.schedule(there, write);
+            self.schedule(request_delay, write);
             return;
         }
         let unanswered = Event::WriteAnswered {
@@ -221,13 +223,13 @@
             outcome: WriteOutcome::Unknown,
         };
         self.schedule(ms(1500), unanswered);
-        if cut || (lost && !carried_out) {
+        if is_partitioned || (lost && !is_applied) {
             return;
         }
         let after = if late {
             self.delay(2_000, 12_000)
         } else {
-            there
+            request_delay
         };
         let write = Event::Write {
             batch,
@@ -238,7 +240,7 @@
     }
 
     /// Sends commands to a machine, or a probe without any.
-    pub(super) fn command(
+    pub(super) fn send_commands(
         &mut self,
         id: u64,
         machine: MachineId,
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -10,14 +10,14 @@
     /// Lets time pass on all machines: evictions, leases, and tasks that go on to their next phase.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease) = (self.now, self.config.lease);
-        let wait = self.config.gang_assembly_timeout;
+        let gang_assembly_timeout = self.config.gang_assembly_timeout;
         self.workers
-            .retain(|_, w| w.eviction.is_none_or(|at| now < at));
+            .retain(|_, w| w.eviction_at.is_none_or(|at| now < at));
         for worker in self.workers.values_mut() {
             worker.check_lease(now, lease);
             if now >= worker.up_at && !is_active(worker.paused_until, now) {
                 let run = |task: &TaskId| self.fixed_run_time.unwrap_or_else(|| run_time(task));
-                worker.advance(now, wait, run, &mut self.uploads);
+                worker.advance(now, gang_assembly_timeout, run, &mut self.shared_storage);
             }
         }
         self.advance_gangs();
@@ -41,7 +41,7 @@
             }
         }
         for ((job_id, attempt), members) in gangs {
-            let spec = self.uploads.jobs[&job_id].clone();
+            let spec = self.shared_storage.jobs[&job_id].clone();
             let complete = members.len() == spec.task_count as usize;
             for (machine, task) in members {
                 let run = run_time(&TaskId {
@@ -68,7 +68,7 @@
                 match next {
                     TaskPhase::Running => state.until = now + run,
                     TaskPhase::Ended(ExitReason::Completed) => {
-                        self.uploads.done.insert(task);
+                        self.shared_storage.done.insert(task);
                     }
                     _ => {}
                 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use store::Store;
-use worker::{Uploads, Worker, WorkerTask};
+use worker::{SharedStorage, Worker, WorkerTask};
 
 /// How far the clock goes in a step.
 const STEP: Duration = Duration::from_millis(100);
@@ -37,21 +37,21 @@
 pub struct Simulation {
     rng: StdRng,
     pub now: Instant,
-    start: Instant,
+    started_at: Instant,
     config: SchedulerConfig,
-    types: Vec<MachineType>,
+    machine_types: Vec<MachineType>,
     pub fault_rates: FaultRates,
     pub store: Store,
     pub workers: BTreeMap<MachineId, Worker>,
-    uploads: Uploads,
+    shared_storage: SharedStorage,
     leaders: Vec<Leader>,
-    next_leader: Option<Instant>,
+    next_leader_at: Option<Instant>,
     last_term: u64,
     events: BTreeMap<(Instant, u64), Event>,
-    sequence: u64,
-    machines: u64,
-    jobs: u64,
-    next_list: Instant,
+    last_event_number: u64,
+    machine_count: u64,
+    job_count: u64,
+    next_listing_at: Instant,
     pub invariants: InvariantChecker,
     /// Changes of leaders, to find the cause of a violation.
     pub log: Vec<String>,
@@ -81,13 +81,13 @@
 }
 
 impl Simulation {
-    /// As `with`, with `tight_config`.
+    /// As `with_config`, with `tight_config`.
     pub fn new(seed: u64, machines: usize, fault_rates: FaultRates) -> Simulation {
-        Simulation::with(seed, machines, fault_rates, tight_config())
+        Simulation::with_config(seed, machines, fault_rates, tight_config())
     }
 
     /// A deployment of machines that run, and no leader yet.
-    pub fn with(
+    pub fn with_config(
         seed: u64,
         machines: usize,
         fault_rates: FaultRates,
@@ -97,21 +97,21 @@
         let mut simulation = Simulation {
             rng: StdRng::seed_from_u64(seed),
             now,
-            start: now,
+            started_at: now,
             config,
-            types: vec![machine_type()],
+            machine_types: vec![machine_type()],
             fault_rates,
             store: Store::default(),
             workers: BTreeMap::new(),
-            uploads: Uploads::default(),
+            shared_storage: SharedStorage::default(),
             leaders: Vec::new(),
-            next_leader: Some(now),
+            next_leader_at: Some(now),
             last_term: 0,
             events: BTreeMap::new(),
-            sequence: 0,
-            machines: 0,
-            jobs: 0,
-            next_list: now,
+            last_event_number: 0,
+            machine_count: 0,
+            job_count: 0,
+            next_listing_at: now,
             invariants: InvariantChecker::default(),
             log: Vec::new(),
             submits_jobs: true,
@@ -126,11 +126,11 @@
     /// One step of the clock. Returns the invariants that are violated.
     pub fn step(&mut self) -> Vec<String> {
         self.now += STEP;
-        self.deliver();
+        self.deliver_due_messages();
         self.advance_workers();
         self.send_heartbeats();
-        self.submit();
-        self.cancel();
+        self.submit_random_job();
+        self.cancel_random_job();
         self.inject_faults();
         self.run_leaders();
         self.list_machines();
@@ -141,15 +141,16 @@
     }
 
     /// Adds a line to the log.
-    fn note(&mut self, text: String) {
-        let at = (self.now - self.start).as_secs_f64();
+    fn append_to_log(&mut self, text: String) {
+        let at = (self.now - self.started_at).as_secs_f64();
         self.log.push(format!("{at:7.1} {text}"));
     }
 
     /// Sends a message, to be delivered after this time.
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.sequence += 1;
-        self.events.insert((self.now + after, self.sequence), event);
+        self.last_event_number += 1;
+        self.events
+            .insert((self.now + after, self.last_event_number), event);
     }
 
     /// A delay in milliseconds, drawn from a range.
@@ -166,7 +167,7 @@
     /// Tasks on machines that the newest leader, once it acts, does not account for: its next decisions
     /// would not count them.
     pub fn unaccounted_tasks(&self) -> Vec<String> {
-        let newest = self.leaders.last().filter(|l| l.ready <= self.now);
+        let newest = self.leaders.last().filter(|l| l.ready_at <= self.now);
         let Some(leader) = newest else {
             return Vec::new();
         };
@@ -188,7 +189,7 @@
 
     /// How much work is done, so that a search shows what it covered.
     pub fn tasks_done(&self) -> usize {
-        self.uploads.done.len()
+        self.shared_storage.done.len()
     }
 
     /// What is on machines now.
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -24,7 +24,7 @@
 
 /// A change that the watch of the queue shows.
 #[derive(Clone, Debug)]
-pub enum Queued {
+pub enum QueueChange {
     Job(Box<JobSpec>, u64),
     Cancelled(JobId),
 }
@@ -33,7 +33,7 @@
 pub struct Store {
     keys: BTreeMap<String, (StoredValue, u64)>,
     revision: u64,
-    queue_log: Vec<(u64, Queued)>,
+    queue_log: Vec<(u64, QueueChange)>,
 }
 
 impl Store {
@@ -47,11 +47,11 @@
 
     fn put(&mut self, key: String, value: StoredValue) {
         let queued = match &value {
-            StoredValue::Job(spec) => Some(Queued::Job(spec.clone(), self.revision)),
+            StoredValue::Job(spec) => Some(QueueChange::Job(spec.clone(), self.revision)),
             StoredValue::CancelMark => key
                 .strip_prefix(keys::CANCEL_MARK_PREFIX)
                 .and_then(JobId::parse)
-                .map(Queued::Cancelled),
+                .map(QueueChange::Cancelled),
             _ => None,
         };
         let revision = self.revision;
@@ -122,7 +122,7 @@
         self.revision += 1;
         for op in &batch.ops {
             match op {
-                WriteOp::Put(key, value) => self.put(key.clone(), stored(value)),
+                WriteOp::Put(key, value) => self.put(key.clone(), to_stored_value(value)),
                 WriteOp::Delete(key) => {
                     self.keys.remove(key);
                 }
@@ -139,7 +139,7 @@
     }
 
     /// The queue's changes after a revision.
-    pub fn queued_after(&self, revision: u64) -> Vec<Queued> {
+    pub fn queue_changes_after(&self, revision: u64) -> Vec<QueueChange> {
         let from = self.queue_log.partition_point(|(r, _)| *r <= revision);
         self.queue_log[from..]
             .iter()
@@ -188,7 +188,7 @@
     }
 }
 
-fn stored(value: &RecordValue) -> StoredValue {
+fn to_stored_value(value: &RecordValue) -> StoredValue {
     match value {
         RecordValue::Chunk(chunk) => StoredValue::Chunk(chunk.clone()),
         RecordValue::JobOutcome(outcome) => StoredValue::JobOutcome(*outcome),
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -11,24 +11,25 @@
     /// Jobs of a team, with so many tasks each.
     pub fn submit_jobs(&mut self, jobs: u64, team: &str, task_count: u32, cpus: f64) {
         for _ in 0..jobs {
-            self.jobs += 1;
-            let mut spec = crate::common::spec(&format!("wk-{:06}", self.jobs), task_count, cpus);
+            self.job_count += 1;
+            let mut spec =
+                crate::common::spec(&format!("wk-{:06}", self.job_count), task_count, cpus);
             spec.team = team.into();
             spec.checkpoint_interval = Duration::ZERO;
             spec.image_gb = 0.5;
             self.store.accept(spec.clone());
-            self.uploads
+            self.shared_storage
                 .jobs
                 .insert(spec.job_id.clone(), Arc::new(spec));
         }
     }
 
-    pub(super) fn submit(&mut self) {
+    pub(super) fn submit_random_job(&mut self) {
         if !self.submits_jobs || !self.occurs(0.6) {
             return;
         }
-        self.jobs += 1;
-        let job_id = format!("wk-{:06}", self.jobs);
+        self.job_count += 1;
+        let job_id = format!("wk-{:06}", self.job_count);
         let gang = self.rng.gen_bool(0.2);
         let task_count = match self.rng.gen_range(0..10) {
             _ if gang => self.rng.gen_range(2..=4),
@@ -57,27 +58,27 @@
         if whole * cpus > 16.0 {
             spec.resources = crate::common::resources(16.0 / whole);
         }
-        spec.accepted_unix_ms = (self.now - self.start).as_millis() as u64;
-        if self.jobs > 5 && self.rng.gen_bool(0.2) {
-            let needed = self.rng.gen_range(self.jobs - 5..self.jobs);
+        spec.accepted_unix_ms = (self.now - self.started_at).as_millis() as u64;
+        if self.job_count > 5 && self.rng.gen_bool(0.2) {
+            let needed = self.rng.gen_range(self.job_count - 5..self.job_count);
             let needed = JobId(format!("wk-{needed:06}"));
-            if self.uploads.jobs.contains_key(&needed) {
+            if self.shared_storage.jobs.contains_key(&needed) {
                 spec.dependencies = vec![needed];
             }
         }
         if self.store.accept(spec.clone()) {
             let job_id = spec.job_id.clone();
-            self.uploads.jobs.insert(job_id, Arc::new(spec));
+            self.shared_storage.jobs.insert(job_id, Arc::new(spec));
         }
     }
 
-    pub(super) fn cancel(&mut self) {
-        if !self.occurs(self.fault_rates.cancellations) || self.jobs == 0 {
+    pub(super) fn cancel_random_job(&mut self) {
+        if !self.occurs(self.fault_rates.cancellations) || self.job_count == 0 {
             return;
         }
-        let back = self.rng.gen_range(0..self.jobs.min(20));
-        let job_id = JobId(format!("wk-{:06}", self.jobs - back));
-        if self.uploads.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
+        let back = self.rng.gen_range(0..self.job_count.min(20));
+        let job_id = JobId(format!("wk-{:06}", self.job_count - back));
+        if self.shared_storage.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
             self.invariants.cancelled.insert(job_id, self.now);
         }
     }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -24,7 +24,7 @@
 
 /// What outlives machines: the specs of accepted jobs, and which tasks have stored their results.
 #[derive(Default)]
-pub struct Uploads {
+pub struct SharedStorage {
     pub jobs: BTreeMap<JobId, Arc<JobSpec>>,
     pub done: BTreeSet<TaskId>,
 }
@@ -61,15 +61,15 @@
     pub tasks: BTreeMap<(TaskId, AttemptId), WorkerTask>,
     pub images: BTreeSet<String>,
     pub up_at: Instant,
-    pub eviction: Option<Instant>,
+    pub eviction_at: Option<Instant>,
     /// When it executed commands.
-    pub orders: Vec<Instant>,
+    pub command_times: Vec<Instant>,
     /// The lease runs from here.
-    pub lease_from: Instant,
-    pub next_heartbeat: Instant,
-    pub last_heartbeat: Option<Instant>,
+    pub lease_renewed_at: Instant,
+    pub next_heartbeat_at: Instant,
+    pub last_heartbeat_at: Option<Instant>,
     /// When the heartbeat was sent that is not answered yet.
-    pub pending_since: Option<Instant>,
+    pub pending_heartbeat_sent_at: Option<Instant>,
     /// Until when each fault lasts.
     pub paused_until: Option<Instant>,
     pub partitioned_until: Option<Instant>,
@@ -103,12 +103,12 @@
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             up_at,
-            eviction: None,
-            orders: Vec::new(),
-            lease_from: up_at,
-            next_heartbeat: up_at,
-            last_heartbeat: None,
-            pending_since: None,
+            eviction_at: None,
+            command_times: Vec::new(),
+            lease_renewed_at: up_at,
+            next_heartbeat_at: up_at,
+            last_heartbeat_at: None,
+            pending_heartbeat_sent_at: None,
             paused_until: None,
             partitioned_until: None,
             inbound_partition_until: None,
@@ -116,7 +116,7 @@
         }
     }
 
-    pub fn heartbeat(&mut self, now: Instant) -> Heartbeat {
+    pub fn make_heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.serial += 1;
         let shown = |((task, attempt), t): (&(TaskId, AttemptId), &WorkerTask)| TaskStatus {
             task: task.clone(),
@@ -132,7 +132,7 @@
             incarnation: self.incarnation,
             serial: self.serial,
             token: self.token,
-            eviction: self.eviction.map(|at| at.saturating_duration_since(now)),
+            eviction: self.eviction_at.map(|at| at.saturating_duration_since(now)),
             tasks: self.tasks.iter().map(shown).collect(),
         }
     }
@@ -140,34 +140,34 @@
     /// Something changed: the next heartbeat comes as soon as it may.
     pub fn schedule_heartbeat(&mut self, now: Instant) {
         let earliest = self
-            .last_heartbeat
+            .last_heartbeat_at
             .map_or(now, |t| t + MIN_HEARTBEAT_INTERVAL);
-        self.next_heartbeat = self.next_heartbeat.min(earliest.max(now));
+        self.next_heartbeat_at = self.next_heartbeat_at.min(earliest.max(now));
     }
 
     /// A heartbeat that is due and may be sent.
-    pub fn due_heartbeat(&mut self, now: Instant, every: Duration) -> Option<Heartbeat> {
+    pub fn take_due_heartbeat(&mut self, now: Instant, interval: Duration) -> Option<Heartbeat> {
         if self
-            .pending_since
+            .pending_heartbeat_sent_at
             .is_some_and(|t| now >= t + HEARTBEAT_TIMEOUT)
         {
-            self.pending_since = None;
-            self.next_heartbeat = now + RETRY_DELAY;
+            self.pending_heartbeat_sent_at = None;
+            self.next_heartbeat_at = now + RETRY_DELAY;
         }
-        if self.pending_since.is_some() || now < self.next_heartbeat {
+        if self.pending_heartbeat_sent_at.is_some() || now < self.next_heartbeat_at {
             return None;
         }
-        self.pending_since = Some(now);
-        self.last_heartbeat = Some(now);
-        self.next_heartbeat = now + every;
-        Some(self.heartbeat(now))
+        self.pending_heartbeat_sent_at = Some(now);
+        self.last_heartbeat_at = Some(now);
+        self.next_heartbeat_at = now + interval;
+        Some(self.make_heartbeat(now))
     }
 
     /// A node answered that no leader takes the heartbeat.
     pub fn on_refusal(&mut self, now: Instant, sent_at: Instant) {
-        if self.pending_since == Some(sent_at) {
-            self.pending_since = None;
-            self.next_heartbeat = now + RETRY_DELAY;
+        if self.pending_heartbeat_sent_at == Some(sent_at) {
+            self.pending_heartbeat_sent_at = None;
+            self.next_heartbeat_at = now + RETRY_DELAY;
         }
     }
 
@@ -179,20 +179,20 @@
         incarnation: u64,
         token: FencingToken,
         commands: &[TaskCommand],
-        uploads: &Uploads,
+        shared_storage: &SharedStorage,
     ) {
-        if self.pending_since != Some(sent_at) {
+        if self.pending_heartbeat_sent_at != Some(sent_at) {
             return;
         }
-        self.pending_since = None;
+        self.pending_heartbeat_sent_at = None;
         if now >= sent_at + HEARTBEAT_TIMEOUT
             || incarnation != self.incarnation
             || token < self.token
         {
             return;
         }
-        self.lease_from = self.lease_from.max(sent_at);
-        self.execute(now, token, commands, uploads);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
+        self.execute(now, token, commands, shared_storage);
     }
 
     /// Commands that a leader sent of its own accord. Returns whether they were executed.
@@ -202,11 +202,11 @@
         token: FencingToken,
         incarnation: u64,
         commands: &[TaskCommand],
-        uploads: &Uploads,
+        shared_storage: &SharedStorage,
     ) -> bool {
         let accepted = token >= self.token && incarnation == self.incarnation;
         if accepted {
-            self.execute(now, token, commands, uploads);
+            self.execute(now, token, commands, shared_storage);
         }
         accepted
     }
@@ -216,16 +216,18 @@
         now: Instant,
         token: FencingToken,
         commands: &[TaskCommand],
-        uploads: &Uploads,
+        shared_storage: &SharedStorage,
     ) {
         if token > self.token {
             self.token = token;
             self.schedule_heartbeat(now);
         }
         for command in commands {
-            self.orders.push(now);
+            self.command_times.push(now);
             match command {
-                TaskCommand::Launch { task, attempt } => self.launch(now, task, *attempt, uploads),
+                TaskCommand::Launch { task, attempt } => {
+                    self.launch(now, task, *attempt, shared_storage)
+                }
                 TaskCommand::Kill {
                     task,
                     attempt,
@@ -241,12 +243,18 @@
         }
     }
 
-    fn launch(&mut self, now: Instant, task: &TaskId, attempt: AttemptId, uploads: &Uploads) {
+    fn launch(
+        &mut self,
+        now: Instant,
+        task: &TaskId,
+        attempt: AttemptId,
+        shared_storage: &SharedStorage,
+    ) {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
-        let spec = uploads.jobs[&task.job_id].clone();
+        let spec = shared_storage.jobs[&task.job_id].clone();
         let mut used = spec.resources;
         for t in self.tasks.values().filter(|t| !t.ended()) {
             used.add(&t.spec.resources);
@@ -288,14 +296,14 @@
 
     /// When the lease has expired, everything is killed and forgotten, on a paused machine too.
     pub fn check_lease(&mut self, now: Instant, lease: Duration) {
-        if now <= self.lease_from + lease || now < self.up_at {
+        if now <= self.lease_renewed_at + lease || now < self.up_at {
             return;
         }
         self.tasks.clear();
         self.images.clear();
         self.incarnation += 1;
-        self.lease_from = now;
-        self.pending_since = None;
+        self.lease_renewed_at = now;
+        self.pending_heartbeat_sent_at = None;
         self.schedule_heartbeat(now);
     }
 
@@ -304,8 +312,8 @@
         &mut self,
         now: Instant,
         gang_assembly_timeout: Duration,
-        run: impl Fn(&TaskId) -> Duration,
-        uploads: &mut Uploads,
+        run_time: impl Fn(&TaskId) -> Duration,
+        shared_storage: &mut SharedStorage,
     ) {
         let mut changed = false;
         for ((task, _), t) in &mut self.tasks {
@@ -316,19 +324,19 @@
             let next = match t.phase {
                 TaskPhase::Fetching => {
                     self.images.insert(t.spec.image.clone());
-                    if uploads.done.contains(task) {
+                    if shared_storage.done.contains(task) {
                         TaskPhase::Ended(ExitReason::Completed)
                     } else if gang {
                         t.until = now + gang_assembly_timeout;
                         TaskPhase::WaitingForGang
                     } else {
-                        t.until = now + run(task);
+                        t.until = now + run_time(task);
                         TaskPhase::Running
                     }
                 }
                 TaskPhase::WaitingForGang => TaskPhase::Ended(ExitReason::GangIncomplete),
                 TaskPhase::Running if !gang => {
-                    uploads.done.insert(task.clone());
+                    shared_storage.done.insert(task.clone());
                     TaskPhase::Ended(ExitReason::Completed)
                 }
                 TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
