--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: it rents machines out, takes them back, and lists them.
+//! The simulated cloud: rentals, returns and listings of machines.
 
 use super::events::Event;
 use super::worker::{endpoint, Worker};
@@ -9,32 +9,45 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Between two lists of the cloud.
+/// The interval at which the cloud lists its machines.
 const LIST_INTERVAL: Duration = Duration::from_secs(4);
 
 const ZONES: [&str; 2] = ["a", "b"];
 
 impl Simulation {
-    /// Starts a machine, in the zones by turns.
+    /// Adds a machine that is up after its boot time. Machines are assigned to the zones in rotation.
     pub(super) fn add_machine(&mut self, boot: Duration, spot: bool) -> MachineId {
         self.machine_count += 1;
         let id = MachineId(format!("i-{:04}", self.machine_count));
         let zone = ZONES[self.machine_count as usize % ZONES.len()];
-        let t = &self.machine_types[0];
-        let kind = (t.name.clone(), t.capacity);
-        let worker = Worker::new(id.clone(), kind, zone.into(), spot, self.now + boot);
+        let machine_type = &self.machine_types[0];
+        let type_and_capacity = (machine_type.name.clone(), machine_type.capacity);
+        let worker = Worker::new(
+            id.clone(),
+            type_and_capacity,
+            zone.into(),
+            spot,
+            self.now + boot,
+        );
         self.workers.insert(id.clone(), worker);
         id
     }
 
-    /// A leader rents machines, as many as the deployment may have.
-    pub(super) fn rent(&mut self, id: u64, idempotency_key: String, spot: bool, number: u32) {
-        let capacity = self
+    /// Handles a leader's request to rent machines. It gets fewer or none if the deployment would otherwise
+    /// exceed `max_machines`.
+    pub(super) fn rent(
+        &mut self,
+        leader_id: u64,
+        idempotency_key: String,
+        spot: bool,
+        number: u32,
+    ) {
+        let rentable_count = self
             .config
             .tuning
             .max_machines
             .saturating_sub(self.workers.len());
-        let number = (number as usize).min(capacity);
+        let number = (number as usize).min(rentable_count);
         let mut machines = Vec::new();
         for _ in 0..number {
             let boot = self.delay(500, 25_000);
@@ -42,26 +55,27 @@
         }
         let after = self.delay(100, 1_500);
         let event = Event::RentalAnswered {
-            leader: id,
+            leader: leader_id,
             idempotency_key,
             machines,
         };
         self.schedule(after, event);
     }
 
-    /// A leader asks the cloud to take machines back.
-    pub(super) fn return_machines(&mut self, id: u64, machines: Vec<MachineId>) {
+    /// Handles a leader's request to return machines. If the request is lost, the leader learns after 5 s
+    /// that it failed; in half of these cases the machines are returned nevertheless.
+    pub(super) fn return_machines(&mut self, leader_id: u64, machines: Vec<MachineId>) {
         let lost = self.rng.gen_bool(self.fault_rates.lost_returns);
         let is_carried_out = self.rng.gen_bool(0.5);
         let after = self.delay(50, 800);
         if !lost {
-            let leader = Some(id);
+            let leader = Some(leader_id);
             self.schedule(after, Event::Return { machines, leader });
             return;
         }
         let failed = Event::ReturnAnswered {
             machines: machines.clone(),
-            leader: id,
+            leader: leader_id,
             confirmed: false,
         };
         self.schedule(secs(5), failed);
@@ -71,14 +85,14 @@
         }
     }
 
-    /// Now and then the cloud lists its machines; the list reaches the leaders with a delay.
+    /// Lists the machines at each interval. The list reaches the leaders after up to 9 s.
     pub(super) fn list_machines(&mut self) {
         if self.now < self.next_listing_at {
             return;
         }
         self.next_listing_at = self.now + LIST_INTERVAL;
         let now = self.now;
-        let listed = self.workers.values().map(|w| CloudMachine {
+        let machines = self.workers.values().map(|w| CloudMachine {
             id: w.id.clone(),
             endpoint: endpoint(&w.id),
             machine_type: w.machine_type.clone(),
@@ -91,9 +105,9 @@
             },
             age: secs(10),
         });
-        let listed = listed.collect();
+        let machines = machines.collect();
         let after = self.delay(200, 9_000);
-        self.schedule(after, Event::CloudListed(listed));
+        self.schedule(after, Event::CloudListed(machines));
     }
 
     pub(super) fn rental_answered(
@@ -115,7 +129,7 @@
         }
     }
 
-    /// The cloud carries a return out.
+    /// Removes returned machines. `leader`: the sender to notify; `None` if the answer is lost.
     pub(super) fn remove_machines(&mut self, machines: Vec<MachineId>, leader: Option<u64>) {
         for id in &machines {
             self.workers.remove(id);
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! Messages in flight, and handing each to its receiver at its time.
+//! Messages in flight between the components, and their delivery when they are due.
 
 use super::Simulation;
 use cypressgap::core::model::*;
@@ -6,9 +6,9 @@
 use cypressgap::core::state::HeartbeatDecision;
 use std::time::{Duration, Instant};
 
-/// A message between two parties. Leaders are named by their number.
+/// A message in flight between two components. Leaders are identified by their term.
 pub(super) enum Event {
-    /// A heartbeat reaches a leader. A late duplicate expects no answer.
+    /// A heartbeat of a worker. Its late duplicate is not answered.
     Heartbeat {
         heartbeat: Heartbeat,
         sent_at: Instant,
@@ -21,12 +21,14 @@
         incarnation: u64,
         answer: HeartbeatDecision,
     },
-    /// No leader took the heartbeat that was sent at `sent_at`.
+    /// The answer to the heartbeat that was sent at `sent_at` if no leader could be reached.
     HeartbeatRefusal {
         machine: MachineId,
         sent_at: Instant,
     },
-    /// Commands that a leader sends of its own accord. `leader`: who waits for the answer, if anybody.
+    /// Commands that a leader sends directly instead of with the answer to a heartbeat. `leader`: the sender;
+    /// `None` if it gets no response. `boot_count`: the machine's boots when the
+    /// commands were sent.
     Command {
         machine: MachineId,
         token: FencingToken,
@@ -35,13 +37,14 @@
         leader: Option<u64>,
         boot_count: u64,
     },
-    /// The answer to a command; without a heartbeat where none came in time.
+    /// The response to direct commands; `heartbeat` is `None` if the sender's timeout expired.
     CommandAnswered {
         machine: MachineId,
         leader: u64,
         heartbeat: Option<Heartbeat>,
     },
-    /// A transaction reaches the store. `leader`: who waits for the answer, if anybody.
+    /// A transaction for the key-value store. `leader`: the sender to answer; `None` if the
+    /// answer is lost.
     Write {
         batch: WriteBatch,
         leader: Option<u64>,
@@ -56,7 +59,8 @@
         idempotency_key: String,
         machines: Vec<MachineId>,
     },
-    /// A return reaches the cloud. `leader`: who waits for the answer, if anybody.
+    /// A request to return machines to the cloud. `leader`: the sender to notify; `None` if the answer is
+    /// lost.
     Return {
         machines: Vec<MachineId>,
         leader: Option<u64>,
@@ -66,11 +70,12 @@
         leader: u64,
         confirmed: bool,
     },
+    /// A list of all machines reaches the leaders.
     CloudListed(Vec<CloudMachine>),
 }
 
 impl Simulation {
-    /// Delivers all messages whose time has come, in their order.
+    /// Delivers all messages that are due, ordered by time and then by the order in which they were sent.
     pub(super) fn deliver_due_messages(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are drawn from the seed: how often each comes, and bringing them about.
+//! Random faults: their rates and their injection.
 
 use super::leaders::LEADER_LEASE;
 use super::worker::Worker;
@@ -6,29 +6,45 @@
 use cypressgap::core::model::*;
 use rand::Rng;
 
-/// How often each fault comes: a second on average, or as a part of all messages of its kind.
+/// How often each fault occurs. Each field is an average number per second or, where stated, the probability
+/// for one message.
 #[derive(Clone, Debug)]
 pub struct FaultRates {
+    /// All leaders crash. The next one is elected after 0.5 to 6 s.
     pub leader_crash: f64,
+    /// The newest leader loses its connection to the key-value store for good. Another one is elected 0.1 to
+    /// 3 s after its lease has expired.
     pub leader_partition: f64,
+    /// A worker is paused for 3 to 40 s.
     pub process_pause: f64,
+    /// Heartbeats of a worker and messages to it are delayed until the partition ends, after 3 to 40 s.
     pub partition: f64,
+    /// Messages to a worker are lost for 3 to 40 s.
     pub inbound_partition: f64,
+    /// Heartbeats of a worker are lost for 3 to 40 s. Its responses to direct commands still arrive.
     pub outbound_partition: f64,
+    /// A machine vanishes with its tasks.
     pub machine_loss: f64,
+    /// A machine is evicted after 4 to 12 s, which its heartbeats announce.
     pub eviction_notice: f64,
+    /// A machine restarts with an empty worker.
     pub machine_restart: f64,
-    /// From here on: parts of all messages of their kind.
+    /// The probability that the answer to a transaction is lost. Half of these transactions are not applied.
     pub lost_writes: f64,
+    /// The probability that a transaction is applied 2 to 12 s late, without an answer.
     pub late_writes: f64,
+    /// The probability that direct commands arrive 2 to 16 s late, without a response.
     pub late_commands: f64,
+    /// The probability that a heartbeat is delivered a second time, 2 to 40 s later.
     pub duplicate_heartbeats: f64,
+    /// The probability that the answer to a return is lost. Half of these returns are not carried out.
     pub lost_returns: f64,
+    /// A user cancels one of the last 20 jobs. A rate per second, and no fault in itself.
     pub cancellations: f64,
 }
 
 impl FaultRates {
-    /// Nothing but what the test itself brings about.
+    /// No random faults and no cancellations.
     pub fn none() -> FaultRates {
         FaultRates {
             leader_crash: 0.0,
@@ -49,7 +65,7 @@
         }
     }
 
-    /// Everything, often.
+    /// All faults, at high rates.
     pub fn frequent() -> FaultRates {
         FaultRates {
             leader_crash: 0.08,
@@ -70,7 +86,7 @@
         }
     }
 
-    /// Leaders that crash every few seconds while writes are lost, late or unanswered.
+    /// Leaders that crash every few seconds, together with lost and late writes.
     pub fn leader_crashes() -> FaultRates {
         FaultRates {
             leader_crash: 0.2,
@@ -88,7 +104,8 @@
 }
 
 impl Simulation {
-    /// Draws the faults of this step. The order of the draws decides what a seed plays.
+    /// Draws the faults of this step. A seed stands for the same run only as long as the order of the draws
+    /// does not change.
     pub(super) fn inject_faults(&mut self) {
         let rates = self.fault_rates.clone();
         let until = self.now + self.delay(3_000, 40_000);
@@ -116,7 +133,6 @@
         self.inject_leader_faults(&rates);
     }
 
-    /// Evictions, losses and restarts of machines.
     fn inject_machine_faults(&mut self, rates: &FaultRates) {
         if self.occurs(rates.eviction_notice) {
             let at = self.now + self.delay(4_000, 12_000);
@@ -133,11 +149,11 @@
         if self.occurs(rates.machine_restart) {
             let now = self.now;
             if let Some(worker) = self.random_worker() {
-                let kind = (worker.machine_type.clone(), worker.capacity);
+                let type_and_capacity = (worker.machine_type.clone(), worker.capacity);
                 let boot_count = worker.boot_count + 1;
                 *worker = Worker::new(
                     worker.id.clone(),
-                    kind,
+                    type_and_capacity,
                     worker.zone.clone(),
                     worker.spot,
                     now,
@@ -147,13 +163,14 @@
         }
     }
 
-    /// All leaders end, or the newest loses the store.
+    /// Crashes all leaders, or else cuts the newest one off from the key-value store and schedules the
+    /// election of its successor for when its lease has expired.
     fn inject_leader_faults(&mut self, rates: &FaultRates) {
         if self.occurs(rates.leader_crash) {
             self.leaders.clear();
             let after = self.delay(500, 6_000);
             self.next_leader_at = Some(self.now + after);
-            self.append_to_log("all leaders end".to_owned());
+            self.append_to_log("all leaders crash".to_owned());
         } else if self.occurs(rates.leader_partition) {
             let now = self.now;
             if let Some(l) = self
@@ -164,18 +181,20 @@
                 l.partitioned_since = Some(now);
                 let after = LEADER_LEASE + self.delay(100, 3_000);
                 self.next_leader_at = Some(now + after);
-                self.append_to_log("the leader loses the store".to_owned());
+                self.append_to_log(
+                    "the leader loses the connection to the key-value store".to_owned(),
+                );
             }
         }
     }
 
-    /// A machine drawn from all.
+    /// A random worker; `None` if there is no machine.
     fn random_worker(&mut self) -> Option<&mut Worker> {
-        let up: Vec<MachineId> = self.workers.keys().cloned().collect();
-        if up.is_empty() {
+        let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
+        if ids.is_empty() {
             return None;
         }
-        let id = &up[self.rng.gen_range(0..up.len())];
+        let id = &ids[self.rng.gen_range(0..ids.len())];
         self.workers.get_mut(id)
     }
 }
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats from workers to leaders, and the answers and commands that come back.
+//! Heartbeats from workers to leaders, their answers, and the commands that leaders send directly.
 
 use super::events::Event;
 use super::worker::{is_active, Worker};
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 impl Simulation {
-    /// Sends the heartbeats that are due. A duplicate may follow much later.
+    /// Sends the heartbeats that are due. The fault rates determine whether a duplicate follows later.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The leader that a worker's heartbeat reaches: mostly the newest.
+    /// The leader that receives a heartbeat: the newest, or with a probability of 0.3 the oldest if there are
+    /// several. `None`: no leader has loaded its state yet.
     pub(super) fn heartbeat_recipient(&mut self) -> Option<u64> {
         let now = self.now;
         let ready_leaders: Vec<u64> = self
@@ -68,7 +69,7 @@
         }
     }
 
-    /// A heartbeat reaches a leader, or a node that knows none.
+    /// Delivers a heartbeat to a leader. If there is none, the worker receives a refusal.
     pub(super) fn deliver_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -105,7 +106,8 @@
         }
     }
 
-    /// An answer reaches the worker, later if it is paused or cut off, or never.
+    /// Delivers the answer to a heartbeat. It is lost in an inbound partition, and delayed while the worker
+    /// is paused or partitioned.
     pub(super) fn deliver_heartbeat_answer(
         &mut self,
         machine: MachineId,
@@ -145,14 +147,16 @@
         }
     }
 
-    /// Whether a command finds the machine since the same boot, or since a later boot that a leader has
-    /// answered. No fencing token shuts out what comes in between.
+    /// Whether to deliver a direct command: the machine has not restarted since it was sent, or the worker
+    /// has received a fencing token since the restart. In between, the worker's token is 0 and does not fence
+    /// off commands to the earlier boot, so the simulation drops them.
     pub(super) fn is_command_deliverable(&self, machine: &MachineId, boot_count: u64) -> bool {
         let worker = self.workers.get(machine);
         worker.is_some_and(|w| w.boot_count == boot_count || w.token > FencingToken(0))
     }
 
-    /// A command reaches the worker, later if it is paused or cut off, or never.
+    /// Delivers direct commands. They are lost in an inbound partition or before the machine is up, and
+    /// delayed while the worker is paused or partitioned.
     pub(super) fn deliver_command(
         &mut self,
         machine: MachineId,
@@ -170,7 +174,7 @@
             return;
         }
         if let Some(until) = delayed_until(worker, now) {
-            // Its sender no longer waits by then, or soon will not.
+            // The sender gets no response, as if the delay exceeded its timeout.
             let event = Event::Command {
                 machine,
                 token,
@@ -195,7 +199,7 @@
     }
 }
 
-/// Until when messages to a machine are held up.
+/// The time until which messages to a machine are delayed; `None` if they are not.
 fn delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
     [worker.paused_until, worker.partitioned_until]
         .into_iter()
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,4 +1,5 @@
-//! The invariants, checked on what the workers run and never on a leader's own accounts.
+//! The invariants of a deployment. They are checked against the tasks on the workers, and not against the
+//! state of a leader, which may be wrong.
 
 use super::worker::Worker;
 use cypressgap::core::model::{JobId, MachineId, Resources, TaskId, Team, TeamName, Zone};
@@ -6,20 +7,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Sums of decimal amounts drift by rounding.
+/// The tolerance for the rounding errors in sums of resources.
 const RESOURCE_EPSILON: f64 = 1e-6;
 
-/// Checks the invariants step by step.
+/// Checks the invariants after each step.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Where tasks were at the last check.
+    /// The machines on which each task was at the last check.
     previous_machines: BTreeMap<TaskId, BTreeSet<MachineId>>,
-    /// When the cancellation of these jobs was confirmed to users.
+    /// When the cancellation of each cancelled job was confirmed to its user.
     pub cancelled: BTreeMap<JobId, Instant>,
 }
 
 impl InvariantChecker {
-    /// Checks all machines. Returns the invariants that are violated now, by name with the cause.
+    /// Checks all machines. Returns the violations, each as the name of the invariant and the cause.
     pub fn check<'a>(
         &mut self,
         now: Instant,
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -1,4 +1,5 @@
-//! Leaders with the real core: election, reading the queue, and carrying out what they decide.
+//! Leaders that run the real core: their election, the events that they read, and the actions that they
+//! request.
 
 use super::events::Event;
 use super::store::QueueChange;
@@ -12,51 +13,53 @@
 use rand::Rng;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How long a leader that cannot reach the store may still hold itself for the leader.
+/// How long the leadership counts as confirmed after the connection to the key-value store was lost.
 pub(super) const LEADER_LEASE: Duration = Duration::from_secs(3);
 
-/// A node that leads, or believes so.
+/// A controller that leads, or that does not know yet that it was replaced.
 pub(super) struct Leader {
+    /// The leader's term.
     pub(super) id: u64,
     pub(super) cluster: ClusterState,
-    /// It acts from here on; before, it loads.
+    /// When the leader has loaded its state. It takes no part in the simulation before.
     pub(super) ready_at: Instant,
+    /// The store revision up to which the leader has read the queue.
     pub(super) queue_revision: u64,
     pub(super) next_queue_read_at: Instant,
     pub(super) next_tick_at: Instant,
-    /// Since when it cannot reach the store.
+    /// When the leader lost the connection to the key-value store; `None` while it is connected.
     pub(super) partitioned_since: Option<Instant>,
 }
 
 impl Simulation {
-    /// All controllers end; the first is back after this time.
+    /// Crashes all controllers. A new leader is elected after the outage.
     pub fn crash_all_controllers(&mut self, outage: Duration) {
         self.leaders.clear();
         self.next_leader_at = Some(self.now + outage);
         self.append_to_log(format!(
-            "all controllers end for {} s",
+            "all controllers crash for {} s",
             outage.as_secs_f64()
         ));
     }
 
-    /// The newest leader's cluster state, once it acts.
+    /// The newest leader's cluster state; `None` while it is still loading or if there is no leader.
     pub fn leader_state(&self) -> Option<&ClusterState> {
         let newest = self.leaders.last().filter(|l| l.ready_at <= self.now)?;
         Some(&newest.cluster)
     }
 
-    /// A leader by its number, unless it was deposed.
+    /// The leader of a term; `None` if it has crashed or stepped down.
     pub(super) fn leader(&mut self, id: u64) -> Option<&mut Leader> {
         self.leaders.iter_mut().find(|l| l.id == id)
     }
 
-    /// A leader that found a newer term stops.
+    /// Removes a leader that has noticed its successor.
     pub(super) fn depose(&mut self, id: u64) {
         self.append_to_log(format!("leader {id} steps down"));
         self.leaders.retain(|l| l.id != id);
     }
 
-    /// Starts the next leader when it is due, and lets each leader that has loaded act.
+    /// Starts the next leader when it is due, and runs each leader that has loaded its state.
     pub(super) fn run_leaders(&mut self) {
         if self.next_leader_at.is_some_and(|at| at <= self.now) {
             self.next_leader_at = None;
@@ -75,7 +78,7 @@
         }
     }
 
-    /// A node wins the election and loads what the store holds.
+    /// Elects the leader of the next term, which loads the records of the key-value store.
     pub(super) fn start_leader(&mut self) {
         let now = self.now;
         let revision = self.store.take_leadership();
@@ -106,10 +109,10 @@
         });
     }
 
-    /// Reads the changes of the queue, and the outcomes of dependencies that are not known yet.
+    /// Reads the changes to the queue and the outcomes of unresolved dependencies.
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
-        let late = self.delay(100, 600);
+        let read_interval = self.delay(100, 600);
         let wall_clock = SystemTime::UNIX_EPOCH + (now - self.started_at);
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
@@ -121,9 +124,9 @@
         if leader.partitioned_since.is_some() || now < leader.next_queue_read_at {
             return;
         }
-        leader.next_queue_read_at = now + late;
-        for queued in self.store.queue_changes_after(leader.queue_revision) {
-            match queued {
+        leader.next_queue_read_at = now + read_interval;
+        for change in self.store.queue_changes_after(leader.queue_revision) {
+            match change {
                 QueueChange::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
                 QueueChange::Cancelled(job_id) => {
                     leader
@@ -147,7 +150,7 @@
         }
     }
 
-    /// A tick of the core, or between ticks what is due at once.
+    /// Runs a tick of the core or, between two ticks, requests the actions that have become possible.
     pub(super) fn tick(&mut self, id: u64) {
         let now = self.now;
         let allowance = self.rng.gen_range(2..=12);
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Hands an action of the core to the party that it concerns.
+    /// Passes an action of the core on to the component that carries it out.
     pub(super) fn perform(&mut self, id: u64, action: Action) {
         match action {
             Action::Store(batch) => self.send_transaction(id, batch),
@@ -199,7 +202,8 @@
         }
     }
 
-    /// Sends a transaction to the store. It may be lost, late, or applied without an answer.
+    /// Sends a transaction to the key-value store. If it is lost or late, or the leader is cut off from the
+    /// store, the leader learns after 1.5 s that the outcome is unknown.
     pub(super) fn send_transaction(&mut self, id: u64, batch: WriteBatch) {
         let is_partitioned = self
             .leader(id)
@@ -239,7 +243,7 @@
         self.schedule(after, write);
     }
 
-    /// Sends commands to a machine, or a probe without any.
+    /// Sends direct commands to a machine; an empty list is a probe.
     pub(super) fn send_commands(
         &mut self,
         id: u64,
@@ -249,9 +253,9 @@
         commands: Vec<TaskCommand>,
     ) {
         let late = self.rng.gen_bool(self.fault_rates.late_commands);
-        let (soon, later) = (self.delay(5, 60), self.delay(2_000, 16_000));
+        let (normal_delay, late_delay) = (self.delay(5, 60), self.delay(2_000, 16_000));
         let boot_count = self.workers.get(&machine).map_or(0, |w| w.boot_count);
-        // Whatever comes first counts, as with a sender that gives up.
+        // The timeout. The core evaluates whichever comes first, the response or the timeout.
         let unanswered = Event::CommandAnswered {
             machine: machine.clone(),
             leader: id,
@@ -266,10 +270,11 @@
             leader: (!late).then_some(id),
             boot_count,
         };
-        self.schedule(if late { later } else { soon }, command);
+        self.schedule(if late { late_delay } else { normal_delay }, command);
     }
 
-    /// The answer to a command, or none in time.
+    /// Passes the response to direct commands on to their sender; `heartbeat` is `None` after a timeout. The
+    /// leader steps down if the machine follows a later leader.
     pub(super) fn command_answered(
         &mut self,
         leader: u64,
@@ -288,7 +293,7 @@
         }
     }
 
-    /// A transaction reaches the store.
+    /// Applies a transaction to the key-value store, and answers it if the sender still waits.
     pub(super) fn apply_write(
         &mut self,
         batch: &WriteBatch,
@@ -301,7 +306,8 @@
         }
     }
 
-    /// The outcome of a transaction; it may show that the leader was replaced.
+    /// Passes the outcome of a transaction on to the leader, which steps down if the outcome shows that it
+    /// was replaced.
     pub(super) fn write_answered(&mut self, leader: u64, outcome: WriteOutcome) {
         let now = self.now;
         let status = match self.leader(leader) {
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! The machines: their tasks as time passes, gangs, and evictions.
+//! The progress of the machines and their tasks with time, including gangs and evictions.
 
 use super::worker::is_active;
 use super::{ms, Simulation};
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Lets time pass on all machines: evictions, leases, and tasks that go on to their next phase.
+    /// Advances all machines to the current time: removes evicted machines, expires leases, and moves tasks
+    /// to their next phase.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease) = (self.now, self.config.lease);
         let gang_assembly_timeout = self.config.gang_assembly_timeout;
@@ -16,14 +17,21 @@
         for worker in self.workers.values_mut() {
             worker.check_lease(now, lease);
             if now >= worker.up_at && !is_active(worker.paused_until, now) {
-                let run = |task: &TaskId| self.fixed_run_time.unwrap_or_else(|| run_time(task));
-                worker.advance(now, gang_assembly_timeout, run, &mut self.shared_storage);
+                let task_run_time =
+                    |task: &TaskId| self.fixed_run_time.unwrap_or_else(|| run_time(task));
+                worker.advance(
+                    now,
+                    gang_assembly_timeout,
+                    task_run_time,
+                    &mut self.shared_storage,
+                );
             }
         }
         self.advance_gangs();
     }
 
-    /// Gangs start, end and break as a whole.
+    /// Starts, completes and ends gangs as a whole. A gang runs once all members have their image, and its
+    /// members end if one is missing or paused.
     fn advance_gangs(&mut self) {
         let now = self.now;
         type Member = (MachineId, TaskId);
@@ -44,7 +52,7 @@
             let spec = self.shared_storage.jobs[&job_id].clone();
             let complete = members.len() == spec.task_count as usize;
             for (machine, task) in members {
-                let run = run_time(&TaskId {
+                let gang_run_time = run_time(&TaskId {
                     job_id: job_id.clone(),
                     index: 0,
                 });
@@ -54,7 +62,7 @@
                 let state = worker
                     .tasks
                     .get_mut(&(task.clone(), attempt))
-                    .expect("a member");
+                    .expect("a gang member on this machine");
                 let next = match state.phase {
                     TaskPhase::WaitingForGang if complete => TaskPhase::Running,
                     TaskPhase::Running if !complete => {
@@ -66,7 +74,7 @@
                     _ => continue,
                 };
                 match next {
-                    TaskPhase::Running => state.until = now + run,
+                    TaskPhase::Running => state.until = now + gang_run_time,
                     TaskPhase::Ended(ExitReason::Completed) => {
                         self.shared_storage.done.insert(task);
                     }
@@ -79,7 +87,7 @@
     }
 }
 
-/// How long a task runs: the same in every attempt.
+/// The run time of a task, 1 to 26 s. It depends on the task's id only and is the same in every attempt.
 fn run_time(task: &TaskId) -> Duration {
     let number = task.job_id.0.bytes().map(u64::from).sum::<u64>() + u64::from(task.index) * 7;
     ms(1_000 + (number * 977) % 25_000)
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A whole deployment on a simulated clock: leaders with the real core, a store, a cloud, workers, users
-//! and faults, all drawn from one seed. After each step the invariants are checked against the workers.
+//! A simulation of a whole deployment on a simulated clock. The leaders run the real core; the key-value
+//! store, the cloud, the workers and the users are simulated. One seed determines all delays, jobs and
+//! faults. After each step the invariants are checked against the tasks on the workers.
 #![allow(dead_code)]
 
 pub mod cloud;
@@ -26,38 +27,47 @@
 use store::Store;
 use worker::{SharedStorage, Worker, WorkerTask};
 
-/// How far the clock goes in a step.
+/// The time by which one step advances the simulated clock.
 const STEP: Duration = Duration::from_millis(100);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// The deployment: its parties, the messages between them, and the clock.
+/// A simulated deployment: its components, the messages in flight between them, and the clock.
 pub struct Simulation {
     rng: StdRng,
     pub now: Instant,
+    /// When the simulation began. All wall-clock times are counted from here.
     started_at: Instant,
     config: SchedulerConfig,
     machine_types: Vec<MachineType>,
     pub fault_rates: FaultRates,
     pub store: Store,
+    /// All machines that exist, including those that are still booting.
     pub workers: BTreeMap<MachineId, Worker>,
     shared_storage: SharedStorage,
+    /// The leaders that have neither crashed nor stepped down, oldest first. More than one while a replaced
+    /// leader has not noticed its successor.
     leaders: Vec<Leader>,
+    /// When the next leader is elected; `None` while no election is due.
     next_leader_at: Option<Instant>,
     last_term: u64,
+    /// The events to come, by time and then by the order in which they were scheduled.
     events: BTreeMap<(Instant, u64), Event>,
     last_event_number: u64,
+    /// The number of machines that were ever added, from which machine ids are made.
     machine_count: u64,
+    /// The number of jobs that were ever submitted, from which job ids are made.
     job_count: u64,
     next_listing_at: Instant,
     pub invariants: InvariantChecker,
-    /// Changes of leaders, to find the cause of a violation.
+    /// Elections, resignations and failures of leaders with their times in seconds, for diagnosing a
+    /// violation.
     pub log: Vec<String>,
-    /// Users submit jobs by themselves.
+    /// Whether random jobs are submitted. If not, the only jobs are those of `submit_jobs`.
     pub submits_jobs: bool,
-    /// How long every task runs, in place of what its name gives.
+    /// The run time of every task outside of gangs; `None`: it is derived from the task's id.
     pub fixed_run_time: Option<Duration>,
 }
 
@@ -65,7 +75,7 @@
     crate::common::machine_type("m8", 8.0)
 }
 
-/// A deployment with limits that are soon reached.
+/// Settings with low limits, which the random jobs soon reach.
 pub fn tight_config() -> SchedulerConfig {
     let mut scheduler_config = config();
     scheduler_config.teams = vec![
@@ -81,12 +91,12 @@
 }
 
 impl Simulation {
-    /// As `with_config`, with `tight_config`.
+    /// A deployment with the settings of [`tight_config`].
     pub fn new(seed: u64, machines: usize, fault_rates: FaultRates) -> Simulation {
         Simulation::with_config(seed, machines, fault_rates, tight_config())
     }
 
-    /// A deployment of machines that run, and no leader yet.
+    /// A deployment of machines that have booted. The first leader is elected in the first step.
     pub fn with_config(
         seed: u64,
         machines: usize,
@@ -123,7 +133,7 @@
         simulation
     }
 
-    /// One step of the clock. Returns the invariants that are violated.
+    /// Advances the clock by one step. Returns the violated invariants, each with its cause.
     pub fn step(&mut self) -> Vec<String> {
         self.now += STEP;
         self.deliver_due_messages();
@@ -140,59 +150,58 @@
             .check(self.now, self.workers.values(), teams, cancel, outcome)
     }
 
-    /// Adds a line to the log.
     fn append_to_log(&mut self, text: String) {
         let at = (self.now - self.started_at).as_secs_f64();
         self.log.push(format!("{at:7.1} {text}"));
     }
 
-    /// Sends a message, to be delivered after this time.
-    fn schedule(&mut self, after: Duration, event: Event) {
+    /// Schedules an event to be handled after a delay.
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.last_event_number += 1;
         self.events
-            .insert((self.now + after, self.last_event_number), event);
+            .insert((self.now + delay, self.last_event_number), event);
     }
 
-    /// A delay in milliseconds, drawn from a range.
-    fn delay(&mut self, shortest: u64, longest: u64) -> Duration {
-        ms(self.rng.gen_range(shortest..=longest))
+    /// A random delay between two bounds in milliseconds, both included.
+    fn delay(&mut self, min_ms: u64, max_ms: u64) -> Duration {
+        ms(self.rng.gen_range(min_ms..=max_ms))
     }
 
-    /// Whether something that comes so often a second comes in this step.
+    /// Draws whether an event with this average rate occurs in this step.
     fn occurs(&mut self, per_second: f64) -> bool {
         self.rng
             .gen_bool((per_second * STEP.as_secs_f64()).min(1.0))
     }
 
-    /// Tasks on machines that the newest leader, once it acts, does not account for: its next decisions
-    /// would not count them.
+    /// The attempts on machines that the newest leader does not know of, so that its decisions would not
+    /// count their resources. Empty while the newest leader is still loading its state.
     pub fn unaccounted_tasks(&self) -> Vec<String> {
         let newest = self.leaders.last().filter(|l| l.ready_at <= self.now);
         let Some(leader) = newest else {
             return Vec::new();
         };
-        let known = |machine: &MachineId, task: &TaskId, attempt: AttemptId| {
+        let is_known = |machine: &MachineId, task: &TaskId, attempt: AttemptId| {
             let job = leader.cluster.jobs.get(&task.job_id);
             let active = job.and_then(|j| j.active.get(&task.index));
             active.is_some_and(|a| &a.machine == machine && a.id == attempt)
         };
-        let mut missing = Vec::new();
+        let mut unaccounted = Vec::new();
         for w in self.workers.values() {
             for ((task, attempt), t) in w.tasks.iter().filter(|(_, t)| !t.ended()) {
-                if !known(&w.id, task, *attempt) {
-                    missing.push(format!("{task} {attempt:?} {:?} on {}", t.phase, w.id));
+                if !is_known(&w.id, task, *attempt) {
+                    unaccounted.push(format!("{task} {attempt:?} {:?} on {}", t.phase, w.id));
                 }
             }
         }
-        missing
+        unaccounted
     }
 
-    /// How much work is done, so that a search shows what it covered.
+    /// The number of tasks that have completed. A test that finds 0 has covered nothing.
     pub fn tasks_done(&self) -> usize {
         self.shared_storage.done.len()
     }
 
-    /// What is on machines now.
+    /// All attempts on machines that have not ended, also those that only fetch their image.
     pub fn running(&self) -> impl Iterator<Item = (&MachineId, &TaskId, &WorkerTask)> {
         self.workers.values().flat_map(|w| {
             let tasks = w.tasks.iter().filter(|(_, t)| !t.ended());
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,4 +1,5 @@
-//! The key-value store of a simulation: keys with revisions, compare-and-swap transactions, a log of changes.
+//! The simulated key-value store: keys with revisions, conditional transactions, and a log of changes to the
+//! queue.
 
 use cypressgap::core::model::{JobId, JobSpec};
 use cypressgap::core::persistence::keys::{self, parse_chunk_key};
@@ -11,26 +12,30 @@
 };
 use std::collections::BTreeMap;
 
-/// What a key holds.
+/// The value of a key, as far as the simulation reads it.
 #[derive(Clone, Debug)]
 pub enum StoredValue {
     Job(Box<JobSpec>),
     JobOutcome(JobOutcome),
     Chunk(ChunkValue),
+    /// The cancellation marker of a job.
     CancelMark,
     Leader,
+    /// A value that the simulation does not read.
     Other,
 }
 
-/// A change that the watch of the queue shows.
+/// A change to the queue of jobs, as a leader receives it by its watch.
 #[derive(Clone, Debug)]
 pub enum QueueChange {
+    /// A job was accepted at this revision.
     Job(Box<JobSpec>, u64),
     Cancelled(JobId),
 }
 
 #[derive(Default)]
 pub struct Store {
+    /// The values of the keys, and the revision at which each was last written.
     keys: BTreeMap<String, (StoredValue, u64)>,
     revision: u64,
     queue_log: Vec<(u64, QueueChange)>,
@@ -41,12 +46,13 @@
         self.revision
     }
 
+    /// The revision at which a key was last written; 0 if it does not exist.
     pub fn revision_of(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |(_, revision)| *revision)
     }
 
     fn put(&mut self, key: String, value: StoredValue) {
-        let queued = match &value {
+        let change = match &value {
             StoredValue::Job(spec) => Some(QueueChange::Job(spec.clone(), self.revision)),
             StoredValue::CancelMark => key
                 .strip_prefix(keys::CANCEL_MARK_PREFIX)
@@ -55,18 +61,18 @@
             _ => None,
         };
         let revision = self.revision;
-        self.queue_log.extend(queued.map(|q| (revision, q)));
+        self.queue_log.extend(change.map(|c| (revision, c)));
         self.keys.insert(key, (value, revision));
     }
 
-    /// Writes the leader key. Returns its revision.
+    /// Writes the leader key, so that transactions of earlier leaders fail. Returns the key's revision.
     pub fn take_leadership(&mut self) -> u64 {
         self.revision += 1;
         self.put(keys::LEADER_KEY.to_owned(), StoredValue::Leader);
         self.revision
     }
 
-    /// Accepts a job. False: one of its dependencies is cancelled, or it is known.
+    /// Accepts a job. Returns false if one of its dependencies was cancelled or if the job is already live.
     pub fn accept(&mut self, spec: JobSpec) -> bool {
         let cancelled = |job_id: &JobId| self.outcome(job_id) == Some(JobOutcome::Cancelled);
         if spec.dependencies.iter().any(cancelled)
@@ -82,7 +88,7 @@
         true
     }
 
-    /// Cancels a job. False: it is over.
+    /// Cancels a job. Returns false if it already has an outcome.
     pub fn cancel(&mut self, job_id: &JobId) -> bool {
         if self.outcome(job_id).is_some() {
             return false;
@@ -103,7 +109,7 @@
         }
     }
 
-    /// Applies a leader's transaction if its conditions hold.
+    /// Applies a leader's transaction if all its conditions hold; otherwise returns the conflicting keys.
     pub fn apply(&mut self, batch: &WriteBatch) -> WriteOutcome {
         let failed = batch
             .conditions
@@ -138,16 +144,16 @@
         job_id.and_then(|job_id| self.outcome(&job_id))
     }
 
-    /// The queue's changes after a revision.
+    /// The changes to the queue after a revision.
     pub fn queue_changes_after(&self, revision: u64) -> Vec<QueueChange> {
         let from = self.queue_log.partition_point(|(r, _)| *r <= revision);
         self.queue_log[from..]
             .iter()
-            .map(|(_, q)| q.clone())
+            .map(|(_, change)| change.clone())
             .collect()
     }
 
-    /// What a new leader loads.
+    /// The records that a new leader loads.
     pub fn snapshot(&self) -> StoredSnapshot {
         let mut snapshot = StoredSnapshot::default();
         for (key, (value, revision)) in &self.keys {
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! The users: they submit and cancel jobs.
+//! Simulated users, who submit and cancel jobs.
 
 use super::Simulation;
 use crate::common::secs;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Jobs of a team, with so many tasks each.
+    /// Submits batch jobs of a team, each with `task_count` tasks of `cpus` processors.
     pub fn submit_jobs(&mut self, jobs: u64, team: &str, task_count: u32, cpus: f64) {
         for _ in 0..jobs {
             self.job_count += 1;
@@ -24,6 +24,7 @@
         }
     }
 
+    /// Submits a random job at an average rate of 0.6 per second, unless `submits_jobs` is false.
     pub(super) fn submit_random_job(&mut self) {
         if !self.submits_jobs || !self.occurs(0.6) {
             return;
@@ -54,16 +55,16 @@
         if self.rng.gen_bool(0.4) {
             spec.checkpoint_interval = Duration::ZERO;
         }
-        let whole = if gang { f64::from(task_count) } else { 1.0 };
-        if whole * cpus > 16.0 {
-            spec.resources = crate::common::resources(16.0 / whole);
+        let tasks_at_once = if gang { f64::from(task_count) } else { 1.0 };
+        if tasks_at_once * cpus > 16.0 {
+            spec.resources = crate::common::resources(16.0 / tasks_at_once);
         }
         spec.accepted_unix_ms = (self.now - self.started_at).as_millis() as u64;
         if self.job_count > 5 && self.rng.gen_bool(0.2) {
-            let needed = self.rng.gen_range(self.job_count - 5..self.job_count);
-            let needed = JobId(format!("wk-{needed:06}"));
-            if self.shared_storage.jobs.contains_key(&needed) {
-                spec.dependencies = vec![needed];
+            let dependency = self.rng.gen_range(self.job_count - 5..self.job_count);
+            let dependency = JobId(format!("wk-{dependency:06}"));
+            if self.shared_storage.jobs.contains_key(&dependency) {
+                spec.dependencies = vec![dependency];
             }
         }
         if self.store.accept(spec.clone()) {
@@ -72,12 +73,13 @@
         }
     }
 
+    /// Cancels one of the last 20 jobs at the rate `cancellations`. A job that is over stays as it is.
     pub(super) fn cancel_random_job(&mut self) {
         if !self.occurs(self.fault_rates.cancellations) || self.job_count == 0 {
             return;
         }
-        let back = self.rng.gen_range(0..self.job_count.min(20));
-        let job_id = JobId(format!("wk-{:06}", self.job_count - back));
+        let offset = self.rng.gen_range(0..self.job_count.min(20));
+        let job_id = JobId(format!("wk-{:06}", self.job_count - offset));
         if self.shared_storage.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
             self.invariants.cancelled.insert(job_id, self.now);
         }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,5 +1,5 @@
-//! A machine with its worker, as the protocol describes it: what it runs is what the invariants are
-//! checked on.
+//! A simulated machine and its worker, which follows the protocol of the agents. The invariants are checked
+//! against the tasks here.
 
 use cypressgap::core::model::{
     AttemptId, ExitReason, FencingToken, Heartbeat, JobId, JobKind, JobSpec, MachineId,
@@ -9,12 +9,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A worker gives up on a heartbeat that is not answered within this.
+/// The time after which a worker stops waiting for the answer to a heartbeat, and a leader for the response
+/// to direct commands.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// The minimum time between two heartbeats of a worker.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// The delay before the next heartbeat after one that was refused or not answered in time.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A machine's address: sixteen machines share a segment of 28 bits.
+/// The endpoint of a machine, derived from the number in its id. Sixteen machines share a /28 network.
 pub fn endpoint(id: &MachineId) -> String {
     let digits: String = id.0.chars().filter(char::is_ascii_digit).collect();
     let number: u32 = digits.parse().unwrap_or(0);
@@ -22,10 +25,12 @@
     format!("10.{a}.{b}.{c}:9")
 }
 
-/// What outlives machines: the specs of accepted jobs, and which tasks have stored their results.
+/// The data that all machines share and that outlives them.
 #[derive(Default)]
 pub struct SharedStorage {
+    /// The specs of all accepted jobs.
     pub jobs: BTreeMap<JobId, Arc<JobSpec>>,
+    /// The tasks that have completed and stored their results.
     pub done: BTreeSet<TaskId>,
 }
 
@@ -33,7 +38,7 @@
 pub struct WorkerTask {
     pub spec: Arc<JobSpec>,
     pub phase: TaskPhase,
-    /// When the phase ends by itself.
+    /// When the phase ends without a command. Of no meaning once the attempt has ended.
     pub until: Instant,
 }
 
@@ -41,7 +46,7 @@
     pub fn ended(&self) -> bool {
         matches!(self.phase, TaskPhase::Ended(_))
     }
-    /// It has its image, so it counts as running on the machine.
+    /// Whether the attempt has its image and has not ended. Only such attempts count in the invariants.
     pub fn occupies_machine(&self) -> bool {
         !self.ended() && self.phase != TaskPhase::Fetching
     }
@@ -53,31 +58,38 @@
     pub capacity: Resources,
     pub zone: Zone,
     pub spot: bool,
-    /// How often the machine was booted.
+    /// How often the machine was booted, from 1.
     pub boot_count: u64,
+    /// The number of the worker's run since the boot, from 1. The expiry of the lease begins a new one.
     pub incarnation: u64,
+    /// The number of the last heartbeat, including those sent as responses to direct commands.
     pub serial: u64,
+    /// The highest fencing token received; 0 before the first.
     pub token: FencingToken,
     pub tasks: BTreeMap<(TaskId, AttemptId), WorkerTask>,
+    /// The images in the machine's cache.
     pub images: BTreeSet<String>,
+    /// When the machine has booted and the worker runs.
     pub up_at: Instant,
+    /// When the cloud evicts the machine; `None` while no eviction is announced.
     pub eviction_at: Option<Instant>,
-    /// When it executed commands.
+    /// When each command was executed.
     pub command_times: Vec<Instant>,
-    /// The lease runs from here.
-    pub lease_renewed_at: Instant,
+    /// The time from which the current lease is counted: when the last answered heartbeat was sent, or when
+    /// the incarnation began.
+    pub lease_start: Instant,
     pub next_heartbeat_at: Instant,
     pub last_heartbeat_at: Option<Instant>,
-    /// When the heartbeat was sent that is not answered yet.
+    /// When the heartbeat that waits for an answer was sent; `None` if none does.
     pub pending_heartbeat_sent_at: Option<Instant>,
-    /// Until when each fault lasts.
+    /// The end of each fault; `None` or a past time if the fault is not active.
     pub paused_until: Option<Instant>,
     pub partitioned_until: Option<Instant>,
     pub inbound_partition_until: Option<Instant>,
     pub outbound_partition_until: Option<Instant>,
 }
 
-/// Whether a fault lasts.
+/// Whether a fault with this end is still active.
 pub fn is_active(fault_until: Option<Instant>, now: Instant) -> bool {
     fault_until.is_some_and(|until| now < until)
 }
@@ -85,15 +97,15 @@
 impl Worker {
     pub fn new(
         id: MachineId,
-        t: (MachineTypeName, Resources),
+        type_and_capacity: (MachineTypeName, Resources),
         zone: Zone,
         spot: bool,
         up_at: Instant,
     ) -> Worker {
         Worker {
             id,
-            machine_type: t.0,
-            capacity: t.1,
+            machine_type: type_and_capacity.0,
+            capacity: type_and_capacity.1,
             zone,
             spot,
             boot_count: 1,
@@ -105,7 +117,7 @@
             up_at,
             eviction_at: None,
             command_times: Vec::new(),
-            lease_renewed_at: up_at,
+            lease_start: up_at,
             next_heartbeat_at: up_at,
             last_heartbeat_at: None,
             pending_heartbeat_sent_at: None,
@@ -116,9 +128,10 @@
         }
     }
 
+    /// A heartbeat with the current state and the next serial number.
     pub fn make_heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.serial += 1;
-        let shown = |((task, attempt), t): (&(TaskId, AttemptId), &WorkerTask)| TaskStatus {
+        let status = |((task, attempt), t): (&(TaskId, AttemptId), &WorkerTask)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             phase: t.phase,
@@ -133,11 +146,12 @@
             serial: self.serial,
             token: self.token,
             eviction: self.eviction_at.map(|at| at.saturating_duration_since(now)),
-            tasks: self.tasks.iter().map(shown).collect(),
+            tasks: self.tasks.iter().map(status).collect(),
         }
     }
 
-    /// Something changed: the next heartbeat comes as soon as it may.
+    /// Brings the next heartbeat forward to the earliest permitted time, after a change that it has to
+    /// report.
     pub fn schedule_heartbeat(&mut self, now: Instant) {
         let earliest = self
             .last_heartbeat_at
@@ -145,7 +159,7 @@
         self.next_heartbeat_at = self.next_heartbeat_at.min(earliest.max(now));
     }
 
-    /// A heartbeat that is due and may be sent.
+    /// The heartbeat to send now; `None` if it is not due or the last one still waits for its answer.
     pub fn take_due_heartbeat(&mut self, now: Instant, interval: Duration) -> Option<Heartbeat> {
         if self
             .pending_heartbeat_sent_at
@@ -163,7 +177,7 @@
         Some(self.make_heartbeat(now))
     }
 
-    /// A node answered that no leader takes the heartbeat.
+    /// Handles the refusal of a heartbeat, which does not renew the lease.
     pub fn on_refusal(&mut self, now: Instant, sent_at: Instant) {
         if self.pending_heartbeat_sent_at == Some(sent_at) {
             self.pending_heartbeat_sent_at = None;
@@ -171,7 +185,8 @@
         }
     }
 
-    /// The answer to the heartbeat that was sent at `sent_at` in `incarnation`.
+    /// Handles the answer to the heartbeat that was sent at `sent_at` in `incarnation`. It renews the lease,
+    /// unless it is late, fenced off by a higher token, or for an earlier incarnation.
     pub fn on_answer(
         &mut self,
         now: Instant,
@@ -191,11 +206,12 @@
         {
             return;
         }
-        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
+        self.lease_start = self.lease_start.max(sent_at);
         self.execute(now, token, commands, shared_storage);
     }
 
-    /// Commands that a leader sent of its own accord. Returns whether they were executed.
+    /// Handles commands that a leader sent directly. Returns whether they were executed. They do not renew
+    /// the lease.
     pub fn on_command(
         &mut self,
         now: Instant,
@@ -259,20 +275,21 @@
         for t in self.tasks.values().filter(|t| !t.ended()) {
             used.add(&t.spec.resources);
         }
-        let other = |(k, t): (&(TaskId, AttemptId), &WorkerTask)| &k.0 == task && !t.ended();
-        let phase = if self.tasks.iter().any(other) {
+        let is_other_attempt =
+            |(k, t): (&(TaskId, AttemptId), &WorkerTask)| &k.0 == task && !t.ended();
+        let phase = if self.tasks.iter().any(is_other_attempt) {
             TaskPhase::Ended(ExitReason::EarlierAttemptRunning)
         } else if !used.fits(&self.capacity) {
             TaskPhase::Ended(ExitReason::InsufficientResources)
         } else {
             TaskPhase::Fetching
         };
-        let fetch = if self.images.contains(&spec.image) {
+        let fetch_time = if self.images.contains(&spec.image) {
             Duration::ZERO
         } else {
             Duration::from_secs_f64(spec.image_gb)
         };
-        let until = now + fetch;
+        let until = now + fetch_time;
         self.tasks.insert(key, WorkerTask { spec, phase, until });
         self.schedule_heartbeat(now);
     }
@@ -294,20 +311,22 @@
         self.schedule_heartbeat(now);
     }
 
-    /// When the lease has expired, everything is killed and forgotten, on a paused machine too.
+    /// Kills and forgets all tasks and begins a new incarnation if the lease has expired, even while the
+    /// worker is paused.
     pub fn check_lease(&mut self, now: Instant, lease: Duration) {
-        if now <= self.lease_renewed_at + lease || now < self.up_at {
+        if now <= self.lease_start + lease || now < self.up_at {
             return;
         }
         self.tasks.clear();
         self.images.clear();
         self.incarnation += 1;
-        self.lease_renewed_at = now;
+        self.lease_start = now;
         self.pending_heartbeat_sent_at = None;
         self.schedule_heartbeat(now);
     }
 
-    /// Moves tasks on to their next phase on a machine that runs. Gangs start and end in `machines`.
+    /// Moves the tasks of a running machine whose phase is over to the next one. The `machines` module starts
+    /// and completes gangs.
     pub fn advance(
         &mut self,
         now: Instant,
