--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -1,4 +1,4 @@
-//! A cluster state on a simulated clock, and what its tests send to it and read from its actions.
+//! A leader's cluster state on a simulated clock, with helpers to send it events and to read its actions.
 
 use super::*;
 use cypressgap::core::model::*;
@@ -6,18 +6,22 @@
 use cypressgap::core::state::{Action, ClusterState, HeartbeatDecision, TermStart};
 use std::time::{Duration, Instant};
 
-/// A cluster with a simulated clock and of machines that the test plays.
+/// A leader's cluster state on a simulated clock. The test sends the events of machines, users and the
+/// key-value store itself.
 pub struct ClusterFixture {
     pub cluster: ClusterState,
     pub now: Instant,
+    /// The last revision of the key-value store.
     pub revision: u64,
 }
 
 impl ClusterFixture {
+    /// A cluster with the settings of [`config`] and the machine type `m8` of 8 processors.
     pub fn new() -> ClusterFixture {
         ClusterFixture::with(config(), vec![machine_type("m8", 8.0)])
     }
 
+    /// A cluster without machines and jobs, at the beginning of the term [`TERM`].
     pub fn with(config: SchedulerConfig, types: Vec<MachineType>) -> ClusterFixture {
         let now = Instant::now();
         ClusterFixture {
@@ -36,11 +40,12 @@
         }
     }
 
-    pub fn advance(&mut self, d: Duration) {
-        self.now += d;
+    /// Advances the clock without a tick.
+    pub fn advance(&mut self, duration: Duration) {
+        self.now += duration;
     }
 
-    /// So many seconds in which the process runs and hears nothing. What it would send is lost.
+    /// Runs one tick per second for this number of seconds. No event arrives, and all actions are lost.
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.advance(secs(1));
@@ -48,12 +53,14 @@
         }
     }
 
+    /// Notifies the leader of an accepted job.
     pub fn job(&mut self, spec: JobSpec) {
         self.revision += 1;
         self.cluster.on_job(spec, self.revision);
     }
 
-    /// A heartbeat with the current token, as of a worker that answers have reached.
+    /// Sends a heartbeat with the machine's current fencing token, as a worker does that received the last
+    /// answer. Returns the token and the commands of the answer. Panics if the heartbeat is not accepted.
     pub fn heartbeat(
         &mut self,
         machine: &str,
@@ -65,21 +72,21 @@
             .fleet
             .machines
             .get(&MachineId::from(machine))
-            .map_or(FencingToken::first(self.cluster.term).0, |h| h.token.0);
-        let r = heartbeat_from(machine, 1, serial, token, tasks);
-        match self.cluster.on_heartbeat(self.now, r) {
+            .map_or(FencingToken::first(self.cluster.term).0, |m| m.token.0);
+        let heartbeat = heartbeat_from(machine, 1, serial, token, tasks);
+        match self.cluster.on_heartbeat(self.now, heartbeat) {
             HeartbeatDecision::Accept { token, commands } => (token, commands),
-            other => panic!("heartbeat refused: {other:?}"),
+            other => panic!("heartbeat not accepted: {other:?}"),
         }
     }
 
-    /// Two seconds of ticks, with each store write applied; returns the other actions.
+    /// Runs ticks for two seconds and applies each transaction. Returns the other actions.
     pub fn settle(&mut self) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut other_actions = Vec::new();
         for _ in 0..13 {
             self.now += Duration::from_millis(150);
-            for a in self.cluster.tick(self.now) {
-                match a {
+            for action in self.cluster.tick(self.now) {
+                match action {
                     Action::Store(_) => {
                         self.revision += 1;
                         let revision = self.revision;
@@ -87,38 +94,41 @@
                             .on_write_outcome(self.now, WriteOutcome::Applied { revision });
                     }
                     other => {
-                        // The worker's answer is lost; what it shows comes by its heartbeats.
+                        // The response to direct commands is lost. The leader learns of their effect from the
+                        // machine's heartbeats.
                         if let Action::Send { machine, .. } = &other {
                             self.cluster.on_command_response(self.now, machine, None);
                         }
-                        out.push(other);
+                        other_actions.push(other);
                     }
                 }
             }
         }
-        out
+        other_actions
     }
 
-    /// The next batch that is due, left in flight.
+    /// Runs ticks for up to 1.5 s until one returns a transaction. Returns this transaction, which stays in
+    /// flight; `None`: there was none.
     pub fn batch(&mut self) -> Option<WriteBatch> {
         for _ in 0..10 {
             self.now += Duration::from_millis(150);
-            for a in self.cluster.tick(self.now) {
-                if let Action::Store(b) = a {
-                    return Some(b);
+            for action in self.cluster.tick(self.now) {
+                if let Action::Store(batch) = action {
+                    return Some(batch);
                 }
             }
         }
         None
     }
 
+    /// The machine and the id of a task's active attempt.
     pub fn active(&self, job_id: &str, index: u32) -> Option<(MachineId, AttemptId)> {
         let job = self.cluster.jobs.get(&JobId::from(job_id))?;
         job.active.get(&index).map(|a| (a.machine.clone(), a.id))
     }
 }
 
-/// A heartbeat of an ordinary machine in zone a that lists these tasks.
+/// A heartbeat of an on-demand machine of type `m8` in zone a with these tasks.
 pub fn heartbeat_from(
     machine: &str,
     incarnation: u64,
@@ -155,24 +165,26 @@
     }
 }
 
+/// The launches among the commands that a leader sends directly.
 pub fn launches(actions: &[Action]) -> Vec<(MachineId, TaskId, AttemptId)> {
-    let mut out = Vec::new();
-    for a in actions {
+    let mut launched = Vec::new();
+    for action in actions {
         if let Action::Send {
             machine, commands, ..
-        } = a
+        } = action
         {
-            for d in commands {
-                if let TaskCommand::Launch { task, attempt } = d {
-                    out.push((machine.clone(), task.clone(), *attempt));
+            for command in commands {
+                if let TaskCommand::Launch { task, attempt } = command {
+                    launched.push((machine.clone(), task.clone(), *attempt));
                 }
             }
         }
     }
-    out
+    launched
 }
 
-/// A machine with one single-task job placed and launched there; its attempt.
+/// A cluster with the machine `i-1`, on which the only task of `wk-000001` was launched, and the id of the
+/// attempt.
 pub fn launched_task() -> (ClusterFixture, AttemptId) {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
@@ -182,14 +194,14 @@
     (fixture, sent[0].2)
 }
 
-/// The machine that most cases are about.
+/// The machine of [`launched_task`].
 pub fn first_machine() -> MachineId {
     "i-1".into()
 }
 
-/// The machines that a leader's actions return to the cloud.
+/// The machines in a leader's requests to return machines to the cloud.
 pub fn returned_machines(actions: &[Action]) -> Vec<MachineId> {
-    let machines = |a: &Action| match a {
+    let machines = |action: &Action| match action {
         Action::Return { machines } => machines.clone(),
         _ => Vec::new(),
     };
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of machines that run what they are sent, on a simulated clock.
+//! A simulated fleet of machines that execute the commands of a leader.
 
 use super::*;
 use cypressgap::core::model::*;
@@ -7,21 +7,31 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Machines that run what they are sent for the job's expected time, on a simulated clock.
+/// A leader's cluster state and a fleet of machines on the same simulated clock. The machines receive
+/// commands with the answers to their heartbeats and start launched tasks at once.
 pub struct SimulatedFleet {
     pub fixture: ClusterFixture,
+    /// The serial number of the last heartbeat of each machine.
     pub serial: u64,
+    /// The attempts on each machine, with the time of their launch.
     pub tasks_by_machine: BTreeMap<MachineId, Vec<(TaskId, AttemptId, Instant)>>,
+    /// When a task of each job was first launched.
     pub first_launch: HashMap<JobId, Instant>,
+    /// The number of completed tasks of each job.
     pub done: HashMap<JobId, u32>,
-    /// Jobs that fail everywhere, and machines that fail everything.
+    /// The jobs whose tasks fail on every machine.
     pub failing_jobs: Vec<JobId>,
+    /// The machines on which every task fails.
     pub faulty_machines: Vec<MachineId>,
+    /// The number of launches of each job's tasks.
     pub launched: HashMap<JobId, u32>,
+    /// The number of requests to rent machines, which are never answered.
     pub rented: u32,
 }
 
 impl SimulatedFleet {
+    /// A fleet of machines with this number of processors. Idle machines are not returned, and no further
+    /// ones can be rented.
     pub fn new(scheduler_config: SchedulerConfig, machines: usize, cpus: f64) -> SimulatedFleet {
         let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", cpus)]);
         fixture.cluster.config.tuning.max_machines = machines;
@@ -40,26 +50,27 @@
         }
     }
 
-    /// One second: all send heartbeats, finished tasks end, what is launched starts.
-    pub fn second(&mut self, runs: impl Fn(&JobId) -> Duration) {
-        self.timed_second(runs);
+    /// Advances the clock by one second. First all machines send heartbeats, in which tasks that have run for
+    /// `run_time` are completed, and execute the commands of the answers; then the leader runs ten ticks.
+    pub fn second(&mut self, run_time: impl Fn(&JobId) -> Duration) {
+        self.timed_second(run_time);
     }
 
-    /// The same. Returns how long each tick took.
-    pub fn timed_second(&mut self, runs: impl Fn(&JobId) -> Duration) -> Vec<Duration> {
-        let mut ticks = Vec::new();
+    /// Advances the clock by one second like `second`. Returns the real time that each tick took.
+    pub fn timed_second(&mut self, run_time: impl Fn(&JobId) -> Duration) -> Vec<Duration> {
+        let mut tick_durations = Vec::new();
         self.serial += 1;
         let now = self.fixture.now;
-        for (h, tasks) in &mut self.tasks_by_machine {
+        for (machine, tasks) in &mut self.tasks_by_machine {
             let listed = tasks
                 .iter()
                 .map(|(t, a, since)| {
-                    let over = now - *since >= runs(&t.job_id);
-                    let fails =
-                        self.failing_jobs.contains(&t.job_id) || self.faulty_machines.contains(h);
+                    let is_finished = now - *since >= run_time(&t.job_id);
+                    let fails = self.failing_jobs.contains(&t.job_id)
+                        || self.faulty_machines.contains(machine);
                     let phase = if fails {
                         TaskPhase::Ended(ExitReason::Failed)
-                    } else if over {
+                    } else if is_finished {
                         TaskPhase::Ended(ExitReason::Completed)
                     } else {
                         TaskPhase::Running
@@ -67,9 +78,9 @@
                     task_status(&t.job_id.0, t.index, *a, phase)
                 })
                 .collect();
-            let (_, commands) = self.fixture.heartbeat(&h.0, self.serial, listed);
-            for d in commands {
-                match d {
+            let (_, commands) = self.fixture.heartbeat(&machine.0, self.serial, listed);
+            for command in commands {
+                match command {
                     TaskCommand::Launch { task, attempt } => {
                         self.first_launch.entry(task.job_id.clone()).or_insert(now);
                         *self.launched.entry(task.job_id.clone()).or_default() += 1;
@@ -80,7 +91,7 @@
                     }
                     TaskCommand::Forget { task, attempt } => {
                         if !self.failing_jobs.contains(&task.job_id)
-                            && !self.faulty_machines.contains(h)
+                            && !self.faulty_machines.contains(machine)
                         {
                             *self.done.entry(task.job_id.clone()).or_default() += 1;
                         }
@@ -92,9 +103,9 @@
         let until = now + secs(1);
         while self.fixture.now < until {
             self.fixture.now += Duration::from_millis(100);
-            let began = Instant::now();
+            let tick_started_at = Instant::now();
             let actions = self.fixture.cluster.tick(self.fixture.now);
-            ticks.push(began.elapsed());
+            tick_durations.push(tick_started_at.elapsed());
             for a in actions {
                 match a {
                     Action::Store(_) => {
@@ -105,7 +116,8 @@
                             .cluster
                             .on_write_outcome(now, WriteOutcome::Applied { revision });
                     }
-                    // Commands come with the answers to heartbeats, a second later at most.
+                    // Direct commands are lost. The machines receive them again with the answers to their
+                    // heartbeats, at most one second later.
                     Action::Send { machine, .. } => {
                         self.fixture
                             .cluster
@@ -113,8 +125,8 @@
                     }
                     Action::Rent { .. } => self.rented += 1,
                     Action::Return { machines } => {
-                        for h in &machines {
-                            self.tasks_by_machine.remove(h);
+                        for machine in &machines {
+                            self.tasks_by_machine.remove(machine);
                         }
                         self.fixture
                             .cluster
@@ -124,6 +136,6 @@
                 }
             }
         }
-        ticks
+        tick_durations
     }
 }
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -1,4 +1,4 @@
-//! The store's keys, as the core's transactions change them.
+//! A simulated key-value store that only tracks which keys exist.
 
 use super::ClusterFixture;
 use cypressgap::core::model::JobSpec;
@@ -7,14 +7,18 @@
 use cypressgap::core::state::Action;
 use std::collections::BTreeSet;
 
-/// The keys that the store holds of jobs, as the leader's transactions change them.
+/// The keys of jobs in the key-value store, as submissions and the leader's transactions change them.
 #[derive(Default)]
 pub struct StoreKeys {
+    /// The keys that exist.
     pub all: BTreeSet<String>,
+    /// The number of operations in all transactions so far.
     pub changes: usize,
 }
 
 impl StoreKeys {
+    /// Accepts a job: adds its entry in the index of live jobs and, if it is listed there, its entries in the
+    /// lists of dependents, and passes it to the leader.
     pub fn accept(&mut self, fixture: &mut ClusterFixture, spec: JobSpec) {
         self.all.insert(live_job_key(&spec.job_id));
         if spec.listed_as_dependent {
@@ -24,9 +28,10 @@
         fixture.job(spec);
     }
 
-    /// Lets a tick's transaction have so many changes, and carries it out.
-    pub fn tick(&mut self, fixture: &mut ClusterFixture, changes: usize) -> Vec<WriteOp> {
-        fixture.cluster.set_write_allowance(changes);
+    /// Runs a tick of the leader in which a transaction may have at most `max_changes` operations, and
+    /// applies its transactions. Returns their operations.
+    pub fn tick(&mut self, fixture: &mut ClusterFixture, max_changes: usize) -> Vec<WriteOp> {
+        fixture.cluster.set_write_allowance(max_changes);
         let mut written = Vec::new();
         for action in fixture.cluster.tick(fixture.now) {
             let Action::Store(batch) = action else {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Builders for the tests of the core: settings, machine types, teams and jobs of a small deployment.
+//! Test helpers: builders for the settings, machine types, teams and jobs of a small deployment, and
+//! simulated clusters.
 #![allow(dead_code)]
 
 pub mod dependency_jobs;
@@ -13,14 +14,17 @@
 use cypressgap_recovery::settings::RecoverySettings;
 use std::time::Duration;
 
+/// The term of the leader under test.
 pub const TERM: Term = Term(3);
 
+/// The revision of the leader key in that term.
 pub const LEADER_REVISION: u64 = 50;
 
 pub fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
 }
 
+/// Resources with these processors, 1 GB of memory for each of them, and no GPU.
 pub fn resources(cpus: f64) -> Resources {
     Resources {
         cpus,
@@ -29,6 +33,7 @@
     }
 }
 
+/// A machine type in the zones a and b. Its spot price is a quarter of its on-demand price.
 pub fn machine_type(name: &str, cpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
@@ -42,6 +47,7 @@
     }
 }
 
+/// A team with a guaranteed and a maximum number of processors, and no limits on GPUs.
 pub fn team(name: &str, guarantee: f64, limit: f64) -> Team {
     Team {
         name: name.into(),
@@ -52,6 +58,7 @@
     }
 }
 
+/// Settings with three teams: `red` and `blue` with a guarantee of 8 processors, `grey` with none.
 pub fn config() -> SchedulerConfig {
     SchedulerConfig {
         teams: vec![
@@ -77,6 +84,8 @@
     }
 }
 
+/// A batch job of team `red` with standard priority and `task_count` tasks of `cpus` processors, which write
+/// checkpoints and run for about 60 s.
 pub fn spec(job_id: &str, task_count: u32, cpus: f64) -> JobSpec {
     JobSpec {
         job_id: job_id.into(),
--- a/tests/common/peaks.rs
+++ b/tests/common/peaks.rs
@@ -1,16 +1,17 @@
-//! How many events a stretch of time holds at the most.
+//! The peak rate of events.
 
 use std::time::{Duration, Instant};
 
-/// The most of these that fall into any stretch of this length.
+/// The maximum number of these times that fall into an interval of this length. The end of the interval does
+/// not belong to it.
 pub fn peak(mut times: Vec<Instant>, length: Duration) -> usize {
     times.sort_unstable();
-    let (mut first, mut most) = (0, 0);
+    let (mut first, mut max) = (0, 0);
     for (last, at) in times.iter().enumerate() {
         while *at >= times[first] + length {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        max = max.max(last + 1 - first);
     }
-    most
+    max
 }
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -1,4 +1,5 @@
-//! Figures of a cold restart at the size of a large fleet, for `docs/recovery.md`. Not for CI:
+//! Measures the restart of all controllers of a large fleet; the results are in `docs/recovery.md`. CI does
+//! not run this:
 //!
 //! `SEEDS=3 MACHINES=4000 cargo test --release --test measure_cold_restart -- --ignored --nocapture`
 
@@ -15,164 +16,192 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-const STEPS_A_SECOND: u64 = 10;
-/// After this all machines are in use.
+/// The steps of the simulation in one second of simulated time.
+const STEPS_PER_SECOND: u64 = 10;
+/// The time in which all machines get tasks.
 const WARM_UP: Duration = Duration::from_secs(40);
-/// How long the fleet is watched after the return.
-const WATCHED: Duration = Duration::from_secs(90);
-const TASKS_A_JOB: u32 = 100;
-/// Two tasks fill a machine; some more jobs wait.
-const TASKS_A_MACHINE: f64 = 2.2;
+/// How long the fleet is observed after the outage.
+const OBSERVATION_TIME: Duration = Duration::from_secs(90);
+const TASKS_PER_JOB: u32 = 100;
+/// The submitted tasks per machine. Two tasks fill a machine, and the rest stay in the queue.
+const TASKS_PER_MACHINE: f64 = 2.2;
 
-fn number(name: &str, default: u64) -> u64 {
+/// The number in an environment variable, or the default if it is not set.
+fn number_from_env(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
     text.map_or(default, |t| t.parse().expect("a whole number"))
 }
 
-fn fleet(machines: usize, enabled: bool) -> SchedulerConfig {
+/// Settings for a fleet that no team limit constrains and whose idle machines are not returned during the run.
+fn config_for_fleet(machines: usize, pacing_enabled: bool) -> SchedulerConfig {
     let mut scheduler_config = tight_config();
     scheduler_config.teams = vec![team("red", 1e6, 1e6)];
     scheduler_config.tuning.max_machines = machines;
     scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
-    scheduler_config.recovery.enabled = enabled;
+    scheduler_config.recovery.enabled = pacing_enabled;
     scheduler_config
 }
 
-/// What one run shows.
+/// The results of one run. All times are in seconds since the end of the outage; `None`: not in the
+/// observation time.
 struct Figures {
-    broken: usize,
-    /// Tasks that were started although they had run before.
-    started_again: usize,
-    peak_fleet: usize,
-    peak_segment: usize,
-    /// From the return, in seconds; None: not while it was watched.
-    most_reconciled: Option<f64>,
-    first_start: Option<f64>,
-    last_start: Option<f64>,
+    /// The number of violated invariants, counted in each step.
+    violations: usize,
+    /// The tasks that ran before the crash and were started again.
+    restarted_tasks: usize,
+    /// The maximum number of commands that all machines executed within one second.
+    peak_fleet_commands: usize,
+    /// The same for the segment with the highest number.
+    peak_segment_commands: usize,
+    /// When 95% of the tasks that ran before the crash were reconciled.
+    mostly_reconciled_s: Option<f64>,
+    /// When the first and the last task started to run.
+    first_start_s: Option<f64>,
+    last_start_s: Option<f64>,
 }
 
-/// Attempts on record of which the leader knows what became of them.
-fn settled(cluster: &ClusterState, recorded: &BTreeSet<(JobId, u32)>) -> usize {
-    let known = |(job_id, index): &&(JobId, u32)| {
+/// The number of the tasks that ran before the crash and whose state the leader knows: the task has no active
+/// attempt, a heartbeat showed the attempt, or this term sent its launch.
+fn reconciled_count(
+    cluster: &ClusterState,
+    running_before_crash: &BTreeSet<(JobId, u32)>,
+) -> usize {
+    let is_reconciled = |(job_id, index): &&(JobId, u32)| {
         let job = cluster.jobs.get(job_id);
         let active = job.and_then(|j| j.active.get(index));
         active.is_none_or(|a| a.observed_phase.is_some() || a.launch_sent_at.is_some())
     };
-    recorded.iter().filter(known).count()
+    running_before_crash.iter().filter(is_reconciled).count()
 }
 
-/// The first 24 bits of a machine's address.
-fn segment(address: &str) -> String {
-    address.rsplit_once('.').map_or("", |s| s.0).to_owned()
+/// The segment of a machine: the first 24 bits of its address.
+fn segment_of_endpoint(address: &str) -> String {
+    address
+        .rsplit_once('.')
+        .map_or("", |prefix| prefix.0)
+        .to_owned()
 }
 
-fn running(s: &Simulation) -> BTreeSet<(JobId, u32)> {
-    let running = s.running();
-    let running = running.filter(|(_, _, t)| t.phase == TaskPhase::Running);
-    running
+/// The tasks that run on some machine now.
+fn running_tasks(simulation: &Simulation) -> BTreeSet<(JobId, u32)> {
+    let running_tasks = simulation.running();
+    let running_tasks = running_tasks.filter(|(_, _, t)| t.phase == TaskPhase::Running);
+    running_tasks
         .map(|(_, task, _)| (task.job_id.clone(), task.index))
         .collect()
 }
 
-/// Plays so long. Returns how often a rule was found broken.
-fn play(s: &mut Simulation, time: Duration) -> usize {
-    let steps = time.as_secs() * STEPS_A_SECOND;
-    (0..steps).map(|_| s.step().len()).sum()
+/// Runs the simulation for a time. Returns the number of violated invariants, counted in each step.
+fn run_for(simulation: &mut Simulation, time: Duration) -> usize {
+    let steps = time.as_secs() * STEPS_PER_SECOND;
+    (0..steps).map(|_| simulation.step().len()).sum()
 }
 
-fn run(seed: u64, machines: usize, outage: Duration, enabled: bool) -> Figures {
-    let mut simulation =
-        Simulation::with_config(seed, machines, FaultRates::none(), fleet(machines, enabled));
+/// Fills a fleet, crashes all controllers for the outage, and measures what follows.
+fn measure_run(seed: u64, machines: usize, outage: Duration, pacing_enabled: bool) -> Figures {
+    let mut simulation = Simulation::with_config(
+        seed,
+        machines,
+        FaultRates::none(),
+        config_for_fleet(machines, pacing_enabled),
+    );
     simulation.submits_jobs = false;
     simulation.fixed_run_time = Some(secs(150));
-    let jobs = machines as f64 * TASKS_A_MACHINE / f64::from(TASKS_A_JOB);
-    simulation.submit_jobs(jobs as u64, "red", TASKS_A_JOB, 4.0);
-    let mut broken = play(&mut simulation, WARM_UP);
-    let recorded = running(&simulation);
+    let jobs = machines as f64 * TASKS_PER_MACHINE / f64::from(TASKS_PER_JOB);
+    simulation.submit_jobs(jobs as u64, "red", TASKS_PER_JOB, 4.0);
+    let mut violations = run_for(&mut simulation, WARM_UP);
+    let running_before_crash = running_tasks(&simulation);
     assert!(
-        recorded.len() >= machines * 19 / 10,
-        "in use: {}",
-        recorded.len()
+        running_before_crash.len() >= machines * 19 / 10,
+        "the machines are not full: {} tasks run",
+        running_before_crash.len()
     );
     simulation.crash_all_controllers(outage);
-    broken += play(&mut simulation, outage);
-    let back = simulation.now;
-    let survived = running(&simulation);
-    let mut most_reconciled = None;
-    let mut started_again = BTreeSet::new();
-    let (mut first_start, mut last_start) = (None, None);
-    let mut before = survived;
-    for _ in 0..WATCHED.as_secs() * STEPS_A_SECOND {
-        broken += simulation.step().len();
-        let since = (simulation.now - back).as_secs_f64();
-        let now = running(&simulation);
-        for task in now.difference(&before) {
-            first_start.get_or_insert(since);
-            last_start = Some(since);
-            if recorded.contains(task) {
-                started_again.insert(task.clone());
+    violations += run_for(&mut simulation, outage);
+    let restarted_at = simulation.now;
+    let running_at_restart = running_tasks(&simulation);
+    let mut mostly_reconciled_s = None;
+    let mut restarted_tasks = BTreeSet::new();
+    let (mut first_start_s, mut last_start_s) = (None, None);
+    let mut previously_running = running_at_restart;
+    for _ in 0..OBSERVATION_TIME.as_secs() * STEPS_PER_SECOND {
+        violations += simulation.step().len();
+        let seconds_since_restart = (simulation.now - restarted_at).as_secs_f64();
+        let running_now = running_tasks(&simulation);
+        for task in running_now.difference(&previously_running) {
+            first_start_s.get_or_insert(seconds_since_restart);
+            last_start_s = Some(seconds_since_restart);
+            if running_before_crash.contains(task) {
+                restarted_tasks.insert(task.clone());
             }
         }
-        before = now;
-        let reconciled = simulation.leader_state().map(|c| settled(c, &recorded));
-        if reconciled.is_some_and(|n| n * 100 >= recorded.len() * 95) {
-            most_reconciled.get_or_insert(since);
+        previously_running = running_now;
+        let reconciled_tasks = simulation
+            .leader_state()
+            .map(|c| reconciled_count(c, &running_before_crash));
+        if reconciled_tasks.is_some_and(|n| n * 100 >= running_before_crash.len() * 95) {
+            mostly_reconciled_s.get_or_insert(seconds_since_restart);
         }
     }
     let mut segments: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
     for w in simulation.workers.values() {
-        let command_times = w.command_times.iter().filter(|t| **t >= back);
+        let command_times = w.command_times.iter().filter(|t| **t >= restarted_at);
         segments
-            .entry(segment(&endpoint(&w.id)))
+            .entry(segment_of_endpoint(&endpoint(&w.id)))
             .or_default()
             .extend(command_times);
     }
     let all = segments.values().flatten().copied().collect();
-    let worst = segments.into_values().map(|times| peak(times, secs(1)));
+    let peaks = segments.into_values().map(|times| peak(times, secs(1)));
     Figures {
-        broken,
-        started_again: started_again.len(),
-        peak_fleet: peak(all, secs(1)),
-        peak_segment: worst.max().unwrap_or(0),
-        most_reconciled,
-        first_start,
-        last_start,
+        violations,
+        restarted_tasks: restarted_tasks.len(),
+        peak_fleet_commands: peak(all, secs(1)),
+        peak_segment_commands: peaks.max().unwrap_or(0),
+        mostly_reconciled_s,
+        first_start_s,
+        last_start_s,
     }
 }
 
-/// The median and the worst of some figures.
-fn median_and_worst(mut figures: Vec<f64>) -> String {
-    figures.sort_by(f64::total_cmp);
-    let worst = figures.last().copied().unwrap_or(f64::NAN);
-    format!("{:.1}/{worst:.1}", figures[figures.len() / 2])
+/// The median and the maximum of some values.
+fn median_and_max(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
+    let max = values.last().copied().unwrap_or(f64::NAN);
+    format!("{:.1}/{max:.1}", values[values.len() / 2])
 }
 
 #[test]
-#[ignore = "takes minutes; its command stands at the head of the file"]
+#[ignore = "takes minutes; the command is at the top of this file"]
 fn cold_restart_of_a_large_fleet() {
-    let machines = number("MACHINES", 4000) as usize;
-    let seeds = number("SEEDS", 3);
+    let machines = number_from_env("MACHINES", 4000) as usize;
+    let seeds = number_from_env("SEEDS", 3);
     println!(
-        "machines outage paced: broken again fleet/s segment/s 95%_s first_s last_s (median/worst)"
+        "machines outage_s paced: violations restarted fleet/s segment/s 95%_s first_s last_s (median/max)"
     );
     for outage in [secs(10), secs(60)] {
-        for enabled in [true, false] {
+        for pacing_enabled in [true, false] {
             let runs: Vec<_> = (1..=seeds)
-                .map(|seed| std::thread::spawn(move || run(seed, machines, outage, enabled)))
+                .map(|seed| {
+                    std::thread::spawn(move || measure_run(seed, machines, outage, pacing_enabled))
+                })
+                .collect();
+            let runs: Vec<Figures> = runs
+                .into_iter()
+                .map(|r| r.join().expect("the run does not panic"))
                 .collect();
-            let runs: Vec<Figures> = runs.into_iter().map(|r| r.join().expect("a run")).collect();
-            let of =
-                |figure: fn(&Figures) -> f64| median_and_worst(runs.iter().map(figure).collect());
+            let summary_of =
+                |figure: fn(&Figures) -> f64| median_and_max(runs.iter().map(figure).collect());
             println!(
-                "{machines} {} {enabled}: {} {} {} {} {} {} {}",
+                "{machines} {} {pacing_enabled}: {} {} {} {} {} {} {}",
                 outage.as_secs(),
-                runs.iter().map(|r| r.broken).sum::<usize>(),
-                of(|r| r.started_again as f64),
-                of(|r| r.peak_fleet as f64),
-                of(|r| r.peak_segment as f64),
-                of(|r| r.most_reconciled.unwrap_or(f64::INFINITY)),
-                of(|r| r.first_start.unwrap_or(f64::INFINITY)),
-                of(|r| r.last_start.unwrap_or(f64::INFINITY)),
+                runs.iter().map(|r| r.violations).sum::<usize>(),
+                summary_of(|r| r.restarted_tasks as f64),
+                summary_of(|r| r.peak_fleet_commands as f64),
+                summary_of(|r| r.peak_segment_commands as f64),
+                summary_of(|r| r.mostly_reconciled_s.unwrap_or(f64::INFINITY)),
+                summary_of(|r| r.first_start_s.unwrap_or(f64::INFINITY)),
+                summary_of(|r| r.last_start_s.unwrap_or(f64::INFINITY)),
             );
         }
     }
--- a/tests/simulation/events.rs
+++ b/tests/simulation/events.rs
@@ -27,8 +27,7 @@
         sent_at: Instant,
     },
     /// Commands that a leader sends directly instead of with the answer to a heartbeat. `leader`: the sender;
-    /// `None` if it gets no response. `boot_count`: the machine's boots when the
-    /// commands were sent.
+    /// `None` if it gets no response. `boot_count`: the machine's boots when the commands were sent.
     Command {
         machine: MachineId,
         token: FencingToken,
@@ -43,8 +42,8 @@
         leader: u64,
         heartbeat: Option<Heartbeat>,
     },
-    /// A transaction for the key-value store. `leader`: the sender to answer; `None` if the
-    /// answer is lost.
+    /// A transaction for the key-value store. `leader`: the sender to answer; `None` if the answer is
+    /// lost.
     Write {
         batch: WriteBatch,
         leader: Option<u64>,
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -107,7 +107,7 @@
     }
 
     /// Delivers the answer to a heartbeat. It is lost in an inbound partition, and delayed while the worker
-    /// is paused or partitioned.
+    /// is paused or partitioned. If the leader did not accept the heartbeat, the worker receives a refusal.
     pub(super) fn deliver_heartbeat_answer(
         &mut self,
         machine: MachineId,
