--- a/tests/cold_restart.rs
+++ b/tests/cold_restart.rs
@@ -55,15 +55,15 @@
     /// They do not crash again.
     Once,
     /// They crash three more times, each time for 300 ms. The first of these crashes comes at most this time
-    /// after the outage, while the new leader loads or reconciles; the others follow at intervals of the whole
-    /// seconds of the outage plus this time.
+    /// after the outage, while the new leader loads or reconciles; the others follow at intervals of the
+    /// whole seconds of the outage plus this time.
     CrashLoop(Duration),
 }
 
 /// Guards against a new leader that launches a task whose earlier attempt still runs on a machine from which
 /// it has not received a heartbeat yet. The outages are shorter than a heartbeat interval, part of a lease,
-/// about one lease, and almost three leases long. Each is run with all kinds of restarts, without other faults
-/// and with frequent ones.
+/// about one lease, and almost three leases long. Each is run with all kinds of restarts, without other
+/// faults and with frequent ones.
 #[test]
 fn nothing_is_started_twice_however_long_the_controllers_are_away() {
     let outages = [
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -30,8 +30,8 @@
 }
 
 impl SimulatedFleet {
-    /// A fleet of machines with this number of processors. Idle machines are not returned, and no further
-    /// ones can be rented.
+    /// A fleet of machines with this number of processors. Idle machines are not returned, and the
+    /// fleet may not grow beyond this number of machines.
     pub fn new(scheduler_config: SchedulerConfig, machines: usize, cpus: f64) -> SimulatedFleet {
         let mut fixture = ClusterFixture::with(scheduler_config, vec![machine_type("m8", cpus)]);
         fixture.cluster.config.tuning.max_machines = machines;
--- a/tests/common/peaks.rs
+++ b/tests/common/peaks.rs
@@ -6,12 +6,12 @@
 /// not belong to it.
 pub fn peak(mut times: Vec<Instant>, length: Duration) -> usize {
     times.sort_unstable();
-    let (mut first, mut max) = (0, 0);
+    let (mut first, mut maximum) = (0, 0);
     for (last, at) in times.iter().enumerate() {
         while *at >= times[first] + length {
             first += 1;
         }
-        max = max.max(last + 1 - first);
+        maximum = maximum.max(last + 1 - first);
     }
-    max
+    maximum
 }
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -32,13 +32,14 @@
     text.map_or(default, |t| t.parse().expect("a whole number"))
 }
 
-/// Settings for a fleet that no team limit constrains and whose idle machines are not returned during the run.
-fn config_for_fleet(machines: usize, pacing_enabled: bool) -> SchedulerConfig {
+/// Settings for a fleet that no team limit constrains and whose idle machines are not returned during the
+/// run.
+fn config_for_fleet(machines: usize, paced: bool) -> SchedulerConfig {
     let mut scheduler_config = tight_config();
     scheduler_config.teams = vec![team("red", 1e6, 1e6)];
     scheduler_config.tuning.max_machines = machines;
     scheduler_config.tuning.on_demand_idle_timeout = secs(1000);
-    scheduler_config.recovery.enabled = pacing_enabled;
+    scheduler_config.recovery.enabled = paced;
     scheduler_config
 }
 
@@ -98,12 +99,12 @@
 }
 
 /// Fills a fleet, crashes all controllers for the outage, and measures what follows.
-fn measure_run(seed: u64, machines: usize, outage: Duration, pacing_enabled: bool) -> Figures {
+fn measure(seed: u64, machines: usize, outage: Duration, paced: bool) -> Figures {
     let mut simulation = Simulation::with_config(
         seed,
         machines,
         FaultRates::none(),
-        config_for_fleet(machines, pacing_enabled),
+        config_for_fleet(machines, paced),
     );
     simulation.submits_jobs = false;
     simulation.fixed_run_time = Some(secs(150));
@@ -167,8 +168,8 @@
 /// The median and the maximum of some values.
 fn median_and_max(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
-    let max = values.last().copied().unwrap_or(f64::NAN);
-    format!("{:.1}/{max:.1}", values[values.len() / 2])
+    let maximum = values.last().copied().unwrap_or(f64::NAN);
+    format!("{:.1}/{maximum:.1}", values[values.len() / 2])
 }
 
 #[test]
@@ -180,11 +181,9 @@
         "machines outage_s paced: violations restarted fleet/s segment/s 95%_s first_s last_s (median/max)"
     );
     for outage in [secs(10), secs(60)] {
-        for pacing_enabled in [true, false] {
+        for paced in [true, false] {
             let runs: Vec<_> = (1..=seeds)
-                .map(|seed| {
-                    std::thread::spawn(move || measure_run(seed, machines, outage, pacing_enabled))
-                })
+                .map(|seed| std::thread::spawn(move || measure(seed, machines, outage, paced)))
                 .collect();
             let runs: Vec<Figures> = runs
                 .into_iter()
@@ -193,7 +192,7 @@
             let summary_of =
                 |figure: fn(&Figures) -> f64| median_and_max(runs.iter().map(figure).collect());
             println!(
-                "{machines} {} {pacing_enabled}: {} {} {} {} {} {} {}",
+                "{machines} {} {paced}: {} {} {} {} {} {} {}",
                 outage.as_secs(),
                 runs.iter().map(|r| r.violations).sum::<usize>(),
                 summary_of(|r| r.restarted_tasks as f64),
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -194,7 +194,7 @@
         incarnation: u64,
         token: FencingToken,
         commands: &[TaskCommand],
-        shared_storage: &SharedStorage,
+        storage: &SharedStorage,
     ) {
         if self.pending_heartbeat_sent_at != Some(sent_at) {
             return;
@@ -207,7 +207,7 @@
             return;
         }
         self.lease_start = self.lease_start.max(sent_at);
-        self.execute(now, token, commands, shared_storage);
+        self.execute(now, token, commands, storage);
     }
 
     /// Handles commands that a leader sent directly. Returns whether they were executed. They do not renew
@@ -218,11 +218,11 @@
         token: FencingToken,
         incarnation: u64,
         commands: &[TaskCommand],
-        shared_storage: &SharedStorage,
+        storage: &SharedStorage,
     ) -> bool {
         let accepted = token >= self.token && incarnation == self.incarnation;
         if accepted {
-            self.execute(now, token, commands, shared_storage);
+            self.execute(now, token, commands, storage);
         }
         accepted
     }
@@ -232,7 +232,7 @@
         now: Instant,
         token: FencingToken,
         commands: &[TaskCommand],
-        shared_storage: &SharedStorage,
+        storage: &SharedStorage,
     ) {
         if token > self.token {
             self.token = token;
@@ -241,9 +241,7 @@
         for command in commands {
             self.command_times.push(now);
             match command {
-                TaskCommand::Launch { task, attempt } => {
-                    self.launch(now, task, *attempt, shared_storage)
-                }
+                TaskCommand::Launch { task, attempt } => self.launch(now, task, *attempt, storage),
                 TaskCommand::Kill {
                     task,
                     attempt,
@@ -259,18 +257,12 @@
         }
     }
 
-    fn launch(
-        &mut self,
-        now: Instant,
-        task: &TaskId,
-        attempt: AttemptId,
-        shared_storage: &SharedStorage,
-    ) {
+    fn launch(&mut self, now: Instant, task: &TaskId, attempt: AttemptId, storage: &SharedStorage) {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
-        let spec = shared_storage.jobs[&task.job_id].clone();
+        let spec = storage.jobs[&task.job_id].clone();
         let mut used = spec.resources;
         for t in self.tasks.values().filter(|t| !t.ended()) {
             used.add(&t.spec.resources);
@@ -332,7 +324,7 @@
         now: Instant,
         gang_assembly_timeout: Duration,
         run_time: impl Fn(&TaskId) -> Duration,
-        shared_storage: &mut SharedStorage,
+        storage: &mut SharedStorage,
     ) {
         let mut changed = false;
         for ((task, _), t) in &mut self.tasks {
@@ -343,7 +335,7 @@
             let next = match t.phase {
                 TaskPhase::Fetching => {
                     self.images.insert(t.spec.image.clone());
-                    if shared_storage.done.contains(task) {
+                    if storage.done.contains(task) {
                         TaskPhase::Ended(ExitReason::Completed)
                     } else if gang {
                         t.until = now + gang_assembly_timeout;
@@ -355,7 +347,7 @@
                 }
                 TaskPhase::WaitingForGang => TaskPhase::Ended(ExitReason::GangIncomplete),
                 TaskPhase::Running if !gang => {
-                    shared_storage.done.insert(task.clone());
+                    storage.done.insert(task.clone());
                     TaskPhase::Ended(ExitReason::Completed)
                 }
                 TaskPhase::Checkpointing => TaskPhase::Ended(ExitReason::Stopped { stored: true }),
