--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Runs ticks for two seconds and applies each transaction. Returns the other actions.
+    /// Runs ticks for about two seconds and applies each transaction. Returns the other actions.
     pub fn settle(&mut self) -> Vec<Action> {
         let mut other_actions = Vec::new();
         for _ in 0..13 {
--- a/tests/common/keys.rs
+++ b/tests/common/keys.rs
@@ -17,8 +17,8 @@
 }
 
 impl StoreKeys {
-    /// Accepts a job: adds its entry in the index of live jobs and, if it is listed there, its entries in the
-    /// lists of dependents, and passes it to the leader.
+    /// Accepts a job: adds its entry in the index of live jobs and, if the job is listed as a
+    /// dependent, its entries in the lists of dependents, and passes it to the leader.
     pub fn accept(&mut self, fixture: &mut ClusterFixture, spec: JobSpec) {
         self.all.insert(live_job_key(&spec.job_id));
         if spec.listed_as_dependent {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// Settings with three teams: `red` and `blue` with a guarantee of 8 processors, `grey` with none.
+/// Settings with three teams: `red` and `blue` with a guarantee of 8 processors, `grey` with none. Each
+/// may use at most 32.
 pub fn config() -> SchedulerConfig {
     SchedulerConfig {
         teams: vec![
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -16,7 +16,7 @@
 
 impl Simulation {
     /// Adds a machine that is up after its boot time. Machines are assigned to the zones in rotation.
-    pub(super) fn add_machine(&mut self, boot: Duration, spot: bool) -> MachineId {
+    pub(super) fn add_machine(&mut self, boot_time: Duration, spot: bool) -> MachineId {
         self.machine_count += 1;
         let id = MachineId(format!("i-{:04}", self.machine_count));
         let zone = ZONES[self.machine_count as usize % ZONES.len()];
@@ -27,7 +27,7 @@
             type_and_capacity,
             zone.into(),
             spot,
-            self.now + boot,
+            self.now + boot_time,
         );
         self.workers.insert(id.clone(), worker);
         id
@@ -50,8 +50,8 @@
         let number = (number as usize).min(rentable_count);
         let mut machines = Vec::new();
         for _ in 0..number {
-            let boot = self.delay(500, 25_000);
-            machines.push(self.add_machine(boot, spot));
+            let boot_time = self.delay(500, 25_000);
+            machines.push(self.add_machine(boot_time, spot));
         }
         let after = self.delay(100, 1_500);
         let event = Event::RentalAnswered {
@@ -62,8 +62,8 @@
         self.schedule(after, event);
     }
 
-    /// Handles a leader's request to return machines. If the request is lost, the leader learns after 5 s
-    /// that it failed; in half of these cases the machines are returned nevertheless.
+    /// Handles a leader's request to return machines. If the answer is lost, the leader learns after 5 s
+    /// that the return failed; in half of these cases the machines are returned nevertheless.
     pub(super) fn return_machines(&mut self, leader_id: u64, machines: Vec<MachineId>) {
         let lost = self.rng.gen_bool(self.fault_rates.lost_returns);
         let is_carried_out = self.rng.gen_bool(0.5);
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -25,7 +25,7 @@
                 continue;
             }
             let is_lost = is_active(worker.outbound_partition_until, now);
-            let held_until = worker.partitioned_until.filter(|until| now < *until);
+            let partitioned_until = worker.partitioned_until.filter(|until| now < *until);
             let Some(heartbeat) = worker.take_due_heartbeat(now, interval) else {
                 continue;
             };
@@ -41,7 +41,8 @@
                 };
                 self.schedule(duplicate_delay, event);
             }
-            let after = held_until.map_or(request_delay, |until| until - now + request_delay);
+            let after =
+                partitioned_until.map_or(request_delay, |until| until - now + request_delay);
             let event = Event::Heartbeat {
                 heartbeat,
                 sent_at,
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -13,14 +13,17 @@
 /// Checks the invariants after each step.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// The machines on which each task was at the last check.
+    /// The machines on which each task was at the last check, to recognize the tasks that started since.
     previous_machines: BTreeMap<TaskId, BTreeSet<MachineId>>,
     /// When the cancellation of each cancelled job was confirmed to its user.
     pub cancelled: BTreeMap<JobId, Instant>,
 }
 
 impl InvariantChecker {
-    /// Checks all machines. Returns the violations, each as the name of the invariant and the cause.
+    /// Checks all machines. Returns the violations, each as the name of the invariant and the cause:
+    /// `ran_cancelled`, a task runs later than the deadline after its job was cancelled; `too_early`, a task
+    /// started before its dependencies were done; `ran_twice`, a task is on several machines; `wrong_place`,
+    /// a job that is bound to one zone runs in several; `quota`, a team exceeds its limit of processors.
     pub fn check<'a>(
         &mut self,
         now: Instant,
@@ -58,7 +61,7 @@
                         .spec
                         .dependencies
                         .iter()
-                        .any(|n| outcome(n) != Some(JobOutcome::Done))
+                        .any(|dependency| outcome(dependency) != Some(JobOutcome::Done))
                 {
                     violations.push(format!("too_early: {task}"));
                 }
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -109,7 +109,8 @@
         });
     }
 
-    /// Reads the changes to the queue and the outcomes of unresolved dependencies.
+    /// Sets the leader's clock readings. When a read is due and the leader is not cut off from the key-value
+    /// store, also reads the changes to the queue and the outcomes of unresolved dependencies.
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
         let read_interval = self.delay(100, 600);
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -31,7 +31,7 @@
     }
 
     /// Starts, completes and ends gangs as a whole. A gang runs once all members have their image, and its
-    /// members end if one is missing or paused.
+    /// running members end if one has ended or is paused.
     fn advance_gangs(&mut self) {
         let now = self.now;
         type Member = (MachineId, TaskId);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -62,7 +62,7 @@
     job_count: u64,
     next_listing_at: Instant,
     pub invariants: InvariantChecker,
-    /// Elections, resignations and failures of leaders with their times in seconds, for diagnosing a
+    /// Elections, step-downs and failures of leaders with their times in seconds, for diagnosing a
     /// violation.
     pub log: Vec<String>,
     /// Whether random jobs are submitted. If not, the only jobs are those of `submit_jobs`.
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -60,7 +60,7 @@
     pub spot: bool,
     /// How often the machine was booted, from 1.
     pub boot_count: u64,
-    /// The number of the worker's run since the boot, from 1. The expiry of the lease begins a new one.
+    /// The incarnation of the worker since the boot, from 1. The expiry of the lease begins a new one.
     pub incarnation: u64,
     /// The number of the last heartbeat, including those sent as responses to direct commands.
     pub serial: u64,
