--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -2,7 +2,7 @@
 //! only the outcomes of the jobs remain in the key-value store.
 
 use crate::common::dependency_jobs::{job_depending_on, job_id, job_ids};
-use crate::common::keys::Keys;
+use crate::common::keys::StoreKeys;
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
 use cypressgap::core::persistence::keys::{cancel_mark_key, dependents_key, live_job_key};
@@ -33,7 +33,7 @@
     // Whether the dependents form one chain, or all depend directly on the root.
     for chain in [true, false] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         fixture.heartbeat("i-1", 1, vec![]);
         keys.accept(&mut fixture, job_depending_on(0, &[]));
         for n in 1..=DEPENDENTS {
@@ -49,7 +49,7 @@
         let mut outcomes = 0;
         let mut write_allowance = 0.0;
         while outcomes < DEPENDENTS {
-            fixture.pass(Duration::from_millis(150));
+            fixture.advance(Duration::from_millis(150));
             write_allowance += f64::from(CHANGES_PER_SECOND) * 0.15;
             let changes_before = keys.changes;
             let root_indexed = keys.all.contains(&live_job_key(&job_id(0)));
@@ -81,7 +81,7 @@
         );
         complete_queue_read(&mut fixture);
         for _ in 0..2000 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             complete_queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
@@ -120,7 +120,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(job_depending_on(1, &[]));
         complete_queue_read(&mut fixture);
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         fixture
             .cluster
             .on_cancelled(fixture.now, &job_id(1), source);
@@ -145,9 +145,9 @@
         fixture.job(job_depending_on(2, &[1]));
         fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         let mut written = Vec::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         for step in 0..20 {
-            fixture.pass(Duration::from_millis(150));
+            fixture.advance(Duration::from_millis(150));
             if reported_by_peer && step == 2 {
                 fixture
                     .cluster
@@ -171,7 +171,7 @@
     // Whether the key-value store holds lists of dependents, as earlier versions write them.
     for listed_as_dependent in [false, true] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         let mut most_keys = 0;
         for chain in 0..2000u32 {
             let first = chain * 3 + 1;
@@ -197,7 +197,7 @@
                 });
             }
             for _ in 0..4 {
-                fixture.pass(Duration::from_millis(600));
+                fixture.advance(Duration::from_millis(600));
                 complete_queue_read(&mut fixture);
                 keys.tick(&mut fixture, 24);
             }
@@ -205,7 +205,7 @@
             most_keys = most_keys.max(key_count);
         }
         for _ in 0..100 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             complete_queue_read(&mut fixture);
             keys.tick(&mut fixture, 24);
         }
@@ -232,20 +232,20 @@
 fn dependents_lists_found_at_failover_are_removed() {
     for live in [true, false] {
         let mut fixture = ClusterFixture::new();
-        let mut keys = Keys::default();
+        let mut keys = StoreKeys::default();
         keys.all.insert(dependents_key(&job_id(1)));
         if live {
             fixture.job(job_depending_on(1, &[]));
         }
         fixture.cluster.load_dependents_list(&job_id(1));
         for _ in 0..10 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             keys.tick(&mut fixture, 24);
         }
         assert_eq!(keys.all.contains(&dependents_key(&job_id(1))), live);
         fixture.cluster.on_cancel_marked(fixture.now, &job_id(1));
         for _ in 0..10 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             keys.tick(&mut fixture, 24);
         }
         assert!(
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -209,7 +209,7 @@
 #[test]
 fn heartbeats_are_processed_but_not_answered_once_the_watermark_is_too_old() {
     let (mut fixture, attempt) = fixture_with_peer();
-    let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+    let tasks = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
     let bound = WatermarkBound::new(fixture.cluster.config.lease, fixture.cluster.config.cancel);
     fixture.heartbeat("i-1", 2, tasks());
     // The process keeps running, so no pause is detected.
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -23,7 +23,7 @@
 /// A leader without machines, far enough into its term that it knows this and may rent some.
 fn fixture_without_machines() -> ClusterFixture {
     let mut fixture = ClusterFixture::new();
-    fixture.pass(secs(10));
+    fixture.advance(secs(10));
     fixture
 }
 
@@ -82,7 +82,7 @@
         fixture.job(waits);
         let mut spot_requests = Vec::new();
         for n in 0..80 {
-            let running = shown(&task.job_id.0, task.index, attempt, TaskPhase::Running);
+            let running = task_status(&task.job_id.0, task.index, attempt, TaskPhase::Running);
             fixture.heartbeat("i-1", n + 2, vec![running]);
             for (idempotency_key, spot, _) in rentals(&fixture.settle()) {
                 spot_requests.push(spot);
@@ -115,7 +115,7 @@
     fixture
         .cluster
         .on_rental_result(fixture.now, &first[0].0, RentalOutcome::Unknown);
-    fixture.pass(secs(3));
+    fixture.advance(secs(3));
     assert_eq!(rentals(&fixture.settle()), first);
     fixture
         .cluster
@@ -157,7 +157,7 @@
         let mut t = machine_type("m8", 8.0);
         t.on_demand_price_per_hour = t.spot_price_per_hour;
         let mut fixture = ClusterFixture::with(scheduler_config, vec![t]);
-        fixture.pass(secs(10));
+        fixture.advance(secs(10));
         fixture.heartbeat("i-1", 1, vec![]);
         // The job uses all of the only machine.
         let mut job = spec("wk-000001", 1, 8.0);
@@ -180,7 +180,7 @@
         fixture.heartbeat(machine, 1, vec![]);
     }
     // All three fall silent at once, so the cause is more likely the leader's network than the machines.
-    fixture.pass(secs(25));
+    fixture.advance(secs(25));
     let returned = |fixture: &ClusterFixture| {
         fixture
             .cluster
@@ -202,7 +202,7 @@
     for machine in fixture.cluster.fleet.machines.values_mut() {
         machine.idle_since = None;
     }
-    fixture.pass(Duration::from_millis(1100));
+    fixture.advance(Duration::from_millis(1100));
     fixture.settle();
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].returning);
     assert_eq!(returned(&fixture), 1);
@@ -251,7 +251,7 @@
         for n in &names {
             fixture.heartbeat(n, 1, vec![]);
         }
-        fixture.pass(secs(8));
+        fixture.advance(secs(8));
         for n in &names[silent..] {
             fixture.heartbeat(n, 2, vec![]);
         }
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -1,7 +1,7 @@
 //! Failures that coincide with cancellations, task ends and a change of leader.
 
 use crate::common::fleet::SimulatedFleet;
-use crate::common::keys::Keys;
+use crate::common::keys::StoreKeys;
 use crate::common::*;
 use cypressgap::core::model::*;
 use cypressgap::core::persistence::records::{ChunkValue, Intent, JobOutcome, RecordValue};
@@ -24,7 +24,7 @@
 
 /// The status of a running task that was loaded by `load_intents`.
 fn running(job_id: &str, index: u32) -> TaskStatus {
-    shown(
+    task_status(
         job_id,
         index,
         AttemptId(100 + u64::from(index)),
@@ -123,18 +123,18 @@
             _ => false,
         })
     };
-    let ended = |i, a| shown("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
+    let ended = |i, a| task_status("wk-000001", i, a, TaskPhase::Ended(ExitReason::Completed));
     fixture.heartbeat(
         "i-1",
         2,
         vec![
             ended(1, AttemptId(101)),
-            shown("wk-000001", 2, last, TaskPhase::Running),
+            task_status("wk-000001", 2, last, TaskPhase::Running),
         ],
     );
     for second in 0..60 {
-        fixture.pass(secs(1));
-        let still_running = vec![shown("wk-000001", 2, last, TaskPhase::Running)];
+        fixture.advance(secs(1));
+        let still_running = vec![task_status("wk-000001", 2, last, TaskPhase::Running)];
         fixture.heartbeat("i-1", 10 + second, still_running);
         let actions = fixture.cluster.tick(fixture.now);
         assert!(!records_done(&actions), "one task still runs");
@@ -165,7 +165,7 @@
         fixture.heartbeat(
             "i-1",
             2,
-            vec![shown(
+            vec![task_status(
                 "wk-000001",
                 0,
                 attempt,
@@ -221,7 +221,7 @@
         let old = FencingToken::first(Term(TERM.0 - 1)).0;
         let mut returned = None;
         for second in 1..cancel {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             if heartbeats && second % 3 == 0 {
                 let tasks = vec![running("wk-000001", 0)];
                 let heartbeat = heartbeat_from("i-1", 1, 10 + second, old, tasks);
@@ -262,7 +262,7 @@
     let mut scheduler_config = config();
     scheduler_config.teams[0].cpus_max = None;
     let mut fleet = SimulatedFleet::new(scheduler_config, 12, 8.0);
-    let mut keys = Keys::default();
+    let mut keys = StoreKeys::default();
     let mut cancelled = Vec::new();
     let mut most_jobs = 0;
     for second in 0..SECONDS {
--- a/tests/scheduler/crash_loops.rs
+++ b/tests/scheduler/crash_loops.rs
@@ -29,14 +29,14 @@
     ];
     for (name, broken_jobs, faulty_machines, max_relaunches, min_found) in cases {
         let mut fleet = SimulatedFleet::new(config_without_limits(), 40, 8.0);
-        fleet.faulty = (0..faulty_machines)
+        fleet.faulty_machines = (0..faulty_machines)
             .map(|n| MachineId(format!("i-{:02}", n * 2)))
             .collect();
-        let machine_count = fleet.on.len();
+        let machine_count = fleet.tasks_by_machine.len();
         for n in 0..12 {
             let job_id = format!("wk-{n:06}");
             if n % 2 == 1 && n / 2 < broken_jobs {
-                fleet.broken.push(JobId(job_id.clone()));
+                fleet.failing_jobs.push(JobId(job_id.clone()));
             }
             fleet.fixture.job(spec(&job_id, 80, 1.0));
         }
@@ -45,7 +45,7 @@
         }
         for n in 0..12 {
             let job_id = JobId(format!("wk-{n:06}"));
-            if fleet.broken.contains(&job_id) {
+            if fleet.failing_jobs.contains(&job_id) {
                 let launched = fleet.launched.get(&job_id).copied().unwrap_or(0);
                 assert!(
                     launched <= 80 + max_relaunches,
@@ -61,9 +61,9 @@
             }
         }
         let returned: Vec<_> = fleet
-            .faulty
+            .faulty_machines
             .iter()
-            .filter(|h| !fleet.on.contains_key(h))
+            .filter(|h| !fleet.tasks_by_machine.contains_key(h))
             .collect();
         assert!(
             returned.len() >= min_found,
@@ -71,12 +71,12 @@
             returned.len()
         );
         assert_eq!(
-            fleet.on.len() + returned.len(),
+            fleet.tasks_by_machine.len() + returned.len(),
             machine_count,
             "{name}: no healthy machine was returned"
         );
         // A broken job ends soon after its cancellation.
-        for job_id in fleet.broken.clone() {
+        for job_id in fleet.failing_jobs.clone() {
             fleet
                 .fixture
                 .cluster
@@ -94,7 +94,7 @@
     // Nine of the twelve machines fail every task. A task that keeps running on one of the others shows that
     // the job can run, which clears the suspicion.
     let mut fleet = SimulatedFleet::new(config_without_limits(), 12, 8.0);
-    fleet.faulty = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
+    fleet.faulty_machines = (0..9).map(|n| MachineId(format!("i-{n:02}"))).collect();
     fleet.fixture.job(spec("wk-000001", 96, 1.0));
     let mut cleared_after_s = None;
     for second in 0..60 {
@@ -117,7 +117,7 @@
 #[test]
 fn nothing_is_rented_or_preempted_for_a_job_in_a_crash_loop() {
     let mut fleet = SimulatedFleet::new(config_without_limits(), 4, 8.0);
-    fleet.broken.push("wk-000001".into());
+    fleet.failing_jobs.push("wk-000001".into());
     let mut urgent = spec("wk-000001", 4, 8.0);
     urgent.priority = Priority::Production;
     fleet.fixture.job(urgent);
@@ -150,7 +150,7 @@
     assert_eq!(launched.len(), 2);
     let failures = launched
         .iter()
-        .map(|(_, t, a)| shown(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
+        .map(|(_, t, a)| task_status(&t.job_id.0, 0, *a, TaskPhase::Ended(ExitReason::Failed)))
         .collect();
     fixture.heartbeat("i-1", 5, failures);
     assert!(fixture.cluster.fleet.machines[&MachineId::from("i-1")].is_quarantined());
@@ -165,7 +165,7 @@
             &launched[0].0 .0, machine,
             "not on a machine where it failed before"
         );
-        let failure = shown(
+        let failure = task_status(
             "wk-000001",
             0,
             launched[0].2,
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -18,7 +18,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 4.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 5, tasks());
         let (last_renewal, token) = {
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
@@ -68,7 +68,7 @@
             .cluster
             .load_chunk(fixture.now, &"wk-000001".into(), 0, value, 90);
         let tasks = if listed {
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
@@ -87,7 +87,7 @@
             0
         );
         if !listed {
-            fixture.pass(secs(40));
+            fixture.advance(secs(40));
             fixture.cluster.tick(fixture.now);
             let attempt_on_record = fixture.active("wk-000001", 0);
             assert_eq!(
@@ -104,7 +104,7 @@
             1,
             41,
             machine.token.0,
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
         );
         fixture.cluster.on_heartbeat(fixture.now, live);
         let sent = launches(&fixture.settle());
@@ -120,8 +120,8 @@
 #[test]
 fn duplicates_from_before_the_term_prove_nothing_whatever_their_incarnation() {
     let attempt = AttemptId(7);
-    let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
-    let ended = |exit| vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
+    let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
+    let ended = |exit| vec![task_status("wk-000001", 0, attempt, TaskPhase::Ended(exit))];
     // The duplicates in the order of their arrival: incarnation, serial, and listed tasks.
     type Duplicates = Vec<(u64, u64, Vec<TaskStatus>)>;
     let cases: [(&str, Duplicates); 4] = [
@@ -189,7 +189,7 @@
     fixture.heartbeat("i-1", 1, vec![]);
     fixture.cluster.on_returned(fixture.now, &[first_machine()]);
     for late in [1, 30, 300] {
-        fixture.pass(secs(late));
+        fixture.advance(secs(late));
         let duplicate = heartbeat_from("i-1", 1, 900 + late, FencingToken::first(TERM).0, vec![]);
         assert_eq!(
             fixture.cluster.on_heartbeat(fixture.now, duplicate),
@@ -208,11 +208,11 @@
     fixture.heartbeat(
         "i-1",
         90,
-        vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+        vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     let old = fixture.cluster.fleet.machines[&first_machine()].token.0;
     // Its serials start again, so that its heartbeats look like duplicates at first.
-    fixture.pass(secs(9));
+    fixture.advance(secs(9));
     let HeartbeatDecision::Accept { token, .. } = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]))
@@ -224,7 +224,7 @@
         "a token that no copy of an earlier heartbeat carries"
     );
     assert!(fixture.active("wk-000001", 0).is_some());
-    fixture.pass(secs(1));
+    fixture.advance(secs(1));
     fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 2, token.0, vec![]));
@@ -244,7 +244,7 @@
         1,
         95,
         old,
-        vec![shown("wk-000001", 0, attempt, TaskPhase::Running)],
+        vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     fixture.cluster.on_heartbeat(fixture.now, duplicate);
     assert_eq!(fixture.cluster.fleet.machines[&first_machine()].serial, 2);
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -64,7 +64,7 @@
     let (mut fixture, _) = fixture_after_takeover();
     let mut returned = false;
     for _ in 0..20 {
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         for n in 0..3 {
             fixture.heartbeat("i-2", 100 + fixture.revision * 10 + n, vec![]);
         }
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -21,7 +21,7 @@
 }
 
 fn running(index: u32) -> TaskStatus {
-    shown("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
+    task_status("wk-000001", index, EARLIER_ATTEMPT, TaskPhase::Running)
 }
 
 /// A new leader that loaded these jobs, and intents for the first `intent_count` tasks of job `wk-000001`,
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -29,7 +29,7 @@
             heartbeat.endpoint = format!("10.0.{}.{n}:9", n / 8);
             fixture.cluster.on_heartbeat(fixture.now, heartbeat);
         }
-        fixture.pass(secs(1));
+        fixture.advance(secs(1));
         for action in fixture.cluster.tick(fixture.now) {
             match action {
                 Action::Return { machines } => returned.extend(machines),
@@ -89,7 +89,7 @@
         fixture.job(spec("wk-000001", 400, 8.0));
         let mut rented = 0;
         for _ in 0..4 {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             for action in fixture.cluster.tick(fixture.now) {
                 if let Action::Rent { number, .. } = action {
                     rented += number;
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -58,7 +58,7 @@
 }
 
 fn running(job_id: &str, index: u32) -> TaskStatus {
-    shown(job_id, index, ATTEMPT, TaskPhase::Running)
+    task_status(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
 /// The CPUs that count for the limit of team `red`.
@@ -85,7 +85,7 @@
             [0, 1]
                 .map(|i| {
                     let stopped = ExitReason::Stopped { stored: false };
-                    shown("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
+                    task_status("wk-000001", i, ATTEMPT, TaskPhase::Ended(stopped))
                 })
                 .to_vec(),
             8.0,
@@ -131,7 +131,7 @@
         1,
         vec![running("wk-000002", 0), running("wk-000002", 1)],
     );
-    let ended = shown(
+    let ended = task_status(
         "wk-000002",
         0,
         ATTEMPT,
@@ -272,7 +272,7 @@
             1,
             "the limit allows one task beside the member"
         );
-        let first = shown(
+        let first = task_status(
             "wk-000002",
             launched[0].1.index,
             launched[0].2,
@@ -399,11 +399,11 @@
     let launch = launches(&fixture.settle());
     let attempt = launch[0].2;
     let token_before = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
-    let run = shown("wk-000001", 0, attempt, TaskPhase::Running);
+    let run = task_status("wk-000001", 0, attempt, TaskPhase::Running);
     fixture.heartbeat("i-1", 2, vec![run]);
     // The machine is restarted within a heartbeat interval: its serials start again, and it has received no
     // token. A late copy of the launch would fit its incarnation, and it no longer knows the attempt.
-    fixture.pass(secs(1));
+    fixture.advance(secs(1));
     let answer = fixture
         .cluster
         .on_heartbeat(fixture.now, heartbeat_from("i-1", 1, 1, 0, vec![]));
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -30,7 +30,7 @@
     assert_eq!(state(&fixture, 0), Some(AttemptState::Confirmed));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Unreported));
     for _ in 0..8 {
-        fixture.pass(secs(3));
+        fixture.advance(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
@@ -39,7 +39,7 @@
     // The lease of i-0, which was answered, has expired after 30 s and the clock drift. i-1 has shown no
     // token of this term.
     for _ in 0..4 {
-        fixture.pass(secs(3));
+        fixture.advance(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!((state(&fixture, 0), usage_of_red(&fixture)), (None, 4.0));
@@ -63,7 +63,7 @@
     let mut gang = spec("wk-000001", 2, 4.0);
     gang.kind = JobKind::Gang;
     let mut fixture = fixture_after_takeover(config(), vec![gang], 2);
-    let waiting = shown("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
+    let waiting = task_status("wk-000001", 0, EARLIER_ATTEMPT, TaskPhase::WaitingForGang);
     fixture.heartbeat("i-0", 1, vec![waiting]);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -85,7 +85,7 @@
 #[test]
 fn unrecorded_tasks_that_are_not_adopted_are_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
-    let given_up = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
+    let given_up = task_status("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
     let first_token = FencingToken::first(TERM).0;
     // Name, token of the heartbeat, and the task that it lists.
     for (name, token, task) in [
@@ -113,7 +113,7 @@
 #[test]
 fn work_of_a_job_that_the_store_does_not_know_is_held_and_counts() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
-    let unknown_task = || shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    let unknown_task = || task_status("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     let unknown_job_id = JobId::from("wk-000077");
     let (_, commands) = fixture.heartbeat("i-9", 1, vec![unknown_task()]);
     fixture.heartbeat("i-8", 1, vec![]);
@@ -121,7 +121,7 @@
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
     // Serial of the heartbeat, seconds before the lookup, and whether the task is killed.
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
-        fixture.pass(secs(after));
+        fixture.advance(secs(after));
         fixture.cluster.on_job_statuses(
             fixture.now,
             &[(unknown_job_id.clone(), JobRecordStatus::NeverAccepted)],
@@ -173,7 +173,7 @@
         ..team("red", 8.0, 8.0)
     }];
     let mut fixture = fixture_after_takeover(scheduler_config, vec![spec("wk-000001", 1, 4.0)], 0);
-    let unknown_task = shown("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
+    let unknown_task = task_status("wk-000077", 0, EARLIER_ATTEMPT, TaskPhase::Running);
     fixture.heartbeat("i-9", 1, vec![unknown_task]);
     assert_eq!(launches(&fixture.settle()), vec![]);
     fixture.heartbeat("i-9", 2, vec![]);
@@ -210,7 +210,7 @@
             fixture.now,
             &[(job_id(), JobRecordStatus::Accepted(JobOutcome::Live))],
         );
-        fixture.pass(secs(10));
+        fixture.advance(secs(10));
     }
     assert!(fixture.cluster.takeover.holds_machine(&"i-9".into()));
 }
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -121,7 +121,7 @@
         fixture.job(spec("wk-000001", 1, 8.0));
         let launched = launches(&fixture.settle());
         let (machine, attempt) = (launched[0].0.clone(), launched[0].2);
-        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat(&machine.0, 2, tasks);
         fixture.cluster.set_leadership_confirmed(false);
         if cancelled {
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -28,13 +28,13 @@
         let mut serial = 5;
         let mut send_heartbeats = |fixture: &mut ClusterFixture| {
             for (machine, task, attempt) in [&first, &second] {
-                let running = vec![shown(&task.job_id.0, 0, *attempt, TaskPhase::Running)];
+                let running = vec![task_status(&task.job_id.0, 0, *attempt, TaskPhase::Running)];
                 fixture.heartbeat(&machine.0, serial, running);
             }
             serial += 1;
         };
         send_heartbeats(&mut fixture);
-        fixture.pass(secs(43));
+        fixture.advance(secs(43));
         send_heartbeats(&mut fixture);
         let mut waiting = spec("wk-000003", 1, 8.0);
         waiting.priority = Priority::High;
@@ -82,9 +82,9 @@
         victim(&mut job);
         fixture.job(job);
         let attempt = launches(&fixture.settle())[0].2;
-        let running = || vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let running = || vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, running());
-        fixture.pass(secs(ran_s));
+        fixture.advance(secs(ran_s));
         fixture.heartbeat("i-1", 3, running());
         let mut job = spec("wk-000002", 1, 8.0);
         waiting(&mut job);
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -16,11 +16,11 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks);
         let mut returned = Vec::new();
         for _ in 0..12 {
-            fixture.pass(secs(2));
+            fixture.advance(secs(2));
             if !paused {
                 returned.extend(returned_machines(&fixture.settle()));
             }
@@ -83,7 +83,7 @@
         fixture.heartbeat("i-1", 1, vec![]);
         fixture.job(spec("wk-000001", 1, 8.0));
         let attempt = launches(&fixture.settle())[0].2;
-        let tasks = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        let tasks = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", 2, tasks.clone());
         // A kill with a grace period is not sent yet.
         let job = fixture.cluster.jobs.get_mut(&"wk-000001".into()).unwrap();
@@ -91,7 +91,7 @@
             grace_period: secs(6),
             since: fixture.now,
         });
-        fixture.pass(secs(45));
+        fixture.advance(secs(45));
         if resumed {
             fixture.cluster.on_process_resumed(fixture.now);
         } else {
@@ -119,7 +119,7 @@
                 .required_token
                 .is_none());
             // After the pause the lease expires as usual.
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             for _ in 0..20 {
                 fixture.settle();
             }
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -58,7 +58,7 @@
     let mut job = spec("wk-000001", 8, 8.0);
     job.team = "grey".into();
     fixture.job(job);
-    fixture.pass(secs(200));
+    fixture.advance(secs(200));
     let mut job = spec("wk-000002", 1, 8.0);
     job.team = "blue".into();
     job.accepted_unix_ms = 200_000;
@@ -169,7 +169,10 @@
             });
         }
         let job_id = JobId::from("wk-900000");
-        let started_after = fleet.begun.get(&job_id).map(|t| t.duration_since(start));
+        let started_after = fleet
+            .first_launch
+            .get(&job_id)
+            .map(|t| t.duration_since(start));
         assert!(
             started_after.is_some_and(|t| t < secs(240 + 10)),
             "{name}: started after {started_after:?}"
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -50,7 +50,7 @@
             .0 as i64
             + token_offset;
         let tasks = if listed {
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Running)]
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)]
         } else {
             vec![]
         };
@@ -79,7 +79,7 @@
         // The process ticks all the time, because a lease does not expire during a pause of the process.
         fixture.run(30);
         assert!(fixture.active("wk-000001", 0).is_some(), "fenced {fenced}");
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         fixture.cluster.tick(fixture.now);
         assert_eq!(
             fixture.active("wk-000001", 0).is_none(),
@@ -99,7 +99,7 @@
     let lease = config().lease;
     // The answers to the worker were lost, so it began a new incarnation, which a response to direct commands
     // shows.
-    fixture.pass(lease);
+    fixture.advance(lease);
     let token = fixture.cluster.fleet.machines[&machine].token.0;
     let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
     fixture
@@ -122,7 +122,7 @@
         "the task of the old incarnation starts again"
     );
     let (_, task, attempt) = launched[0].clone();
-    fixture.pass(secs(5));
+    fixture.advance(secs(5));
     fixture.cluster.tick(fixture.now);
     let (on, still) = fixture
         .active(&task.job_id.0, task.index)
@@ -166,7 +166,7 @@
     let token = fixture.cluster.fleet.machines[&MachineId::from("i-1")]
         .token
         .0;
-    let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+    let running = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
     let direct = heartbeat_from("i-1", 1, 8, token, running);
     fixture
         .cluster
@@ -187,7 +187,7 @@
 fn a_task_is_forgotten_only_once_its_end_is_durable_and_then_with_a_raised_token() {
     let (mut fixture, attempt) = launched_task();
     let done = || {
-        vec![shown(
+        vec![task_status(
             "wk-000001",
             0,
             attempt,
@@ -225,7 +225,7 @@
         fixture.heartbeat(
             "i-1",
             5,
-            vec![shown("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
+            vec![task_status("wk-000001", 0, attempt, TaskPhase::Ended(exit))],
         );
         let job = &fixture.cluster.jobs[&JobId::from("wk-000001")];
         assert_eq!(job.done_count == 1, done, "{exit:?}");
@@ -244,14 +244,14 @@
 fn an_unknown_task_is_killed_once_its_job_is_known_to_be_over_and_an_unknown_end_forgotten() {
     let mut fixture = ClusterFixture::new();
     let job_id = JobId::from("wk-000009");
-    let running = || shown("wk-000009", 0, AttemptId(3), TaskPhase::Running);
-    let ended = shown(
+    let running = || task_status("wk-000009", 0, AttemptId(3), TaskPhase::Running);
+    let ended = task_status(
         "wk-000009",
         1,
         AttemptId(3),
         TaskPhase::Ended(ExitReason::Completed),
     );
-    fixture.pass(secs(2));
+    fixture.advance(secs(2));
     let (before, commands) = fixture.heartbeat("i-1", 1, vec![running(), ended]);
     assert!(
         matches!(commands[..], [TaskCommand::Forget { .. }]),
@@ -277,8 +277,8 @@
         .cluster
         .on_cancel_marked(fixture.now, &"wk-000001".into());
     for serial in 10..30 {
-        fixture.pass(secs(1));
-        let running = vec![shown("wk-000001", 0, attempt, TaskPhase::Running)];
+        fixture.advance(secs(1));
+        let running = vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)];
         fixture.heartbeat("i-1", serial, running);
         fixture.settle();
     }
@@ -288,7 +288,7 @@
 #[test]
 fn a_done_job_is_recorded_only_while_it_has_no_outcome() {
     let (mut fixture, attempt) = launched_task();
-    let done = shown(
+    let done = task_status(
         "wk-000001",
         0,
         attempt,
--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -113,12 +113,12 @@
         });
     }
     let idle_job = &JobId::from("wk-000001");
-    let begun = fleet
-        .begun
+    let first_launch = fleet
+        .first_launch
         .get(idle_job)
         .copied()
         .expect("the idle job starts");
-    assert!(begun < fleet.fixture.now - secs(60));
+    assert!(first_launch < fleet.fixture.now - secs(60));
     let (launched, done) = (
         fleet.launched[idle_job],
         fleet.done.get(idle_job).copied().unwrap_or(0),
--- a/tests/simulation/heartbeats.rs
+++ b/tests/simulation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats from workers to leaders, and the answers and commands that come back.
+//! Heartbeats from workers to leaders, their answers, and the commands that leaders send directly.
 
 use super::events::Event;
 use super::worker::{is_active, Worker};
@@ -9,14 +9,14 @@
 use std::time::Instant;
 
 impl Simulation {
-    /// Sends the heartbeats that are due. A duplicate may follow much later.
+    /// Sends the heartbeats that are due. The fault rates determine whether a duplicate follows later.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
-            let every = self.delay(2250, 3750);
+            let interval = self.delay(2250, 3750);
             let is_duplicated = self.rng.gen_bool(self.fault_rates.duplicate_heartbeats);
-            let forward = self.delay(5, 60);
+            let request_delay = self.delay(5, 60);
             let duplicate_delay = self.delay(2000, 40_000);
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
@@ -25,8 +25,8 @@
                 continue;
             }
             let is_lost = is_active(worker.outbound_partition_until, now);
-            let held = worker.partitioned_until.filter(|until| now < *until);
-            let Some(heartbeat) = worker.due_heartbeat(now, every) else {
+            let partitioned_until = worker.partitioned_until.filter(|until| now < *until);
+            let Some(heartbeat) = worker.take_due_heartbeat(now, interval) else {
                 continue;
             };
             if is_lost {
@@ -41,7 +41,8 @@
                 };
                 self.schedule(duplicate_delay, event);
             }
-            let after = held.map_or(forward, |until| until - now + forward);
+            let after =
+                partitioned_until.map_or(request_delay, |until| until - now + request_delay);
             let event = Event::Heartbeat {
                 heartbeat,
                 sent_at,
@@ -51,24 +52,25 @@
         }
     }
 
-    /// The leader that a worker's heartbeat reaches: mostly the newest.
+    /// The leader that receives a heartbeat: the newest, or with a probability of 0.3 the oldest if there are
+    /// several. `None`: no leader has loaded its state yet.
     pub(super) fn heartbeat_recipient(&mut self) -> Option<u64> {
         let now = self.now;
-        let ready: Vec<u64> = self
+        let ready_leaders: Vec<u64> = self
             .leaders
             .iter()
-            .filter(|l| l.ready <= now)
+            .filter(|l| l.ready_at <= now)
             .map(|l| l.id)
             .collect();
-        let old = ready.len() > 1 && self.rng.gen_bool(0.3);
-        if old {
-            ready.first().copied()
+        let reaches_oldest = ready_leaders.len() > 1 && self.rng.gen_bool(0.3);
+        if reaches_oldest {
+            ready_leaders.first().copied()
         } else {
-            ready.last().copied()
+            ready_leaders.last().copied()
         }
     }
 
-    /// A heartbeat reaches a leader, or a node that knows none.
+    /// Delivers a heartbeat to a leader. If there is none, the worker receives a refusal.
     pub(super) fn deliver_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -77,35 +79,36 @@
     ) {
         let machine = heartbeat.machine.clone();
         let incarnation = heartbeat.incarnation;
-        let back = self.delay(5, 60);
+        let answer_delay = self.delay(5, 60);
         let now = self.now;
         let Some(id) = self.heartbeat_recipient() else {
             if expects_answer {
-                self.schedule(back, Event::HeartbeatRefusal { machine, sent_at });
+                self.schedule(answer_delay, Event::HeartbeatRefusal { machine, sent_at });
             }
             return;
         };
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let given = leader.cluster.on_heartbeat(now, heartbeat);
-        if matches!(given, HeartbeatDecision::Superseded(_)) {
+        let decision = leader.cluster.on_heartbeat(now, heartbeat);
+        if matches!(decision, HeartbeatDecision::Superseded(_)) {
             self.depose(id);
         }
         if expects_answer {
             self.schedule(
-                back,
+                answer_delay,
                 Event::HeartbeatAnswer {
                     machine,
                     sent_at,
                     incarnation,
-                    answer: given,
+                    answer: decision,
                 },
             );
         }
     }
 
-    /// An answer reaches the worker, later if it is paused or cut off, or never.
+    /// Delivers the answer to a heartbeat. It is lost in an inbound partition, and delayed while the worker
+    /// is paused or partitioned. If the leader did not accept the heartbeat, the worker receives a refusal.
     pub(super) fn deliver_heartbeat_answer(
         &mut self,
         machine: MachineId,
@@ -120,7 +123,7 @@
         if is_active(worker.inbound_partition_until, now) {
             return;
         }
-        if let Some(until) = delivery_delayed_until(worker, now) {
+        if let Some(until) = delayed_until(worker, now) {
             let event = Event::HeartbeatAnswer {
                 machine,
                 sent_at,
@@ -132,20 +135,29 @@
         }
         match answer {
             HeartbeatDecision::Accept { token, commands } => {
-                worker.on_answer(now, sent_at, incarnation, token, &commands, &self.uploads);
+                worker.on_answer(
+                    now,
+                    sent_at,
+                    incarnation,
+                    token,
+                    &commands,
+                    &self.shared_storage,
+                );
             }
             _ => worker.on_refusal(now, sent_at),
         }
     }
 
-    /// Whether a command finds the machine since the same boot, or since a later boot that a leader has
-    /// answered. No fencing token shuts out what comes in between.
-    pub(super) fn command_applies(&self, machine: &MachineId, boot_count: u64) -> bool {
+    /// Whether to deliver a direct command: the machine has not restarted since it was sent, or the worker
+    /// has received a fencing token since the restart. In between, the worker's token is 0 and does not fence
+    /// off commands to the earlier boot, so the simulation drops them.
+    pub(super) fn is_command_deliverable(&self, machine: &MachineId, boot_count: u64) -> bool {
         let worker = self.workers.get(machine);
         worker.is_some_and(|w| w.boot_count == boot_count || w.token > FencingToken(0))
     }
 
-    /// A command reaches the worker, later if it is paused or cut off, or never.
+    /// Delivers direct commands. They are lost in an inbound partition or before the machine is up, and
+    /// delayed while the worker is paused or partitioned.
     pub(super) fn deliver_command(
         &mut self,
         machine: MachineId,
@@ -155,15 +167,15 @@
         leader: Option<u64>,
     ) {
         let now = self.now;
-        let back = self.delay(5, 60);
+        let answer_delay = self.delay(5, 60);
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
         if is_active(worker.inbound_partition_until, now) || now < worker.up_at {
             return;
         }
-        if let Some(until) = delivery_delayed_until(worker, now) {
-            // Its sender no longer waits by then, or soon will not.
+        if let Some(until) = delayed_until(worker, now) {
+            // The sender gets no response, as if the delay exceeded its timeout.
             let event = Event::Command {
                 machine,
                 token,
@@ -175,21 +187,21 @@
             self.schedule(until - now, event);
             return;
         }
-        worker.on_command(now, token, incarnation, &commands, &self.uploads);
-        let heartbeat = Some(worker.heartbeat(now));
+        worker.on_command(now, token, incarnation, &commands, &self.shared_storage);
+        let heartbeat = Some(worker.make_heartbeat(now));
         if let Some(leader) = leader {
             let event = Event::CommandAnswered {
                 machine,
                 leader,
                 heartbeat,
             };
-            self.schedule(back, event);
+            self.schedule(answer_delay, event);
         }
     }
 }
 
-/// Until when messages to a machine are held up.
-fn delivery_delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
+/// The time until which messages to a machine are delayed; `None` if they are not.
+fn delayed_until(worker: &Worker, now: Instant) -> Option<Instant> {
     [worker.paused_until, worker.partitioned_until]
         .into_iter()
         .flatten()
--- a/tests/simulation/leaders.rs
+++ b/tests/simulation/leaders.rs
@@ -1,7 +1,8 @@
-//! Leaders with the real core: election, reading the queue, and carrying out what they decide.
+//! Leaders that run the real core: their election, the events that they read, and the actions that they
+//! request.
 
 use super::events::Event;
-use super::store::Queued;
+use super::store::QueueChange;
 use super::worker::HEARTBEAT_TIMEOUT;
 use super::{ms, Simulation};
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
@@ -12,61 +13,63 @@
 use rand::Rng;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How long a leader that cannot reach the store may still hold itself for the leader.
+/// How long the leadership counts as confirmed after the connection to the key-value store was lost.
 pub(super) const LEADER_LEASE: Duration = Duration::from_secs(3);
 
-/// A node that leads, or believes so.
+/// A controller that leads, or that does not know yet that it was replaced.
 pub(super) struct Leader {
+    /// The leader's term.
     pub(super) id: u64,
     pub(super) cluster: ClusterState,
-    /// It acts from here on; before, it loads.
-    pub(super) ready: Instant,
+    /// When the leader has loaded its state. It takes no part in the simulation before.
+    pub(super) ready_at: Instant,
+    /// The store revision up to which the leader has read the queue.
     pub(super) queue_revision: u64,
-    pub(super) next_queue_read: Instant,
-    pub(super) next_tick: Instant,
-    /// Since when it cannot reach the store.
+    pub(super) next_queue_read_at: Instant,
+    pub(super) next_tick_at: Instant,
+    /// When the leader lost the connection to the key-value store; `None` while it is connected.
     pub(super) partitioned_since: Option<Instant>,
 }
 
 impl Simulation {
-    /// All controllers end; the first is back after this time.
+    /// Crashes all controllers. A new leader is elected after the outage.
     pub fn crash_all_controllers(&mut self, outage: Duration) {
         self.leaders.clear();
-        self.next_leader = Some(self.now + outage);
-        self.note(format!(
-            "all controllers end for {} s",
+        self.next_leader_at = Some(self.now + outage);
+        self.append_to_log(format!(
+            "all controllers crash for {} s",
             outage.as_secs_f64()
         ));
     }
 
-    /// The newest leader's cluster state, once it acts.
+    /// The newest leader's cluster state; `None` while it is still loading or if there is no leader.
     pub fn leader_state(&self) -> Option<&ClusterState> {
-        let newest = self.leaders.last().filter(|l| l.ready <= self.now)?;
+        let newest = self.leaders.last().filter(|l| l.ready_at <= self.now)?;
         Some(&newest.cluster)
     }
 
-    /// A leader by its number, unless it was deposed.
+    /// The leader of a term; `None` if it has crashed or stepped down.
     pub(super) fn leader(&mut self, id: u64) -> Option<&mut Leader> {
         self.leaders.iter_mut().find(|l| l.id == id)
     }
 
-    /// A leader that found a newer term stops.
+    /// Removes a leader that has noticed its successor.
     pub(super) fn depose(&mut self, id: u64) {
-        self.note(format!("leader {id} steps down"));
+        self.append_to_log(format!("leader {id} steps down"));
         self.leaders.retain(|l| l.id != id);
     }
 
-    /// Starts the next leader when it is due, and lets each leader that has loaded act.
+    /// Starts the next leader when it is due, and runs each leader that has loaded its state.
     pub(super) fn run_leaders(&mut self) {
-        if self.next_leader.is_some_and(|at| at <= self.now) {
-            self.next_leader = None;
+        if self.next_leader_at.is_some_and(|at| at <= self.now) {
+            self.next_leader_at = None;
             self.start_leader();
         }
         let now = self.now;
         let ids: Vec<u64> = self
             .leaders
             .iter()
-            .filter(|l| l.ready <= now)
+            .filter(|l| l.ready_at <= now)
             .map(|l| l.id)
             .collect();
         for id in ids {
@@ -75,42 +78,43 @@
         }
     }
 
-    /// A node wins the election and loads what the store holds.
+    /// Elects the leader of the next term, which loads the records of the key-value store.
     pub(super) fn start_leader(&mut self) {
         let now = self.now;
         let revision = self.store.take_leadership();
         self.last_term += 1;
-        let elapsed = (now - self.start).as_millis() as u64;
+        let elapsed_ms = (now - self.started_at).as_millis() as u64;
         let mut cluster = ClusterState::new(
             self.config.clone(),
             TermStart {
                 term: Term(self.last_term),
                 leader_revision: revision,
-                machine_types: self.types.clone(),
+                machine_types: self.machine_types.clone(),
                 started_at: now,
-                started_ms: elapsed,
+                started_ms: elapsed_ms,
             },
         );
         cluster.take_over(now, self.store.snapshot());
-        let ready = now + self.delay(0, 1500);
+        let ready_at = now + self.delay(0, 1500);
         let id = self.last_term;
-        self.note(format!("leader {id} takes over"));
+        self.append_to_log(format!("leader {id} takes over"));
         self.leaders.push(Leader {
             id,
             cluster,
-            ready,
+            ready_at,
             queue_revision: self.store.revision(),
-            next_queue_read: now,
-            next_tick: ready,
+            next_queue_read_at: now,
+            next_tick_at: ready_at,
             partitioned_since: None,
         });
     }
 
-    /// Reads the changes of the queue, and the outcomes of dependencies that are not known yet.
+    /// Sets the leader's clock readings. When a read is due and the leader is not cut off from the key-value
+    /// store, also reads the changes to the queue and the outcomes of unresolved dependencies.
     pub(super) fn read_queue(&mut self, id: u64) {
         let now = self.now;
-        let late = self.delay(100, 600);
-        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.start);
+        let read_interval = self.delay(100, 600);
+        let wall_clock = SystemTime::UNIX_EPOCH + (now - self.started_at);
         let Some(leader) = self.leaders.iter_mut().find(|l| l.id == id) else {
             return;
         };
@@ -118,14 +122,14 @@
             monotonic: now,
             wall_clock,
         });
-        if leader.partitioned_since.is_some() || now < leader.next_queue_read {
+        if leader.partitioned_since.is_some() || now < leader.next_queue_read_at {
             return;
         }
-        leader.next_queue_read = now + late;
-        for queued in self.store.queued_after(leader.queue_revision) {
-            match queued {
-                Queued::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
-                Queued::Cancelled(job_id) => {
+        leader.next_queue_read_at = now + read_interval;
+        for change in self.store.queue_changes_after(leader.queue_revision) {
+            match change {
+                QueueChange::Job(spec, revision) => leader.cluster.on_job(*spec, revision),
+                QueueChange::Cancelled(job_id) => {
                     leader
                         .cluster
                         .on_cancelled(now, &job_id, CancelSource::Watch);
@@ -147,20 +151,22 @@
         }
     }
 
-    /// A tick of the core, or between ticks what is due at once.
+    /// Runs a tick of the core or, between two ticks, requests the actions that have become possible.
     pub(super) fn tick(&mut self, id: u64) {
         let now = self.now;
         let allowance = self.rng.gen_range(2..=12);
         let Some(leader) = self.leader(id) else {
             return;
         };
-        let certain = leader
+        let leadership_confirmed = leader
             .partitioned_since
             .is_none_or(|t| now < t + LEADER_LEASE);
-        leader.cluster.set_leadership_confirmed(certain);
+        leader
+            .cluster
+            .set_leadership_confirmed(leadership_confirmed);
         leader.cluster.set_write_allowance(allowance);
-        let actions = if now >= leader.next_tick {
-            leader.next_tick = now + ms(200);
+        let actions = if now >= leader.next_tick_at {
+            leader.next_tick_at = now + ms(200);
             leader.cluster.tick(now)
         } else {
             leader.cluster.flush(now)
@@ -170,23 +176,23 @@
         }
     }
 
-    /// Hands an action of the core to the party that it concerns.
+    /// Passes an action of the core on to the component that carries it out.
     pub(super) fn perform(&mut self, id: u64, action: Action) {
         match action {
-            Action::Store(batch) => self.write(id, batch),
+            Action::Store(batch) => self.send_transaction(id, batch),
             Action::Send {
                 machine,
                 token,
                 incarnation,
                 commands,
                 ..
-            } => self.command(id, machine, token, incarnation, commands),
+            } => self.send_commands(id, machine, token, incarnation, commands),
             Action::Probe {
                 machine,
                 token,
                 incarnation,
                 ..
-            } => self.command(id, machine, token, incarnation, Vec::new()),
+            } => self.send_commands(id, machine, token, incarnation, Vec::new()),
             Action::Rent {
                 idempotency_key,
                 spot,
@@ -197,23 +203,24 @@
         }
     }
 
-    /// Sends a transaction to the store. It may be lost, late, or applied without an answer.
-    pub(super) fn write(&mut self, id: u64, batch: WriteBatch) {
-        let cut = self
+    /// Sends a transaction to the key-value store. If it is lost or late, or the leader is cut off from the
+    /// store, the leader learns after 1.5 s that the outcome is unknown.
+    pub(super) fn send_transaction(&mut self, id: u64, batch: WriteBatch) {
+        let is_partitioned = self
             .leader(id)
             .is_some_and(|l| l.partitioned_since.is_some());
         let lost = self.rng.gen_bool(self.fault_rates.lost_writes);
         let late = self.rng.gen_bool(self.fault_rates.late_writes);
-        let carried_out = self.rng.gen_bool(0.5);
-        let there = self.delay(5, 300);
+        let is_applied = self.rng.gen_bool(0.5);
+        let request_delay = self.delay(5, 300);
         let answer_delay = self.delay(5, 100);
-        if !(cut || lost || late) {
+        if !(is_partitioned || lost || late) {
             let write = Event::Write {
                 batch,
                 leader: Some(id),
                 answer_delay,
             };
-            self.schedule(there, write);
+            self.schedule(request_delay, write);
             return;
         }
         let unanswered = Event::WriteAnswered {
@@ -221,13 +228,13 @@
             outcome: WriteOutcome::Unknown,
         };
         self.schedule(ms(1500), unanswered);
-        if cut || (lost && !carried_out) {
+        if is_partitioned || (lost && !is_applied) {
             return;
         }
         let after = if late {
             self.delay(2_000, 12_000)
         } else {
-            there
+            request_delay
         };
         let write = Event::Write {
             batch,
@@ -237,8 +244,8 @@
         self.schedule(after, write);
     }
 
-    /// Sends commands to a machine, or a probe without any.
-    pub(super) fn command(
+    /// Sends direct commands to a machine; an empty list is a probe.
+    pub(super) fn send_commands(
         &mut self,
         id: u64,
         machine: MachineId,
@@ -247,9 +254,9 @@
         commands: Vec<TaskCommand>,
     ) {
         let late = self.rng.gen_bool(self.fault_rates.late_commands);
-        let (soon, later) = (self.delay(5, 60), self.delay(2_000, 16_000));
+        let (normal_delay, late_delay) = (self.delay(5, 60), self.delay(2_000, 16_000));
         let boot_count = self.workers.get(&machine).map_or(0, |w| w.boot_count);
-        // Whatever comes first counts, as with a sender that gives up.
+        // The timeout. The core evaluates whichever comes first, the response or the timeout.
         let unanswered = Event::CommandAnswered {
             machine: machine.clone(),
             leader: id,
@@ -264,10 +271,11 @@
             leader: (!late).then_some(id),
             boot_count,
         };
-        self.schedule(if late { later } else { soon }, command);
+        self.schedule(if late { late_delay } else { normal_delay }, command);
     }
 
-    /// The answer to a command, or none in time.
+    /// Passes the response to direct commands on to their sender; `heartbeat` is `None` after a timeout. The
+    /// leader steps down if the machine follows a later leader.
     pub(super) fn command_answered(
         &mut self,
         leader: u64,
@@ -286,7 +294,7 @@
         }
     }
 
-    /// A transaction reaches the store.
+    /// Applies a transaction to the key-value store, and answers it if the sender still waits.
     pub(super) fn apply_write(
         &mut self,
         batch: &WriteBatch,
@@ -299,7 +307,8 @@
         }
     }
 
-    /// The outcome of a transaction; it may show that the leader was replaced.
+    /// Passes the outcome of a transaction on to the leader, which steps down if the outcome shows that it
+    /// was replaced.
     pub(super) fn write_answered(&mut self, leader: u64, outcome: WriteOutcome) {
         let now = self.now;
         let status = match self.leader(leader) {
--- a/tests/simulation/machines.rs
+++ b/tests/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! The machines: their tasks as time passes, gangs, and evictions.
+//! The progress of the machines and their tasks with time, including gangs and evictions.
 
 use super::worker::is_active;
 use super::{ms, Simulation};
@@ -7,23 +7,31 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Lets time pass on all machines: evictions, leases, and tasks that go on to their next phase.
+    /// Advances all machines to the current time: removes evicted machines, expires leases, and moves tasks
+    /// to their next phase.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease) = (self.now, self.config.lease);
-        let wait = self.config.gang_assembly_timeout;
+        let gang_assembly_timeout = self.config.gang_assembly_timeout;
         self.workers
-            .retain(|_, w| w.eviction.is_none_or(|at| now < at));
+            .retain(|_, w| w.eviction_at.is_none_or(|at| now < at));
         for worker in self.workers.values_mut() {
             worker.check_lease(now, lease);
             if now >= worker.up_at && !is_active(worker.paused_until, now) {
-                let run = |task: &TaskId| self.fixed_run_time.unwrap_or_else(|| run_time(task));
-                worker.advance(now, wait, run, &mut self.uploads);
+                let task_run_time =
+                    |task: &TaskId| self.fixed_run_time.unwrap_or_else(|| run_time(task));
+                worker.advance(
+                    now,
+                    gang_assembly_timeout,
+                    task_run_time,
+                    &mut self.shared_storage,
+                );
             }
         }
         self.advance_gangs();
     }
 
-    /// Gangs start, end and break as a whole.
+    /// Starts, completes and ends gangs as a whole. A gang runs once all members have their image, and its
+    /// running members end if one has ended or is paused.
     fn advance_gangs(&mut self) {
         let now = self.now;
         type Member = (MachineId, TaskId);
@@ -41,10 +49,10 @@
             }
         }
         for ((job_id, attempt), members) in gangs {
-            let spec = self.uploads.jobs[&job_id].clone();
+            let spec = self.shared_storage.jobs[&job_id].clone();
             let complete = members.len() == spec.task_count as usize;
             for (machine, task) in members {
-                let run = run_time(&TaskId {
+                let gang_run_time = run_time(&TaskId {
                     job_id: job_id.clone(),
                     index: 0,
                 });
@@ -54,7 +62,7 @@
                 let state = worker
                     .tasks
                     .get_mut(&(task.clone(), attempt))
-                    .expect("a member");
+                    .expect("a gang member on this machine");
                 let next = match state.phase {
                     TaskPhase::WaitingForGang if complete => TaskPhase::Running,
                     TaskPhase::Running if !complete => {
@@ -66,9 +74,9 @@
                     _ => continue,
                 };
                 match next {
-                    TaskPhase::Running => state.until = now + run,
+                    TaskPhase::Running => state.until = now + gang_run_time,
                     TaskPhase::Ended(ExitReason::Completed) => {
-                        self.uploads.done.insert(task);
+                        self.shared_storage.done.insert(task);
                     }
                     _ => {}
                 }
@@ -79,7 +87,7 @@
     }
 }
 
-/// How long a task runs: the same in every attempt.
+/// The run time of a task, 1 to 26 s. It depends on the task's id only and is the same in every attempt.
 fn run_time(task: &TaskId) -> Duration {
     let number = task.job_id.0.bytes().map(u64::from).sum::<u64>() + u64::from(task.index) * 7;
     ms(1_000 + (number * 977) % 25_000)
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! The users: they submit and cancel jobs.
+//! Simulated users, who submit and cancel jobs.
 
 use super::Simulation;
 use crate::common::secs;
@@ -8,27 +8,29 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Jobs of a team, with so many tasks each.
+    /// Submits batch jobs of a team, each with `task_count` tasks of `cpus` processors.
     pub fn submit_jobs(&mut self, jobs: u64, team: &str, task_count: u32, cpus: f64) {
         for _ in 0..jobs {
-            self.jobs += 1;
-            let mut spec = crate::common::spec(&format!("wk-{:06}", self.jobs), task_count, cpus);
+            self.job_count += 1;
+            let mut spec =
+                crate::common::spec(&format!("wk-{:06}", self.job_count), task_count, cpus);
             spec.team = team.into();
             spec.checkpoint_interval = Duration::ZERO;
             spec.image_gb = 0.5;
             self.store.accept(spec.clone());
-            self.uploads
+            self.shared_storage
                 .jobs
                 .insert(spec.job_id.clone(), Arc::new(spec));
         }
     }
 
-    pub(super) fn submit(&mut self) {
+    /// Submits a random job at an average rate of 0.6 per second, unless `submits_jobs` is false.
+    pub(super) fn submit_random_job(&mut self) {
         if !self.submits_jobs || !self.occurs(0.6) {
             return;
         }
-        self.jobs += 1;
-        let job_id = format!("wk-{:06}", self.jobs);
+        self.job_count += 1;
+        let job_id = format!("wk-{:06}", self.job_count);
         let gang = self.rng.gen_bool(0.2);
         let task_count = match self.rng.gen_range(0..10) {
             _ if gang => self.rng.gen_range(2..=4),
@@ -53,31 +55,32 @@
         if self.rng.gen_bool(0.4) {
             spec.checkpoint_interval = Duration::ZERO;
         }
-        let whole = if gang { f64::from(task_count) } else { 1.0 };
-        if whole * cpus > 16.0 {
-            spec.resources = crate::common::resources(16.0 / whole);
+        let tasks_at_once = if gang { f64::from(task_count) } else { 1.0 };
+        if tasks_at_once * cpus > 16.0 {
+            spec.resources = crate::common::resources(16.0 / tasks_at_once);
         }
-        spec.accepted_unix_ms = (self.now - self.start).as_millis() as u64;
-        if self.jobs > 5 && self.rng.gen_bool(0.2) {
-            let needed = self.rng.gen_range(self.jobs - 5..self.jobs);
-            let needed = JobId(format!("wk-{needed:06}"));
-            if self.uploads.jobs.contains_key(&needed) {
-                spec.dependencies = vec![needed];
+        spec.accepted_unix_ms = (self.now - self.started_at).as_millis() as u64;
+        if self.job_count > 5 && self.rng.gen_bool(0.2) {
+            let dependency = self.rng.gen_range(self.job_count - 5..self.job_count);
+            let dependency = JobId(format!("wk-{dependency:06}"));
+            if self.shared_storage.jobs.contains_key(&dependency) {
+                spec.dependencies = vec![dependency];
             }
         }
         if self.store.accept(spec.clone()) {
             let job_id = spec.job_id.clone();
-            self.uploads.jobs.insert(job_id, Arc::new(spec));
+            self.shared_storage.jobs.insert(job_id, Arc::new(spec));
         }
     }
 
-    pub(super) fn cancel(&mut self) {
-        if !self.occurs(self.fault_rates.cancellations) || self.jobs == 0 {
+    /// Cancels one of the last 20 jobs at the rate `cancellations`. A job that is over stays as it is.
+    pub(super) fn cancel_random_job(&mut self) {
+        if !self.occurs(self.fault_rates.cancellations) || self.job_count == 0 {
             return;
         }
-        let back = self.rng.gen_range(0..self.jobs.min(20));
-        let job_id = JobId(format!("wk-{:06}", self.jobs - back));
-        if self.uploads.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
+        let offset = self.rng.gen_range(0..self.job_count.min(20));
+        let job_id = JobId(format!("wk-{:06}", self.job_count - offset));
+        if self.shared_storage.jobs.contains_key(&job_id) && self.store.cancel(&job_id) {
             self.invariants.cancelled.insert(job_id, self.now);
         }
     }
--- a/tests/stored_formats/records.rs
+++ b/tests/stored_formats/records.rs
@@ -145,7 +145,7 @@
     assert_eq!(loaded.fetch_ratio(&"g8".into()), 0.5);
     // The idempotency key of a rental, which the cloud keeps.
     let mut fixture = ClusterFixture::new();
-    fixture.pass(secs(10.0));
+    fixture.advance(secs(10.0));
     fixture.job(spec("wk-000001", 1, 4.0));
     let idempotency_keys = fixture
         .settle()
--- a/tests/zone_constraints.rs
+++ b/tests/zone_constraints.rs
@@ -153,7 +153,7 @@
         let (run_time, lease) = (secs(20), fixture.cluster.config.lease);
         let start = fixture.now;
         while !fixture.cluster.jobs.is_empty() && fixture.now - start < secs(400) {
-            fixture.pass(secs(1));
+            fixture.advance(secs(1));
             serial += 1;
             let second = (fixture.now - start).as_secs();
             if second == 8 {
@@ -199,7 +199,7 @@
                     } else {
                         TaskPhase::Running
                     };
-                    listed.push(shown("wk-000001", *index, *attempt, phase));
+                    listed.push(task_status("wk-000001", *index, *attempt, phase));
                 }
                 heartbeat_in_zone(&mut fixture, id, incarnations[id], serial, listed);
             }
@@ -290,7 +290,7 @@
     fixture.job(job);
     let mut elapsed = Duration::ZERO;
     for _ in 0..4 {
-        fixture.pass(secs(2));
+        fixture.advance(secs(2));
         let started_at = Instant::now();
         fixture.cluster.tick(fixture.now);
         elapsed += started_at.elapsed();
@@ -355,7 +355,7 @@
         );
         let listed = [0, 1].map(|index| {
             let attempt = AttemptId(100 + u64::from(index));
-            shown("wk-000001", index, attempt, TaskPhase::Running)
+            task_status("wk-000001", index, attempt, TaskPhase::Running)
         });
         heartbeat_in_zone(&mut fixture, "i-9", 1, 1, listed.to_vec());
         for machine in ["i-2", "i-3"] {
