--- a/crates/model/src/tokens.rs
+++ b/crates/model/src/tokens.rs
@@ -25,7 +25,8 @@
     pub fn term(self) -> Term {
         Term(self.0 >> TOKEN_SEQUENCE_BITS)
     }
-    /// The token with the next sequence number. It is of the same term unless all 24 bits were used up.
+    /// The token of the same term with the next sequence number. Callers must not call this on a token with
+    /// the highest 24-bit sequence number: the result would be the first token of the next term.
     pub fn next(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -27,26 +27,28 @@
 /// A piece of evidence about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// A heartbeat of its machine lists it.
+    /// A heartbeat of the attempt's machine lists the attempt.
     Reported,
-    /// A heartbeat does not list it and shows this term's fencing token, so it was sent after the term began.
+    /// A heartbeat does not list the attempt and shows this term's fencing token, so the heartbeat was sent
+    /// after the term began.
     NotReported,
-    /// A heartbeat does not list it and shows an earlier token, so it may be a delayed or duplicated message.
+    /// A heartbeat does not list the attempt and shows an earlier token, so the heartbeat may be a delayed or
+    /// duplicated message.
     NotReportedPossiblyEarlier,
-    /// Its machine has missed heartbeats.
+    /// The attempt's machine has missed heartbeats.
     MachineSilent,
     /// Its machine's lease has certainly expired, or the machine is gone.
     LeaseExpired,
-    /// A record of it was written.
+    /// A record of the attempt was written.
     Recorded,
 }
 
 /// Whether a heartbeat was certainly sent after the term began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HeartbeatOrigin {
-    /// It shows this term's fencing token, or its machine did not exist before the term.
+    /// The heartbeat shows this term's fencing token, or its machine did not exist before the term.
     ThisTerm,
-    /// It may be a delayed or duplicated message from before the term.
+    /// The heartbeat may be a delayed or duplicated message from before the term.
     PossiblyEarlier,
 }
 
--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -229,8 +229,8 @@
     }
 }
 
-/// The time until a command may be repeated. The jitter is derived from a hash instead of a random number, so
-/// that runs are reproducible.
+/// The minimum time from the sending of a command to its repetition. The jitter is derived from a hash
+/// instead of a random number, so that runs are reproducible.
 fn retry_delay(machine: &MachineId, command: &PacedCommand, repeats: u32) -> Duration {
     let mut hasher = FnvHasher::default();
     (machine, command, repeats).hash(&mut hasher);
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -59,7 +59,7 @@
     phase: TakeoverPhase,
     recorded: usize,
     settled: usize,
-    /// The times until attempts were settled, in milliseconds.
+    /// The times from the beginning of the term until attempts were settled, in milliseconds.
     settling_times: Histogram<u64>,
     mostly_reconciled_after: Option<Duration>,
     first_command_after: Option<Duration>,
@@ -191,17 +191,21 @@
     pub took: Duration,
     /// The number of attempts that were on record.
     pub recorded: usize,
-    /// The number of those that have been settled.
+    /// The number of attempts that were on record and have been settled.
     pub settled: usize,
-    /// The median time until an attempt was settled. `None`: none was.
+    /// The median of the times from the beginning of the term until an attempt was settled. `None`: no
+    /// attempt was settled.
     pub settled_p50: Option<Duration>,
-    /// The 95th percentile of the time until an attempt was settled. `None`: none was.
+    /// The 95th percentile of the times from the beginning of the term until an attempt was settled. `None`:
+    /// no attempt was settled.
     pub settled_p95: Option<Duration>,
-    /// The time until 95% of all attempts on record were settled. `None`: fewer are so far.
+    /// The time from the beginning of the term until 95% of all attempts on record were settled. `None`:
+    /// fewer than 95% are settled so far.
     pub mostly_reconciled_after: Option<Duration>,
-    /// The time until the first command was sent. `None`: none was.
+    /// The time from the beginning of the term until the first command was sent. `None`: no command was sent.
     pub first_command_after: Option<Duration>,
-    /// The time until the most recent command was sent. `None`: none was.
+    /// The time from the beginning of the term until the latest launch, kill or forget command was sent.
+    /// `None`: no command was sent.
     pub last_command_after: Option<Duration>,
     /// The number of commands that were sent.
     pub commands: u64,
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,4 +1,5 @@
-//! The states of the attempts that were on record when a term began.
+//! The states of the attempts that were on record when a term began. An attempt is on record if a record in
+//! the key-value store names it.
 //!
 //! An attempt is added when its record is read, and removed once this term has launched it again, or it has
 //! ended or was proved gone. Attempts that this term creates itself are never added.
@@ -69,7 +70,7 @@
         *self.counts.count_mut(state) += 1;
     }
 
-    /// The state of an attempt; `None` if it is this term's own, or was removed.
+    /// The state of an attempt; `None` if this term created the attempt, or it was removed.
     pub fn state(
         &self,
         machine: &MachineId,
@@ -81,7 +82,7 @@
     }
 
     /// Applies a heartbeat of a machine. `lists`: whether the heartbeat lists an attempt. Returns how many
-    /// attempts were settled by it.
+    /// attempts the heartbeat settled.
     pub fn observe_heartbeat(
         &mut self,
         machine: &MachineId,
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Applies evidence about all attempts on a machine. Returns how many were settled by it.
+    /// Applies evidence about all attempts on a machine. Returns how many attempts it settled.
     pub fn observe_machine(&mut self, machine: &MachineId, evidence: Evidence) -> usize {
         self.observe(machine, |_, _| evidence)
     }
@@ -131,7 +132,7 @@
         Some(removed.state)
     }
 
-    /// The machines with attempts on record.
+    /// The machines for which an attempt was added by [`Reconciliation::record`] and not removed since.
     pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.keys()
     }
--- a/crates/recovery/src/segments.rs
+++ b/crates/recovery/src/segments.rs
@@ -15,7 +15,7 @@
 pub struct NamedSegment {
     /// The name in the settings and in log lines.
     pub name: String,
-    /// The network that contains the addresses of its machines.
+    /// The network that contains the addresses of the segment's machines.
     pub net: IpNet,
 }
 
@@ -40,7 +40,8 @@
     }
 }
 
-/// The prefix lengths of derived segments, in bits.
+/// The lengths, in bits, of the IP address prefixes by which machines outside of all named segments are
+/// grouped into derived segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DerivedPrefixes {
     /// For IPv4 addresses, from 0 to 32.
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The segment of an endpoint, `ADDRESS:PORT`. [`Segment::Unknown`]: it cannot be parsed.
+    /// The segment of an endpoint, `ADDRESS:PORT`. [`Segment::Unknown`]: the endpoint cannot be parsed.
     pub fn of_endpoint(&self, endpoint: &str) -> Segment {
         match endpoint.parse::<SocketAddr>() {
             Ok(address) => self.of_address(address.ip()),
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -27,9 +27,10 @@
 /// The status of a job according to the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredJobStatus {
-    /// Accepted and not over: its record has not reached this leader yet, or cannot be read.
+    /// The job was accepted and is not over. This leader does not know the job because the job's record has
+    /// not arrived yet or cannot be read.
     Live,
-    /// Its terminal state is durable, so all of its tasks were proved ended or gone before.
+    /// The job's terminal state is durable, so all tasks of the job were proved ended or gone before.
     Over,
     /// The store denies the job: it was never accepted, or the store was restored to a state from before its
     /// acceptance.
@@ -40,16 +41,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Disposition {
-    /// They keep running, and occupy their machine, until more is known.
+    /// The tasks keep running, and occupy their machine, until more is known about the job.
     Hold,
-    /// They are killed under a raised fencing token.
+    /// The tasks are killed under a raised fencing token.
     Kill,
 }
 
 /// The unknown jobs whose tasks are listed by one heartbeat.
 #[derive(Debug)]
 pub struct ListedJobs {
-    /// Whether the heartbeat was certainly sent in this term.
+    /// Whether the heartbeat was certainly sent after the term of this leader began.
     pub origin: HeartbeatOrigin,
     /// The unknown jobs. Empty: the heartbeat lists no tasks of unknown jobs.
     pub jobs: BTreeSet<JobId>,
@@ -65,12 +66,12 @@
 #[derive(Clone, Copy, Debug)]
 struct UnknownJob {
     first_listed_at: Instant,
-    /// The result of the last successful lookup. `None`: there was none.
+    /// The result of the last successful lookup. `None`: no lookup has succeeded.
     status: Option<StoredJobStatus>,
     /// The number of denials since the last lookup with another result.
     denials: u32,
     last_denied_at: Option<Instant>,
-    /// The number of machines that list tasks of it.
+    /// The number of machines that list tasks of the job.
     machines: usize,
 }
 
@@ -154,7 +155,7 @@
         new
     }
 
-    /// Removes a machine that lists no such task any more, or is gone.
+    /// Removes a machine that lists no tasks of unknown jobs any more, or is gone.
     pub fn remove_machine(&mut self, machine: &MachineId) {
         let Some(listed) = self.machines.remove(machine) else {
             return;
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -39,7 +39,7 @@
 /// Whether a cascade writes the outcomes of dependents that have none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CascadeMode {
-    /// Cancel the dependents without an outcome.
+    /// Cancel the direct and indirect dependents that have no outcome.
     Cancel,
     /// Only find out which dependents are cancelled.
     ReadOnly,
@@ -299,7 +299,7 @@
 }
 
 /// Returns those of these accepted jobs that are cancelled. Stops after the first chunk that contains a job
-/// that is not.
+/// that is not cancelled.
 fn cancelled_among(context: &ApiContext, job_ids: &[JobId]) -> Result<Vec<JobId>, StoreError> {
     let mut cancelled = Vec::new();
     for chunk in job_ids.chunks(context.config.transaction_limits.status_reads()) {
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -1,7 +1,8 @@
 //! The parts of a node that the API's handlers use.
 //!
-//! `ApiContext` holds the key-value store, the caches and the settings that handlers read and write. The two
-//! traits are calls to the runtime's threads. The runtime implements them, so the API does not depend on it.
+//! `ApiContext` holds the settings that handlers read, and the key-value store and the caches that handlers
+//! read and write. The two traits are calls to the runtime's threads. The runtime implements the traits, so
+//! the API does not depend on the runtime.
 
 use crate::api::live_index::LiveIndex;
 use crate::api::responses::ApiResponse;
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -21,7 +21,8 @@
 use std::time::{Duration, Instant};
 
 /// The capacity of the heartbeat queue, per allowed connection. It is large because all workers send at once
-/// after a failover. A heartbeat that finds the queue full is refused, and its worker retries a second later.
+/// after a failover. A heartbeat that finds the queue full is refused, and the worker machine that sent it
+/// retries a second later.
 const WAITING_HEARTBEATS_PER_CONNECTION: f64 = 0.5;
 /// The capacity of the queue of submissions and cancellations.
 const MAX_WAITING_USER_REQUESTS: usize = 64;
@@ -29,8 +30,8 @@
 const HEARTBEAT_THREADS: usize = 4;
 /// The maximum number of heartbeats that one thread handles together.
 pub const MAX_HEARTBEATS_PER_BATCH: usize = 48;
-/// A heartbeat that has been queued for longer than this is refused, because its worker waits only 4 s for
-/// the response.
+/// A heartbeat that has been queued for longer than this is refused, because the worker machine that sent it
+/// waits only 4 s for the response.
 const MAX_HEARTBEAT_AGE: Duration = Duration::from_millis(2500);
 /// A connection is closed after this many heartbeat intervals without input, but not before
 /// [`MIN_IDLE_TIMEOUT`].
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// Groups queries by the job that they ask about. Answers those that are stale or have an invalid job id.
+/// Groups queries by the job that they ask about. Queries that are older than [`MAX_USER_REQUEST_AGE`] or
+/// have an invalid job id are answered at once, and are not in the result.
 fn group_by_job(context: &ApiContext, batch: Vec<Request>) -> BTreeMap<JobId, Vec<Request>> {
     let mut by_job: BTreeMap<JobId, Vec<Request>> = BTreeMap::new();
     for request in batch {
@@ -103,8 +104,9 @@
     }
 }
 
-/// Looks up statuses at this node and, if that fails for another reason than the rate limit, at a peer. Jobs
-/// whose status could not be determined are absent from the result.
+/// Looks up statuses at this node. If a call to the key-value store fails, asks a peer for the statuses that
+/// are still missing, except if the store's rate limit was the reason. Jobs whose status could not be
+/// determined are absent from the result.
 fn look_up_with_peer(
     context: &ApiContext,
     reader: &BudgetedReader<'_>,
@@ -172,8 +174,9 @@
     }
 }
 
-/// Removes cancelled jobs whose cancellation is not confirmed, that is, not all of whose dependents are
-/// cancelled. If the check fails, removes all cancelled jobs and returns the error.
+/// Removes from `found` each cancelled job whose cancellation is not confirmed, that is, at least one of the
+/// job's direct and indirect dependents is not cancelled yet. If the check fails, removes all cancelled jobs
+/// and returns the error.
 fn withhold_unconfirmed(
     context: &ApiContext,
     found: &mut HashMap<JobId, JobRecordStatus>,
@@ -221,7 +224,7 @@
     found
 }
 
-/// Answers a peer's status queries, one result per job id in `names`, in the same order. They are not
+/// Answers a peer's status queries, one result per job id in `names`, in the same order. The queries are not
 /// forwarded to another peer. Invalid ids and jobs whose status could not be determined are answered as
 /// unknown.
 pub fn answer_peer(context: &ApiContext, names: &[String]) -> Vec<PeerJobStatus> {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -47,8 +47,10 @@
     }
 }
 
-/// Checks that a job's team exists, that some offered machine type can run a task of the job, and that the
-/// least resources with which the job can run stay within the team's limit.
+/// Checks that a job's team exists, that at least one machine type that the job allows is large enough for a
+/// task and offered in a zone that the job allows, and that the job alone fits within the team's limits. The
+/// job counts with the resources of one task if it is a job array, or of all tasks if it is a gang. The
+/// team's current usage does not count.
 pub fn check_job(
     spec: &JobSpec,
     teams: &[Team],
@@ -75,8 +77,8 @@
     }
 }
 
-/// Whether the job allows this machine type and one of the zones where it is offered, and a task fits an
-/// empty machine of this type.
+/// Whether the job allows this machine type and one of the zones where this type is offered, and a task of
+/// the job fits on an empty machine of this type.
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.allows_type(&machine_type.name)
         && spec.resources.fits(&machine_type.capacity)
--- a/src/core/capacity/offer.rs
+++ b/src/core/capacity/offer.rs
@@ -7,6 +7,6 @@
 pub(super) struct MachineOffer {
     pub(super) machine_type: MachineTypeName,
     pub(super) zone: Zone,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the offered machines are spot machines, which the cloud may reclaim.
     pub(super) spot: bool,
 }
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -30,11 +30,12 @@
     Rent { offer: MachineOffer, number: u32 },
 }
 
-/// The number of on-demand machines of one type.
+/// The on-demand machines of one type that have reported and are not being drained or returned.
 #[derive(Clone, Copy, Default)]
 struct OnDemandMachines {
     count: u32,
-    /// The number of those that are expensive and run tasks, all of which may run on spot machines.
+    /// The number of these machines that are expensive (see [`is_expensive`]) and have at least one task, and
+    /// whose tasks may all run on spot machines.
     replaceable: u32,
 }
 
@@ -187,8 +188,8 @@
         expensive.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    /// The free resources that remain on spot machines after taking all tasks of this machine. `None`: they
-    /// do not fit, or one of them may not run on a spot machine.
+    /// The free resources that remain on spot machines after taking all tasks of this machine. `None`: the
+    /// tasks do not fit, or one of them may not run on a spot machine.
     fn pack_on_spot(&self, machine: &Machine, free: &[Resources]) -> Option<Vec<Resources>> {
         let mut free_after = free.to_vec();
         for (task, resources) in &machine.placed_tasks {
--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -32,7 +32,8 @@
 /// The age of the watermark up to which heartbeats are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatermarkBound {
-    /// Heartbeats are answered while the watermark is younger than this; at least [`MIN_MAX_AGE`].
+    /// The leader answers machines' heartbeats only while the watermark is younger than this.
+    /// [`WatermarkBound::new`] sets it to [`MIN_MAX_AGE`] or more.
     pub max_age: Duration,
     /// Whether lease expiry ends every task of a cancelled job within `cancel_s` under this bound.
     pub ends_tasks_in_time: bool,
@@ -123,7 +124,8 @@
     pub is_continuous: bool,
 }
 
-/// The period in which all cancellations confirmed by one peer are known from its reports.
+/// A period for which this leader knows, from the reports of one peer, all cancellations that the peer
+/// confirmed to users during the period.
 #[derive(Clone, Copy, Debug)]
 struct CoveredPeriod {
     since: ClockReading,
--- a/src/core/persistence/backoff.rs
+++ b/src/core/persistence/backoff.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// The interval between the first and the second lookup of a job.
+/// The interval between the first and the second lookup of a job's status.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// The maximum interval between two lookups of a job.
+/// The maximum interval between two lookups of the same job's status.
 const MAX_INTERVAL: Duration = Duration::from_secs(60);
 /// The factor by which each interval is longer than the previous one.
 const INTERVAL_FACTOR: u32 = 2;
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -145,8 +145,8 @@
         Room::Left
     }
 
-    /// Adds the outcome of a job whose dependency was cancelled. The job has been blocked since its
-    /// acceptance, so none of its tasks is running.
+    /// Adds the outcome `Cancelled` of a job whose dependency was cancelled, if it is time for the leader to
+    /// write it. The job itself has been blocked since its acceptance, so none of its tasks is running.
     fn add_cascaded(&mut self, job: &Job, now: Instant) -> Room {
         if !job.is_cascade_due(now, LEADER_CASCADE_DELAY) {
             return Room::Left;
--- a/src/core/persistence/records.rs
+++ b/src/core/persistence/records.rs
@@ -19,7 +19,8 @@
 /// An upper bound on the size of a chunk's value in which every task has an attempt.
 pub(super) const FULL_CHUNK_VALUE_BYTES: usize =
     CHUNK_VALUE_FIXED_BYTES + CHUNK_VALUE_BYTES_PER_ATTEMPT * TASKS_PER_CHUNK as usize;
-/// The smallest size to which the leader lowers the limit on the size of a value.
+/// The leader's limit on the size of a value never falls below this. The leader halves the limit when the
+/// store refuses a transaction that has the minimum number of changes.
 pub(super) const MIN_VALUE_BYTES: usize =
     CHUNK_VALUE_FIXED_BYTES + CHUNK_VALUE_BYTES_PER_ATTEMPT * MIN_ATTEMPTS_PER_CHUNK;
 
@@ -30,7 +31,7 @@
     attempts.clamp(MIN_ATTEMPTS_PER_CHUNK, TASKS_PER_CHUNK as usize) as u32
 }
 
-/// Whether an accepted job has ended, and how.
+/// The state of an accepted job: not ended, or the way in which it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// The job has not ended. Only earlier versions write a record for this state.
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -43,12 +43,13 @@
 const MAX_RUN_TIME_S: f64 = 1e6;
 /// Bound of the absolute natural logarithm of measured over expected run time.
 const MAX_ABS_LOG_BIAS: f64 = 3.0;
-/// Lower bound of a fetch rate in GB per second, and upper bound of an estimated fetch time in seconds.
+/// Lower bound of an image fetch rate in GB per second, and upper bound of an estimated image fetch time in
+/// seconds.
 const MIN_FETCH_RATE_GB_PER_S: f64 = 0.01;
 const MAX_FETCH_TIME_S: f64 = 1e5;
-/// Shorter fetches are ignored, since their times are measured too coarsely.
+/// Image fetches shorter than this are ignored, since their times are measured too coarsely.
 const MIN_COUNTED_FETCH_TIME_S: f64 = 0.5;
-/// Bounds of the ratio of measured to nominal fetch rate.
+/// Bounds of the ratio of measured to nominal image fetch rate.
 const MIN_FETCH_RATIO: f64 = 0.05;
 const MAX_FETCH_RATIO: f64 = 3.0;
 /// Entries with at most this many measurements are removed when the run time table grows too large.
@@ -61,7 +62,7 @@
     run_times: HashMap<u64, Average>,
     /// Natural logarithm of measured over expected run time, by class.
     log_estimate_bias: HashMap<u64, Average>,
-    /// Ratio of measured to nominal fetch rate, by machine type.
+    /// Ratio of measured to nominal image fetch rate, by machine type.
     fetch_ratios: HashMap<u64, Average>,
     /// Measurements were added since the last summary.
     dirty: bool,
@@ -247,6 +248,6 @@
     pub runs: Vec<SummaryEntry>,
     /// Natural logarithms of measured over expected run time, by class.
     pub bias: Vec<SummaryEntry>,
-    /// Ratios of measured to nominal fetch rate, by machine type.
+    /// Ratios of measured to nominal image fetch rate, at most one entry for each machine type.
     pub fetch: Vec<SummaryEntry>,
 }
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -21,12 +21,12 @@
 /// A job whose tasks wait too long, so that other tasks may be preempted for them.
 struct Preemptor<'a> {
     job: &'a Job,
-    /// The number of its tasks that wait too long.
+    /// The number of tasks of the job that wait too long.
     tasks: usize,
     /// The expected time from now until the first of these tasks ends if nothing is preempted for it.
-    /// `None` if no machine is expected to have resources for them.
+    /// `None` if no machine is expected to have resources for any of these tasks.
     shortest_time_to_end: Option<Duration>,
-    /// The job is within its team's guarantee.
+    /// The preemptor's job is within its team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     within_guarantee: bool,
 }
 
@@ -34,7 +34,7 @@
 struct Victim<'a> {
     task: &'a TaskId,
     job: &'a Job,
-    /// The job is within its team's guarantee.
+    /// The victim's job is within its team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     within_guarantee: bool,
     /// Seconds of lost work, including the restart, times the dominant share of the machine that the task
     /// uses.
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -72,6 +72,8 @@
     pub(in crate::core) slots: &'a [Slot<'a>],
     /// Expected image fetch rate in GB per second, by the index of the machine type in the fleet.
     pub(in crate::core) fetch_rates_gb_per_s: &'a [f64],
+    /// Jobs whose whole demand fits into their team's guarantee together with that of the team's unfinished
+    /// jobs that arrived earlier.
     pub(in crate::core) jobs_within_guarantee: &'a HashSet<&'a JobId>,
     /// Job arrays with waiting tasks that only their team's limit holds back.
     pub(in crate::core) quota_limited_jobs: &'a [&'a JobId],
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -19,8 +19,8 @@
 /// The usage of one team and its candidate victims.
 #[derive(Default)]
 struct TeamWorkload<'a> {
-    /// The team's usage without tasks that are being stopped, plus the resources of all waiting tasks of
-    /// the preemptors handled so far.
+    /// The resources that the team uses, without those of tasks that are being stopped, plus the resources
+    /// of all waiting tasks of those preempting jobs that were handled so far.
     used: Resources,
     /// Tasks that may be preempted, the cheapest last.
     victims: Vec<Victim<'a>>,
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -1,6 +1,6 @@
 //! The score of a machine for a task: the expected wait for free resources, plus the expected run time,
-//! plus the time to fetch the image. Two corrections are added to that: [`SUCCESSOR_START_DELAY`] if the
-//! machine is busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need it.
+//! plus the time to fetch the image. Two corrections are added to this sum: [`SUCCESSOR_START_DELAY`] if the
+//! machine is busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need the machine.
 //!
 //! The tasks of one job are alike, so all machines are scored once per job and kept in a heap. After each
 //! placement only the machine that took the task is scored again. The choice is the same as if each task
@@ -18,7 +18,7 @@
 /// A waiting task must request at least this many times the CPUs of a smaller task for the smaller one to
 /// avoid machines that the larger one needs.
 const MUCH_LARGER_FACTOR: f64 = 4.0;
-/// Added to the score of such a machine for the smaller task.
+/// Added to the score of a machine for a task if a much larger waiting task needs the machine.
 const LARGER_TASKS_PENALTY: Duration = Duration::from_secs(3);
 
 /// Whether a waiting task that is much larger than `resources` fits on a machine of this type.
@@ -120,8 +120,9 @@
             .collect()
     }
 
-    /// Scores one slot for the tasks of a group. Returns `None` if the task never fits there, or if its
-    /// team is over its fair share while a task of a team that is not has a reservation on the slot.
+    /// Scores one slot for a task of a group; the lowest score is the best. Returns `None` if the task does
+    /// not fit on the slot even after all expected releases, or if the group's team is over its fair share
+    /// and another team, which is not over its own, has a reservation on the slot.
     pub(super) fn score(
         &self,
         now: Instant,
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -40,7 +40,8 @@
     pub(super) free: Resources,
     /// Free resources less this round's starts and reservations; a component may be negative.
     pub(super) free_unreserved: Resources,
-    /// Ends of running tasks, of this round's starts and of reservations, by time.
+    /// The expected ends of tasks on the machine, of tasks started in this round, and of reservations, the
+    /// earliest first.
     releases: Vec<ExpectedRelease>,
     /// When the machine is expected to have booted. `None` if it is up.
     pub(super) ready_at: Option<Instant>,
@@ -207,7 +208,7 @@
         up.max(now + MIN_REMAINING_BOOT_TIME)
     }
 
-    /// The expected ends of the tasks on a machine, by time.
+    /// The expected ends of the tasks on a machine, the earliest first.
     fn expected_releases(
         &self,
         now: Instant,
@@ -234,8 +235,8 @@
     }
 }
 
-/// How long an attempt is expected to keep its resources. `fetch` returns the remaining time until its
-/// image is fetched.
+/// How long from `now` an attempt is expected to keep its resources. `fetch` returns the time from `now`
+/// until the attempt's image is fetched.
 fn expected_remaining(
     now: Instant,
     attempt: &ActiveAttempt,
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -12,14 +12,14 @@
 /// A higher average timer lag shows that a node cannot keep up. A worker's heartbeat incurs several such
 /// delays on its way there and back, and the worker waits 4 s for the answer.
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
-/// With a lower timer lag a node keeps up easily, and the limit is raised.
+/// With a lower timer lag a node keeps up easily, and the start rate limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
-/// The fractions by which the limit falls and rises per second.
+/// The fractions by which the start rate limit falls and rises per second.
 const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
 const RATE_INCREASE_FRACTION_PER_S: f64 = 0.15;
-/// The limit never falls below this, because timers can be late for reasons other than starts.
+/// The start rate limit never falls below this, because timers can be late for reasons other than starts.
 const MIN_STARTS_PER_S: f64 = 20.0;
-/// A limit higher than this multiple of the recent start rate is removed, since it has no effect.
+/// A start rate limit above this multiple of the recent start rate is removed, since it has no effect.
 const UNLIMITED_RATE_FACTOR: f64 = 4.0;
 /// Longer intervals between two lag observations count as this long.
 const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
@@ -31,10 +31,11 @@
 /// A token bucket for task starts, whose rate follows the timer lag of the nodes.
 #[derive(Debug)]
 pub struct StartLimiter {
-    /// The limit; infinite if there is none.
+    /// The rate of task starts in the whole fleet above which tasks of ordinary jobs have to wait. Infinite:
+    /// starts are not limited.
     starts_per_s: f64,
-    /// Starts that are still allowed. Infinite if there is no limit; negative if jobs that the limit does
-    /// not apply to started more tasks than were left.
+    /// The number of task starts that are still allowed. Infinite if starts are not limited; negative if
+    /// jobs that are exempt from the limit started more tasks than were allowed.
     tokens: f64,
     /// Exponentially weighted average of the start rate.
     recent_starts_per_s: f64,
@@ -57,7 +58,7 @@
 }
 
 impl StartLimiter {
-    /// Adjusts the limit to `lag`, the timer lag of the slowest node.
+    /// Adjusts the start rate limit to `lag`, the timer lag of the slowest node.
     pub fn observe_timer_lag(&mut self, now: Instant, lag: Duration) {
         let Some(last) = self.last_lag_observed_at.replace(now) else {
             return;
@@ -110,7 +111,7 @@
     }
 
     /// The number of tasks that may start in this round before ordinary jobs have to wait; `usize::MAX`
-    /// if there is no limit.
+    /// if starts are not limited.
     #[must_use]
     pub fn available(&self) -> usize {
         if self.tokens.is_finite() {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The current limit in starts per second, or `None` if there is none.
+    /// The current limit in task starts per second, or `None` if starts are not limited.
     #[must_use]
     pub fn limit(&self) -> Option<f64> {
         self.is_limited().then_some(self.starts_per_s)
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneUse {
     tasks_by_zone: BTreeMap<Zone, u32>,
-    /// The zone of at least one task is unknown, so it could be any zone.
+    /// The zone of at least one active task of the job is unknown. That task could be in any zone.
     has_unknown_zone: bool,
 }
 
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -52,8 +52,9 @@
 }
 
 impl ActiveAttempt {
-    /// The command that ends the attempt. None: no kill was requested, or the attempt is saving a checkpoint
-    /// within its grace period.
+    /// The kill command to send for the attempt. None: no kill was requested, or the attempt is saving a
+    /// checkpoint already and the kill request still has a grace period. Some time after the grace period has
+    /// passed, the kill request's grace period is set to zero, and the kill is sent again.
     fn kill_command(&self, now: Instant, task: &TaskId) -> Option<TaskCommand> {
         let kill = self.kill_request.as_ref()?;
         let is_checkpointing = self.observed_phase == Some(TaskPhase::Checkpointing);
--- a/src/core/reconciliation/direct_commands.rs
+++ b/src/core/reconciliation/direct_commands.rs
@@ -28,7 +28,8 @@
         match self.on_worker_status(now, &status, StatusSource::CommandResponse) {
             HeartbeatDecision::Superseded(term) => Some(term),
             HeartbeatDecision::Accept { commands, .. } => {
-                // Forget commands can wait for the next heartbeat; launches and kills cannot.
+                // Forget commands only stop the agent from listing ended attempts, so they can wait for the
+                // next heartbeat. Launches and kills cannot.
                 let is_urgent =
                     |command: &TaskCommand| !matches!(command, TaskCommand::Forget { .. });
                 if commands.iter().any(is_urgent) {
--- a/src/core/reconciliation/machine_status.rs
+++ b/src/core/reconciliation/machine_status.rs
@@ -11,7 +11,7 @@
     /// Whether this is the first message of the machine in this term, or its incarnation differs from the
     /// previous message's.
     new_incarnation: bool,
-    /// Whether this is the first message that announces the eviction of the machine.
+    /// Whether this heartbeat announces the eviction of the machine and none before it did in this term.
     new_eviction: bool,
 }
 
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Loads a chunk of a job's tasks. The attempts in it may be on their machines, even if they are not
-    /// reported.
+    /// Loads a chunk of a job's tasks. Each attempt in the chunk counts as placed on its machine until it is
+    /// proved gone, even if no heartbeat of the machine lists it.
     pub fn load_chunk(
         &mut self,
         now: Instant,
--- a/src/core/state/actions.rs
+++ b/src/core/state/actions.rs
@@ -6,7 +6,7 @@
 /// An action that the core requests from the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send commands directly to a machine's agent.
+    /// Send commands to a machine's agent at once, instead of with the answer to its next heartbeat.
     Send {
         /// The machine whose agent is to receive the commands.
         machine: MachineId,
@@ -64,7 +64,8 @@
         /// The commands to send with the answer; none for an outdated heartbeat.
         commands: Vec<TaskCommand>,
     },
-    /// Do not answer: the heartbeat is from a machine that was returned. Nothing of it was applied.
+    /// Do not answer: the heartbeat is from a machine that was returned to the cloud. The heartbeat was not
+    /// applied.
     Ignore,
     /// Do not answer, although the heartbeat was applied unless it is outdated. An answer would renew the
     /// lease, and the lease could expire too late for a cancellation that this leader does not know of.
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -14,7 +14,7 @@
 pub(in crate::core) struct Assignment<'a> {
     /// The job that the task belongs to. If it is not live, nothing is assigned.
     pub(in crate::core) job_id: &'a JobId,
-    /// The task's index in its job.
+    /// The task's index in its job, from 0.
     pub(in crate::core) task_index: u32,
     /// The machine that is to run the task. If it is not known, nothing is assigned.
     pub(in crate::core) machine: &'a MachineId,
--- a/src/core/state/cancellation.rs
+++ b/src/core/state/cancellation.rs
@@ -45,12 +45,13 @@
     }
 
     /// The job's records may be removed only once a read of the queue was sent after this time. `None` if
-    /// they may be removed without one.
+    /// the records may be removed without such a read.
     pub fn needs_read_after(&self) -> Option<Instant> {
         self.needs_read_after
     }
 
-    /// Records that a source showed the cancellation. Returns whether it was not known before.
+    /// Records that the leader learned of the cancellation from `source` at `now`. Returns true if the leader
+    /// had not learned of it from any source before.
     pub(in crate::core) fn record(&mut self, now: Instant, source: CancelSource) -> bool {
         match source {
             CancelSource::Watch => (self.marked, self.needs_read_after) = (true, None),
--- a/src/core/state/crash_loop.rs
+++ b/src/core/state/crash_loop.rs
@@ -11,7 +11,8 @@
 /// The number of machines on which tasks of a job must have failed for the job to be suspected. Two machines
 /// may be faulty by chance.
 const MIN_FAILED_MACHINES: usize = 3;
-/// The same number for a job that has shown that it can run. Many machines may become faulty at once.
+/// The number of machines on which tasks must have failed if the job has shown that it can run. It is higher
+/// because many machines may become faulty at once.
 const MIN_FAILED_MACHINES_IF_PROVEN: usize = 12;
 /// The delay before the first retry of a suspected job; each failed retry doubles it, up to
 /// [`MAX_RETRY_DELAY`].
@@ -23,7 +24,8 @@
 /// [`OUTLIVING_MARGIN`].
 const OUTLIVING_FACTOR: u32 = 3;
 const OUTLIVING_MARGIN: Duration = Duration::from_secs(4);
-/// Each suspicion that was cleared in this way doubles the required run time, up to this number of doublings.
+/// Each suspicion that was cleared because a task ran for the required time doubles the required time, up to
+/// this number of doublings.
 const MAX_OUTLIVING_DOUBLINGS: u32 = 8;
 /// The base of the delay after a worker refused a launch because it did not know the job. Each refusal in a
 /// row doubles it, including the first one: the delay grows from 1 s to 16 s.
@@ -45,11 +47,11 @@
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// It counts against the job, which was suspected of a crash loop before.
+    /// The failure counts against the job, which was suspected of a crash loop before.
     SuspectedJob,
-    /// It counts against the job, which is suspected of a crash loop from now on.
+    /// The failure counts against the job, which is suspected of a crash loop from now on.
     NewlySuspectedJob,
-    /// It counts against the machine.
+    /// The failure counts against the machine.
     Machine,
 }
 
@@ -64,7 +66,8 @@
     shortest_failure: Option<Duration>,
     /// The number of suspicions that were cleared because a task went on running.
     times_cleared: u32,
-    /// A task completed, or ran for far longer than the others took to fail, since the last suspicion arose.
+    /// Since the last suspicion arose, a task of the job completed, or ran for far longer than the shortest
+    /// time in which a task failed.
     proven: bool,
     suspected: bool,
     failed_retries: u32,
@@ -139,8 +142,8 @@
         was_suspected
     }
 
-    /// Records that a task ran for far longer than the others took to fail. Each time doubles the run time
-    /// that is required the next time.
+    /// Records that a task ran for [`CrashLoop::outliving_time`]. Each call doubles the time that the next
+    /// task must run.
     pub(in crate::core) fn record_outliving(&mut self) {
         self.times_cleared += 1;
     }
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -140,8 +140,9 @@
         true
     }
 
-    /// Takes the jobs that were added, or that lost a dependent by a cancellation, since the last call. Their
-    /// inherited ranks have to be computed again.
+    /// Takes the jobs that were added, or that lost a dependent by a cancellation, since the last call. The
+    /// priorities and deadlines that these jobs and their direct and indirect dependencies inherit from their
+    /// dependents have to be computed again.
     pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -24,7 +24,8 @@
 /// checkpoint duration plus [`CHECKPOINT_LEAD_MARGIN`].
 const CHECKPOINT_LEAD_FACTOR: f64 = 1.3;
 const CHECKPOINT_LEAD_MARGIN: Duration = Duration::from_secs(2);
-/// The grace period of such a task ends this long before the eviction, unless its checkpoint takes longer.
+/// The grace period of a task that is stopped before an eviction ends this long before the eviction, unless
+/// the task's checkpoint takes longer.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
 /// A task without checkpoints is killed at once, to run elsewhere, if its estimated remaining run time
 /// exceeds this multiple of the time until the eviction.
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -17,8 +17,8 @@
 /// The path of watches in the key-value store. The store delays its response until there is a change, so the
 /// duration of these calls is not recorded as latency.
 const LONG_POLL_PATH: &str = "/follow";
-/// The limit for all idle connections of a client, as a multiple of its limit for those to the service's
-/// address.
+/// The maximum number of all idle connections of a client, as a multiple of the client's maximum number of
+/// idle connections to the service's address.
 const TOTAL_IDLE_LIMIT_FACTOR: usize = 8;
 
 /// Why a call failed to return a response.
@@ -47,7 +47,8 @@
     }
 }
 
-/// Configuration of a client: the service's address and the connections to it.
+/// Configuration of a client of one service: the address, the time limit for connecting, and the maximum
+/// number of idle connections.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpClientConfig {
     /// The address at which the service listens.
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariants: a connection has at most one request in progress, so responses are sent in the order of the
 //! requests. Every request is answered; one that is dropped without a response gets 503. The number of open
-//! connections does not exceed the limit.
+//! connections does not exceed the configured maximum.
 
 use crate::common::stop_signal::StopSignal;
 use std::time::Duration;
--- a/src/net/wire/store.rs
+++ b/src/net/wire/store.rs
@@ -80,7 +80,8 @@
     Leader(StoredLeader),
     /// The list of a job's dependents, for nodes of the previous version.
     Dependents(StoredDependents),
-    /// The number of the latest term, or the mark of a cancelled job.
+    /// Under the term key: the number of the latest term. Under the key of a job's cancellation mark: 1,
+    /// since only the presence of the key matters.
     Number(u64),
     /// The machine types, as the cloud last listed them.
     Types(WireMachineTypes),
@@ -167,7 +168,8 @@
 /// The response to `GET /follow`: the changes after a revision.
 #[derive(Deserialize)]
 pub struct WatchResponse<T> {
-    /// The revision up to which the response contains all changes. The watch continues from there.
+    /// The revision up to which the response contains all changes. The next watch request asks for the
+    /// changes after this revision.
     #[serde(rename = "LedgerRev")]
     pub revision: u64,
     /// The changes, oldest first. Empty: nothing changed while the store waited.
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// The outcome of a job that has ended; `None` if it is not known here or may not be reported to users
+    /// The outcome of a job that has ended. `None` if this node does not know that the job has ended, or if
+    /// the job was cancelled and the cancellation is not confirmed, so that it may not be reported to users
     /// yet.
     pub fn final_outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
         self.outcomes.get(job_id).copied()
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -52,7 +52,8 @@
     /// Accepted jobs, outcomes and progress.
     pub jobs: JobCache,
     peers: PeerTable,
-    /// When the calls to the key-value store began to fail; `None` while they are answered.
+    /// When the calls to the key-value store began to fail, or when this node started if no call has been
+    /// answered yet. `None` if the last call passed to [`NodeView::record_store_call`] was answered.
     store_failing_since: Option<Instant>,
     /// Until when no other node can have taken this node's leadership. It is checked by both clocks, because
     /// one of them may stop while the process is paused. `None` before the first lease.
@@ -224,7 +225,8 @@
 
 /// Acceptance and outcomes of jobs.
 impl NodeView {
-    /// The outcome of a job that has ended; `None` if it is not known here or may not be reported to users
+    /// The outcome of a job that has ended. `None` if this node does not know that the job has ended, or if
+    /// the job was cancelled and the cancellation is not confirmed, so that it may not be reported to users
     /// yet.
     pub fn final_outcome(&self, job_id: &JobId) -> Option<JobOutcome> {
         self.read().jobs.final_outcome(job_id)
@@ -316,7 +318,7 @@
         self.read().peers.peer_demand(member, now)
     }
 
-    /// The live peers, sorted by member name.
+    /// The live peers, that is, those with a recent status report, sorted by member name.
     pub fn live_peers(&self, now: Instant) -> Vec<LivePeer> {
         self.read().peers.live(now)
     }
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -16,7 +16,7 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Interval between attempts to take a token from the rate limiter.
+/// Interval between attempts to take a token from the rate limiter for calls to the cloud.
 const RATE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest time between two checks for due reads when no wakeup arrives.
 const READ_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
@@ -54,8 +54,8 @@
 }
 
 /// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the
-/// rented machines. It is not allowed if, in addition, the process resumed recently: the order may have
-/// waited during the pause, and its term may be over.
+/// rented machines. A rental is not allowed if, in addition, the process resumed recently: the order may have
+/// waited during the pause, and the term of the order may be over.
 fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
     let may_rent =
         context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -39,7 +39,8 @@
 pub struct NodeContext {
     /// The platform's and the operators' settings, which are fixed while the process runs.
     pub settings: Settings,
-    /// The limits that the key-value store sets for one transaction.
+    /// The maximum number of changes in one transaction of the key-value store, and the maximum size of one
+    /// value.
     pub transaction_limits: TransactionLimits,
     /// Latencies of calls and rounds.
     pub meters: LatencyMeters,
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -1,6 +1,6 @@
 //! The server for requests of the other controllers.
 //!
-//! Each connection is served by its own thread. Connections above the limit are closed immediately. A user's
+//! Each connection is served by its own thread. Connections beyond the maximum are closed at once. A user's
 //! request that a peer has forwarded is not forwarded a second time.
 
 use crate::api::context::ApiContext;
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -34,10 +34,10 @@
 const QUEUE_READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Interval between searches for obsolete lists of dependents.
 const LIST_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Timeout of such a search, which delays the watch.
+/// Timeout of a search for obsolete lists of dependents, which delays the watch.
 const LIST_SWEEP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The decoded value of a key in the queue.
+/// The decoded value of a key in the queue: the record of a job, or any other value, which is not used.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum QueueValue {
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -226,8 +226,8 @@
     }
 }
 
-/// Starts the threads of the core, of the writer of its transactions, of the senders of its commands, and of
-/// its status lookups.
+/// Starts the thread of the core, and the threads that write the core's transactions, send its commands to
+/// agents, and look up the statuses of jobs that have tasks on machines but no record known to the core.
 fn start_core(
     threads: &mut Threads,
     context: &Arc<NodeContext>,
