--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -142,7 +142,7 @@
             };
             self.takeover
                 .record(intent.machine.clone(), task.clone(), intent.attempt);
-            self.quota_usage.enter(task.clone(), &team, resources);
+            self.quota_usage.add_attempt(task.clone(), &team, resources);
             let machine = self.loaded_machine(now, intent.machine);
             machine.placed_tasks.insert(task, resources);
             machine.used.add(&resources);
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -58,7 +58,7 @@
                 .record_fetch(now, job.image, job.spec.image_gb);
         }
         self.quota_usage
-            .enter(job.task(task_index), &job.spec.team, resources);
+            .add_attempt(job.task(task_index), &job.spec.team, resources);
         self.writes.mark_dirty(job_id);
     }
 
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -39,7 +39,7 @@
 impl QuotaUsage {
     /// Adds the attempt at a task, which may be on a machine from now on. It replaces an earlier entry of the
     /// same task, since a task has at most one active attempt.
-    pub fn enter(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
+    pub fn add_attempt(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
             team: team.clone(),
             resources,
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -444,7 +444,7 @@
         let resources = resources(0.1 * (1 + random_below(99)) as f64);
         let machine = MachineId(format!("i-{}", random_below(5)));
         match random_below(5) {
-            0 | 1 => usage.enter(task, team, resources),
+            0 | 1 => usage.add_attempt(task, team, resources),
             2 | 3 => usage.leave(&task),
             _ => {
                 usage.set_unexpected(
@@ -460,7 +460,7 @@
     }
     // A task that leaves twice, or that was never entered, changes nothing.
     let before = usage.of(&teams[0]).cpus;
-    usage.enter(task("wk-000002", 0), &teams[0], resources(2.0));
+    usage.add_attempt(task("wk-000002", 0), &teams[0], resources(2.0));
     usage.leave(&task("wk-000002", 0));
     usage.leave(&task("wk-000002", 0));
     usage.leave(&task("wk-000003", 0));
