--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -133,7 +133,7 @@
         let resources = job.spec.resources;
         let is_gang = job.spec.kind == JobKind::Gang;
         let is_over = job.done_durable && job.active.is_empty();
-        self.quota_usage.leave(&task);
+        self.quota_usage.remove_attempt(&task);
         self.takeover.on_attempt_gone(now, &attempt.machine, &task);
         if is_over {
             self.drop_job(now, job_id);
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -51,7 +51,7 @@
     }
 
     /// Removes the attempt at a task, which is proved gone from its machine.
-    pub fn leave(&mut self, task: &TaskId) {
+    pub fn remove_attempt(&mut self, task: &TaskId) {
         if let Some(entry) = self.attempts.remove(task) {
             self.subtract(&entry);
         }
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -445,7 +445,7 @@
         let machine = MachineId(format!("i-{}", random_below(5)));
         match random_below(5) {
             0 | 1 => usage.add_attempt(task, team, resources),
-            2 | 3 => usage.leave(&task),
+            2 | 3 => usage.remove_attempt(&task),
             _ => {
                 usage.set_unexpected(
                     &machine,
@@ -461,8 +461,8 @@
     // A task that leaves twice, or that was never entered, changes nothing.
     let before = usage.of(&teams[0]).cpus;
     usage.add_attempt(task("wk-000002", 0), &teams[0], resources(2.0));
-    usage.leave(&task("wk-000002", 0));
-    usage.leave(&task("wk-000002", 0));
-    usage.leave(&task("wk-000003", 0));
+    usage.remove_attempt(&task("wk-000002", 0));
+    usage.remove_attempt(&task("wk-000002", 0));
+    usage.remove_attempt(&task("wk-000003", 0));
     assert!((usage.of(&teams[0]).cpus - before).abs() < 1e-9);
 }
