--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -94,7 +94,7 @@
             workload_by_team
                 .entry(team)
                 .or_insert_with(|| TeamWorkload {
-                    used: self.quota_usage.of(team),
+                    used: self.quota_usage.team_usage(team),
                     victims: Vec::new(),
                 });
         }
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -55,7 +55,10 @@
     }
 
     fn is_within_limit(&self, team: &Team) -> bool {
-        team.allows(&self.quota_usage.of(&team.name), &Resources::default())
+        team.allows(
+            &self.quota_usage.team_usage(&team.name),
+            &Resources::default(),
+        )
     }
 
     fn team(&self, name: &TeamName) -> Option<&Team> {
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -77,7 +77,7 @@
     }
 
     /// The resources that the tasks of a team use; zero for an unknown team.
-    pub fn of(&self, team: &TeamName) -> Resources {
+    pub fn team_usage(&self, team: &TeamName) -> Resources {
         self.totals
             .get(team)
             .map(|t| t.resources)
@@ -92,7 +92,7 @@
             .collect()
     }
 
-    /// Recomputes the resources that the tasks of a team use from all entries, to verify [`QuotaUsage::of`].
+    /// Recomputes the resources that the tasks of a team use from all entries, to verify [`QuotaUsage::team_usage`].
     pub fn recount(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -57,7 +57,7 @@
 
 /// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
-    fixture.cluster.quota_usage.of(&"red".into()).cpus
+    fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
 
 fn launched_index(command: &TaskCommand) -> Option<u32> {
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -63,7 +63,7 @@
 
 /// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
-    fixture.cluster.quota_usage.of(&"red".into()).cpus
+    fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
 
 /// Guards against a team that exceeds its limit after a failover. Each of two jobs has intents for the whole
@@ -455,14 +455,14 @@
         }
     }
     for team in &teams {
-        let difference = usage.of(team).cpus - usage.recount(team).cpus;
+        let difference = usage.team_usage(team).cpus - usage.recount(team).cpus;
         assert!(difference.abs() < 1e-7, "{team}: {difference}");
     }
     // A task that leaves twice, or that was never entered, changes nothing.
-    let before = usage.of(&teams[0]).cpus;
+    let before = usage.team_usage(&teams[0]).cpus;
     usage.add_attempt(task("wk-000002", 0), &teams[0], resources(2.0));
     usage.remove_attempt(&task("wk-000002", 0));
     usage.remove_attempt(&task("wk-000002", 0));
     usage.remove_attempt(&task("wk-000003", 0));
-    assert!((usage.of(&teams[0]).cpus - before).abs() < 1e-9);
+    assert!((usage.team_usage(&teams[0]).cpus - before).abs() < 1e-9);
 }
