--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -49,7 +49,7 @@
             let team = &job.spec.team;
             used_by_team
                 .entry(team)
-                .or_insert_with(|| self.recent_usage.of(team));
+                .or_insert_with(|| self.recent_usage.team_average(team));
         }
         let mut total = Resources::default();
         for used in used_by_team.values() {
--- a/src/core/state/recent_usage.rs
+++ b/src/core/state/recent_usage.rs
@@ -33,7 +33,7 @@
     }
 
     /// The average usage of a team; zero for an unknown team.
-    pub(in crate::core) fn of(&self, team: &TeamName) -> Resources {
+    pub(in crate::core) fn team_average(&self, team: &TeamName) -> Resources {
         self.mean.get(team).copied().unwrap_or_default()
     }
 }
