--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -22,7 +22,7 @@
     }
 
     /// The number of attempts in this state.
-    pub fn of(&self, state: AttemptState) -> usize {
+    pub fn count(&self, state: AttemptState) -> usize {
         self.counts[state as usize]
     }
 
@@ -30,7 +30,7 @@
     pub fn unsettled(&self) -> usize {
         let states = AttemptState::ALL.into_iter();
         let unsettled = states.filter(|state| !state.is_settled());
-        unsettled.map(|state| self.of(state)).sum()
+        unsettled.map(|state| self.count(state)).sum()
     }
 
     /// The number of attempts in all states.
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -337,8 +337,8 @@
         let unrecorded_jobs = self.unrecorded.len();
         let max_commands = MAX_COMMANDS_PER_RECORDED_ATTEMPT * self.progress.recorded();
         let is_pacing_exhausted = self.commands.sent_count() >= max_commands;
-        let has_waiting =
-            counts.of(AttemptState::Absent) > 0 || self.commands.is_busy(now, PACING_QUIET_PERIOD);
+        let has_waiting = counts.count(AttemptState::Absent) > 0
+            || self.commands.is_busy(now, PACING_QUIET_PERIOD);
         let remaining = Remaining {
             counts,
             unrecorded_jobs,
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -95,7 +95,7 @@
     );
     assert_eq!(reconciliation.counts().unsettled(), 1);
     reconciliation.observe_machine(&"i-2".into(), Evidence::MachineSilent);
-    assert_eq!(reconciliation.counts().of(AttemptState::Silent), 1);
+    assert_eq!(reconciliation.counts().count(AttemptState::Silent), 1);
     assert_eq!(
         reconciliation.observe_machine(&"i-2".into(), Evidence::LeaseExpired),
         1
--- a/src/core/reconciliation/failover_progress.rs
+++ b/src/core/reconciliation/failover_progress.rs
@@ -29,7 +29,8 @@
     }
 
     fn log_phase(&self, change: &PhaseChange) {
-        let states = AttemptState::ALL.map(|state| format!("{state}={}", change.counts.of(state)));
+        let states =
+            AttemptState::ALL.map(|state| format!("{state}={}", change.counts.count(state)));
         log::info!(
             "takeover {} term={} {} unrecorded_jobs={} deferred={} {}",
             change.phase,
