--- a/crates/model/src/tokens.rs
+++ b/crates/model/src/tokens.rs
@@ -40,7 +40,7 @@
 
 impl AttemptId {
     /// Creates an attempt id from the term and the attempt's number within it, which must fit into 28 bits.
-    pub fn of(term: Term, number: u64) -> AttemptId {
+    pub fn new(term: Term, number: u64) -> AttemptId {
         AttemptId((term.0 << ATTEMPT_NUMBER_BITS) | number)
     }
     /// The term whose leader created the attempt.
--- a/crates/recovery/tests/pacing.rs
+++ b/crates/recovery/tests/pacing.rs
@@ -25,7 +25,7 @@
             job_id: JobId::from("wk-000001"),
             index,
         },
-        attempt: AttemptId::of(Term(1), 1),
+        attempt: AttemptId::new(Term(1), 1),
     }
 }
 
--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -20,7 +20,7 @@
 }
 
 fn attempt(number: u64) -> AttemptId {
-    AttemptId::of(Term(2), number)
+    AttemptId::new(Term(2), number)
 }
 
 fn listed(origin: HeartbeatOrigin, jobs: BTreeSet<JobId>) -> ListedJobs {
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -28,7 +28,7 @@
     /// Allocates an attempt id, which is unique across all terms.
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
         self.attempt_count += 1;
-        AttemptId::of(self.term, self.attempt_count)
+        AttemptId::new(self.term, self.attempt_count)
     }
 
     /// Records the decision to run a task on a machine. The launch is sent once its intent is durable.
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -85,7 +85,7 @@
 #[test]
 fn unrecorded_tasks_that_are_not_adopted_are_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
-    let given_up = shown("wk-000001", 1, AttemptId::of(TERM, 9), TaskPhase::Running);
+    let given_up = shown("wk-000001", 1, AttemptId::new(TERM, 9), TaskPhase::Running);
     let first_token = FencingToken::first(TERM).0;
     // Name, token of the heartbeat, and the task that it lists.
     for (name, token, task) in [
--- a/tests/stored_formats/values.rs
+++ b/tests/stored_formats/values.rs
@@ -26,7 +26,7 @@
 
 /// The id of the attempt with this number in term 4.
 pub fn attempt(number: u64) -> AttemptId {
-    AttemptId::of(Term(4), number)
+    AttemptId::new(Term(4), number)
 }
 
 /// The second fencing token of term 4.
