--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -84,7 +84,7 @@
         };
         let spec = &job.spec;
         let zone_of = |id: &MachineId| self.fleet.machines.get(id).map(|m| m.zone.clone());
-        let zones = ZoneUse::of(job, &zone_of);
+        let zones = ZoneUse::for_job(job, &zone_of);
         let mut remaining = waiting.count;
         draining.retain(|available| {
             let machine = available.machine;
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -121,7 +121,7 @@
             return;
         };
         let spec = &job.spec;
-        let zones = ZoneUse::of(job, &self.zone_of());
+        let zones = ZoneUse::for_job(job, &self.zone_of());
         let mut remaining = plan.pack(spec, &zones, waiting.count);
         if remaining == 0 {
             return;
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -142,7 +142,7 @@
                 over_fair_share: round.teams_over_fair_share.contains(&job.spec.team),
             },
             exclusive_machines: entry.boosted_tasks.map_or(0, |_| exclusive),
-            zones: ZoneUse::of(job, &self.zone_of()),
+            zones: ZoneUse::for_job(job, &self.zone_of()),
             zones_changed: false,
             ranked: None,
         }
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -79,7 +79,7 @@
 
     /// The cost of a member on each usable slot, lowest first. It is the same for all members.
     fn member_costs(&self, job: &Job, round: &PlacementRound<'_>) -> Vec<MemberCost> {
-        let zones = ZoneUse::of(job, &self.zone_of());
+        let zones = ZoneUse::for_job(job, &self.zone_of());
         let mut costs: Vec<MemberCost> = round
             .slots
             .iter()
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_room.rs
@@ -227,7 +227,7 @@
         selection: &mut Selection<'_>,
     ) {
         let job = preemptor.job;
-        let zones = ZoneUse::of(job, &self.zone_of());
+        let zones = ZoneUse::for_job(job, &self.zone_of());
         let mut cheapest: BinaryHeap<Reverse<VictimSet>> = (0..input.slots.len())
             .filter(|i| {
                 let slot = &input.slots[*i];
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -180,7 +180,7 @@
                 }
                 slot.reserve(chosen.available_at, chosen.occupancy(), &spec.resources);
             };
-            let mut zones = ZoneUse::of(job, &state.zone_of());
+            let mut zones = ZoneUse::for_job(job, &state.zone_of());
             let mut heap = state.ranked_slots(now, &group, &heap_slots, &zones);
             for _ in 0..spec.task_count {
                 let best = (0..all_slots.len())
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -22,7 +22,7 @@
 impl ZoneUse {
     /// Counts the active tasks of a job by zone. `zone_of` returns the zone of a machine, or `None` if it
     /// is unknown.
-    pub fn of(job: &Job, zone_of: &impl Fn(&MachineId) -> Option<Zone>) -> ZoneUse {
+    pub fn for_job(job: &Job, zone_of: &impl Fn(&MachineId) -> Option<Zone>) -> ZoneUse {
         let mut zones = ZoneUse::default();
         if !is_constrained(&job.spec) {
             return zones;
