--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -278,7 +278,7 @@
         if self.blocked {
             return Vec::new();
         }
-        let mut slots = ChunkSlots::of(self);
+        let mut slots = ChunkSlots::new(self);
         let requeued = self.requeued.iter().copied().filter(|i| slots.reserve(*i));
         let mut pending: Vec<u32> = requeued.take(max).collect();
         let mut index = self.next_unplaced;
@@ -327,7 +327,7 @@
 }
 
 impl ChunkSlots<'_> {
-    fn of(job: &Job) -> ChunkSlots<'_> {
+    fn new(job: &Job) -> ChunkSlots<'_> {
         ChunkSlots {
             job,
             limited: job.max_attempts_per_chunk < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
