--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -29,7 +29,7 @@
 }
 
 impl WriteClass {
-    fn of(job: &Job) -> WriteClass {
+    fn for_job(job: &Job) -> WriteClass {
         if job.is_orphan() {
             WriteClass::Cascade
         } else if job.pending_intent_count > 0 || job.is_outcome_due() {
@@ -54,7 +54,7 @@
 impl WriteOrder {
     fn of(job_id: JobId, job: &Job) -> WriteOrder {
         WriteOrder {
-            class: WriteClass::of(job),
+            class: WriteClass::for_job(job),
             priority: Reverse(job.spec.priority),
             accepted_revision: job.revision,
             job_id,
