--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -52,7 +52,7 @@
 }
 
 impl WriteOrder {
-    fn of(job_id: JobId, job: &Job) -> WriteOrder {
+    fn for_job(job_id: JobId, job: &Job) -> WriteOrder {
         WriteOrder {
             class: WriteClass::for_job(job),
             priority: Reverse(job.spec.priority),
@@ -117,7 +117,7 @@
         let dirty = self.writes.dirty_jobs.iter();
         let mut ordered: Vec<WriteOrder> = dirty
             .map(|job_id| match self.jobs.get(job_id) {
-                Some(job) => WriteOrder::of(job_id.clone(), job),
+                Some(job) => WriteOrder::for_job(job_id.clone(), job),
                 None => WriteOrder::last(job_id.clone()),
             })
             .collect();
