--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -199,7 +199,10 @@
         if heartbeats.is_empty() || self.just_resumed() {
             return responses;
         }
-        for (position, reply) in positions.into_iter().zip(self.ask_core(heartbeats)) {
+        for (position, reply) in positions
+            .into_iter()
+            .zip(self.request_heartbeat_replies(heartbeats))
+        {
             if let HeartbeatReply::Accept { token, commands } = reply {
                 let body = wire::encode(&HeartbeatResponse {
                     token: token.0,
@@ -212,7 +215,7 @@
     }
 
     /// Returns the core's replies in the order of the heartbeats, or no replies if the core is too busy.
-    fn ask_core(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
+    fn request_heartbeat_replies(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
         let (reply, replies) = bounded(1);
         let event = Event::Heartbeats { heartbeats, reply };
         if self.events.send_timeout(event, ENQUEUE_TIMEOUT).is_err() {
