--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -105,7 +105,7 @@
     let (outcome_key, mark_key) = (outcome_key(job_id), cancel_mark_key(job_id));
     let conditions = [KeyCondition::at_revision(outcome_key.clone(), revision)];
     let changes = vec![
-        put_cancelled(&outcome_key),
+        cancelled_outcome_change(&outcome_key),
         Change::Put {
             key: &mark_key,
             value: StoredValue::Number(1),
@@ -117,7 +117,7 @@
 }
 
 /// The change that sets the outcome under this key to cancelled.
-pub(super) fn put_cancelled(outcome_key: &str) -> Change<'_> {
+pub(super) fn cancelled_outcome_change(outcome_key: &str) -> Change<'_> {
     Change::Put {
         key: outcome_key,
         value: StoredValue::JobOutcome(JobOutcome::Cancelled.into()),
@@ -281,7 +281,10 @@
     }
     let keys: Vec<String> = dependents.iter().map(outcome_key).collect();
     let conditions: Vec<KeyCondition> = keys.iter().map(KeyCondition::absent).collect();
-    let changes = keys.iter().map(|key| put_cancelled(key)).collect();
+    let changes = keys
+        .iter()
+        .map(|key| cancelled_outcome_change(key))
+        .collect();
     let store = &context.store;
     match store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT) {
         Ok(TransactionOutcome::Applied { .. }) => {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -7,7 +7,7 @@
 //! Invariants: a job is durable before its submission is answered with 201. Repeating a submission is
 //! safe, because the transaction also requires that the job is neither live nor ended.
 
-use crate::api::cancellation::put_cancelled;
+use crate::api::cancellation::cancelled_outcome_change;
 use crate::api::context::ApiContext;
 use crate::api::dependents_list::{self, DependentsListOutcome};
 use crate::api::job_lookup::known_job_response;
@@ -275,7 +275,7 @@
 fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
     let conditions = new_job_conditions(job_id);
     let key = outcome_key(job_id);
-    let changes = vec![put_cancelled(&key)];
+    let changes = vec![cancelled_outcome_change(&key)];
     let store = &context.store;
     let result = store.transaction(&conditions, changes, RequestClass::User, STORE_CALL_TIMEOUT);
     context.record_store_result(&result);
