--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -29,8 +29,10 @@
         for (job_id, outcome) in snapshot.dependency_outcomes {
             self.on_past_outcome(now, &job_id, outcome);
         }
-        self.unreadable_records
-            .load(snapshot.unreadable_jobs, snapshot.unreadable_intents);
+        self.unreadable_records.load(
+            snapshot.unreadable_jobs,
+            snapshot.jobs_with_unreadable_chunks,
+        );
         let ended = self.load_jobs(now, snapshot.jobs, &snapshot.outcomes);
         for job_id in &snapshot.jobs_with_dependents_list {
             self.load_dependents_list(job_id);
--- a/src/core/reconciliation/stored_snapshot.rs
+++ b/src/core/reconciliation/stored_snapshot.rs
@@ -51,5 +51,5 @@
     /// The jobs whose entry in the index cannot be read.
     pub unreadable_jobs: Vec<JobId>,
     /// The jobs for which some chunk cannot be read.
-    pub unreadable_intents: Vec<JobId>,
+    pub jobs_with_unreadable_chunks: Vec<JobId>,
 }
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -279,7 +279,7 @@
         cancel_marks: job_ids_under(keys::CANCEL_MARK_PREFIX, &records.cancel_marks),
         chunks: decode_intents(records.intents),
         unreadable_jobs: unreadable_jobs.filter_map(JobId::parse).collect(),
-        unreadable_intents: unreadable_intents
+        jobs_with_unreadable_chunks: unreadable_intents
             .filter_map(|key| Some(keys::parse_chunk_key(key)?.0))
             .collect(),
     }
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -367,7 +367,10 @@
                 .into_iter()
                 .collect(),
             unreadable_jobs: vec![job_id.clone()],
-            unreadable_intents: (!intents_readable).then_some(job_id).into_iter().collect(),
+            jobs_with_unreadable_chunks: (!intents_readable)
+                .then_some(job_id)
+                .into_iter()
+                .collect(),
             ..StoredSnapshot::default()
         });
         fixture.heartbeat("i-2", 1, vec![]);
