--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -60,7 +60,7 @@
         status_queries: start_query_pool(context, spawn)?,
     };
     let limits = Limits {
-        connections: context.config.max_connections,
+        max_connections: context.config.max_connections,
         body: wire::MAX_BODY_BYTES,
         idle: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
             .max(MIN_IDLE_TIMEOUT),
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -52,7 +52,7 @@
             limits,
             connections: Vec::new(),
             free_slots: Vec::new(),
-            load: Arc::new(ConnectionLoad::new(limits.connections)),
+            load: Arc::new(ConnectionLoad::new(limits.max_connections)),
             accept_again_at: None,
             next_sweep: Instant::now() + SWEEP_INTERVAL,
             buffer: vec![0; READ_BUFFER_BYTES],
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The maximum number of open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The maximum size of a request's decoded body, in bytes.
     pub body: usize,
     /// A connection without a request in progress is closed after this time without input.
--- a/tests/http_server.rs
+++ b/tests/http_server.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const LIMITS: Limits = Limits {
-    connections: 20,
+    max_connections: 20,
     body: 64,
     idle: Duration::from_secs(600),
 };
@@ -154,7 +154,7 @@
     let server = start_server(echo);
     let mut open_connections: Vec<TcpStream> = Vec::new();
     let mut close_requests = 0;
-    for n in 0..LIMITS.connections * 4 {
+    for n in 0..LIMITS.max_connections * 4 {
         let mut stream = connect(&server);
         let (head, body) =
             send_request(&mut stream, &n.to_string()).expect("a response to a new client");
