--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -61,7 +61,7 @@
     };
     let limits = Limits {
         max_connections: context.config.max_connections,
-        body: wire::MAX_BODY_BYTES,
+        max_body_bytes: wire::MAX_BODY_BYTES,
         idle: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
             .max(MIN_IDLE_TIMEOUT),
     };
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -189,7 +189,7 @@
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
         };
-        connection.read(&mut self.buffer, self.limits.body, now);
+        connection.read(&mut self.buffer, self.limits.max_body_bytes, now);
         self.take_request(slot, now, requests);
     }
 
@@ -198,7 +198,7 @@
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
         };
-        requests.extend(connection.next_request(self.limits.body, &self.load, now));
+        requests.extend(connection.next_request(self.limits.max_body_bytes, &self.load, now));
         if connection.is_finished() {
             self.close(slot);
         }
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -29,7 +29,7 @@
     /// The maximum number of open connections.
     pub max_connections: usize,
     /// The maximum size of a request's decoded body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// A connection without a request in progress is closed after this time without input.
     pub idle: Duration,
 }
--- a/tests/http_server.rs
+++ b/tests/http_server.rs
@@ -11,7 +11,7 @@
 
 const LIMITS: Limits = Limits {
     max_connections: 20,
-    body: 64,
+    max_body_bytes: 64,
     idle: Duration::from_secs(600),
 };
 
