--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -62,7 +62,7 @@
     let limits = Limits {
         max_connections: context.config.max_connections,
         max_body_bytes: wire::MAX_BODY_BYTES,
-        idle: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
+        idle_timeout: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
             .max(MIN_IDLE_TIMEOUT),
     };
     let context = context.clone();
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -210,7 +210,7 @@
             let Some(connection) = &mut self.connections[slot] else {
                 continue;
             };
-            match connection.sweep(self.limits.idle, now) {
+            match connection.sweep(self.limits.idle_timeout, now) {
                 SweepAction::Nothing => {}
                 SweepAction::Close => self.close(slot),
                 SweepAction::ParseInput => self.take_request(slot, now, requests),
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -31,7 +31,7 @@
     /// The maximum size of a request's decoded body, in bytes.
     pub max_body_bytes: usize,
     /// A connection without a request in progress is closed after this time without input.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Serves `listener` until `stop` is given. `handle` runs on the server's thread and receives the requests
--- a/tests/http_server.rs
+++ b/tests/http_server.rs
@@ -12,7 +12,7 @@
 const LIMITS: Limits = Limits {
     max_connections: 20,
     max_body_bytes: 64,
-    idle: Duration::from_secs(600),
+    idle_timeout: Duration::from_secs(600),
 };
 
 /// A server on a local port, which stops when this is dropped.
