--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -62,7 +62,7 @@
 
 /// Whether a transaction had room for the changes of a job, so that the next job may be added.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Room {
+pub(super) enum BatchCapacity {
     Left,
     Full,
 }
@@ -124,7 +124,12 @@
     }
 
     /// Adds the changes of a job that are due: its outcome, the removal of its records, or its chunks.
-    pub(super) fn add_job(&mut self, job: &Job, now: Instant, removal: RecordRemoval) -> Room {
+    pub(super) fn add_job(
+        &mut self,
+        job: &Job,
+        now: Instant,
+        removal: RecordRemoval,
+    ) -> BatchCapacity {
         if job.is_outcome_due() {
             self.add_done(job)
         } else if job.is_orphan() {
@@ -136,35 +141,35 @@
         }
     }
 
-    fn add_done(&mut self, job: &Job) -> Room {
+    fn add_done(&mut self, job: &Job) -> BatchCapacity {
         if !self.has_room(1) {
-            return Room::Full;
+            return BatchCapacity::Full;
         }
         self.put_outcome(job, JobOutcome::Done);
         self.in_flight.done_jobs.push(job.spec.job_id.clone());
-        Room::Left
+        BatchCapacity::Left
     }
 
     /// Adds the outcome of a job whose dependency was cancelled. The job has been blocked since its
     /// acceptance, so none of its tasks is running.
-    fn add_cascaded(&mut self, job: &Job, now: Instant) -> Room {
+    fn add_cascaded(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         if !job.is_cascade_due(now, LEADER_CASCADE_DELAY) {
-            return Room::Left;
+            return BatchCapacity::Left;
         }
         if !self.has_room(1) {
-            return Room::Full;
+            return BatchCapacity::Full;
         }
         self.put_outcome(job, JobOutcome::Cancelled);
         self.in_flight.cascaded_jobs.push(job.spec.job_id.clone());
-        Room::Left
+        BatchCapacity::Left
     }
 
-    fn add_removal(&mut self, job: &Job, removal: RecordRemoval) -> Room {
+    fn add_removal(&mut self, job: &Job, removal: RecordRemoval) -> BatchCapacity {
         if removal == RecordRemoval::Deferred {
-            return Room::Left;
+            return BatchCapacity::Left;
         }
         if !self.has_room(MIN_BATCH_OPS) {
-            return Room::Full;
+            return BatchCapacity::Full;
         }
         let job_id = &job.spec.job_id;
         self.ops.push(WriteOp::Delete(live_job_key(job_id)));
@@ -172,18 +177,18 @@
             self.ops.push(WriteOp::Delete(cancel_mark_key(job_id)));
         }
         self.in_flight.removed_jobs.push(job_id.clone());
-        Room::Left
+        BatchCapacity::Left
     }
 
     /// Adds the chunks of a job that are due for a write, with their intents.
-    fn add_chunks(&mut self, job: &Job, now: Instant) -> Room {
+    fn add_chunks(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         let op_count = self.op_count();
-        let mut room = Room::Left;
+        let mut room = BatchCapacity::Left;
         for index in job.dirty_chunks(now) {
             let value = job.chunk_value(index);
             let size = CHUNK_FIXED_BYTES + CHUNK_BYTES_PER_ATTEMPT * value.active.len();
             if !self.has_room(1) || self.bytes + size > MAX_BATCH_BYTES {
-                room = Room::Full;
+                room = BatchCapacity::Full;
                 break;
             }
             self.bytes += size;
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -1,7 +1,7 @@
 //! Selection of the changes in the next transaction: which jobs come first, and which changes are deferred.
 
 use crate::core::model::{JobId, Priority};
-use crate::core::persistence::batch_builder::{BatchBuilder, RecordRemoval, Room};
+use crate::core::persistence::batch_builder::{BatchBuilder, BatchCapacity, RecordRemoval};
 use crate::core::persistence::write_batch::WriteBatch;
 use crate::core::state::{ClusterState, Job};
 use std::cmp::Reverse;
@@ -99,7 +99,7 @@
             } else {
                 RecordRemoval::Deferred
             };
-            if batch.add_job(job, now, removal) == Room::Full {
+            if batch.add_job(job, now, removal) == BatchCapacity::Full {
                 break;
             }
             let is_removable = job.is_cancelled() && job.active.is_empty();
