--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -63,7 +63,7 @@
 /// Whether a transaction had room for the changes of a job, so that the next job may be added.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchCapacity {
-    Left,
+    Available,
     Full,
 }
 
@@ -147,26 +147,26 @@
         }
         self.put_outcome(job, JobOutcome::Done);
         self.in_flight.done_jobs.push(job.spec.job_id.clone());
-        BatchCapacity::Left
+        BatchCapacity::Available
     }
 
     /// Adds the outcome of a job whose dependency was cancelled. The job has been blocked since its
     /// acceptance, so none of its tasks is running.
     fn add_cascaded(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         if !job.is_cascade_due(now, LEADER_CASCADE_DELAY) {
-            return BatchCapacity::Left;
+            return BatchCapacity::Available;
         }
         if !self.has_room(1) {
             return BatchCapacity::Full;
         }
         self.put_outcome(job, JobOutcome::Cancelled);
         self.in_flight.cascaded_jobs.push(job.spec.job_id.clone());
-        BatchCapacity::Left
+        BatchCapacity::Available
     }
 
     fn add_removal(&mut self, job: &Job, removal: RecordRemoval) -> BatchCapacity {
         if removal == RecordRemoval::Deferred {
-            return BatchCapacity::Left;
+            return BatchCapacity::Available;
         }
         if !self.has_room(MIN_BATCH_OPS) {
             return BatchCapacity::Full;
@@ -177,13 +177,13 @@
             self.ops.push(WriteOp::Delete(cancel_mark_key(job_id)));
         }
         self.in_flight.removed_jobs.push(job_id.clone());
-        BatchCapacity::Left
+        BatchCapacity::Available
     }
 
     /// Adds the chunks of a job that are due for a write, with their intents.
     fn add_chunks(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         let op_count = self.op_count();
-        let mut room = BatchCapacity::Left;
+        let mut room = BatchCapacity::Available;
         for index in job.dirty_chunks(now) {
             let value = job.chunk_value(index);
             let size = CHUNK_FIXED_BYTES + CHUNK_BYTES_PER_ATTEMPT * value.active.len();
