--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchCapacity {
     Available,
-    Full,
+    Exhausted,
 }
 
 /// Whether the records of a cancelled job may be removed now.
@@ -143,7 +143,7 @@
 
     fn add_done(&mut self, job: &Job) -> BatchCapacity {
         if !self.has_room(1) {
-            return BatchCapacity::Full;
+            return BatchCapacity::Exhausted;
         }
         self.put_outcome(job, JobOutcome::Done);
         self.in_flight.done_jobs.push(job.spec.job_id.clone());
@@ -157,7 +157,7 @@
             return BatchCapacity::Available;
         }
         if !self.has_room(1) {
-            return BatchCapacity::Full;
+            return BatchCapacity::Exhausted;
         }
         self.put_outcome(job, JobOutcome::Cancelled);
         self.in_flight.cascaded_jobs.push(job.spec.job_id.clone());
@@ -169,7 +169,7 @@
             return BatchCapacity::Available;
         }
         if !self.has_room(MIN_BATCH_OPS) {
-            return BatchCapacity::Full;
+            return BatchCapacity::Exhausted;
         }
         let job_id = &job.spec.job_id;
         self.ops.push(WriteOp::Delete(live_job_key(job_id)));
@@ -188,7 +188,7 @@
             let value = job.chunk_value(index);
             let size = CHUNK_FIXED_BYTES + CHUNK_BYTES_PER_ATTEMPT * value.active.len();
             if !self.has_room(1) || self.bytes + size > MAX_BATCH_BYTES {
-                room = BatchCapacity::Full;
+                room = BatchCapacity::Exhausted;
                 break;
             }
             self.bytes += size;
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -99,7 +99,7 @@
             } else {
                 RecordRemoval::Deferred
             };
-            if batch.add_job(job, now, removal) == BatchCapacity::Full {
+            if batch.add_job(job, now, removal) == BatchCapacity::Exhausted {
                 break;
             }
             let is_removable = job.is_cancelled() && job.active.is_empty();
