--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -183,12 +183,12 @@
     /// Adds the chunks of a job that are due for a write, with their intents.
     fn add_chunks(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         let op_count = self.op_count();
-        let mut room = BatchCapacity::Available;
+        let mut capacity = BatchCapacity::Available;
         for index in job.dirty_chunks(now) {
             let value = job.chunk_value(index);
             let size = CHUNK_FIXED_BYTES + CHUNK_BYTES_PER_ATTEMPT * value.active.len();
             if !self.has_room(1) || self.bytes + size > MAX_BATCH_BYTES {
-                room = BatchCapacity::Exhausted;
+                capacity = BatchCapacity::Exhausted;
                 break;
             }
             self.bytes += size;
@@ -199,7 +199,7 @@
         if self.op_count() > op_count && !job.is_cancelled() && !job.done_durable {
             self.expect_outcome(job);
         }
-        room
+        capacity
     }
 
     fn put_chunk(&mut self, job: &Job, index: u32, value: ChunkValue) {
