--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -1,6 +1,6 @@
 //! Preemption: decides which running tasks are stopped in favour of waiting ones.
 //!
-//! There are two reasons. [`for_room`] frees resources on machines for waiting tasks of a higher
+//! There are two reasons. [`for_resources`] frees resources on machines for waiting tasks of a higher
 //! priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's usage under
 //! its limit when one of its higher-priority jobs waits. Both prefer the victims that lose the least
 //! work.
@@ -10,7 +10,7 @@
 //! being stopped is not chosen again.
 
 mod cost;
-mod for_room;
+mod for_resources;
 mod within_team;
 
 #[cfg(test)]
