--- a/src/core/placement/preemption/for_resources.rs
+++ b/src/core/placement/preemption/for_resources.rs
@@ -113,7 +113,10 @@
 
 impl ClusterState {
     /// Selects the tasks to preempt so that waiting tasks get resources.
-    pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
+    pub(super) fn plan_preemptions_for_resources(
+        &self,
+        input: &PreemptionInput<'_>,
+    ) -> Vec<Preemption> {
         let mut preemptors = input
             .waiting
             .chunk_by(|a, b| a.job_id == b.job_id)
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -82,7 +82,7 @@
     /// their limits.
     #[must_use]
     pub(in crate::core) fn plan_preemptions(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
-        let mut preemptions = self.plan_preemptions_for_room(input);
+        let mut preemptions = self.plan_preemptions_for_resources(input);
         self.plan_preemptions_within_teams(input, &mut preemptions);
         preemptions
     }
