--- a/src/core/placement/preemption/for_resources.rs
+++ b/src/core/placement/preemption/for_resources.rs
@@ -104,7 +104,7 @@
             self.selected[slot].insert(index);
             self.preemptions.push(Preemption {
                 task: victim.task.clone(),
-                reason: PreemptionReason::Room,
+                reason: PreemptionReason::ResourceShortage,
             });
         }
         self.free[slot].sub(&preemptor.job.spec.resources);
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum PreemptionReason {
     /// Its resources are needed by tasks with a higher priority or by a team with an unused guarantee.
-    Room,
+    ResourceShortage,
     /// A job of the same team with a higher priority is held back by the team's limit.
     TeamLimit,
 }
@@ -43,7 +43,7 @@
 impl fmt::Display for PreemptionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PreemptionReason::Room => "room",
+            PreemptionReason::ResourceShortage => "room",
             PreemptionReason::TeamLimit => "team_limit",
         })
     }
