--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -1,7 +1,7 @@
 //! Failover: how a new leader reconciles the records that it loads with the tasks that machines report.
 
+mod command_pacing;
 mod loaded_tasks;
-mod order_pacing;
 mod silent_segments;
 mod stored_intents;
 mod unconfirmed_attempts;
