--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -92,7 +92,8 @@
             .collect()
     }
 
-    /// Recomputes the resources that the tasks of a team use from all entries, to verify [`QuotaUsage::team_usage`].
+    /// Recomputes the resources that the tasks of a team use from all entries, to verify
+    /// [`QuotaUsage::team_usage`].
     pub fn recount(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
