--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -62,7 +62,7 @@
 
 impl ImageKey {
     /// Hashes an image name with FNV. The result is the same in every process.
-    pub fn from_image_name(name: &str) -> ImageKey {
+    pub fn from_name(name: &str) -> ImageKey {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(name.as_bytes());
         ImageKey(hasher.finish())
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -96,7 +96,7 @@
         for image in ["img-1", "img-2", "img-3"] {
             if rng.gen_bool(0.3) {
                 machine.images.push(CachedImage {
-                    image: ImageKey::from_image_name(image),
+                    image: ImageKey::from_name(image),
                     size_gb: 4.0,
                 });
             }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -77,7 +77,7 @@
 impl Job {
     pub(in crate::core) fn new(spec: JobSpec, revision: u64, arrived: Instant) -> Self {
         Job {
-            image: ImageKey::from_image_name(&spec.image),
+            image: ImageKey::from_name(&spec.image),
             own_rank: SchedulingRank {
                 priority: spec.priority,
                 deadline: None,
--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -57,7 +57,7 @@
     if eligible.is_empty() {
         return None;
     }
-    let index = ImageKey::from_image_name(&machine.0).0 as usize % eligible.len();
+    let index = ImageKey::from_name(&machine.0).0 as usize % eligible.len();
     Some(eligible[index])
 }
 
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -138,7 +138,7 @@
             .get_mut(&MachineId::from("i-2"))
             .unwrap();
         machine.images.push(CachedImage {
-            image: ImageKey::from_image_name("img-1"),
+            image: ImageKey::from_name("img-1"),
             size_gb: 2.0,
         });
         fixture.job(spec("wk-000002", 1, 4.0));
@@ -160,7 +160,7 @@
             .get_mut(&MachineId::from(*machine_id))
             .unwrap();
         machine.images.push(CachedImage {
-            image: ImageKey::from_image_name("img-1"),
+            image: ImageKey::from_name("img-1"),
             size_gb: 2.0,
         });
         for _ in 0..4 {
