--- a/crates/recovery/tests/states.rs
+++ b/crates/recovery/tests/states.rs
@@ -20,7 +20,7 @@
 }
 
 fn attempt(number: u64) -> AttemptId {
-    AttemptId::of(Term(2), number)
+    AttemptId::new(Term(2), number)
 }
 
 fn listed(origin: HeartbeatOrigin, jobs: BTreeSet<JobId>) -> ListedJobs {
@@ -95,7 +95,7 @@
     );
     assert_eq!(reconciliation.counts().unsettled(), 1);
     reconciliation.observe_machine(&"i-2".into(), Evidence::MachineSilent);
-    assert_eq!(reconciliation.counts().of(AttemptState::Silent), 1);
+    assert_eq!(reconciliation.counts().count(AttemptState::Silent), 1);
     assert_eq!(
         reconciliation.observe_machine(&"i-2".into(), Evidence::LeaseExpired),
         1
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -61,9 +61,9 @@
         status_queries: start_query_pool(context, spawn)?,
     };
     let limits = Limits {
-        connections: context.config.max_connections,
-        body: wire::MAX_BODY_BYTES,
-        idle: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
+        max_connections: context.config.max_connections,
+        max_body_bytes: wire::MAX_BODY_BYTES,
+        idle_timeout: (context.config.heartbeat_interval * IDLE_TIMEOUT_HEARTBEAT_INTERVALS)
             .max(MIN_IDLE_TIMEOUT),
     };
     let context = context.clone();
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -1,7 +1,7 @@
 //! Selection of the changes in the next transaction: which jobs come first, and which changes are deferred.
 
 use crate::core::model::{JobId, Priority};
-use crate::core::persistence::batch_builder::{BatchBuilder, RecordRemoval, Room};
+use crate::core::persistence::batch_builder::{BatchBuilder, BatchCapacity, RecordRemoval};
 use crate::core::persistence::write_batch::WriteBatch;
 use crate::core::state::{ClusterState, Job};
 use std::cmp::Reverse;
@@ -29,7 +29,7 @@
 }
 
 impl WriteClass {
-    fn of(job: &Job) -> WriteClass {
+    fn for_job(job: &Job) -> WriteClass {
         if job.is_orphan() {
             WriteClass::Cascade
         } else if job.pending_intent_count > 0 || job.is_outcome_due() {
@@ -52,9 +52,9 @@
 }
 
 impl WriteOrder {
-    fn of(job_id: JobId, job: &Job) -> WriteOrder {
+    fn for_job(job_id: JobId, job: &Job) -> WriteOrder {
         WriteOrder {
-            class: WriteClass::of(job),
+            class: WriteClass::for_job(job),
             priority: Reverse(job.spec.priority),
             accepted_revision: job.revision,
             job_id,
@@ -99,7 +99,7 @@
             } else {
                 RecordRemoval::Deferred
             };
-            if batch.add_job(job, now, removal) == Room::Full {
+            if batch.add_job(job, now, removal) == BatchCapacity::Exhausted {
                 break;
             }
             let is_removable = job.is_cancelled() && job.active.is_empty();
@@ -117,7 +117,7 @@
         let dirty = self.writes.dirty_jobs.iter();
         let mut ordered: Vec<WriteOrder> = dirty
             .map(|job_id| match self.jobs.get(job_id) {
-                Some(job) => WriteOrder::of(job_id.clone(), job),
+                Some(job) => WriteOrder::for_job(job_id.clone(), job),
                 None => WriteOrder::last(job_id.clone()),
             })
             .collect();
--- a/src/core/placement/preemption/for_room.rs
+++ b/src/core/placement/preemption/for_resources.rs
@@ -104,7 +104,7 @@
             self.selected[slot].insert(index);
             self.preemptions.push(Preemption {
                 task: victim.task.clone(),
-                reason: PreemptionReason::Room,
+                reason: PreemptionReason::ResourceShortage,
             });
         }
         self.free[slot].sub(&preemptor.job.spec.resources);
@@ -113,7 +113,10 @@
 
 impl ClusterState {
     /// Selects the tasks to preempt so that waiting tasks get resources.
-    pub(super) fn plan_preemptions_for_room(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
+    pub(super) fn plan_preemptions_for_resources(
+        &self,
+        input: &PreemptionInput<'_>,
+    ) -> Vec<Preemption> {
         let mut preemptors = input
             .waiting
             .chunk_by(|a, b| a.job_id == b.job_id)
@@ -227,7 +230,7 @@
         selection: &mut Selection<'_>,
     ) {
         let job = preemptor.job;
-        let zones = ZoneUse::of(job, &self.zone_of());
+        let zones = ZoneUse::for_job(job, &self.zone_of());
         let mut cheapest: BinaryHeap<Reverse<VictimSet>> = (0..input.slots.len())
             .filter(|i| {
                 let slot = &input.slots[*i];
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -1,6 +1,6 @@
 //! Preemption: decides which running tasks are stopped in favour of waiting ones.
 //!
-//! There are two reasons. [`for_room`] frees resources on machines for waiting tasks of a higher
+//! There are two reasons. [`for_resources`] frees resources on machines for waiting tasks of a higher
 //! priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's usage under
 //! its limit when one of its higher-priority jobs waits. Both prefer the victims that lose the least
 //! work.
@@ -10,7 +10,7 @@
 //! being stopped is not chosen again.
 
 mod cost;
-mod for_room;
+mod for_resources;
 mod within_team;
 
 #[cfg(test)]
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum PreemptionReason {
     /// Its resources are needed by tasks with a higher priority or by a team with an unused guarantee.
-    Room,
+    ResourceShortage,
     /// A job of the same team with a higher priority is held back by the team's limit.
     TeamLimit,
 }
@@ -43,7 +43,7 @@
 impl fmt::Display for PreemptionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PreemptionReason::Room => "room",
+            PreemptionReason::ResourceShortage => "room",
             PreemptionReason::TeamLimit => "team_limit",
         })
     }
@@ -84,7 +84,7 @@
     /// their limits.
     #[must_use]
     pub(in crate::core) fn plan_preemptions(&self, input: &PreemptionInput<'_>) -> Vec<Preemption> {
-        let mut preemptions = self.plan_preemptions_for_room(input);
+        let mut preemptions = self.plan_preemptions_for_resources(input);
         self.plan_preemptions_within_teams(input, &mut preemptions);
         preemptions
     }
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -28,7 +28,7 @@
     /// Allocates an attempt id, which is unique across all terms.
     pub(in crate::core) fn next_attempt(&mut self) -> AttemptId {
         self.attempt_count += 1;
-        AttemptId::of(self.term, self.attempt_count)
+        AttemptId::new(self.term, self.attempt_count)
     }
 
     /// Records the decision to run a task on a machine. The launch is sent once its intent is durable.
@@ -58,7 +58,7 @@
                 .record_fetch(now, job.image, job.spec.image_gb);
         }
         self.quota_usage
-            .enter(job.task(task_index), &job.spec.team, resources);
+            .add_attempt(job.task(task_index), &job.spec.team, resources);
         self.writes.mark_dirty(job_id);
     }
 
@@ -133,7 +133,7 @@
         let resources = job.spec.resources;
         let is_gang = job.spec.kind == JobKind::Gang;
         let is_over = job.done_durable && job.active.is_empty();
-        self.quota_usage.leave(&task);
+        self.quota_usage.remove_attempt(&task);
         self.takeover.on_attempt_gone(now, &attempt.machine, &task);
         if is_over {
             self.drop_job(now, job_id);
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -77,7 +77,7 @@
 impl Job {
     pub(in crate::core) fn new(spec: JobSpec, revision: u64, arrived: Instant) -> Self {
         Job {
-            image: ImageKey::of(&spec.image),
+            image: ImageKey::from_name(&spec.image),
             own_rank: SchedulingRank {
                 priority: spec.priority,
                 deadline: None,
@@ -278,7 +278,7 @@
         if self.blocked {
             return Vec::new();
         }
-        let mut slots = ChunkSlots::of(self);
+        let mut slots = ChunkSlots::new(self);
         let requeued = self.requeued.iter().copied().filter(|i| slots.reserve(*i));
         let mut pending: Vec<u32> = requeued.take(max).collect();
         let mut index = self.next_unplaced;
@@ -327,7 +327,7 @@
 }
 
 impl ChunkSlots<'_> {
-    fn of(job: &Job) -> ChunkSlots<'_> {
+    fn new(job: &Job) -> ChunkSlots<'_> {
         ChunkSlots {
             job,
             limited: job.max_attempts_per_chunk < TASKS_PER_CHUNK && job.spec.kind != JobKind::Gang,
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -39,7 +39,7 @@
 impl QuotaUsage {
     /// Adds the attempt at a task, which may be on a machine from now on. It replaces an earlier entry of the
     /// same task, since a task has at most one active attempt.
-    pub fn enter(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
+    pub fn add_attempt(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
             team: team.clone(),
             resources,
@@ -51,7 +51,7 @@
     }
 
     /// Removes the attempt at a task, which is proved gone from its machine.
-    pub fn leave(&mut self, task: &TaskId) {
+    pub fn remove_attempt(&mut self, task: &TaskId) {
         if let Some(entry) = self.attempts.remove(task) {
             self.subtract(&entry);
         }
@@ -77,7 +77,7 @@
     }
 
     /// The resources that the tasks of a team use; zero for an unknown team.
-    pub fn of(&self, team: &TeamName) -> Resources {
+    pub fn team_usage(&self, team: &TeamName) -> Resources {
         self.totals
             .get(team)
             .map(|t| t.resources)
@@ -92,7 +92,8 @@
             .collect()
     }
 
-    /// Recomputes the resources that the tasks of a team use from all entries, to verify [`QuotaUsage::of`].
+    /// Recomputes the resources that the tasks of a team use from all entries, to verify
+    /// [`QuotaUsage::team_usage`].
     pub fn recount(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         let unexpected = self.unexpected.values().flatten();
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -52,7 +52,7 @@
             limits,
             connections: Vec::new(),
             free_slots: Vec::new(),
-            load: Arc::new(ConnectionLoad::new(limits.connections)),
+            load: Arc::new(ConnectionLoad::new(limits.max_connections)),
             accept_again_at: None,
             next_sweep: Instant::now() + SWEEP_INTERVAL,
             buffer: vec![0; READ_BUFFER_BYTES],
@@ -189,7 +189,7 @@
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
         };
-        connection.read(&mut self.buffer, self.limits.body, now);
+        connection.read(&mut self.buffer, self.limits.max_body_bytes, now);
         self.take_request(slot, now, requests);
     }
 
@@ -198,7 +198,7 @@
         let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
         };
-        requests.extend(connection.next_request(self.limits.body, &self.load, now));
+        requests.extend(connection.next_request(self.limits.max_body_bytes, &self.load, now));
         if connection.is_finished() {
             self.close(slot);
         }
@@ -210,7 +210,7 @@
             let Some(connection) = &mut self.connections[slot] else {
                 continue;
             };
-            match connection.sweep(self.limits.idle, now) {
+            match connection.sweep(self.limits.idle_timeout, now) {
                 SweepAction::Nothing => {}
                 SweepAction::Close => self.close(slot),
                 SweepAction::ParseInput => self.take_request(slot, now, requests),
--- a/src/net/http_server/mod.rs
+++ b/src/net/http_server/mod.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The maximum number of open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The maximum size of a request's decoded body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// A connection without a request in progress is closed after this time without input.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Serves `listener` until `stop` is given. `handle` runs on the server's thread and receives the requests
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -1,7 +1,7 @@
 //! Failover: how a new leader reconciles the records that it loads with the tasks that machines report.
 
+mod command_pacing;
 mod loaded_tasks;
-mod order_pacing;
 mod silent_segments;
 mod stored_intents;
 mod unconfirmed_attempts;
@@ -57,7 +57,7 @@
 
 /// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
-    fixture.cluster.quota_usage.of(&"red".into()).cpus
+    fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
 
 fn launched_index(command: &TaskCommand) -> Option<u32> {
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -63,7 +63,7 @@
 
 /// The CPUs that count for the limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
-    fixture.cluster.quota_usage.of(&"red".into()).cpus
+    fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
 
 /// Guards against a team that exceeds its limit after a failover. Each of two jobs has intents for the whole
@@ -367,7 +367,10 @@
                 .into_iter()
                 .collect(),
             unreadable_jobs: vec![job_id.clone()],
-            unreadable_intents: (!intents_readable).then_some(job_id).into_iter().collect(),
+            jobs_with_unreadable_chunks: (!intents_readable)
+                .then_some(job_id)
+                .into_iter()
+                .collect(),
             ..StoredSnapshot::default()
         });
         fixture.heartbeat("i-2", 1, vec![]);
@@ -444,8 +447,8 @@
         let resources = resources(0.1 * (1 + random_below(99)) as f64);
         let machine = MachineId(format!("i-{}", random_below(5)));
         match random_below(5) {
-            0 | 1 => usage.enter(task, team, resources),
-            2 | 3 => usage.leave(&task),
+            0 | 1 => usage.add_attempt(task, team, resources),
+            2 | 3 => usage.remove_attempt(&task),
             _ => {
                 usage.set_unexpected(
                     &machine,
@@ -455,14 +458,14 @@
         }
     }
     for team in &teams {
-        let difference = usage.of(team).cpus - usage.recount(team).cpus;
+        let difference = usage.team_usage(team).cpus - usage.recount(team).cpus;
         assert!(difference.abs() < 1e-7, "{team}: {difference}");
     }
     // A task that leaves twice, or that was never entered, changes nothing.
-    let before = usage.of(&teams[0]).cpus;
-    usage.enter(task("wk-000002", 0), &teams[0], resources(2.0));
-    usage.leave(&task("wk-000002", 0));
-    usage.leave(&task("wk-000002", 0));
-    usage.leave(&task("wk-000003", 0));
-    assert!((usage.of(&teams[0]).cpus - before).abs() < 1e-9);
+    let before = usage.team_usage(&teams[0]).cpus;
+    usage.add_attempt(task("wk-000002", 0), &teams[0], resources(2.0));
+    usage.remove_attempt(&task("wk-000002", 0));
+    usage.remove_attempt(&task("wk-000002", 0));
+    usage.remove_attempt(&task("wk-000003", 0));
+    assert!((usage.team_usage(&teams[0]).cpus - before).abs() < 1e-9);
 }
