--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -20,7 +20,7 @@
 /// The limit on commands to the machines of one network segment.
 const SEGMENT_COMMANDS_PER_S: usize = 25;
 
-/// Operators' settings with these limits.
+/// Operators' settings with the limits on commands above, for a fleet of at most this number of machines.
 fn settings_with_limits(machines: u16) -> String {
     format!(
         "(cypressgap (max-hosts {machines})
@@ -92,7 +92,7 @@
         self.cluster.members.iter().position(|n| n.0 == member)
     }
 
-    /// The running tasks, each with the index of its worker. Panics if a task runs on two of them.
+    /// The running tasks, each with the index of its worker. Panics if a task runs on two workers.
     fn running(&self) -> BTreeMap<String, usize> {
         let mut running = BTreeMap::new();
         for (n, worker) in self.workers.iter().enumerate() {
@@ -146,7 +146,8 @@
         self.workers.iter().map(|w| w.starts().len()).sum()
     }
 
-    /// Waits until all workers know a term later than this one, and returns the earliest that they know.
+    /// Waits until each worker knows a term later than this one, and returns the earliest of the terms that
+    /// the workers know.
     fn await_term_after(&self, term: Term) -> Term {
         let earliest_term = || {
             self.workers
@@ -159,9 +160,9 @@
         })
     }
 
-    /// The maximum number of commands within any window of this length after `from`, to the whole fleet and
-    /// to one segment. The test uses a window of two seconds, because commands that are sent at an even rate
-    /// arrive unevenly on a busy machine.
+    /// The maximum number of commands within any window of this length after `from`, first to the whole fleet
+    /// and then to a single segment: the one for which this maximum is higher. The test uses a window of two
+    /// seconds, because commands that are sent at an even rate arrive unevenly on a busy machine.
     fn peak_commands(&self, from: Instant, window: Duration) -> (usize, usize) {
         let command_times = |segment: Option<usize>| {
             let workers = self.workers.iter().enumerate();
@@ -175,9 +176,9 @@
     }
 }
 
-/// The controllers are killed and restarted twice: first the workers' leases last, so that no task may be
-/// started again; then all leases expire, so that each task has to be started exactly once more, within the
-/// limits on commands.
+/// The controllers are killed and restarted twice. The first time no worker's lease expires, so that no task
+/// may be started again. The second time the leases of all workers expire, so that each task has to be
+/// started exactly once more, within the limits on commands.
 #[test]
 fn all_controllers_are_killed_and_restarted() {
     let mut deployment = Deployment::start(MACHINES, settings_with_limits(MACHINES));
@@ -186,8 +187,8 @@
     let all = deployment.task_count();
     assert_eq!(deployment.start_count(), all);
 
-    // No lease expires. The store is available only a second after the controllers start, and one of them
-    // stays partitioned from it.
+    // No lease of a worker expires. The store is available only a second after the controllers start, and one
+    // of the controllers stays partitioned from the store.
     let term = deployment.await_term_after(Term(0));
     deployment.kill_all();
     let store_unavailable = deployment.cluster.store.unavailable.clone();
@@ -204,8 +205,8 @@
         "running tasks were started again"
     );
 
-    // All leases expire while the controllers are down, and the first new leader is killed while it starts
-    // the tasks again.
+    // The leases of all workers expire while the controllers are down, and the first new leader is killed
+    // while it starts the tasks again.
     deployment.kill_all();
     deployment.expire_all_leases();
     deployment.cluster.store_links[0].heal();
--- a/tests/end_to_end/partitions.rs
+++ b/tests/end_to_end/partitions.rs
@@ -37,7 +37,7 @@
     let term = leading_term(&nodes[old]).expect("the old leader still leads");
     let (partitioned, other) = (cluster.members[old].1, cluster.members[1 - old].1);
     cluster.partition(old);
-    // It refuses submissions and status queries with status 503, so that users retry.
+    // The partitioned node refuses submissions and status queries with status 503, so that users retry.
     let body = submission("wk-000006", 1);
     wait_until("the partitioned node refuses requests", || {
         let submission_status = call("POST", partitioned, "/api/jobs", Some(&body)).0;
--- a/tests/end_to_end/read_your_writes.rs
+++ b/tests/end_to_end/read_your_writes.rs
@@ -13,13 +13,13 @@
 const ACCEPTED: u8 = 1;
 const OVER: u8 = 2;
 
-/// A job, and the latest stage that any user has observed.
+/// A job, and the latest stage of the job that any user has observed.
 struct ObservedJob {
     job_id: String,
     stage: AtomicU8,
-    /// Whether any user was told that it is done.
+    /// Whether any node has reported the job to a user as done.
     done: AtomicBool,
-    /// Whether any user was told that it is cancelled.
+    /// Whether any node has reported the job to a user as cancelled.
     cancelled: AtomicBool,
 }
 
@@ -37,7 +37,8 @@
         self.stage.fetch_max(stage, Ordering::SeqCst);
     }
 
-    /// Records a phase that a user was told. Panics if the job was reported both as done and as cancelled.
+    /// Records the phase of the job in a response to a user. Panics if the job was reported both as done and
+    /// as cancelled.
     fn record_phase(&self, phase: &str) {
         match phase {
             "done" => self.done.store(true, Ordering::SeqCst),
@@ -52,7 +53,8 @@
         assert!(!both, "{}: done and withdrawn", self.job_id);
     }
 
-    /// Queries a node. It must not report an earlier stage than was observed before the query was sent.
+    /// Queries a node for the job. The node must not report an earlier stage than was observed before the
+    /// query was sent.
     fn query(&self, node: SocketAddr) {
         let stage_before = self.stage.load(Ordering::SeqCst);
         let (status, body) = call("GET", node, &format!("/api/jobs/{}", self.job_id), None);
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Submits the job, which a node has to accept at most once.
+    /// Submits the job to a node. The nodes together must accept the job at most once.
     fn submit(&self, node: SocketAddr) {
         let stage_before = self.stage.load(Ordering::SeqCst);
         let body = submission(&self.job_id, 1);
@@ -111,7 +113,8 @@
     }
 }
 
-/// Stops the query threads when it is dropped, also by a failed assertion: the thread scope waits for them.
+/// Stops the query threads when this value is dropped, also by a failed assertion, because the thread scope
+/// waits for the end of these threads.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -138,7 +141,7 @@
         if partitioned {
             let follower = nodes.iter().position(|n| leading_term(n).is_none());
             cluster.store_links[follower.expect("a follower")].partition();
-            // Longer than the 2 s of failed calls after which the node treats the store as lost.
+            // This is longer than the 2 s of failed calls after which the node treats the store as lost.
             std::thread::sleep(Duration::from_secs(4));
         }
         let jobs: Vec<ObservedJob> = (901..913)
@@ -167,7 +170,7 @@
                 });
                 job.submit(other);
                 match n % 3 {
-                    // Cancelled at once, some time before its end, or at about its end.
+                    // The job is cancelled at once, some time before its end, or at about its end.
                     0 => {}
                     1 => std::thread::sleep(Duration::from_millis(200)),
                     _ => std::thread::sleep(Duration::from_millis(900)),
--- a/tests/fakes/store.rs
+++ b/tests/fakes/store.rs
@@ -16,7 +16,8 @@
     value: Value,
     /// The revision at which the key was put last.
     revision: u64,
-    /// The lease with whose end the key is deleted. `None`: the key is kept.
+    /// The lease that the key is attached to. The key is deleted when this lease ends. `None`: the key is not
+    /// attached to a lease and is kept.
     lease: Option<u64>,
 }
 
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The logged changes after a revision to keys under a prefix, as a watch returns them.
+    /// The logged changes of keys under a prefix that are later than a revision, as a watch returns them.
     fn changes_after(&self, revision: u64, prefix: &str) -> Vec<Value> {
         let changes = self.log.iter();
         let changes = changes.filter(|c| c.revision > revision && c.key.starts_with(prefix));
@@ -147,7 +148,7 @@
         (200, map([("Permit", Value::Int(id))]))
     }
 
-    /// Renews a lease. Status 404: it has expired or was never granted.
+    /// Renews a lease. Status 404: the lease has expired or was never granted.
     fn renew_lease(&mut self, id: u64) -> FakeResponse {
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -159,7 +160,7 @@
     }
 
     /// Applies a transaction if each key of its conditions has the expected revision, where 0 means absent.
-    /// Otherwise it changes nothing, and answers with the keys whose conditions failed.
+    /// Otherwise changes nothing, and answers with the keys whose conditions failed.
     fn commit(&mut self, body: &Value) -> FakeResponse {
         let failed: Vec<Value> = body
             .list("If")
@@ -228,11 +229,12 @@
 /// What happens to a transaction that meets a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It is applied, and its response is lost.
+    /// The transaction is applied, and its response is lost.
     ResponseLost,
-    /// It is applied only after this time, behind newer transactions, and its response is lost.
+    /// The transaction is applied only after this delay, behind newer transactions, and its response is
+    /// lost.
     Late(Duration),
-    /// It is applied and answered, and then the store becomes unavailable to all nodes.
+    /// The transaction is applied and answered, and then the store becomes unavailable to all nodes.
     UnavailableAfterwards,
 }
 
@@ -246,13 +248,14 @@
     /// How many of the next transactions without changes get no response in time. Such transactions only
     /// compare revisions, and nodes read with them.
     pub unanswered_reads: Arc<AtomicU64>,
-    /// The maximum number of changes in a transaction. One with more is answered with status 400.
+    /// The maximum number of changes in a transaction. A transaction with more is answered with status 400.
     pub max_changes: Arc<AtomicU64>,
     /// While set, watches of the queue (`q/`) are not answered.
     pub queue_watch_held: Arc<AtomicBool>,
-    /// Faults that are not met yet. Each is for the next transaction that puts a key with its prefix.
+    /// Faults that no transaction has met yet, each with a key prefix. A fault is for the next transaction
+    /// that puts a key with this prefix.
     faults: Arc<Mutex<Vec<(&'static str, Fault)>>>,
-    /// Where it listens.
+    /// The address on which the store listens.
     pub address: SocketAddr,
 }
 
@@ -309,7 +312,8 @@
         serve_request(&self.state, method, url, body)
     }
 
-    /// Whether this is a transaction without changes that is to get no response, which is counted down.
+    /// Whether this request is a transaction without changes that is to get no response. If so, decrements
+    /// the number of transactions that are still to get none.
     fn takes_unanswered_read(&self, url: &str, body: &Value) -> bool {
         let decrement = |n: u64| n.checked_sub(1);
         let is_read = url == "/txn" && body.list("Apply").is_empty();
@@ -351,7 +355,7 @@
         state.keys.get(key).map(|entry| entry.value.clone())
     }
 
-    /// The keys under a prefix, in their order.
+    /// The keys under a prefix, in alphabetical order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.state.0.lock().expect("the lock of the store's state");
         let keys = state.keys.keys().filter(|k| k.starts_with(prefix));
@@ -410,8 +414,8 @@
     }
 }
 
-/// Waits for changes after a revision to keys under a prefix, and returns none after the time that the
-/// request gives.
+/// Waits for changes of keys under a prefix that are later than a revision, and returns them. Returns no
+/// changes if none occur within the time that the request gives.
 fn watch(mut state: MutexGuard<StoreState>, changed: &Condvar, url: &str) -> FakeResponse {
     let prefix = query_parameter(url, "Under").unwrap_or_default();
     let number = |name: &str| {
--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -30,7 +30,7 @@
     command_times: Vec<Instant>,
     /// How often the lease expired. Each expiry begins a new incarnation.
     expired_leases: u64,
-    /// When the most recent heartbeat that was answered was sent. The lease counts from here.
+    /// When the most recent heartbeat that was answered was sent. The lease is counted from this time.
     lease_renewed_at: Option<Instant>,
 }
 
@@ -49,7 +49,8 @@
 }
 
 impl FakeWorker {
-    /// Starts a worker on 127.0.0.1 that sends its heartbeats every 100 ms, first to the first of the nodes.
+    /// Starts a worker on 127.0.0.1 that sends its heartbeats every 100 ms, at first to the first of these
+    /// nodes.
     pub fn start(name: &str, run_time: Duration, nodes: Vec<(String, SocketAddr)>) -> FakeWorker {
         let heartbeat_interval = Duration::from_millis(100);
         FakeWorker::start_at(
@@ -95,7 +96,7 @@
         worker
     }
 
-    /// The address on which it receives commands.
+    /// The address on which the worker receives commands.
     pub fn endpoint(&self) -> String {
         self.endpoint.clone()
     }
@@ -106,8 +107,8 @@
             .store(run_time.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Sets the lease and renews it now. All tasks end when no heartbeat sent within that time is answered.
-    /// Zero: the lease never expires.
+    /// Sets the lease and renews it now. All tasks end once the most recent heartbeat that was answered
+    /// was sent longer ago than the lease. Zero: the lease never expires.
     pub fn set_lease(&self, lease: Duration) {
         self.state
             .lock()
@@ -117,7 +118,7 @@
             .store(lease.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// The tasks started so far, each with its attempt.
+    /// The id and the attempt of each task that was started so far, in the order of the starts.
     pub fn starts(&self) -> Vec<(String, u64)> {
         self.state
             .lock()
@@ -126,7 +127,7 @@
             .clone()
     }
 
-    /// When it received commands under a valid token.
+    /// When the worker received each command under a valid token.
     pub fn command_times(&self) -> Vec<Instant> {
         self.state
             .lock()
@@ -157,7 +158,7 @@
         running.map(|(task_id, _)| task_id.clone()).collect()
     }
 
-    /// The highest fencing token that it received.
+    /// The highest fencing token that the worker received.
     pub fn token(&self) -> u64 {
         self.state
             .lock()
@@ -170,7 +171,7 @@
         call("POST", node, "/agent/beat", Some(&self.next_heartbeat())).0
     }
 
-    /// How often its lease expired.
+    /// How often the worker's lease expired.
     pub fn expired_leases(&self) -> u64 {
         self.state
             .lock()
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Carries out the commands of a message. False: the message has an outdated fencing token.
+    /// Executes the commands of a message. Returns false and executes none of them if the message has an
+    /// outdated fencing token.
     fn execute(&self, body: &Value) -> bool {
         let mut state = self.state.lock().expect("the lock of the worker's state");
         self.expire_lease(&mut state);
@@ -230,7 +232,7 @@
         true
     }
 
-    /// The body of the next heartbeat. It lists all tasks, and raises the serial number.
+    /// The body of the next heartbeat, which lists all tasks. Each call raises the serial number.
     fn next_heartbeat(&self) -> Value {
         let mut state = self.state.lock().expect("the lock of the worker's state");
         self.expire_lease(&mut state);
--- a/tests/http_server.rs
+++ b/tests/http_server.rs
@@ -1,7 +1,8 @@
 //! The HTTP server over real sockets, with many clients and with clients that are slow or send malformed
 //! requests.
 //!
-//! Each wait ends when the expected event is observed. Its time limit is far longer than any machine needs.
+//! Each wait ends when the expected event is observed. The time limit of each wait is far longer than any
+//! machine that runs the tests needs.
 
 use cypressgap::common::stop_signal::StopSignal;
 use cypressgap::net::http_server::{self, Limits, Request};
@@ -15,7 +16,7 @@
     idle: Duration::from_secs(600),
 };
 
-/// A server on a local port, which stops when this is dropped.
+/// A server on a local port, which stops when this value is dropped.
 struct TestServer {
     address: SocketAddr,
     stop: StopSignal,
@@ -91,7 +92,7 @@
         "x".repeat(4000)
     );
     // The parts in which the request is sent, the status of the response, and whether the server closes the
-    // connection after it.
+    // connection after the response.
     let cases: [(&str, &[&str], u16, bool); 6] = [
         (
             "in two parts",
@@ -108,7 +109,7 @@
         ("HTTP/1.0", &["GET /a HTTP/1.0\r\n\r\n"], 200, true),
         ("not HTTP", &["hello\r\n\r\n"], 400, true),
         ("body too long", &[&too_long], 400, true),
-        // The server must not wait forever for the rest.
+        // The server must not wait forever for the rest of the body.
         (
             "never complete",
             &["POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\nab"],
--- a/tests/measure_cold_restart.rs
+++ b/tests/measure_cold_restart.rs
@@ -43,16 +43,17 @@
     scheduler_config
 }
 
-/// The results of one run. All times are in seconds since the end of the outage; `None`: not in the
-/// observation time.
+/// The results of one run. All times are in seconds since the end of the outage; `None`: the event did not
+/// occur within the observation time.
 struct Figures {
     /// The number of violated invariants, counted in each step.
     violations: usize,
-    /// The tasks that ran before the crash and were started again.
+    /// The number of tasks that ran before the crash and were started again after the outage.
     restarted_tasks: usize,
-    /// The maximum number of commands that all machines executed within one second.
+    /// The maximum number of commands that all machines together executed within one second.
     peak_fleet_commands: usize,
-    /// The same for the segment with the highest number.
+    /// The maximum number of commands that the machines of a single segment together executed within one
+    /// second.
     peak_segment_commands: usize,
     /// When 95% of the tasks that ran before the crash were reconciled.
     mostly_reconciled_s: Option<f64>,
--- a/tests/measure_rounds.rs
+++ b/tests/measure_rounds.rs
@@ -51,7 +51,7 @@
     }
     let mut ticks = Vec::new();
     for second in 0..MEASURED_SECONDS {
-        // About as many jobs are submitted as end.
+        // About as many jobs are submitted as end in this second.
         for n in 0..jobs / 60 {
             add_job(&mut fleet, jobs + second * (jobs / 60) + n);
         }
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -73,15 +73,16 @@
     let started = launches(&fixture.settle());
     assert!(started.iter().all(|l| l.1.index == 0), "{started:?}");
     assert!(fixture.cluster.jobs[&job_id()].active[&1].durable);
-    // After the cancellation of its job it is killed.
+    // The task is killed after its job has been cancelled.
     fixture.cluster.on_cancel_marked(fixture.now, &job_id());
     let (_, commands) = fixture.heartbeat("i-9", 2, vec![running(1)]);
     assert!(commands.iter().any(is_kill));
     assert_eq!(usage_of_red(&fixture), 4.0 + 4.0 * started.len() as f64);
 }
 
-/// Guards against wrong adoptions: of tasks in late duplicates, of attempts that this term itself gave up,
-/// and of tasks that are on record on another machine.
+/// Guards against wrong adoptions: of tasks that are listed only in a late duplicate of a heartbeat of an
+/// earlier term, of attempts that the current term itself gave up, of tasks whose record names another
+/// machine, and of tasks that their job does not have.
 #[test]
 fn unrecorded_tasks_that_are_not_adopted_are_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
@@ -106,10 +107,10 @@
     }
 }
 
-/// Guards against exceeded limits and lost work after the key-value store was restored to an earlier state: a
-/// task runs whose job the store does not know. No team with a limit starts anything, the machine gets no
-/// other task, and the task is killed only after two lookups that do not find the job, and after the time for
-/// which it is held.
+/// Guards against exceeded team limits and lost work after the key-value store was restored to an earlier
+/// state: a task runs whose job the store does not know. No team with a limit starts anything, the machine
+/// gets no other task, and the task is killed only after two lookups that do not find the job, and only once
+/// the time for which such a task is held has passed.
 #[test]
 fn work_of_a_job_that_the_store_does_not_know_is_held_and_counts() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
@@ -119,7 +120,8 @@
     fixture.heartbeat("i-8", 1, vec![]);
     assert!(commands.is_empty());
     assert_eq!(launches(&fixture.settle()), vec![], "its team is not known");
-    // Serial of the heartbeat, seconds before the lookup, and whether the task is killed.
+    // For each lookup of the unknown job in the store: the serial of the heartbeat that follows the lookup,
+    // the seconds between the previous row (or the start) and the lookup, and whether the task is killed.
     for (serial, after, killed) in [(2, 1, false), (3, 30, false), (4, 30, true)] {
         fixture.advance(secs(after));
         fixture.cluster.on_job_statuses(
--- a/tests/scheduler/launch_intents.rs
+++ b/tests/scheduler/launch_intents.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// Guards against a task that runs without a record: the next leader would not know of it and launch it
-/// again.
+/// Guards against a task that runs without a record: the next leader would not know of the task, and would
+/// launch it again.
 #[test]
 fn nothing_is_launched_before_its_intent_is_durable() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership: election, the leader lease, and what a leader does that may have been superseded.
+//! Leadership: election, the leader lease, and what a leader does while it may have been superseded.
 
 use crate::common::*;
 use cypressgap::core::leadership::cancellation_watermark::ClockReading;
@@ -18,7 +18,7 @@
         revision,
     };
     let now = Instant::now();
-    // Name, the leader key as read by the follower `m0` of boot 1, and its next step.
+    // Name, the leader key as read by the follower `m0` of boot 1, and the follower's next step.
     let cases = [
         ("absent", None, Step::Campaign { revision: 0 }),
         (
@@ -42,7 +42,7 @@
         let mut leadership = Leadership::new("m0", renewal_interval);
         assert_eq!(leadership.on_leader_key(now, key), step, "{name}");
     }
-    // Name, the leader key as read by the leader of term 4, and its next step.
+    // Name, the leader key as read by the leader of term 4, and that leader's next step.
     let cases: [(&str, Option<LeaderRecord>, Step); 4] = [
         ("of this leader", Some(record("m0", 1, 4, 40)), Step::Wait),
         ("an old read", Some(record("m1", 5, 3, 30)), Step::Wait),
@@ -110,8 +110,9 @@
     }
 }
 
-/// Guards against a superseded leader that returns machines of its successor. It lost the network and took
-/// its machines for silent, and its requests to return them were carried out once the network was back.
+/// Guards against a superseded leader that returns machines of its successor. The superseded leader lost the
+/// network and took its machines for silent, and its requests to return these machines were carried out once
+/// the network was back.
 #[test]
 fn an_unconfirmed_leader_returns_only_machines_with_cancelled_tasks() {
     for cancelled in [false, true] {
@@ -134,7 +135,7 @@
             .collect();
         let expected = if cancelled { vec![machine] } else { vec![] };
         assert_eq!(returned, expected, "cancelled {cancelled}");
-        // Once its leadership is confirmed, it returns the machines that are still silent.
+        // Once the leadership is confirmed, the leader returns the machines that are still silent.
         fixture.cluster.set_leadership_confirmed(true);
         assert_eq!(
             returned_machines(&fixture.settle()).len(),
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -20,9 +20,9 @@
     keys_per_answer: usize,
     /// The maximum number of outcomes in a page.
     page_size: usize,
-    /// The number of calls so far.
+    /// The number of calls of the functions of `JobRecordReader` so far, including failed calls.
     calls: Cell<usize>,
-    /// The number of calls that succeed; all later ones fail.
+    /// The number of these calls that succeed; all later calls fail.
     calls_before_outage: usize,
 }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -38,7 +38,7 @@
 pub struct WorkerTask {
     pub spec: Arc<JobSpec>,
     pub phase: TaskPhase,
-    /// When the phase ends without a command. Of no meaning once the attempt has ended.
+    /// When the phase ends if no command ends it earlier. Meaningless once the attempt has ended.
     pub until: Instant,
 }
 
@@ -60,16 +60,17 @@
     pub spot: bool,
     /// How often the machine was booted, from 1.
     pub boot_count: u64,
-    /// The incarnation of the worker since the boot, from 1. The expiry of the lease begins a new one.
+    /// The incarnation of the worker since the boot, from 1. A new incarnation begins when the worker's lease
+    /// expires.
     pub incarnation: u64,
     /// The number of the last heartbeat, including those sent as responses to direct commands.
     pub serial: u64,
-    /// The highest fencing token received; 0 before the first.
+    /// The highest fencing token received; 0 before the first token.
     pub token: FencingToken,
     pub tasks: BTreeMap<(TaskId, AttemptId), WorkerTask>,
     /// The images in the machine's cache.
     pub images: BTreeSet<String>,
-    /// When the machine has booted and the worker runs.
+    /// The time from which on the machine is booted and the worker runs.
     pub up_at: Instant,
     /// When the cloud evicts the machine; `None` while no eviction is announced.
     pub eviction_at: Option<Instant>,
@@ -80,9 +81,11 @@
     pub lease_start: Instant,
     pub next_heartbeat_at: Instant,
     pub last_heartbeat_at: Option<Instant>,
-    /// When the heartbeat that waits for an answer was sent; `None` if none does.
+    /// When the heartbeat that waits for an answer was sent; `None` if no heartbeat waits
+    /// for an answer.
     pub pending_heartbeat_sent_at: Option<Instant>,
-    /// The end of each fault; `None` or a past time if the fault is not active.
+    /// This field and the next three each hold the end of a fault; `None` or a past time if that fault is not
+    /// active.
     pub paused_until: Option<Instant>,
     pub partitioned_until: Option<Instant>,
     pub inbound_partition_until: Option<Instant>,
@@ -150,8 +153,8 @@
         }
     }
 
-    /// Brings the next heartbeat forward to the earliest permitted time, after a change that it has to
-    /// report.
+    /// Brings the next heartbeat forward to the earliest permitted time, because the state that heartbeats
+    /// report has changed.
     pub fn schedule_heartbeat(&mut self, now: Instant) {
         let earliest = self
             .last_heartbeat_at
@@ -159,7 +162,7 @@
         self.next_heartbeat_at = self.next_heartbeat_at.min(earliest.max(now));
     }
 
-    /// The heartbeat to send now; `None` if it is not due or the last one still waits for its answer.
+    /// The heartbeat to send now; `None` if none is due or the previous heartbeat still waits for its answer.
     pub fn take_due_heartbeat(&mut self, now: Instant, interval: Duration) -> Option<Heartbeat> {
         if self
             .pending_heartbeat_sent_at
@@ -177,7 +180,7 @@
         Some(self.make_heartbeat(now))
     }
 
-    /// Handles the refusal of a heartbeat, which does not renew the lease.
+    /// Handles the refusal of a heartbeat. A refusal does not renew the lease.
     pub fn on_refusal(&mut self, now: Instant, sent_at: Instant) {
         if self.pending_heartbeat_sent_at == Some(sent_at) {
             self.pending_heartbeat_sent_at = None;
@@ -185,8 +188,9 @@
         }
     }
 
-    /// Handles the answer to the heartbeat that was sent at `sent_at` in `incarnation`. It renews the lease,
-    /// unless it is late, fenced off by a higher token, or for an earlier incarnation.
+    /// Handles the answer to the heartbeat that was sent at `sent_at` in `incarnation`. The answer renews the
+    /// lease and its commands are executed, unless the answer is late, is fenced off by a higher token, or is
+    /// for an earlier incarnation.
     pub fn on_answer(
         &mut self,
         now: Instant,
@@ -210,8 +214,8 @@
         self.execute(now, token, commands, storage);
     }
 
-    /// Handles commands that a leader sent directly. Returns whether they were executed. They do not renew
-    /// the lease.
+    /// Handles commands that a leader sent directly. Returns whether the commands were executed. Such
+    /// commands do not renew the lease.
     pub fn on_command(
         &mut self,
         now: Instant,
@@ -303,8 +307,8 @@
         self.schedule_heartbeat(now);
     }
 
-    /// Kills and forgets all tasks and begins a new incarnation if the lease has expired, even while the
-    /// worker is paused.
+    /// If the lease has expired, kills and forgets all tasks, empties the image cache and begins a new
+    /// incarnation, even while the worker is paused.
     pub fn check_lease(&mut self, now: Instant, lease: Duration) {
         if now <= self.lease_start + lease || now < self.up_at {
             return;
@@ -317,8 +321,8 @@
         self.schedule_heartbeat(now);
     }
 
-    /// Moves the tasks of a running machine whose phase is over to the next one. The `machines` module starts
-    /// and completes gangs.
+    /// Moves each task whose phase has ended to the next phase of that task. The caller makes sure that the
+    /// machine is up and not paused. Gangs are started and completed by the `machines` module instead.
     pub fn advance(
         &mut self,
         now: Instant,
--- a/tests/stored_formats/golden.rs
+++ b/tests/stored_formats/golden.rs
@@ -21,14 +21,15 @@
         }
     }
 
-    /// The bytes of the row with this name, which counts as used from then on. Panics if there is none.
+    /// The bytes of the row with this name, which counts as used from then on. Panics if there is no
+    /// such row.
     pub fn bytes(&mut self, name: &str) -> Vec<u8> {
         let (name, bytes) = self.rows.get_key_value(name).expect(name);
         self.used.insert(name);
         bytes.clone()
     }
 
-    /// Checks that an encoded value has the bytes of the row, and returns them.
+    /// Checks that an encoded value has the bytes of the row with this name, and returns these bytes.
     pub fn check_encoding(&mut self, name: &str, bytes: &[u8]) -> Vec<u8> {
         let golden = self.bytes(name);
         let (actual, expected) = (bytes.escape_ascii(), golden.escape_ascii());
@@ -48,7 +49,7 @@
         assert_eq!(decode(&golden), value, "{name}");
     }
 
-    /// Fails if the test has not used a row of the file.
+    /// Fails if the file has a row that the test has not used.
     pub fn check_all_used(self) {
         let unused = self.rows.keys().filter(|name| !self.used.contains(*name));
         assert_eq!(unused.collect::<Vec<_>>(), Vec::<&&str>::new());
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -228,8 +228,8 @@
         let decoded = heartbeat(vec![task("wk-000412/3", phase, exit_reason)]);
         assert_eq!(decoded.map(|h| h.tasks[0].phase), expected, "{phase}");
     }
-    // A task that cannot be read makes the whole heartbeat invalid. A heartbeat without it would count as
-    // proof that the task has ended.
+    // A task that cannot be read makes the whole heartbeat invalid. A heartbeat in which the task is
+    // left out would count as proof that the task has ended.
     let with_invalid_task = heartbeat(vec![
         task("wk-000412/3", "running", None),
         task("x", "running", None),
@@ -301,8 +301,8 @@
         let mut spec = parse_submission(&submission_fields()).expect("a valid submission");
         spec.machine_types = Some(types.iter().map(|name| name.as_str().into()).collect());
         let size = StoredJob::from(&spec).max_size_bytes();
-        // The encoded form is shorter than the form in which the store measures sizes, so it must be below
-        // the bound.
+        // The encoded form is shorter than the form in which the store measures sizes, so its length must
+        // be below the bound.
         assert!(size > encode(&StoredJob::from(&spec)).len(), "{name}");
         assert_eq!(
             check_record_size(size, 8 * 1024).is_ok(),
