--- a/tests/fakes/worker.rs
+++ b/tests/fakes/worker.rs
@@ -24,7 +24,7 @@
     tasks: BTreeMap<String, WorkerTask>,
     /// The highest fencing token received.
     token: u64,
-    /// The id and the attempt of each started task, in the order of the starts.
+    /// The task id and the attempt of each task start, in the order of the starts.
     starts: Vec<(String, u64)>,
     /// When each command arrived under a valid token.
     command_times: Vec<Instant>,
@@ -118,7 +118,7 @@
             .store(lease.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// The id and the attempt of each task that was started so far, in the order of the starts.
+    /// The task id and the attempt of each task start so far, in the order of the starts.
     pub fn starts(&self) -> Vec<(String, u64)> {
         self.state
             .lock()
