--- a/src/net/peer/circuit_breaker.rs
+++ b/src/net/peer/circuit_breaker.rs
@@ -10,7 +10,7 @@
 /// How long the circuit stays open before commands are relayed again.
 const OPEN_DURATION: Duration = Duration::from_secs(10);
 
-/// The circuit is closed at first.
+/// The state of one peer's circuit, which is closed at first.
 #[derive(Default)]
 pub(super) struct CircuitBreaker {
     consecutive_failures: AtomicU32,
--- a/src/net/store/budget/mod.rs
+++ b/src/net/store/budget/mod.rs
@@ -175,7 +175,8 @@
     }
 
     /// Takes one request for status queries. Queries leave a share of the bucket to submissions and
-    /// cancellations, so that a flood of queries does not delay these. False: the limit is reached.
+    /// cancellations, so that a flood of queries does not delay these. False: the rate limit for status
+    /// queries is reached at the moment.
     #[must_use]
     pub fn try_take_status_query(&self, now: Instant) -> bool {
         self.users
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -40,8 +40,8 @@
     pub changes: f64,
 }
 
-/// The operators' settings for everything except the scheduler core; see `Default` for the values that apply
-/// otherwise.
+/// The operators' settings for everything except the scheduler core. `Default` supplies the values of the
+/// settings that the operators' file does not name.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
     /// How long the leader's lease lasts without a renewal.
@@ -65,7 +65,8 @@
     }
 }
 
-/// All settings of one node. Those from the operators' file have default values until it is read.
+/// All settings of one node. The settings from the operators' file have default values until that file is
+/// read.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This node's unique name among the controllers.
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -55,7 +55,7 @@
 #[test]
 fn the_watermark_is_the_time_up_to_which_all_cancellations_are_known() {
     use Event::*;
-    // Name, peers, events, and the time of the watermark after them.
+    // Case name, peers, events, and the time of the watermark after these events.
     let cases: [(&str, &[&str], &[Event], u64); 11] = [
         ("no reads and no reports", &["b", "c"], &[], 0),
         (
@@ -204,8 +204,9 @@
 }
 
 /// Guards against a cancelled task that runs on because its leader, cut off from the key-value store and from
-/// its peers, keeps renewing its lease. The leader answers heartbeats only while a lease that is renewed then
-/// expires in time. After that it still applies their content, and sends kills as direct commands.
+/// its peers, keeps renewing the lease of the task's machine. The leader answers heartbeats only while a
+/// lease that the answer renews expires in time. Later heartbeats are not answered, but the leader still
+/// applies their content, and sends kills as direct commands.
 #[test]
 fn heartbeats_are_processed_but_not_answered_once_the_watermark_is_too_old() {
     let (mut fixture, attempt) = fixture_with_peer();
@@ -241,7 +242,7 @@
         fixture.cluster.on_heartbeat(fixture.now, copy),
         HeartbeatDecision::Withheld
     );
-    // The cancellation becomes known: the kill is sent to the machine as a direct command.
+    // The cancellation becomes known to the leader: it sends the kill to the machine as a direct command.
     fixture
         .cluster
         .on_cancel_marked(fixture.now, &"wk-000001".into());
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -33,9 +33,9 @@
 }
 
 /// Guards against a team that exceeds its limit after a failover: its cancelled tasks are on machines that
-/// are cut off or hang, and may still run there. They count for the limit until they are proved gone: by the
-/// return of the machine, by a new incarnation, or by a heartbeat with a raised token that does not list
-/// them.
+/// are cut off or hang, and may still run there. The cancelled tasks count towards the team's limit until
+/// they are proved gone: by the return of the machine, by a new incarnation, or by a heartbeat with a raised
+/// token that does not list them.
 #[test]
 fn cancelled_tasks_on_silent_machines_count_for_the_teams_limit_until_proved_gone() {
     enum Proof {
@@ -71,7 +71,8 @@
         match proof {
             Proof::Returned => fixture.cluster.on_returned(fixture.now, &["i-1".into()]),
             Proof::NewIncarnation | Proof::HeartbeatWithoutTask => {
-                // A late duplicate from an earlier term, then a heartbeat of this term.
+                // First a late duplicate of a heartbeat from an earlier term arrives, then a heartbeat of
+                // this term.
                 let old = FencingToken::first(Term(TERM.0 - 1)).0;
                 let copy = heartbeat_from("i-1", 1, 3, old, vec![]);
                 fixture.cluster.on_heartbeat(fixture.now, copy);
@@ -99,8 +100,9 @@
     }
 }
 
-/// Guards against ends of tasks that are lost at a failover. The tasks of a job end far apart, one of them
-/// under the earlier leader: the job is recorded as done only once all have ended, and none is run again.
+/// Guards against ends of tasks that are lost at a failover. The tasks of a job end far apart in time, one of
+/// them under the earlier leader: the job is recorded as done only once all its tasks have ended, and no
+/// ended task is run again.
 #[test]
 fn task_ends_survive_a_failover() {
     let mut fixture = ClusterFixture::new();
@@ -187,7 +189,7 @@
             WriteOutcome::Applied { revision: 777 }
         };
         fixture.cluster.on_write_outcome(fixture.now, outcome);
-        // A cancellation that becomes known afterwards changes nothing.
+        // A cancellation that becomes known after the outcome was written changes nothing.
         fixture
             .cluster
             .on_cancel_marked(fixture.now, &"wk-000001".into());
@@ -207,7 +209,8 @@
 }
 
 /// Guards against a cancelled task that outlasts `cancel_s` on a machine that a new leader cannot reach: the
-/// machine is returned within half of it, also if its heartbeats arrive and only answers and commands do not.
+/// machine is returned within half of `cancel_s`, even if the machine's heartbeats reach the leader and only
+/// the leader's answers and commands do not reach the machine.
 #[test]
 fn unreachable_machines_with_cancelled_tasks_are_returned_in_time() {
     for heartbeats in [false, true] {
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_duplicate_from_before_the_term_admits_no_machine_and_moves_no_task() {
-    // Whether the duplicate lists the loaded task. Neither proves anything.
+    // Whether the duplicate lists the loaded task. In neither case does the duplicate prove anything.
     for listed in [false, true] {
         let mut fixture = ClusterFixture::new();
         fixture.job(spec("wk-000001", 1, 4.0));
--- a/tests/scheduler/failover/command_pacing.rs
+++ b/tests/scheduler/failover/command_pacing.rs
@@ -9,8 +9,9 @@
 use cypressgap_recovery::settings::parse_segment;
 use std::time::Duration;
 
-/// Guards against a burst of commands after a cold restart: all tasks of machines in two network segments are
-/// proved absent at once, and their launches keep to the limit in every second.
+/// Guards against a burst of commands after a cold restart. All tasks on the machines of two network segments
+/// are proved absent at once, and in every second their launches stay within `orders_per_second`, the rate
+/// limit on commands (20 per second here).
 #[test]
 fn launches_after_a_cold_restart_keep_to_the_rate_limit() {
     const MACHINES: u32 = 60;
@@ -84,8 +85,9 @@
     assert_eq!(total, MACHINES as usize, "each task is launched once");
 }
 
-/// Guards against rate limits that delay the kills of a cancelled job beyond `cancel_s`: all of them are sent
-/// well before that, even if the limit is far too low for the fleet.
+/// Guards against rate limits that delay the kills of a cancelled job beyond `cancel_s`: all kills are sent
+/// well before `cancel_s` has passed since the cancellation, even if the rate limit on commands is far too
+/// low for the number of machines.
 #[test]
 fn kills_of_a_cancelled_job_go_out_in_time_whatever_the_rate_limit() {
     const MACHINES: u32 = 40;
--- a/tests/scheduler/failover/loaded_tasks.rs
+++ b/tests/scheduler/failover/loaded_tasks.rs
@@ -23,8 +23,8 @@
     (fixture, attempt)
 }
 
-/// Guards against a task that runs twice after a failover: a heartbeat that does not list a loaded task is no
-/// proof that it is gone, because its launch may still be in flight.
+/// Guards against a task that runs twice after a failover: a heartbeat that does not list a loaded task does
+/// not prove that the task is gone, because the task's launch may still be in flight.
 #[test]
 fn a_new_leader_keeps_a_loaded_task_on_its_machine() {
     let (mut fixture, attempt) = fixture_after_takeover();
@@ -34,7 +34,8 @@
         vec![],
         "the task may be on i-1"
     );
-    // The first heartbeat does not list the task, but may be a late copy: it causes no command.
+    // The first heartbeat does not list the task, but this heartbeat may be a late copy, so it causes no
+    // command.
     let heartbeat = heartbeat_from("i-1", 1, 40, FencingToken::first(Term(2)).0, vec![]);
     let HeartbeatDecision::Accept { token, commands } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
@@ -42,8 +43,8 @@
         panic!("the heartbeat was not accepted");
     };
     assert_eq!((token.term(), commands), (TERM, vec![]));
-    // A heartbeat of this term does not list it either. The launch may still be in flight, so the same
-    // attempt is launched again.
+    // A heartbeat with a token of this term does not list the task either. The launch may still be in flight,
+    // so the same attempt is launched again.
     let heartbeat = heartbeat_from("i-1", 1, 41, token.0, vec![]);
     let HeartbeatDecision::Accept { commands, .. } =
         fixture.cluster.on_heartbeat(fixture.now, heartbeat)
--- a/tests/scheduler/failover/mod.rs
+++ b/tests/scheduler/failover/mod.rs
@@ -55,7 +55,7 @@
     fixture
 }
 
-/// The CPUs that count for the limit of team `red`.
+/// The CPUs that count towards the CPU limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -41,8 +41,8 @@
     (fixture, returned, rented)
 }
 
-/// Guards against a whole segment whose machines are returned although only its network fails. Silence is
-/// detected after 18 s, and leases last 30 s.
+/// Guards against the return of all machines of a segment of which only the network fails. Silence is
+/// detected after 18 s without heartbeats, and leases last 30 s.
 #[test]
 fn machines_of_a_silent_segment_are_not_returned_one_after_another() {
     // Name, the machines that are silent, for how many seconds, whether the recovery limits are enabled, and
--- a/tests/scheduler/failover/stored_intents.rs
+++ b/tests/scheduler/failover/stored_intents.rs
@@ -1,5 +1,5 @@
-//! Stored intents that a new leader finds. An intent may outlive its attempt, and by then other attempts may
-//! have used up the team's limit or have chosen another zone.
+//! Stored intents that a new leader finds. An intent may still be stored although its attempt is gone; in the
+//! meantime, other attempts may have used up the team's limit or may have chosen another zone for the job.
 
 use crate::common::*;
 use cypressgap::core::model::*;
@@ -12,7 +12,8 @@
 
 const ATTEMPT: AttemptId = AttemptId(7);
 
-/// A chunk with intents for these tasks, which must belong to one chunk, on a machine.
+/// A chunk of a job with a stored intent on `machine` for each of `tasks`, which must all belong to the same
+/// chunk.
 fn stored_intents(job_id: &str, tasks: &[u32], machine: &str) -> StoredJobChunk {
     let active = tasks
         .iter()
@@ -28,7 +29,7 @@
     }
 }
 
-/// A live job whose tasks request 4 CPUs each, of team "red", which has a limit of 8 CPUs.
+/// A live job of team `red`, which has a limit of 8 CPUs. Each task of the job requests 4 CPUs.
 fn stored_job(job_id: &str, task_count: u32) -> StoredLiveJob {
     StoredLiveJob {
         spec: spec(job_id, task_count, 4.0),
@@ -61,17 +62,18 @@
     task_status(job_id, index, ATTEMPT, TaskPhase::Running)
 }
 
-/// The CPUs that count for the limit of team `red`.
+/// The CPUs that count towards the CPU limit of team `red`.
 fn usage_of_red(fixture: &ClusterFixture) -> f64 {
     fixture.cluster.quota_usage.team_usage(&"red".into()).cpus
 }
 
-/// Guards against a team that exceeds its limit after a failover. Each of two jobs has intents for the whole
-/// limit: the attempts of the first were gone and the second used the limit, but the leader failed before it
-/// removed the intents of the first.
+/// Guards against a team that exceeds its CPU limit after a failover. Each of two jobs has stored intents
+/// that use the whole limit: the attempts of the first job were gone, so the earlier leader used the limit
+/// for the second job, but it failed before it removed the intents of the first job.
 #[test]
 fn a_stored_intent_beyond_the_limit_is_not_launched() {
-    // Name, the tasks that i-1 lists, and the CPUs that count for the limit after that.
+    // Case name, the tasks of the first job that `i-1` lists in its heartbeat, and the CPUs that count
+    // towards the team's limit after the heartbeats of both machines.
     let cases: [(&str, Vec<TaskStatus>, f64); 4] = [
         ("neither runs", vec![], 8.0),
         ("one still runs", vec![running("wk-000001", 0)], 12.0),
@@ -144,7 +146,8 @@
     assert_ne!(launched[0].2, ATTEMPT, "as a new attempt");
 }
 
-/// Guards against resources that a late duplicate of a heartbeat frees although a launch may still arrive.
+/// Guards against resources that are freed because of a late duplicate of a heartbeat, although a launch may
+/// still reach the machine.
 #[test]
 fn a_heartbeat_that_may_be_a_duplicate_frees_nothing() {
     let mut fixture = fixture_after_failover(StoredSnapshot {
@@ -155,7 +158,8 @@
         ],
         ..StoredSnapshot::default()
     });
-    // The heartbeat carries no token of this term, so commands from before the term may still arrive.
+    // The heartbeat carries a token from before this term, so commands that were sent before this term may
+    // still reach the machine.
     let before = FencingToken::first(fixture.cluster.term).0 - 1;
     let heartbeat = heartbeat_from("i-1", 1, 1, before, vec![]);
     let answer = fixture.cluster.on_heartbeat(fixture.now, heartbeat);
@@ -175,13 +179,14 @@
     assert_eq!(launched_tasks(&commands), both);
 }
 
-/// Guards against a job that breaks its zone constraint after a failover because an intent that outlived its
-/// attempt is launched again.
+/// Guards against a job that breaks its zone constraint after a failover because a stored intent whose
+/// attempt is gone is launched again.
 #[test]
 fn a_stored_intent_in_another_zone_is_not_launched() {
-    // The job has to stay in one zone or to be spread over zones, and its tasks are in two chunks. The intent
-    // for task 64 on i-1, in zone a, outlived its attempt; the other tasks run on i-2. Whether the job stays
-    // in one zone, whether it is spread, zone of i-2, whether task 64 may be launched.
+    // The job has to stay in one zone or to be spread over zones, and its tasks are in two chunks. Task 64
+    // has a stored intent on `i-1`, in zone `a`, although its attempt is gone; the other tasks run on `i-2`.
+    // Columns: whether the job has to stay in one zone, whether it has to be spread, the zone of `i-2`, and
+    // whether task 64 may be launched.
     let cases = [
         (true, false, "b", false),
         (true, false, "a", true),
@@ -251,7 +256,8 @@
 /// counted.
 #[test]
 fn members_of_a_gang_that_is_done_count_until_they_are_proved_gone() {
-    // The end of the first member marks all members as done. Whether the job's outcome is durable already.
+    // The end of the first member marks all members as done. `durable` states whether the job's outcome is
+    // already stored.
     for durable in [false, true] {
         let mut gang = stored_job("wk-000001", 2);
         gang.spec.kind = JobKind::Gang;
@@ -357,7 +363,8 @@
 /// counted. While such tasks may run, no team with a limit starts anything.
 #[test]
 fn an_unreadable_job_blocks_limited_teams_until_its_machines_are_returned() {
-    // Whether the intents of the unreadable job can be read, which show its machines.
+    // Whether the stored intents of the unreadable job can be read. They show on which machines the job's
+    // tasks may run.
     for intents_readable in [true, false] {
         let job_id = JobId::from("wk-000001");
         let mut fixture = fixture_after_failover(StoredSnapshot {
@@ -392,8 +399,8 @@
     }
 }
 
-/// Guards against a task that runs twice: a late copy of its launch reaches the machine after a restart, when
-/// the task has been placed elsewhere.
+/// Guards against a task that runs twice: a late copy of its launch reaches the machine after the machine has
+/// restarted and the task has been placed elsewhere.
 #[test]
 fn a_restarted_machine_takes_no_command_from_before_its_restart() {
     let mut fixture = limited_fixture();
@@ -404,8 +411,9 @@
     let token_before = fixture.cluster.fleet.machines[&MachineId::from("i-1")].token;
     let run = task_status("wk-000001", 0, attempt, TaskPhase::Running);
     fixture.heartbeat("i-1", 2, vec![run]);
-    // The machine is restarted within a heartbeat interval: its serials start again, and it has received no
-    // token. A late copy of the launch would fit its incarnation, and it no longer knows the attempt.
+    // The machine is restarted within a heartbeat interval: its heartbeat serials start again, and it has
+    // received no token. A late copy of the launch would match the machine's incarnation, and the machine no
+    // longer knows the attempt.
     fixture.advance(secs(1));
     let answer = fixture
         .cluster
@@ -461,7 +469,7 @@
         let difference = usage.team_usage(team).cpus - usage.recount(team).cpus;
         assert!(difference.abs() < 1e-7, "{team}: {difference}");
     }
-    // A task that leaves twice, or that was never entered, changes nothing.
+    // Removing an attempt twice, or removing one that was never added, does not change the usage.
     let before = usage.team_usage(&teams[0]).cpus;
     usage.add_attempt(task("wk-000002", 0), &teams[0], resources(2.0));
     usage.remove_attempt(&task("wk-000002", 0));
--- a/tests/scheduler/failover/unconfirmed_attempts.rs
+++ b/tests/scheduler/failover/unconfirmed_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts on record that no heartbeat has confirmed: they keep their resources and count for their team's
-//! limit.
+//! Recorded attempts that no heartbeat has confirmed: they keep their resources and count towards their
+//! team's limit.
 
 use super::{
     fixture_after_takeover, is_kill, job_id, launched_index, running, usage_of_red, EARLIER_ATTEMPT,
@@ -12,9 +12,9 @@
 };
 use cypressgap_recovery::attempt_state::AttemptState;
 
-/// Guards against a task that runs twice because its machine is silent. The attempt stays on record until it
-/// is proved gone. The expiry of the lease proves that only for a machine that was answered in this term: the
-/// lease of any other may have been renewed by another leader.
+/// Guards against a task that runs twice because its machine is silent. The record of the attempt stays until
+/// the attempt is proved gone. The expiry of a machine's lease proves this only if the machine received an
+/// answer in this term: the lease of any other machine may have been renewed by another leader.
 #[test]
 fn a_silent_machine_holds_what_is_on_record_until_the_proof() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 2);
@@ -36,15 +36,16 @@
     assert_eq!(state(&fixture, 0), Some(AttemptState::Silent));
     assert_eq!(state(&fixture, 1), Some(AttemptState::Silent));
     assert_eq!(usage_of_red(&fixture), 8.0, "silence proves nothing");
-    // The lease of i-0, which was answered, has expired after 30 s and the clock drift. i-1 has shown no
-    // token of this term.
+    // After 30 s plus the allowance for clock drift, the lease of `i-0`, which received an answer in this
+    // term, has expired. `i-1` has shown no token of this term.
     for _ in 0..4 {
         fixture.advance(secs(3));
         fixture.cluster.tick(fixture.now);
     }
     assert_eq!((state(&fixture, 0), usage_of_red(&fixture)), (None, 4.0));
     assert!(fixture.active("wk-000001", 1).is_some());
-    // A late duplicate of a heartbeat from an earlier term proves nothing, the return of the machine does.
+    // A late duplicate of a heartbeat from an earlier term proves nothing, but the return of the machine
+    // proves that its tasks are gone.
     let late = heartbeat_from("i-1", 1, 9, FencingToken::first(TERM).0 - 1, vec![]);
     fixture.cluster.on_heartbeat(fixture.now, late);
     assert!(fixture.active("wk-000001", 1).is_some(), "a late duplicate");
@@ -56,8 +57,8 @@
     );
 }
 
-/// Guards against a gang that is taken apart while only half of it has reported: the other half is neither
-/// launched elsewhere nor are its resources given to other tasks.
+/// Guards against a gang that is split up while only half of its members have been reported: the other
+/// members are not launched elsewhere, and their resources are not given to other tasks.
 #[test]
 fn a_gang_confirmed_by_half_waits_for_the_other_half() {
     let mut gang = spec("wk-000001", 2, 4.0);
@@ -84,7 +85,8 @@
     let mut fixture = fixture_after_takeover(scheduler_config, jobs, 2);
     fixture.heartbeat("i-9", 1, vec![]);
     assert_eq!(launches(&fixture.settle()), vec![]);
-    // One attempt is proved absent: the same attempt is launched again before any other task.
+    // The heartbeat of `i-0` proves one attempt absent: the same attempt is launched again before any other
+    // task.
     let (_, commands) = fixture.heartbeat("i-0", 1, vec![]);
     assert_eq!(
         commands
@@ -125,9 +127,9 @@
     }
 }
 
-/// Guards against a cancellation that is lost when the leader fails just after it was confirmed, by the job's
-/// outcome or by its cancellation mark: a running task is killed in the answer to the first heartbeat, and a
-/// task that does not run is never launched again.
+/// Guards against a cancellation that is lost when the leader fails just after the cancellation was
+/// confirmed, either by the job's outcome or by the job's cancellation mark. A running task is killed in the
+/// answer to the first heartbeat of its machine, and a task that does not run is never launched again.
 #[test]
 fn a_cancellation_confirmed_just_before_the_failover_holds() {
     for marked in [true, false] {
--- a/tests/scheduler/priority_inheritance.rs
+++ b/tests/scheduler/priority_inheritance.rs
@@ -4,8 +4,8 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 
-/// A dependency inherits the priority of its dependent, and the dependent's deadline minus its expected run
-/// time, in whichever order the jobs become known.
+/// A dependency inherits the priority of its dependent, and the dependent's deadline minus the dependent's
+/// expected run time, in whichever order the jobs become known.
 #[test]
 fn priorities_and_deadlines_are_inherited_along_a_chain() {
     for last_first in [false, true] {
@@ -35,14 +35,14 @@
                 "{n}"
             );
         }
-        // Each is expected to run for 60 s.
+        // Each job is expected to run for 60 s.
         assert_eq!(due(3) - due(2), secs(60));
         assert_eq!(due(2) - due(1), secs(60));
     }
 }
 
-/// Inherited priorities and deadlines for all shapes of pipelines, before and after jobs of them are
-/// cancelled.
+/// Inherited priorities and deadlines for all shapes of pipelines, before and after some jobs of the pipeline
+/// are cancelled.
 #[test]
 fn inherited_priorities_and_deadlines_follow_the_ends_of_dependency_chains() {
     use Priority::*;
@@ -54,9 +54,9 @@
         name: &'static str,
         jobs: Jobs,
         cancelled: &'static [u32],
-        /// The ranks before the cancellation.
+        /// The ranks before the jobs in `cancelled` are cancelled.
         before: Ranks,
-        /// The ranks after it.
+        /// The ranks after the jobs in `cancelled` have been cancelled.
         after: Ranks,
     }
     let cases = [
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -73,9 +73,9 @@
     }
 }
 
-/// Guards against leases that expire during a pause, in which the process could not answer heartbeats: their
-/// tasks would be moved while they still run. Also guards against kills whose grace period ends before they
-/// are sent.
+/// Guards against leases that expire during a pause of the process, in which it could not answer heartbeats:
+/// the tasks of the machines with these leases would be moved while they still run. Also guards against kills
+/// whose grace period ends before the kills are sent.
 #[test]
 fn a_paused_process_expires_no_lease_that_it_could_not_renew() {
     for resumed in [false, true] {
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -57,7 +57,7 @@
 #[test]
 fn announced_rates_apply_once_refusals_show_it() {
     // Milliseconds between refusals, number of refusals, whether reduced rates were announced, and whether
-    // they come into force.
+    // the reduced rates come into force.
     let cases = [
         (1000, 2, true, false),
         (1000, 3, true, true),
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -8,8 +8,8 @@
 use cypressgap::core::persistence::write_batch::{KeyCondition, WriteOutcome};
 use cypressgap::core::state::HeartbeatDecision;
 
-/// Guards against a task that runs on after it was taken for gone: a heartbeat that does not list it proves
-/// that only if no late copy of the launch can start the task any more.
+/// Guards against a task that runs on after it was taken for gone: a heartbeat that does not list the task
+/// proves that the task is gone only if no late copy of the launch can start the task any more.
 #[test]
 fn what_proves_a_cancelled_task_gone() {
     // Name; incarnation and serial of the heartbeat; its token relative to the machine's current one; whether
--- a/tests/scheduler/worker_distribution.rs
+++ b/tests/scheduler/worker_distribution.rs
@@ -49,8 +49,8 @@
         };
         let target = distribution.redirect_target(ip(0), &live_nodes, start);
         assert_eq!(target.as_deref(), expected, "{name}");
-        // A worker that returns at once could not reach the other node, so it stays. Another one is
-        // redirected.
+        // A worker that returns at once could not reach the node to which it was redirected, so it stays with
+        // this node. Another worker is redirected.
         let soon = start + secs(1);
         distribution.record(ip(0), soon);
         assert_eq!(
