--- a/src/net/wire/stored.rs
+++ b/src/net/wire/stored.rs
@@ -79,7 +79,8 @@
         self.unlisted = !open.is_empty() && !listed_as_dependent;
     }
 
-    /// The ids of the jobs that this one depends on. Those that had ended when it was accepted are left out.
+    /// The ids of the jobs that this job depends on. Dependencies that had ended when this job was accepted
+    /// are left out.
     pub fn dependencies(&self) -> &[String] {
         &self.dependencies
     }
--- a/src/net/wire/user.rs
+++ b/src/net/wire/user.rs
@@ -64,13 +64,14 @@
     pub allows_spot: Option<bool>,
     /// The run time of one task that the user expects, in seconds.
     pub expected_s: Option<f64>,
-    /// The interval in seconds at which a running task writes checkpoints. 0: it writes none.
+    /// The interval in seconds at which a running task writes checkpoints. 0: the task writes none.
     #[serde(rename = "SnapshotEveryS")]
     pub checkpoint_interval_s: Option<f64>,
     /// How many seconds a task takes to write a checkpoint when it is stopped.
     #[serde(rename = "SnapshotS")]
     pub checkpoint_duration_s: Option<f64>,
-    /// The time in seconds from acceptance within which the job should complete. None: it has no deadline.
+    /// The time in seconds from acceptance within which the job should complete. None: the job has no
+    /// deadline.
     pub due_s: Option<f64>,
     /// The ids of the jobs that must complete before any task of this job starts. None: no dependencies.
     #[serde(rename = "Awaits")]
--- a/tests/scheduler/cancellation_cascades.rs
+++ b/tests/scheduler/cancellation_cascades.rs
@@ -11,7 +11,7 @@
 use cypressgap::core::state::CancelSource;
 use std::time::{Duration, SystemTime};
 
-/// The leader has read the queue now, with all cancellations and acceptances in it.
+/// Simulates that the leader has just read the queue, with all cancellations and acceptances in it.
 fn complete_queue_read(fixture: &mut ClusterFixture) {
     let wall_clock = SystemTime::UNIX_EPOCH;
     fixture
@@ -24,8 +24,8 @@
 }
 
 /// Guards against a cascade that takes too long. A leader that may make 36 changes per second has to cancel a
-/// thousand dependents during a burst of other work: the outcomes are written first, at the full rate. The
-/// records that show that the cascade is not complete are removed only after all outcomes are written.
+/// thousand dependents during a burst of other work. The leader writes the outcomes first, at its full rate,
+/// and removes the records that show that the cascade is not complete only after it has written all outcomes.
 #[test]
 fn a_thousand_dependents_are_cancelled_within_the_bound() {
     const DEPENDENTS: u32 = 1000;
@@ -102,9 +102,9 @@
 }
 
 /// Guards against a dependent that is never cancelled because it becomes known only after the records of the
-/// cancelled job were removed: they stay until the leader knows of all jobs that were accepted before the
-/// cancellation. The leader writes the outcomes of dependents itself, but leaves them for a short time to the
-/// peer that confirms the cancellation.
+/// cancelled job were removed: these records stay until the leader knows of all jobs that were accepted
+/// before the cancellation. The leader writes the outcomes of dependents itself, but first leaves them for a
+/// short time to the peer that confirms the cancellation.
 #[test]
 fn when_a_cancelled_jobs_records_are_removed() {
     // How the leader learns of the cancellation, and whether it removes the records at once or only after a
@@ -164,8 +164,8 @@
     }
 }
 
-/// Guards against records and memory that accumulate while chains of jobs come and are cancelled: only their
-/// outcomes remain in the key-value store, and nothing remains in the cluster state.
+/// Guards against records and memory that accumulate while chains of jobs are accepted and cancelled: only
+/// the jobs' outcomes remain in the key-value store, and nothing remains in the cluster state.
 #[test]
 fn chains_leave_only_their_outcomes() {
     // Whether the key-value store holds lists of dependents, as earlier versions write them.
@@ -226,8 +226,8 @@
     }
 }
 
-/// Guards against lists of dependents that are never removed. A new leader removes a list that it finds
-/// together with the list's job, or at once if that job is over.
+/// Guards against lists of dependents that are never removed. A new leader that finds a list of dependents
+/// removes it together with the records of the list's job, or at once if that job has ended.
 #[test]
 fn dependents_lists_found_at_failover_are_removed() {
     for live in [true, false] {
--- a/tests/scheduler/cancellation_watermark.rs
+++ b/tests/scheduler/cancellation_watermark.rs
@@ -42,13 +42,14 @@
     Duration::from_secs_f64(s)
 }
 
-/// An event in a term that began with a read of the key-value store at second 0. All times are in seconds.
+/// An event in a term that began with a read of the key-value store at second 0. All times are in seconds
+/// since the start of the term.
 #[derive(Clone, Copy)]
 enum Event {
-    /// A read of the key-value store, and when it was sent.
+    /// A read of the key-value store, with the time at which it was sent.
     Read(u64),
-    /// A report: the peer, when it was requested, when it was received, and whether it continues the peer's
-    /// previous report without a gap.
+    /// A report of a peer: the peer's name, the time of the request, the time at which the report was
+    /// received, and whether the report continues the peer's previous report without a gap.
     Report(&'static str, u64, u64, bool),
 }
 
@@ -188,7 +189,8 @@
     assert!(watermark.is_fresh(back, secs(10)));
 }
 
-/// A leader with one peer, which has read all cancellations now, and one attempt launched on machine `i-1`.
+/// A leader with one peer and one attempt launched on machine `i-1`. The leader has read all cancellations at
+/// the fixture's current time.
 fn fixture_with_peer() -> (ClusterFixture, AttemptId) {
     let mut fixture = ClusterFixture::new();
     fixture.heartbeat("i-1", 1, vec![]);
@@ -269,8 +271,8 @@
 }
 
 /// Guards against launches of cancelled jobs. A leader that cannot reach the key-value store launches
-/// nothing, not even attempts whose intents are durable, because their job may have been cancelled since.
-/// They are launched once its leadership is confirmed again.
+/// nothing, not even attempts whose intents are durable, because their job may have been cancelled since the
+/// intent was written. The attempts are launched once the leader's leadership is confirmed again.
 #[test]
 fn launches_wait_for_a_confirmed_leadership() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/capacity.rs
+++ b/tests/scheduler/capacity.rs
@@ -20,14 +20,14 @@
     actions.iter().filter_map(rent).collect()
 }
 
-/// A leader without machines, far enough into its term that it knows this and may rent some.
+/// A leader without machines, 10 s into its term: it knows that there are no machines and may rent some.
 fn fixture_without_machines() -> ClusterFixture {
     let mut fixture = ClusterFixture::new();
     fixture.advance(secs(10));
     fixture
 }
 
-/// Guards against machines that are rented twice for the same tasks, while a rental is pending or its
+/// Guards against machines that are rented twice for the same tasks, while the first rental is pending or its
 /// machines are booting.
 #[test]
 fn machines_are_rented_once_for_pending_work() {
@@ -69,7 +69,7 @@
         fixture.job(long);
         let first = fixture.settle();
         let (_, task, attempt) = launches(&first)[0].clone();
-        // The cloud has no capacity for what was requested meanwhile.
+        // The cloud has no capacity for the machines that were requested for the first job.
         for (idempotency_key, ..) in rentals(&first) {
             fixture.cluster.on_rental_result(
                 fixture.now,
@@ -172,14 +172,15 @@
     }
 }
 
-/// Guards against a fleet that is returned because the leader itself is cut off from it.
+/// Guards against the return of all machines because the leader itself is cut off from them.
 #[test]
 fn silent_machines_are_returned_unless_all_fall_silent() {
     let mut fixture = fixture_without_machines();
     for machine in ["i-1", "i-2", "i-3"] {
         fixture.heartbeat(machine, 1, vec![]);
     }
-    // All three fall silent at once, so the cause is more likely the leader's network than the machines.
+    // All three machines fall silent at once, so a fault of the leader's network is more likely than a fault
+    // of the machines.
     fixture.advance(secs(25));
     let returned = |fixture: &ClusterFixture| {
         fixture
@@ -235,12 +236,14 @@
         |a: &&Action| matches!(a, Action::Probe { machine, .. } if machine == &"i-2".into());
     assert_eq!(actions.iter().filter(probes).count(), 1);
     fixture.cluster.on_returned(fixture.now, &["i-3".into()]);
-    // The list lags behind: a returned machine that it still shows is not added again.
+    // The cloud's list of machines lags behind: a returned machine that the list still shows is not added
+    // again.
     fixture.cluster.on_machine_list(fixture.now, &list);
     assert!(!fixture.cluster.fleet.machines.contains_key(&"i-3".into()));
 }
 
-/// Guards against a new leader that rents a second fleet before the machines of the first one have reported.
+/// Guards against a new leader that rents machines to replace the existing ones before the existing ones have
+/// reported.
 #[test]
 fn nothing_is_rented_while_most_machines_are_silent() {
     // The number of silent machines out of 8, and whether machines are rented.
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -166,8 +166,8 @@
 }
 
 /// Guards against a new leader that starts a job although it does not know that the job's dependency is done.
-/// Job 3 depends on job 2, and job 2 on job 1. Of job 1 the leader knows only the
-/// outcome that it finds, if any.
+/// Job 3 depends on job 2, and job 2 on job 1. Of job 1 the leader knows only the stored outcome, if there is
+/// one.
 #[test]
 fn a_new_leader_blocks_jobs_whose_dependencies_it_does_not_know_to_be_done() {
     // The outcome of job 1 that is found, whether job 2 starts, and whether jobs 2 and 3 are recorded as
--- a/tests/scheduler/duplicate_heartbeats.rs
+++ b/tests/scheduler/duplicate_heartbeats.rs
@@ -24,8 +24,8 @@
             let machine = &fixture.cluster.fleet.machines[&first_machine()];
             (machine.lease_renewed_at, machine.token)
         };
-        // The duplicate arrives again 2 s, 12 s and 31 s after the last heartbeat, at last when the lease has
-        // nearly expired.
+        // The duplicate arrives 2 s, 12 s and 31 s after the last heartbeat; at 31 s the lease has nearly
+        // expired.
         for late in [2, 10, 19] {
             fixture.run(late);
             let old = if listed { tasks() } else { vec![] };
@@ -164,8 +164,8 @@
                 "{name}"
             );
         }
-        // Heartbeats with a token of this term: the task runs there, and then a new incarnation proves it
-        // gone.
+        // Two heartbeats with a token of this term: the first shows that the task runs on the machine, and
+        // the second, of a new incarnation, proves the task gone.
         let token = fixture.cluster.fleet.machines[&first_machine()].token.0;
         let live = heartbeat_from("i-1", 2, 50, token, running());
         fixture.cluster.on_heartbeat(fixture.now, live);
@@ -211,7 +211,7 @@
         vec![task_status("wk-000001", 0, attempt, TaskPhase::Running)],
     );
     let old = fixture.cluster.fleet.machines[&first_machine()].token.0;
-    // Its serials start again, so that its heartbeats look like duplicates at first.
+    // The serials of the restarted machine start again, so that its heartbeats look like duplicates at first.
     fixture.advance(secs(9));
     let HeartbeatDecision::Accept { token, .. } = fixture
         .cluster
@@ -238,7 +238,7 @@
         attempt_on_record.is_none_or(|n| n.1 != attempt),
         "its old task is gone"
     );
-    // A duplicate of the predecessor's heartbeat has a higher serial and is still ignored.
+    // A duplicate of a heartbeat from before the restart has a higher serial and is still ignored.
     let duplicate = heartbeat_from(
         "i-1",
         1,
--- a/tests/scheduler/failover/silent_segments.rs
+++ b/tests/scheduler/failover/silent_segments.rs
@@ -5,9 +5,9 @@
 use cypressgap::core::model::*;
 use cypressgap::core::state::Action;
 
-/// Twenty machines send a first heartbeat, and then all but those for which `silent` holds send one every 3 s
-/// for `seconds`. Returns the fixture, the machines that were returned and the number of machines that were
-/// rented.
+/// Twenty machines send a first heartbeat. Then each machine `n` for which `silent(n)` is false sends a
+/// heartbeat every 3 s for `seconds`. Returns the fixture, the machines that were returned and the number of
+/// machines that were rented.
 fn run_with_silent_machines(
     scheduler_config: SchedulerConfig,
     jobs: Vec<JobSpec>,
@@ -77,7 +77,8 @@
     }
 }
 
-/// Guards against a burst of rentals that replaces a silent segment whose machines are likely to come back.
+/// Guards against a burst of rentals that replaces the machines of a silent segment, although these machines
+/// are likely to send heartbeats again.
 #[test]
 fn replacements_for_a_silent_segment_are_rented_at_a_limited_rate() {
     let rented = |silent: fn(u32) -> bool, replacements_per_s: f64| {
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -80,9 +80,9 @@
     assert_eq!(usage_of_red(&fixture), 4.0 + 4.0 * started.len() as f64);
 }
 
-/// Guards against wrong adoptions: of tasks that are listed only in a late duplicate of a heartbeat of an
-/// earlier term, of attempts that the current term itself gave up, of tasks whose record names another
-/// machine, and of tasks that their job does not have.
+/// Guards against the adoption of tasks that must be killed: tasks that only a late duplicate of a heartbeat
+/// from an earlier term lists, attempts that the current term itself gave up, tasks whose record names
+/// another machine, and tasks whose index their job does not have.
 #[test]
 fn unrecorded_tasks_that_are_not_adopted_are_killed() {
     let old_token = FencingToken::first(TERM).0 - 1;
@@ -108,9 +108,9 @@
 }
 
 /// Guards against exceeded team limits and lost work after the key-value store was restored to an earlier
-/// state: a task runs whose job the store does not know. No team with a limit starts anything, the machine
-/// gets no other task, and the task is killed only after two lookups that do not find the job, and only once
-/// the time for which such a task is held has passed.
+/// state: a machine runs a task of a job that the store does not know. Until the task is resolved, no team
+/// with a limit starts anything and the machine gets no other task. The task is killed only after two lookups
+/// that do not find the job, and only once the time for which such a task is held has passed.
 #[test]
 fn work_of_a_job_that_the_store_does_not_know_is_held_and_counts() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
@@ -165,8 +165,8 @@
     );
 }
 
-/// Guards against an overloaded machine: while it runs a task whose resources are not known, it gets no other
-/// task, even of a team without a limit.
+/// Guards against an overloaded machine: while a machine runs a task whose resources are not known, the
+/// machine gets no other task, even of a team without a limit.
 #[test]
 fn a_machine_with_work_of_unknown_size_takes_nothing() {
     let mut scheduler_config = config();
@@ -182,8 +182,8 @@
     assert_eq!(launches(&fixture.settle()).len(), 1);
 }
 
-/// Guards against a cancelled task that runs on because it was adopted just before: the record of the
-/// adoption is not durable yet, but the task is running.
+/// Guards against a cancelled task that runs on because the leader adopted the task just before the
+/// cancellation: the record of the adoption is not durable yet, but the task is running.
 #[test]
 fn an_adopted_task_is_killed_though_its_record_is_not_durable_yet() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
@@ -196,7 +196,7 @@
 }
 
 /// Guards against kills of tasks whose job record cannot be read: the store shows that the job is live, so
-/// there is no reason to kill them.
+/// there is no reason to kill its tasks.
 #[test]
 fn work_of_a_job_whose_record_cannot_be_read_is_held() {
     let mut fixture = ClusterFixture::new();
--- a/tests/scheduler/inbound_partitions.rs
+++ b/tests/scheduler/inbound_partitions.rs
@@ -7,8 +7,8 @@
     returned_machines(actions).contains(&first_machine())
 }
 
-/// Sends heartbeats of `i-1` every 2 s for this many seconds, always with the same token, as if no answer or
-/// command reached the worker. Returns the leader's actions.
+/// Sends heartbeats of `i-1` every 2 s for `seconds`, always with the same token, as if no answer or command
+/// reached the worker. Returns the leader's actions.
 fn heartbeats_without_answers(
     fixture: &mut ClusterFixture,
     seconds: u64,
@@ -45,8 +45,9 @@
     fixture
 }
 
-/// Guards against tasks that are lost for long on a machine that receives nothing: its heartbeats arrive, so
-/// it is not silent, but no launch reaches it. Its outdated token shows that.
+/// Guards against tasks that are lost for long on a machine that receives nothing: the machine's heartbeats
+/// arrive, so the machine is not silent, but no launch reaches it. The outdated token in the heartbeats shows
+/// that.
 #[test]
 fn a_machine_behind_an_inbound_partition_gets_no_more_work_and_is_returned() {
     let mut fixture = one_free_machine();
@@ -54,7 +55,7 @@
     fixture.job(spec("wk-000001", 1, 4.0));
     let launched = launches(&fixture.settle());
     assert_eq!(launched[0].0, first_machine());
-    // Its heartbeats go on with the earlier token and do not list the task.
+    // The machine's heartbeats go on with the token from before the launch and do not list the task.
     let first = heartbeats_without_answers(&mut fixture, 6, 1, 10, token);
     fixture.job(spec("wk-000002", 1, 4.0));
     let more = heartbeats_without_answers(&mut fixture, 4, 1, 20, token);
@@ -86,7 +87,8 @@
 /// the earlier tasks gone, but does not show that commands arrive.
 #[test]
 fn a_new_incarnation_behind_an_inbound_partition_frees_its_tasks_but_gets_no_new_ones() {
-    // Whether the new incarnation carries the token that was raised for it. Only then it gets new tasks.
+    // Whether the new incarnation carries the token that the leader raised for it. Only in that case the
+    // machine gets new tasks.
     for is_reached in [false, true] {
         let mut fixture = one_free_machine();
         fixture.job(spec("wk-000001", 1, 4.0));
--- a/tests/scheduler/leadership.rs
+++ b/tests/scheduler/leadership.rs
@@ -110,9 +110,9 @@
     }
 }
 
-/// Guards against a superseded leader that returns machines of its successor. The superseded leader lost the
-/// network and took its machines for silent, and its requests to return these machines were carried out once
-/// the network was back.
+/// Guards against a superseded leader that returns machines of its successor. The superseded leader was cut
+/// off from the network and took its machines for silent; its requests to return these machines were carried
+/// out once the network had recovered.
 #[test]
 fn an_unconfirmed_leader_returns_only_machines_with_cancelled_tasks() {
     for cancelled in [false, true] {
--- a/tests/scheduler/placement.rs
+++ b/tests/scheduler/placement.rs
@@ -198,7 +198,8 @@
             task_status("wk-000001", l.1.index, l.2, TaskPhase::Ended(exit))
         }
     };
-    // The loss of one member ends the attempt: the others are stopped, and only then the gang starts again.
+    // The loss of one gang member ends the attempt of the gang: the other members are stopped, and the gang
+    // starts again only after they have ended.
     fixture.heartbeat(
         "i-2",
         2,
@@ -237,7 +238,8 @@
 fn large_machines_are_reserved_only_for_far_larger_tasks_that_fit() {
     let large = machine_type("m64", 64.0);
     let small = machine_type("m8", 8.0);
-    // Name, resources of the waiting tasks, CPUs of the task, machine type, and whether it is reserved.
+    // Case name, resources of the waiting tasks, CPUs of the small task, machine type, and whether the
+    // machine type is reserved for the waiting tasks.
     let cases = [
         ("nothing waits", vec![], 2.0, &large, false),
         (
--- a/tests/scheduler/preemption.rs
+++ b/tests/scheduler/preemption.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn no_task_is_preempted_for_one_that_would_be_placed_elsewhere() {
-    // Size of the waiting task's image in GB, and whether the long task is preempted for it. The image is
-    // cached only on the machine whose high-priority task ends soon; if it is large, the waiting task starts
-    // there.
+    // Size of the waiting task's image in GB, and whether the long task is preempted for the waiting task.
+    // The image is cached only on the machine whose high-priority task ends soon; if the image is large, the
+    // waiting task starts on that machine.
     for (image_gb, preempted) in [(1.0, true), (40.0, false)] {
         let mut fixture = ClusterFixture::new();
         fixture.heartbeat("i-1", 1, vec![]);
--- a/tests/scheduler/process_pauses.rs
+++ b/tests/scheduler/process_pauses.rs
@@ -7,8 +7,8 @@
 use cypressgap::node::pause_detector::PauseDetector;
 use std::time::Duration;
 
-/// Guards against a process that was paused and takes the machines for silent, although it could not receive
-/// their heartbeats.
+/// Guards against a leader that takes its machines for silent after a pause of its process, although the
+/// process could not receive their heartbeats during the pause.
 #[test]
 fn a_paused_process_does_not_take_machines_for_silent() {
     for paused in [false, true] {
@@ -31,11 +31,12 @@
     }
 }
 
-/// Guards against a process that takes messages that waited during its pause for current ones.
+/// Guards against a process that processes messages that waited during its pause as if they had just been
+/// sent.
 #[test]
 fn process_pauses_are_detected() {
-    // Name, seconds since the last check by the steady clock and by the time of day, and whether that is a
-    // pause.
+    // Case name, seconds since the last check by the steady clock and by the time of day, and whether the
+    // check detects a pause.
     let cases: [(&str, f64, f64, bool); 7] = [
         ("a usual check", 0.5, 0.5, false),
         ("a busy process", 3.0, 3.0, false),
--- a/tests/scheduler/queue_order.rs
+++ b/tests/scheduler/queue_order.rs
@@ -49,11 +49,13 @@
     }
 }
 
-/// Guards against endless preemptions between borrowed work that waited for long and work within a guarantee.
+/// Guards against endless preemptions between borrowed work that has waited for long and work within a
+/// guarantee.
 #[test]
 fn work_within_the_guarantee_goes_before_borrowed_work_however_long_that_waited() {
-    // Work within the guarantee may preempt borrowed work: if the latter were placed first, one of its tasks
-    // would be preempted in every round. Of the starved borrowing job only an eighth of the tasks goes first.
+    // Work within a guarantee may preempt borrowed work: if borrowed work were placed first, one of its tasks
+    // would be preempted in every round. Of a starved job that borrows, only an eighth of the tasks is placed
+    // before work within a guarantee.
     let mut fixture = ClusterFixture::new();
     let mut job = spec("wk-000001", 8, 8.0);
     job.team = "grey".into();
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -214,8 +214,8 @@
             "{name}: leader {leader}"
         );
     }
-    // Within some rebalancings a node under a flood gets the share that no other node uses, and later gives
-    // it back.
+    // After a few rebalancings, a node under a flood of changes gets the share that no other node uses. It
+    // gives the share back once the flood is over.
     let start = Instant::now();
     let budget = StoreBudget::new(
         StoreRates {
--- a/tests/scheduler/termination_proofs.rs
+++ b/tests/scheduler/termination_proofs.rs
@@ -12,8 +12,8 @@
 /// proves that the task is gone only if no late copy of the launch can start the task any more.
 #[test]
 fn what_proves_a_cancelled_task_gone() {
-    // Name; incarnation and serial of the heartbeat; its token relative to the machine's current one; whether
-    // it lists the task; whether the task stays on record.
+    // Case name; incarnation and serial of the heartbeat; the heartbeat's token relative to the machine's
+    // current token; whether the heartbeat lists the task; whether the task stays on record.
     let cases = [
         ("an older heartbeat", 1, 1, 0, false, true),
         (
@@ -89,16 +89,16 @@
     }
 }
 
-/// Guards against a running task of a new incarnation that is taken for gone because the lease of the old one
-/// has expired.
+/// Guards against a running task of a machine's new incarnation that is taken for gone because the lease of
+/// the old incarnation has expired.
 #[test]
 fn a_new_incarnations_lease_is_not_counted_from_the_old_ones_last_answer() {
     let (mut fixture, _) = launched_task();
     fixture.heartbeat("i-1", 5, vec![]);
     let machine = MachineId::from("i-1");
     let lease = config().lease;
-    // The answers to the worker were lost, so it began a new incarnation, which a response to direct commands
-    // shows.
+    // The answers to the worker's heartbeats were lost, so the worker began a new incarnation. The response
+    // to direct commands shows the new incarnation.
     fixture.advance(lease);
     let token = fixture.cluster.fleet.machines[&machine].token.0;
     let fresh = heartbeat_from("i-1", 2, 1, token, vec![]);
@@ -158,8 +158,8 @@
     );
 }
 
-/// Guards against a lease that expires although heartbeats arrive, because each is overtaken by the response
-/// to a direct command.
+/// Guards against a lease that expires although heartbeats arrive, because each heartbeat is overtaken by the
+/// response to a direct command.
 #[test]
 fn a_heartbeat_overtaken_by_a_command_response_still_renews_the_lease() {
     let (mut fixture, attempt) = launched_task();
@@ -181,8 +181,8 @@
     );
 }
 
-/// Guards against the end of a task that is lost because the worker forgets it before its record is durable,
-/// and against a forgotten task that a late copy of its launch starts again.
+/// Guards against the end of a task that is lost because the worker forgets the task before the record of its
+/// end is durable, and against a forgotten task that is started again by a late copy of its launch.
 #[test]
 fn a_task_is_forgotten_only_once_its_end_is_durable_and_then_with_a_raised_token() {
     let (mut fixture, attempt) = launched_task();
--- a/tests/scheduler/unguaranteed_teams.rs
+++ b/tests/scheduler/unguaranteed_teams.rs
@@ -40,7 +40,7 @@
 }
 
 /// Guards against a huge job of small tasks that uses all resources as soon as they are free, so that tasks
-/// that need a whole machine wait until it is over.
+/// that need a whole machine wait until the huge job is over.
 #[test]
 fn a_huge_job_of_small_tasks_takes_no_more_than_its_share_while_others_wait() {
     // Team and priority of a job whose tasks need a whole machine each.
