--- a/src/net/store/budget/refusals.rs
+++ b/src/net/store/budget/refusals.rs
@@ -5,8 +5,9 @@
 /// The number of refusals within [`REFUSAL_WINDOW`] that shows that the reduced rates are in force.
 const REFUSALS_TO_REDUCE: u32 = 3;
 const REFUSAL_WINDOW: Duration = Duration::from_secs(10);
-/// Refusals within a shorter time of a counted one are not counted. They have the same cause, such as calls
-/// that were delayed by an interruption and then arrived together.
+/// A refusal that follows a counted refusal within less than this time is not counted. Such refusals have the
+/// same cause as the counted one, for example calls that were delayed by an interruption and then arrived
+/// together.
 const MIN_REFUSAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Counts the calls that the store refused because of its rate limit.
@@ -16,7 +17,8 @@
     count: u32,
     window_start: Option<Instant>,
     last_counted: Option<Instant>,
-    /// Whether the reduced rates are known to be in force. The caller sets it.
+    /// Whether the reduced rates are known to be in force. Set by the caller, because a peer can also report
+    /// this.
     pub rates_reduced: bool,
 }
 
--- a/src/net/store/budget/usage.rs
+++ b/src/net/store/budget/usage.rs
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Computes the demand from the previous demand and from the changes counted during the last `elapsed_s`
-    /// seconds. If `elapsed_s` is at most 1, both have the same weight; if it is 2 or more, only the counted
-    /// changes matter. The result is at most `max_changes_per_s`. Counting starts again from zero.
+    /// Computes the demand from the previous demand and from the rate of changes counted during the last
+    /// `elapsed_s` seconds. If `elapsed_s` is at most 1, both have the same weight; if it is 2 or more, only
+    /// the counted rate matters. The result is at most `max_changes_per_s`. Counting starts again from zero.
     pub fn measure_demand(
         &mut self,
         elapsed_s: f64,
--- a/src/net/store/budgeted_reader.rs
+++ b/src/net/store/budgeted_reader.rs
@@ -13,7 +13,7 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The pause before a read that the rate limit did not admit tries again.
+/// The interval at which a waiting read checks again whether the rate limit admits it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(15);
 
 /// The purpose of a read, which determines the rate limit that applies to it.
--- a/src/net/store/listing.rs
+++ b/src/net/store/listing.rs
@@ -28,7 +28,7 @@
     pub class: RequestClass,
     /// The time limit of the request for one page.
     pub page_timeout: Duration,
-    /// How long after the start of the listing failed pages are requested again.
+    /// The time from the start of the listing within which failed pages are requested again.
     pub retry_for: Duration,
 }
 
--- a/src/net/store/mod.rs
+++ b/src/net/store/mod.rs
@@ -148,8 +148,8 @@
 
     /// Reads a job's outcome and the revision of the outcome's key, which is 0 while the job is live. None:
     /// the job was never accepted. Unless the acceptance is known, the job's key in the index of live jobs is
-    /// read first: it is removed only after the outcome was written, so a job that ends between the two reads
-    /// is still found.
+    /// read first: that key is removed only after the outcome was written, so a job that ends between the two
+    /// reads is still found.
     pub fn job_outcome(
         &self,
         job_id: &JobId,
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The maximum of all durations in the platform's settings file: one day.
+/// The maximum of the durations that are given in seconds in the platform's settings file: one day.
 const MAX_DURATION_S: f64 = 86_400.0;
 
 /// Checks the fields of one file. Errors name the file and the field.
--- a/tests/scheduler/admission.rs
+++ b/tests/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: a job is accepted only when it could run on some machine type and within its team's limit.
+//! Admission: a job is accepted only if a task of the job could run on some machine type, and if its team's
+//! limit allows one task of a job array or all tasks of a gang.
 
 use crate::common::*;
 use cypressgap::core::admission::{check_job, AdmissionError};
--- a/tests/scheduler/coinciding_failures.rs
+++ b/tests/scheduler/coinciding_failures.rs
@@ -255,9 +255,9 @@
     }
 }
 
-/// Guards against jobs that are lost or start after their cancellation, and against state that accumulates.
-/// Four jobs with one task each arrive per second for four minutes, and a quarter of them are cancelled soon
-/// after.
+/// Guards against jobs that are lost, against jobs that start after they were cancelled, and against state
+/// that accumulates. Four jobs with one task each arrive per second for four minutes, and an eighth of the
+/// jobs is cancelled on arrival.
 #[test]
 fn a_stream_of_small_jobs_leaves_nothing_behind() {
     const SECONDS: u64 = 240;
@@ -273,7 +273,8 @@
             let number = second * JOBS_PER_SECOND + n;
             let job_id = format!("wk-{number:06}");
             fleet.fixture.job(spec(&job_id, 1, 1.0));
-            // The job that is cancelled has either just arrived or may be running already.
+            // Each job whose number is a multiple of 8 is cancelled when it arrives, and the same
+            // cancellation is reported again 12 jobs (3 s) later.
             let victim = number.saturating_sub(if number % 8 == 0 { 0 } else { 12 });
             if number % 4 == 0 && victim % 4 == 0 {
                 let victim = JobId::from(format!("wk-{victim:06}").as_str());
--- a/tests/scheduler/dependencies.rs
+++ b/tests/scheduler/dependencies.rs
@@ -14,11 +14,11 @@
 #[test]
 fn dependency_graph_cases() {
     enum Event {
-        /// A job is added: its dependencies, and the state that results.
+        /// A job is added: the job, its dependencies, and its resulting state.
         Add(u32, &'static [u32], DependencyState),
-        /// A job is done: the jobs that become ready.
+        /// A job is done: the job, and the jobs that become ready.
         Done(u32, &'static [u32]),
-        /// A job is cancelled: the jobs that are orphaned.
+        /// A job is cancelled: the job, and the jobs that are orphaned.
         Cancelled(u32, &'static [u32]),
     }
     use DependencyState::*;
@@ -133,7 +133,7 @@
     let blocked = &fixture.cluster.jobs[&job_id(2)];
     assert_eq!((blocked.waiting_count(), blocked.pending(9)), (0, vec![]));
     fixture.heartbeat("i-1", 2, ended(1, launched[0].2));
-    // For a while it stays unknown whether the outcome was written.
+    // For 12 s it stays unknown whether the outcome was written.
     let outcome = fixture.batch().expect("the outcome");
     let done = |o: &WriteOp| {
         matches!(
@@ -275,9 +275,10 @@
         let due = backoff.due(&job_ids(&[1]), start + Duration::from_millis(100 * tenth));
         lookups += due.len();
     }
-    // Within ten minutes the interval is doubled seven times, and then there is one lookup per minute.
+    // The interval between lookups is increased seven times, from 0.5 s to its maximum of one minute. For the
+    // rest of the ten minutes there is one lookup per minute.
     assert!((10..=20).contains(&lookups), "{lookups}");
-    // Another job is looked up at once, and so is the first one when it becomes unknown again.
+    // Another job is looked up at once. So is the first job when it becomes unknown again.
     let later = start + secs(601);
     assert_eq!(backoff.due(&job_ids(&[2]), later), job_ids(&[2]));
     assert_eq!(backoff.due(&job_ids(&[1, 2]), later), job_ids(&[1]));
--- a/tests/scheduler/execution_history.rs
+++ b/tests/scheduler/execution_history.rs
@@ -33,7 +33,7 @@
     let mut next = History::default();
     next.load(&summary);
     assert_eq!(next.run_time(&job, &machine_type_name), secs(30));
-    // However many kinds of tasks were measured, the summary stays within its limit.
+    // However many kinds of tasks were measured, the summary contains no more entries than requested.
     for n in 0..500 {
         let mut kind = job.clone();
         kind.class = format!("class-{n}");
--- a/tests/scheduler/failover/unrecorded_tasks.rs
+++ b/tests/scheduler/failover/unrecorded_tasks.rs
@@ -108,9 +108,9 @@
 }
 
 /// Guards against exceeded team limits and lost work after the key-value store was restored to an earlier
-/// state: a machine runs a task of a job that the store does not know. Until the task is resolved, no team
-/// with a limit starts anything and the machine gets no other task. The task is killed only after two lookups
-/// that do not find the job, and only once the time for which such a task is held has passed.
+/// state: a machine runs a task of a job that the store does not know. While the task runs, no team with a
+/// limit starts anything and the machine gets no other task. The task is killed only after two lookups that
+/// do not find the job, and only once the time for which such a task is held has passed.
 #[test]
 fn work_of_a_job_that_the_store_does_not_know_is_held_and_counts() {
     let mut fixture = fixture_after_takeover(config(), vec![spec("wk-000001", 2, 4.0)], 0);
--- a/tests/scheduler/node_health.rs
+++ b/tests/scheduler/node_health.rs
@@ -9,8 +9,9 @@
 
 #[test]
 fn a_node_without_the_store_is_unhealthy_unless_its_peers_lost_it_too() {
-    // Name, for how many seconds calls to the store have been failing, whether a peer's last status said that
-    // it reaches the store and how many seconds ago, and whether the node is healthy.
+    // Case name; for how many seconds calls to the store have been failing; the peer's last status, which
+    // consists of whether the peer reaches the store and how many seconds ago the status was received; and
+    // whether the node reports itself as healthy.
     let cases = [
         ("no failure", None, None, true),
         ("a short failure", Some(1), Some((true, 0)), true),
--- a/tests/scheduler/priority_inheritance.rs
+++ b/tests/scheduler/priority_inheritance.rs
@@ -131,7 +131,7 @@
         },
     ];
     for case in cases {
-        // In the order of submission, and in reverse, as a new leader may read them.
+        // The jobs are added in the order of submission, or in reverse, as a new leader may read them.
         for reversed in [false, true] {
             let mut fixture = ClusterFixture::new();
             let mut jobs = case.jobs.to_vec();
@@ -176,7 +176,8 @@
     let mut fixture = ClusterFixture::new();
     for n in (0..CHAIN).rev() {
         let mut job = job_depending_on(n, &if n > 0 { vec![n - 1] } else { vec![] });
-        // The worst case: each job requires an earlier deadline than its dependency has.
+        // The worst case: each job requires its dependency to have an earlier deadline than the dependency's
+        // own deadline.
         job.due = Some(secs(u64::from(100_000 - n)));
         fixture.job(job);
     }
@@ -195,7 +196,8 @@
         u64::from(FAN) + 1,
         "a fan"
     );
-    // A further dependent: its own rank and that of the common dependency. Its cancellation: only the latter.
+    // Adding one more dependent computes two ranks: its own and that of the common dependency. Cancelling
+    // this dependent computes only the rank of the common dependency.
     fixture.job(job_depending_on(FAN + 1, &[0]));
     fixture.settle();
     assert_eq!(fixture.cluster.jobs.priorities_computed, u64::from(FAN) + 3);
--- a/tests/scheduler/status_queries.rs
+++ b/tests/scheduler/status_queries.rs
@@ -22,7 +22,7 @@
     page_size: usize,
     /// The number of calls of the functions of `JobRecordReader` so far, including failed calls.
     calls: Cell<usize>,
-    /// The number of these calls that succeed; all later calls fail.
+    /// The number of calls that succeed; all later calls fail.
     calls_before_outage: usize,
 }
 
@@ -75,8 +75,9 @@
     JobId(format!("wk-{n:06}"))
 }
 
-/// Jobs by number: 0 to 99 live, 100 to 149 done, 150 to 159 cancelled with keys in the index, 160 to 169
-/// recorded as live by earlier versions; others were never accepted.
+/// Records of jobs by number: 0 to 99 are live, 100 to 149 are done, 150 to 159 are cancelled but still have
+/// keys in the index of live jobs, and 160 to 169 are recorded as live by earlier versions. Jobs with other
+/// numbers were never accepted.
 fn fake_records(keys_per_answer: usize, page_size: usize) -> FakeRecords {
     let outcome = |n: u32| match n {
         100..=149 => Some(JobOutcome::Done),
@@ -110,8 +111,9 @@
 
 #[test]
 fn many_status_queries_cost_few_calls_and_are_answered_correctly() {
-    // Name, queried jobs, the number below which all accepted jobs are known as accepted, mismatched keys per
-    // answer, outcomes per page, and maximum number of calls.
+    // Case name, queried jobs, the job number below which all accepted jobs are already known to be accepted,
+    // maximum number of mismatched keys in an answer, maximum number of outcomes in a page, and maximum
+    // number of calls.
     type Case = (&'static str, Vec<u32>, u32, usize, usize, usize);
     let cases: [Case; 9] = [
         ("all live and known", (0..100).collect(), 100, 999, 99, 1),
--- a/tests/scheduler/store_transactions.rs
+++ b/tests/scheduler/store_transactions.rs
@@ -54,7 +54,7 @@
         .on_write_outcome(fixture.now, WriteOutcome::Applied { revision: 200 });
     let mut removed = 0;
     let start = fixture.now;
-    // 20 chunks, and the key in the index of live jobs.
+    // The keys to remove: those of 20 chunks, and the job's key in the index of live jobs.
     while removed < 21 {
         fixture.cluster.set_write_allowance(8);
         let batch = fixture.batch().expect("the rest follows");
@@ -140,8 +140,8 @@
     assert_eq!(value.active.len(), 62);
 }
 
-/// Guards against a transaction that the store refuses for its size and that is sent again unchanged or is
-/// lost.
+/// Guards against a transaction that the store refuses because of its size, and that the leader then sends
+/// again unchanged or drops.
 #[test]
 fn a_refused_transaction_is_sent_in_parts() {
     // The store's limits, which the leader does not know: changes per transaction, and attempts per value.
