--- a/tests/scheduler/priority_inheritance.rs
+++ b/tests/scheduler/priority_inheritance.rs
@@ -4,8 +4,8 @@
 use crate::common::*;
 use cypressgap::core::model::*;
 
-/// A dependency inherits the priority of its dependent, and the dependent's deadline minus its expected run
-/// time, in whichever order the jobs become known.
+/// A dependency inherits the priority of its dependent, and the dependent's deadline minus the dependent's
+/// expected run time, in whichever order the jobs become known.
 #[test]
 fn priorities_and_deadlines_are_inherited_along_a_chain() {
     for last_first in [false, true] {
@@ -35,14 +35,14 @@
                 "{n}"
             );
         }
-        // Each is expected to run for 60 s.
+        // Each job is expected to run for 60 s.
         assert_eq!(due(3) - due(2), secs(60));
         assert_eq!(due(2) - due(1), secs(60));
     }
 }
 
-/// Inherited priorities and deadlines for all shapes of pipelines, before and after jobs of them are
-/// cancelled.
+/// Inherited priorities and deadlines for all shapes of pipelines, before and after some jobs of the pipeline
+/// are cancelled.
 #[test]
 fn inherited_priorities_and_deadlines_follow_the_ends_of_dependency_chains() {
     use Priority::*;
@@ -54,9 +54,9 @@
         name: &'static str,
         jobs: Jobs,
         cancelled: &'static [u32],
-        /// The ranks before the cancellation.
+        /// The ranks before the jobs in `cancelled` are cancelled.
         before: Ranks,
-        /// The ranks after it.
+        /// The ranks after the jobs in `cancelled` have been cancelled.
         after: Ranks,
     }
     let cases = [
@@ -131,7 +131,7 @@
         },
     ];
     for case in cases {
-        // In the order of submission, and in reverse, as a new leader may read them.
+        // The jobs are added in the order of submission, or in reverse, as a new leader may read them.
         for reversed in [false, true] {
             let mut fixture = ClusterFixture::new();
             let mut jobs = case.jobs.to_vec();
@@ -176,7 +176,8 @@
     let mut fixture = ClusterFixture::new();
     for n in (0..CHAIN).rev() {
         let mut job = job_depending_on(n, &if n > 0 { vec![n - 1] } else { vec![] });
-        // The worst case: each job requires an earlier deadline than its dependency has.
+        // The worst case: each job requires its dependency to have an earlier deadline than the dependency's
+        // own deadline.
         job.due = Some(secs(u64::from(100_000 - n)));
         fixture.job(job);
     }
@@ -195,7 +196,8 @@
         u64::from(FAN) + 1,
         "a fan"
     );
-    // A further dependent: its own rank and that of the common dependency. Its cancellation: only the latter.
+    // Adding one more dependent computes two ranks: its own and that of the common dependency. Cancelling
+    // this dependent computes only the rank of the common dependency.
     fixture.job(job_depending_on(FAN + 1, &[0]));
     fixture.settle();
     assert_eq!(fixture.cluster.jobs.priorities_computed, u64::from(FAN) + 3);
--- a/tests/scheduler/request_budgets.rs
+++ b/tests/scheduler/request_budgets.rs
@@ -57,7 +57,7 @@
 #[test]
 fn announced_rates_apply_once_refusals_show_it() {
     // Milliseconds between refusals, number of refusals, whether reduced rates were announced, and whether
-    // they come into force.
+    // the reduced rates come into force.
     let cases = [
         (1000, 2, true, false),
         (1000, 3, true, true),
@@ -214,8 +214,8 @@
             "{name}: leader {leader}"
         );
     }
-    // Within some rebalancings a node under a flood gets the share that no other node uses, and later gives
-    // it back.
+    // After a few rebalancings, a node under a flood of changes gets the share that no other node uses. It
+    // gives the share back once the flood is over.
     let start = Instant::now();
     let budget = StoreBudget::new(
         StoreRates {
