--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -1,7 +1,7 @@
 //! What a leader knows about one attempt of an earlier term, as a state machine that is driven by evidence.
 //!
-//! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat from this term leads
-//! there; [`AttemptState::Expired`] is final; silence, and heartbeats that may be from before
+//! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat that was sent in this term
+//! leads to that state; [`AttemptState::Expired`] is final; silence, and heartbeats that may be from before
 //! the term, settle no attempt by themselves if they do not list it. The table of transitions is repeated in
 //! `docs/recovery.md`, and a test compares the two.
 
@@ -39,7 +39,7 @@
     MachineSilent,
     /// Its machine's lease has certainly expired, or the machine is gone.
     LeaseExpired,
-    /// A record of the attempt was written.
+    /// A record of the attempt was written to the key-value store.
     Recorded,
 }
 
@@ -63,12 +63,13 @@
         AttemptState::Unrecorded,
     ];
 
-    /// The state that follows from a piece of evidence.
+    /// Returns the next state of an attempt that is in this state, given a piece of evidence about it.
     #[must_use]
     pub fn after(self, evidence: Evidence) -> AttemptState {
         use AttemptState::{Absent, Confirmed, Expired, Silent, Unrecorded, Unreported};
         match (self, evidence) {
-            // Lease expiry is final: a heartbeat that still lists the attempt was sent before.
+            // Lease expiry is final: a heartbeat that still lists the attempt was sent before the lease
+            // expired.
             (Expired, _) | (_, Evidence::LeaseExpired) => Expired,
             (Unrecorded, Evidence::Recorded) => Confirmed,
             (Unrecorded, Evidence::NotReported) => Expired,
@@ -78,7 +79,8 @@
             (_, Evidence::NotReported) => Absent,
             (Silent, Evidence::NotReportedPossiblyEarlier) => Unreported,
             (state, Evidence::NotReportedPossiblyEarlier) => state,
-            // Nothing was launched since the proof of absence, so it holds while the machine is silent.
+            // The attempt was not launched since it was proved absent, so the proof remains valid while the
+            // machine is silent.
             (Absent, Evidence::MachineSilent) => Absent,
             (_, Evidence::MachineSilent) => Silent,
         }
--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -4,8 +4,8 @@
 //! Invariants:
 //!
 //! - A launch or forget that no heartbeat has acknowledged is repeated only after its retry time, which
-//!   doubles with each repeat up to a limit. Kills are not subject to it, since they are repeated according
-//!   to their grace period.
+//!   doubles with each repeat up to a limit. Kills have no retry time, since they are repeated according to
+//!   their grace period.
 //! - Waiting machines are served in FIFO order: an ordinary command to another machine does not overtake
 //!   them.
 //! - Each command counts once as unacknowledged, however often it is repeated.
@@ -19,12 +19,13 @@
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// The time after which an unacknowledged command may be repeated. It doubles with each repeat.
+/// The minimum time from the first sending of a command to its first repeat, if no heartbeat acknowledges the
+/// command. The time doubles with each repeat.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// The number of repeats after which the delay no longer grows.
+/// The number of repeats after which the delay before the next repeat no longer grows.
 const MAX_DOUBLINGS: u32 = 3;
-/// The delay varies by up to this share of itself in both directions, so that retries to many
-/// machines spread out over time.
+/// The delay before a repeat is lengthened or shortened by up to this share of itself, so that retries to
+/// many machines spread out over time.
 const RETRY_JITTER_SHARE_OF_DELAY: f64 = 0.25;
 
 /// The kind of a command.
@@ -43,9 +44,9 @@
 pub struct PacedCommand {
     /// Determines how the command is repeated and which heartbeats acknowledge it.
     pub kind: CommandKind,
-    /// The task that it concerns.
+    /// The task of the attempt.
     pub task: TaskId,
-    /// The attempt that it concerns.
+    /// The attempt to start, stop or forget.
     pub attempt: AttemptId,
 }
 
@@ -53,7 +54,7 @@
 #[derive(Clone, Debug)]
 struct SentCommand {
     command: PacedCommand,
-    /// The time from which on it may be repeated.
+    /// The earliest time at which the command may be repeated.
     retry_at: Instant,
     repeats: u32,
 }
@@ -74,7 +75,8 @@
     waiting: VecDeque<MachineId>,
     /// The same machines as in `waiting`, for membership tests.
     is_waiting: BTreeSet<MachineId>,
-    /// Machines that were taken from the queue and whose ordinary commands may be sent now.
+    /// Machines that were taken from the front of `waiting`. Their ordinary commands may be sent now,
+    /// although other machines wait.
     in_turn: BTreeSet<MachineId>,
     last_deferred_at: Option<Instant>,
     sent_count: u64,
@@ -96,8 +98,9 @@
         }
     }
 
-    /// Whether a command may be sent now. If so, it is charged and recorded as sent. If the rate is used up,
-    /// its machine is queued, unless the command is of the class [`PacingClass::Background`].
+    /// Whether a command may be sent now. If so, the command is charged to the rate limits and recorded as
+    /// sent. If the rate limits defer the command, its machine is queued, unless the command is of the class
+    /// [`PacingClass::Background`].
     #[must_use]
     pub fn admit(
         &mut self,
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -20,7 +20,8 @@
 /// The phase of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakeoverPhase {
-    /// Records were read, and no attempt is settled yet.
+    /// The records were read, and no attempt on record is settled yet: it is not known of any of them whether
+    /// it is on its machine.
     Listening,
     /// Some attempts on record are settled, or machines list tasks of unknown jobs.
     Reconciling,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Begins the takeover with this number of attempts on record.
+    /// Begins the takeover. `recorded`: the number of attempts on record when the term began.
     pub fn begin(&mut self, recorded: usize) {
         self.recorded = recorded;
         if recorded > 0 {
--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -28,18 +28,19 @@
 /// limit, in seconds. Refilling slows down from half of it on.
 const MAX_UNACKNOWLEDGED_LOAD_S: f64 = 4.0;
 
-/// How long a command may wait for the rate limits.
+/// The pacing class of a command: until when the rate limits may defer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[must_use]
 pub enum PacingClass {
-    /// Until the buckets are half full. For forgets, which nothing depends on.
+    /// Deferred until the buckets of the fleet and of the segment are half full. For forget commands, which
+    /// nothing depends on.
     Background,
     /// Until there is a token.
     Ordinary,
-    /// Until there is a token, the reserve included. For cancellations, kills with a deadline and urgent
-    /// tasks.
+    /// Deferred until both buckets have a token, counting the reserve as well. For cancellations, kills with
+    /// a deadline and urgent tasks.
     Prompt,
-    /// Not at all. For commands that end a violation of an invariant, and for cancellations beyond the
+    /// Never deferred. For commands that end a violation of an invariant, and for cancellations beyond the
     /// share of their deadline in which kills are paced.
     Immediate,
 }
@@ -47,9 +48,10 @@
 /// A token bucket. One token stands for one command.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// In commands per second.
+    /// The maximum number of commands in any second, apart from immediate commands.
     limit: f64,
-    /// Negative while commands that were sent beyond the limit are owed.
+    /// The number of tokens in the bucket. It is negative after commands were sent without a token, until
+    /// refilling has made up for them.
     tokens: f64,
     refilled_at: Instant,
 }
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Refills the bucket for the time since the last refill, at its rate times `factor`, from 0 to 1.
+    /// Refills the bucket for the time since its previous refill. Its refill rate is multiplied by `factor`,
+    /// which is from 0 to 1.
     pub fn refill(&mut self, now: Instant, factor: f64) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Charges a command. The debt from commands beyond the limit is bounded by the commands of one second.
+    /// Charges a command. The number of tokens never falls below minus the limit for one second.
     pub fn charge(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-self.limit);
     }
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -27,7 +27,7 @@
         self.counts[state as usize]
     }
 
-    /// The number of attempts that may or may not be running.
+    /// The number of attempts of which it is not known whether they are on their machines.
     pub fn unsettled(&self) -> usize {
         let states = AttemptState::ALL.into_iter();
         let unsettled = states.filter(|state| !state.is_settled());
@@ -55,7 +55,8 @@
 }
 
 impl Reconciliation {
-    /// Adds an attempt that was found on record. Replaces an earlier one of the same task on the machine.
+    /// Adds an attempt that was found on record. An attempt that was added earlier for the same task and
+    /// machine is replaced.
     pub fn record(&mut self, machine: MachineId, task: TaskId, attempt: AttemptId) {
         let state = AttemptState::Unreported;
         let recorded = Recorded { attempt, state };
