--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -25,7 +25,8 @@
     Listening,
     /// Some attempts on record are settled, or machines list tasks of unknown jobs.
     Reconciling,
-    /// All attempts on record are settled, and commands are still deferred by the rate limits.
+    /// All attempts on record are settled, but some were proved absent and are not launched again yet, or
+    /// commands are or were recently deferred by the rate limits.
     Pacing,
     /// The takeover is complete, or had nothing to do.
     Over,
@@ -49,7 +50,8 @@
     pub counts: StateCounts,
     /// The number of unknown jobs whose tasks are listed by machines.
     pub unrecorded_jobs: usize,
-    /// Whether commands are deferred by the rate limits, or were until recently, and the limits still apply.
+    /// Whether the rate limits still apply, and attempts were proved absent and are not launched again yet,
+    /// or commands are or were recently deferred by the rate limits.
     pub commands_waiting: bool,
 }
 
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Resumes a takeover that had nothing to do, or was over, because of unrecorded tasks.
+    /// Resumes a takeover that is over, because machines list unrecorded tasks.
     pub fn reopen(&mut self) {
         if self.phase == TakeoverPhase::Over {
             self.phase = TakeoverPhase::Reconciling;
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -9,8 +9,9 @@
 
 /// The share of a command rate that is reserved for prompt commands, and for those that must not wait at all.
 pub const RESERVED_SHARE_OF_RATE: f64 = 0.2;
-/// The share of the cancellation deadline during which the kills of cancelled jobs are paced; after that they
-/// are sent at once. Machines on which a cancelled job still runs are returned at 0.4 of the deadline.
+/// The share of the cancellation deadline during which the kills of cancelled jobs are paced; kills that are
+/// still unsent after this share of the deadline are sent at once. Machines on which a cancelled job still
+/// runs are returned at 0.4 of the deadline.
 pub const PACED_SHARE_OF_CANCELLATION_DEADLINE: f64 = 0.3;
 
 /// The commands per second to the fleet if operators set no rate and its size requires no higher one.
@@ -94,11 +95,11 @@
     TooSlow {
         /// The rate that applies, in commands per second.
         rate: f64,
-        /// The number of machines that it must reach.
+        /// The number of machines that commands at this rate must reach.
         machines: usize,
-        /// The time within which it must reach them, in seconds.
+        /// The time within which commands at this rate must reach the machines, in seconds.
         within_s: f64,
-        /// The time as a share of the setting `cancel_s`.
+        /// `within_s` as a share of the setting `cancel_s`.
         share_of_cancel_s: f64,
     },
     /// The rate of a segment exceeds that of the fleet.
@@ -129,7 +130,7 @@
 pub struct InvalidSettings {
     /// The setting to change.
     pub setting: SettingName,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub problem: SettingsProblem,
 }
 
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -12,13 +12,14 @@
 use cypressgap_model::Zone;
 use std::collections::HashMap;
 
-/// Fewer silent machines than this in a group count as independent failures.
+/// The minimum number of silent machines in a group that counts as mostly silent. Fewer silent machines count
+/// as independent failures.
 pub const MIN_SILENT_MACHINES: usize = 3;
 
 /// The scope of an outage, from narrowest to widest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SilenceScope {
-    /// Individual machines.
+    /// No shared outage: the silent machines are treated as independent failures.
     Machine,
     /// Most machines of a network segment.
     Segment,
@@ -28,7 +29,7 @@
     Fleet,
 }
 
-/// The number of machines in a group, and of the silent ones among them.
+/// The number of machines in a group, and how many of them are silent.
 #[derive(Clone, Copy, Debug, Default)]
 struct MachineTally {
     machines: usize,
--- a/crates/recovery/src/takeover.rs
+++ b/crates/recovery/src/takeover.rs
@@ -24,11 +24,11 @@
 use cypressgap_model::{AttemptId, JobId, MachineId, TaskId, Zone};
 use std::time::{Duration, Instant};
 
-/// Pacing continues for this long after a command was last deferred.
+/// Pacing continues for this long after the latest deferral of a command.
 const PACING_QUIET_PERIOD: Duration = Duration::from_secs(5);
 /// Once all attempts on record are settled, pacing ends after this many commands per attempt on record: one
-/// to start it, one to end it and one to start its successor. Without this limit, a rate below the fleet's
-/// usual load would delay that load indefinitely.
+/// to start the attempt, one to stop it and one to start the next attempt at its task. Without this limit, a
+/// rate below the fleet's usual load would delay that load indefinitely.
 const MAX_COMMANDS_PER_RECORDED_ATTEMPT: u64 = 3;
 
 /// A change of the takeover's phase, for the log.
@@ -40,13 +40,14 @@
     pub counts: StateCounts,
     /// The number of unknown jobs whose tasks are listed by machines.
     pub unrecorded_jobs: usize,
-    /// The number of deferrals so far; a command may be deferred more than once.
+    /// The number of times that a command was deferred so far in this takeover; the same command may be
+    /// deferred more than once.
     pub deferred: u64,
     /// The statistics so far.
     pub summary: TakeoverSummary,
 }
 
-/// Whether a task must be stopped within a given time.
+/// Whether there is a time limit for stopping a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillDeadline {
     /// Nothing depends on when the task stops.
@@ -135,7 +136,7 @@
         self.commands.remove_machine(machine);
     }
 
-    /// Records that an attempt ended, or was proved gone.
+    /// Removes an attempt on record that ended, or was proved gone. An attempt of this term is ignored.
     pub fn on_attempt_gone(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
         let state = self.reconciliation.remove(machine, task);
         if state.is_some_and(|state| !state.is_settled()) {
@@ -148,7 +149,7 @@
         self.reconciliation.machines()
     }
 
-    /// The state of an attempt on record; `None` if it is this term's own.
+    /// The state of an attempt on record; `None` if this term created the attempt, or it was removed.
     pub fn state(
         &self,
         machine: &MachineId,
@@ -193,13 +194,14 @@
         self.unrecorded.record_status(now, job_id, status);
     }
 
-    /// Whether a machine is occupied by tasks whose size is unknown.
+    /// Whether a machine lists tasks of unknown jobs. Their resources are unknown, so no task may be placed
+    /// on the machine.
     #[must_use]
     pub fn holds_machine(&self, machine: &MachineId) -> bool {
         self.unrecorded.holds_machine(machine)
     }
 
-    /// Whether tasks whose team is unknown may be running.
+    /// Whether tasks of unknown jobs, and thus of unknown teams, may be running.
     #[must_use]
     pub fn may_count_against_any_team(&self) -> bool {
         !self.unrecorded.is_empty() && self.unrecorded.may_count_against_any_team()
@@ -220,8 +222,9 @@
         state.is_none_or(AttemptState::allows_launch)
     }
 
-    /// The pacing class of a kill. `cancelled_for`: the time since its job was cancelled, `None` if it was
-    /// not; `cancellation_deadline`: the time within which a cancellation must take effect.
+    /// The pacing class of a kill. `cancelled_for`: the time since the leader learned that the task's job was
+    /// cancelled, or `None` if the job was not cancelled; `cancellation_deadline`: the time within which a
+    /// cancellation must take effect.
     pub fn kill_class(
         cancelled_for: Option<Duration>,
         cancellation_deadline: Duration,
@@ -239,8 +242,9 @@
         }
     }
 
-    /// Whether a command may be sent now. If the rate is used up, [`Takeover::take_waiting_machines`] returns
-    /// its machine later, unless the command is of the class [`PacingClass::Background`].
+    /// Whether a command may be sent now. If so, the command is charged to the rate limits. If the rate
+    /// limits defer it, [`Takeover::take_waiting_machines`] returns its machine later, unless the command is
+    /// of the class [`PacingClass::Background`].
     #[must_use]
     pub fn admit(
         &mut self,
@@ -274,7 +278,8 @@
         self.progress.record_killed();
     }
 
-    /// Acknowledges the commands of a machine that its newest heartbeat shows as carried out.
+    /// Removes from the unacknowledged commands of a machine those for which `is_carried_out` holds,
+    /// according to the machine's newest heartbeat.
     pub fn acknowledge(
         &mut self,
         machine: &MachineId,
@@ -285,7 +290,8 @@
         }
     }
 
-    /// Removes and returns the machines whose deferred commands may be sent now, as far as the rate allows.
+    /// Removes machines from the front of the queue of machines with deferred commands, as many as the rate
+    /// limit of the fleet allows commands now, and returns them.
     #[must_use]
     pub fn take_waiting_machines(&mut self, now: Instant) -> Vec<MachineId> {
         self.commands.take_waiting_machines(now)
@@ -315,9 +321,9 @@
         }
     }
 
-    /// Charges and returns how many of the wanted machines may be rented now. Rentals are limited while most
-    /// machines of a segment, a zone or the fleet are silent, since these machines are likely to report
-    /// again.
+    /// Returns how many of the `wanted` machines may be rented now, and charges them to the rate limit of
+    /// rentals. Rentals are limited while most machines of a segment, a zone or the fleet are silent, since
+    /// these machines are likely to report again.
     #[must_use]
     pub fn admit_rentals(&mut self, now: Instant, wanted: u32) -> u32 {
         if !self.is_paced || self.silence.widest() == SilenceScope::Machine {
@@ -328,7 +334,7 @@
 
     // --- progress ---
 
-    /// Updates the phase, and returns the change if there is one.
+    /// Updates the phase of the takeover. `None`: the phase has not changed.
     pub fn advance(&mut self, now: Instant) -> Option<PhaseChange> {
         if self.is_over() {
             return None;
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -19,9 +19,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Two reads that find no trace of a job count as two denials only if they are at least this far apart.
+/// The minimum time between two reads that find no record of a job for them to count as two denials.
 pub const MIN_DENIAL_INTERVAL: Duration = Duration::from_secs(2);
-/// The number of denials that are needed before tasks of the job are killed.
+/// The number of denials of a job that are needed before its tasks are killed.
 pub const MIN_DENIALS: u32 = 2;
 
 /// The status of a job according to the key-value store.
@@ -30,7 +30,8 @@
     /// The job was accepted and is not over. This leader does not know the job because the job's record has
     /// not arrived yet or cannot be read.
     Live,
-    /// The job's terminal state is durable, so all tasks of the job were proved ended or gone before.
+    /// The job's outcome is `Done` or `Cancelled`. A leader removes such a job from its state only once all
+    /// of the job's attempts were proved ended or gone.
     Over,
     /// The store denies the job: it was never accepted, or the store was restored to a state from before its
     /// acceptance.
@@ -68,7 +69,8 @@
     first_listed_at: Instant,
     /// The result of the last successful lookup. `None`: no lookup has succeeded.
     status: Option<StoredJobStatus>,
-    /// The number of denials since the last lookup with another result.
+    /// The number of denials since the latest lookup that found a record of the job, or since the job was
+    /// first listed.
     denials: u32,
     last_denied_at: Option<Instant>,
     /// The number of machines that list tasks of the job.
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Decrements the number of machines that list a job, and removes the job if none does.
+    /// Decrements the number of machines that list a job, and removes the job if no machine lists it any
+    /// more.
     fn release_job(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -192,29 +195,31 @@
         })
     }
 
-    /// The jobs whose status is to be read from the key-value store. `Over` is final, so those jobs are left
-    /// out.
+    /// The jobs whose status is to be read from the key-value store. The status `Over` is final, so jobs with
+    /// this status are not looked up again.
     pub fn jobs_to_look_up(&self) -> impl Iterator<Item = &JobId> {
         let jobs = self.jobs.iter();
         jobs.filter(|(_, job)| job.status != Some(StoredJobStatus::Over))
             .map(|(job_id, _)| job_id)
     }
 
-    /// Whether a machine is occupied by tasks whose size is unknown, so that nothing may be placed on it.
+    /// Whether a machine lists tasks of unknown jobs. Their resources are unknown, so no task may be placed
+    /// on the machine.
     #[must_use]
     pub fn holds_machine(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
-    /// Whether tasks whose team is unknown may be running. A job whose terminal state is durable had no task
-    /// on any machine when that state was written, so only a heartbeat from this term can prove that one is.
+    /// Whether tasks of unknown jobs, and thus of unknown teams, may be running. A job that is over was
+    /// removed by a leader only once none of its tasks was on a machine, so only a heartbeat from this term
+    /// can prove that a task of the job is running.
     #[must_use]
     pub fn may_count_against_any_team(&self) -> bool {
         let is_over = |job: &UnknownJob| job.status == Some(StoredJobStatus::Over);
         self.machines_of_this_term > 0 || !self.jobs.values().all(is_over)
     }
 
-    /// The number of unknown jobs.
+    /// The number of unknown jobs whose tasks are listed by some machine.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
