--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -24,8 +24,8 @@
 /// The lower bound of the refill factor, however few commands are acknowledged: the next ones may be for
 /// other machines, which respond.
 const MIN_REFILL_FACTOR: f64 = 0.1;
-/// The number of unacknowledged commands at which the refill factor would reach 0, as a multiple of the
-/// limit, in seconds. Refilling slows down from half of it on.
+/// The number of unacknowledged commands at which the refill factor would reach 0, divided by the limit in
+/// commands per second. Refilling slows down once half of this number is unacknowledged.
 const MAX_UNACKNOWLEDGED_LOAD_S: f64 = 4.0;
 
 /// The pacing class of a command: until when the rate limits may defer it.
@@ -40,8 +40,8 @@
     /// Deferred until both buckets have a token, counting the reserve as well. For cancellations, kills with
     /// a deadline and urgent tasks.
     Prompt,
-    /// Never deferred. For commands that end a violation of an invariant, and for cancellations beyond the
-    /// share of their deadline in which kills are paced.
+    /// Never deferred. For commands that end a violation of an invariant, and for kills of cancelled jobs
+    /// after the share of the cancellation deadline during which these kills are paced.
     Immediate,
 }
 
@@ -121,7 +121,8 @@
     fn refill(&mut self, now: Instant) {
         let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_LOAD_S;
         let free_share = 1.0 - self.unacknowledged as f64 / max_unacknowledged;
-        // The bucket refills at the full rate while at least half of the maximum is free.
+        // The bucket refills at its full rate while at most half of `max_unacknowledged` commands are
+        // unacknowledged.
         let factor = (free_share * 2.0).clamp(MIN_REFILL_FACTOR, 1.0);
         self.bucket.refill(now, factor);
     }
@@ -157,7 +158,8 @@
     #[must_use]
     pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
-            // The bucket of a new segment counts as refilling since the limiter was created.
+            // The bucket of a new segment receives the tokens that it would have gained since the limiter was
+            // created.
             let bucket = FeedbackBucket::new(self.segment_limit, self.created_at);
             self.segments.insert(segment.clone(), bucket);
         }
@@ -198,7 +200,8 @@
 }
 
 impl RentalRateLimiter {
-    /// Creates a limiter with a full bucket: the machines of one second, and at least one.
+    /// Creates a limiter with a full bucket. It holds one token for each machine that may be rented in one
+    /// second, and at least one token.
     pub fn new(rentals_per_second: f64) -> RentalRateLimiter {
         RentalRateLimiter {
             rentals_per_second,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Charges and returns how many of the wanted machines may be rented now.
+    /// Returns how many of the `wanted` machines may be rented now, and removes a token for each of them.
     #[must_use]
     pub fn take(&mut self, now: Instant, wanted: u32) -> u32 {
         let refilled_at = self.refilled_at.replace(now);
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -11,8 +11,8 @@
 //!   decides nothing.
 //! - Tasks are killed only if their job is over, or if the store has denied it [`MIN_DENIALS`] times,
 //!   [`MIN_DENIAL_INTERVAL`] apart, and the hold time has passed.
-//! - Until a task is proved gone, no other task is placed on its machine, because its size is unknown.
-//!   Nothing starts for teams with a quota, because its team is unknown.
+//! - Until such a task is proved gone, no other task is placed on its machine, because its resources are
+//!   unknown, and no task starts for teams with a quota, because its team is unknown.
 
 use crate::attempt_state::HeartbeatOrigin;
 use cypressgap_model::{JobId, MachineId};
--- a/src/core/reconciliation/absence_proofs.rs
+++ b/src/core/reconciliation/absence_proofs.rs
@@ -16,15 +16,17 @@
 enum Absence {
     /// The attempt is certainly not on the machine.
     Proved,
-    /// The attempt will not be launched any more. A heartbeat with a higher token would prove its absence.
+    /// The attempt will not be launched any more. A heartbeat that does not list the attempt and carries a
+    /// higher token than its launches would prove that it is absent.
     NeedsRaisedToken,
     /// The launch of the attempt may still be in flight.
     Unproved,
 }
 
 impl ClusterState {
-    /// Removes the attempts that a heartbeat proves not to be on its machine. If a higher token would prove
-    /// the absence of an attempt that is not wanted, raises the token of the machine.
+    /// Removes the attempts that a heartbeat proves not to be on its machine. Raises the token of the machine
+    /// if an attempt will not be launched any more and only a heartbeat with a higher token would prove it
+    /// absent.
     pub(super) fn remove_absent_attempts(
         &mut self,
         now: Instant,
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Whether an attempt will not be launched any more: it is to be killed, its machine is about to go, or
-    /// the launch check refuses it.
+    /// Whether an attempt will not be launched any more: its kill was requested, its machine is being
+    /// returned or evicted, or the launch check refuses it.
     fn is_unwanted(&self, machine: &Machine, task: &TaskId, attempt: &ActiveAttempt) -> bool {
         attempt.kill_request.is_some()
             || machine.returning
--- a/src/core/reconciliation/acknowledgements.rs
+++ b/src/core/reconciliation/acknowledgements.rs
@@ -8,13 +8,15 @@
 use crate::core::state::{ActiveAttempt, ClusterState};
 use std::time::{Duration, Instant};
 
-/// The minimum time after which a command counts as ignored. Otherwise the limit is one heartbeat interval,
-/// within which the effect of a command appears in the heartbeats of its machine.
+/// The minimum time after which a command counts as ignored. A launch counts as ignored if its effect does
+/// not show in a heartbeat within this time of its first sending, and a kill within this time of the end of
+/// its grace period. A longer heartbeat interval is used instead of this time, because the effect of a
+/// command appears in the heartbeats of its machine within one interval.
 const MIN_ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl ClusterState {
     /// If a heartbeat shows that its machine has ignored a launch or a kill, requires a new token from the
-    /// machine: it is given no more tasks until a heartbeat proves that responses reach it.
+    /// machine: the machine is given no more tasks until a heartbeat proves that responses reach it.
     pub(super) fn check_acknowledged(
         &mut self,
         now: Instant,
--- a/src/core/reconciliation/command_pacing.rs
+++ b/src/core/reconciliation/command_pacing.rs
@@ -12,8 +12,9 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Whether a command may be sent now. If not, its machine is retried once the rate limits admit a
-    /// command.
+    /// Whether a command may be sent now. If the rate limits defer the command, commands to its machine are
+    /// tried again once the limits admit them. A deferred command of the class [`PacingClass::Background`] is
+    /// instead tried again at the machine's next heartbeat.
     pub(super) fn admit(
         &mut self,
         now: Instant,
@@ -69,7 +70,8 @@
         });
     }
 
-    /// Marks the machines as urgent whose commands were deferred and may be sent now.
+    /// Takes the machines with deferred commands that the rate limits admit now, and marks them as urgent, so
+    /// that they are sent direct commands.
     pub(in crate::core) fn retry_paced_commands(&mut self, now: Instant) {
         if !self.takeover.is_over() {
             self.outbox
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -13,7 +13,8 @@
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::{Duration, Instant};
 
-/// The maximum number of commands in one message, which keeps it far below the limit of 64 KiB.
+/// The maximum number of commands in one message. It keeps the message far below the maximum body size of 64
+/// KiB.
 pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 /// The properties of a machine on which its launch commands depend.
@@ -44,7 +45,7 @@
 
 impl KillRequest {
     /// The remaining part of the grace period. A kill of an attempt that is saving a checkpoint already
-    /// carries only this part, so that it does not extend the grace period.
+    /// carries only this part, so that repeating the kill does not extend the grace period.
     fn remaining_grace(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.since);
         self.grace_period.saturating_sub(passed)
@@ -107,7 +108,8 @@
         }
     }
 
-    /// The command that an attempt placed on a machine needs now. None: its intent is not durable yet.
+    /// The command that an attempt placed on a machine needs now. None: the attempt is not on record, or its
+    /// intent is not durable and its machine has not reported it yet.
     fn command_need(
         &self,
         now: Instant,
@@ -139,7 +141,8 @@
         Some(kill.map_or(CommandNeed::Nothing, CommandNeed::Kill))
     }
 
-    /// The launch of an attempt, which is recorded as sent. None: the attempt may not be launched now.
+    /// Returns the launch command of an attempt, and records the launch as sent. None: the attempt may not be
+    /// launched now.
     fn launch_command(
         &mut self,
         now: Instant,
--- a/src/core/reconciliation/direct_commands.rs
+++ b/src/core/reconciliation/direct_commands.rs
@@ -1,15 +1,16 @@
 //! Direct commands: urgent commands that are sent to a machine without waiting for its next heartbeat.
 //!
 //! Invariant: the kill of an attempt that its machine has not reported yet is sent with a raised token, so
-//! that a launch which is still in flight is not accepted after it.
+//! that a launch which is still in flight is not accepted after the kill.
 
 use crate::core::model::{Heartbeat, MachineId, TaskCommand, Term};
 use crate::core::reconciliation::heartbeats::StatusSource;
 use crate::core::state::{Action, ClusterState, HeartbeatDecision};
 use std::time::Instant;
 
-/// The number of heartbeat intervals without a message after which a machine is sent no direct commands. Its
-/// failure to respond would only block a sender, and the response to its next heartbeat carries the commands.
+/// The number of heartbeat intervals without a message after which a machine is sent no direct commands. Such
+/// a machine is likely not to respond, which would only block a sender, and the response to its next
+/// heartbeat carries the commands anyway.
 const MAX_MISSED_HEARTBEATS: u32 = 2;
 
 impl ClusterState {
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Sends direct commands to the machines in the outbox's `urgent_machines`. A machine with unanswered
-    /// direct commands stays there.
+    /// Sends direct commands to the machines in the outbox's `urgent_machines`. A machine that has not
+    /// responded to earlier direct commands yet stays in `urgent_machines`.
     pub(in crate::core) fn send_urgent(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.outbox.urgent_machines) {
             self.send_direct_commands(now, machine_id);
@@ -81,8 +82,8 @@
         });
     }
 
-    /// Raises the token of a machine if an attempt on it is to be killed that the machine has not reported
-    /// yet.
+    /// Raises the token of a machine if a kill was requested for an attempt that is placed on the machine and
+    /// that the machine has not reported yet.
     fn raise_token_for_unreported_kills(&mut self, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get_mut(machine_id) else {
             return;
--- a/src/core/reconciliation/heartbeat_order.rs
+++ b/src/core/reconciliation/heartbeat_order.rs
@@ -1,9 +1,10 @@
 //! Ordering of heartbeats: rejection of duplicate and reordered messages, and detection of machines that were
 //! restarted under the same id.
 //!
-//! Invariant: the status of a machine is replaced only by that of a newer message, according to incarnation
-//! and serial number. A restart of the serial numbers is accepted only once a message of the machine carries
-//! a token that was first issued after its previous message, which no copy of an earlier message can carry.
+//! Invariant: the status of a machine is replaced only by the status in a newer message. Messages are ordered
+//! by incarnation, then by serial number. A restart of the serial numbers is accepted only once a message of
+//! the machine carries a token that was first issued after its previous message, which no copy of an earlier
+//! message can carry.
 
 use crate::core::model::{FencingToken, Heartbeat};
 use crate::core::reconciliation::heartbeats::StatusSource;
@@ -44,8 +45,8 @@
     }
 
     /// Checks whether a heartbeat is outdated: a newer message of the machine has been received already, or
-    /// the agent that sent it was replaced by a restarted one. If so, it must not be applied, and the
-    /// returned token is sent in the response.
+    /// the agent that sent it was replaced by a restarted one. If so, the heartbeat must not be applied, and
+    /// the returned token is sent in the response. None: the heartbeat is not outdated.
     pub(super) fn check_outdated(
         &mut self,
         now: Instant,
@@ -88,9 +89,10 @@
 }
 
 /// Issues a probe token if the machine may have been restarted under the same id, with serial numbers that
-/// start again: it was silent, or its token is lower than the one before. No copy can carry a token that was
-/// first issued after the original was sent. A restarted agent does not remember which attempts it was told
-/// to stop; once it has received the raised token, it rejects every command that was sent to it before.
+/// start again: the machine was silent, or the heartbeat carries a lower token than the machine's previous
+/// message. A copy of an earlier message cannot carry the probe token, which was first issued after that
+/// message was sent. A restarted agent does not remember which attempts it was told to stop; once it has
+/// received the raised token, it rejects every command that was sent to it before.
 fn probe_restart(machine: &mut Machine, heartbeat: &Heartbeat, was_silent: bool) {
     let carries_lower_token = heartbeat.token < machine.observed_token;
     if (was_silent || carries_lower_token) && machine.restart_probe_token.is_none() {
--- a/src/core/reconciliation/heartbeats.rs
+++ b/src/core/reconciliation/heartbeats.rs
@@ -20,7 +20,7 @@
     Heartbeat,
     /// A heartbeat that must not be answered now, so that the lease is not renewed.
     UnansweredHeartbeat,
-    /// The response to direct commands. It renews no lease.
+    /// The response to direct commands. The leader does not answer it, so it renews no lease.
     CommandResponse,
 }
 
@@ -44,7 +44,8 @@
         let source = StatusSource::UnansweredHeartbeat;
         match self.on_worker_status(now, &heartbeat, source) {
             HeartbeatDecision::Accept { commands, .. } => {
-                // Kills are sent as direct commands instead of in the response, because these renew no lease.
+                // Kills are sent as direct commands instead of in the response, because direct commands renew
+                // no lease.
                 let is_kill = |command: &TaskCommand| matches!(command, TaskCommand::Kill { .. });
                 if commands.iter().any(is_kill) {
                     self.outbox.urgent_machines.insert(heartbeat.machine);
--- a/src/core/reconciliation/launch_check.rs
+++ b/src/core/reconciliation/launch_check.rs
@@ -2,10 +2,11 @@
 //!
 //! A record may outlive its attempt. Once an attempt is proved gone, its share of the team's limit and its
 //! place in the zone are available to other attempts at once, while the removal of its record is written
-//! later together with other changes, and is lost if the leader fails before. A record alone therefore does
-//! not allow a launch: a leader launches an attempt only while the counted usage, which includes all attempts
-//! on record, is within the team's limit and the job's zone constraints. An attempt that may not be launched
-//! is removed from the usage once it is proved not to be on its machine, and its task is placed again.
+//! later together with other changes, and does not happen if the leader fails before that write. A record
+//! alone therefore does not allow a launch: a leader launches an attempt only while the counted usage, which
+//! includes all attempts on record, is within the team's limit and the job's zone constraints. An attempt
+//! that may not be launched is removed from the usage once it is proved not to be on its machine, and its
+//! task is placed again.
 
 use crate::core::model::{Resources, TaskId, Team, TeamName};
 use crate::core::state::ClusterState;
@@ -18,7 +19,7 @@
     /// The attempt may be launched.
     Allowed,
     /// The job has a constraint on zones, and the zone of the attempt, or of other attempts of the job, is
-    /// not known yet. The attempt is not launched until it is.
+    /// not known yet. The attempt is not launched until these zones are known.
     Unknown,
     /// The attempt may not be launched. It is removed once it is proved absent.
     Refused,
--- a/src/core/reconciliation/machine_status.rs
+++ b/src/core/reconciliation/machine_status.rs
@@ -11,7 +11,7 @@
     /// Whether this is the first message of the machine in this term, or its incarnation differs from the
     /// previous message's.
     new_incarnation: bool,
-    /// Whether this heartbeat announces the eviction of the machine and none before it did in this term.
+    /// Whether this heartbeat is the first one in this term that announces the eviction of the machine.
     new_eviction: bool,
 }
 
@@ -94,8 +94,8 @@
     machine.lease_expired = false;
 }
 
-/// Records that the agent has received a token of this term. From now on it accepts no responses of earlier
-/// leaders, so only those of this term renew its lease.
+/// Records that the agent has received a token of this term. From now on the agent accepts no responses of
+/// earlier leaders, so only responses of this term renew its lease.
 fn record_token_of_term(machine: &mut Machine, heartbeat: &Heartbeat) {
     machine.fenced = true;
     machine.token = machine.token.max(heartbeat.token);
@@ -108,7 +108,8 @@
 }
 
 /// Handles a new incarnation of the agent, which it starts after its lease has expired. Responses to its
-/// heartbeats may not have reached it, so it has to return a new token before it is given anything.
+/// heartbeats may not have reached it, so the machine is given no tasks until a heartbeat carries a new
+/// token.
 fn start_incarnation(machine: &mut Machine, now: Instant) {
     machine.images.clear();
     // The lease of the new incarnation starts with the incarnation, not long before now. If it were counted
--- a/src/core/reconciliation/reported_tasks.rs
+++ b/src/core/reconciliation/reported_tasks.rs
@@ -1,4 +1,4 @@
-//! Processing of the tasks that a heartbeat lists, and accounting of those that no record names.
+//! Processing of the tasks that a heartbeat lists, and accounting of the listed tasks that no record names.
 
 use crate::core::model::{
     Heartbeat, JobId, Resources, TaskCommand, TaskPhase, TaskStatus, TeamName,
@@ -74,7 +74,8 @@
         job.is_some_and(|job| job.is_held(status.task.index, status.attempt))
     }
 
-    /// Records an unexpected task, which is not adopted, and adds its kill unless it is held.
+    /// Records the resources or the unknown job of an unrecorded task that is not adopted, and adds a kill of
+    /// the task unless the task is held.
     fn record_unexpected(
         &mut self,
         status: &TaskStatus,
--- a/src/core/reconciliation/state_loading.rs
+++ b/src/core/reconciliation/state_loading.rs
@@ -1,8 +1,8 @@
 //! Loading of the cluster's state from the key-value store at the beginning of a term.
 //!
-//! Invariants: every attempt that an intent names may be on its machine, and its resources count as used
-//! until it is proved gone. Cancellations are applied after the intents, so that no task of a cancelled job
-//! is missed.
+//! Invariants: every attempt that an intent names may be on its machine, and the attempt's resources count as
+//! used until the attempt is proved gone. Cancellations are applied after the intents, so that no task of a
+//! cancelled job is missed.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, MachineTypeName, TaskId, Zone};
 use crate::core::persistence::keys;
@@ -86,8 +86,9 @@
         ended
     }
 
-    /// Records that the key-value store holds a list of a job's dependents. The list is removed together with
-    /// the job, or now if the job is not known.
+    /// Records that the key-value store holds a list of a job's dependents. The list's key is removed
+    /// together with the job. If this leader does not know the job, the removal of the key is scheduled at
+    /// once.
     pub fn load_dependents_list(&mut self, job_id: &JobId) {
         if self.jobs.contains(job_id) {
             self.jobs.dependencies.mark_listed(job_id);
@@ -151,8 +152,8 @@
         }
     }
 
-    /// The machine that a record names, which is added if it is unknown. Its type and zone are empty until
-    /// its heartbeat or the cloud's list provides them.
+    /// The machine that a record names, which is added if it is unknown. The type and zone of an added
+    /// machine are empty until its heartbeat or the cloud's list provides them.
     fn loaded_machine(&mut self, now: Instant, id: MachineId) -> &mut Machine {
         let term = self.term;
         self.fleet.machines.entry(id.clone()).or_insert_with(|| {
--- a/src/core/reconciliation/unreadable_records.rs
+++ b/src/core/reconciliation/unreadable_records.rs
@@ -1,8 +1,9 @@
 //! Jobs with records in the key-value store that cannot be read.
 //!
 //! Invariants: the records of such a job are kept, and none of its tasks is started. Its tasks may be using
-//! the quota of any team, so no team with a limit starts a task until they are known to be gone. If some
-//! chunk cannot be read, that is never known, and the restriction holds for the whole term.
+//! the quota of any team, so no team with a limit starts a task until the tasks of such jobs are known to be
+//! gone. If some chunk cannot be read, it never becomes known that its tasks are gone, and the restriction
+//! holds for the whole term.
 
 use crate::core::model::{JobId, MachineId};
 use std::collections::BTreeSet;
--- a/src/core/reconciliation/unrecorded_tasks.rs
+++ b/src/core/reconciliation/unrecorded_tasks.rs
@@ -1,11 +1,11 @@
 //! Decisions on unrecorded tasks, which a machine reports although no record names them: they are adopted,
 //! held until more is known, or killed.
 //!
-//! A launch is sent only once its intent is durable. Such a task was therefore started by a late command, or
-//! the key-value store was restored to an earlier state. A task of a live job is adopted if a launch would be
-//! allowed, so that its work continues and it is not started twice. A job that this leader does not know is
-//! first looked up in the key-value store, and `cypressgap_recovery::unrecorded` decides what happens to its
-//! tasks.
+//! A launch is sent only once its intent is durable. An unrecorded task was therefore started by a late
+//! command, or the key-value store was restored to an earlier state. A task of a live job is adopted if a
+//! launch would be allowed, so that its work continues and it is not started twice. A job that this leader
+//! does not know is first looked up in the key-value store, and `cypressgap_recovery::unrecorded` decides
+//! what happens to its tasks.
 
 use crate::core::model::{Heartbeat, JobId, JobKind, MachineId, TaskPhase, TaskStatus};
 use crate::core::persistence::job_status_reads::JobRecordStatus;
@@ -34,8 +34,8 @@
 }
 
 impl ClusterState {
-    /// Decides on an unrecorded task that a heartbeat lists and that has not ended. Adopts it if that is the
-    /// decision.
+    /// Decides on an unrecorded task that a heartbeat lists and that has not ended. If the decision is
+    /// `Adopted`, the task is on record when this function returns.
     pub(super) fn decide_unrecorded(
         &mut self,
         now: Instant,
@@ -58,8 +58,8 @@
     }
 
     /// Whether a task is still needed by its job and is on a machine that the job allows. An attempt of this
-    /// term is never adopted: it stays on record until it is proved gone, so an unrecorded one is known to be
-    /// obsolete.
+    /// term is never adopted: it stays on record until it is proved gone, so an unrecorded attempt of this
+    /// term is known to be obsolete.
     fn may_adopt(&self, heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
         let (Some(job), Some(machine)) = (
             self.jobs.get(&status.task.job_id),
@@ -116,7 +116,7 @@
         true
     }
 
-    /// Replaces the unknown jobs of a machine by those that its newest heartbeat lists.
+    /// Replaces the unknown jobs recorded for a machine by the ones whose tasks its newest heartbeat lists.
     pub(super) fn record_unknown_jobs(
         &mut self,
         now: Instant,
