--- a/src/core/persistence/backoff.rs
+++ b/src/core/persistence/backoff.rs
@@ -8,14 +8,14 @@
 const INITIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// The maximum interval between two lookups of the same job's status.
 const MAX_INTERVAL: Duration = Duration::from_secs(60);
-/// The factor by which each interval is longer than the previous one.
+/// The factor by which each interval between lookups of a job is longer than the job's previous interval.
 const INTERVAL_FACTOR: u32 = 2;
 
 /// The most recent lookup of a job.
 #[derive(Clone, Copy, Debug)]
 struct Lookup {
     at: Instant,
-    /// The minimum time from this lookup to the next one.
+    /// The minimum time from this lookup to the next lookup of the same job.
     interval: Duration,
 }
 
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -12,17 +12,18 @@
 
 /// The maximum total size of the chunks in a transaction, below the protocol's limit of 64 KiB.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
-/// An upper bound on the size of a chunk in a transaction, without its attempts.
+/// An upper bound on the size of a chunk in a transaction, not counting the chunk's attempts.
 const CHUNK_FIXED_BYTES: usize = 80;
 /// An upper bound on the size of one attempt of a chunk in a transaction.
 const CHUNK_BYTES_PER_ATTEMPT: usize = 48;
 
-/// The number of changes that a transaction must have room for. The removal of a cancelled job needs this
-/// many: it deletes the job's key in the index and its cancellation marker.
+/// Every transaction must have room for at least this many changes. The removal of a cancelled job consists
+/// of up to this many changes: it deletes the job's key in the index and its cancellation marker.
 pub(super) const MIN_BATCH_OPS: usize = 2;
 
-/// How long the leader waits before it writes the outcomes of a cancelled job's dependents. The node that
-/// confirms the cancellation usually writes them at once, and writing them twice would waste write rate.
+/// How long the leader waits, from when it learned that a job was cancelled, before it writes the outcomes of
+/// the job's dependents. The node that confirms the cancellation usually writes these outcomes at once, and
+/// writing them twice would waste write rate.
 const LEADER_CASCADE_DELAY: Duration = Duration::from_secs(1);
 
 /// A chunk that a transaction writes, by its job and its number in the job.
@@ -54,7 +55,7 @@
     pub(super) removed_jobs: Vec<JobId>,
     /// The jobs that the transaction cancels because a dependency was cancelled.
     pub(super) cascaded_jobs: Vec<JobId>,
-    /// The obsolete keys that the transaction removes.
+    /// The keys that nothing refers to any more and that the transaction removes.
     pub(super) obsolete_keys: Vec<String>,
     /// The number of changes in the transaction.
     pub(super) op_count: usize,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns the transaction and a record of its contents. None: there are no changes.
+    /// Returns the transaction and a record of its contents. None: no changes were added.
     pub(super) fn build(mut self) -> Option<(WriteBatch, InFlightBatch)> {
         if self.ops.is_empty() {
             return None;
@@ -150,8 +151,9 @@
         BatchCapacity::Available
     }
 
-    /// Adds the outcome `Cancelled` of a job whose dependency was cancelled, if it is time for the leader to
-    /// write it. The job itself has been blocked since its acceptance, so none of its tasks is running.
+    /// Adds the outcome `Cancelled` of a job whose dependency was cancelled, once [`LEADER_CASCADE_DELAY`]
+    /// has passed since the leader learned of that cancellation. The job itself has been blocked since its
+    /// acceptance, so none of its tasks is running.
     fn add_cascaded(&mut self, job: &Job, now: Instant) -> BatchCapacity {
         if !job.is_cascade_due(now, LEADER_CASCADE_DELAY) {
             return BatchCapacity::Available;
@@ -194,8 +196,8 @@
             self.bytes += size;
             self.put_chunk(job, index, value);
         }
-        // The chunks of a cancelled or finished job contain no new intents, so they need no condition on its
-        // outcome.
+        // The chunks of a cancelled or finished job contain no new intents, so their write needs no condition
+        // on the job's outcome.
         if self.op_count() > op_count && !job.is_cancelled() && !job.done_durable {
             self.expect_outcome(job);
         }
--- a/src/core/persistence/batch_planning.rs
+++ b/src/core/persistence/batch_planning.rs
@@ -16,7 +16,8 @@
 /// An upper bound on the size of one entry of the summary.
 const SUMMARY_BYTES_PER_ENTRY: usize = 130;
 
-/// The class of a job's changes. When a transaction cannot hold all changes, it holds earlier classes first.
+/// The class of a job's changes. If a transaction cannot hold all changes, classes that are declared earlier
+/// take precedence.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WriteClass {
     /// Outcomes of jobs whose dependency was cancelled, which have to be written within a time limit.
@@ -46,7 +47,8 @@
 struct WriteOrder {
     class: WriteClass,
     priority: Reverse<Priority>,
-    /// Jobs of the same class and priority are ordered by their acceptance.
+    /// The revision at which the job was accepted. Jobs of the same class and priority are ordered by it,
+    /// earliest first.
     accepted_revision: u64,
     job_id: JobId,
 }
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The sort key of a job that is no longer live: after all others.
+    /// The sort key of a job that is no longer in the cluster's state. It comes after all others.
     fn last(job_id: JobId) -> WriteOrder {
         WriteOrder {
             class: WriteClass::Deferred,
@@ -92,8 +94,8 @@
                 continue;
             };
             let op_count = batch.op_count();
-            // A dependent whose own outcome is not written yet may still be reported as live. Until it is
-            // written, the records of the cancelled dependency must remain.
+            // A dependent whose own outcome is not written yet may still be reported as live. Until that
+            // outcome is written, the records of the cancelled dependency must remain.
             let removal = if !cascading && self.knows_jobs_accepted_before_cancellation(job) {
                 RecordRemoval::Allowed
             } else {
@@ -111,8 +113,8 @@
         }
     }
 
-    /// The jobs with unwritten changes, in the order of their writes. It is called after every event and
-    /// therefore iterates over these jobs only, not over all jobs.
+    /// The jobs with unwritten changes, in the order of their writes. This function is called after every
+    /// event, so it iterates only over the jobs with unwritten changes and not over all jobs.
     fn dirty_jobs_in_write_order(&self) -> Vec<JobId> {
         let dirty = self.writes.dirty_jobs.iter();
         let mut ordered: Vec<WriteOrder> = dirty
@@ -132,9 +134,9 @@
         jobs.any(Job::is_orphan)
     }
 
-    /// Whether this leader knows all jobs that were accepted before this job was cancelled: the cancellation
-    /// arrived through the watch of the queue, or the queue was read again after the cancellation became
-    /// known.
+    /// Whether this leader knows all jobs that were accepted before `job` was cancelled. This holds in two
+    /// cases: the cancellation arrived through the watch of the queue, or the queue was read again after the
+    /// cancellation became known.
     fn knows_jobs_accepted_before_cancellation(&self, job: &Job) -> bool {
         match (
             job.cancellation.needs_read_after(),
--- a/src/core/persistence/job_completion.rs
+++ b/src/core/persistence/job_completion.rs
@@ -17,7 +17,8 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        // If a failed write of intents revealed the outcome, the attempts of those intents are not launched.
+        // The leader may learn of the outcome from a failed transaction that was to write intents. The
+        // attempts of these intents are killed, so they are never launched.
         let planned = job.active.iter().filter(|(_, attempt)| !attempt.durable);
         let planned: Vec<u32> = planned.map(|(index, _)| *index).collect();
         for index in planned {
--- a/src/core/persistence/job_status_reads.rs
+++ b/src/core/persistence/job_status_reads.rs
@@ -52,9 +52,9 @@
 
 /// Reads the records of jobs. Each read sees at least all writes that completed before it started.
 pub trait JobRecordReader {
-    /// The error if the store could not be read.
+    /// The error of a read that failed because the store could not be read.
     type Error;
-    /// Returns keys that do not meet their conditions. The result may be incomplete, but it is empty only if
+    /// Returns keys that do not meet their conditions. The list may be incomplete, but it is empty only if
     /// all conditions are met.
     fn mismatched_keys(&self, expected: &[KeyCondition]) -> Result<Vec<String>, Self::Error>;
     /// Returns the first page of the outcomes whose keys come after `key`, which need not exist.
@@ -75,7 +75,8 @@
 /// The maximum number of comparisons for one set of jobs. The first comparison finds the keys that exist, and
 /// the second settles the other jobs. More are needed only if the store does not report all mismatched keys.
 const MAX_COMPARISONS: usize = 5;
-/// The number of outcomes from which on a read of a page is cheaper than single reads.
+/// The minimum number of outcomes for which reading a page is cheaper than reading each outcome in a call of
+/// its own.
 const MIN_OUTCOMES_FOR_PAGE: usize = 4;
 /// The maximum number of conditions for a job in a comparison: its outcome key and its key in the index.
 const CONDITIONS_PER_JOB: usize = 2;
@@ -89,8 +90,8 @@
     (conditions / CONDITIONS_PER_JOB).max(1)
 }
 
-/// Reads the statuses of jobs. `accepted` holds jobs that are known to have been accepted, which need one
-/// comparison less; jobs that turn out to have been accepted are added to it.
+/// Reads the statuses of jobs. `accepted` holds jobs that are known to have been accepted, which may need one
+/// comparison fewer; jobs that turn out to have been accepted are added to it.
 pub fn read_statuses<R: JobRecordReader>(
     reader: &R,
     job_ids: &BTreeSet<JobId>,
@@ -198,8 +199,8 @@
         Ok(())
     }
 
-    /// Reads the page of outcomes that starts at the first unread one. Returns the number of jobs that it
-    /// covers.
+    /// Reads the page of outcomes that starts at the first unread one. Returns the number of jobs whose
+    /// outcome keys lie in the range that the page covers.
     fn read_page(&mut self) -> Result<usize, R::Error> {
         let Some(first) = self.ended.keys().next() else {
             return Ok(0);
--- a/src/core/persistence/keys.rs
+++ b/src/core/persistence/keys.rs
@@ -34,8 +34,8 @@
 /// The key of a job's outcome.
 ///
 /// An accepted job is live while this key is absent or holds the `Live` record of an earlier version. `Done`
-/// and `Cancelled` are both written only on the condition that the key has not changed since then, so a job
-/// has at most one of these outcomes.
+/// and `Cancelled` are both written only on the condition that the key is unchanged, still absent or still
+/// with that `Live` record, so a job has at most one of these outcomes.
 pub fn outcome_key(job_id: &JobId) -> String {
     format!("{OUTCOME_PREFIX}{job_id}")
 }
@@ -47,7 +47,7 @@
 
 /// The key of a job in the index of live jobs.
 ///
-/// Writing this one key accepts the job. It is removed some time after the outcome was written.
+/// Writing this one key accepts the job. The key is removed some time after the job's outcome was written.
 pub fn live_job_key(job_id: &JobId) -> String {
     format!("{LIVE_JOB_PREFIX}{job_id}")
 }
--- a/src/core/persistence/pending_writes.rs
+++ b/src/core/persistence/pending_writes.rs
@@ -30,9 +30,9 @@
     obsolete_keys: Vec<String>,
     /// The contents of the transaction in flight, if there is one.
     in_flight: Option<InFlightBatch>,
-    /// No transaction is built before this time, if it is set.
+    /// The time until which no transaction is built. None: there is no pause.
     retry_at: Option<Instant>,
-    /// The number of changes that the store's rate limit admits now.
+    /// The maximum number of changes in the next transaction, as the store's rate limit admits.
     allowance: usize,
     /// The earliest time at which the summary of the run time history is written next.
     pub(super) next_summary: Instant,
@@ -41,8 +41,8 @@
 }
 
 impl PendingWrites {
-    /// Creates a state without pending writes. The run time history is first written after
-    /// `summary_interval`.
+    /// Creates a state without pending writes. The summary of the run time history is first written
+    /// `summary_interval` after `now`.
     pub fn new(now: Instant, summary_interval: Duration) -> PendingWrites {
         PendingWrites {
             dirty_jobs: BTreeSet::new(),
@@ -60,7 +60,8 @@
         self.dirty_jobs.insert(job_id.clone());
     }
 
-    /// Adds a key that nothing refers to any more. It is removed when the write rate admits it.
+    /// Adds a key that nothing refers to any more. The key is removed by a later transaction, when the write
+    /// rate admits the removal.
     pub(in crate::core) fn remove_later(&mut self, key: String) {
         self.obsolete_keys.push(key);
     }
@@ -76,8 +77,8 @@
     }
 
     /// The maximum number of changes in a transaction that starts now, at most `txn_ops`. None: no
-    /// transaction may start, because one is in flight, a pause has not passed, or the rate limit admits too
-    /// few changes.
+    /// transaction may start, because one is in flight, the pause after an unsuccessful transaction has not
+    /// passed, or the store's rate limit admits fewer than [`MIN_BATCH_OPS`] changes.
     pub(super) fn max_ops(&self, now: Instant, txn_ops: usize) -> Option<usize> {
         let pausing = self.retry_at.is_some_and(|retry_at| now < retry_at);
         if self.in_flight.is_some() || pausing || self.allowance < MIN_BATCH_OPS {
@@ -98,18 +99,18 @@
         self.in_flight.take()
     }
 
-    /// Ends the pause after an unsuccessful transaction.
+    /// Ends the pause that [`PendingWrites::pause_before_retry`] started.
     pub(super) fn clear_retry_pause(&mut self) {
         self.retry_at = None;
     }
 
-    /// Delays the next transaction by [`RETRY_PAUSE`].
+    /// Delays the next transaction until [`RETRY_PAUSE`] after `now`.
     pub(super) fn pause_before_retry(&mut self, now: Instant) {
         self.retry_at = Some(now + RETRY_PAUSE);
     }
 
-    /// Adds the obsolete keys of a transaction that failed, or whose result is unknown, so that they are
-    /// removed by a later one.
+    /// Adds the obsolete keys of a transaction that failed, or whose result is unknown, so that a later
+    /// transaction removes these keys.
     pub(super) fn restore_obsolete_keys(&mut self, keys: Vec<String>) {
         self.obsolete_keys.extend(keys);
     }
@@ -117,9 +118,9 @@
     /// Adds the removal of obsolete keys to a transaction.
     ///
     /// A finished job of 100,000 tasks leaves about 1,600 keys, and a thousand small jobs leave 2,000. Their
-    /// removal must not use up the write rate that submissions and intents need. It is therefore limited to
-    /// [`MAX_CLEANUP_OPS`] keys in each [`CLEANUP_INTERVAL`], or to a share of the transaction if there is
-    /// nothing else to write.
+    /// removal must not use up the write rate that submissions and intents need. The removal is therefore
+    /// limited to [`MAX_CLEANUP_OPS`] keys in each [`CLEANUP_INTERVAL`], or to a share of the transaction if
+    /// there is nothing else to write.
     pub(super) fn add_cleanups(&mut self, batch: &mut BatchBuilder, now: Instant) {
         if now < self.next_cleanup || !batch.has_room(1) {
             return;
--- a/src/core/persistence/records.rs
+++ b/src/core/persistence/records.rs
@@ -5,8 +5,8 @@
 use crate::core::model::{AttemptId, MachineId};
 use crate::core::placement::history::HistorySummary;
 
-/// The number of tasks in a chunk, which is stored under one key. It keeps the value below 4 KiB even if the
-/// deployment allows larger values.
+/// The number of tasks in a chunk, which is stored under one key. This number keeps the stored value below
+/// 4 KiB even if the deployment allows larger values.
 pub const TASKS_PER_CHUNK: u32 = 64;
 
 /// An upper bound on the size of a chunk's value without its attempts.
@@ -67,7 +67,8 @@
 /// The stored state of up to [`TASKS_PER_CHUNK`] consecutive tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkValue {
-    /// One bit for each task, from the lowest; it is set if the task is done.
+    /// One bit for each task, which is set if the task is done. The lowest bit stands for the first task of
+    /// the chunk.
     pub done: u64,
     /// The attempts that are not known to have ended, at most one for each task.
     pub active: Vec<Intent>,
--- a/src/core/persistence/write_results.rs
+++ b/src/core/persistence/write_results.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Applies the state of the keys whose conditions failed. All of them are applied, even if the leader key
-    /// is among them.
+    /// Applies the state of the keys whose conditions failed. The states of all these keys are applied, even
+    /// if the leader key is among them and this term is over.
     fn on_conflicts(&mut self, now: Instant, conflicts: Vec<ConflictingKey>) -> LeaderKeyStatus {
         let mut status = LeaderKeyStatus::Held;
         for conflict in conflicts {
@@ -108,9 +108,10 @@
         }
     }
 
-    /// Lowers the limits of a transaction for the rest of the term, after the store refused one: to half of
-    /// the refused number of changes or, if that was the minimum already, to half the size of a value. The
-    /// next leader starts with the limits from the settings again.
+    /// Lowers the limits of a transaction for the rest of the term, after the store refused a transaction.
+    /// The limit on the number of changes is lowered to half the number in the refused transaction. If that
+    /// number was the minimum already, the limit on the size of a value is halved instead. The next leader
+    /// starts with the limits from the settings again.
     fn lower_store_limits(&mut self, now: Instant, refused_ops: usize) {
         if refused_ops > MIN_BATCH_OPS {
             self.config.txn_ops = (refused_ops / 2).max(MIN_BATCH_OPS);
@@ -127,8 +128,8 @@
         );
     }
 
-    /// Requeues the tasks of planned attempts that exceed the new maximum of their chunk. No command was sent
-    /// for these attempts.
+    /// Requeues the tasks of planned attempts that exceed `max_attempts`, the new maximum number of attempts
+    /// in a chunk. No command was sent for these attempts.
     fn requeue_excess_attempts(&mut self, now: Instant, max_attempts: u32) {
         let mut excess = Vec::new();
         for job in self.jobs.values_mut() {
