--- a/crates/recovery/src/attempt_state.rs
+++ b/crates/recovery/src/attempt_state.rs
@@ -1,9 +1,9 @@
 //! What a leader knows about one attempt of an earlier term, as a state machine that is driven by evidence.
 //!
 //! Invariants: only [`AttemptState::Absent`] allows a launch, and only a heartbeat that was sent in this term
-//! leads to that state; [`AttemptState::Expired`] is final; silence, and heartbeats that may be from before
-//! the term, settle no attempt by themselves if they do not list it. The table of transitions is repeated in
-//! `docs/recovery.md`, and a test compares the two.
+//! leads to that state; [`AttemptState::Expired`] is final; an attempt is not settled by the silence of its
+//! machine, nor by a heartbeat that does not list the attempt and may be from before the term. The table of
+//! transitions is repeated in `docs/recovery.md`, and a test compares the two.
 
 use std::fmt;
 
@@ -98,7 +98,7 @@
         matches!(self, Confirmed | Absent | Expired)
     }
 
-    /// The name in the table of transitions and in log lines.
+    /// The name of the state in the table of transitions and in log lines.
     pub fn name(self) -> &'static str {
         match self {
             AttemptState::Unreported => "unheard",
--- a/crates/recovery/src/command_pacing.rs
+++ b/crates/recovery/src/command_pacing.rs
@@ -84,7 +84,7 @@
 }
 
 impl CommandPacer {
-    /// Creates a pacer that has sent nothing, with nearly empty buckets.
+    /// Creates a pacer that has sent no commands, and whose token buckets are nearly empty.
     pub fn new(command_rates: CommandRates, now: Instant) -> CommandPacer {
         CommandPacer {
             limiter: CommandRateLimiter::new(command_rates, now),
@@ -111,12 +111,13 @@
         class: PacingClass,
     ) -> bool {
         let repeats = match self.find_sent(machine, &command) {
-            // Kills are exempt: they are repeated according to their grace period.
+            // Kills have no retry time: they are repeated according to their grace period.
             Some(sent) if command.kind != CommandKind::Kill && now < sent.retry_at => return false,
             Some(sent) => sent.repeats + 1,
             None => 0,
         };
-        // Waiting machines take precedence over those whose heartbeat was just received.
+        // Ordinary commands to waiting machines take precedence over those to a machine whose heartbeat was
+        // just received.
         let is_behind_others = class == PacingClass::Ordinary
             && !self.waiting.is_empty()
             && !self.in_turn.contains(machine);
--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -21,7 +21,7 @@
 const CAPACITY_SHARE_OF_LIMIT: f64 = 1.0 - RESERVED_SHARE_OF_RATE - REFILL_SHARE_OF_LIMIT;
 /// The share of a limit that its bucket holds at the start, so that a small fleet does not have to wait.
 const INITIAL_SHARE_OF_LIMIT: f64 = 0.01;
-/// The lower bound of the refill factor, however few commands are acknowledged: the next ones may be for
+/// The lower bound of the refill factor, however few commands are acknowledged: the next commands may be for
 /// other machines, which respond.
 const MIN_REFILL_FACTOR: f64 = 0.1;
 /// The number of unacknowledged commands at which the refill factor would reach 0, divided by the limit in
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Whether a command to a machine of this segment may be sent now. If so, both buckets are charged.
+    /// Whether a command to a machine of this segment may be sent now. If so, the buckets of the fleet and of
+    /// the segment are charged.
     #[must_use]
     pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
--- a/crates/recovery/src/segments.rs
+++ b/crates/recovery/src/segments.rs
@@ -13,7 +13,7 @@
 /// A segment that operators defined in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedSegment {
-    /// The name in the settings and in log lines.
+    /// The name of the segment in the settings and in log lines.
     pub name: String,
     /// The network that contains the addresses of the segment's machines.
     pub net: IpNet,
@@ -44,9 +44,9 @@
 /// grouped into derived segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DerivedPrefixes {
-    /// For IPv4 addresses, from 0 to 32.
+    /// The length of the prefix of IPv4 addresses, from 0 to 32.
     pub v4: u8,
-    /// For IPv6 addresses, from 0 to 128.
+    /// The length of the prefix of IPv6 addresses, from 0 to 128.
     pub v6: u8,
 }
 
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -14,9 +14,11 @@
 /// runs are returned at 0.4 of the deadline.
 pub const PACED_SHARE_OF_CANCELLATION_DEADLINE: f64 = 0.3;
 
-/// The commands per second to the fleet if operators set no rate and its size requires no higher one.
+/// The commands per second to the fleet if operators set no rate and the size of the fleet requires no higher
+/// rate.
 const DEFAULT_FLEET_COMMANDS_PER_S: f64 = 1200.0;
-/// The commands per second to a segment if operators set no rate and its size requires no higher one.
+/// The commands per second to a segment if operators set no rate and the size of the largest segment requires
+/// no higher rate.
 const DEFAULT_SEGMENT_COMMANDS_PER_S: f64 = 600.0;
 
 /// The operators' settings for takeovers.
@@ -38,7 +40,8 @@
     /// The number of machines that may be rented per second while most machines of a segment, a zone or the
     /// fleet are silent.
     pub replacements_per_second: f64,
-    /// The minimum time for which tasks are held if the key-value store denies that their job was accepted.
+    /// The minimum time for which the tasks of an unknown job are held, from when a machine first listed one
+    /// of them, if the key-value store denies that the job was accepted.
     pub unrecorded_hold: Duration,
 }
 
@@ -68,9 +71,9 @@
 /// The maximum number of commands in any second of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandRates {
-    /// To all machines.
+    /// The maximum number of commands to all machines together.
     pub fleet: f64,
-    /// To the machines of one segment.
+    /// The maximum number of commands to the machines of one segment.
     pub segment: f64,
 }
 
@@ -145,7 +148,7 @@
     HostBitsSet {
         /// The text that was parsed.
         text: String,
-        /// The network with these bits cleared.
+        /// The network in `text` with the bits beyond its prefix cleared.
         network: IpNet,
     },
 }
@@ -247,8 +250,8 @@
     }
 }
 
-/// The lowest rate, in commands per second, that reaches this number of machines in time for a cancellation,
-/// without the reserve.
+/// The lowest rate, in commands per second, that reaches this number of machines in time for a cancellation
+/// without using the reserved share of the rate.
 fn min_rate(cancellation_deadline: Duration, machines: usize) -> f64 {
     let within_s = cancellation_deadline.as_secs_f64() * PACED_SHARE_OF_CANCELLATION_DEADLINE;
     (machines as f64 / (within_s * (1.0 - RESERVED_SHARE_OF_RATE))).ceil()
--- a/crates/recovery/src/unrecorded.rs
+++ b/crates/recovery/src/unrecorded.rs
@@ -10,7 +10,8 @@
 //! - The key-value store is read, linearizably, before anything is done about such a task; a failed read
 //!   decides nothing.
 //! - Tasks are killed only if their job is over, or if the store has denied it [`MIN_DENIALS`] times,
-//!   [`MIN_DENIAL_INTERVAL`] apart, and the hold time has passed.
+//!   [`MIN_DENIAL_INTERVAL`] apart, and the hold time has passed since a machine first listed a task of the
+//!   job.
 //! - Until such a task is proved gone, no other task is placed on its machine, because its resources are
 //!   unknown, and no task starts for teams with a quota, because its team is unknown.
 
--- a/src/core/persistence/batch_builder.rs
+++ b/src/core/persistence/batch_builder.rs
@@ -23,7 +23,8 @@
 
 /// How long the leader waits, from when it learned that a job was cancelled, before it writes the outcomes of
 /// the job's dependents. The node that confirms the cancellation usually writes these outcomes at once, and
-/// writing them twice would waste write rate.
+/// writing them twice would waste write rate. If no node is known to confirm the cancellation, the leader
+/// does not wait.
 const LEADER_CASCADE_DELAY: Duration = Duration::from_secs(1);
 
 /// A chunk that a transaction writes, by its job and its number in the job.
@@ -114,7 +115,7 @@
         self.ops.len()
     }
 
-    /// The maximum number of changes.
+    /// The maximum number of changes in the transaction.
     pub(super) fn max_ops(&self) -> usize {
         self.max_ops
     }
--- a/src/core/persistence/write_batch.rs
+++ b/src/core/persistence/write_batch.rs
@@ -38,7 +38,7 @@
 pub enum WriteOp {
     /// Creates the key or replaces its value.
     Put(String, RecordValue),
-    /// Deletes the key. Its revision matters only if a condition names it.
+    /// Deletes the key, whatever its revision is, unless a condition of the transaction names the key.
     Delete(String),
 }
 
@@ -58,8 +58,8 @@
     pub key: String,
     /// The revision that was read. 0: the key is absent.
     pub revision: u64,
-    /// The outcome that was read. None: it is not an outcome key, it is absent, or its value cannot be
-    /// decoded.
+    /// The outcome that was read. None: the key is not the key of an outcome, the key is absent, or its value
+    /// cannot be decoded.
     pub outcome: Option<JobOutcome>,
 }
 
--- a/src/core/reconciliation/commands.rs
+++ b/src/core/reconciliation/commands.rs
@@ -13,8 +13,8 @@
 use cypressgap_recovery::rate_limits::PacingClass;
 use std::time::{Duration, Instant};
 
-/// The maximum number of commands in one message. It keeps the message far below the maximum body size of 64
-/// KiB.
+/// The maximum number of commands in one message. It keeps the message far below the maximum body size of
+/// 64 KiB.
 pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 /// The properties of a machine on which its launch commands depend.
--- a/src/core/reconciliation/stored_snapshot.rs
+++ b/src/core/reconciliation/stored_snapshot.rs
@@ -10,7 +10,7 @@
 pub struct StoredLiveJob {
     /// The job as its user submitted it.
     pub spec: JobSpec,
-    /// The revision at which the job was accepted. It orders jobs by their arrival.
+    /// The revision at which the job was accepted. Jobs are ordered by this revision.
     pub revision: u64,
 }
 
@@ -30,7 +30,8 @@
 /// All records that a new leader reads.
 ///
 /// The index of live jobs is read before the chunks and the outcomes of the jobs in it. The chunks do not
-/// change meanwhile: only a leader writes them, and the writes of other leaders do not succeed any more.
+/// change while the records are read: only a leader writes them, and the writes of other leaders do not
+/// succeed any more.
 #[derive(Clone, Debug, Default)]
 pub struct StoredSnapshot {
     /// The summary of the run times that earlier leaders measured. None: it was never
--- a/src/core/reconciliation/unreadable_records.rs
+++ b/src/core/reconciliation/unreadable_records.rs
@@ -12,9 +12,10 @@
 #[derive(Debug, Default)]
 pub(in crate::core) struct UnreadableRecords {
     jobs: BTreeSet<JobId>,
-    /// The machines that readable chunks of these jobs name.
+    /// The machines that readable chunks of jobs with unreadable records name, and that are not known to be
+    /// gone.
     machines: BTreeSet<MachineId>,
-    /// Whether some chunk cannot be read, so that its tasks may be on any machine.
+    /// Whether some chunk cannot be read. The tasks of such a chunk may be on any machine.
     may_be_anywhere: bool,
 }
 
@@ -27,7 +28,7 @@
         self.jobs.extend(jobs_with_unreadable_chunks);
     }
 
-    /// Adds a machine that a readable chunk of such a job names.
+    /// Adds a machine that a readable chunk of a job with unreadable records names.
     pub(super) fn add_machine(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
@@ -37,7 +38,8 @@
         self.jobs.contains(job_id)
     }
 
-    /// Whether tasks of these jobs, whose teams are unknown, may be on machines.
+    /// Whether tasks of jobs with unreadable records may be on machines. The teams of these tasks are
+    /// unknown.
     pub(in crate::core) fn may_run(&self) -> bool {
         self.may_be_anywhere || !self.machines.is_empty()
     }
