--- a/crates/recovery/src/rate_limits.rs
+++ b/crates/recovery/src/rate_limits.rs
@@ -21,35 +21,37 @@
 const CAPACITY_SHARE_OF_LIMIT: f64 = 1.0 - RESERVED_SHARE_OF_RATE - REFILL_SHARE_OF_LIMIT;
 /// The share of a limit that its bucket holds at the start, so that a small fleet does not have to wait.
 const INITIAL_SHARE_OF_LIMIT: f64 = 0.01;
-/// The lower bound of the refill factor, however few commands are acknowledged: the next ones may be for
+/// The lower bound of the refill factor, however few commands are acknowledged: the next commands may be for
 /// other machines, which respond.
 const MIN_REFILL_FACTOR: f64 = 0.1;
-/// The number of unacknowledged commands at which the refill factor would reach 0, as a multiple of the
-/// limit, in seconds. Refilling slows down from half of it on.
+/// The number of unacknowledged commands at which the refill factor would reach 0, divided by the limit in
+/// commands per second. Refilling slows down once half of this number is unacknowledged.
 const MAX_UNACKNOWLEDGED_LOAD_S: f64 = 4.0;
 
-/// How long a command may wait for the rate limits.
+/// The pacing class of a command: until when the rate limits may defer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[must_use]
 pub enum PacingClass {
-    /// Until the buckets are half full. For forgets, which nothing depends on.
+    /// Deferred until the buckets of the fleet and of the segment are half full. For forget commands, which
+    /// nothing depends on.
     Background,
     /// Until there is a token.
     Ordinary,
-    /// Until there is a token, the reserve included. For cancellations, kills with a deadline and urgent
-    /// tasks.
+    /// Deferred until both buckets have a token, counting the reserve as well. For cancellations, kills with
+    /// a deadline and urgent tasks.
     Prompt,
-    /// Not at all. For commands that end a violation of an invariant, and for cancellations beyond the
-    /// share of their deadline in which kills are paced.
+    /// Never deferred. For commands that end a violation of an invariant, and for kills of cancelled jobs
+    /// after the share of the cancellation deadline during which these kills are paced.
     Immediate,
 }
 
 /// A token bucket. One token stands for one command.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// In commands per second.
+    /// The maximum number of commands in any second, apart from immediate commands.
     limit: f64,
-    /// Negative while commands that were sent beyond the limit are owed.
+    /// The number of tokens in the bucket. It is negative after commands were sent without a token, until
+    /// refilling has made up for them.
     tokens: f64,
     refilled_at: Instant,
 }
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Refills the bucket for the time since the last refill, at its rate times `factor`, from 0 to 1.
+    /// Refills the bucket for the time since its previous refill. Its refill rate is multiplied by `factor`,
+    /// which is from 0 to 1.
     pub fn refill(&mut self, now: Instant, factor: f64) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Charges a command. The debt from commands beyond the limit is bounded by the commands of one second.
+    /// Charges a command. The number of tokens never falls below minus the limit for one second.
     pub fn charge(&mut self) {
         self.tokens = (self.tokens - 1.0).max(-self.limit);
     }
@@ -118,7 +121,8 @@
     fn refill(&mut self, now: Instant) {
         let max_unacknowledged = self.bucket.limit * MAX_UNACKNOWLEDGED_LOAD_S;
         let free_share = 1.0 - self.unacknowledged as f64 / max_unacknowledged;
-        // The bucket refills at the full rate while at least half of the maximum is free.
+        // The bucket refills at its full rate while at most half of `max_unacknowledged` commands are
+        // unacknowledged.
         let factor = (free_share * 2.0).clamp(MIN_REFILL_FACTOR, 1.0);
         self.bucket.refill(now, factor);
     }
@@ -150,11 +154,13 @@
         }
     }
 
-    /// Whether a command to a machine of this segment may be sent now. If so, both buckets are charged.
+    /// Whether a command to a machine of this segment may be sent now. If so, the buckets of the fleet and of
+    /// the segment are charged.
     #[must_use]
     pub fn admit(&mut self, now: Instant, segment: &Segment, class: PacingClass) -> bool {
         if !self.segments.contains_key(segment) {
-            // The bucket of a new segment counts as refilling since the limiter was created.
+            // The bucket of a new segment receives the tokens that it would have gained since the limiter was
+            // created.
             let bucket = FeedbackBucket::new(self.segment_limit, self.created_at);
             self.segments.insert(segment.clone(), bucket);
         }
@@ -195,7 +201,8 @@
 }
 
 impl RentalRateLimiter {
-    /// Creates a limiter with a full bucket: the machines of one second, and at least one.
+    /// Creates a limiter with a full bucket. It holds one token for each machine that may be rented in one
+    /// second, and at least one token.
     pub fn new(rentals_per_second: f64) -> RentalRateLimiter {
         RentalRateLimiter {
             rentals_per_second,
@@ -204,7 +211,7 @@
         }
     }
 
-    /// Charges and returns how many of the wanted machines may be rented now.
+    /// Returns how many of the `wanted` machines may be rented now, and removes a token for each of them.
     #[must_use]
     pub fn take(&mut self, now: Instant, wanted: u32) -> u32 {
         let refilled_at = self.refilled_at.replace(now);
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -9,13 +9,16 @@
 
 /// The share of a command rate that is reserved for prompt commands, and for those that must not wait at all.
 pub const RESERVED_SHARE_OF_RATE: f64 = 0.2;
-/// The share of the cancellation deadline during which the kills of cancelled jobs are paced; after that they
-/// are sent at once. Machines on which a cancelled job still runs are returned at 0.4 of the deadline.
+/// The share of the cancellation deadline during which the kills of cancelled jobs are paced; kills that are
+/// still unsent after this share of the deadline are sent at once. Machines on which a cancelled job still
+/// runs are returned at 0.4 of the deadline.
 pub const PACED_SHARE_OF_CANCELLATION_DEADLINE: f64 = 0.3;
 
-/// The commands per second to the fleet if operators set no rate and its size requires no higher one.
+/// The commands per second to the fleet if operators set no rate and the size of the fleet requires no higher
+/// rate.
 const DEFAULT_FLEET_COMMANDS_PER_S: f64 = 1200.0;
-/// The commands per second to a segment if operators set no rate and its size requires no higher one.
+/// The commands per second to a segment if operators set no rate and the size of the largest segment requires
+/// no higher rate.
 const DEFAULT_SEGMENT_COMMANDS_PER_S: f64 = 600.0;
 
 /// The operators' settings for takeovers.
@@ -37,7 +40,8 @@
     /// The number of machines that may be rented per second while most machines of a segment, a zone or the
     /// fleet are silent.
     pub replacements_per_second: f64,
-    /// The minimum time for which tasks are held if the key-value store denies that their job was accepted.
+    /// The minimum time for which the tasks of an unknown job are held, from when a machine first listed one
+    /// of them, if the key-value store denies that the job was accepted.
     pub unrecorded_hold: Duration,
 }
 
@@ -67,9 +71,9 @@
 /// The maximum number of commands in any second of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CommandRates {
-    /// To all machines.
+    /// The maximum number of commands to all machines together.
     pub fleet: f64,
-    /// To the machines of one segment.
+    /// The maximum number of commands to the machines of one segment.
     pub segment: f64,
 }
 
@@ -94,11 +98,11 @@
     TooSlow {
         /// The rate that applies, in commands per second.
         rate: f64,
-        /// The number of machines that it must reach.
+        /// The number of machines that commands at this rate must reach.
         machines: usize,
-        /// The time within which it must reach them, in seconds.
+        /// The time within which commands at this rate must reach the machines, in seconds.
         within_s: f64,
-        /// The time as a share of the setting `cancel_s`.
+        /// `within_s` as a share of the setting `cancel_s`.
         share_of_cancel_s: f64,
     },
     /// The rate of a segment exceeds that of the fleet.
@@ -129,7 +133,7 @@
 pub struct InvalidSettings {
     /// The setting to change.
     pub setting: SettingName,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub problem: SettingsProblem,
 }
 
@@ -144,7 +148,7 @@
     HostBitsSet {
         /// The text that was parsed.
         text: String,
-        /// The network with these bits cleared.
+        /// The network in `text` with the bits beyond its prefix cleared.
         network: IpNet,
     },
 }
@@ -246,8 +250,8 @@
     }
 }
 
-/// The lowest rate, in commands per second, that reaches this number of machines in time for a cancellation,
-/// without the reserve.
+/// The lowest rate, in commands per second, that reaches this number of machines in time for a cancellation
+/// without using the reserved share of the rate.
 fn min_rate(cancellation_deadline: Duration, machines: usize) -> f64 {
     let within_s = cancellation_deadline.as_secs_f64() * PACED_SHARE_OF_CANCELLATION_DEADLINE;
     (machines as f64 / (within_s * (1.0 - RESERVED_SHARE_OF_RATE))).ceil()
--- a/src/core/reconciliation/unreadable_records.rs
+++ b/src/core/reconciliation/unreadable_records.rs
@@ -1,8 +1,9 @@
 //! Jobs with records in the key-value store that cannot be read.
 //!
 //! Invariants: the records of such a job are kept, and none of its tasks is started. Its tasks may be using
-//! the quota of any team, so no team with a limit starts a task until they are known to be gone. If some
-//! chunk cannot be read, that is never known, and the restriction holds for the whole term.
+//! the quota of any team, so no team with a limit starts a task until the tasks of such jobs are known to be
+//! gone. If some chunk cannot be read, it never becomes known that its tasks are gone, and the restriction
+//! holds for the whole term.
 
 use crate::core::model::{JobId, MachineId};
 use std::collections::BTreeSet;
@@ -11,9 +12,10 @@
 #[derive(Debug, Default)]
 pub(in crate::core) struct UnreadableRecords {
     jobs: BTreeSet<JobId>,
-    /// The machines that readable chunks of these jobs name.
+    /// The machines that readable chunks of jobs with unreadable records name, and that are not known to be
+    /// gone.
     machines: BTreeSet<MachineId>,
-    /// Whether some chunk cannot be read, so that its tasks may be on any machine.
+    /// Whether some chunk cannot be read. The tasks of such a chunk may be on any machine.
     may_be_anywhere: bool,
 }
 
@@ -26,7 +28,7 @@
         self.jobs.extend(jobs_with_unreadable_chunks);
     }
 
-    /// Adds a machine that a readable chunk of such a job names.
+    /// Adds a machine that a readable chunk of a job with unreadable records names.
     pub(super) fn add_machine(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
@@ -36,7 +38,8 @@
         self.jobs.contains(job_id)
     }
 
-    /// Whether tasks of these jobs, whose teams are unknown, may be on machines.
+    /// Whether tasks of jobs with unreadable records may be on machines. The teams of these tasks are
+    /// unknown.
     pub(in crate::core) fn may_run(&self) -> bool {
         self.may_be_anywhere || !self.machines.is_empty()
     }
