--- a/src/core/leadership/cancellation_watermark.rs
+++ b/src/core/leadership/cancellation_watermark.rs
@@ -2,38 +2,41 @@
 //!
 //! A cancellation is confirmed to the user by the controller that wrote or read the job's outcome. From then
 //! on the job's tasks may run for at most `cancel_s`. A leader that answers a heartbeat renews the machine's
-//! lease and thereby lets all tasks on the machine run on, including tasks of jobs whose cancellation it does
-//! not know of. So it answers heartbeats only while a lease renewed now expires within `cancel_s` of the
-//! watermark; otherwise it lets the leases expire. Where the settings leave too little time for this,
-//! heartbeats are still answered up to [`MIN_MAX_AGE`] after the watermark, and `cancel_s` may be exceeded by
-//! [`overshoot`].
+//! lease and thereby lets all tasks on the machine run on, including tasks of jobs whose cancellation the
+//! leader does not know of. So the leader answers heartbeats only while a lease renewed now expires within
+//! `cancel_s` of the watermark; otherwise the leader lets the leases expire. Where `cancel_s` exceeds
+//! `lease_s` by too little for this rule, the leader still answers heartbeats up to [`MIN_MAX_AGE`] after the
+//! watermark, and `cancel_s` may be exceeded by [`overshoot`].
 //!
 //! Two kinds of evidence advance the watermark. A read of the key-value store returns all cancellations that
-//! were confirmed before the read was sent. Alternatively, every peer reports the cancellations that it
-//! confirmed itself before the report was requested. A peer that was restarted has lost the record of earlier
-//! ones, so its reports count only once the watermark has passed the time at which its first report after the
-//! restart was received. The same holds after any other gap between two reports. All times are read from this
-//! leader's clocks, so that clocks of different machines are never compared.
+//! were confirmed before the read was sent. Alternatively, every peer reports the cancellations that the peer
+//! itself confirmed before this leader requested the report. A peer that was restarted has lost the record of
+//! the cancellations that it confirmed before the restart, so its reports count only once the watermark has
+//! reached the time at which this leader received the peer's first report after the restart. The same holds
+//! after any other gap between two reports of a peer. All times are read from this leader's clocks, so that
+//! clocks of different machines are never compared.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The clock drift that is allowed for, as a fraction of the elapsed time. Clocks drift by 0.05%; this is
-/// four times as much, as for the expiry of leases.
+/// The clock drift that is allowed for, as a fraction of the elapsed time. Clocks drift by 0.05%; this
+/// fraction is four times as much, the same allowance as for the expiry of leases.
 const CLOCK_DRIFT_FRACTION: f64 = 0.002;
-/// Allows for errors of the wall clock and for the time between reading the clocks and sending the answer.
+/// The margin for errors of the wall clock and for the time between the leader's reading of its clocks and
+/// its answer to the heartbeat.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_secs(2);
-/// The lower limit of [`WatermarkBound::max_age`]. A smaller bound would withhold answers in normal
-/// operation, because the watch of the key-value store advances the watermark only every few seconds. If
-/// `cancel_s` exceeds `lease_s` by too little for this bound, lease expiry alone cannot end the tasks of
-/// cancelled jobs in time, and `--check` prints a warning.
+/// The lower limit of [`WatermarkBound::max_age`]. With a smaller bound the leader would withhold answers to
+/// heartbeats in normal operation, because the watch of the key-value store advances the watermark only every
+/// few seconds. If `cancel_s` exceeds `lease_s` by too little for this bound, lease expiry alone cannot end
+/// the tasks of cancelled jobs in time, and `--check` prints a warning.
 pub const MIN_MAX_AGE: Duration = Duration::from_secs(6);
 
-/// The age of the watermark up to which heartbeats are answered.
+/// The limit on the watermark's age up to which the leader answers heartbeats, and whether this limit is low
+/// enough for `cancel_s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatermarkBound {
-    /// The leader answers machines' heartbeats only while the watermark is younger than this.
-    /// [`WatermarkBound::new`] sets it to [`MIN_MAX_AGE`] or more.
+    /// The leader answers machines' heartbeats only while the watermark is younger than this duration.
+    /// [`WatermarkBound::new`] sets the duration to [`MIN_MAX_AGE`] or more.
     pub max_age: Duration,
     /// Whether lease expiry ends every task of a cancelled job within `cancel_s` under this bound.
     pub ends_tasks_in_time: bool,
@@ -57,7 +60,8 @@
 
 /// The time beyond `cancel` (`cancel_s`) for which a task of a cancelled job may still run if only lease
 /// expiry ends it: the leader can reach neither the key-value store nor its peers and so does not know of the
-/// cancellation, and the machine cannot be reached to kill the task. Zero if lease expiry ends it in time.
+/// cancellation, and the machine cannot be reached to kill the task. Zero if lease expiry ends the task
+/// within `cancel`.
 #[must_use]
 pub fn overshoot(lease: Duration, cancel: Duration) -> Duration {
     let bound = WatermarkBound::new(lease, cancel);
@@ -65,7 +69,8 @@
     max_run_time.saturating_sub(cancel.mul_f64(1.0 - CLOCK_DRIFT_FRACTION))
 }
 
-/// The longest time from the renewal of a lease to its expiry, as this leader's clocks measure it.
+/// The longest time from the renewal of a lease of the duration `lease` to its expiry on the machine, as this
+/// leader's clocks measure that time: it includes the allowance for clock drift and [`LEASE_EXPIRY_MARGIN`].
 fn max_lease_lifetime(lease: Duration) -> Duration {
     lease.mul_f64(1.0 + CLOCK_DRIFT_FRACTION) + LEASE_EXPIRY_MARGIN
 }
@@ -101,8 +106,8 @@
         }
     }
 
-    /// The time that has passed until `now`, by the clock that shows more. Zero if both show `now` as
-    /// earlier.
+    /// The time that has passed from this reading to `now`, by the clock that shows the longer time. Zero if
+    /// both clocks show `now` as earlier than this reading.
     fn age(self, now: ClockReading) -> Duration {
         let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
         monotonic.max(
@@ -113,14 +118,16 @@
     }
 }
 
-/// A peer's report of the cancellations that it confirmed itself. Its times are on this leader's clocks.
+/// The times of a peer's report of the cancellations that the peer itself confirmed. They are read from this
+/// leader's clocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CancellationReport {
     /// When this leader requested the report.
     pub requested_at: ClockReading,
     /// When this leader received the report.
     pub received_at: ClockReading,
-    /// The report continues the peer's previous one without a gap.
+    /// Whether the report and the peer's previous report together contain, without a gap, all cancellations
+    /// that the peer confirmed.
     pub is_continuous: bool,
 }
 
@@ -132,7 +139,7 @@
     until: ClockReading,
 }
 
-/// The time up to which this leader knows all confirmed cancellations. It only advances.
+/// The time up to which this leader knows all confirmed cancellations. This time only advances.
 #[derive(Clone, Debug)]
 pub struct Watermark {
     at: ClockReading,
@@ -141,8 +148,8 @@
 }
 
 impl Watermark {
-    /// A watermark at `read_sent_at`, when a read of all stored cancellations was sent. `peers` are the other
-    /// controllers that may confirm cancellations.
+    /// Creates a watermark at `read_sent_at`, the time at which the leader sent a read of all stored
+    /// cancellations. `peers` are the names of the other controllers that may confirm cancellations.
     pub fn new(read_sent_at: ClockReading, peers: impl IntoIterator<Item = String>) -> Watermark {
         Watermark {
             at: read_sent_at,
@@ -150,14 +157,15 @@
         }
     }
 
-    /// Records a read of the key-value store that was sent at `requested_at`: all cancellations that were
-    /// stored by then are known.
+    /// Records that a read of the key-value store, sent at `requested_at`, has returned all cancellations
+    /// that were stored by then, and that this leader has applied them.
     pub fn record_read(&mut self, requested_at: ClockReading) {
         self.raise(requested_at);
         self.advance();
     }
 
-    /// Records a peer's report whose cancellations have been applied. Reports of unknown peers are ignored.
+    /// Records a peer's report after this leader has applied the cancellations in it. Reports of unknown
+    /// peers are ignored.
     pub fn record_report(&mut self, peer: &str, report: CancellationReport) {
         let Some(covered) = self.peers.get_mut(peer) else {
             return;
@@ -167,8 +175,8 @@
                 since: c.since,
                 until: report.requested_at,
             }),
-            // This is the peer's first report, or there is a gap before it. Only a read of the store shows
-            // what the peer confirmed before.
+            // This is the peer's first report, or there is a gap before this report. Only a read of the
+            // key-value store shows what the peer confirmed before this report.
             _ => Some(CoveredPeriod {
                 since: report.received_at,
                 until: report.received_at,
@@ -177,8 +185,8 @@
         self.advance();
     }
 
-    /// Advances the watermark to the time up to which the reports of all peers cover it without a gap, if
-    /// there is a report of each peer whose coverage begins at or before the watermark.
+    /// Advances the watermark to the earliest end of the peers' covered periods, if every peer has a covered
+    /// period that begins at or before the watermark.
     fn advance(&mut self) {
         let at = self.at.monotonic;
         let covered_until = |period: &Option<CoveredPeriod>| {
@@ -192,15 +200,15 @@
         }
     }
 
-    /// Moves the watermark to `to` unless it is there or later already.
+    /// Moves the watermark to `to`, unless the watermark is at `to` or later already.
     fn raise(&mut self, to: ClockReading) {
         if to.monotonic > self.at.monotonic {
             self.at = to;
         }
     }
 
-    /// The age of the watermark. It is zero without peers, because then this controller confirms all
-    /// cancellations itself.
+    /// The time from the watermark to `now`. It is zero if there are no peers, because then this controller
+    /// confirms all cancellations itself.
     pub fn age(&self, now: ClockReading) -> Duration {
         if self.peers.is_empty() {
             Duration::ZERO
--- a/src/core/leadership/election.rs
+++ b/src/core/leadership/election.rs
@@ -1,8 +1,10 @@
-//! Leader election: a state machine that is driven by what is read from the key-value store.
+//! Leader election: a state machine whose inputs are reads of the leader key, results of campaigns and lease
+//! renewals, and terms seen in messages.
 //!
-//! A controller becomes the leader by one transaction, which writes the leader key, bound to a lease, and
-//! sets the stored term to the new one. The new term is higher than the stored term and than every term that
-//! this controller has seen; it may exceed the stored one by more than one.
+//! A controller becomes the leader by one transaction in the key-value store, the campaign. The transaction
+//! writes the leader key, bound to a lease, and sets the stored term to the new term. The new term is higher
+//! than the stored term and than every term that this controller has seen; it may exceed the stored term by
+//! more than 1.
 //!
 //! Invariant: every write of a leader is conditional on the revision that this transaction gave to the leader
 //! key, so the writes of a superseded leader fail however late they arrive.
@@ -17,7 +19,7 @@
     pub member: String,
     /// A random number that each process draws at its start; it distinguishes processes of one member.
     pub boot: u64,
-    /// The term that began with this write.
+    /// The term that began when the member wrote the key.
     pub term: Term,
     /// The revision at which the key was written.
     pub revision: u64,
@@ -47,10 +49,11 @@
     Wait,
     /// Try to become the leader.
     Campaign {
-        /// The revision that the leader key must still have; 0 if the key must be absent.
+        /// The revision that the leader key must still have for the campaign to succeed; 0 if the key must be
+        /// absent.
         revision: u64,
     },
-    /// Renew the lease of the leader key.
+    /// Renew the lease to which the leader key is bound.
     Renew,
     /// Stop acting as the leader at once.
     StepDown,
@@ -89,7 +92,7 @@
         self.highest_term
     }
 
-    /// Handles a read of the leader key; `None` if the key is absent.
+    /// Handles a read of the leader key and returns the next step. `record` is `None` if the key is absent.
     pub fn on_leader_key(&mut self, now: Instant, record: Option<LeaderRecord>) -> Step {
         if let Some(r) = &record {
             self.highest_term = self.highest_term.max(r.term);
@@ -99,7 +102,7 @@
                 self.next_step(now)
             }
             // A lower revision was read before this controller's campaign succeeded and says nothing about
-            // its term. A higher revision or an absent key ends the term.
+            // this controller's term. A higher revision or an absent key ends the term.
             (Role::Leader { revision, .. }, Some(r)) if r.revision < *revision => {
                 self.next_step(now)
             }
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Returns the step that is due at `now` if nothing new has been observed.
+    /// Returns the step that is due at `now`, according to the inputs handled so far.
     pub fn next_step(&self, now: Instant) -> Step {
         match &self.role {
             Role::Leader { .. } => match self.last_renewal {
@@ -127,11 +130,12 @@
                 }
                 match leader {
                     None => Step::Campaign { revision: 0 },
-                    // The key names this member, but this process does not lead. Either an earlier process
-                    // of the member wrote the key and has ended, since a member runs as one process, or a
+                    // The key names this member, but this process does not lead. Either an earlier process of
+                    // the member wrote the key and has ended, since a member runs as one process, or a
                     // campaign of this process succeeded and its response was lost, so that no process acts
                     // in that term. Replacing the key is safe, because late writes of that term fail on the
-                    // revision. Otherwise all controllers would wait until its lease expires unrenewed.
+                    // revision. Without this campaign all controllers would wait until the lease of the key
+                    // expires, which no process renews.
                     Some(r) if r.member == self.member => Step::Campaign {
                         revision: r.revision,
                     },
@@ -148,13 +152,14 @@
         self.role = Role::Leader { term, revision };
     }
 
-    /// Handles a campaign that failed or whose outcome is unknown: the next one starts after `backoff`.
+    /// Handles a campaign that failed or whose outcome is unknown: this controller does not campaign again
+    /// before `backoff` has passed since `now`.
     pub fn on_campaign_lost(&mut self, now: Instant, backoff: Duration) {
         self.backoff_until = Some(now + backoff);
     }
 
-    /// Resigns if this controller leads in `term`, and does not campaign again before `backoff` has passed,
-    /// so that another controller can become the leader.
+    /// Resigns if this controller leads in `term`, and does not campaign again before `backoff` has passed
+    /// since `now`, so that another controller can become the leader.
     pub fn resign(&mut self, now: Instant, term: Term, backoff: Duration) -> Step {
         match &self.role {
             Role::Leader { term: own, .. } if term == *own => {
@@ -171,18 +176,20 @@
         self.renewal_interval = interval;
     }
 
-    /// Handles a renewal of the lease by a request that was sent at `sent_at`.
+    /// Handles a successful renewal of the leader key's lease. `sent_at` is the time at which the request was
+    /// sent.
     pub fn on_lease_renewed(&mut self, sent_at: Instant) {
         self.last_renewal = Some(sent_at);
     }
 
-    /// Handles the expiry of the lease, with which the leader key is deleted.
+    /// Handles the expiry of the leader key's lease, on which the key-value store deletes the leader key.
     pub fn on_lease_expired(&mut self) -> Step {
         self.role = Role::Follower { leader: None };
         Step::StepDown
     }
 
-    /// Handles a term that a heartbeat or a peer has shown. A term higher than this leader's own ends it.
+    /// Handles a term that a heartbeat or a peer's message contains. If this controller leads and the term is
+    /// higher than its own, this controller's leadership ends.
     pub fn on_term(&mut self, term: Term) -> Step {
         self.highest_term = self.highest_term.max(term);
         match &self.role {
--- a/src/core/leadership/leadership_status.rs
+++ b/src/core/leadership/leadership_status.rs
@@ -1,10 +1,10 @@
 //! Whether the lease on the leader key is confirmed, and the time up to which the leader knows all confirmed
 //! cancellations.
 //!
-//! Invariant: heartbeats are answered only while the watermark is younger than the bound that
-//! [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets. As far as the
-//! settings allow, a machine lease renewed now then expires in time for every cancellation that the leader
-//! does not know of.
+//! Invariant: the leader answers heartbeats only while the cancellation watermark is younger than the bound
+//! that [`WatermarkBound`](crate::core::leadership::cancellation_watermark::WatermarkBound) sets. As far as
+//! the settings allow, a machine lease renewed now then expires in time for every cancellation that the
+//! leader does not know of.
 
 use crate::core::leadership::cancellation_watermark::{
     CancellationReport, ClockReading, Watermark,
@@ -13,7 +13,8 @@
 
 /// What a leader knows about its own leadership and about confirmed cancellations.
 pub struct LeadershipStatus {
-    /// The lease on the leader key has certainly not expired, counted from when its renewal was sent.
+    /// Whether the lease on the leader key has certainly not expired, counted from the time at which the
+    /// leader sent the last successful renewal.
     pub(in crate::core) confirmed: bool,
     /// When the most recent successful read of the queue was sent; `None` before the first one.
     pub(in crate::core) last_queue_read: Option<Instant>,
@@ -24,7 +25,7 @@
 }
 
 impl LeadershipStatus {
-    /// A leadership that begins at `clocks`, confirmed and without peers.
+    /// Creates the status of a leadership that begins at `clocks`, that is confirmed and that has no peers.
     pub fn new(clocks: ClockReading) -> LeadershipStatus {
         LeadershipStatus {
             confirmed: true,
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Sets the peers, which may confirm cancellations too, and restarts the watermark at `read_sent_at`,
-    /// when the first read of the key-value store was sent.
+    /// Sets the peers, which may confirm cancellations too, and restarts the watermark at `read_sent_at`, the
+    /// time at which the leader sent its first read of the key-value store.
     pub fn set_peers(
         &mut self,
         peers: impl IntoIterator<Item = String>,
@@ -44,7 +45,7 @@
         self.watermark = Watermark::new(read_sent_at, peers);
     }
 
-    /// Sets the current reading of both clocks, which freshness is computed against.
+    /// Sets the current reading of both clocks, against which the age of the watermark is computed.
     pub fn set_clocks(&mut self, now: ClockReading) {
         self.clocks = now;
     }
@@ -61,7 +62,8 @@
         self.watermark.record_report(peer, report);
     }
 
-    /// Whether all cancellations are known but those confirmed less than `max_age` before `now`.
+    /// Whether the leader knows all cancellations except possibly those that were confirmed less than
+    /// `max_age` before `now`.
     pub(in crate::core) fn knows_cancellations(&self, now: Instant, max_age: Duration) -> bool {
         self.watermark.is_fresh(self.clocks.at(now), max_age)
     }
--- a/src/core/state/actions.rs
+++ b/src/core/state/actions.rs
@@ -12,7 +12,7 @@
         machine: MachineId,
         /// The address at which the agent accepts commands.
         endpoint: String,
-        /// The fencing token to send. An agent that has seen a higher one rejects the commands.
+        /// The fencing token to send. An agent that has seen a higher token rejects the commands.
         token: FencingToken,
         /// The incarnation that the agent must have to accept the commands.
         incarnation: u64,
@@ -27,7 +27,7 @@
         endpoint: String,
         /// The fencing token to send.
         token: FencingToken,
-        /// The agent's incarnation, as far as it is known. An agent in another one responds too.
+        /// The agent's incarnation, as far as it is known. An agent in another incarnation responds too.
         incarnation: u64,
     },
     /// Scale out: rent machines from the cloud.
@@ -39,7 +39,7 @@
         machine_type: MachineTypeName,
         /// The zone of all machines in this rental.
         zone: Zone,
-        /// Whether to rent spot machines.
+        /// Whether to rent spot machines instead of on-demand machines.
         spot: bool,
         /// The number of machines to rent.
         number: u32,
@@ -67,8 +67,8 @@
     /// Do not answer: the heartbeat is from a machine that was returned to the cloud. The heartbeat was not
     /// applied.
     Ignore,
-    /// Do not answer, although the heartbeat was applied unless it is outdated. An answer would renew the
-    /// lease, and the lease could expire too late for a cancellation that this leader does not know of.
+    /// Do not answer. The heartbeat was applied, unless it is outdated. An answer would renew the lease, and
+    /// the lease could expire too late for a cancellation that this leader does not know of.
     Withheld,
     /// Do not answer: the machine has seen this term, which is higher than the leader's own.
     Superseded(Term),
--- a/src/core/state/attempt.rs
+++ b/src/core/state/attempt.rs
@@ -1,6 +1,7 @@
 //! One attempt at running a task, and the request to end it.
 //!
-//! An attempt is active from the decision to place it until it is proved gone from its machine.
+//! An attempt is active from the decision to place its task on a machine until the attempt is proved gone
+//! from that machine.
 
 use crate::core::model::{AttemptId, FencingToken, MachineId, TaskPhase};
 use std::time::{Duration, Instant};
@@ -10,27 +11,28 @@
 pub struct KillRequest {
     /// The time that the task has to write a checkpoint before it is stopped; zero kills it at once.
     pub grace_period: Duration,
-    /// When the end was first requested. A request with a grace period starts anew when this process resumes
-    /// from a pause.
+    /// When the end was first requested. If the grace period is not zero and this process is paused
+    /// afterwards, `since` is set to the end of the pause, so that the task has its whole grace period.
     pub since: Instant,
 }
 
-/// One attempt at running a task, which counts as being on its machine until it is proved gone.
+/// One attempt at running a task, which counts as being on its machine until the attempt is proved gone.
 #[derive(Clone, Debug)]
 pub struct ActiveAttempt {
     /// The machine that the attempt was assigned to.
     pub machine: MachineId,
     /// The id of the attempt, which is unique across all terms. The members of a gang share one.
     pub id: AttemptId,
-    /// The intent is stored in the key-value store, so the launch may be sent.
+    /// Whether the intent, the record that the attempt may be launched, is stored in the key-value store.
+    /// Only then may the launch be sent.
     pub durable: bool,
     /// The highest fencing token under which a launch was sent; 0 if this term sent none. An agent that has
     /// seen a higher token rejects late copies of that launch.
     pub launch_token: FencingToken,
     /// The machine's incarnation when the attempt was assigned, launched or last observed.
     pub incarnation: Option<u64>,
-    /// When the attempt was assigned or, at the beginning of a term, loaded. Once its intent becomes durable
-    /// in this term, the time at which that became known.
+    /// When the attempt was assigned or, at the beginning of a term, loaded from its record. Replaced by the
+    /// time at which the leader learns that the intent is durable, if that happens in this term.
     pub placed_at: Instant,
     /// The phase in the last heartbeat that listed the attempt; `None` if none did in this term.
     pub observed_phase: Option<TaskPhase>,
@@ -38,18 +40,20 @@
     pub last_fetching_at: Option<Instant>,
     /// When the attempt was first observed to run in this term.
     pub running_since: Option<Instant>,
-    /// The start of the run was observed, so the run time can be measured.
+    /// Whether the start of the run was observed, so that the run time can be measured.
     pub start_observed: bool,
-    /// The run time that was expected at the assignment. The user's estimate for loaded and adopted attempts.
+    /// The run time that the leader expected when it assigned the attempt. For loaded and adopted attempts it
+    /// is the user's estimate.
     pub estimated_run_time: Duration,
     /// The request to end the attempt; `None` while it may run on.
     pub kill_request: Option<KillRequest>,
-    /// When this term first sent the launch, or when this process last resumed from a pause after that.
+    /// When the launch was first sent in this term, or, if this process has been paused since then, the end
+    /// of the last pause.
     pub launch_sent_at: Option<Instant>,
 }
 
 impl ActiveAttempt {
-    /// An attempt for which this term has sent no command and whose intent is not marked as durable.
+    /// Creates an attempt for which this term has sent no command and whose intent is not marked as durable.
     pub(in crate::core) fn planned(
         now: Instant,
         machine: MachineId,
@@ -73,8 +77,8 @@
         }
     }
 
-    /// Restarts the timeouts of the attempt's commands after a pause of this process, during which commands
-    /// may not have been sent.
+    /// Restarts the timeouts of the attempt's launch and kill at `now`, the end of a pause of this process,
+    /// because commands may not have been sent during the pause.
     pub(in crate::core) fn restart_waiting_times(&mut self, now: Instant) {
         self.launch_sent_at = self.launch_sent_at.map(|_| now);
         // The task may not have received the kill, and so not have had its grace period.
@@ -94,7 +98,7 @@
     }
 }
 
-/// Whether an attempt that was removed completed its task.
+/// How an attempt that was removed affects its task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum AttemptEnd {
     /// The task is done and is not placed again.
--- a/src/core/state/attempts.rs
+++ b/src/core/state/attempts.rs
@@ -1,8 +1,8 @@
 //! The life cycle of an attempt: assignment to a machine, durable intent, kill request, and removal.
 //!
 //! Invariants: the launch is sent only once the intent is durable. An attempt uses capacity of its machine
-//! and of its team's quota from its assignment until it is proved gone from the machine. All members of a
-//! gang end together.
+//! and of its team's quota from the time it is assigned until it is proved gone from the machine. All members
+//! of a gang end together.
 
 use crate::core::model::{AttemptId, JobId, JobKind, MachineId, TaskId};
 use crate::core::state::attempt::AttemptEnd;
@@ -20,7 +20,7 @@
     pub(in crate::core) machine: &'a MachineId,
     /// The id of the new attempt, from [`ClusterState::next_attempt`] or as the machine reports it.
     pub(in crate::core) attempt: AttemptId,
-    /// The expected run time of the task on this machine, without the fetch of its image.
+    /// The expected run time of the task on this machine, without the time to fetch its image.
     pub(in crate::core) estimated_run_time: Duration,
 }
 
@@ -118,8 +118,8 @@
         self.outbox.urgent_machines.insert(attempt.machine.clone());
     }
 
-    /// Removes an attempt that is proved gone from its machine. Unless it completed its task, the task waits
-    /// to be placed again. Returns the attempt; `None` if the task has no active one.
+    /// Removes an attempt that is proved gone from its machine. Unless the attempt completed the task, the
+    /// task waits to be placed again. Returns the attempt; `None` if the task has no active attempt.
     pub(in crate::core) fn record_attempt_gone(
         &mut self,
         now: Instant,
