--- a/src/core/state/cancellation.rs
+++ b/src/core/state/cancellation.rs
@@ -1,25 +1,27 @@
 //! What this leader knows about the cancellation of a job.
 //!
-//! Invariants: a known cancellation is never revoked. Unless the watch of the queue showed it, the records of
-//! the job are removed only after a later read of the queue, so that no cancellation mark is overlooked and
-//! left behind.
+//! Invariants: a known cancellation is never revoked. Unless the watch of the queue showed the cancellation,
+//! the records of the job are removed only after a read of the queue that was sent after the leader learned
+//! of the cancellation, so that no cancellation mark is overlooked and left behind.
 
 use std::time::Instant;
 
 /// How the leader learned that a job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelSource {
-    /// The watch of the queue, which returns writes in order, so all jobs accepted before are known.
+    /// The watch of the queue showed the cancellation mark. The watch returns writes in order, so the leader
+    /// knows all jobs that were accepted before the mark was written.
     Watch,
-    /// The cancellation marks that were read when the term began.
+    /// The leader read the cancellation mark when it loaded the stored records at the beginning of the term.
     Load,
-    /// A peer that confirms the cancellation to a user.
+    /// A peer that confirms the cancellation to a user reported it.
     Peer,
-    /// The job's outcome, which this leader read or wrote.
+    /// This leader read or wrote the outcome of the job.
     JobOutcome,
 }
 
-/// What this leader knows about a job's cancellation; by default, that there is none.
+/// What this leader knows about a job's cancellation. The default value means that the leader knows of no
+/// cancellation.
 #[derive(Clone, Debug, Default)]
 pub struct Cancellation {
     known_since: Option<Instant>,
@@ -44,8 +46,8 @@
         self.marked
     }
 
-    /// The job's records may be removed only once a read of the queue was sent after this time. `None` if
-    /// the records may be removed without such a read.
+    /// The time after which the leader must have sent a read of the queue before the records of the cancelled
+    /// job may be removed. `None` if the records may be removed without such a read.
     pub fn needs_read_after(&self) -> Option<Instant> {
         self.needs_read_after
     }
--- a/src/core/state/cluster_state.rs
+++ b/src/core/state/cluster_state.rs
@@ -29,9 +29,10 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// The additional delay that is allowed for a heartbeat that an agent had to send to another controller
-/// because some are down.
+/// because some controllers are down.
 const HEARTBEAT_REROUTE_MARGIN: Duration = Duration::from_secs(5);
-/// A heartbeat is missing after this many heartbeat intervals plus [`HEARTBEAT_REROUTE_MARGIN`].
+/// The cluster counts as without heartbeats once this many heartbeat intervals plus
+/// [`HEARTBEAT_REROUTE_MARGIN`] have passed since the last heartbeat of any machine.
 const MISSING_HEARTBEAT_FACTOR: f64 = 1.25;
 
 /// The values with which a term starts.
@@ -59,8 +60,8 @@
 
 /// The state on which a leader bases its decisions during one term.
 pub struct ClusterState {
-    /// The settings of the deployment and of the operators. The limits of transactions may be lowered during
-    /// the term.
+    /// The settings of the deployment and of the operators. The leader may lower the limits of transactions
+    /// and stored values during the term.
     pub config: SchedulerConfig,
     /// The term of this leadership.
     pub term: Term,
@@ -78,7 +79,7 @@
     pub(in crate::core) unreadable_records: UnreadableRecords,
     /// The progress of reconciliation after the failover, and the pacing of commands and rentals during it.
     pub takeover: Takeover,
-    /// Limits the rate of task starts while controllers are overloaded.
+    /// The limiter of the rate of task starts, which takes effect while controllers are overloaded.
     pub start_limiter: StartLimiter,
     /// Measured run times and image fetch rates.
     pub history: History,
@@ -90,7 +91,8 @@
     pub(in crate::core) schedule: RoundSchedule,
     /// Actions and commands that wait to be sent.
     pub(in crate::core) outbox: Outbox,
-    /// Whether the leadership is confirmed, and the time up to which cancellations are known.
+    /// Whether the leadership is confirmed, and the time up to which the leader knows all confirmed
+    /// cancellations.
     pub leadership: LeadershipStatus,
     /// The time from which on missing heartbeats are evidence that machines are silent.
     pub liveness: Liveness,
@@ -98,13 +100,14 @@
     pub(in crate::core) attempt_count: u64,
     /// Distinct resource requests of tasks for which the last round found no machine, not even a booting one.
     pub(in crate::core) unplaced_resources: Vec<Resources>,
-    /// For each start observed since the last summary in the log, the time from the durable intent to the
-    /// first heartbeat that showed the task as running. The summary takes the values out.
+    /// For each task start observed since the last summary in the log, the time from when the leader learned
+    /// that the intent was durable to the first heartbeat that showed the task as running. Writing the
+    /// summary clears the list.
     pub start_waits: Vec<Duration>,
 }
 
 impl ClusterState {
-    /// The state at the beginning of a term, in which no job and no machine is known.
+    /// Creates the state for the beginning of a term, in which the leader knows no job and no machine yet.
     pub fn new(config: SchedulerConfig, start: TermStart) -> Self {
         let now = start.started_at;
         let clocks = start.clocks();
@@ -136,15 +139,17 @@
         }
     }
 
-    /// Whether heartbeats may be answered: a lease renewed now expires in time even for cancellations that
-    /// this leader does not know of.
+    /// Whether the leader may answer heartbeats, which renews leases: the cancellation watermark is younger
+    /// than its bound, so that, as far as the settings allow, a lease renewed now expires in time even for
+    /// cancellations that this leader does not know of.
     pub fn may_renew_leases(&self, now: Instant) -> bool {
         let bound = WatermarkBound::new(self.config.lease, self.config.cancel);
         self.leadership.knows_cancellations(now, bound.max_age)
     }
 
-    /// Sets whether the leadership is confirmed. While it is not, another controller may be the leader, and
-    /// machines that seem silent or idle may run tasks for it. Launches are withheld until then.
+    /// Sets whether the leadership is confirmed. While the leadership is not confirmed, another controller
+    /// may be the leader, and machines that seem silent or idle to this one may run tasks for that leader.
+    /// Launches are withheld until the leadership is confirmed.
     pub fn set_leadership_confirmed(&mut self, confirmed: bool) {
         if confirmed && !self.leadership.confirmed {
             self.send_unsent_launches();
@@ -163,8 +168,9 @@
     }
 
     /// Whether no heartbeats arrive although there are machines that should send some, so that another
-    /// controller may be receiving them. A term that has not received any waits longer, until the leases of
-    /// silent machines have expired.
+    /// controller may be receiving them. In a term in which no heartbeat has been received, the result stays
+    /// false for longer: for the lease duration plus one heartbeat interval from the start of the term, so
+    /// that the leases of silent machines have expired.
     pub fn is_without_heartbeats(&self, now: Instant) -> bool {
         let heartbeat = self.config.heartbeat;
         let (since, timeout) = match self.liveness.last_heartbeat {
@@ -180,22 +186,22 @@
             && self.fleet.machines.values().any(is_expected)
     }
 
-    /// Sets the maximum number of changes in the next transaction. A larger transaction would be delayed as a
-    /// whole by the limit on the rate of changes.
+    /// Sets the maximum number of changes in the next transaction. The limit on the rate of changes would
+    /// delay a larger transaction as a whole.
     pub fn set_write_allowance(&mut self, changes: usize) {
         self.writes.set_allowance(changes);
     }
 
-    /// Sets the duration of the last tick. The interval between rounds grows with it, so that most of the CPU
-    /// time remains for heartbeats and requests.
+    /// Sets the duration of the last tick. The interval between placement rounds grows with this duration, so
+    /// that most of the CPU time remains for heartbeats and requests.
     pub fn set_tick_duration(&mut self, duration: Duration) {
         self.schedule.set_tick_duration(duration);
     }
 
-    /// Handles the end of a pause of this process, during which its clocks may have advanced by less or more
-    /// than real time. Timeouts start anew for heartbeats that could not be received, for leases whose
-    /// renewal times may be wrong, and for commands that may not have been sent. Time limits on which users
-    /// rely, above all those of cancellations, are not extended.
+    /// Handles the end of a pause of this process, during which the process's clocks may have advanced by
+    /// less or more than real time. Timeouts start anew for heartbeats that could not be received, for leases
+    /// whose renewal times may be wrong, and for commands that may not have been sent. Time limits on which
+    /// users rely, above all those of cancellations, are not extended.
     pub fn on_process_resumed(&mut self, now: Instant) {
         if !self.liveness.resume(now) {
             return;
--- a/src/core/state/crash_loop.rs
+++ b/src/core/state/crash_loop.rs
@@ -2,7 +2,7 @@
 //!
 //! A job whose tasks failed on several machines, none of which other jobs have shown to be faulty, is
 //! suspected of a crash loop. One task at a time is then retried, at growing intervals. The suspicion ends as
-//! soon as a task completes or runs for far longer than the others took to fail.
+//! soon as a task of the job completes or runs for far longer than the job's failed tasks ran.
 
 use crate::core::model::MachineId;
 use std::collections::HashSet;
@@ -11,14 +11,16 @@
 /// The number of machines on which tasks of a job must have failed for the job to be suspected. Two machines
 /// may be faulty by chance.
 const MIN_FAILED_MACHINES: usize = 3;
-/// The number of machines on which tasks must have failed if the job has shown that it can run. It is higher
-/// because many machines may become faulty at once.
+/// The number of machines on which tasks of a job must have failed for the job to be suspected if the job has
+/// shown that it can run. It is higher than [`MIN_FAILED_MACHINES`] because many machines may become faulty
+/// at once.
 const MIN_FAILED_MACHINES_IF_PROVEN: usize = 12;
 /// The delay before the first retry of a suspected job; each failed retry doubles it, up to
 /// [`MAX_RETRY_DELAY`].
 const FIRST_RETRY_DELAY: Duration = Duration::from_secs(5);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
-/// The maximum number of doublings of the retry delay, which keeps it within the range of its type.
+/// The maximum number of doublings of the retry delay, which keeps the computed factor within the range of
+/// its type.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
 /// A task shows that the job can run if it runs for this multiple of the shortest time to a failure, plus
 /// [`OUTLIVING_MARGIN`].
@@ -27,8 +29,9 @@
 /// Each suspicion that was cleared because a task ran for the required time doubles the required time, up to
 /// this number of doublings.
 const MAX_OUTLIVING_DOUBLINGS: u32 = 8;
-/// The base of the delay after a worker refused a launch because it did not know the job. Each refusal in a
-/// row doubles it, including the first one: the delay grows from 1 s to 16 s.
+/// The base of the delay before the next start of the job's tasks after a worker refused a launch because the
+/// worker did not know the job. Each consecutive refusal doubles the delay, including the first refusal: the
+/// delay grows from 1 s to 16 s.
 const UNKNOWN_JOB_BASE_DELAY: Duration = Duration::from_millis(500);
 const MAX_UNKNOWN_JOB_DOUBLINGS: u32 = 5;
 
@@ -37,13 +40,14 @@
 pub struct TaskFailure<'a> {
     /// The machine on which the task failed.
     pub machine: &'a MachineId,
-    /// Failures of other jobs show that the machine is faulty.
+    /// Whether failures of other jobs show that the machine is faulty.
     pub machine_is_faulty: bool,
-    /// The time from the start of the task to its failure.
+    /// The time from the start of the task to its failure. If no heartbeat showed the task as running, the
+    /// time counts from the last heartbeat that showed it as fetching its image, or else from its placement.
     pub after: Duration,
 }
 
-/// Whether a failure counts against the job or the machine.
+/// The result of recording a failure: whether it counts against the job or against the machine.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureAttribution {
@@ -58,20 +62,23 @@
 /// The failures of a job's tasks, and the state of its crash-loop detection.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLoop {
-    /// Machines on which tasks of the job failed since it last showed that it can run.
+    /// The machines on which tasks of the job failed since the job last showed that it can run. Machines that
+    /// other jobs had shown to be faulty are left out.
     failed_machines: HashSet<MachineId>,
     failure_count: u32,
     /// The shortest time that a task took to fail. Image fetches and heartbeat intervals only lengthen the
     /// measured times, so the shortest is the most accurate.
     shortest_failure: Option<Duration>,
-    /// The number of suspicions that were cleared because a task went on running.
+    /// The number of suspicions that were cleared because a task ran for [`CrashLoop::outliving_time`].
     times_cleared: u32,
-    /// Since the last suspicion arose, a task of the job completed, or ran for far longer than the shortest
-    /// time in which a task failed.
+    /// Whether a task of the job has shown that the job can run, and the job has not been newly suspected
+    /// since then. A task shows it by completing or, under a suspicion, by running for far longer than the
+    /// shortest time in which a task failed.
     proven: bool,
     suspected: bool,
     failed_retries: u32,
-    /// The number of consecutive launches that were refused because the worker did not know the job.
+    /// The number of launches that workers have refused because they did not know the job, since a task of
+    /// the job last completed.
     unknown_refusals: u32,
     /// No task of the job is placed before this time; `None` if there is no back-off.
     pub backoff_until: Option<Instant>,
@@ -108,8 +115,8 @@
         self.failure_count += 1;
         self.shortest_failure = Some(self.shortest_failure.map_or(after, |f| f.min(after)));
         if self.suspected {
-            // Attempts that were active when the suspicion arose may fail too. Only the failure of a retry
-            // after the back-off counts as a failed retry.
+            // Attempts that were active when the suspicion arose may fail too. So only a failure at or after
+            // the end of the back-off counts as a failed retry.
             if self.backoff_until.is_none_or(|t| now >= t) {
                 self.failed_retries += 1;
                 self.back_off(now);
@@ -132,7 +139,8 @@
     /// Records that the job has shown that it can run. Returns whether this ends a suspicion.
     pub(in crate::core) fn record_proof(&mut self) -> bool {
         self.proven = true;
-        // From now on the job avoids these machines only as long as their own state requires it.
+        // From now on a machine's failed tasks of this job alone no longer keep the job away from it; only
+        // the machine's own state, such as a quarantine, does.
         self.failed_machines.clear();
         let was_suspected = std::mem::take(&mut self.suspected);
         if was_suspected {
@@ -142,13 +150,13 @@
         was_suspected
     }
 
-    /// Records that a task ran for [`CrashLoop::outliving_time`]. Each call doubles the time that the next
-    /// task must run.
+    /// Records that a task ran for [`CrashLoop::outliving_time`]. Each call doubles the time that a task must
+    /// run to clear the next suspicion, up to the limit of [`MAX_OUTLIVING_DOUBLINGS`].
     pub(in crate::core) fn record_outliving(&mut self) {
         self.times_cleared += 1;
     }
 
-    /// The time that a task must run to show that the job can run.
+    /// The time for which a task of a suspected job must run to show that the job can run.
     pub(in crate::core) fn outliving_time(&self) -> Duration {
         let shortest = self.shortest_failure.unwrap_or_default();
         let required = shortest * OUTLIVING_FACTOR + OUTLIVING_MARGIN;
@@ -156,14 +164,15 @@
     }
 
     /// Records that a worker refused a launch because it could not fetch the job's description, at least not
-    /// yet. The next start is delayed, for longer with each refusal in a row.
+    /// yet. The next start of a task of the job is delayed, for longer with each consecutive refusal.
     pub(in crate::core) fn record_unknown_refusal(&mut self, now: Instant) {
         self.unknown_refusals += 1;
         let doublings = self.unknown_refusals.min(MAX_UNKNOWN_JOB_DOUBLINGS);
         self.backoff_until = Some(now + UNKNOWN_JOB_BASE_DELAY * (1 << doublings));
     }
 
-    /// Ends a series of refusals, because a task completed and so a worker knew the job.
+    /// Resets the count of consecutive refusals, because a task of the job completed, which shows that a
+    /// worker knew the job.
     pub(in crate::core) fn reset_unknown_refusals(&mut self) {
         self.unknown_refusals = 0;
     }
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -2,16 +2,17 @@
 //!
 //! Invariants: a job may depend only on jobs that were accepted before it, so the graph has no cycles. A job
 //! is blocked until the durable outcome `done` of each of its dependencies is known; a dependency whose
-//! outcome is unknown keeps it blocked. When a job is cancelled, all of its direct and transitive dependents
-//! are cancelled too. None of them can have started, since one of its dependencies was not done.
+//! outcome is unknown keeps the job blocked. When a job is cancelled, all of its direct and transitive
+//! dependents are cancelled too. None of these dependents can have started, since each has a dependency that
+//! was not done.
 
 use crate::core::model::JobId;
 use crate::core::persistence::records::JobOutcome;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The number of job outcomes that are remembered; the oldest are dropped first. The outcome of a dependency
-/// may become known before the acceptance of its dependent, but only by the delay of the watch, so that
-/// outcomes are needed only for a short time.
+/// The number of job outcomes that are remembered; the oldest are dropped first. The leader may learn the
+/// outcome of a dependency before it learns that the dependent was accepted, but only by as much as the watch
+/// of the queue is delayed. So each outcome is needed only for a short time.
 const MAX_REMEMBERED_OUTCOMES: usize = 100_000;
 
 /// The state of a job's dependencies.
@@ -28,14 +29,14 @@
 /// The dependency graph of live jobs.
 #[derive(Default)]
 pub struct Dependencies {
-    /// The dependencies of live jobs that are not known to be done.
+    /// For each blocked job, its direct dependencies that are not known to be done.
     unfinished: HashMap<JobId, BTreeSet<JobId>>,
-    /// The reverse of `unfinished`.
+    /// The reverse of `unfinished`: for each dependency, the blocked jobs that directly depend on it.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs for which the key-value store holds a list of dependents.
     listed: BTreeSet<JobId>,
-    /// Jobs that were added, or that lost a dependent by a cancellation, since the last call of
-    /// [`Dependencies::take_changed`].
+    /// Jobs that were added, or that lost a dependent because the dependent was cancelled, since the last
+    /// call of [`Dependencies::take_changed`].
     changed: BTreeSet<JobId>,
     /// The outcomes of up to [`MAX_REMEMBERED_OUTCOMES`] jobs that are over.
     outcomes: HashMap<JobId, JobOutcome>,
@@ -44,8 +45,8 @@
 }
 
 impl Dependencies {
-    /// Adds a live job. `listed` says that the key-value store holds a list of dependents for each of its
-    /// dependencies. A job with a cancelled dependency is not added.
+    /// Adds a live job. `listed` says that the key-value store holds, for each dependency of the job, a list
+    /// of the dependency's dependents. A job with a cancelled dependency is not added.
     pub fn add(&mut self, job_id: &JobId, dependencies: &[JobId], listed: bool) -> DependencyState {
         let mut unfinished = BTreeSet::new();
         let mut orphaned = false;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Records that the outcome `done` of a job is durable. Returns the jobs that this unblocks.
+    /// Records that the outcome `done` of a job is durable. Returns the dependents that this unblocks.
     pub fn record_done(&mut self, job_id: &JobId) -> Vec<JobId> {
         self.record_outcome(job_id, JobOutcome::Done);
         let mut ready = Vec::new();
@@ -104,8 +105,8 @@
         ready
     }
 
-    /// Records that a job is cancelled, and with it all of its direct and transitive dependents, which it
-    /// returns.
+    /// Records that a job is cancelled, and with this job all of its direct and transitive dependents.
+    /// Returns these dependents.
     pub fn record_cancelled(&mut self, job_id: &JobId) -> Vec<JobId> {
         self.remove_blocked(job_id);
         self.record_outcome(job_id, JobOutcome::Cancelled);
@@ -123,7 +124,8 @@
         all
     }
 
-    /// Removes a cancelled job from the graph. Returns whether it was blocked.
+    /// Removes a cancelled job from the graph. Returns false, and changes nothing, if the job was not
+    /// blocked.
     fn remove_blocked(&mut self, job_id: &JobId) -> bool {
         let Some(unfinished) = self.unfinished.remove(job_id) else {
             return false;
@@ -140,19 +142,19 @@
         true
     }
 
-    /// Takes the jobs that were added, or that lost a dependent by a cancellation, since the last call. The
-    /// priorities and deadlines that these jobs and their direct and indirect dependencies inherit from their
-    /// dependents have to be computed again.
+    /// Returns and clears the set of jobs that were added, or that lost a dependent because the dependent was
+    /// cancelled, since the last call. The priorities and deadlines that these jobs and their direct and
+    /// indirect dependencies inherit from their dependents have to be computed again.
     pub fn take_changed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// The direct dependencies of a job that are not known to be done.
+    /// The direct dependencies of a job that are not known to be done; none if the job is not blocked.
     pub fn dependencies(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
         self.unfinished.get(job_id).into_iter().flatten()
     }
 
-    /// The blocked jobs that depend directly on this one.
+    /// The blocked jobs that directly depend on this job.
     pub fn dependents(&self, job_id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job_id).into_iter().flatten()
     }
@@ -162,14 +164,15 @@
         self.listed.insert(job_id.clone());
     }
 
-    /// Returns whether the key-value store holds a list of the dependents of a job that is over. The caller
-    /// has to remove the list; later calls return false.
+    /// Returns whether the key-value store holds a list of the dependents of a job that is over, and clears
+    /// this mark, so that later calls return false. If the result is true, the caller has to remove the list
+    /// from the store.
     pub fn take_listed(&mut self, job_id: &JobId) -> bool {
         self.listed.remove(job_id)
     }
 
-    /// Dependencies of blocked jobs that are not live and have no known outcome. Their outcomes have to be
-    /// read from the key-value store.
+    /// The dependencies of blocked jobs that are not live themselves and have no known outcome. Their
+    /// outcomes have to be read from the key-value store.
     pub fn unresolved(&self, live: impl Fn(&JobId) -> bool) -> Vec<JobId> {
         let is_unknown = |job_id: &&JobId| !live(job_id);
         self.dependents.keys().filter(is_unknown).cloned().collect()
--- a/src/core/state/failure_attribution.rs
+++ b/src/core/state/failure_attribution.rs
@@ -3,9 +3,9 @@
 //! The tasks of a faulty job fail on every machine until its user cancels it; on a faulty machine the tasks
 //! of every job fail. [`CrashLoop`](crate::core::state::crash_loop::CrashLoop) distinguishes the two for each
 //! job. While a job is suspected of a crash loop, one task at a time is retried, at growing intervals. No
-//! machines are rented, no headroom is kept and no tasks are preempted for it, and its failures do not count
-//! against machines. Once the job shows that it can run, they count again. A machine on which several jobs
-//! failed is quarantined.
+//! machines are rented, no headroom is kept and no tasks are preempted for it, and the failures of its tasks
+//! do not count against machines. Once the job shows that it can run, these failures count again. A machine
+//! on which tasks of several jobs failed is quarantined.
 
 use crate::core::model::{JobId, MachineId};
 use crate::core::state::crash_loop::{FailureAttribution, TaskFailure};
@@ -15,15 +15,15 @@
 
 /// A machine is quarantined if tasks of this many jobs failed on it since a task last completed there.
 const MIN_FAILED_JOBS: usize = 2;
-/// A machine is returned after this time in quarantine. By then it may have turned out that the jobs are at
-/// fault.
+/// A machine is returned after this time in quarantine. The delay leaves time for crash-loop detection to
+/// show that the jobs are at fault, which releases the machine.
 pub(in crate::core) const QUARANTINE_RETURN_DELAY: Duration = Duration::from_secs(8);
 /// No task is placed on a machine for this long after a failure that counts against it.
 const AVOIDANCE_AFTER_FAILURE: Duration = Duration::from_secs(15);
 
 impl ClusterState {
-    /// Handles the failure of a task of this job on a machine. `after` is the time from its start to the
-    /// failure. Failures of cancelled jobs are ignored.
+    /// Handles the failure of a task of this job on a machine. `after` is the time from the start of the task
+    /// to its failure, as [`TaskFailure::after`] describes it. Failures of cancelled jobs are ignored.
     pub(in crate::core) fn attribute_failure(
         &mut self,
         now: Instant,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Handles a new crash-loop suspicion: attempts whose intents are not durable are removed, and the job's
-    /// earlier failures no longer count against machines.
+    /// Handles a new crash-loop suspicion against the job: the job's attempts whose intents are not durable
+    /// are ended, and its earlier failures no longer count against machines.
     fn on_job_suspected(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else {
             return;
@@ -62,8 +62,8 @@
         self.update_quarantines_of(now, job_id);
     }
 
-    /// Records a failure that counts against a machine, and quarantines the machine if enough jobs failed on
-    /// it.
+    /// Records a failure that counts against a machine, and quarantines the machine if tasks of at least
+    /// [`MIN_FAILED_JOBS`] jobs that are not suspected of a crash loop failed on it.
     fn count_against_machine(&mut self, now: Instant, job_id: &JobId, machine_id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get_mut(machine_id) {
             machine.failed_jobs.insert(job_id.clone());
@@ -86,8 +86,8 @@
         self.record_proof(now, job_id);
     }
 
-    /// Records that the job has shown that it can run. If it was suspected, its failures count against
-    /// machines again.
+    /// Records that the job has shown that it can run. If the job was suspected of a crash loop, its failures
+    /// count against machines again.
     fn record_proof(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Clears the suspicion of jobs that have a task running for far longer than others took to fail.
+    /// Clears the suspicion of each job that has a task running for longer than
+    /// [`CrashLoop::outliving_time`](crate::core::state::crash_loop::CrashLoop::outliving_time).
     pub(in crate::core) fn clear_suspicions(&mut self, now: Instant) {
         let outlives = |job: &Job| {
             let required = job.crash_loop.outliving_time();
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether a machine is quarantined, or another job that can run has failed on it.
+    /// Whether a machine is quarantined, or a task of another job failed on it that has shown that it can run
+    /// and is not suspected of a crash loop.
     fn is_faulty_by_other_jobs(&self, job_id: &JobId, machine: &MachineId) -> bool {
         let Some(machine) = self.fleet.machines.get(machine) else {
             return false;
@@ -133,22 +135,23 @@
         job.is_some_and(|j| j.crash_loop.is_suspected())
     }
 
-    /// Whether a job has shown that it can run. A removed job counts as proven, because the failures of jobs
-    /// that never showed it are deleted with the job.
+    /// Whether a job has shown that it can run. A removed job counts as proven: the failures of a job that
+    /// has not shown that it can run are deleted when that job is removed, so only failures of proven jobs
+    /// remain on machines.
     fn is_proven(&self, job_id: &JobId) -> bool {
         let job = self.jobs.get(job_id);
         job.is_none_or(|j| j.crash_loop.is_proven())
     }
 
-    /// The machines that have failures of this job recorded.
+    /// The ids of the machines on which a failure of this job is recorded.
     fn machines_failed_by(&self, job_id: &JobId) -> Vec<MachineId> {
         let machines = self.fleet.machines.values();
         let failed = machines.filter(|m| m.failed_jobs.contains(job_id));
         failed.map(|m| m.id.clone()).collect()
     }
 
-    /// Updates the quarantines of all machines with failures of this job, after the job became suspected or
-    /// ceased to be.
+    /// Updates the quarantines of all machines with failures of this job, after a crash-loop suspicion
+    /// against the job arose or ended. A new suspicion also ends the avoidance of these machines.
     fn update_quarantines_of(&mut self, now: Instant, job_id: &JobId) {
         let suspected = self.is_suspected(job_id);
         for id in self.machines_failed_by(job_id) {
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Puts a machine into quarantine or releases it, depending on the number of jobs that failed on it and
-    /// are not suspected of a crash loop.
+    /// Puts a machine into quarantine or releases it, depending on the number of jobs that have failures
+    /// recorded on it and are not suspected of a crash loop.
     fn update_quarantine(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.fleet.machines.get(machine_id) else {
             return;
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Deletes the failures of a removed job from machines, unless the job has shown that it can run.
-    /// Otherwise they are no evidence against the machines.
+    /// Deletes the failures of a removed job from machines, unless the job has shown that it can run. The
+    /// failures of a job that has not shown this are no evidence against the machines.
     pub(in crate::core) fn forget_failures_of(&mut self, now: Instant, job: &Job) {
         if job.crash_loop.failure_count() == 0 || job.crash_loop.is_proven() {
             return;
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -21,56 +21,62 @@
     pub spec: JobSpec,
     /// The key of the job's image, computed from the image reference.
     pub image: ImageKey,
-    /// The revision of the key-value store at which the job was accepted. Jobs are ordered by it.
+    /// The revision of the key-value store at which the job was accepted. Jobs of equal priority are placed
+    /// in the order of this revision.
     pub revision: u64,
     /// The revision of the key of the job's outcome; 0 while the key is absent. Until the outcome is known,
-    /// all writes of outcome and chunks are conditional on it, so that no intent of a cancelled job becomes
-    /// durable.
+    /// all writes of the job's outcome and task chunks are conditional on this revision, so that no intent of
+    /// a cancelled job becomes durable.
     pub outcome_revision: u64,
     /// What this leader knows about the cancellation of the job.
     pub cancellation: Cancellation,
-    /// The outcome `done` is durable.
+    /// Whether the outcome `done` of the job is known to be durable.
     pub done_durable: bool,
-    /// At least one dependency is not known to be done, so no task may be placed.
+    /// Whether at least one dependency is not known to be done, so that no task of the job may be placed.
     pub blocked: bool,
     /// The number of attempts that fit into the stored value of one chunk.
     pub max_attempts_per_chunk: u32,
-    /// A dependency was cancelled, so this job is cancelled too. It stays set once the outcome is known.
+    /// Whether a direct or transitive dependency was cancelled, so that this job has to be cancelled too. The
+    /// flag stays set after the job's own outcome has become known.
     pub orphaned: bool,
-    /// When the cancellation of the dependency became known, if a peer may be writing this job's outcome;
-    /// `None` if the leader has to write it itself, without waiting.
+    /// When the leader learned of the dependency's cancellation, if a peer may be writing the outcome of this
+    /// orphaned job. `None` if the job is not orphaned, or if the leader has to write the outcome itself
+    /// without waiting.
     pub orphaned_at: Option<Instant>,
-    /// The index of the first task that this term has not placed in sequence. All tasks before it were placed
-    /// at least once.
+    /// The index of the first task that this term has not placed in sequence. All tasks of a lower index were
+    /// placed at least once.
     pub next_unplaced: u32,
-    /// Tasks whose last attempt ended without completing them, and which wait to be placed again.
+    /// The indices of the tasks whose last attempt ended without completing the task, and which wait to be
+    /// placed again.
     pub requeued: BTreeSet<u32>,
     /// The number of tasks that are done.
     pub done_count: u32,
-    /// Attempts that are not proved gone, by task index.
+    /// Attempts that are not proved gone from their machines, by task index.
     pub active: BTreeMap<u32, ActiveAttempt>,
     /// The task chunks that were loaded or changed, by chunk index.
     pub chunks: BTreeMap<u32, TaskChunk>,
     /// Failures of the job's tasks, and whether the job is suspected of a crash loop.
     pub crash_loop: CrashLoop,
-    /// The run time that stopped tasks have saved in checkpoints, by task index.
+    /// The run time that the checkpoints of stopped tasks cover, by task index.
     pub saved_progress: HashMap<u32, Duration>,
-    /// The start of the job's waiting time: when it was accepted or, if it had to wait for dependencies, when
-    /// the last of them was known to be done.
+    /// The start of the job's waiting time: the time at which the job was accepted or, if the job had to wait
+    /// for dependencies, the time at which the leader learned that the last of them was done.
     pub arrived: Instant,
     /// The job's own priority and deadline, without those inherited from its dependents.
     pub own_rank: SchedulingRank,
-    /// When the job should be complete, to meet its own deadline and those of its dependents; `None` if none
-    /// of them has a deadline.
+    /// When the job should be complete, so that the job and its direct and indirect dependents meet their
+    /// deadlines; `None` if neither the job nor any of these dependents has a deadline.
     pub deadline: Option<Instant>,
-    /// When one of the job's tasks was last placed; before that, when its waiting time started. Set to the
-    /// start of the term for a job that is loaded with attempts or completed tasks.
+    /// When one of the job's tasks was last placed. Before the first placement, it is the start of the job's
+    /// waiting time. It is set to the start of the term for a job that is loaded with attempts or completed
+    /// tasks.
     pub last_placed: Instant,
-    /// The job was starved at some time in this term, so some of its tasks were placed before all other jobs.
+    /// Whether the job was starved at some time in this term. Some tasks of a starved job are placed before
+    /// all other jobs.
     pub was_starved: bool,
     /// The number of tasks that are still to be placed before all other jobs because the job was starved.
     pub boosted_tasks: u32,
-    /// The number of attempts whose intents are not durable yet.
+    /// The number of the job's active attempts whose intents are not durable yet.
     pub pending_intent_count: u32,
 }
 
@@ -107,7 +113,7 @@
         }
     }
 
-    /// The id of the task with this index, which is not checked against the number of tasks.
+    /// The id of the task with this index. The index is not checked against the number of tasks.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             job_id: self.spec.job_id.clone(),
@@ -135,24 +141,26 @@
         self.is_cancelled() || self.done_durable || self.orphaned || self.is_complete()
     }
 
-    /// Whether a dependency was cancelled and the job's own outcome is not known yet.
+    /// Whether a direct or transitive dependency was cancelled while the outcome of this job is not known
+    /// yet.
     pub fn is_orphan(&self) -> bool {
         self.orphaned && !self.is_cancelled() && !self.done_durable
     }
 
-    /// Whether the leader should write the outcome of an orphaned job now, because the peer that confirms the
-    /// dependency's cancellation has had `grace` to write it or no peer is known to do so.
+    /// Whether the leader should write the outcome of an orphaned job now. This is so if no peer is known to
+    /// write the outcome, or if `grace`, the time for the peer that confirms the dependency's cancellation to
+    /// write it, has passed since the leader learned of that cancellation.
     pub(in crate::core) fn is_cascade_due(&self, now: Instant, grace: Duration) -> bool {
         let waited = |t: Instant| now.saturating_duration_since(t) >= grace;
         self.orphaned_at.is_none_or(waited)
     }
 
-    /// Whether the outcome `done` has to be written now.
+    /// Whether all tasks are done, so that the outcome `done` of the job has to be written.
     pub fn is_outcome_due(&self) -> bool {
         !self.is_cancelled() && !self.done_durable && self.is_complete()
     }
 
-    /// Returns the chunk of a task for modification, and raises its version.
+    /// Raises the version of the chunk that contains the task, and returns the chunk for modification.
     fn touch_chunk(&mut self, index: u32) -> &mut TaskChunk {
         let chunk = self.chunks.entry(index / TASKS_PER_CHUNK).or_default();
         chunk.version += 1;
@@ -208,7 +216,7 @@
         Some(attempt)
     }
 
-    /// Marks all tasks as done, as is due when the first member of a gang completes.
+    /// Marks all tasks as done. Called when the first member of a gang completes, which completes the gang.
     pub(in crate::core) fn mark_all_done(&mut self) {
         for index in 0..self.spec.task_count {
             if !self.is_done(index) {
@@ -219,8 +227,8 @@
         self.requeued.clear();
     }
 
-    /// The indices of the chunks to be written now. Chunks with new intents are written at once; chunks that
-    /// only record ends of attempts wait for the batching delay.
+    /// The indices of the chunks to be written now. Chunks with new intents are written at once; chunks whose
+    /// only changes are ends of attempts wait for the batching delay.
     pub fn dirty_chunks(&self, now: Instant) -> Vec<u32> {
         let is_due = |index: u32, chunk: &TaskChunk| {
             chunk.is_write_due(now, || {
@@ -247,7 +255,8 @@
         }
     }
 
-    /// The number of active attempts in a chunk, which is the number that its stored value lists.
+    /// The number of active attempts at tasks of a chunk. The value that is to be stored for the chunk lists
+    /// all of them.
     pub(in crate::core) fn attempts_in(&self, chunk: u32) -> usize {
         self.active_in(chunk).count()
     }
@@ -266,14 +275,15 @@
         }
     }
 
-    /// Whether an attempt has ended and the record of its end is not durable yet.
+    /// Whether an attempt at the task with this index has ended while the record of its end is not durable
+    /// yet.
     pub(in crate::core) fn is_held(&self, index: u32, attempt: AttemptId) -> bool {
         self.chunk_of(index)
             .is_some_and(|c| c.is_held(index, attempt))
     }
 
-    /// The indices of up to `max` tasks that wait to be placed, requeued ones first. Tasks whose chunk has no
-    /// room for another attempt are left out.
+    /// The indices of up to `max` tasks that wait to be placed, requeued tasks first. Tasks whose chunk has
+    /// no room for another attempt in its stored value are left out.
     pub fn pending(&self, max: usize) -> Vec<u32> {
         if self.blocked {
             return Vec::new();
@@ -320,9 +330,10 @@
 /// Tracks the number of further attempts that fit into the stored value of each chunk of an array.
 struct ChunkSlots<'a> {
     job: &'a Job,
-    /// A chunk's value may have no room for attempts at all of its tasks. Gangs are not limited.
+    /// Whether the stored value of a chunk may be too small for attempts at all tasks of the chunk. It is
+    /// false for gangs, to which this limit is not applied.
     limited: bool,
-    /// Free slots by chunk index, for the chunks that were asked for.
+    /// The number of free slots by chunk index, for the chunks in which a slot was requested.
     free: HashMap<u32, u32>,
 }
 
@@ -335,7 +346,7 @@
         }
     }
 
-    /// Reserves a slot for an attempt at a task. Returns false if its chunk has none free.
+    /// Reserves a slot for an attempt at a task. Returns false if the task's chunk has no free slot.
     fn reserve(&mut self, index: u32) -> bool {
         if !self.limited {
             return true;
--- a/src/core/state/job_events.rs
+++ b/src/core/state/job_events.rs
@@ -15,7 +15,7 @@
 
 impl ClusterState {
     /// Adds a live job, which was read from the index of live jobs when the term began or from the watch of
-    /// the queue. Jobs that are known already and jobs without tasks are ignored.
+    /// the queue. Jobs that are in the job table already and jobs without tasks are ignored.
     pub fn on_job(&mut self, spec: JobSpec, revision: u64) {
         if self.jobs.contains(&spec.job_id) || spec.task_count == 0 {
             return;
@@ -40,8 +40,8 @@
         self.schedule.request_round();
     }
 
-    /// Handles the durable outcome `done` of a job: dependents for which it was the last missing dependency
-    /// are unblocked, and their waiting time starts now.
+    /// Handles the durable outcome `done` of a job. Dependents that waited only for this job are unblocked,
+    /// and their waiting time starts at `now`.
     pub(in crate::core) fn release_dependents(&mut self, now: Instant, job_id: &JobId) {
         for dependent in self.jobs.dependencies.record_done(job_id) {
             if let Some(job) = self.jobs.get_mut(&dependent) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Handles the outcome of a job that is not in the job table.
+    /// Handles the outcome, read from the key-value store, of a job that is not in the job table.
     pub fn on_past_outcome(&mut self, now: Instant, job_id: &JobId, outcome: JobOutcome) {
         if outcome != JobOutcome::Live && self.jobs.dependencies.take_listed(job_id) {
             self.writes.remove_later(keys::dependents_key(job_id));
@@ -67,20 +67,21 @@
         }
     }
 
-    /// Dependencies of blocked jobs that are neither live nor have a known outcome, which has to be read from
-    /// the key-value store.
+    /// The dependencies of blocked jobs that are not in the job table and have no known outcome. Their
+    /// outcomes have to be read from the key-value store.
     pub fn unresolved_dependencies(&self) -> Vec<JobId> {
         let is_live = |job_id: &JobId| self.jobs.contains(job_id);
         self.jobs.dependencies.unresolved(is_live)
     }
 
-    /// Handles a cancellation mark that the watch of the queue showed.
+    /// Handles a cancellation mark of a job, which the watch of the queue showed.
     pub fn on_cancel_marked(&mut self, now: Instant, job_id: &JobId) {
         self.on_cancelled(now, job_id, CancelSource::Watch);
     }
 
-    /// Handles a cancellation: the tasks of the job are killed, and its dependents are marked as orphaned,
-    /// also if the job itself is not in the job table.
+    /// Handles the cancellation of a job: the job's tasks are killed, and its direct and transitive
+    /// dependents are marked as orphaned. The dependents are marked even if the job itself is not in the job
+    /// table.
     pub fn on_cancelled(&mut self, now: Instant, job_id: &JobId, source: CancelSource) {
         self.mark_dependents_orphaned(Some(now), job_id);
         let Some(job) = self.jobs.get_mut(job_id) else {
@@ -103,16 +104,18 @@
         self.schedule.request_round();
     }
 
-    /// Marks all direct and transitive dependents of a cancelled job as orphaned.
+    /// Marks all direct and transitive dependents of a cancelled job as orphaned. See
+    /// [`ClusterState::mark_orphaned`] for `known_since`.
     fn mark_dependents_orphaned(&mut self, known_since: Option<Instant>, job_id: &JobId) {
         for dependent in self.jobs.dependencies.record_cancelled(job_id) {
             self.mark_orphaned(known_since, &dependent);
         }
     }
 
-    /// Marks a job as orphaned, because a dependency was cancelled. The leader writes the outcome of the job
-    /// unless the peer that confirms the cancellation does so soon after `known_since`. `None` means that no
-    /// peer is known to do so.
+    /// Marks a job as orphaned, because a direct or transitive dependency was cancelled. `known_since` is
+    /// when the leader learned of that cancellation: the leader writes the outcome of the orphaned job unless
+    /// the peer that confirms the cancellation does so soon after this time. `None` means that no peer is
+    /// known to write the outcome.
     fn mark_orphaned(&mut self, known_since: Option<Instant>, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.orphaned = true;
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -12,19 +12,21 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Instant;
 
-/// A machine whose slowdown (measured over estimated run time) is in this range is treated as average.
+/// A machine whose slowdown (measured over estimated run time) is in this range is treated as having the
+/// average slowdown, 1.
 const AVERAGE_SLOWDOWN_RANGE: std::ops::Range<f64> = 0.0..1.25;
 /// The measured slowdown has its full weight from this many measurements on.
 const FULL_WEIGHT_MEASUREMENTS: u32 = 4;
-/// Bounds of a machine's slowdown. The lower one has no effect while it is in [`AVERAGE_SLOWDOWN_RANGE`].
+/// Bounds of a machine's slowdown. The lower bound has no effect as long as [`AVERAGE_SLOWDOWN_RANGE`]
+/// contains it.
 const MIN_SLOWDOWN: f64 = 0.7;
 const MAX_SLOWDOWN: f64 = 20.0;
 
 /// A fencing token that a machine has to show before further tasks are placed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredToken {
-    /// The token. It was first sent after the requirement was set, so showing it proves that messages of this
-    /// leader reach the machine.
+    /// The token to be shown. It is first sent after the requirement was set, so a machine that shows it
+    /// proves that messages of this leader reach the machine.
     pub token: FencingToken,
     /// When the requirement was set.
     pub since: Instant,
@@ -62,30 +64,35 @@
     pub serial: u64,
     /// The fencing token that is sent with the next message to the agent.
     pub token: FencingToken,
-    /// The agent has shown a token of this term, so only answers of this term renew its lease.
+    /// Whether the agent has shown a token of this term, so that only answers of this term renew the
+    /// machine's lease.
     pub fenced: bool,
-    /// The agent has reported its status in this term.
+    /// Whether the agent has reported its status in this term.
     pub has_reported: bool,
-    /// A heartbeat of the machine was requested in this term.
+    /// Whether this leader has requested a heartbeat from the machine in this term.
     pub probed: bool,
-    /// The machine was rented in this term, so no heartbeat from an earlier term can still be in flight.
+    /// Whether the machine was rented in this term, so that no heartbeat from an earlier term can still be in
+    /// flight.
     pub rented_this_term: bool,
     /// The token in the agent's most recent message.
     pub observed_token: FencingToken,
-    /// Set if no task may be placed on the machine until it shows this token. Receiving messages from a
-    /// machine does not prove that answers and commands reach it.
+    /// The token that the machine must show before a task may be placed on it; `None` if no token is
+    /// required. Receiving messages from a machine does not prove that answers and commands reach it.
     pub required_token: Option<RequiredToken>,
-    /// Set once an agent that restarted its serial numbers has shown this token. Heartbeats with a lower
-    /// token are those of its predecessor, however high their serial numbers are.
+    /// The token by which an agent has proved that its serial numbers restarted; `None` if no such restart
+    /// was observed. Heartbeats with a lower token are from the agent's predecessor on the machine, however
+    /// high their serial numbers are.
     pub min_token: Option<FencingToken>,
-    /// Set while the agent may have restarted its serial numbers: a message that shows this token proves it.
+    /// Set while the agent may have restarted its serial numbers: a message that shows this token proves the
+    /// restart.
     pub restart_probe_token: Option<FencingToken>,
-    /// When the machine became known in this term.
+    /// When this leader first learned of the machine in this term.
     pub known_since: Instant,
     /// When the agent's most recent message was received; before the first one, the same as `known_since`.
     pub last_heartbeat_at: Instant,
-    /// The time from which the lease counts: when a heartbeat of the machine was last answered, or when a new
-    /// incarnation or a restart of the agent was first seen. `None` if there was neither in this term.
+    /// The start of the machine's lease as the leader counts it: the time when a heartbeat of the machine was
+    /// last answered, or when a new incarnation or a restart of the agent was first seen. `None` if none of
+    /// these happened in this term.
     pub lease_renewed_at: Option<Instant>,
     /// When the machine was rented; `None` unless it is booting.
     pub booting_since: Option<Instant>,
@@ -95,21 +102,24 @@
     pub placed_tasks: BTreeMap<TaskId, Resources>,
     /// The sum of the resources in `placed_tasks`.
     pub used: Resources,
-    /// The resources of tasks that the machine reports although no record names them.
+    /// The resources of tasks that the machine reports although no record in the key-value store lists them
+    /// on it.
     pub unexpected_usage: Resources,
     /// The images that the machine has cached or is fetching.
     pub images: ImageCache,
-    /// A direct command to the machine is unanswered. No other one is sent until it is answered or fails.
+    /// Whether a direct command to the machine is unanswered. No other direct command is sent until this one
+    /// is answered or fails.
     pub command_in_flight: bool,
-    /// The machine is being returned to the cloud.
+    /// Whether the machine is being returned to the cloud.
     pub returning: bool,
-    /// When the return was last requested; `None` if it is still to be requested.
+    /// When the machine's return was last requested from the cloud; `None` if no return is requested, or it
+    /// is still to be requested.
     pub return_requested_at: Option<Instant>,
-    /// Since when no task has been placed on the machine; `None` while there is one or before its first
-    /// heartbeat.
+    /// Since when the machine has had no placed task; `None` while a task is placed on it, or before the
+    /// machine's first heartbeat.
     pub idle_since: Option<Instant>,
-    /// The machine is to be emptied, because it is being replaced or its tasks move to others. No further
-    /// task is placed on it.
+    /// Whether the machine is to be emptied, because it is being replaced or its tasks move to others. No
+    /// further task is placed on it.
     pub draining: bool,
     /// No task is placed on the machine before this time.
     pub avoid_until: Option<Instant>,
@@ -120,15 +130,15 @@
     pub quarantined_since: Option<Instant>,
     /// The mean natural logarithm of measured over estimated run time on this machine.
     pub log_slowdown: Average,
-    /// The lease has certainly expired, and no message of the machine was received since.
+    /// Whether the lease has certainly expired and no message from the machine has been received since then.
     pub lease_expired: bool,
-    /// A task of a cancelled job has been on the machine for too long. The machine is returned even while the
-    /// leadership is not confirmed.
+    /// Whether a task of a cancelled job has been on the machine for too long since the leader learned of the
+    /// cancellation. Such a machine is returned even while the leadership is not confirmed.
     pub cancellation_overdue: bool,
 }
 
 impl Machine {
-    /// A machine that became known at `now` and of which only the identity is known.
+    /// Creates a machine that the leader learned of at `now` and of which it knows only the identity.
     pub fn new(identity: MachineIdentity, term: Term, now: Instant) -> Self {
         Machine {
             id: identity.id,
@@ -170,8 +180,8 @@
         }
     }
 
-    /// Whether answers and commands of this term are known, or for a machine rented in it assumed, to reach
-    /// the machine.
+    /// Whether answers and commands of this term reach the machine. For a machine that has shown a token of
+    /// this term this is known; for a machine that was rented in this term it is assumed.
     pub fn is_reachable(&self) -> bool {
         (self.fenced || self.rented_this_term) && self.required_token.is_none()
     }
@@ -181,8 +191,8 @@
         self.quarantined_since.is_some()
     }
 
-    /// Blocks placement on the machine until it shows a token that is first sent from now on. Has no effect
-    /// if a token is already required.
+    /// Blocks placement on the machine until the machine shows a new token, which is first sent from now on.
+    /// Has no effect if a token is already required.
     pub(in crate::core) fn require_token(&mut self, now: Instant) {
         if self.required_token.is_none() {
             self.token = self.token.next();
@@ -212,8 +222,8 @@
         }
     }
 
-    /// The factor by which tasks run longer on this machine than estimated for its type. It is moved towards
-    /// 1 while there are few measurements.
+    /// The factor by which tasks run longer on this machine than estimated for its type. With fewer than
+    /// [`FULL_WEIGHT_MEASUREMENTS`] measurements the factor is moved towards 1.
     pub fn slowdown(&self) -> f64 {
         let counted = self.log_slowdown.count.min(FULL_WEIGHT_MEASUREMENTS);
         let weight = f64::from(counted) / f64::from(FULL_WEIGHT_MEASUREMENTS);
--- a/src/core/state/task_chunk.rs
+++ b/src/core/state/task_chunk.rs
@@ -1,18 +1,19 @@
 //! The tasks of a job that share one key in the key-value store.
 //!
 //! Every change raises the version of the chunk. Invariant: an ended attempt is held until the version that
-//! records its end is durable. Until then its machine is not told to forget it and keeps reporting the end.
+//! records its end is durable. Until then the leader does not tell the machine to forget the attempt, so the
+//! machine keeps reporting the end.
 
 use crate::core::model::AttemptId;
 use crate::core::persistence::records::TASKS_PER_CHUNK;
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// A chunk whose only changes are ends of attempts is written after this delay, so that one write contains
-/// several ends.
+/// A chunk whose only changes are ends of attempts is written once the oldest unwritten end was recorded this
+/// long ago, so that one write contains several ends.
 const END_BATCHING_DELAY: Duration = Duration::from_millis(4000);
 
-/// An ended attempt whose end is not durably recorded yet.
+/// An attempt that has ended, but whose end is not durably recorded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldAttempt {
     /// The task's index in its job.
@@ -23,19 +24,20 @@
     pub version: u64,
 }
 
-/// The state of up to [`TASKS_PER_CHUNK`] tasks of a job, and which version of it is durable.
+/// The state of up to [`TASKS_PER_CHUNK`] tasks of a job, and the version of this state that is durable.
 #[derive(Clone, Debug, Default)]
 pub struct TaskChunk {
-    /// The revision of the chunk's key; 0 if it was never written.
+    /// The revision of the chunk's key in the key-value store; 0 if the key was never written.
     pub revision: u64,
     /// The version of the state in memory, which every change raises.
     pub version: u64,
-    /// The highest version that is durable.
+    /// The highest version that is known to be durable.
     pub durable_version: u64,
     /// When the oldest end of an attempt was recorded since the last time all changes were durable; `None` if
-    /// there was none.
+    /// no attempt has ended since then.
     pub unwritten_ends_since: Option<Instant>,
-    /// Ended attempts that their machines must not forget yet, because their ends are not durable.
+    /// Attempts that have ended, and that their machines must not forget yet because the record of the end is
+    /// not durable.
     pub held_attempts: Vec<HeldAttempt>,
     /// One bit for each task that is done, the first task of the chunk in the lowest bit.
     pub done_bits: u64,
@@ -59,13 +61,14 @@
         newly_done
     }
 
-    /// Whether there are changes that are not durable.
+    /// Whether the chunk has changes that are not known to be durable.
     pub fn is_dirty(&self) -> bool {
         self.version > self.durable_version
     }
 
-    /// Whether the chunk has to be written now: it has changes that are not durable, and it has new intents,
-    /// no unwritten ends of attempts, or ends that have waited for the batching delay.
+    /// Whether the chunk has to be written now: it has changes that are not durable, and either it has
+    /// intents that are not durable, or it has no unwritten ends of attempts, or its oldest unwritten end has
+    /// waited for the batching delay.
     pub(in crate::core) fn is_write_due(
         &self,
         now: Instant,
