--- a/crates/model/src/heartbeats.rs
+++ b/crates/model/src/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats that agents send, and commands that agents receive.
 //!
-//! Invariant: every task status and command carries its attempt id, so a delayed one cannot apply to a later
-//! attempt of the same task.
+//! Invariant: every task status and command carries its attempt id, so a delayed status or command cannot be
+//! applied to a later attempt at the same task.
 
 use crate::{AttemptId, FencingToken, MachineId, MachineTypeName, TaskId, Zone};
 use std::time::Duration;
@@ -20,7 +20,8 @@
     GangMemberEnded,
     /// The gang did not assemble within the timeout.
     GangIncomplete,
-    /// The task itself failed. Reasons that this version does not know are read as this one.
+    /// The task itself failed. Exit reasons that this version of the software does not know are read as
+    /// `Failed`.
     Failed,
     /// The machine did not have enough free resources for the attempt.
     InsufficientResources,
@@ -41,7 +42,8 @@
     Running,
     /// The attempt was killed and is saving a checkpoint.
     Checkpointing,
-    /// The attempt has ended. The agent reports it until it receives [`TaskCommand::Forget`].
+    /// The attempt has ended. The agent reports the attempt in every heartbeat until the agent receives
+    /// [`TaskCommand::Forget`] for it.
     Ended(ExitReason),
 }
 
@@ -52,7 +54,7 @@
     pub task: TaskId,
     /// The attempt id from the launch command.
     pub attempt: AttemptId,
-    /// The phase when the heartbeat was created.
+    /// The phase of the attempt when the heartbeat was created.
     pub phase: TaskPhase,
 }
 
@@ -71,13 +73,14 @@
     pub spot: bool,
     /// The agent's incarnation. The agent starts a new one when its lease has expired.
     pub incarnation: u64,
-    /// A serial number that increases with every message of an incarnation.
+    /// The serial number of this message, which increases with every message of an incarnation.
     pub serial: u64,
     /// The highest fencing token that the agent has received.
     pub token: FencingToken,
     /// The time from this heartbeat until the cloud evicts the machine. None: no eviction is announced.
     pub eviction: Option<Duration>,
-    /// The attempts on the machine, including ended ones for which no [`TaskCommand::Forget`] has arrived.
+    /// The attempts on the machine, including ended attempts for which the agent has received no
+    /// [`TaskCommand::Forget`].
     pub tasks: Vec<TaskStatus>,
 }
 
@@ -97,7 +100,7 @@
         task: TaskId,
         /// The attempt to stop.
         attempt: AttemptId,
-        /// How long the attempt may take to save a checkpoint. Zero: it is stopped at once.
+        /// How long the attempt may take to save a checkpoint. Zero: the attempt is stopped at once.
         grace_period: Duration,
     },
     /// Leave an ended attempt out of later heartbeats.
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The hash of an image name. Each placement round compares the images of every job with those of every
+/// The hash of an image name. Each placement round compares the image of every job with the images on every
 /// machine, and comparing hashes is cheaper than comparing strings. A collision would only distort an
 /// estimate of the fetch time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! Types that the packages of cypressgap share: identifiers, fencing tokens, resources and heartbeats.
 //!
-//! They contain no scheduling logic and no serialization. The modules for the wire formats and for stored
-//! records convert to and from them.
+//! These types contain no scheduling logic and no serialization. The modules for the wire formats and for
+//! stored records convert between them and the serialized forms.
 
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::wildcard_imports))]
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -14,10 +14,12 @@
     pub memory_gb: f64,
 }
 
-/// A shortage up to this amount counts as a rounding error. It applies to each resource in its own unit.
+/// A shortage of a resource up to this amount counts as a rounding error. The amount is in the unit of the
+/// compared resource: CPUs, GPUs or GB.
 pub const RESOURCE_EPSILON: f64 = 1e-6;
 
-/// The result of [`Resources::count_fitting_in`] for an amount that is zero, of which any number fits.
+/// The result of [`Resources::count_fitting_in`] for an amount that is zero in every resource, which would
+/// fit any number of times.
 const COUNT_FOR_ZERO_AMOUNT: usize = 1000;
 
 impl Resources {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// How many times this amount fits into `available`, rounded down; 1000 if this amount is zero.
+    /// How many times this amount fits into `available`, rounded down; 1000 if this amount is zero in every
+    /// resource.
     #[must_use]
     pub fn count_fitting_in(&self, available: &Resources) -> usize {
         let count_of = |amount: f64, available: f64| {
@@ -73,8 +76,8 @@
         }
     }
 
-    /// The dominant share: the largest fraction of `total` that this amount takes of any one resource.
-    /// Resources of which `total` has none do not count.
+    /// The dominant share: the largest fraction of `total` that this amount takes of any one resource. A
+    /// resource of which `total` has none is ignored.
     #[must_use]
     pub fn dominant_share_of(&self, total: &Resources) -> f64 {
         let share = |amount: f64, total: f64| if total > 0.0 { amount / total } else { 0.0 };
--- a/crates/model/src/tokens.rs
+++ b/crates/model/src/tokens.rs
@@ -1,15 +1,16 @@
 //! Leadership terms, fencing tokens and attempt ids.
 //!
-//! Invariant: tokens and attempt ids hold their term in the high bits, so those of a later term are greater
-//! than all of an earlier term. This requires that the number in the low bits does not overflow, which is not
-//! checked.
+//! Invariant: tokens and attempt ids hold their term in the high bits, so the tokens and ids of a later term
+//! are greater than all tokens and ids of an earlier term. This requires that the number in the low bits does
+//! not overflow, which is not checked.
 
 /// The number of a leadership term. Each change of leader increments it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Term(pub u64);
 
-/// The fencing token by which agents reject messages of earlier leaders. The high bits hold the term, and the
-/// low 24 bits hold a sequence number that is counted per machine.
+/// A fencing token. Agents use it to reject messages of earlier leaders: they reject a token that is lower
+/// than the highest token that they have received. The high bits hold the term, and the low 24 bits hold a
+/// sequence number that is counted per machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken(pub u64);
 
@@ -32,7 +33,8 @@
     }
 }
 
-/// The id of an attempt, unique across all terms. The high bits hold the term that created it.
+/// The id of an attempt, unique across all terms. The high bits hold the term whose leader created the
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
@@ -40,7 +42,8 @@
 const ATTEMPT_NUMBER_BITS: u32 = 28;
 
 impl AttemptId {
-    /// Creates an attempt id from the term and the attempt's number within it, which must fit into 28 bits.
+    /// Creates an attempt id from the term and the attempt's number within that term. The number must fit
+    /// into 28 bits.
     pub fn new(term: Term, number: u64) -> AttemptId {
         AttemptId((term.0 << ATTEMPT_NUMBER_BITS) | number)
     }
--- a/src/common/metrics.rs
+++ b/src/common/metrics.rs
@@ -11,8 +11,8 @@
 const US_PER_MS: f64 = 1000.0;
 /// Weight of the newest lag in the exponential moving average.
 const NEWEST_LAG_WEIGHT: f64 = 0.15;
-/// Longer lags are recorded as this one. A process that was paused is not overloaded, so the single very late
-/// timer after a pause must not dominate the average.
+/// Lags that are longer than this are recorded as this value. A process that was paused is not overloaded, so
+/// the single very late timer after a pause must not dominate the average.
 const MAX_TIMER_LAG: Duration = Duration::from_secs(2);
 
 /// Collects the durations of one kind of operation until they are summarized.
@@ -41,8 +41,8 @@
 impl LatencyMeter {
     /// Creates a meter without recorded durations.
     pub fn new() -> LatencyMeter {
-        // The bounds are fixed because `saturating_record` never resizes a histogram: one that starts small
-        // and resizes itself would clamp durations to its initial range.
+        // The bounds are fixed because `saturating_record` never resizes a histogram: in a histogram that
+        // starts small and resizes itself, it would clamp durations to the initial range.
         let histogram = Histogram::new_with_bounds(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
             .expect("the histogram's bounds and precision are valid");
         LatencyMeter {
--- a/src/common/rate_limit.rs
+++ b/src/common/rate_limit.rs
@@ -68,15 +68,16 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Changes the rate from `now` on. The capacity, and so the largest burst, stays the same.
+    /// Sets the rate at which tokens are added from `now` on. The capacity, and so the largest burst, stays
+    /// the same.
     pub fn set_rate(&self, tokens_per_s: f64, now: Instant) {
         let mut state = self.lock();
         state.refill(now);
         state.tokens_per_s = tokens_per_s;
     }
 
-    /// Sets the capacity to `burst_s` seconds' worth of tokens at the given rate, at least one token. The
-    /// rate at which tokens are added stays the same.
+    /// Sets the capacity to `burst_s` seconds' worth of tokens at the rate `tokens_per_s`, at least one
+    /// token. The rate at which tokens are added to the bucket stays the same.
     pub fn set_burst(&self, tokens_per_s: f64, burst_s: f64) {
         self.lock().capacity_tokens = capacity_tokens(tokens_per_s, burst_s);
     }
@@ -99,23 +100,24 @@
         self.try_take_at(tokens, Instant::now())
     }
 
-    /// Takes `tokens` at `now`. Returns false, and takes none, if the bucket holds fewer. A request for more
-    /// tokens than the capacity is granted when the bucket is full.
+    /// Takes `tokens` at `now`. Returns false, and takes none, if the bucket holds fewer than `tokens`. A
+    /// request for more tokens than the capacity is granted when the bucket is full.
     #[must_use]
     pub fn try_take_at(&self, tokens: f64, now: Instant) -> bool {
         self.try_take_above_reserve(tokens, 0.0, now)
     }
 
-    /// Takes `tokens` at `now` if at least `reserved_share` of the capacity, a fraction from 0 to 1, remains
-    /// in the bucket. Returns false, and takes none, if less would remain. A request for more tokens than the
-    /// unreserved part of the capacity is granted when the bucket is full.
+    /// Takes `tokens` at `now` if at least the fraction `reserved_share` (from 0 to 1) of the capacity then
+    /// remains in the bucket. Returns false, and takes none, if less would remain. A request for more tokens
+    /// than the unreserved part of the capacity is granted when the bucket is full.
     #[must_use]
     pub fn try_take_above_reserve(&self, tokens: f64, reserved_share: f64, now: Instant) -> bool {
         let mut state = self.lock();
         state.refill(now);
         let reserved_tokens = state.capacity_tokens * reserved_share;
-        // Such a request is granted when the bucket is full; otherwise it would never be granted. It leaves
-        // the bucket below the reserve, possibly with a negative number of tokens.
+        // A request that exceeds the unreserved part of the capacity is granted when the bucket is full,
+        // because it could never be granted otherwise. It leaves the bucket below the reserve, possibly with
+        // a negative number of tokens.
         let exceeds_capacity = tokens > state.capacity_tokens - reserved_tokens;
         let granted =
             state.tokens - tokens >= reserved_tokens || (exceeds_capacity && state.is_full());
--- a/src/common/stop_signal.rs
+++ b/src/common/stop_signal.rs
@@ -41,7 +41,7 @@
         *self.state.lock()
     }
 
-    /// Blocks until the signal is given or `timeout` has passed. Returns true if the signal has been given.
+    /// Blocks until the signal is given or `timeout` has passed. Returns whether the signal has been given.
     pub fn wait(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut stopped = self.state.lock();
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: rejects jobs that could never run or whose record could not be stored.
 //!
 //! The API answers a rejected submission with the HTTP status 422. Resources that are in use at the moment
-//! count as free: a job that only has to wait for them is admitted.
+//! count as free: a job that could run once other tasks release them is admitted.
 
 use super::model::{JobKind, JobSpec, MachineType, Resources, Team};
 
@@ -24,9 +24,9 @@
          {max_value_bytes}"
     )]
     RecordTooLong {
-        /// Upper bound of the record's size.
+        /// The upper bound of the record's size, in bytes.
         max_record_bytes: usize,
-        /// Size limit of a value in the key-value store.
+        /// The size limit of a value in the key-value store, in bytes.
         max_value_bytes: usize,
     },
 }
@@ -49,8 +49,8 @@
 
 /// Checks that a job's team exists, that at least one machine type that the job allows is large enough for a
 /// task and offered in a zone that the job allows, and that the job alone fits within the team's limits. The
-/// job counts with the resources of one task if it is a job array, or of all tasks if it is a gang. The
-/// team's current usage does not count.
+/// limits are compared with the resources of one task if the job is a job array, or of all its tasks if it is
+/// a gang. The team's current usage is ignored.
 pub fn check_job(
     spec: &JobSpec,
     teams: &[Team],
--- a/src/core/model/config.rs
+++ b/src/core/model/config.rs
@@ -32,7 +32,8 @@
     /// The duration of a worker's lease: how long a worker keeps its tasks running without a response to its
     /// heartbeats.
     pub lease: Duration,
-    /// How long the members of a gang wait on their machines until the gang is complete.
+    /// The maximum time for which the members of a gang wait on their machines for the gang to become
+    /// complete.
     pub gang_assembly_timeout: Duration,
     /// The time within which the other members of a gang detect that one member is lost.
     pub gang_failure_detection_time: Duration,
@@ -58,7 +59,7 @@
     /// The interval at which the summary of the run time history is written to the key-value store.
     pub summary_interval: Duration,
     /// The fraction of `lease` after which a machine without heartbeats counts as silent and may be returned
-    /// to the cloud. Independently of the lease, it must also have missed several heartbeats.
+    /// to the cloud. Whatever this fraction is, the machine must also have missed several heartbeats.
     pub silent_lease_fraction: f64,
     /// How long a spot machine may be idle before it is returned to the cloud.
     pub spot_idle_timeout: Duration,
--- a/src/core/model/job.rs
+++ b/src/core/model/job.rs
@@ -6,8 +6,8 @@
 /// The priority of a job, from lowest to highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Below standard. A task that is expected to get a machine waits for it rather than have an expensive
-    /// one rented, unless its deadline is at risk.
+    /// Below standard. A task of this priority that is expected to get a machine waits for that machine
+    /// instead of having an expensive machine rented, unless the deadline of its job is at risk.
     Idle,
     /// The usual priority of users' jobs.
     Standard,
@@ -49,7 +49,8 @@
     pub zone: Option<Zone>,
     /// Whether all tasks must run in the same zone.
     pub same_place: bool,
-    /// Whether the tasks are spread over zones: at most half of them, rounded up, may start in one zone.
+    /// Whether the tasks are spread over zones: at most half of the job's tasks, rounded up, may start in one
+    /// zone.
     pub spread: bool,
     /// Whether the job may run on spot machines.
     pub allows_spot: bool,
@@ -57,9 +58,9 @@
     pub image: String,
     /// The size of the image in GB.
     pub image_gb: f64,
-    /// The run time of one task that the user expects.
+    /// The user's estimate of the run time of one task.
     pub expected: Duration,
-    /// The interval at which a running task writes checkpoints. Zero: it writes none.
+    /// The interval at which a running task writes checkpoints. Zero: tasks write no checkpoints.
     pub checkpoint_interval: Duration,
     /// How long a task takes to write a checkpoint when it is stopped.
     pub checkpoint_duration: Duration,
@@ -68,8 +69,8 @@
     /// The jobs that must complete before any task of this job starts.
     pub dependencies: Vec<JobId>,
     /// Whether the job is in the lists of dependents that the key-value store holds for its dependencies. The
-    /// previous version enters every job there; this one does so only while a peer may need the lists. A full
-    /// list is not extended.
+    /// previous version of this software enters every job in these lists; this version does so only while a
+    /// peer may need the lists. A job is not entered in a list that is full.
     pub listed_as_dependent: bool,
     /// The time of acceptance in milliseconds since the Unix epoch, by the clock of the accepting node.
     pub accepted_unix_ms: u64,
@@ -89,7 +90,8 @@
         self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    /// Whether the tasks write checkpoints while they run.
+    /// Whether the job's tasks write checkpoints while they run, which is the case if `checkpoint_interval`
+    /// is not zero.
     #[must_use]
     pub fn writes_checkpoints(&self) -> bool {
         !self.checkpoint_interval.is_zero()
--- a/src/core/model/machine.rs
+++ b/src/core/model/machine.rs
@@ -18,14 +18,16 @@
     pub on_demand_price_per_hour: f64,
     /// The price of a spot machine per hour.
     pub spot_price_per_hour: f64,
-    /// How long a machine takes to boot according to the cloud. Used until enough boots have been measured.
+    /// How long a machine takes to boot according to the cloud. This value is used until the boot times of
+    /// enough machines have been measured.
     pub advertised_boot_time: Duration,
     /// The zones in which machines of this type can be rented.
     pub zones: Vec<Zone>,
 }
 
 impl MachineType {
-    /// The price of a spot or on-demand machine per hour.
+    /// The price per hour of a machine of this type: of a spot machine if `spot` is true, otherwise of an
+    /// on-demand machine.
     #[must_use]
     pub fn price(&self, spot: bool) -> f64 {
         if spot {
@@ -58,10 +60,10 @@
     pub machine_type: MachineTypeName,
     /// The zone in which the machine was rented.
     pub zone: Zone,
-    /// Whether it is a spot machine, which the cloud may evict.
+    /// Whether the machine is a spot machine, which the cloud may evict.
     pub spot: bool,
     /// The machine's lifecycle phase when the list was created.
     pub phase: CloudMachinePhase,
-    /// The time since the machine was rented.
+    /// The time from the rental of the machine to the creation of the list.
     pub age: Duration,
 }
--- a/src/core/model/mod.rs
+++ b/src/core/model/mod.rs
@@ -1,6 +1,7 @@
 //! Domain types of the scheduler: jobs, machines, teams and the settings of the core.
 //!
-//! They do not depend on wire formats or stored records; the `wire` module converts to and from them.
+//! These types do not depend on wire formats or stored records; the `wire` module converts between them and
+//! those formats.
 
 mod config;
 mod job;
--- a/src/core/model/team.rs
+++ b/src/core/model/team.rs
@@ -18,7 +18,7 @@
 }
 
 impl Team {
-    /// Whether `used` and `more` together stay within the limits.
+    /// Whether the sum of `used` and `more` stays within the team's limits.
     #[must_use]
     pub fn allows(&self, used: &Resources, more: &Resources) -> bool {
         let within = |limit: Option<f64>, used: f64, more: f64| {
@@ -27,7 +27,8 @@
         within(self.cpus_max, used.cpus, more.cpus) && within(self.gpus_max, used.gpus, more.gpus)
     }
 
-    /// Whether `used` stays within the guarantee. A resource without a guarantee counts as guaranteed 0.
+    /// Whether `used` stays within the team's guaranteed CPUs and GPUs. A resource without a guarantee counts
+    /// as having a guarantee of 0.
     #[must_use]
     pub fn guarantees(&self, used: &Resources) -> bool {
         let within = |guaranteed: Option<f64>, used: f64| {
--- a/src/core/state/fleet.rs
+++ b/src/core/state/fleet.rs
@@ -1,7 +1,7 @@
 //! The machines of the cluster, and the ids of machines that were returned.
 //!
-//! Invariant: a returned machine is not added again while its id is remembered, so that a late heartbeat has
-//! no effect.
+//! Invariant: a returned machine is not added again while its id is remembered, so that a late heartbeat from
+//! it has no effect.
 
 use crate::core::model::{MachineId, MachineType, MachineTypeName};
 use crate::core::state::machine::Machine;
@@ -43,8 +43,8 @@
         self.tombstones.contains(id)
     }
 
-    /// Removes a machine that was returned. Its id is remembered until at least `max_machines`, and at least
-    /// `MIN_TOMBSTONES`, others were removed.
+    /// Removes a machine that was returned. Its id is remembered until at least as many other machines have
+    /// been removed as the larger of `max_machines` and `MIN_TOMBSTONES`.
     pub(in crate::core) fn remove(&mut self, id: &MachineId, max_machines: usize) {
         self.machines.remove(id);
         if !self.tombstones.insert(id.clone()) {
--- a/src/core/state/image_cache.rs
+++ b/src/core/state/image_cache.rs
@@ -1,6 +1,7 @@
 //! The images that a machine has cached or is fetching, inferred from its heartbeats and from placements.
 //!
-//! It assumes that the machine evicts the least recently used images and always keeps the last one used.
+//! The inference assumes that the machine evicts the least recently used images first and never evicts the
+//! most recently used one.
 
 use crate::core::model::ImageKey;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,7 +19,7 @@
 /// An image that a machine is fetching.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ImageFetch {
-    /// When the fetch was first known to be in progress.
+    /// When the leader first learned that the fetch was in progress.
     pub since: Instant,
     /// The size of the image in GB.
     pub size_gb: f64,
@@ -39,7 +40,7 @@
         self.cached.iter().any(|c| c.image == image)
     }
 
-    /// Adds an image as the most recently used one without evicting others.
+    /// Adds an image to the cache as the most recently used one, without evicting other images.
     pub fn push(&mut self, image: CachedImage) {
         self.cached.push_back(image);
     }
@@ -59,7 +60,8 @@
         self.fetches.values().map(|fetch| fetch.size_gb).sum()
     }
 
-    /// Records that a fetch is in progress. The start time of a known fetch is kept.
+    /// Records that the machine is fetching an image at `now`. If the fetch is recorded already, its start
+    /// time is kept.
     pub(in crate::core) fn record_fetch(&mut self, now: Instant, image: ImageKey, size_gb: f64) {
         let fetch = ImageFetch {
             since: now,
@@ -68,8 +70,9 @@
         self.fetches.entry(image).or_insert(fetch);
     }
 
-    /// Records that a task uses an image, so that it is cached and its fetch has ended. The least recently
-    /// used images are evicted until the rest fits into `capacity_gb`.
+    /// Records that a task uses an image, which shows that the image is cached and that its fetch has ended.
+    /// The least recently used images are removed until the remaining ones fit into `capacity_gb` or only
+    /// this image is left.
     pub(in crate::core) fn record_use(&mut self, image: ImageKey, size_gb: f64, capacity_gb: f64) {
         self.fetches.remove(&image);
         if self.cached.back().is_some_and(|c| c.image == image) {
@@ -82,12 +85,13 @@
         }
     }
 
-    /// Removes all fetches, which end when no task is placed on the machine any more.
+    /// Removes all fetches. Called when no task is placed on the machine any more, because its fetches end
+    /// then.
     pub(in crate::core) fn clear_fetches(&mut self) {
         self.fetches.clear();
     }
 
-    /// Removes all images and fetches, after the agent restarted with an empty cache.
+    /// Removes all images and fetches. Called after the agent has restarted, which leaves the cache empty.
     pub(in crate::core) fn clear(&mut self) {
         self.cached.clear();
         self.fetches.clear();
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -21,8 +21,8 @@
     pub spec: JobSpec,
     /// The key of the job's image, computed from the image reference.
     pub image: ImageKey,
-    /// The revision of the key-value store at which the job was accepted. Jobs of equal priority are placed
-    /// in the order of this revision.
+    /// The revision of the key-value store at which the job was accepted. In the scheduling order, jobs of
+    /// equal priority are sorted by this revision.
     pub revision: u64,
     /// The revision of the key of the job's outcome; 0 while the key is absent. Until the outcome is known,
     /// all writes of the job's outcome and task chunks are conditional on this revision, so that no intent of
--- a/src/core/state/job_table.rs
+++ b/src/core/state/job_table.rs
@@ -1,7 +1,8 @@
 //! The jobs of the cluster, their dependencies, and their order by priority and arrival.
 //!
-//! Invariants: the order is marked as stale whenever a job is added, removed or given another priority, and
-//! the next `JobTable::sort` rebuilds it. Every removed job is returned once by [`JobTable::take_removed`].
+//! Invariants: the scheduling order is marked as stale whenever a job is added, removed or given another
+//! priority, and the next `JobTable::sort` rebuilds the order. Every removed job is returned once by
+//! [`JobTable::take_removed`].
 
 use crate::core::model::{JobId, Priority};
 use crate::core::state::dependencies::Dependencies;
@@ -17,7 +18,7 @@
     pub(in crate::core) dependencies: Dependencies,
     /// Job ids by priority, highest first, and then by acceptance, as of the last `JobTable::sort`.
     scheduling_order: Vec<JobId>,
-    /// The order does not reflect all changes yet.
+    /// Whether `scheduling_order` does not reflect all changes of the jobs yet.
     order_is_stale: bool,
     /// Jobs that were removed since the last call of [`JobTable::take_removed`].
     removed: Vec<JobId>,
@@ -31,7 +32,7 @@
         self.by_id.get(id)
     }
 
-    /// The job with this id, for modification. Changes of the priority have to be reported with
+    /// The job with this id, for modification. The caller has to report a change of the job's priority with
     /// `JobTable::priority_changed`.
     pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.by_id.get_mut(id)
@@ -81,7 +82,7 @@
         std::mem::take(&mut self.removed)
     }
 
-    /// Marks the order as stale after the priority of a job has changed.
+    /// Marks the scheduling order as stale after the priority of a job has changed.
     pub(in crate::core) fn priority_changed(&mut self) {
         self.order_is_stale = true;
     }
@@ -91,7 +92,7 @@
         &self.scheduling_order
     }
 
-    /// Rebuilds the order if it is stale.
+    /// Rebuilds the scheduling order if it is stale.
     pub(in crate::core) fn sort(&mut self) {
         if !std::mem::take(&mut self.order_is_stale) {
             return;
--- a/src/core/state/outbox.rs
+++ b/src/core/state/outbox.rs
@@ -19,12 +19,13 @@
     actions: Vec<Action>,
     /// Machines with commands that are to be sent directly, without waiting for the next heartbeat.
     pub(in crate::core) urgent_machines: BTreeSet<MachineId>,
-    /// Machines whose status is to be requested, in order; only some are sent in each tick.
+    /// Machines whose status is to be requested, in the order of the requests. Only some of the requests are
+    /// sent in each tick.
     pub(in crate::core) probes: VecDeque<PendingProbe>,
 }
 
 impl Outbox {
-    /// Appends an action.
+    /// Appends an action to those that the runtime takes next.
     pub(in crate::core) fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
--- a/src/core/state/quota_usage.rs
+++ b/src/core/state/quota_usage.rs
@@ -4,8 +4,8 @@
 //! proved gone from its machine. Tasks that a heartbeat lists although no record names them are counted until
 //! a later heartbeat of the machine replaces them, or until the machine is removed or its lease expires.
 //!
-//! Invariant: the accounted usage is never less than the actual usage on machines, and every start of a task
-//! checks it first.
+//! Invariant: the accounted usage is never less than the actual usage on machines, and a task is started only
+//! after a check of its team's accounted usage.
 
 use crate::core::model::{MachineId, Resources, TaskId, TeamName};
 use std::collections::HashMap;
@@ -17,8 +17,8 @@
     resources: Resources,
 }
 
-/// The sum of a team's entries. Their number is counted so that the sum can be reset to exactly zero, without
-/// rounding errors, when there are no entries left.
+/// The sum of the resources of a team's entries, and the number of these entries. The number is kept so that
+/// the sum can be reset to exactly zero, without rounding errors, when there are no entries left.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     resources: Resources,
@@ -37,8 +37,8 @@
 }
 
 impl QuotaUsage {
-    /// Adds the attempt at a task, which may be on a machine from now on. It replaces an earlier entry of the
-    /// same task, since a task has at most one active attempt.
+    /// Adds an entry for the attempt at a task, which may be on a machine from now on. The entry replaces an
+    /// earlier one of the same task, since a task has at most one active attempt.
     pub fn add_attempt(&mut self, task: TaskId, team: &TeamName, resources: Resources) {
         let entry = Entry {
             team: team.clone(),
@@ -50,14 +50,15 @@
         }
     }
 
-    /// Removes the attempt at a task, which is proved gone from its machine.
+    /// Removes the entry for the attempt at a task, which is proved gone from its machine.
     pub fn remove_attempt(&mut self, task: &TaskId) {
         if let Some(entry) = self.attempts.remove(task) {
             self.subtract(&entry);
         }
     }
 
-    /// Replaces the entries of tasks that a machine lists although no record names them.
+    /// Replaces the entries of those tasks that a machine lists although no record names them. An empty
+    /// `tasks` removes the entries.
     pub fn set_unexpected(&mut self, machine: &MachineId, tasks: &[(TeamName, Resources)]) {
         for entry in self.unexpected.remove(machine).unwrap_or_default() {
             self.subtract(&entry);
--- a/src/core/state/recent_usage.rs
+++ b/src/core/state/recent_usage.rs
@@ -16,7 +16,8 @@
 }
 
 impl RecentUsage {
-    /// Adds the current usage of all teams to the average. The first call sets the average to it.
+    /// Adds the current usage of all teams to the averages, weighted by the time since the previous call. The
+    /// first call sets the averages to the current usage.
     pub(in crate::core) fn update(&mut self, now: Instant, current: HashMap<TeamName, Resources>) {
         let Some(before) = self.updated.replace(now) else {
             self.mean = current;
--- a/src/core/state/round_schedule.rs
+++ b/src/core/state/round_schedule.rs
@@ -1,15 +1,16 @@
 //! Decides when the periodic work of the leader is due.
 //!
-//! Invariant: work that is reported as due counts as done, so that it is due at most once per interval.
+//! Invariant: work that is reported as due counts as done from then on, so that each kind of work is due at
+//! most once per interval.
 
 use std::time::{Duration, Instant};
 
-/// The interval between placement rounds is this multiple of the duration of the last tick, within the two
-/// bounds below.
+/// The interval between placement rounds is this multiple of the duration of the last tick, within
+/// [`MIN_ROUND_INTERVAL`] and [`MAX_ROUND_INTERVAL`].
 const ROUND_INTERVAL_FACTOR: u32 = 5;
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(1500);
-/// The minimum interval between rounds while none is requested.
+/// The minimum interval between placement rounds while no round is requested.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_millis(1000);
 /// The minimum interval between scaling decisions, which are taken after a placement round.
 const SCALING_INTERVAL: Duration = Duration::from_millis(450);
@@ -44,8 +45,8 @@
         self.round_requested = true;
     }
 
-    /// Sets the duration of the last tick, which determines the interval between rounds. Most of the CPU time
-    /// thus remains for heartbeats and requests.
+    /// Sets the duration of the last tick, which determines the interval between placement rounds, so that
+    /// most of the CPU time remains for heartbeats and requests.
     pub(in crate::core) fn set_tick_duration(&mut self, duration: Duration) {
         self.round_interval =
             (duration * ROUND_INTERVAL_FACTOR).clamp(MIN_ROUND_INTERVAL, MAX_ROUND_INTERVAL);
--- a/src/core/state/scheduling_rank.rs
+++ b/src/core/state/scheduling_rank.rs
@@ -1,4 +1,5 @@
-//! The rank of a job in scheduling: its own, or the one that it inherits from its dependents.
+//! The rank of a job in scheduling: the job's own rank, or that rank raised by the ranks of the job's
+//! dependents.
 
 use crate::core::model::Priority;
 use std::time::Instant;
--- a/src/core/state/task_states.rs
+++ b/src/core/state/task_states.rs
@@ -6,16 +6,17 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// No task is placed on a machine for this long after it refused a launch.
+/// No task is placed on a machine for this long after the machine refused a launch because it lacked
+/// resources or still ran an earlier attempt.
 const AVOIDANCE_AFTER_REFUSAL: Duration = Duration::from_secs(4);
-/// Shorter measured and estimated run times are raised to this before they are compared.
+/// Measured and estimated run times that are shorter than this are raised to it before they are compared.
 const MIN_COMPARED_RUN_TIME_S: f64 = 0.1;
 /// Bounds to which the natural logarithm of measured over estimated run time is clamped.
 const MIN_LOG_SLOWDOWN: f64 = -1.0;
 const MAX_LOG_SLOWDOWN: f64 = 3.0;
 
 impl ClusterState {
-    /// Handles the reported phase of a recorded attempt that has not ended.
+    /// Handles the phase that a heartbeat reports for a recorded attempt that has not ended.
     pub(in crate::core) fn on_task_phase(
         &mut self,
         now: Instant,
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Records how long the fetch of an image took. It is known only if the start of the fetch was observed
-    /// and the machine was fetching no other image at the same time.
+    /// Records how long the fetch of an image took. Nothing is recorded unless the start of the fetch was
+    /// observed (`start_observed`) and the machine is fetching no other image.
     fn measure_fetch(
         &mut self,
         now: Instant,
@@ -80,7 +81,8 @@
             .record_fetch(machine_type, nominal_rate, fetch.size_gb, took);
     }
 
-    /// Handles the reported end of a recorded attempt, whether it ended by itself or was killed.
+    /// Handles the end that a heartbeat reports for a recorded attempt, whether the attempt ended by itself
+    /// or was killed.
     pub(in crate::core) fn on_task_ended(
         &mut self,
         now: Instant,
@@ -130,7 +132,8 @@
         };
         job.crash_loop.reset_unknown_refusals();
         let run_time = attempt.measured_run_time(now);
-        // The estimate may be wrong on all machines alike until another task of the job has completed.
+        // Until another task of the job has completed, the estimate may be wrong by the same factor on all
+        // machines and so says nothing about this machine.
         let comparable = attempt.kill_request.is_none() && job.done_count > 1;
         let machine = self.fleet.machines.get_mut(&heartbeat.machine);
         if let (Some(took), Some(machine)) = (run_time.filter(|_| comparable), machine) {
@@ -148,10 +151,10 @@
         self.on_task_succeeded(now, job_id, &heartbeat.machine);
     }
 
-    /// Adds the run time of a stopped attempt that its checkpoints hold to the task's saved progress. If a
-    /// checkpoint was saved when it stopped, that is the whole run time, otherwise the run time up to the
-    /// last full checkpoint interval. Nothing is added if the job writes no checkpoints or the start of the
-    /// attempt was not observed.
+    /// Adds the part of a stopped attempt's run time that its checkpoints hold to the task's saved progress.
+    /// If the attempt saved a checkpoint when it stopped, this part is the whole run time; otherwise it is
+    /// the run time up to the end of the last full checkpoint interval. Nothing is added if the job writes no
+    /// checkpoints or the start of the attempt was not observed.
     fn record_checkpoint(
         &mut self,
         now: Instant,
@@ -202,9 +205,9 @@
 }
 
 impl ActiveAttempt {
-    /// Records that the attempt was first observed to run. Returns whether its start was observed, which is
-    /// the case if an earlier phase was observed in this term or this term launched it. Otherwise, as after a
-    /// failover, it may have started long before.
+    /// Records that the attempt was first observed to run at `now`. Returns whether its start was observed,
+    /// which is the case if an earlier phase was observed in this term or this term launched it. Otherwise,
+    /// as after a failover, the attempt may have started long before `now`.
     fn record_start(
         &mut self,
         now: Instant,
@@ -217,7 +220,7 @@
         self.start_observed
     }
 
-    /// The run time up to `now`; `None` if the start was not observed.
+    /// The run time of the attempt up to `now`; `None` if the start of the run was not observed.
     fn measured_run_time(&self, now: Instant) -> Option<Duration> {
         let since = self.running_since.filter(|_| self.start_observed)?;
         Some(now.saturating_duration_since(since))
--- a/src/core/state/termination.rs
+++ b/src/core/state/termination.rs
@@ -1,5 +1,5 @@
-//! How machines leave the cluster and how attempts are ended from outside: returned machines, expired leases,
-//! overdue cancellations, spot evictions and kills.
+//! How machines leave the cluster, and how attempts end for reasons other than their own exit: returned
+//! machines, expired leases, overdue cancellations, spot evictions and kills.
 //!
 //! Invariant: an attempt is removed from its machine only on proof that it no longer runs there. In this
 //! module the proof is the cloud's confirmation that the machine is gone, or a lease that has certainly
@@ -14,23 +14,23 @@
 use std::time::{Duration, Instant};
 
 /// A lease counts as expired only after this multiple of its duration plus [`LEASE_MARGIN`]. Clocks drift by
-/// 0.05%; the factor allows for four times as much.
+/// 0.05%; the factor allows for a drift four times as large.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// If a task of a cancelled job is not proved gone after this fraction of `cancel_s`, its machine is
-/// returned.
+/// If a task of a cancelled job is not proved gone from its machine within this fraction of `cancel_s` since
+/// the leader learned of the cancellation, the machine is returned to the cloud.
 const OVERDUE_FRACTION_OF_CANCEL: f64 = 0.4;
-/// A task with checkpoints is stopped once the time until the eviction is at most this multiple of its
-/// checkpoint duration plus [`CHECKPOINT_LEAD_MARGIN`].
+/// A task that writes checkpoints is stopped once the time until its machine's eviction is at most this
+/// multiple of the task's checkpoint duration plus [`CHECKPOINT_LEAD_MARGIN`].
 const CHECKPOINT_LEAD_FACTOR: f64 = 1.3;
 const CHECKPOINT_LEAD_MARGIN: Duration = Duration::from_secs(2);
 /// The grace period of a task that is stopped before an eviction ends this long before the eviction, unless
 /// the task's checkpoint takes longer.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
-/// A task without checkpoints is killed at once, to run elsewhere, if its estimated remaining run time
-/// exceeds this multiple of the time until the eviction.
+/// A task that writes no checkpoints is killed at once, to run elsewhere, if its estimated remaining run time
+/// exceeds this multiple of the time until its machine's eviction.
 const UNFINISHABLE_FACTOR: f64 = 1.5;
-/// A kill becomes immediate this long after its grace period has passed.
+/// A kill whose task has not ended becomes an immediate kill this long after the end of its grace period.
 const KILL_ESCALATION_DELAY: Duration = Duration::from_secs(2);
 
 /// A task that has to be stopped now because the cloud will reclaim its machine.
@@ -69,7 +69,8 @@
         self.schedule.request_round();
     }
 
-    /// Handles a failed return: the return of these machines is requested again.
+    /// Handles a failed request to return machines to the cloud: the return of these machines is requested
+    /// again.
     pub fn on_return_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
@@ -78,9 +79,9 @@
         }
     }
 
-    /// Removes the attempts on machines whose leases have certainly expired. This applies only to machines
-    /// that this term has fenced, because the answers of an earlier leader may still renew the leases of
-    /// others.
+    /// Removes the attempts on machines whose leases have certainly expired. Only machines that this term has
+    /// fenced are considered, because the answers of an earlier leader may still renew the leases of the
+    /// other machines.
     pub(in crate::core) fn expire_leases(&mut self, now: Instant) {
         let max_lifetime = self.config.lease.mul_f64(LEASE_DRIFT_FACTOR) + LEASE_MARGIN;
         let mut tasks = Vec::new();
@@ -103,8 +104,9 @@
         }
     }
 
-    /// Returns the machines on which tasks of cancelled jobs are not proved gone in time, well before
-    /// `cancel_s` has passed.
+    /// Marks machines to be returned to the cloud if a task of a cancelled job is not proved gone from them
+    /// within [`OVERDUE_FRACTION_OF_CANCEL`] of `cancel_s` since the leader learned of the cancellation, and
+    /// so well before `cancel_s` has passed.
     pub(in crate::core) fn return_machines_of_overdue_cancellations(&mut self, now: Instant) {
         let limit = self.config.cancel.mul_f64(OVERDUE_FRACTION_OF_CANCEL);
         let is_overdue = |job: &&Job| {
@@ -123,8 +125,8 @@
     }
 
     /// Prepares for announced spot evictions. Tasks that have not started running are killed at once, tasks
-    /// with checkpoints are stopped in time to write one, and others are killed at once if they cannot
-    /// finish.
+    /// that write checkpoints are stopped in time to write one, and the other tasks are killed at once if
+    /// they are not expected to finish before the eviction.
     pub(in crate::core) fn prepare_evictions(&mut self, now: Instant) {
         let mut evicted = Vec::new();
         for machine in self.fleet.machines.values() {
@@ -151,8 +153,8 @@
         }
     }
 
-    /// The grace period with which a task must be killed now, given the time until its machine is reclaimed.
-    /// `None` if the task may run on for now or its end was requested before.
+    /// The grace period with which a task must be killed now, if its machine is reclaimed after
+    /// `until_eviction`. `None` if the task may run on for now, or if its end was requested before.
     fn eviction_grace_period(
         &self,
         now: Instant,
@@ -180,7 +182,7 @@
         (remaining > until_eviction.mul_f64(UNFINISHABLE_FACTOR)).then_some(Duration::ZERO)
     }
 
-    /// Requests the end of all active members of a gang, with the same grace period for each.
+    /// Requests the end of all active members of a gang, each with the grace period `grace_period`.
     pub(in crate::core) fn stop_gang(
         &mut self,
         now: Instant,
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Makes kills immediate whose grace period passed more than [`KILL_ESCALATION_DELAY`] ago.
+    /// Turns kills whose grace period ended more than [`KILL_ESCALATION_DELAY`] ago into immediate kills,
+    /// which are sent to the machines again.
     pub(in crate::core) fn escalate_kills(&mut self, now: Instant) {
         let mut machines = Vec::new();
         for attempt in self.jobs.values_mut().flat_map(|j| j.active.values_mut()) {
@@ -214,7 +217,7 @@
 }
 
 /// Whether the lease of a machine has certainly expired and this is not recorded yet. `max_lifetime` is the
-/// longest time from a renewal to the expiry.
+/// longest time from the renewal of a lease to its expiry.
 fn is_newly_expired(machine: &Machine, now: Instant, max_lifetime: Duration) -> bool {
     let expired = |renewed: Instant| now.saturating_duration_since(renewed) > max_lifetime;
     machine.fenced && !machine.lease_expired && machine.lease_renewed_at.is_some_and(expired)
