--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -223,7 +223,7 @@
     }
 
     /// The factor by which tasks run longer on this machine than estimated for its type. With fewer than
-    /// [`FULL_WEIGHT_MEASUREMENTS`] measurements the factor is moved towards 1.
+    /// `FULL_WEIGHT_MEASUREMENTS` measurements the factor is moved towards 1.
     pub fn slowdown(&self) -> f64 {
         let counted = self.log_slowdown.count.min(FULL_WEIGHT_MEASUREMENTS);
         let weight = f64::from(counted) / f64::from(FULL_WEIGHT_MEASUREMENTS);
