--- a/src/core/state/crash_loop.rs
+++ b/src/core/state/crash_loop.rs
@@ -67,7 +67,7 @@
     failed_machines: HashSet<MachineId>,
     failure_count: u32,
     /// The shortest time that a task took to fail. Image fetches and heartbeat intervals only lengthen the
-    /// measured times, so the shortest is the most accurate.
+    /// measured times, so the shortest measured time is the most accurate.
     shortest_failure: Option<Duration>,
     /// The number of suspicions that were cleared because a task ran for [`CrashLoop::outliving_time`].
     times_cleared: u32,
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -67,9 +67,9 @@
     /// When the job should be complete, so that the job and its direct and indirect dependents meet their
     /// deadlines; `None` if neither the job nor any of these dependents has a deadline.
     pub deadline: Option<Instant>,
-    /// When one of the job's tasks was last placed. Before the first placement, it is the start of the job's
-    /// waiting time. It is set to the start of the term for a job that is loaded with attempts or completed
-    /// tasks.
+    /// When one of the job's tasks was last placed. Before the first placement, `last_placed` is the start of
+    /// the job's waiting time. It is set to the start of the term for a job that is loaded with attempts or
+    /// completed tasks.
     pub last_placed: Instant,
     /// Whether the job was starved at some time in this term. Some tasks of a starved job are placed before
     /// all other jobs.
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -25,8 +25,8 @@
 /// A fencing token that a machine has to show before further tasks are placed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredToken {
-    /// The token to be shown. It is first sent after the requirement was set, so a machine that shows it
-    /// proves that messages of this leader reach the machine.
+    /// The token that the machine has to show. It is first sent after the requirement was set, so a machine
+    /// that shows it proves that messages of this leader reach the machine.
     pub token: FencingToken,
     /// When the requirement was set.
     pub since: Instant,
@@ -180,8 +180,9 @@
         }
     }
 
-    /// Whether answers and commands of this term reach the machine. For a machine that has shown a token of
-    /// this term this is known; for a machine that was rented in this term it is assumed.
+    /// Whether answers and commands of this term count as reaching the machine. This is known if the machine
+    /// has shown a token of this term, and assumed if it was rented in this term. It is false while a
+    /// required token has not been shown.
     pub fn is_reachable(&self) -> bool {
         (self.fenced || self.rented_this_term) && self.required_token.is_none()
     }
