--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -78,8 +78,8 @@
                 log::info!("cancelled job={job_id}");
                 return confirm_cancellation(context, &job_id);
             }
-            // The job ended in the meantime, or the result of the transaction is unknown: read the outcome
-            // again.
+            // The job has ended since its outcome was read, or the result of the transaction is unknown. In
+            // both cases, the outcome is read again.
             Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {}
             Err(e) => return Err(e),
         }
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -66,7 +66,7 @@
     ApiResponse::problem(404, "no such job")
 }
 
-/// 503 because the queue for such requests is full.
+/// 503 because the queue of the thread pool for this kind of request is full.
 pub(super) fn busy() -> ApiResponse {
     ApiResponse::problem(503, "busy").with_retry_after(TRANSIENT_RETRY_AFTER_S)
 }
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -67,7 +67,8 @@
     for (job_id, requests) in by_job {
         let status = found.get(&job_id).copied();
         for request in requests {
-            // A query is stale here if the process was paused during the lookup. Its status may be outdated.
+            // A query is stale here if the process was paused during the lookup. The status that was looked
+            // up for the query may then be outdated.
             let response = match status {
                 Some(status) if !is_stale(&request) => status_response(context, &job_id, status),
                 _ => unavailable(context),
--- a/src/api/submission_dependencies.rs
+++ b/src/api/submission_dependencies.rs
@@ -13,11 +13,11 @@
 
 /// The combined status of a submission's dependencies.
 pub(super) enum Dependencies {
-    /// All were accepted, and these have no outcome yet.
+    /// All dependencies were accepted. The listed ones have no outcome yet.
     Live(Vec<JobId>),
-    /// All were accepted, and at least one of them is cancelled.
+    /// All dependencies were accepted, and at least one of them is cancelled.
     Cancelled,
-    /// This job is not known.
+    /// At least one dependency was never accepted: the job with this id.
     NeverAccepted(JobId),
 }
 
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -3,14 +3,16 @@
 //!
 //! The leader reads the log of each of its peers by position. In this way it learns of cancellations while it
 //! cannot read them from the key-value store. A position is valid only for one incarnation of the node,
-//! because the log of each incarnation starts empty. A reader with a position of another incarnation is told
-//! so, and must not assume that it knows all earlier cancellations.
+//! because the log of each incarnation starts empty. A reader with a position of another incarnation receives
+//! a page that does not continue from this position, and must not assume that it knows all earlier
+//! cancellations.
 
 use crate::core::model::JobId;
 use crate::net::peer::CancellationPosition;
 use std::collections::VecDeque;
 
-/// Maximum number of cancellations in the log. A reader that falls further behind continues at the end.
+/// Maximum number of cancellations in the log. A reader that falls further behind than this continues at the
+/// end of the log.
 const MAX_ENTRIES: usize = 20_000;
 /// Maximum number of cancellations in one page.
 const MAX_PAGE_ENTRIES: usize = 5_000;
@@ -33,7 +35,7 @@
     pub continues: bool,
     /// The cancelled jobs, in the order in which the node learned of them.
     pub job_ids: Vec<JobId>,
-    /// The offset after this page, from which a reader continues.
+    /// The offset of the first entry after this page, from which a reader continues.
     pub next: u64,
     /// Whether the log contains more entries after this page.
     pub more: bool,
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -8,9 +8,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The shortest detected pause. In a running process, the checks of all threads are never this far apart.
+/// The shortest detected pause. While the process runs, the time between two successive checks, by whichever
+/// threads, is always shorter.
 const MIN_PAUSE: Duration = Duration::from_secs(4);
-/// How long after a pause received data may be outdated. Afterwards the sockets have been read empty.
+/// How long after the end of a pause received data may be outdated. By the end of this time, the data that
+/// had waited in the sockets has been read.
 const RESUME_WINDOW: Duration = Duration::from_millis(500);
 
 struct State {
--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -20,7 +20,7 @@
     pub workers: u32,
     /// The rate of changes to the key-value store that the peer requested recently.
     pub demand: ChangeRateDemand,
-    /// How late the peer's timers fire, averaged.
+    /// The average delay with which the peer's timers fire.
     pub timer_lag: Duration,
 }
 
@@ -35,7 +35,7 @@
 pub struct LivePeer {
     /// The peer's member name.
     pub member: String,
-    /// Number of workers that send their heartbeats to it.
+    /// Number of workers that send their heartbeats to this peer.
     pub workers: u32,
 }
 
--- a/src/node/transaction_limits.rs
+++ b/src/node/transaction_limits.rs
@@ -31,7 +31,8 @@
         self.changes * MAX_CONDITIONS_PER_CHANGE
     }
 
-    /// Maximum number of jobs whose status can be read with one call. The size of the request limits it, too.
+    /// Maximum number of jobs whose status can be read with one call. The size of the request limits this
+    /// number, too.
     pub fn status_reads(&self) -> usize {
         job_status_reads::max_jobs_per_comparison(self.conditions(), wire::MAX_BODY_BYTES)
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -18,7 +18,8 @@
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::time::{Duration, Instant};
 
-/// The key-value store counts as unavailable to this node after its calls have failed for this long.
+/// The key-value store counts as unavailable to this node after all of the node's calls to it have failed for
+/// this long.
 const STORE_LOST_AFTER: Duration = Duration::from_secs(2);
 
 /// The role of this node, as published to its threads.
@@ -105,7 +106,8 @@
                 unrecorded_jobs: Vec::new(),
                 jobs: JobCache::new(),
                 peers: PeerTable::default(),
-                // The store's availability is unproven until its first answer.
+                // Until the store has answered a first call, its calls count as failing since the start of
+                // this node.
                 store_failing_since: Some(now),
                 lease_expiry: None,
             }),
@@ -157,8 +159,8 @@
     }
 
     /// Whether this node certainly leads in this term: its lease, counted from when its renewal was
-    /// requested, has not expired by either clock. A process that was paused or partitioned notices here
-    /// first.
+    /// requested, has not expired by either clock. After a pause or a partition of this process, this check
+    /// is the first to show that the lease has expired.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
         let unexpired = |expiry: ClockReading| {
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -41,8 +41,8 @@
     pub(super) lease_duration: Duration,
 }
 
-/// Campaigns for the next term. Returns `None` if the leader key or the term counter has changed in the
-/// meantime, which means that another node was faster.
+/// Campaigns for the next term. Returns `None` if the leader key or the term counter has changed since it was
+/// read, which means that another node won a campaign first.
 pub(super) fn campaign(
     context: &NodeContext,
     candidacy: &Candidacy,
@@ -76,8 +76,9 @@
             Ok(None)
         }
         Err(StoreError::Unknown) => {
-            // The transaction may have been applied, which the leader key shows. If it is applied only after
-            // this read, nobody renews its lease, so that leadership ends when the lease expires.
+            // The transaction may have been applied; the leader key shows whether it was. If the transaction
+            // is applied only after this read, no node renews its lease, so the leadership that it creates
+            // ends when the lease expires.
             let found = store.get::<StoredLeader>(LEADER_KEY, class, CALL_TIMEOUT)?;
             let own = found.filter(|e| e.value.boot == candidacy.boot_id && e.value.term == term);
             Ok(own.map(|entry| won_campaign(entry.revision)))
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -119,8 +119,9 @@
                 return;
             };
             has_more = page.has_more;
-            // A report that spans several pages counts only with the last page. A report that does not
-            // continue the previous one is passed on as well, so that the core knows of the gap.
+            // If a report spans several pages, only its last page proves that all cancellations up to the
+            // report's time are known. A report that does not continue the previous one is passed on as well,
+            // so that the core knows of the gap.
             let covers = !page.has_more || !page.report.is_continuous;
             let coverage = covers.then(|| CancellationCoverage {
                 peer: peer.member.clone(),
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -24,7 +24,7 @@
 const LIST_INTERVAL: Duration = Duration::from_secs(15);
 /// Interval between reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(120);
-/// Time before the machine types are read again after the cloud did not answer.
+/// Delay before the machine types are read again if the cloud did not answer the previous read.
 const TYPES_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Timeout of one call to the key-value store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/src/runtime/command_sender.rs
+++ b/src/runtime/command_sender.rs
@@ -17,7 +17,7 @@
 /// Time allowed for delivery through a peer in addition to the timeout of a direct delivery.
 const MAX_PEER_OVERHEAD: Duration = Duration::from_millis(500);
 
-/// Sends commands until all senders of the queue are gone.
+/// Sends commands until all sending ends of the queue have been dropped.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<CommandDelivery>) {
     while let Ok(delivery) = queue.recv() {
         let response = if context.leads(delivery.term) {
@@ -87,7 +87,8 @@
             let PeerRequest::Command { body, .. } = request else {
                 return None;
             };
-            // A refused connection fails immediately, so there is still time for a direct delivery.
+            // If the peer refuses the connection, the call fails immediately, so there is still time for a
+            // direct delivery.
             let refused = e.kind() == ErrorKind::ConnectionRefused;
             refused
                 .then(|| agent::send_commands(client, endpoint, &body))
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A process counts as recently resumed for this many durations of the leader's lease after a pause. During
-/// this time, the lease may have expired without the leader having noticed.
+/// After a pause, a process counts as recently resumed for this many times the duration of the leader's
+/// lease. During this time, the lease may have expired without the leader having noticed.
 const RESUMED_RECENTLY_LEASES: u32 = 2;
 
 /// Latencies of this node's calls and rounds, for the periodic summary in the log.
@@ -66,7 +66,7 @@
     pub workers: WorkerDistribution,
     /// Detects pauses of this process.
     pub pause_detector: Arc<PauseDetector>,
-    /// How late timers fire on this node, averaged.
+    /// The average delay with which timers fire on this node.
     pub timer_lag: TimerLag,
 }
 
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -1,7 +1,7 @@
 //! Dispatches the core's actions to the threads that execute them.
 //!
-//! Nothing here blocks. An action whose channel is full fails immediately, and the core requests it again if
-//! it is still needed. A probe whose channel is full is dropped.
+//! No function of this module blocks. An action whose channel is full fails immediately, and the core
+//! requests the action again if it is still needed. A probe whose channel is full is dropped.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::MachineId;
@@ -69,7 +69,8 @@
                 endpoint,
                 token,
                 incarnation,
-                // A delivery without commands presents the term's token and is answered with a heartbeat.
+                // A delivery without commands is a probe: it presents the term's fencing token to the worker,
+                // which answers with a heartbeat.
                 commands: Vec::new(),
             }),
             Action::Rent {
@@ -98,7 +99,7 @@
 
     fn send(&mut self, delivery: CommandDelivery) {
         if let Err(e) = self.channels.commands.try_send(delivery) {
-            // The response to the machine's next heartbeat carries the commands.
+            // The commands that could not be queued are sent in the response to the machine's next heartbeat.
             let machine = e.into_inner().machine;
             self.cluster.on_command_response(self.now, &machine, None);
         }
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -14,7 +14,8 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Interval between publications of the jobs' task counts, which are for display and may be this old.
+/// Interval between publications of the jobs' task counts. The counts are only for display, so they may be
+/// outdated by this interval.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time between the end of one tick and the start of the next.
 const TICK_INTERVAL: Duration = Duration::from_millis(150);
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -28,9 +28,11 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Longest time between two checks for due steps when no events arrive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The renewal interval of the lease, and the timeout of one renewal, are the lease duration divided by this.
+/// The renewal interval of the lease, and the timeout of one renewal, are each the lease duration divided by
+/// this number.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Time before a leader that resigned because it received no heartbeats campaigns again.
+/// How long a node that resigned from the leadership, because it received no heartbeats, waits before it
+/// campaigns again.
 const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
 /// How long a node without workers waits for another node to take a vacant leadership.
 const YIELD_PERIOD: Duration = Duration::from_millis(900);
@@ -41,7 +43,8 @@
 
 /// A message to the elector thread.
 pub enum ElectorEvent {
-    /// The leader key as read, or `None` if it is absent or a write showed that this term no longer holds it.
+    /// The record in the leader key. `None` if the key is absent, or if a write of this node showed that the
+    /// node's term no longer holds the key.
     LeaderKey(Option<LeaderRecord>),
     /// A heartbeat, a worker's response or a peer reported this term.
     TermSeen(Term),
@@ -129,7 +132,7 @@
         let step = self.leadership.resign(now, term, RESIGNATION_BACKOFF);
         if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
             log::warn!("resigned, no heartbeats received term={}", term.0);
-            // If the call fails, the lease expires without it.
+            // If the call fails, the lease expires on its own at the end of its duration.
             let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
         step
@@ -244,7 +247,8 @@
         }
     }
 
-    /// Stops the current term and revokes its lease, so that the next leader need not wait for its expiry.
+    /// Stops the current term and revokes its lease, so that the next leader need not wait until the lease
+    /// expires.
     fn shut_down(&self) {
         self.term_stop.stop();
         if let Some(lease_id) = self.lease_id {
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -78,7 +78,8 @@
     StatusesRead(Vec<(JobId, JobRecordStatus)>),
     /// The key-value store contains lists of dependents for these jobs.
     DependentsListsFound(Vec<JobId>),
-    /// The events for all cancellations that the key-value store contained at this time precede this event.
+    /// All cancellations that the key-value store contained at `requested_at` were sent to the core before
+    /// this event.
     CancellationsRead {
         /// When the read of the store was requested.
         requested_at: ClockReading,
@@ -140,7 +141,8 @@
 
 /// Commands to be delivered to a worker.
 pub struct CommandDelivery {
-    /// The term in which the commands were issued. They are not sent unless it is still current.
+    /// The term in which the commands were issued. The commands are sent only while this term is still
+    /// current.
     pub term: Term,
     /// The machine on which the worker runs.
     pub machine: MachineId,
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -18,7 +18,8 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s.
+/// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s for the
+/// response to its heartbeat.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long heartbeats wait until a leader is known. A wait and a relay that both use up their limits take
 /// 4.5 s together, which is longer than the 4 s that a worker waits.
@@ -27,7 +28,7 @@
 const RELAYED_LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval between checks for a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// How long heartbeats wait while the core's queue is full.
+/// How long heartbeats wait for space in the core's queue if it is full.
 const ENQUEUE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long to wait for the core's decision on queued heartbeats.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
@@ -94,9 +95,9 @@
 
 impl NodeContext {
     /// Waits until heartbeats can be answered by this node or by a known leader, or until the deadline.
-    /// Workers whose heartbeats are refused retry after a second. When all workers did so after the loss of a
-    /// leader, the nodes were fully occupied with refusals, and the next leader could not load the cluster
-    /// state.
+    /// Workers whose heartbeats are refused retry after a second. When all workers retried in this way after
+    /// the loss of a leader, the nodes were fully occupied with refusals, and the next leader could not load
+    /// the cluster state.
     fn wait_for_leader(&self, deadline: Instant) {
         while !self.view.read().has_ready_leader() && Instant::now() < deadline {
             if self.stop.wait(LEADER_CHECK_INTERVAL) {
@@ -136,9 +137,9 @@
     }
 
     /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to it,
-    /// because they may be able to reach it themselves. A node without the key-value store does not redirect,
-    /// because its knowledge of the leader is outdated: two nodes that redirect to each other would keep the
-    /// workers away from the third node.
+    /// because they may be able to reach it themselves. A node that cannot reach the key-value store does not
+    /// redirect workers, because its knowledge of the leader is outdated: two nodes that redirect to each
+    /// other would keep the workers away from the third node.
     fn relay(
         &self,
         bodies: Vec<Vec<u8>>,
--- a/src/runtime/loading.rs
+++ b/src/runtime/loading.rs
@@ -1,8 +1,8 @@
 //! Loads the cluster state of a new term from the key-value store.
 //!
 //! The watch of the queue continues from the revision at which the index of live jobs was read, so that no
-//! change in between is missed. A record that cannot be decoded is reported to the core and stays unchanged
-//! in the store, and the core makes no decisions about what the record may contain.
+//! change since that read is missed. A record that cannot be decoded is reported to the core and stays
+//! unchanged in the store, and the core makes no decisions about what the record may contain.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -28,7 +28,7 @@
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Timeout of reading one page of a list.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long the read of a page that fails is retried.
+/// How long a failing read of a page is retried.
 const PAGE_RETRY_PERIOD: Duration = Duration::from_secs(30);
 /// Timeout of reading the summary of measured run times.
 const HISTORY_TIMEOUT: Duration = Duration::from_secs(4);
@@ -113,7 +113,8 @@
     intents: Vec<ListEntry<StoredChunk>>,
     unreadable_intents: Vec<String>,
     history: Option<StoredHistory>,
-    /// The revision at which `live` was read. A watch of the queue from here misses no change.
+    /// The revision at which `live` was read. A watch of the queue that starts at this revision misses no
+    /// change.
     revision: u64,
 }
 
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -20,7 +20,8 @@
 const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
 /// Timeout of a hello, including the peer's answer.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Maximum number of jobs whose changed counts one hello reports. The others follow with later hellos.
+/// Maximum number of jobs whose changed counts one hello reports. The changed counts of further jobs follow
+/// with later hellos.
 const MAX_PROGRESS_PER_HELLO: usize = 2000;
 
 /// Changes in the progress of jobs that have to be reported to one peer.
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Discards the acknowledged progress, so that everything is reported again. The peer may have missed
-    /// updates, or it may have restarted without them.
+    /// Discards the acknowledged progress, so that the progress of all jobs is reported to the peer again.
+    /// The peer may have missed updates, or it may have lost them in a restart.
     fn clear(&mut self) {
         self.counts.clear();
     }
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -48,7 +48,8 @@
 const CLOUD_ORDER_CAPACITY: usize = 32;
 /// Capacity of the channel for the leader's transactions. Only one transaction is pending at a time.
 const TRANSACTION_CAPACITY: usize = 1;
-/// Capacity of the channel for wakeups of the cloud reader. Further wakeups would have no effect.
+/// Capacity of the channel for wakeups of the cloud reader. While one wakeup is waiting in the channel,
+/// further wakeups would have no effect.
 const CLOUD_WAKEUP_CAPACITY: usize = 1;
 
 /// Timeout of connecting to the key-value store.
@@ -61,7 +62,8 @@
 const IDLE_CLOUD_CONNECTIONS: usize = 2;
 /// The fraction of the cloud's allowed request rate that this node uses.
 const CLOUD_RATE_FRACTION: f64 = 0.8;
-/// The largest burst of requests to the cloud, in seconds of the used rate.
+/// The largest burst of requests to the cloud, in seconds: a burst has at most as many requests as the rate
+/// that this node uses allows within this time.
 const CLOUD_BURST_S: f64 = 1.5;
 /// The longest single wait for the stop signal in `Service::wait`.
 const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -21,7 +21,7 @@
 /// Timeout of reading one key after a failed transaction.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Writes transactions until all senders of the queue are gone.
+/// Writes transactions until all sending ends of the queue have been dropped.
 pub(super) fn run(context: &NodeContext, queue: &Receiver<LeaderTransaction>) {
     while let Ok(LeaderTransaction { term, batch }) = queue.recv() {
         let outcome = write(context, &batch);
@@ -48,8 +48,9 @@
     }
 }
 
-/// Remembers the jobs that this transaction marked as done, so that users learn of it without a read of the
-/// store. Cancellations are not remembered here, because they have to be confirmed first.
+/// Remembers the jobs that this transaction marked as done, so that users' queries about them are answered
+/// without a read of the store. Cancellations are not remembered here, because they have to be confirmed
+/// first.
 fn remember_done(context: &NodeContext, batch: &WriteBatch) {
     for op in &batch.ops {
         let WriteOp::Put(key, RecordValue::JobOutcome(JobOutcome::Done)) = op else {
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -11,20 +11,22 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A worker is not redirected again for this long. If it returns within this time, it could not reach the
-/// other node.
+/// For this long after a redirection, a worker is not redirected again. A worker that returns to this node
+/// within this time could not reach the other node.
 const REDIRECT_COOLDOWN: Duration = Duration::from_secs(60);
 /// Minimum time between redirections. The worker counts of the peers are up to a second old, so faster
 /// redirections would overshoot.
 const REDIRECT_INTERVAL: Duration = Duration::from_millis(60);
-/// A worker is removed after this many heartbeat intervals without a heartbeat.
+/// A worker is removed from the distribution after it has sent no heartbeat for this many heartbeat
+/// intervals.
 const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
 /// Minimum time between removals of outdated workers and redirections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A node redirects workers only if it has more than its fair share multiplied by this factor, plus
+/// A node redirects workers only if it has more of them than its fair share, multiplied by this factor, plus
 /// [`MAX_EXTRA_WORKERS`].
 const MAX_LOAD_FACTOR: f64 = 1.2;
-/// Number of workers that a node may have in addition to the limit by [`MAX_LOAD_FACTOR`].
+/// Number of workers that a node may have in addition to its fair share multiplied by [`MAX_LOAD_FACTOR`]
+/// before it redirects any.
 const MAX_EXTRA_WORKERS: f64 = 6.0;
 /// Weight of a follower in the distribution of workers, relative to [`LEADER_WEIGHT`].
 const FOLLOWER_WEIGHT: f64 = 4.0;
@@ -108,7 +110,7 @@
         self.lock().last_heartbeats.insert(from, now);
     }
 
-    /// Removes the worker at this address, which was told to use another node.
+    /// Removes the worker at this address, which was redirected to another node.
     pub fn forget(&self, from: IpAddr) {
         self.lock().last_heartbeats.remove(&from);
     }
