--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -60,7 +60,7 @@
 /// Answers workers' heartbeats, or relays them to the leader.
 pub trait HeartbeatHandler: Send + Sync {
     /// Returns one response per heartbeat, in the same order. `first_received_at` is when the earliest of
-    /// them was read from its connection.
+    /// these heartbeats was read from its connection.
     fn handle(
         &self,
         heartbeats: Vec<ReceivedHeartbeat>,
@@ -72,9 +72,10 @@
 /// Notifies the leader of cancellations.
 pub trait CancellationNotifier: Send + Sync {
     /// Notifies the leader that these jobs are durably cancelled, before the cancellation is confirmed to the
-    /// user. Without it, a leader that cannot reach the key-value store would keep running the jobs' tasks
-    /// and start new ones. Delivery is not guaranteed: a leader that was not notified reads the cancellations
-    /// from this node later, or stops answering heartbeats (`core::leadership::cancellation_watermark`).
+    /// user. Without this notification, a leader that cannot reach the key-value store would keep running the
+    /// jobs' tasks and start new ones. Delivery is not guaranteed: a leader that was not notified reads the
+    /// cancellations from this node later, or stops answering heartbeats
+    /// (`core::leadership::cancellation_watermark`).
     fn notify_leader(&self, job_ids: &[JobId]);
 }
 
@@ -86,9 +87,9 @@
     pub store: Arc<KvStore>,
     /// This node's shared view of leadership, jobs, peers and the key-value store.
     pub view: Arc<NodeView>,
-    /// The clients of the other controllers; empty if this is the only one.
+    /// The clients of the other controllers; empty if this node is the only controller.
     pub peers: Vec<Arc<Peer>>,
-    /// The signal that ends the API's threads, given when the service stops.
+    /// The signal that the service stops. The API's threads end when it is given.
     pub stop: StopSignal,
     /// Detects pauses of this process, shared with the runtime.
     pub pause_detector: Arc<PauseDetector>,
@@ -107,7 +108,8 @@
         self.peers.iter().find(|p| members.contains(&p.member))
     }
 
-    /// Whether data read from a socket now may have waited there while this process was paused.
+    /// Whether data that is read from a socket now may have been waiting in the socket while this process was
+    /// paused.
     pub(super) fn just_resumed(&self) -> bool {
         self.pause_detector.just_resumed(ClockReading::now())
     }
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -16,7 +16,8 @@
 use crate::node::transaction_limits::TransactionLimits;
 use std::sync::Arc;
 
-/// The maximum number of lists written in one transaction, because the sizes of their values add up.
+/// The maximum number of lists written in one transaction, because the sizes of the lists' values add up to
+/// the size of the transaction.
 const MAX_LISTS_PER_TRANSACTION: usize = 8;
 
 /// The result of adding a job to the lists of its dependencies.
@@ -36,7 +37,7 @@
         .all(|peer| peer.supports(VERSION_WITH_LIVE_INDEX))
 }
 
-/// Adds a job to the lists of its dependencies, on condition that none of them has an outcome.
+/// Adds a job to the lists of its dependencies, on condition that none of the dependencies has an outcome.
 pub(super) fn add_job(
     store: &KvStore,
     limits: TransactionLimits,
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -2,7 +2,7 @@
 //!
 //! The transaction that accepts a job writes its record to the index, and the record names the job's
 //! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read
-//! of the index that begins after that therefore shows all of its live dependents.
+//! of the index that begins after the outcome became durable therefore shows all live dependents of the job.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -19,7 +19,7 @@
 /// A page that failed is read again until this much time has passed since the start of the whole read.
 const INDEX_READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The field of a live job's record that is needed here.
+/// The part of a live job's record that names the job's dependencies.
 #[derive(Deserialize)]
 struct LiveJob {
     #[serde(default, rename = "needs")]
@@ -39,8 +39,8 @@
 }
 
 impl LiveIndex {
-    /// Returns the dependents of all live jobs, from a read that began at `min_read_start` or later. A cached
-    /// read is reused if it is recent enough.
+    /// Returns the dependents of all live jobs, from a read that began at `min_read_start` or later. The
+    /// cached read is reused if it meets this condition.
     pub(super) fn read_since(
         &self,
         store: &KvStore,
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -33,12 +33,12 @@
 /// A heartbeat that has been queued for longer than this is refused, because the worker machine that sent it
 /// waits only 4 s for the response.
 const MAX_HEARTBEAT_AGE: Duration = Duration::from_millis(2500);
-/// A connection is closed after this many heartbeat intervals without input, but not before
+/// A connection is closed after it has received no input for this many heartbeat intervals, and for at least
 /// [`MIN_IDLE_TIMEOUT`].
 const IDLE_TIMEOUT_HEARTBEAT_INTERVALS: u32 = 8;
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Starts a thread with a name and a body.
+/// A function that starts a thread with the given name, which runs the given body.
 type SpawnThread<'a> = dyn FnMut(&str, Box<dyn FnOnce() + Send>) -> std::io::Result<()> + 'a;
 
 /// The queues from the listener's thread to the thread pools.
@@ -120,8 +120,8 @@
 /// Answers requests that need no other thread, and queues the others.
 fn dispatch(context: &ApiContext, requests: Vec<Request>, queues: &Queues) {
     // The pause detector recognises a pause only if it is checked often. The listener's thread wakes up at
-    // least twice a second and calls this function whenever requests have arrived, so this is one of the
-    // checks.
+    // least twice a second and calls this function whenever requests have arrived, so this function checks
+    // for a pause, too.
     let just_resumed = context.just_resumed();
     for mut request in requests {
         let queue = match route(&request.method, &request.path) {
@@ -166,7 +166,8 @@
     }
 }
 
-/// The response to a status query for an invalid id or a job with a final outcome in memory.
+/// The response to a status query for an invalid id or for a job whose final outcome is in memory. `None` if
+/// the key-value store must be read to answer the query.
 fn answer_from_memory(context: &ApiContext, id: &str) -> Option<ApiResponse> {
     let Some(job_id) = JobId::parse(id) else {
         return Some(no_such_job());
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,8 +1,9 @@
 //! Job submission: admission, resolution of dependencies, and the transaction that accepts a job.
 //!
 //! One transaction accepts a job by writing its record to the index of live jobs. The record names the
-//! dependencies that are still live, and the transaction requires that none of them has an outcome. If
-//! one of them has ended in the meantime, the transaction fails and the dependencies are resolved again.
+//! dependencies that are still live, and the transaction requires that none of them has an outcome. If a
+//! dependency ends after it was looked up and before the transaction is applied, the transaction fails and
+//! the dependencies are resolved again.
 //!
 //! Invariants: a job is durable before its submission is answered with 201. Repeating a submission is
 //! safe, because the transaction also requires that the job is neither live nor ended.
@@ -131,8 +132,8 @@
         {
             Ok(SubmitAttempt::DependencyChanged(spec.job_id))
         }
-        // The job was known before, or the transaction was applied and its response was lost. Its keys
-        // show which.
+        // The job was already live or ended before this attempt, or the transaction was applied and its
+        // response was lost. The job's keys show what to answer.
         Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {
             known_job_response(context, job_id, unavailable(context)).map(SubmitAttempt::Responded)
         }
@@ -264,14 +265,14 @@
     let mut conditions = new_job_conditions(job_id);
     let max_dependencies = limits.conditions() - conditions.len();
     // The number of conditions in a transaction is limited. The leader detects the end of the dependencies
-    // that are not checked here.
+    // that the transaction does not check.
     let checked = live_dependencies.iter().take(max_dependencies);
     conditions.extend(checked.map(|dependency| KeyCondition::absent(outcome_key(dependency))));
     Ok(prepare_job(spec, record, conditions))
 }
 
-/// Accepts a job that depends on a cancelled one as cancelled, by writing only its outcome. It has no
-/// dependents that would have to be cancelled too, because no job can depend on it yet.
+/// Accepts a job that depends on a cancelled one as cancelled, by writing only its outcome. The new job has
+/// no dependents that would have to be cancelled too, because no job can depend on it yet.
 fn accept_cancelled(context: &ApiContext, job_id: &JobId) -> Result<ApiResponse, StoreError> {
     let conditions = new_job_conditions(job_id);
     let key = outcome_key(job_id);
--- a/src/api/user_requests.rs
+++ b/src/api/user_requests.rs
@@ -17,8 +17,8 @@
 use crossbeam::channel::Receiver;
 use std::time::Duration;
 
-/// A user's request older than this is refused, because its response might come too late. Users wait 2 s for
-/// the response to a status query, and 5 s for the response to a submission.
+/// A user's request older than this is refused, because its response might come after the user has stopped
+/// waiting. Users wait 2 s for the response to a status query, and 5 s for the response to a submission.
 pub(super) const MAX_USER_REQUEST_AGE: Duration = Duration::from_millis(1800);
 /// The time limit of one call to the key-value store.
 pub(super) const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/src/net/http_server/connection.rs
+++ b/src/net/http_server/connection.rs
@@ -14,7 +14,7 @@
 
 /// The maximum number of bytes per read from a connection.
 pub(super) const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The time within which a client must send the rest of a request whose first part was received.
+/// The time within which a client must complete a request, counted from when its first part was parsed.
 const REQUEST_COMPLETION_TIMEOUT: Duration = Duration::from_secs(5);
 /// A connection whose last response has been sent is closed after this time without input from the client.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -28,15 +28,15 @@
     socket: Arc<ConnectionSocket>,
     client_ip: IpAddr,
     input: Vec<u8>,
-    /// The input is not parsed before it has this many bytes.
+    /// The minimum number of bytes in the input before the input is parsed again.
     bytes_needed: usize,
-    /// `100 Continue` was sent for the current request, which has an `Expect: 100-continue` header.
+    /// Whether `100 Continue` was sent for the current request, which has an `Expect: 100-continue` header.
     continue_sent: bool,
-    /// The request in progress or answered last is the last one of this connection. Further input is
-    /// discarded.
+    /// Whether the request that is in progress, or was answered most recently, is the last one of this
+    /// connection. If so, further input is discarded.
     closing: bool,
-    /// The client has closed its sending direction, reading has failed, or the client has sent too much
-    /// input.
+    /// Whether the client has closed its sending direction, reading has failed, or the client has sent too
+    /// much input.
     disconnected: bool,
     last_read_at: Instant,
     /// When the first part of an incomplete request was parsed. `None` while there is no incomplete request.
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Removes the next complete request from the input and returns it. Returns none while the previous
-    /// request is in progress. Answers malformed input with 400.
+    /// Removes the next complete request from the input and returns it. Returns `None` if the input holds no
+    /// complete request, and while the previous request is in progress. Malformed input is answered with
+    /// status 400.
     pub fn next_request(
         &mut self,
         max_body_bytes: usize,
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Answers 400 and closes the connection. Further input is read and discarded, because unread input would
-    /// cause a TCP reset on closing, which could discard the response.
+    /// Answers with status 400 and closes the connection. Further input is read and discarded, because unread
+    /// input would cause a TCP reset on closing, which could discard the response.
     fn reject(&mut self, message: &str, load: &Arc<ConnectionLoad>, now: Instant) {
         self.closing = true;
         self.input = Vec::new();
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -25,7 +25,8 @@
 
 const LISTENER_TOKEN: Token = Token(usize::MAX - 1);
 
-/// The listening socket and its connections. A connection's index in `connections`, its slot, is its token.
+/// The listening socket and its connections. The index of a connection in `connections` is called its slot,
+/// and also serves as its token in polls.
 pub(super) struct EventLoop {
     listener: TcpListener,
     poll: Poll,
@@ -163,7 +164,8 @@
         if let Some(connection) = self.connections[slot].take() {
             self.load.connection_closed();
             self.free_slots.push(slot);
-            // A request that is still being handled keeps a reference to the socket until it is answered.
+            // A request that is still being handled keeps a reference to the socket until the request is
+            // answered, so dropping the connection alone would not close the socket.
             connection.socket().shutdown();
         }
     }
--- a/src/net/http_server/listener.rs
+++ b/src/net/http_server/listener.rs
@@ -22,8 +22,8 @@
     if let Err(e) = socket.set_tcp_keepalive(&keepalive) {
         log::debug!("TCP keep-alive not set error=\"{e}\"");
     }
-    // Accepted sockets inherit this too. A response is passed to the socket as a whole, so Nagle's algorithm
-    // would only delay it until earlier data is acknowledged.
+    // Accepted sockets inherit `TCP_NODELAY`, too. A response is passed to the socket as a whole, so Nagle's
+    // algorithm would only delay the response until the client has acknowledged earlier data.
     if let Err(e) = socket.set_nodelay(true) {
         log::debug!("TCP no-delay not set error=\"{e}\"");
     }
--- a/src/net/http_server/request.rs
+++ b/src/net/http_server/request.rs
@@ -45,7 +45,7 @@
     }
 
     /// Answers 503 with a retry time of 1 s, because the request has waited for so long that a response would
-    /// be too late.
+    /// come too late for the client.
     pub fn reject_stale(&mut self) {
         self.reject_unavailable();
     }
@@ -75,8 +75,8 @@
             head_only: self.method == "HEAD",
         };
         let bytes = response.encode();
-        // This precedes the response because the client may send its next request as soon as it has the
-        // response.
+        // The request is ended before the response is sent, because the client may send its next request as
+        // soon as it has the response.
         socket.end_request();
         socket.send(&bytes, after);
     }
--- a/src/net/http_server/response.rs
+++ b/src/net/http_server/response.rs
@@ -13,7 +13,7 @@
 pub(super) struct Response<'a> {
     pub status: u16,
     pub body: &'a [u8],
-    /// The value of the `Retry-After` header, in seconds; the header is omitted if absent.
+    /// The value of the `Retry-After` header, in seconds. `None` omits the header.
     pub retry_after_s: Option<u64>,
     pub after: AfterSend,
     /// Whether to omit the body, as for a `HEAD` request.
--- a/src/net/http_server/socket.rs
+++ b/src/net/http_server/socket.rs
@@ -19,9 +19,9 @@
 struct Output {
     /// Bytes that the socket has not accepted yet.
     pending: Vec<u8>,
-    /// The sending direction is shut down after the pending bytes.
+    /// Whether the sending direction is to be shut down once the pending bytes have been sent.
     closing: bool,
-    /// A write has failed; nothing more is sent.
+    /// Whether a write to the socket has failed. After a failure, nothing more is sent.
     failed: bool,
 }
 
--- a/src/net/request_parser/body.rs
+++ b/src/net/request_parser/body.rs
@@ -77,7 +77,7 @@
     length: usize,
 }
 
-/// Reads the chunk at the start of the input. Returns `None` if it is incomplete.
+/// Reads the chunk at the start of the input. Returns `None` if the chunk is incomplete.
 fn read_chunk(input: &[u8], max_chunk_bytes: usize) -> Result<Option<Chunk<'_>>, MalformedRequest> {
     let (head_length, size) = match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete(found)) => found,
@@ -108,8 +108,8 @@
     }))
 }
 
-/// The length in bytes of the trailers, which are ignored, with the empty line after them. `None` if they are
-/// incomplete.
+/// The length in bytes of the trailers, which are ignored, with the empty line after them. `None` if the
+/// trailers or the empty line are incomplete.
 fn trailers_length(input: &[u8]) -> Option<usize> {
     let mut position = 0;
     loop {
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -48,7 +48,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let last = state.last_check;
         if now.monotonic < last.monotonic {
-            // Another thread has checked since this one read its clock.
+            // Another thread has run a check with a later clock reading than this one.
             return state.resumed_at;
         }
         let day_step = match now.wall_clock.duration_since(last.wall_clock) {
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -31,7 +31,7 @@
     Follower(Option<String>),
 }
 
-/// The state that the lock protects.
+/// The state of a node that the lock of [`NodeView`] protects.
 pub struct NodeState {
     /// The role of this node, set by the elector.
     pub role: RoleView,
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -25,9 +25,10 @@
 
 /// The inputs of a campaign.
 pub(super) struct Candidacy {
-    /// A random number that distinguishes the processes of one member.
+    /// A random number that distinguishes this process from earlier processes of the same member.
     pub(super) boot_id: u64,
-    /// The revision that the leader key must still have; 0 if the key must be absent.
+    /// The revision that the leader key must have when the campaign's transaction is applied; 0 if the key
+    /// must be absent.
     pub(super) leader_revision: u64,
 }
 
@@ -37,7 +38,7 @@
     pub(super) won_term: WonTerm,
     /// The lease to which the leader key is attached.
     pub(super) lease_id: u64,
-    /// How long the lease is valid after it was granted or last renewed.
+    /// How long the lease is valid, counted from when its grant or last renewal was requested.
     pub(super) lease_duration: Duration,
 }
 
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -53,9 +53,9 @@
     }
 }
 
-/// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the
-/// rented machines. A rental is not allowed if, in addition, the process resumed recently: the order may have
-/// waited during the pause, and the term of the order may be over.
+/// Rents machines. A rental is allowed even if this node's leader lease may have expired, because any leader
+/// adopts the rented machines. A rental is not allowed if, in addition, the process recently resumed from a
+/// pause: the order may have waited during the pause, and the term of the order may be over.
 fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
     let may_rent =
         context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
@@ -78,8 +78,8 @@
     }
 }
 
-/// Returns machines, but only under a valid leader lease. The order may have waited while this node was
-/// partitioned, and the machines may be working for a new leader.
+/// Returns machines to the cloud, but only while this node's leader lease is valid. The order may have waited
+/// in its channel while this node was partitioned, and the machines may already be working for a new leader.
 fn return_machines(context: &NodeContext, term: Term, machines: Vec<MachineId>) -> TermEvent {
     let returned = context.holds_leader_lease(term) && context.cloud.return_machines(&machines);
     let outcome = if returned {
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -54,7 +54,7 @@
     pub events: Sender<Event>,
     /// Channel to the elector thread.
     pub elector_events: Sender<ElectorEvent>,
-    /// Wakes the thread that reads machine types and machines from the cloud.
+    /// Wakes the thread that reads the machine types and the list of rented machines from the cloud.
     pub cloud_wakeup: Sender<()>,
     /// The other controllers.
     pub peers: Vec<Arc<Peer>>,
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -65,9 +65,10 @@
 struct Elector {
     context: Arc<NodeContext>,
     leadership: Leadership,
-    /// A random number that distinguishes the processes of one member.
+    /// A random number that distinguishes this process from earlier processes of the same member.
     boot_id: u64,
-    /// How long the lease of the current term is valid after a renewal.
+    /// How long the lease of the current term is valid, counted from when its grant or last renewal was
+    /// requested.
     lease_duration: Duration,
     /// The lease of the current term; `None` while this node does not lead.
     lease_id: Option<u64>,
@@ -76,8 +77,8 @@
     /// Whether the leader key has been read at least once. Before that, a missing leader record does not
     /// mean that the leadership is vacant.
     leader_key_read: bool,
-    /// Since when a campaign has been the next step without interruption, because no node is known to lead
-    /// or the leader key belongs to this member's own earlier process.
+    /// The time since which every step has been a campaign, because no node is known to lead or the leader
+    /// key belongs to this member's own earlier process.
     vacant_since: Option<Instant>,
 }
 
@@ -175,7 +176,8 @@
                 self.leadership.on_lease_expired();
                 self.step_down();
             }
-            // The key-value store may be unavailable to all nodes, in which case the lease stays valid.
+            // This error does not show that the lease has ended. The key-value store may be unavailable to
+            // all nodes, in which case the lease stays valid.
             Some(Err(e)) => {
                 view.record_store_call(false, Instant::now());
                 log::info!("leader lease not renewed error=\"{e}\"");
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -215,7 +215,8 @@
         responses
     }
 
-    /// Returns the core's replies in the order of the heartbeats, or no replies if the core is too busy.
+    /// Returns the core's replies in the order of the heartbeats, or an empty list if the core did not take
+    /// the heartbeats or reply to them in time.
     fn request_heartbeat_replies(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
         let (reply, replies) = bounded(1);
         let event = Event::Heartbeats { heartbeats, reply };
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Finds lists of dependents and reports their jobs to the core, unless a peer still needs the lists. A
-    /// list can remain although no job in the index refers to it, if a submission was added to the list and
-    /// then refused.
+    /// Finds lists of dependents and reports the jobs to which the lists belong to the core, unless a peer
+    /// still needs the lists. A list can remain although no job in the index refers to it, if a submission
+    /// was added to the list and then refused.
     fn sweep_lists(&self) {
         if dependents_list::is_needed(&self.context.peers) {
             return;
--- a/src/runtime/status_reads.rs
+++ b/src/runtime/status_reads.rs
@@ -1,7 +1,7 @@
 //! Reads the statuses of jobs for the leader, both while it loads the cluster state and while it leads.
 //!
-//! The reads are linearizable. A status that could not be read is read again or left out, and no status is
-//! reported to the core in its place.
+//! The reads are linearizable. A status that could not be read is read again or left out, and the core is
+//! never given an assumed status in its place.
 
 use crate::common::stop_signal::StopSignal;
 use crate::core::model::{JobId, Term};
@@ -26,8 +26,8 @@
 /// read before the time limit or the stop signal.
 ///
 /// Each attempt has a short time limit. A failed attempt is repeated, and the statuses already read are kept.
-/// With one long timeout for each response, a leader needed 100 s to load while a third of the responses were
-/// lost.
+/// When each response had one long timeout instead, a leader needed 100 s to load the cluster state while a
+/// third of the responses were lost.
 pub(super) fn read_accepted_jobs(
     context: &NodeContext,
     job_ids: &[JobId],
