--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -95,8 +95,8 @@
     job_state(context, 200, job_id, outcome, CountsDetail::Omitted)
 }
 
-/// Writes the job's own outcome, and the mark that notifies the leader, which watches such keys. `revision`
-/// is the expected revision of the outcome's key.
+/// Writes the job's own outcome, and the cancellation mark, a key that the leader watches and that notifies
+/// it. `revision` is the expected revision of the outcome's key.
 fn write_outcome(
     context: &ApiContext,
     job_id: &JobId,
@@ -208,7 +208,8 @@
                 remaining.remove(&condition.key);
             }
         }
-        // The store may name only some of the existing keys. The other keys are compared again.
+        // The store may name only some of the keys that exist. The keys that it did not name are compared
+        // again.
         indexed.extend(existing.iter().filter_map(|key| remaining.remove(key)));
     }
     Ok(indexed)
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -1,7 +1,7 @@
 //! The parts of a node that the API's handlers use.
 //!
 //! `ApiContext` holds the settings that handlers read, and the key-value store and the caches that handlers
-//! read and write. The two traits are calls to the runtime's threads. The runtime implements the traits, so
+//! read and write. Through the two traits, handlers call the runtime. The runtime implements the traits, so
 //! the API does not depend on the runtime.
 
 use crate::api::live_index::LiveIndex;
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -71,7 +71,8 @@
     ApiResponse::problem(503, "busy").with_retry_after(TRANSIENT_RETRY_AFTER_S)
 }
 
-/// 503. The retry time is longer while this node cannot reach the key-value store.
+/// 503 because the request cannot be answered at present. The retry time is longer while this node cannot
+/// reach the key-value store.
 pub(super) fn unavailable(context: &ApiContext) -> ApiResponse {
     let retry_after = if context.view.store_ok(Instant::now()) {
         TRANSIENT_RETRY_AFTER_S
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -35,8 +35,8 @@
 #[derive(Default)]
 struct Lookup {
     found: HashMap<JobId, JobRecordStatus>,
-    /// The error of a call to the key-value store, because of which jobs may be missing from `found`. Without
-    /// an error, cancelled jobs are still missing if their cancellation is not confirmed.
+    /// The error of a call to the key-value store, because of which jobs may be missing from `found`. Even
+    /// without an error, cancelled jobs are missing from `found` if their cancellation is not confirmed.
     error: Option<StoreError>,
 }
 
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -198,7 +198,7 @@
     }))
 }
 
-/// The conditions that the job is neither live nor ended.
+/// The conditions with which a transaction requires that the job is neither live nor ended.
 fn new_job_conditions(job_id: &JobId) -> Vec<KeyCondition> {
     vec![
         KeyCondition::absent(outcome_key(job_id)),
--- a/src/net/request_parser/body.rs
+++ b/src/net/request_parser/body.rs
@@ -15,7 +15,8 @@
         length: usize,
     },
     Incomplete {
-        /// The minimum length of the input, in bytes, before decoding is worth another attempt.
+        /// The minimum length, in bytes, that the input must reach before another attempt to decode it can
+        /// succeed.
         bytes_needed: usize,
     },
 }
--- a/src/net/request_parser/mod.rs
+++ b/src/net/request_parser/mod.rs
@@ -25,7 +25,8 @@
     /// The value of `Transfer-Encoding` is not `chunked`, the only supported one.
     #[error("unknown Transfer-Encoding")]
     UnknownTransferEncoding,
-    /// The request has both headers, so the length of its body is ambiguous.
+    /// The request has both a `Content-Length` and a `Transfer-Encoding` header, so the length of its body is
+    /// ambiguous.
     #[error("both Content-Length and Transfer-Encoding")]
     ConflictingLengths,
     /// The body, or the encoded form of a chunked one, is longer than its limit.
@@ -41,7 +42,8 @@
 pub enum Parsed {
     /// The input holds only a part of a request.
     Incomplete {
-        /// The minimum length of the input, in bytes, before parsing is worth another attempt.
+        /// The minimum length, in bytes, that the input must reach before another attempt to parse it can
+        /// succeed.
         bytes_needed: usize,
         /// Whether the client waits for `100 Continue` before it sends the body.
         expects_continue: bool,
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -21,7 +21,8 @@
 pub struct CancellationLog {
     /// A random number that identifies this process.
     incarnation: u64,
-    /// The offset of the oldest entry: the number of entries that were dropped.
+    /// The offset of the oldest entry in the log, which equals the number of entries that were dropped so
+    /// far.
     first: u64,
     entries: VecDeque<JobId>,
 }
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -97,8 +97,8 @@
     pub(super) fn insert_outcome(&mut self, job_id: &JobId, outcome: JobOutcome) {
         self.accepted.remove(job_id);
         if self.outcomes.insert(job_id.clone(), outcome).is_none() {
-            // The caller holds the lock, so no thread can read the outcome, and confirm it, before it is
-            // logged.
+            // The caller holds the lock, so no thread can read the cancellation from this cache and confirm
+            // it to a user before the cancellation is in the log.
             if outcome == JobOutcome::Cancelled {
                 self.cancellations.push(job_id.clone());
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The jobs that were found to be live and that this node does not know as accepted yet.
+    /// The jobs that were found to be live and that this node does not yet know to have been accepted.
     pub(super) fn newly_accepted<'a>(
         &self,
         found: &'a HashMap<JobId, JobRecordStatus>,
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Sets the jobs without a known record whose statuses have to be looked up.
+    /// Sets the jobs that are unknown to this node's core although machines run their tasks, and whose
+    /// statuses therefore have to be looked up.
     pub fn set_unrecorded_jobs(&self, unrecorded_jobs: Vec<JobId>) {
         if self.read().unrecorded_jobs != unrecorded_jobs {
             self.write().unrecorded_jobs = unrecorded_jobs;
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -1,10 +1,10 @@
 //! The exchange of cancellations between the nodes, from which the leader learns what other nodes confirmed.
 //!
 //! A cancellation is durable before it is exchanged here. The leader normally reads it from the key-value
-//! store. This exchange is for a leader that has lost the store and would otherwise start or keep the job's
-//! tasks. It has two paths: a node that is about to confirm cancellations notifies the leader, and the leader
-//! reads each peer's cancellation log. A report proves that all cancellations up to its time are known only
-//! within one term and only if the log was read to its end.
+//! store. This exchange is for a leader that cannot reach the store and would otherwise start tasks of the
+//! job or keep them running. It has two paths: a node that is about to confirm cancellations notifies the
+//! leader, and the leader reads each peer's cancellation log. A report proves that all cancellations up to
+//! its time are known only within one term and only if the log was read to its end.
 
 use crate::api::context::CancellationNotifier;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The peer with this member name, if it is live and supports the notification.
+    /// The peer with this member name, if the peer is live and supports the notification of cancellations.
     fn notifiable_peer(&self, member: &str) -> Option<&Arc<Peer>> {
         let live = self.view.live_peers(Instant::now());
         self.peers.iter().find(|peer| {
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -25,11 +25,11 @@
 /// Latencies of this node's calls and rounds, for the periodic summary in the log.
 #[derive(Default)]
 pub struct LatencyMeters {
-    /// Calls to the key-value store.
+    /// Latencies of the calls to the key-value store.
     pub store: Arc<LatencyMeter>,
-    /// Calls to the cloud.
+    /// Latencies of the calls to the cloud.
     pub cloud: Arc<LatencyMeter>,
-    /// Ticks of the core, which include a placement round.
+    /// Durations of the core's ticks, each of which includes a placement round.
     pub rounds: LatencyMeter,
     /// Time from when a task's launch intent became known to be durable until the task's start was observed.
     pub starts: LatencyMeter,
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -12,7 +12,8 @@
 use crate::runtime::events::{ActionChannels, CloudOrder, CommandDelivery, LeaderTransaction};
 use std::time::Instant;
 
-/// Dispatches the core's actions, and removes the progress of jobs that are no longer in the cluster state.
+/// Dispatches the core's actions, and removes from the node's view the progress of jobs that are no longer in
+/// the cluster state.
 pub(super) fn perform(
     context: &NodeContext,
     cluster: &mut ClusterState,
@@ -106,7 +107,8 @@
     }
 
     fn probe(&self, delivery: CommandDelivery) {
-        // If the senders are busy, the machine's next regular heartbeat replaces the probe.
+        // If the channel to the command senders is full, the probe is dropped. The machine's next regular
+        // heartbeat takes its place.
         let _ = self.channels.commands.try_send(delivery);
     }
 
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -19,7 +19,7 @@
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time between the end of one tick and the start of the next.
 const TICK_INTERVAL: Duration = Duration::from_millis(150);
-/// Interval at which the shares of the key-value store's change rate are recomputed.
+/// Interval at which this node's shares of the key-value store's change rate are recomputed.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of events that are handled before the core produces actions.
 const MAX_EVENTS_PER_ITERATION: usize = 64;
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Handles `first` and the events that are already queued, so that a thread that is late catches up.
+    /// Handles `first` and the events that are already queued, so that the core thread catches up when it is
+    /// late.
     fn handle_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
         let mut next = first;
         let mut handled = 0;
--- a/src/runtime/core_publication.rs
+++ b/src/runtime/core_publication.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Logs the periodic summary of the cluster and of this node's calls.
+/// Logs the periodic summary of the cluster and of the latencies of this node's calls.
 pub(super) fn log_summary(context: &NodeContext, cluster: &mut ClusterState) {
     let meters = &context.meters;
     for wait in cluster.start_waits.drain(..) {
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,8 +1,8 @@
 //! The elector thread: campaigns for the leadership, renews the leader's lease, and steps down.
 //!
-//! `core::leadership::election` decides what to do, and this thread does it. Invariants: the validity of a
-//! lease is counted from when its grant or renewal was requested, never from when the response arrived; and
-//! a leader that steps down stops the threads of its term before it does anything else.
+//! `core::leadership::election` decides on each step, and this thread carries the step out. Invariants: the
+//! validity of a lease is counted from when its grant or renewal was requested, never from when the response
+//! arrived; and a leader that steps down stops the threads of its term before it does anything else.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -34,7 +34,8 @@
 /// How long a node that resigned from the leadership, because it received no heartbeats, waits before it
 /// campaigns again.
 const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
-/// How long a node without workers waits for another node to take a vacant leadership.
+/// How long a node without workers waits for another node to take a vacant leadership before it campaigns
+/// itself.
 const YIELD_PERIOD: Duration = Duration::from_millis(900);
 /// Range of the random back-off after a campaign that another node won, in milliseconds.
 const LOST_CAMPAIGN_BACKOFF_MS: Range<u64> = 100..400;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Handles an event, or a timeout without one, and carries out the resulting step.
+    /// Handles an event, or the timeout of the wait for an event, and carries out the resulting step.
     fn handle_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
         let step = self.step_for_event(event);
         let requested_at = ClockReading::now();
@@ -209,7 +210,8 @@
         }
     }
 
-    /// Starts the term that was won: a thread loads the cluster state and then serves the term.
+    /// Starts the term that this node has won, with a thread that loads the cluster state and then serves the
+    /// term.
     fn begin_term(&mut self, won_campaign: WonCampaign, requested_at: ClockReading) {
         let WonTerm {
             term,
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -42,7 +42,7 @@
 pub enum TermEvent {
     /// A job appeared in the index of live jobs.
     JobAccepted(AcceptedJob),
-    /// A job appeared in the index of live jobs, but this node already knows that it is cancelled.
+    /// A job appeared in the index of live jobs, but this node already knows that the job is cancelled.
     CancelledJobAccepted(AcceptedJob),
     /// The cancellation mark of this job was read.
     CancelMarkRead(JobId),
@@ -69,8 +69,8 @@
         /// Whether the cloud took them back.
         outcome: ReturnOutcome,
     },
-    /// The cloud's list of rented machines was read. It is incomplete if a page could not be read or the rate
-    /// limit was reached.
+    /// The cloud's list of rented machines was read. The list is incomplete if a page could not be read or if
+    /// the rate limit was reached during the read.
     CloudListed(Vec<CloudMachine>),
     /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
@@ -176,7 +176,7 @@
 
 /// A transaction of the leader.
 pub struct LeaderTransaction {
-    /// The term in which the leader writes it.
+    /// The term in which the leader writes the transaction.
     pub term: Term,
     /// The conditions and changes of the transaction.
     pub batch: WriteBatch,
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -21,8 +21,9 @@
 /// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s for the
 /// response to its heartbeat.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long heartbeats wait until a leader is known. A wait and a relay that both use up their limits take
-/// 4.5 s together, which is longer than the 4 s that a worker waits.
+/// How long heartbeats wait until a leader is known. If this wait and the relay that follows both use up
+/// their time limits, they take 4.5 s together, which is longer than the 4 s that a worker waits for the
+/// response.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long heartbeats that a peer relayed wait until this node leads with its cluster state loaded.
 const RELAYED_LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(1000);
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -192,10 +192,10 @@
         }
     }
 
-    /// The event for a job in the index of live jobs. The index still contains a job for some time after its
-    /// outcome was written. A job that is done was already known to the leader and needs no event. A
-    /// cancelled job may be unknown to the leader if the watch is late, and the leader has to remove it from
-    /// the index.
+    /// Returns the event that informs the core of a job in the index of live jobs, or `None` if the core
+    /// needs no event. The index still contains a job for some time after its outcome was written. A job that
+    /// is done was already known to the leader and needs no event. A cancelled job may be unknown to the
+    /// leader if the watch of the queue is delayed, and the leader has to remove it from the index.
     fn event_for_job(&self, spec: JobSpec, revision: u64) -> Option<TermEvent> {
         let outcome = self.context.view.final_outcome(&spec.job_id);
         let spec = Box::new(spec);
@@ -208,8 +208,8 @@
     }
 }
 
-/// Logs a record that cannot be decoded, and yields no event. Since the record is new, no machine runs any
-/// tasks of its job.
+/// Logs that a new record cannot be decoded, and returns no event for it. No machine runs any tasks of the
+/// record's job, because the record is new.
 fn log_unreadable(key: &str) -> Option<TermEvent> {
     log::error!("unreadable record left unchanged key={key}");
     None
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -54,11 +54,11 @@
 
 /// Timeout of connecting to the key-value store.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Idle connections to the key-value store that are kept for the leader's own work.
+/// Maximum number of idle connections to the key-value store that are kept open for the leader's own work.
 const IDLE_LEADER_STORE_CONNECTIONS: usize = 8;
 /// Timeout of connecting to the cloud.
 const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle connections to the cloud that are kept.
+/// Maximum number of idle connections to the cloud that are kept open.
 const IDLE_CLOUD_CONNECTIONS: usize = 2;
 /// The fraction of the cloud's allowed request rate that this node uses.
 const CLOUD_RATE_FRACTION: f64 = 0.8;
@@ -194,7 +194,8 @@
 fn create_store_client(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
-    // One connection for each thread that serves users' requests, in addition to those for the leader's work.
+    // One connection for each thread that serves users' requests, in addition to the connections for the
+    // leader's own work.
     let user_connections = settings.operator_settings.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -20,7 +20,8 @@
 /// A worker is removed from the distribution after it has sent no heartbeat for this many heartbeat
 /// intervals.
 const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
-/// Minimum time between removals of outdated workers and redirections.
+/// Minimum time between two sweeps, which remove workers without a recent heartbeat and redirections that are
+/// older than [`REDIRECT_COOLDOWN`].
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// A node redirects workers only if it has more of them than its fair share, multiplied by this factor, plus
 /// [`MAX_EXTRA_WORKERS`].
@@ -128,7 +129,7 @@
     }
 
     /// Decides whether to redirect the worker at this address. Returns the member name of the node to which
-    /// it is redirected, and `None` if it stays.
+    /// the worker is redirected, and `None` if the worker stays at this node.
     pub fn redirect_target(
         &self,
         from: IpAddr,
