--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -95,8 +95,8 @@
     job_state(context, 200, job_id, outcome, CountsDetail::Omitted)
 }
 
-/// Writes the job's own outcome, and the cancellation mark, a key that the leader watches and that notifies
-/// it. `revision` is the expected revision of the outcome's key.
+/// Writes the job's own outcome, and the cancellation mark, a key that the leader watches to learn of
+/// cancellations. `revision` is the expected revision of the outcome's key.
 fn write_outcome(
     context: &ApiContext,
     job_id: &JobId,
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -130,7 +130,8 @@
                 response.send(request);
                 continue;
             }
-            // The heartbeat waited while this process was paused: its worker has switched to another node.
+            // The heartbeat waited in its socket while this process was paused, so its worker has already
+            // switched to another node.
             Ok(Route::Heartbeat) if just_resumed => {
                 request.reject_stale();
                 continue;
--- a/src/net/http_server/event_loop.rs
+++ b/src/net/http_server/event_loop.rs
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Checks all connections for timeouts and for requests that are already buffered.
+    /// Checks all connections for timeouts and for complete requests that are already in their input buffers.
     fn sweep(&mut self, now: Instant, requests: &mut Vec<Request>) {
         for slot in 0..self.connections.len() {
             let Some(connection) = &mut self.connections[slot] else {
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -3,8 +3,9 @@
 //! A cancellation is durable before it is exchanged here. The leader normally reads it from the key-value
 //! store. This exchange is for a leader that cannot reach the store and would otherwise start tasks of the
 //! job or keep them running. It has two paths: a node that is about to confirm cancellations notifies the
-//! leader, and the leader reads each peer's cancellation log. A report proves that all cancellations up to
-//! its time are known only within one term and only if the log was read to its end.
+//! leader, and the leader reads each peer's cancellation log. A report proves that the leader knows all
+//! cancellations that the peer confirmed up to the time at which the report was requested, but only within
+//! one term and only if the log was read to its end.
 
 use crate::api::context::CancellationNotifier;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -119,9 +120,9 @@
                 return;
             };
             has_more = page.has_more;
-            // If a report spans several pages, only its last page proves that all cancellations up to the
-            // report's time are known. A report that does not continue the previous one is passed on as well,
-            // so that the core knows of the gap.
+            // If a report spans several pages, only its last page proves that all cancellations in the peer's
+            // log have been read. A report that does not continue the previous one is passed on as well, so
+            // that the core knows of the gap.
             let covers = !page.has_more || !page.report.is_continuous;
             let coverage = covers.then(|| CancellationCoverage {
                 peer: peer.member.clone(),
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -22,7 +22,8 @@
 /// lease. During this time, the lease may have expired without the leader having noticed.
 const RESUMED_RECENTLY_LEASES: u32 = 2;
 
-/// Latencies of this node's calls and rounds, for the periodic summary in the log.
+/// Latencies of this node's calls, the core's ticks and the starts of tasks, for the periodic summary in the
+/// log.
 #[derive(Default)]
 pub struct LatencyMeters {
     /// Latencies of the calls to the key-value store.
@@ -42,7 +43,7 @@
     /// The maximum number of changes in one transaction of the key-value store, and the maximum size of one
     /// value.
     pub transaction_limits: TransactionLimits,
-    /// Latencies of calls and rounds.
+    /// Latencies of calls, of the core's ticks and of the starts of tasks.
     pub meters: LatencyMeters,
     /// The node's role, health, jobs and peers, as its threads see them.
     pub view: Arc<NodeView>,
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -118,7 +118,9 @@
     Failed,
 }
 
-/// A peer's report, which proves that all cancellations that it confirmed up to some time are known here.
+/// A peer's report of the cancellations that it confirmed, received by this leader. A report that continues
+/// the previous one proves that this leader knows all cancellations that the peer confirmed between the two,
+/// up to the time at which the later report was requested.
 pub struct CancellationCoverage {
     /// The peer's member name.
     pub peer: String,
