--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,9 +1,9 @@
 //! Cancellation of a job and its dependents.
 //!
-//! The outcome of the job itself is written first. Once it is durable, a new job that depends on it is
-//! accepted only as cancelled, so a later read of the index of live jobs shows all live dependents. If the
-//! dependents' outcomes fit into one transaction, the node that confirms the cancellation writes them;
-//! otherwise the leader does.
+//! The outcome of the job itself is written first. Once this outcome is durable, a new job that depends on
+//! the cancelled job is accepted only as cancelled, so a later read of the index of live jobs shows all live
+//! dependents. If the dependents' outcomes fit into one transaction, the node that confirms the cancellation
+//! writes them; otherwise the leader does.
 //!
 //! Invariant: a job is reported as cancelled only after all of its direct and indirect dependents have
 //! outcomes. After an outage between the two writes, no dependent is therefore reported as live while its
--- a/src/api/context.rs
+++ b/src/api/context.rs
@@ -89,7 +89,7 @@
     pub view: Arc<NodeView>,
     /// The clients of the other controllers; empty if this node is the only controller.
     pub peers: Vec<Arc<Peer>>,
-    /// The signal that the service stops. The API's threads end when it is given.
+    /// The signal that the service stops. The API's threads end when this signal is given.
     pub stop: StopSignal,
     /// Detects pauses of this process, shared with the runtime.
     pub pause_detector: Arc<PauseDetector>,
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -3,7 +3,7 @@
 //! The previous version looks up the dependents of a job in one value, `d/ID`. While a peer of that version
 //! may be running, submissions are added to these lists too, so that a cancellation confirmed by that peer
 //! includes them. A list that has reached the size limit is left unchanged and the submission is not refused;
-//! the leader finds the dependents that are missing from it.
+//! the leader finds the dependents that are missing from the list.
 
 use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::common::rate_limit::RequestClass;
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -1,8 +1,9 @@
 //! Finds the dependents of a job by reading the index of live jobs.
 //!
 //! The transaction that accepts a job writes its record to the index, and the record names the job's
-//! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read
-//! of the index that begins after the outcome became durable therefore shows all live dependents of the job.
+//! dependencies. Once a job's outcome is durable, no further dependent of the job can be accepted as live. A
+//! read of the index that begins after the outcome became durable therefore shows all live dependents of the
+//! job.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -119,9 +119,9 @@
 
 /// Answers requests that need no other thread, and queues the others.
 fn dispatch(context: &ApiContext, requests: Vec<Request>, queues: &Queues) {
-    // The pause detector recognises a pause only if it is checked often. The listener's thread wakes up at
-    // least twice a second and calls this function whenever requests have arrived, so this function checks
-    // for a pause, too.
+    // The pause detector recognises a pause only if its `check` is called often. The listener's thread wakes
+    // up at least twice a second and calls this function whenever requests have arrived, so this function
+    // checks for a pause, too.
     let just_resumed = context.just_resumed();
     for mut request in requests {
         let queue = match route(&request.method, &request.path) {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -25,7 +25,8 @@
 use crate::net::wire::{self, InvalidField, StoredJob, Submission, SubmissionId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The maximum number of attempts per submission. An attempt is repeated if a dependency ends during it.
+/// The maximum number of attempts per submission. An attempt is repeated if a dependency ends during the
+/// attempt.
 const MAX_ATTEMPTS: usize = 3;
 /// The time limit of the transaction that accepts a job.
 const ACCEPT_TRANSACTION_TIMEOUT: Duration = Duration::from_millis(2000);
@@ -76,7 +77,8 @@
 /// The result of one attempt to accept a submission.
 enum SubmitAttempt {
     Responded(ApiResponse),
-    /// A dependency of this job ended between its lookup and the transaction.
+    /// A dependency of the job with this id ended after it was looked up and before the transaction was
+    /// applied.
     DependencyChanged(JobId),
 }
 
--- a/src/net/http_server/connection_load.rs
+++ b/src/net/http_server/connection_load.rs
@@ -6,7 +6,7 @@
 /// response to a client that can open a new one at no cost.
 const HIGH_WATERMARK_SHARE_OF_LIMIT: f64 = 0.85;
 
-/// The number of open connections and its limits.
+/// The number of open connections, with the connection limit and the number from which the load is high.
 pub(super) struct ConnectionLoad {
     open: AtomicUsize,
     limit: usize,
--- a/src/net/http_server/socket.rs
+++ b/src/net/http_server/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a connection. The event loop reads from it, and the thread that answers a request writes to
-//! it.
+//! The socket of a connection. The event loop reads from it, and the thread that answers a request writes the
+//! response to it.
 
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
--- a/src/net/request_parser/mod.rs
+++ b/src/net/request_parser/mod.rs
@@ -29,7 +29,8 @@
     /// ambiguous.
     #[error("both Content-Length and Transfer-Encoding")]
     ConflictingLengths,
-    /// The body, or the encoded form of a chunked one, is longer than its limit.
+    /// The body is longer than its limit, or the encoded form of a chunked body is longer than the limit for
+    /// encoded bodies.
     #[error("the body is too long")]
     BodyTooLong,
     /// A chunk does not start with a valid size, or is not followed by a line end.
--- a/src/node/cancellation_log.rs
+++ b/src/node/cancellation_log.rs
@@ -1,10 +1,10 @@
-//! The log of the cancellations that this incarnation of the node may confirm, in the order in which it
+//! The log of the cancellations that this incarnation of the node may confirm, in the order in which the node
 //! learned of them.
 //!
-//! The leader reads the log of each of its peers by position. In this way it learns of cancellations while it
-//! cannot read them from the key-value store. A position is valid only for one incarnation of the node,
-//! because the log of each incarnation starts empty. A reader with a position of another incarnation receives
-//! a page that does not continue from this position, and must not assume that it knows all earlier
+//! The leader reads the log of each of its peers by position. In this way the leader learns of cancellations
+//! while it cannot read them from the key-value store. A position is valid only for one incarnation of the
+//! node, because the log of each incarnation starts empty. A reader with a position of another incarnation
+//! receives a page that does not continue from this position, and must not assume that it knows all earlier
 //! cancellations.
 
 use crate::core::model::JobId;
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -13,8 +13,9 @@
 
 /// Maximum number of outcomes in memory. The oldest one is evicted first.
 const MAX_OUTCOMES: usize = 20_000;
-/// Maximum number of jobs that are known to have been accepted and not known to have ended. When it is
-/// reached, all of them are dropped, which makes status queries about these jobs more expensive.
+/// Maximum number of jobs that are known to have been accepted and not known to have ended. When this maximum
+/// is reached, all of these jobs are dropped from the cache, which makes status queries about these jobs more
+/// expensive.
 const MAX_ACCEPTED: usize = 100_000;
 
 /// The progress of a live job, for display.
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,8 +1,9 @@
 //! The state of a node that all its threads can read: its role, its health, jobs and peers.
 //!
-//! One lock protects all of it, so that values that are read together are consistent. The state is changed
-//! only through the methods of `NodeView`. The validity of a lease is counted from when it was requested, by
-//! the monotonic clock and by the wall clock, and it ends when the first of the two reaches the end.
+//! One lock protects the whole state, so that values that are read together are consistent. The state is
+//! changed only through the methods of `NodeView`. The validity of a lease is counted from when it was
+//! requested, by the monotonic clock and by the wall clock, and it ends as soon as one of the two clocks has
+//! reached the end of the lease.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::leadership::cancellation_watermark::ClockReading;
@@ -35,7 +36,7 @@
 pub struct NodeState {
     /// The role of this node, set by the elector.
     pub role: RoleView,
-    /// The term whose cluster state the core has loaded; `None` while it has none.
+    /// The term whose cluster state the core has loaded; `None` while the core has no cluster state.
     pub loaded_term: Option<Term>,
     /// The leader that this node follows; `None` if none is known or the node leads itself.
     pub leader: Option<LeaderRecord>,
@@ -254,7 +255,8 @@
         }
     }
 
-    /// Remembers the outcome of a job. From now on, users' queries are answered with it.
+    /// Remembers the outcome of a job. From this call on, users' queries about the job are answered with the
+    /// outcome.
     pub fn remember_outcome(&self, job_id: &JobId, outcome: JobOutcome) {
         self.write().jobs.insert_outcome(job_id, outcome);
     }
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -55,7 +55,7 @@
     let lease_duration = compute_lease_duration(context);
     let lease_id = store.grant_lease(lease_duration, CALL_TIMEOUT)?;
     // The term must also be higher than every term that workers and peers have reported. After the store was
-    // restored to an earlier state, its counter alone would yield terms that are already in use.
+    // restored to an earlier state, the store's term counter alone would yield terms that are already in use.
     let term = last_term.max(context.view.read().highest_term.0) + 1;
     let won_campaign = |leader_revision| WonCampaign {
         won_term: WonTerm {
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -1,11 +1,11 @@
 //! The exchange of cancellations between the nodes, from which the leader learns what other nodes confirmed.
 //!
-//! A cancellation is durable before it is exchanged here. The leader normally reads it from the key-value
-//! store. This exchange is for a leader that cannot reach the store and would otherwise start tasks of the
-//! job or keep them running. It has two paths: a node that is about to confirm cancellations notifies the
-//! leader, and the leader reads each peer's cancellation log. A report proves that the leader knows all
-//! cancellations that the peer confirmed up to the time at which the report was requested, but only within
-//! one term and only if the log was read to its end.
+//! A cancellation is durable in the key-value store before the nodes exchange it. The leader normally reads
+//! the cancellation from the store. This exchange is for a leader that cannot reach the store and would
+//! otherwise start tasks of the job or keep them running. The exchange has two paths: a node that is about to
+//! confirm cancellations notifies the leader, and the leader reads each peer's cancellation log. A report
+//! proves that the leader knows all cancellations that the peer confirmed up to the time at which the report
+//! was requested, but only within one term and only if the log was read to its end.
 
 use crate::api::context::CancellationNotifier;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -19,7 +19,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a node waits for the leader's acknowledgement before it confirms a cancellation without it.
+/// How long a node waits for the leader's acknowledgement before the node confirms a cancellation without the
+/// acknowledgement.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of reading one page of a peer's cancellation log.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -104,7 +105,8 @@
 }
 
 impl CancellationReader {
-    /// Reads the new entries of the peer's log and passes them to the core.
+    /// Reads the new entries of the peer's cancellation log, page by page, and passes them to this node's
+    /// core.
     pub(super) fn read(&mut self, context: &NodeContext, peer: &Peer) {
         let term = context.view.read().serving_term();
         if term != self.term {
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -2,7 +2,7 @@
 //! machines.
 //!
 //! These threads share one rate limit. Invariant: machines are returned only while this node certainly holds
-//! the leader lease, because otherwise another leader may already be using them.
+//! the leader lease, because without a valid lease another leader may already be using the machines.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
 use crate::core::capacity::RentalOutcome;
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -217,8 +217,8 @@
     }
 }
 
-/// Sets how many changes the core may write and whether the leader lease confirms its leadership. Returns
-/// whether the leadership is confirmed.
+/// Informs the core how many changes it may write and whether this node's leader lease confirms the
+/// leadership. Returns whether the leadership is confirmed.
 fn refresh_permissions(context: &NodeContext, cluster: &mut ClusterState) -> bool {
     cluster.set_write_allowance(context.store.leader_changes_left());
     let confirmed = context.holds_leader_lease(cluster.term);
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -2,7 +2,8 @@
 //!
 //! `core::leadership::election` decides on each step, and this thread carries the step out. Invariants: the
 //! validity of a lease is counted from when its grant or renewal was requested, never from when the response
-//! arrived; and a leader that steps down stops the threads of its term before it does anything else.
+//! to the request arrived; and a leader that steps down stops the threads of its term before it does anything
+//! else.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -52,7 +52,7 @@
     CommandSent {
         /// The machine to which the commands were addressed.
         machine: MachineId,
-        /// The heartbeat in the machine's response; `None` if it did not answer or nothing was sent.
+        /// The heartbeat in the machine's response; `None` if the machine did not answer or nothing was sent.
         heartbeat: Option<Heartbeat>,
     },
     /// The cloud answered a rental, or the rental failed or was not sent.
@@ -66,7 +66,7 @@
     ReturnEnded {
         /// The machines that were to be returned.
         machines: Vec<MachineId>,
-        /// Whether the cloud took them back.
+        /// Whether the cloud took the machines back.
         outcome: ReturnOutcome,
     },
     /// The cloud's list of rented machines was read. The list is incomplete if a page could not be read or if
@@ -95,7 +95,8 @@
 }
 
 impl TermEvent {
-    /// Wraps the event for the core thread, which drops it unless it leads in this term.
+    /// Wraps the event for the core thread, which drops the event unless this node leads in `term` when the
+    /// event is handled.
     pub fn in_term(self, term: Term) -> Event {
         Event::InTerm { term, event: self }
     }
@@ -124,7 +125,7 @@
 pub struct CancellationCoverage {
     /// The peer's member name.
     pub peer: String,
-    /// When the report was requested and received, and whether it continues the previous one.
+    /// When the report was requested and received, and whether it continues the peer's previous report.
     pub report: CancellationReport,
 }
 
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -2,8 +2,8 @@
 //!
 //! Reading and answering heartbeats is most of the nodes' work. Workers therefore send them to any node, and
 //! a node with far more workers than its share redirects some of them to another node
-//! (`worker_distribution`). Only the leader's core accepts heartbeats. One that it does not accept is
-//! answered with status 503, which does not renew the worker's lease.
+//! (`worker_distribution`). Only the leader's core accepts heartbeats. A heartbeat that the core does not
+//! accept is answered with status 503, which does not renew the worker's lease.
 
 use crate::api::context::{HeartbeatHandler, ReceivedHeartbeat};
 use crate::api::responses::ApiResponse;
@@ -18,8 +18,8 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s for the
-/// response to its heartbeat.
+/// Timeout of relaying a frame of heartbeats to the leader, including the leader's answer. A worker waits 4 s
+/// for the response to its heartbeat.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long heartbeats wait until a leader is known. If this wait and the relay that follows both use up
 /// their time limits, they take 4.5 s together, which is longer than the 4 s that a worker waits for the
@@ -137,10 +137,10 @@
         RoutedHeartbeats { responses, kept }
     }
 
-    /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to it,
-    /// because they may be able to reach it themselves. A node that cannot reach the key-value store does not
-    /// redirect workers, because its knowledge of the leader is outdated: two nodes that redirect to each
-    /// other would keep the workers away from the third node.
+    /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to the
+    /// leader, because they may be able to reach the leader themselves. A node that cannot reach the
+    /// key-value store does not redirect workers, because its knowledge of the leader is outdated: two nodes
+    /// that redirect to each other would keep the workers away from the third node.
     fn relay(
         &self,
         bodies: Vec<Vec<u8>>,
--- a/src/runtime/queue_feed.rs
+++ b/src/runtime/queue_feed.rs
@@ -81,8 +81,9 @@
         let _ = self.context.events.send(event.in_term(self.term));
     }
 
-    /// Reads the outcomes of dependencies that are unknown to the leader, because they ended while their
-    /// dependents were being accepted. The interval between reads of an outcome that stays unknown grows.
+    /// Reads the outcomes of dependencies that are unknown to the leader, because the dependencies ended
+    /// while their dependents were being accepted. The interval between reads of an outcome that stays
+    /// unknown grows.
     fn resolve_dependencies(&mut self) {
         let unresolved_dependencies = self.context.view.read().unresolved_dependencies.clone();
         let due = self.backoff.due(&unresolved_dependencies, Instant::now());
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -131,8 +131,8 @@
         while !self.context.stop.wait(WAIT_INTERVAL) {}
     }
 
-    /// Signals all threads to stop, and joins those that have already ended. It does not wait for the others:
-    /// threads that are blocked on a connection run until the process exits.
+    /// Signals all threads to stop, and joins those that have already ended. The function does not wait for
+    /// the other threads: threads that are blocked on a connection run until the process exits.
     pub fn stop(self) {
         self.context.stop.stop();
         for thread in self.threads {
--- a/src/runtime/store_writer.rs
+++ b/src/runtime/store_writer.rs
@@ -1,8 +1,8 @@
 //! Writes the leader's transactions to the key-value store, one at a time.
 //!
 //! Each transaction is conditional on the leader key, so a transaction that is delayed beyond the end of its
-//! term fails, wherever it was delayed. A transaction whose outcome is unknown is reported as unknown, never
-//! as failed.
+//! term fails, no matter where the delay occurred. A transaction whose outcome is unknown is reported as
+//! unknown, never as failed.
 
 use crate::common::rate_limit::RequestClass;
 use crate::core::persistence::keys;
--- a/src/runtime/worker_distribution.rs
+++ b/src/runtime/worker_distribution.rs
@@ -34,7 +34,7 @@
 /// Weight of the leader in the distribution of workers, relative to [`FOLLOWER_WEIGHT`].
 const LEADER_WEIGHT: f64 = 1.0;
 
-/// The nodes among which workers are distributed, as seen by one of them.
+/// The nodes among which workers are distributed, as seen by one of these nodes.
 pub struct LiveNodes<'a> {
     /// Member name of this node.
     pub own: &'a str,
@@ -156,7 +156,8 @@
     }
 }
 
-/// The peer that is furthest below its fair share, if this node has too many workers and that peer too few.
+/// The peer that is furthest below its fair share of workers, if this node has too many workers and that peer
+/// has too few.
 fn most_underloaded_peer<'a>(live_nodes: &LiveNodes<'a>, own_workers: usize) -> Option<&'a str> {
     let own_workers = own_workers as f64;
     let peers = live_nodes.peers;
