--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -17,7 +17,8 @@
 
 /// The time limit of reading one page of the index.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A page that failed is read again until this much time has passed since the start of the whole read.
+/// A page whose read failed is read again until this much time has passed since the read of the whole index
+/// began.
 const INDEX_READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The part of a live job's record that names the job's dependencies.
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -88,8 +88,8 @@
     ApiResponse::problem(503, "the rate is used up").with_retry_after(retry_after)
 }
 
-/// A response with a job's phase and, if `detail` asks for them, its task counts. Counts that this node does
-/// not have are 0.
+/// A response with a job's phase and, if `detail` includes them, the job's task counts. Counts that this node
+/// does not have are 0.
 pub(super) fn job_state(
     context: &ApiContext,
     status: u16,
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -6,7 +6,7 @@
 const JOBS_PATH: &str = "/api/jobs";
 const JOB_PREFIX: &str = "/api/jobs/";
 
-/// An API route. The job id is as it stands in the path, not validated.
+/// An API route. The job id in a route is copied from the path and not validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route<'a> {
     HealthCheck,
--- a/src/api/submission_dependencies.rs
+++ b/src/api/submission_dependencies.rs
@@ -52,7 +52,7 @@
     })
 }
 
-/// The statuses of these jobs. Fails if the lookup of any of them fails.
+/// Returns the statuses of these jobs. Fails if the lookup of any of these jobs fails.
 fn look_up_statuses(
     context: &ApiContext,
     job_ids: &[JobId],
--- a/src/node/peer_table.rs
+++ b/src/node/peer_table.rs
@@ -1,6 +1,7 @@
 //! The last status reports of the other controllers.
 //!
-//! A report is valid for `REPORT_LIFETIME`. A peer whose last report is older is treated as unreachable.
+//! A report is valid for `REPORT_LIFETIME`. A peer whose last report was received longer ago than this is
+//! treated as unreachable.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use std::collections::HashMap;
--- a/src/runtime/peer_server.rs
+++ b/src/runtime/peer_server.rs
@@ -16,7 +16,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection without a request for this long is closed. A peer that is up sends a hello every second.
+/// A connection is closed after it has received no request for this long. A peer that is up sends a hello
+/// every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of sending a response to a peer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/runtime/peer_status_exchange.rs
+++ b/src/runtime/peer_status_exchange.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Records a peer's hello, applies the progress in the hello if the peer is the leader, and returns this
-/// node's own hello as the answer.
+/// Records a peer's hello, applies the progress in the hello if the peer leads and this node does not, and
+/// returns this node's own hello as the answer.
 pub(super) fn answer_hello(context: &NodeContext, received: Hello) -> Hello {
     record_hello(context, &received);
     let from_leader = received.leader_term.is_some();
