--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,9 +1,9 @@
 //! Cancellation of a job and its dependents.
 //!
-//! The outcome of the job itself is written first. Once it is durable, a new job that depends on it is
-//! accepted only as cancelled, so a later read of the index of live jobs shows all live dependents. If the
-//! dependents' outcomes fit into one transaction, the node that confirms the cancellation writes them;
-//! otherwise the leader does.
+//! The outcome of the job itself is written first. Once this outcome is durable, a new job that depends on
+//! the cancelled job is accepted only as cancelled, so a later read of the index of live jobs shows all live
+//! dependents. If the dependents' outcomes fit into one transaction, the node that confirms the cancellation
+//! writes them; otherwise the leader does.
 //!
 //! Invariant: a job is reported as cancelled only after all of its direct and indirect dependents have
 //! outcomes. After an outage between the two writes, no dependent is therefore reported as live while its
@@ -78,8 +78,8 @@
                 log::info!("cancelled job={job_id}");
                 return confirm_cancellation(context, &job_id);
             }
-            // The job ended in the meantime, or the result of the transaction is unknown: read the outcome
-            // again.
+            // The job has ended since its outcome was read, or the result of the transaction is unknown. In
+            // both cases, the outcome is read again.
             Ok(TransactionOutcome::Failed { .. }) | Err(StoreError::Unknown) => {}
             Err(e) => return Err(e),
         }
@@ -95,8 +95,8 @@
     job_state(context, 200, job_id, outcome, CountsDetail::Omitted)
 }
 
-/// Writes the job's own outcome, and the mark that notifies the leader, which watches such keys. `revision`
-/// is the expected revision of the outcome's key.
+/// Writes the job's own outcome, and the cancellation mark, a key that the leader watches to learn of
+/// cancellations. `revision` is the expected revision of the outcome's key.
 fn write_outcome(
     context: &ApiContext,
     job_id: &JobId,
@@ -208,7 +208,8 @@
                 remaining.remove(&condition.key);
             }
         }
-        // The store may name only some of the existing keys. The other keys are compared again.
+        // The store may name only some of the keys that exist. The keys that it did not name are compared
+        // again.
         indexed.extend(existing.iter().filter_map(|key| remaining.remove(key)));
     }
     Ok(indexed)
--- a/src/api/dependents_list.rs
+++ b/src/api/dependents_list.rs
@@ -3,7 +3,7 @@
 //! The previous version looks up the dependents of a job in one value, `d/ID`. While a peer of that version
 //! may be running, submissions are added to these lists too, so that a cancellation confirmed by that peer
 //! includes them. A list that has reached the size limit is left unchanged and the submission is not refused;
-//! the leader finds the dependents that are missing from it.
+//! the leader finds the dependents that are missing from the list.
 
 use crate::api::user_requests::STORE_CALL_TIMEOUT;
 use crate::common::rate_limit::RequestClass;
@@ -16,7 +16,8 @@
 use crate::node::transaction_limits::TransactionLimits;
 use std::sync::Arc;
 
-/// The maximum number of lists written in one transaction, because the sizes of their values add up.
+/// The maximum number of lists written in one transaction, because the sizes of the lists' values add up to
+/// the size of the transaction.
 const MAX_LISTS_PER_TRANSACTION: usize = 8;
 
 /// The result of adding a job to the lists of its dependencies.
@@ -36,7 +37,7 @@
         .all(|peer| peer.supports(VERSION_WITH_LIVE_INDEX))
 }
 
-/// Adds a job to the lists of its dependencies, on condition that none of them has an outcome.
+/// Adds a job to the lists of its dependencies, on condition that none of the dependencies has an outcome.
 pub(super) fn add_job(
     store: &KvStore,
     limits: TransactionLimits,
--- a/src/api/live_index.rs
+++ b/src/api/live_index.rs
@@ -1,8 +1,9 @@
 //! Finds the dependents of a job by reading the index of live jobs.
 //!
 //! The transaction that accepts a job writes its record to the index, and the record names the job's
-//! dependencies. Once a job's outcome is durable, no further dependent of it can be accepted as live. A read
-//! of the index that begins after that therefore shows all of its live dependents.
+//! dependencies. Once a job's outcome is durable, no further dependent of the job can be accepted as live. A
+//! read of the index that begins after the outcome became durable therefore shows all live dependents of the
+//! job.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -16,10 +17,11 @@
 
 /// The time limit of reading one page of the index.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A page that failed is read again until this much time has passed since the start of the whole read.
+/// A page whose read failed is read again until this much time has passed since the read of the whole index
+/// began.
 const INDEX_READ_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The field of a live job's record that is needed here.
+/// The part of a live job's record that names the job's dependencies.
 #[derive(Deserialize)]
 struct LiveJob {
     #[serde(default, rename = "needs")]
@@ -39,8 +41,8 @@
 }
 
 impl LiveIndex {
-    /// Returns the dependents of all live jobs, from a read that began at `min_read_start` or later. A cached
-    /// read is reused if it is recent enough.
+    /// Returns the dependents of all live jobs, from a read that began at `min_read_start` or later. The
+    /// cached read is reused if it meets this condition.
     pub(super) fn read_since(
         &self,
         store: &KvStore,
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -66,12 +66,13 @@
     ApiResponse::problem(404, "no such job")
 }
 
-/// 503 because the queue for such requests is full.
+/// 503 because the queue of the thread pool for this kind of request is full.
 pub(super) fn busy() -> ApiResponse {
     ApiResponse::problem(503, "busy").with_retry_after(TRANSIENT_RETRY_AFTER_S)
 }
 
-/// 503. The retry time is longer while this node cannot reach the key-value store.
+/// 503 because the request cannot be answered at present. The retry time is longer while this node cannot
+/// reach the key-value store.
 pub(super) fn unavailable(context: &ApiContext) -> ApiResponse {
     let retry_after = if context.view.store_ok(Instant::now()) {
         TRANSIENT_RETRY_AFTER_S
@@ -87,8 +88,8 @@
     ApiResponse::problem(503, "the rate is used up").with_retry_after(retry_after)
 }
 
-/// A response with a job's phase and, if `detail` asks for them, its task counts. Counts that this node does
-/// not have are 0.
+/// A response with a job's phase and, if `detail` includes them, the job's task counts. Counts that this node
+/// does not have are 0.
 pub(super) fn job_state(
     context: &ApiContext,
     status: u16,
--- a/src/api/status_queries.rs
+++ b/src/api/status_queries.rs
@@ -35,8 +35,8 @@
 #[derive(Default)]
 struct Lookup {
     found: HashMap<JobId, JobRecordStatus>,
-    /// The error of a call to the key-value store, because of which jobs may be missing from `found`. Without
-    /// an error, cancelled jobs are still missing if their cancellation is not confirmed.
+    /// The error of a call to the key-value store, because of which jobs may be missing from `found`. Even
+    /// without an error, cancelled jobs are missing from `found` if their cancellation is not confirmed.
     error: Option<StoreError>,
 }
 
@@ -67,7 +67,8 @@
     for (job_id, requests) in by_job {
         let status = found.get(&job_id).copied();
         for request in requests {
-            // A query is stale here if the process was paused during the lookup. Its status may be outdated.
+            // A query is stale here if the process was paused during the lookup. The status that was looked
+            // up for the query may then be outdated.
             let response = match status {
                 Some(status) if !is_stale(&request) => status_response(context, &job_id, status),
                 _ => unavailable(context),
--- a/src/node/job_cache.rs
+++ b/src/node/job_cache.rs
@@ -13,8 +13,9 @@
 
 /// Maximum number of outcomes in memory. The oldest one is evicted first.
 const MAX_OUTCOMES: usize = 20_000;
-/// Maximum number of jobs that are known to have been accepted and not known to have ended. When it is
-/// reached, all of them are dropped, which makes status queries about these jobs more expensive.
+/// Maximum number of jobs that are known to have been accepted and not known to have ended. When this maximum
+/// is reached, all of these jobs are dropped from the cache, which makes status queries about these jobs more
+/// expensive.
 const MAX_ACCEPTED: usize = 100_000;
 
 /// The progress of a live job, for display.
@@ -97,8 +98,8 @@
     pub(super) fn insert_outcome(&mut self, job_id: &JobId, outcome: JobOutcome) {
         self.accepted.remove(job_id);
         if self.outcomes.insert(job_id.clone(), outcome).is_none() {
-            // The caller holds the lock, so no thread can read the outcome, and confirm it, before it is
-            // logged.
+            // The caller holds the lock, so no thread can read the cancellation from this cache and confirm
+            // it to a user before the cancellation is in the log.
             if outcome == JobOutcome::Cancelled {
                 self.cancellations.push(job_id.clone());
             }
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The jobs that were found to be live and that this node does not know as accepted yet.
+    /// The jobs that were found to be live and that this node does not yet know to have been accepted.
     pub(super) fn newly_accepted<'a>(
         &self,
         found: &'a HashMap<JobId, JobRecordStatus>,
--- a/src/node/pause_detector.rs
+++ b/src/node/pause_detector.rs
@@ -8,9 +8,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The shortest detected pause. In a running process, the checks of all threads are never this far apart.
+/// The shortest detected pause. While the process runs, the time between two successive checks, by whichever
+/// threads, is always shorter.
 const MIN_PAUSE: Duration = Duration::from_secs(4);
-/// How long after a pause received data may be outdated. Afterwards the sockets have been read empty.
+/// How long after the end of a pause received data may be outdated. By the end of this time, the data that
+/// had waited in the sockets has been read.
 const RESUME_WINDOW: Duration = Duration::from_millis(500);
 
 struct State {
@@ -46,7 +48,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let last = state.last_check;
         if now.monotonic < last.monotonic {
-            // Another thread has checked since this one read its clock.
+            // Another thread has run a check with a later clock reading than this one.
             return state.resumed_at;
         }
         let day_step = match now.wall_clock.duration_since(last.wall_clock) {
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,8 +1,9 @@
 //! The state of a node that all its threads can read: its role, its health, jobs and peers.
 //!
-//! One lock protects all of it, so that values that are read together are consistent. The state is changed
-//! only through the methods of `NodeView`. The validity of a lease is counted from when it was requested, by
-//! the monotonic clock and by the wall clock, and it ends when the first of the two reaches the end.
+//! One lock protects the whole state, so that values that are read together are consistent. The state is
+//! changed only through the methods of `NodeView`. The validity of a lease is counted from when it was
+//! requested, by the monotonic clock and by the wall clock, and it ends as soon as one of the two clocks has
+//! reached the end of the lease.
 
 use crate::common::rate_sharing::ChangeRateDemand;
 use crate::core::leadership::cancellation_watermark::ClockReading;
@@ -18,7 +19,8 @@
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::time::{Duration, Instant};
 
-/// The key-value store counts as unavailable to this node after its calls have failed for this long.
+/// The key-value store counts as unavailable to this node after all of the node's calls to it have failed for
+/// this long.
 const STORE_LOST_AFTER: Duration = Duration::from_secs(2);
 
 /// The role of this node, as published to its threads.
@@ -30,11 +32,11 @@
     Follower(Option<String>),
 }
 
-/// The state that the lock protects.
+/// The state of a node that the lock of [`NodeView`] protects.
 pub struct NodeState {
     /// The role of this node, set by the elector.
     pub role: RoleView,
-    /// The term whose cluster state the core has loaded; `None` while it has none.
+    /// The term whose cluster state the core has loaded; `None` while the core has no cluster state.
     pub loaded_term: Option<Term>,
     /// The leader that this node follows; `None` if none is known or the node leads itself.
     pub leader: Option<LeaderRecord>,
@@ -105,7 +107,8 @@
                 unrecorded_jobs: Vec::new(),
                 jobs: JobCache::new(),
                 peers: PeerTable::default(),
-                // The store's availability is unproven until its first answer.
+                // Until the store has answered a first call, its calls count as failing since the start of
+                // this node.
                 store_failing_since: Some(now),
                 lease_expiry: None,
             }),
@@ -157,8 +160,8 @@
     }
 
     /// Whether this node certainly leads in this term: its lease, counted from when its renewal was
-    /// requested, has not expired by either clock. A process that was paused or partitioned notices here
-    /// first.
+    /// requested, has not expired by either clock. After a pause or a partition of this process, this check
+    /// is the first to show that the lease has expired.
     pub fn holds_leader_lease(&self, term: Term, now: ClockReading) -> bool {
         let state = self.read();
         let unexpired = |expiry: ClockReading| {
@@ -182,7 +185,8 @@
         }
     }
 
-    /// Sets the jobs without a known record whose statuses have to be looked up.
+    /// Sets the jobs that are unknown to this node's core although machines run their tasks, and whose
+    /// statuses therefore have to be looked up.
     pub fn set_unrecorded_jobs(&self, unrecorded_jobs: Vec<JobId>) {
         if self.read().unrecorded_jobs != unrecorded_jobs {
             self.write().unrecorded_jobs = unrecorded_jobs;
@@ -251,7 +255,8 @@
         }
     }
 
-    /// Remembers the outcome of a job. From now on, users' queries are answered with it.
+    /// Remembers the outcome of a job. From this call on, users' queries about the job are answered with the
+    /// outcome.
     pub fn remember_outcome(&self, job_id: &JobId, outcome: JobOutcome) {
         self.write().jobs.insert_outcome(job_id, outcome);
     }
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -25,9 +25,10 @@
 
 /// The inputs of a campaign.
 pub(super) struct Candidacy {
-    /// A random number that distinguishes the processes of one member.
+    /// A random number that distinguishes this process from earlier processes of the same member.
     pub(super) boot_id: u64,
-    /// The revision that the leader key must still have; 0 if the key must be absent.
+    /// The revision that the leader key must have when the campaign's transaction is applied; 0 if the key
+    /// must be absent.
     pub(super) leader_revision: u64,
 }
 
@@ -37,12 +38,12 @@
     pub(super) won_term: WonTerm,
     /// The lease to which the leader key is attached.
     pub(super) lease_id: u64,
-    /// How long the lease is valid after it was granted or last renewed.
+    /// How long the lease is valid, counted from when its grant or last renewal was requested.
     pub(super) lease_duration: Duration,
 }
 
-/// Campaigns for the next term. Returns `None` if the leader key or the term counter has changed in the
-/// meantime, which means that another node was faster.
+/// Campaigns for the next term. Returns `None` if the leader key or the term counter has changed since it was
+/// read, which means that another node won a campaign first.
 pub(super) fn campaign(
     context: &NodeContext,
     candidacy: &Candidacy,
@@ -54,7 +55,7 @@
     let lease_duration = compute_lease_duration(context);
     let lease_id = store.grant_lease(lease_duration, CALL_TIMEOUT)?;
     // The term must also be higher than every term that workers and peers have reported. After the store was
-    // restored to an earlier state, its counter alone would yield terms that are already in use.
+    // restored to an earlier state, the store's term counter alone would yield terms that are already in use.
     let term = last_term.max(context.view.read().highest_term.0) + 1;
     let won_campaign = |leader_revision| WonCampaign {
         won_term: WonTerm {
@@ -76,8 +77,9 @@
             Ok(None)
         }
         Err(StoreError::Unknown) => {
-            // The transaction may have been applied, which the leader key shows. If it is applied only after
-            // this read, nobody renews its lease, so that leadership ends when the lease expires.
+            // The transaction may have been applied; the leader key shows whether it was. If the transaction
+            // is applied only after this read, no node renews its lease, so the leadership that it creates
+            // ends when the lease expires.
             let found = store.get::<StoredLeader>(LEADER_KEY, class, CALL_TIMEOUT)?;
             let own = found.filter(|e| e.value.boot == candidacy.boot_id && e.value.term == term);
             Ok(own.map(|entry| won_campaign(entry.revision)))
--- a/src/runtime/cancellation_exchange.rs
+++ b/src/runtime/cancellation_exchange.rs
@@ -1,10 +1,11 @@
 //! The exchange of cancellations between the nodes, from which the leader learns what other nodes confirmed.
 //!
-//! A cancellation is durable before it is exchanged here. The leader normally reads it from the key-value
-//! store. This exchange is for a leader that has lost the store and would otherwise start or keep the job's
-//! tasks. It has two paths: a node that is about to confirm cancellations notifies the leader, and the leader
-//! reads each peer's cancellation log. A report proves that all cancellations up to its time are known only
-//! within one term and only if the log was read to its end.
+//! A cancellation is durable in the key-value store before the nodes exchange it. The leader normally reads
+//! the cancellation from the store. This exchange is for a leader that cannot reach the store and would
+//! otherwise start tasks of the job or keep them running. The exchange has two paths: a node that is about to
+//! confirm cancellations notifies the leader, and the leader reads each peer's cancellation log. A report
+//! proves that the leader knows all cancellations that the peer confirmed up to the time at which the report
+//! was requested, but only within one term and only if the log was read to its end.
 
 use crate::api::context::CancellationNotifier;
 use crate::core::leadership::cancellation_watermark::{CancellationReport, ClockReading};
@@ -18,7 +19,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a node waits for the leader's acknowledgement before it confirms a cancellation without it.
+/// How long a node waits for the leader's acknowledgement before the node confirms a cancellation without the
+/// acknowledgement.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of reading one page of a peer's cancellation log.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The peer with this member name, if it is live and supports the notification.
+    /// The peer with this member name, if the peer is live and supports the notification of cancellations.
     fn notifiable_peer(&self, member: &str) -> Option<&Arc<Peer>> {
         let live = self.view.live_peers(Instant::now());
         self.peers.iter().find(|peer| {
@@ -103,7 +105,8 @@
 }
 
 impl CancellationReader {
-    /// Reads the new entries of the peer's log and passes them to the core.
+    /// Reads the new entries of the peer's cancellation log, page by page, and passes them to this node's
+    /// core.
     pub(super) fn read(&mut self, context: &NodeContext, peer: &Peer) {
         let term = context.view.read().serving_term();
         if term != self.term {
@@ -119,8 +122,9 @@
                 return;
             };
             has_more = page.has_more;
-            // A report that spans several pages counts only with the last page. A report that does not
-            // continue the previous one is passed on as well, so that the core knows of the gap.
+            // If a report spans several pages, only its last page proves that all cancellations in the peer's
+            // log have been read. A report that does not continue the previous one is passed on as well, so
+            // that the core knows of the gap.
             let covers = !page.has_more || !page.report.is_continuous;
             let coverage = covers.then(|| CancellationCoverage {
                 peer: peer.member.clone(),
--- a/src/runtime/cloud_workers.rs
+++ b/src/runtime/cloud_workers.rs
@@ -2,7 +2,7 @@
 //! machines.
 //!
 //! These threads share one rate limit. Invariant: machines are returned only while this node certainly holds
-//! the leader lease, because otherwise another leader may already be using them.
+//! the leader lease, because without a valid lease another leader may already be using the machines.
 
 use crate::common::rate_limit::{RequestClass, TokenBucket};
 use crate::core::capacity::RentalOutcome;
@@ -24,7 +24,7 @@
 const LIST_INTERVAL: Duration = Duration::from_secs(15);
 /// Interval between reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(120);
-/// Time before the machine types are read again after the cloud did not answer.
+/// Delay before the machine types are read again if the cloud did not answer the previous read.
 const TYPES_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Timeout of one call to the key-value store.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -53,9 +53,9 @@
     }
 }
 
-/// Rents machines. A rental is allowed while the leadership is uncertain, because any leader adopts the
-/// rented machines. A rental is not allowed if, in addition, the process resumed recently: the order may have
-/// waited during the pause, and the term of the order may be over.
+/// Rents machines. A rental is allowed even if this node's leader lease may have expired, because any leader
+/// adopts the rented machines. A rental is not allowed if, in addition, the process recently resumed from a
+/// pause: the order may have waited during the pause, and the term of the order may be over.
 fn rent(context: &NodeContext, term: Term, request: RentRequest) -> TermEvent {
     let may_rent =
         context.leads(term) && (context.holds_leader_lease(term) || !context.resumed_recently());
@@ -78,8 +78,8 @@
     }
 }
 
-/// Returns machines, but only under a valid leader lease. The order may have waited while this node was
-/// partitioned, and the machines may be working for a new leader.
+/// Returns machines to the cloud, but only while this node's leader lease is valid. The order may have waited
+/// in its channel while this node was partitioned, and the machines may already be working for a new leader.
 fn return_machines(context: &NodeContext, term: Term, machines: Vec<MachineId>) -> TermEvent {
     let returned = context.holds_leader_lease(term) && context.cloud.return_machines(&machines);
     let outcome = if returned {
--- a/src/runtime/context.rs
+++ b/src/runtime/context.rs
@@ -18,18 +18,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A process counts as recently resumed for this many durations of the leader's lease after a pause. During
-/// this time, the lease may have expired without the leader having noticed.
+/// After a pause, a process counts as recently resumed for this many times the duration of the leader's
+/// lease. During this time, the lease may have expired without the leader having noticed.
 const RESUMED_RECENTLY_LEASES: u32 = 2;
 
-/// Latencies of this node's calls and rounds, for the periodic summary in the log.
+/// Latencies of this node's calls, the core's ticks and the starts of tasks, for the periodic summary in the
+/// log.
 #[derive(Default)]
 pub struct LatencyMeters {
-    /// Calls to the key-value store.
+    /// Latencies of the calls to the key-value store.
     pub store: Arc<LatencyMeter>,
-    /// Calls to the cloud.
+    /// Latencies of the calls to the cloud.
     pub cloud: Arc<LatencyMeter>,
-    /// Ticks of the core, which include a placement round.
+    /// Durations of the core's ticks, each of which includes a placement round.
     pub rounds: LatencyMeter,
     /// Time from when a task's launch intent became known to be durable until the task's start was observed.
     pub starts: LatencyMeter,
@@ -42,7 +43,7 @@
     /// The maximum number of changes in one transaction of the key-value store, and the maximum size of one
     /// value.
     pub transaction_limits: TransactionLimits,
-    /// Latencies of calls and rounds.
+    /// Latencies of calls, of the core's ticks and of the starts of tasks.
     pub meters: LatencyMeters,
     /// The node's role, health, jobs and peers, as its threads see them.
     pub view: Arc<NodeView>,
@@ -54,7 +55,7 @@
     pub events: Sender<Event>,
     /// Channel to the elector thread.
     pub elector_events: Sender<ElectorEvent>,
-    /// Wakes the thread that reads machine types and machines from the cloud.
+    /// Wakes the thread that reads the machine types and the list of rented machines from the cloud.
     pub cloud_wakeup: Sender<()>,
     /// The other controllers.
     pub peers: Vec<Arc<Peer>>,
@@ -66,7 +67,7 @@
     pub workers: WorkerDistribution,
     /// Detects pauses of this process.
     pub pause_detector: Arc<PauseDetector>,
-    /// How late timers fire on this node, averaged.
+    /// The average delay with which timers fire on this node.
     pub timer_lag: TimerLag,
 }
 
--- a/src/runtime/core_actions.rs
+++ b/src/runtime/core_actions.rs
@@ -1,7 +1,7 @@
 //! Dispatches the core's actions to the threads that execute them.
 //!
-//! Nothing here blocks. An action whose channel is full fails immediately, and the core requests it again if
-//! it is still needed. A probe whose channel is full is dropped.
+//! No function of this module blocks. An action whose channel is full fails immediately, and the core
+//! requests the action again if it is still needed. A probe whose channel is full is dropped.
 
 use crate::core::capacity::RentalOutcome;
 use crate::core::model::MachineId;
@@ -12,7 +12,8 @@
 use crate::runtime::events::{ActionChannels, CloudOrder, CommandDelivery, LeaderTransaction};
 use std::time::Instant;
 
-/// Dispatches the core's actions, and removes the progress of jobs that are no longer in the cluster state.
+/// Dispatches the core's actions, and removes from the node's view the progress of jobs that are no longer in
+/// the cluster state.
 pub(super) fn perform(
     context: &NodeContext,
     cluster: &mut ClusterState,
@@ -69,7 +70,8 @@
                 endpoint,
                 token,
                 incarnation,
-                // A delivery without commands presents the term's token and is answered with a heartbeat.
+                // A delivery without commands is a probe: it presents the term's fencing token to the worker,
+                // which answers with a heartbeat.
                 commands: Vec::new(),
             }),
             Action::Rent {
@@ -98,14 +100,15 @@
 
     fn send(&mut self, delivery: CommandDelivery) {
         if let Err(e) = self.channels.commands.try_send(delivery) {
-            // The response to the machine's next heartbeat carries the commands.
+            // The commands that could not be queued are sent in the response to the machine's next heartbeat.
             let machine = e.into_inner().machine;
             self.cluster.on_command_response(self.now, &machine, None);
         }
     }
 
     fn probe(&self, delivery: CommandDelivery) {
-        // If the senders are busy, the machine's next regular heartbeat replaces the probe.
+        // If the channel to the command senders is full, the probe is dropped. The machine's next regular
+        // heartbeat takes its place.
         let _ = self.channels.commands.try_send(delivery);
     }
 
--- a/src/runtime/core_loop.rs
+++ b/src/runtime/core_loop.rs
@@ -14,11 +14,12 @@
 use crossbeam::channel::Receiver;
 use std::time::{Duration, Instant};
 
-/// Interval between publications of the jobs' task counts, which are for display and may be this old.
+/// Interval between publications of the jobs' task counts. The counts are only for display, so they may be
+/// outdated by this interval.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time between the end of one tick and the start of the next.
 const TICK_INTERVAL: Duration = Duration::from_millis(150);
-/// Interval at which the shares of the key-value store's change rate are recomputed.
+/// Interval at which this node's shares of the key-value store's change rate are recomputed.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of events that are handled before the core produces actions.
 const MAX_EVENTS_PER_ITERATION: usize = 64;
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Handles `first` and the events that are already queued, so that a thread that is late catches up.
+    /// Handles `first` and the events that are already queued, so that the core thread catches up when it is
+    /// late.
     fn handle_events(&mut self, first: Option<Event>, events: &Receiver<Event>, now: Instant) {
         let mut next = first;
         let mut handled = 0;
@@ -215,8 +217,8 @@
     }
 }
 
-/// Sets how many changes the core may write and whether the leader lease confirms its leadership. Returns
-/// whether the leadership is confirmed.
+/// Informs the core how many changes it may write and whether this node's leader lease confirms the
+/// leadership. Returns whether the leadership is confirmed.
 fn refresh_permissions(context: &NodeContext, cluster: &mut ClusterState) -> bool {
     cluster.set_write_allowance(context.store.leader_changes_left());
     let confirmed = context.holds_leader_lease(cluster.term);
--- a/src/runtime/elector.rs
+++ b/src/runtime/elector.rs
@@ -1,8 +1,9 @@
 //! The elector thread: campaigns for the leadership, renews the leader's lease, and steps down.
 //!
-//! `core::leadership::election` decides what to do, and this thread does it. Invariants: the validity of a
-//! lease is counted from when its grant or renewal was requested, never from when the response arrived; and
-//! a leader that steps down stops the threads of its term before it does anything else.
+//! `core::leadership::election` decides on each step, and this thread carries the step out. Invariants: the
+//! validity of a lease is counted from when its grant or renewal was requested, never from when the response
+//! to the request arrived; and a leader that steps down stops the threads of its term before it does anything
+//! else.
 
 use crate::common::rate_limit::RequestClass;
 use crate::common::stop_signal::StopSignal;
@@ -28,11 +29,14 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Longest time between two checks for due steps when no events arrive.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The renewal interval of the lease, and the timeout of one renewal, are the lease duration divided by this.
+/// The renewal interval of the lease, and the timeout of one renewal, are each the lease duration divided by
+/// this number.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Time before a leader that resigned because it received no heartbeats campaigns again.
+/// How long a node that resigned from the leadership, because it received no heartbeats, waits before it
+/// campaigns again.
 const RESIGNATION_BACKOFF: Duration = Duration::from_secs(10);
-/// How long a node without workers waits for another node to take a vacant leadership.
+/// How long a node without workers waits for another node to take a vacant leadership before it campaigns
+/// itself.
 const YIELD_PERIOD: Duration = Duration::from_millis(900);
 /// Range of the random back-off after a campaign that another node won, in milliseconds.
 const LOST_CAMPAIGN_BACKOFF_MS: Range<u64> = 100..400;
@@ -41,7 +45,8 @@
 
 /// A message to the elector thread.
 pub enum ElectorEvent {
-    /// The leader key as read, or `None` if it is absent or a write showed that this term no longer holds it.
+    /// The record in the leader key. `None` if the key is absent, or if a write of this node showed that the
+    /// node's term no longer holds the key.
     LeaderKey(Option<LeaderRecord>),
     /// A heartbeat, a worker's response or a peer reported this term.
     TermSeen(Term),
@@ -62,9 +67,10 @@
 struct Elector {
     context: Arc<NodeContext>,
     leadership: Leadership,
-    /// A random number that distinguishes the processes of one member.
+    /// A random number that distinguishes this process from earlier processes of the same member.
     boot_id: u64,
-    /// How long the lease of the current term is valid after a renewal.
+    /// How long the lease of the current term is valid, counted from when its grant or last renewal was
+    /// requested.
     lease_duration: Duration,
     /// The lease of the current term; `None` while this node does not lead.
     lease_id: Option<u64>,
@@ -73,8 +79,8 @@
     /// Whether the leader key has been read at least once. Before that, a missing leader record does not
     /// mean that the leadership is vacant.
     leader_key_read: bool,
-    /// Since when a campaign has been the next step without interruption, because no node is known to lead
-    /// or the leader key belongs to this member's own earlier process.
+    /// The time since which every step has been a campaign, because no node is known to lead or the leader
+    /// key belongs to this member's own earlier process.
     vacant_since: Option<Instant>,
 }
 
@@ -95,7 +101,7 @@
         }
     }
 
-    /// Handles an event, or a timeout without one, and carries out the resulting step.
+    /// Handles an event, or the timeout of the wait for an event, and carries out the resulting step.
     fn handle_event(&mut self, event: Result<ElectorEvent, RecvTimeoutError>) {
         let step = self.step_for_event(event);
         let requested_at = ClockReading::now();
@@ -129,7 +135,7 @@
         let step = self.leadership.resign(now, term, RESIGNATION_BACKOFF);
         if let (Step::StepDown, Some(lease_id)) = (&step, self.lease_id) {
             log::warn!("resigned, no heartbeats received term={}", term.0);
-            // If the call fails, the lease expires without it.
+            // If the call fails, the lease expires on its own at the end of its duration.
             let _ = self.context.store.revoke_lease(lease_id, CALL_TIMEOUT);
         }
         step
@@ -172,7 +178,8 @@
                 self.leadership.on_lease_expired();
                 self.step_down();
             }
-            // The key-value store may be unavailable to all nodes, in which case the lease stays valid.
+            // This error does not show that the lease has ended. The key-value store may be unavailable to
+            // all nodes, in which case the lease stays valid.
             Some(Err(e)) => {
                 view.record_store_call(false, Instant::now());
                 log::info!("leader lease not renewed error=\"{e}\"");
@@ -204,7 +211,8 @@
         }
     }
 
-    /// Starts the term that was won: a thread loads the cluster state and then serves the term.
+    /// Starts the term that this node has won, with a thread that loads the cluster state and then serves the
+    /// term.
     fn begin_term(&mut self, won_campaign: WonCampaign, requested_at: ClockReading) {
         let WonTerm {
             term,
@@ -244,7 +252,8 @@
         }
     }
 
-    /// Stops the current term and revokes its lease, so that the next leader need not wait for its expiry.
+    /// Stops the current term and revokes its lease, so that the next leader need not wait until the lease
+    /// expires.
     fn shut_down(&self) {
         self.term_stop.stop();
         if let Some(lease_id) = self.lease_id {
--- a/src/runtime/events.rs
+++ b/src/runtime/events.rs
@@ -42,7 +42,7 @@
 pub enum TermEvent {
     /// A job appeared in the index of live jobs.
     JobAccepted(AcceptedJob),
-    /// A job appeared in the index of live jobs, but this node already knows that it is cancelled.
+    /// A job appeared in the index of live jobs, but this node already knows that the job is cancelled.
     CancelledJobAccepted(AcceptedJob),
     /// The cancellation mark of this job was read.
     CancelMarkRead(JobId),
@@ -52,7 +52,7 @@
     CommandSent {
         /// The machine to which the commands were addressed.
         machine: MachineId,
-        /// The heartbeat in the machine's response; `None` if it did not answer or nothing was sent.
+        /// The heartbeat in the machine's response; `None` if the machine did not answer or nothing was sent.
         heartbeat: Option<Heartbeat>,
     },
     /// The cloud answered a rental, or the rental failed or was not sent.
@@ -66,11 +66,11 @@
     ReturnEnded {
         /// The machines that were to be returned.
         machines: Vec<MachineId>,
-        /// Whether the cloud took them back.
+        /// Whether the cloud took the machines back.
         outcome: ReturnOutcome,
     },
-    /// The cloud's list of rented machines was read. It is incomplete if a page could not be read or the rate
-    /// limit was reached.
+    /// The cloud's list of rented machines was read. The list is incomplete if a page could not be read or if
+    /// the rate limit was reached during the read.
     CloudListed(Vec<CloudMachine>),
     /// The outcomes of dependencies that were unknown to the leader were read.
     DependenciesEnded(Vec<(JobId, JobOutcome)>),
@@ -78,7 +78,8 @@
     StatusesRead(Vec<(JobId, JobRecordStatus)>),
     /// The key-value store contains lists of dependents for these jobs.
     DependentsListsFound(Vec<JobId>),
-    /// The events for all cancellations that the key-value store contained at this time precede this event.
+    /// All cancellations that the key-value store contained at `requested_at` were sent to the core before
+    /// this event.
     CancellationsRead {
         /// When the read of the store was requested.
         requested_at: ClockReading,
@@ -94,7 +95,8 @@
 }
 
 impl TermEvent {
-    /// Wraps the event for the core thread, which drops it unless it leads in this term.
+    /// Wraps the event for the core thread, which drops the event unless this node leads in `term` when the
+    /// event is handled.
     pub fn in_term(self, term: Term) -> Event {
         Event::InTerm { term, event: self }
     }
@@ -117,11 +119,13 @@
     Failed,
 }
 
-/// A peer's report, which proves that all cancellations that it confirmed up to some time are known here.
+/// A peer's report of the cancellations that it confirmed, received by this leader. A report that continues
+/// the previous one proves that this leader knows all cancellations that the peer confirmed between the two,
+/// up to the time at which the later report was requested.
 pub struct CancellationCoverage {
     /// The peer's member name.
     pub peer: String,
-    /// When the report was requested and received, and whether it continues the previous one.
+    /// When the report was requested and received, and whether it continues the peer's previous report.
     pub report: CancellationReport,
 }
 
@@ -140,7 +144,8 @@
 
 /// Commands to be delivered to a worker.
 pub struct CommandDelivery {
-    /// The term in which the commands were issued. They are not sent unless it is still current.
+    /// The term in which the commands were issued. The commands are sent only while this term is still
+    /// current.
     pub term: Term,
     /// The machine on which the worker runs.
     pub machine: MachineId,
@@ -174,7 +179,7 @@
 
 /// A transaction of the leader.
 pub struct LeaderTransaction {
-    /// The term in which the leader writes it.
+    /// The term in which the leader writes the transaction.
     pub term: Term,
     /// The conditions and changes of the transaction.
     pub batch: WriteBatch,
--- a/src/runtime/heartbeats.rs
+++ b/src/runtime/heartbeats.rs
@@ -2,8 +2,8 @@
 //!
 //! Reading and answering heartbeats is most of the nodes' work. Workers therefore send them to any node, and
 //! a node with far more workers than its share redirects some of them to another node
-//! (`worker_distribution`). Only the leader's core accepts heartbeats. One that it does not accept is
-//! answered with status 503, which does not renew the worker's lease.
+//! (`worker_distribution`). Only the leader's core accepts heartbeats. A heartbeat that the core does not
+//! accept is answered with status 503, which does not renew the worker's lease.
 
 use crate::api::context::{HeartbeatHandler, ReceivedHeartbeat};
 use crate::api::responses::ApiResponse;
@@ -18,16 +18,18 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Timeout of relaying a frame of heartbeats to the leader, including its answer. A worker waits 4 s.
+/// Timeout of relaying a frame of heartbeats to the leader, including the leader's answer. A worker waits 4 s
+/// for the response to its heartbeat.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long heartbeats wait until a leader is known. A wait and a relay that both use up their limits take
-/// 4.5 s together, which is longer than the 4 s that a worker waits.
+/// How long heartbeats wait until a leader is known. If this wait and the relay that follows both use up
+/// their time limits, they take 4.5 s together, which is longer than the 4 s that a worker waits for the
+/// response.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long heartbeats that a peer relayed wait until this node leads with its cluster state loaded.
 const RELAYED_LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval between checks for a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// How long heartbeats wait while the core's queue is full.
+/// How long heartbeats wait for space in the core's queue if it is full.
 const ENQUEUE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long to wait for the core's decision on queued heartbeats.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(3);
@@ -94,9 +96,9 @@
 
 impl NodeContext {
     /// Waits until heartbeats can be answered by this node or by a known leader, or until the deadline.
-    /// Workers whose heartbeats are refused retry after a second. When all workers did so after the loss of a
-    /// leader, the nodes were fully occupied with refusals, and the next leader could not load the cluster
-    /// state.
+    /// Workers whose heartbeats are refused retry after a second. When all workers retried in this way after
+    /// the loss of a leader, the nodes were fully occupied with refusals, and the next leader could not load
+    /// the cluster state.
     fn wait_for_leader(&self, deadline: Instant) {
         while !self.view.read().has_ready_leader() && Instant::now() < deadline {
             if self.stop.wait(LEADER_CHECK_INTERVAL) {
@@ -135,10 +137,10 @@
         RoutedHeartbeats { responses, kept }
     }
 
-    /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to it,
-    /// because they may be able to reach it themselves. A node without the key-value store does not redirect,
-    /// because its knowledge of the leader is outdated: two nodes that redirect to each other would keep the
-    /// workers away from the third node.
+    /// Relays heartbeats to the leader. If the leader cannot be reached, the workers are redirected to the
+    /// leader, because they may be able to reach the leader themselves. A node that cannot reach the
+    /// key-value store does not redirect workers, because its knowledge of the leader is outdated: two nodes
+    /// that redirect to each other would keep the workers away from the third node.
     fn relay(
         &self,
         bodies: Vec<Vec<u8>>,
@@ -214,7 +216,8 @@
         responses
     }
 
-    /// Returns the core's replies in the order of the heartbeats, or no replies if the core is too busy.
+    /// Returns the core's replies in the order of the heartbeats, or an empty list if the core did not take
+    /// the heartbeats or reply to them in time.
     fn request_heartbeat_replies(&self, heartbeats: Vec<Heartbeat>) -> Vec<HeartbeatReply> {
         let (reply, replies) = bounded(1);
         let event = Event::Heartbeats { heartbeats, reply };
--- a/src/runtime/service.rs
+++ b/src/runtime/service.rs
@@ -48,20 +48,22 @@
 const CLOUD_ORDER_CAPACITY: usize = 32;
 /// Capacity of the channel for the leader's transactions. Only one transaction is pending at a time.
 const TRANSACTION_CAPACITY: usize = 1;
-/// Capacity of the channel for wakeups of the cloud reader. Further wakeups would have no effect.
+/// Capacity of the channel for wakeups of the cloud reader. While one wakeup is waiting in the channel,
+/// further wakeups would have no effect.
 const CLOUD_WAKEUP_CAPACITY: usize = 1;
 
 /// Timeout of connecting to the key-value store.
 const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Idle connections to the key-value store that are kept for the leader's own work.
+/// Maximum number of idle connections to the key-value store that are kept open for the leader's own work.
 const IDLE_LEADER_STORE_CONNECTIONS: usize = 8;
 /// Timeout of connecting to the cloud.
 const CLOUD_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle connections to the cloud that are kept.
+/// Maximum number of idle connections to the cloud that are kept open.
 const IDLE_CLOUD_CONNECTIONS: usize = 2;
 /// The fraction of the cloud's allowed request rate that this node uses.
 const CLOUD_RATE_FRACTION: f64 = 0.8;
-/// The largest burst of requests to the cloud, in seconds of the used rate.
+/// The largest burst of requests to the cloud, in seconds: a burst has at most as many requests as the rate
+/// that this node uses allows within this time.
 const CLOUD_BURST_S: f64 = 1.5;
 /// The longest single wait for the stop signal in `Service::wait`.
 const WAIT_INTERVAL: Duration = Duration::from_secs(3600);
@@ -129,8 +131,8 @@
         while !self.context.stop.wait(WAIT_INTERVAL) {}
     }
 
-    /// Signals all threads to stop, and joins those that have already ended. It does not wait for the others:
-    /// threads that are blocked on a connection run until the process exits.
+    /// Signals all threads to stop, and joins those that have already ended. The function does not wait for
+    /// the other threads: threads that are blocked on a connection run until the process exits.
     pub fn stop(self) {
         self.context.stop.stop();
         for thread in self.threads {
@@ -192,7 +194,8 @@
 fn create_store_client(settings: &Settings, meters: &LatencyMeters, now: Instant) -> KvStore {
     let budget = StoreBudget::new(settings.store_rates, settings.controller_count, now)
         .with_reduced_rates(settings.next_store_rates);
-    // One connection for each thread that serves users' requests, in addition to those for the leader's work.
+    // One connection for each thread that serves users' requests, in addition to the connections for the
+    // leader's own work.
     let user_connections = settings.operator_settings.api_threads + QUERY_THREADS;
     let config = HttpClientConfig {
         address: settings.store_address,
