--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -15,12 +15,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeadroomDemand {
     pub(super) task_count: u32,
-    /// The resources that one of them requests.
+    /// The resources that one of these tasks requests.
     pub(super) resources: Resources,
 }
 
-/// Whether the free resources cover the headroom of each class and this number of further tasks of its size.
-/// Each class is checked on its own, as if it could use all of them.
+/// Whether the free resources cover the headroom of each class plus `more_tasks` further tasks of the class's
+/// task size. Each class is checked on its own, as if it could use all free resources.
 pub(super) fn covers_headroom<'a>(
     demands: &[HeadroomDemand],
     free: impl Iterator<Item = &'a Resources> + Clone,
@@ -35,7 +35,8 @@
     })
 }
 
-/// The strictest objective for the start of a class's tasks.
+/// The strictest objective for the start of a class's tasks: the shortest time, from the arrival of a task,
+/// within which the task must start.
 struct StartObjective<'a> {
     class: &'a str,
     within: Duration,
@@ -69,7 +70,8 @@
         self.config.slos.iter().any(deadline)
     }
 
-    /// Whether a start within this time would be too early for a machine that is rented now.
+    /// Whether a machine that is rented now may boot too late for a task that must start `within` this time
+    /// from now.
     fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
@@ -77,7 +79,8 @@
         slowest_boot.is_none_or(|boot| within < boot * BOOT_TIME_SAFETY_FACTOR)
     }
 
-    /// The strictest objective for the start of tasks, by class. One without a time limit counts as 0 s.
+    /// The strictest objective for the start of tasks, by class. An objective without a time limit counts as
+    /// 0 s.
     fn start_objectives(&self) -> Vec<StartObjective<'_>> {
         let mut objectives: Vec<StartObjective<'_>> = Vec::new();
         for slo in self.config.slos.iter().filter(|slo| slo.kind == "wait") {
@@ -93,7 +96,8 @@
         objectives
     }
 
-    /// Adds the cheapest spot machines for the headroom that is missing to a plan.
+    /// Adds the cheapest spot machines to `plan` until each class's headroom is covered, as far as machines
+    /// can be added.
     pub(super) fn plan_headroom(&self, now: Instant, round: &RoundOutcome, plan: &mut PackingPlan) {
         for HeadroomDemand {
             task_count,
@@ -131,7 +135,8 @@
         types
     }
 
-    /// The number of tasks that fit on machines that are up, booting or planned.
+    /// The number of tasks that request `resources` and fit together on the machines of these types that are
+    /// up, booting or planned.
     fn count_covered_tasks(
         &self,
         round: &RoundOutcome,
--- a/src/core/capacity/mod.rs
+++ b/src/core/capacity/mod.rs
@@ -11,7 +11,7 @@
 //! - A rental is retried under its idempotency key until its outcome is known, so that no machine is rented
 //!   twice.
 //! - No rental raises the number of machines, pending rentals included, above the configured maximum.
-//! - Nothing is rented before the term knows which machines exist.
+//! - A new leader rents nothing before it knows which machines exist.
 
 mod apply;
 mod boot_times;
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -21,31 +21,31 @@
 /// The minimum interval between return requests that are not urgent. Machines are returned in batches, since
 /// returns share the cloud's rate limit with rentals.
 const RETURN_INTERVAL: Duration = Duration::from_secs(2);
-/// The time after which a return is requested again if the machine is still there.
+/// A return is requested again if the machine still exists this long after the last request.
 const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
 /// A machine counts as never booted after this many advertised boot times plus `BOOT_TIME_MARGIN`.
 const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
 const BOOT_TIME_MARGIN: Duration = Duration::from_secs(30);
 /// The boot time assumed for a machine of unknown type.
 const UNKNOWN_TYPE_BOOT_TIME: Duration = Duration::from_secs(60);
-/// The number of heartbeat intervals after a pause of this process during which the first heartbeats of
-/// booted machines may still be waiting to be received.
+/// For this number of heartbeat intervals after a pause of this process, no machine counts as never booted:
+/// the first heartbeats of machines that have booted may not have been received yet.
 const HEARTBEATS_AFTER_PROCESS_PAUSE: u32 = 2;
 
 /// Why a machine is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReturnReason {
-    /// It was not up long after the advertised boot time.
+    /// The machine was still booting long after its advertised boot time; see `MAX_BOOT_TIME_FACTOR`.
     NeverBooted,
-    /// It has been in quarantine for longer than [`QUARANTINE_RETURN_DELAY`].
+    /// The machine has been in quarantine for longer than [`QUARANTINE_RETURN_DELAY`].
     Quarantined,
-    /// The cloud announced to reclaim it, and no task is left on it.
+    /// The cloud has announced the eviction of the spot machine, and no task is left on it.
     SpotEviction,
-    /// It has sent no heartbeat for longer than the silence timeout.
+    /// No heartbeat of the machine has been received for longer than the silence timeout.
     Silent,
-    /// Its heartbeats are received, but this leader's responses and commands do not reach it.
+    /// Heartbeats of the machine are received, but this leader's responses and commands do not reach it.
     Unreachable,
-    /// It has been idle for longer than the idle timeout, or is drained and empty.
+    /// The machine has been idle for longer than its idle timeout, or is being drained and has no tasks left.
     Idle,
 }
 
@@ -75,17 +75,17 @@
     pub(super) machines: Vec<MachineId>,
 }
 
-/// The free resources that cover the headroom of each class, updated while idle machines are selected for
-/// return.
+/// The free resources that cover the headroom of each class. The resources of an idle machine are removed when
+/// the machine is selected for return.
 struct HeadroomReserve<'a> {
     demands: Vec<HeadroomDemand>,
-    /// The number of tasks that fit, for each of `demands`.
+    /// For each of `demands`: the number of its tasks that fit into the free resources of all machines.
     covered_tasks: Vec<usize>,
     free_by_machine: HashMap<&'a MachineId, Resources>,
 }
 
 impl HeadroomReserve<'_> {
-    /// The number of tasks that fit without this machine. `class`: an index into `demands`.
+    /// The number of tasks of a class that fit on the other machines. `class`: an index into `demands`.
     fn fits_without(&self, machine: &MachineId, class: usize) -> usize {
         let free = self.free_by_machine.get(machine);
         let fits = free.map_or(0, |free| {
@@ -175,8 +175,8 @@
         unreachable.then_some(ReturnReason::Unreachable)
     }
 
-    /// Checks whether a machine has been idle for long enough and is not needed for the headroom, or is
-    /// drained and empty. If so, removes it from `headroom`.
+    /// Checks whether a machine has been idle for longer than its idle timeout and is not needed for the
+    /// headroom, or is being drained and has no tasks left. If so, removes the machine from `headroom`.
     fn check_idle(
         &self,
         now: Instant,
@@ -204,7 +204,7 @@
         Some(ReturnReason::Idle)
     }
 
-    /// The resources for each class's headroom, on all machines that accept tasks.
+    /// The headroom that each class needs, and the free resources of all machines that accept tasks.
     fn headroom_reserve(&self, now: Instant) -> HeadroomReserve<'_> {
         let demands = self.headroom(now);
         let mut covered_tasks: Vec<usize> = vec![0; demands.len()];
@@ -222,8 +222,9 @@
         }
     }
 
-    /// Plans the next return request. It waits for further machines unless it is full, it is urgent or
-    /// `RETURN_INTERVAL` has passed. A request is urgent if tasks are still placed on its first machine.
+    /// Plans the next return request. Returns `None` to wait for further machines, unless the request is full
+    /// or urgent, or `RETURN_INTERVAL` has passed since the last request. A request is urgent if tasks are
+    /// still placed on its first machine.
     pub(super) fn plan_return_request(&self, now: Instant) -> Option<ReturnRequest> {
         let since = |t: Instant| now.saturating_duration_since(t);
         let mut due: Vec<&Machine> = self
@@ -237,7 +238,8 @@
             })
             .filter(|m| self.leadership.confirmed || m.cancellation_overdue)
             .collect();
-        // Overdue cancellations come first, then machines with tasks: these need proof that they are gone.
+        // Machines with an overdue cancellation come first, then other machines with tasks: their tasks count
+        // as running until the cloud confirms that the machine is gone.
         due.sort_by_key(|m| (!m.cancellation_overdue, m.placed_tasks.is_empty()));
         let is_urgent = !due.first()?.placed_tasks.is_empty();
         let last_return = self.capacity.last_return;
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -16,10 +16,11 @@
 /// An expensive machine is rented to meet a deadline only if the expected wait exceeds this many boot times
 /// plus `MIN_WAIT_MARGIN`, since the machine may boot more slowly than on average and has to fetch an image.
 const EXPENSIVE_BOOT_FACTOR: f64 = 1.2;
-/// Waits that exceed the boot time by less than this do not justify an expensive machine.
+/// The margin that is added to `EXPENSIVE_BOOT_FACTOR` boot times: an expensive machine is rented to meet a
+/// deadline only if the expected wait is longer than this sum.
 const MIN_WAIT_MARGIN: Duration = Duration::from_secs(3);
-/// An expensive machine that meets no deadline is rented only if the expected wait exceeds the boot time by
-/// more than this.
+/// An expensive machine whose rental lets no job meet a deadline is rented only if the expected wait exceeds
+/// the boot time by more than this.
 const MIN_WAIT_FOR_EXPENSIVE: Duration = Duration::from_secs(90);
 
 /// The number of machines to rent, by offer.
@@ -36,7 +37,7 @@
     is_expensive: bool,
 }
 
-/// The minimum over all tasks, in each resource.
+/// Returns, for each resource, the smallest request among the given tasks; zero if there are none.
 fn min_task_resources(tasks: impl Iterator<Item = Resources>) -> Resources {
     let smallest = tasks.reduce(|a, b| Resources {
         cpus: a.cpus.min(b.cpus),
@@ -49,8 +50,8 @@
 impl ClusterState {
     /// Plans which machines to rent for waiting tasks and for headroom.
     pub(super) fn plan_scale_out(&self, now: Instant, round: &RoundOutcome) -> ScaleOutPlan {
-        // While most machines are silent, nothing is rented: they are likely to report again, or to be
-        // returned, before a new machine is up.
+        // While most machines are silent, nothing is rented: the silent machines are likely to report again,
+        // or to be returned, before a new machine is up.
         if self.fleet.types.is_empty()
             || !self.knows_fleet(now)
             || self.are_most_machines_silent(now)
@@ -72,7 +73,8 @@
         plan.into_scale_out()
     }
 
-    /// Creates a plan with the machines of pending rentals, which will run the first waiting tasks.
+    /// Creates a plan that contains the machines of pending rentals. The first waiting tasks are packed onto
+    /// these machines.
     fn begin_packing(&self, round: &RoundOutcome) -> PackingPlan {
         let mut pending: Vec<PlannedMachine> = Vec::new();
         for rental in self.capacity.rentals.pending() {
@@ -108,8 +110,9 @@
         zone_counts
     }
 
-    /// Packs waiting tasks of one job, and adds machines for the rest. `uncovered_tasks`: the number of
-    /// waiting tasks of the whole job for which no machine has been added.
+    /// Packs waiting tasks of one job onto the machines of the plan, and adds machines for the tasks that do
+    /// not fit. `uncovered_tasks`: the number of waiting tasks of the whole job for which no machine has been
+    /// added yet.
     fn pack_waiting(
         &self,
         now: Instant,
@@ -128,8 +131,8 @@
         }
         let candidates = self.rental_candidates(now, job, waiting, &zones);
         while remaining > 0 && plan.can_add_machine() {
-            // All uncovered tasks of the job count: a large machine may be cheaper than small ones for many
-            // tasks, but not for a few.
+            // The cheapest candidate is chosen for all uncovered tasks of the job rather than for `remaining`
+            // alone: a large machine may be cheaper than small ones for many tasks, but not for a few.
             let Some(candidate) = plan.cheapest(&candidates, (*uncovered_tasks).max(1)) else {
                 break;
             };
@@ -188,7 +191,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether a machine of this type is worth renting, given how long these tasks would otherwise wait.
+    /// Whether a machine of this type is worth renting, given how long the waiting tasks are expected to wait
+    /// without it.
     fn is_worth_renting(
         &self,
         now: Instant,
@@ -212,7 +216,8 @@
             (false, true) => wait > boot,
             (false, false) => wait > boot.mul_f64(MIN_WAIT_BOOT_FRACTION),
             (true, true) => wait > boot.mul_f64(EXPENSIVE_BOOT_FACTOR) + MIN_WAIT_MARGIN,
-            // Jobs of priority `Idle` use machines that would otherwise be idle, and inexpensive ones.
+            // For jobs of priority `Idle` no expensive machine is rented; they run on machines that would
+            // otherwise be idle and on inexpensive ones.
             (true, false) => {
                 wait > boot + MIN_WAIT_FOR_EXPENSIVE && job.spec.priority > Priority::Idle
             }
--- a/src/core/placement/plan.rs
+++ b/src/core/placement/plan.rs
@@ -13,10 +13,10 @@
     /// The expected wait until the best machine has enough free resources. `None` if no machine is
     /// expected to have them, and always for gangs.
     pub(in crate::core) expected_wait: Option<Duration>,
-    /// The expected run time of one task on that machine. If no machine was chosen, it is the shortest
-    /// estimate over the machine types or the user's estimate.
+    /// The expected run time of one task on the best machine. If no machine was chosen: the shortest estimate
+    /// over the machine types, or the user's estimate.
     pub(in crate::core) expected_run: Duration,
-    /// That machine is still booting, and the tasks can start as soon as it is up.
+    /// The best machine is still booting, and the tasks can start as soon as it is up.
     pub(in crate::core) on_booting_machine: bool,
 }
 
@@ -38,7 +38,7 @@
     pub(super) index: u32,
     pub(super) machine: MachineId,
     pub(super) expected_run: Duration,
-    /// Expected wait for the image; zero if the machine has it already.
+    /// The expected wait for the task's image on the machine; zero if the image is cached there.
     pub(super) image_fetch: Duration,
     pub(super) kind: StartKind,
 }
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub(in crate::core) struct SpareResources {
     pub(in crate::core) machine: MachineId,
-    /// A component is negative if more is reserved than is free.
+    /// Free resources less all reservations. A component is negative if more is reserved than is free.
     pub(in crate::core) free: Resources,
 }
 
@@ -67,12 +67,13 @@
     pub(super) preemptions: Vec<Preemption>,
     pub(super) waiting: Vec<WaitingTasks>,
     pub(super) spare: Vec<SpareResources>,
-    /// Some tasks were not started because of the start limiter rather than for lack of machines.
+    /// The start limiter kept at least one task from starting in this round.
     pub(super) start_limit_reached: bool,
 }
 
 impl RoundPlan {
-    /// Adds waiting tasks, merging them with the last entry if both wait equally long.
+    /// Adds waiting tasks. They are merged into the last entry if it belongs to the same job and has the same
+    /// expected wait.
     pub(super) fn add_waiting(&mut self, waiting: WaitingTasks) {
         match self.waiting.last_mut() {
             Some(last) if last.waits_like(&waiting) => last.count += waiting.count,
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -6,9 +6,10 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// A job that is overdue by more than this is no longer placed behind jobs that can still finish on time.
+/// A job whose completion objective passed at least this long ago is no longer placed behind jobs that can
+/// still finish on time.
 const MAX_DEFERRABLE_LATENESS: Duration = Duration::from_secs(600);
-/// A job that has waited longer than this goes, in order of arrival, before the newer jobs of its
+/// A job that arrived longer ago than this goes, in order of arrival, before the newer jobs of its
 /// priority that have the same standing on guarantee and fair share. The rules that favour small and
 /// punctual jobs no longer apply to it. Jobs within their team's guarantee still go first, because they
 /// may preempt tasks that run on borrowed resources: if a job that borrows were placed before them, one
@@ -19,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: Reverse<Priority>,
-    /// The team's guarantee does not cover the job.
+    /// The job is not within its team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     borrows: bool,
     team_over_fair_share: bool,
     has_not_aged: bool,
@@ -33,23 +34,24 @@
 #[derive(Clone, Copy)]
 pub(super) struct QueueEntry<'a> {
     pub(super) job: &'a Job,
-    /// For a starved job at the head of the queue: how many of its tasks go before all other jobs. `None`
-    /// at a regular position.
+    /// For the first entry of a starved job: how many of its tasks are placed before the regular positions.
+    /// `None` at a regular position.
     pub(super) boosted_tasks: Option<u32>,
 }
 
 impl ClusterState {
     /// Returns the jobs that may start tasks, by priority and then by arrival, with these exceptions:
     ///
-    /// - A starved job goes before all others with some of its tasks.
+    /// - Some tasks of each starved job go before all jobs that are not starved.
     /// - Within a priority, jobs within their team's guarantee go before jobs that borrow.
-    /// - After that, teams that are not over their fair share go before teams that are.
+    /// - Among jobs that are equal in both, jobs of teams that are not over their fair share go before
+    ///   jobs of teams that are.
     /// - Jobs that can still finish on time go before jobs that cannot. In plain order of arrival, a short
     ///   overload would make every later job late.
     /// - While jobs with deadlines are late, smaller jobs of that priority go first, so that most jobs
     ///   finish on time.
     ///
-    /// The last two exceptions end for a job that has waited longer than [`AGING_TIME`].
+    /// The last two exceptions no longer apply to a job that arrived longer ago than [`AGING_TIME`].
     pub(super) fn queue(
         &self,
         now: Instant,
@@ -103,8 +105,8 @@
         work.max(1.0).log2() as i64
     }
 
-    /// Whether a job would miss its completion objective even if it started now. This is false for a job
-    /// that is overdue by [`MAX_DEFERRABLE_LATENESS`] or more, so that it is no longer put off.
+    /// Whether a job would miss its completion objective even if it started now. Returns `false` for a job
+    /// whose objective passed [`MAX_DEFERRABLE_LATENESS`] ago or earlier, so that it is not put off forever.
     fn is_late(&self, now: Instant, job: &Job) -> bool {
         let allowed = self
             .fleet
@@ -125,7 +127,7 @@
 
 /// Whether a round may start tasks of this job.
 fn may_start(now: Instant, job: &Job) -> bool {
-    // A job suspected of a crash loop retries one task at a time.
+    // A job suspected of a crash loop runs only one task at a time.
     let is_retrying = job.crash_loop.is_suspected() && !job.active.is_empty();
     let backoff_is_over = job
         .crash_loop
@@ -143,7 +145,8 @@
         .collect()
 }
 
-/// Starved jobs in order of arrival, each with the number of tasks that go before all other jobs.
+/// The additional queue entries of starved jobs, in order of arrival. Each holds the number of tasks that
+/// are placed before the regular queue.
 fn starved_jobs_first<'a>(jobs: &[&'a Job]) -> impl Iterator<Item = QueueEntry<'a>> {
     let starved = jobs.iter().copied().filter(|job| job.boosted_tasks > 0);
     let mut starved: Vec<&Job> = starved.collect();
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -1,8 +1,8 @@
 //! Plans a placement round: walks the queue and collects the tasks to start, the tasks to preempt and the
 //! tasks that keep waiting.
 //!
-//! Jobs are visited in queue order. An array is left as soon as its next task would exceed its team's
-//! limit, and a gang is skipped if it does not fit under the limit as a whole. The round works on its own
+//! Jobs are visited in queue order. The round stops placing tasks of an array as soon as the next one would
+//! make the team's usage exceed the team's limit. It skips a gang whose members together would do so. The round works on its own
 //! copy of each machine's free resources, so the cluster state does not change.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TeamName, Zone};
@@ -13,11 +13,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// The number of tasks that one round examines at most. A gang is always examined as a whole and may
-/// exceed it. The rest of a longer queue is left to later rounds.
+/// The maximum number of tasks that one round examines. A gang is always examined as a whole, which may
+/// exceed this number. Waiting tasks beyond it are left to later rounds.
 pub(super) const MAX_TASKS_PER_ROUND: usize = 4000;
 /// Scores are rounded to this resolution, and machines with the same rounded score are compared by price.
-/// Finer differences mean nothing, because a worker sends heartbeats at most every half second.
+/// Smaller differences between scores mean nothing, because a worker sends heartbeats at most every half second.
 pub(super) const SCORE_RESOLUTION_S: f64 = 1.0;
 /// Added to the score of a machine whose resources are still in use: the time from the predicted end of a
 /// task to the start of its successor. It also compensates for prediction errors: the earliest of many
@@ -39,7 +39,7 @@
     pub(super) team_usage: HashMap<TeamName, Resources>,
     /// The number of tasks examined so far in this round.
     pub(super) examined_tasks: usize,
-    /// The same count for each job.
+    /// The number of tasks examined so far in this round, by job.
     pub(super) examined_by_job: HashMap<&'a JobId, usize>,
     /// The longest expected wait of any task reserved so far in this round. Tasks beyond
     /// [`MAX_TASKS_PER_ROUND`] are assumed to wait this long.
@@ -100,8 +100,8 @@
             ..
         } = round;
         // Jobs suspected of a crash loop would fail on other machines too, and ordinary jobs that wait
-        // for the start limiter do not lack machines. For neither are machines rented or kept, or tasks
-        // preempted.
+        // for the start limiter do not lack machines. Their tasks are removed from `waiting`, so that no
+        // machine is rented or kept and no task is preempted for them.
         let start_limit_reached = plan.start_limit_reached;
         plan.waiting.retain(|waiting| {
             self.jobs.get(&waiting.job_id).is_some_and(|job| {
@@ -159,7 +159,7 @@
         examined_tasks.copied().unwrap_or(0)
     }
 
-    /// Counts `tasks` tasks of a job as examined.
+    /// Adds `tasks` to the numbers of examined tasks of the round and of the job.
     pub(super) fn record_examined(&mut self, job: &'a Job, tasks: usize) {
         self.examined_tasks += tasks;
         *self.examined_by_job.entry(&job.spec.job_id).or_default() += tasks;
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -2,7 +2,7 @@
 //! plus the time to fetch the image. Two corrections are added to this sum: [`SUCCESSOR_START_DELAY`] if the
 //! machine is busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need the machine.
 //!
-//! The tasks of one job are alike, so all machines are scored once per job and kept in a heap. After each
+//! The tasks of one job have equal requests and estimates, so all machines are scored once per job and kept in a heap. After each
 //! placement only the machine that took the task is scored again. The choice is the same as if each task
 //! were scored on every machine; a test compares the two.
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TypeEstimate {
     pub(super) run_time: Duration,
-    /// In GB per second.
+    /// Expected image fetch rate of the machine type, in GB per second.
     pub(super) fetch_rate_gb_per_s: f64,
     pub(super) wanted_by_larger_tasks: bool,
 }
@@ -45,7 +45,7 @@
 /// Tasks of one job that have the same score on every machine.
 pub(super) struct TaskGroup<'a> {
     pub(super) job: &'a Job,
-    /// By the index of the machine type in the fleet.
+    /// One estimate for each machine type, in the order of the types in the fleet.
     pub(super) estimates: Vec<TypeEstimate>,
     /// Run time saved in a checkpoint, from which a restarted task resumes.
     pub(super) saved_progress: Duration,
@@ -57,14 +57,15 @@
 /// CPUs, then by the index of the slot.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScoredSlot {
-    /// In units of [`SCORE_RESOLUTION_S`].
+    /// The score of the machine for the task, rounded, in units of [`SCORE_RESOLUTION_S`].
     score: i64,
     price_step: f64,
-    /// If the task starts now: the CPUs left free on the machine. Otherwise: the CPUs that are not free yet.
+    /// If the task starts now: the CPUs that it leaves free on the machine. Otherwise: the CPUs that the
+    /// task needs beyond those that are free now.
     tie_break_cpus: f64,
     /// The index of the slot in the round.
     pub(super) slot: usize,
-    /// The earliest time at which the task is expected to start there.
+    /// The earliest time at which the task is expected to start on this slot.
     pub(super) available_at: Instant,
     pub(super) free_now: bool,
     pub(super) run_time: Duration,
@@ -100,7 +101,7 @@
 impl Eq for ScoredSlot {}
 
 impl ClusterState {
-    /// Estimates for one job on each machine type.
+    /// Returns the estimates for the tasks of one job, one for each machine type of the fleet in its order.
     pub(super) fn type_estimates(
         &self,
         spec: &JobSpec,
@@ -146,16 +147,16 @@
         let wait = available.at.saturating_duration_since(now);
         let mut score = wait + run_time + fetch_delay;
         if !available.free_now && slot.ready_at.is_none() {
-            // The end of the running task has to be reported first, and the intent of the next one
-            // written.
+            // Before this task can start, the end of the running task has to be reported and the start
+            // intent of this task written.
             score += SUCCESSOR_START_DELAY;
         }
         if estimate.wanted_by_larger_tasks {
             score += LARGER_TASKS_PENALTY;
         }
         // A task that starts now goes to the machine that it fills up most. A task that has to wait goes
-        // to the machine where most of the resources that it needs are free already; otherwise it would
-        // change its machine in every round and never find one that is free enough.
+        // to the machine where most of the CPUs that it needs are free already; otherwise its reservation
+        // would move to another machine in every round, and no machine would ever become free enough.
         let tie_break_cpus = if available.free_now {
             slot.free.cpus - resources.cpus
         } else {
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -1,5 +1,5 @@
-//! The view that a placement round has of the machines: free resources, when more are expected to become
-//! free, and images.
+//! The view that a placement round has of the machines: their free resources, the times at which more
+//! resources are expected to become free, and their images.
 
 use crate::core::model::{ImageKey, MachineType, Resources};
 use crate::core::placement::history::fetch_time_at;
@@ -9,10 +9,11 @@
 
 /// A machine gets no tasks if its last heartbeat is older than this many heartbeat intervals.
 const MAX_HEARTBEAT_AGE_INTERVALS: f64 = 2.5;
-/// The minimum expected time until a booting machine is up.
+/// The expected remaining boot time of a booting machine is at least this long, even if the machine has been
+/// booting for longer than expected.
 const MIN_REMAINING_BOOT_TIME: Duration = Duration::from_secs(1);
-/// A task that has exceeded its estimated run time is expected to need this fraction of its run time so
-/// far in addition.
+/// The expected remaining run time of a task is at least this fraction of the time that it has run so far,
+/// even if it has exceeded its estimated run time.
 const OVERRUN_FRACTION_OF_RUN_TIME: f64 = 0.1;
 
 /// Resources that are expected to become free at a certain time.
@@ -22,7 +23,7 @@
     resources: Resources,
 }
 
-/// When a slot has enough resources for a task.
+/// The expected time from which a slot has enough free resources for a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Availability {
     pub(super) at: Instant,
@@ -36,7 +37,7 @@
     /// The index of the machine's type in the fleet.
     pub(super) type_index: usize,
     /// Resources that are free now, less this round's starts. For a booting machine: those that will be
-    /// free when it is up. Zero if a starved job reserved the whole machine.
+    /// free when it is up. Zero in each resource if a starved job has reserved the whole machine.
     pub(super) free: Resources,
     /// Free resources less this round's starts and reservations; a component may be negative.
     pub(super) free_unreserved: Resources,
@@ -45,23 +46,25 @@
     releases: Vec<ExpectedRelease>,
     /// When the machine is expected to have booted. `None` if it is up.
     pub(super) ready_at: Option<Instant>,
-    /// The ratio of run times on this machine to the mean of its type.
+    /// The ratio of run times on this machine to the mean run times on machines of its type.
     pub(super) slowdown: f64,
     /// The step of the price per CPU and hour; prices in the same step count as equal.
     pub(super) price_step: f64,
-    /// The total size of the images being fetched, including fetches that this round's starts cause.
+    /// The total size in GB of the images that the machine is fetching or will fetch for this round's starts.
     pending_fetch_gb: f64,
-    /// Images whose fetch a start of this round causes.
+    /// Images that the machine will fetch because a task was started on it in this round.
     started_images: Vec<ImageKey>,
-    /// Images that tasks with reservations will fetch.
+    /// Images of tasks that have a reservation on this machine; it will fetch them for these tasks.
     pub(super) reserved_images: Vec<ImageKey>,
-    /// A task waits for resources of this machine. Teams over their fair share place nothing here.
+    /// A task has a reservation on this machine. Tasks of teams over their fair share are not placed here
+    /// then.
     pub(super) has_reservation: bool,
 }
 
 impl Slot<'_> {
-    /// When a task fits on the slot: now if the free resources suffice, otherwise once running tasks and
-    /// reservations have ended. Returns `None` if it will never fit.
+    /// Returns when a task that requests `resources` fits on the slot: now if the free resources suffice,
+    /// otherwise at the expected end of the running tasks and reservations before it. Returns `None` if the
+    /// task does not fit even after all of them have ended. `capacity`: that of the machine's type.
     pub(super) fn availability(
         &self,
         now: Instant,
@@ -91,7 +94,7 @@
         None
     }
 
-    /// Reserves resources for a task from `start` on for the duration `occupancy`.
+    /// Reserves resources for a task that is expected to start at `start` and to hold them for `occupancy`.
     pub(super) fn reserve(&mut self, start: Instant, occupancy: Duration, resources: &Resources) {
         self.free_unreserved.sub(resources);
         let release = ExpectedRelease {
@@ -102,8 +105,9 @@
         self.releases.insert(index, release);
     }
 
-    /// How long a task waits for its image. The wait is zero if the image is cached or a task with a
-    /// reservation will have fetched it; otherwise it includes the fetches that are already pending.
+    /// How long a task of this job waits for its image on this machine. The wait is zero if the image is
+    /// cached or another task with a reservation needs the same image; otherwise the wait includes the
+    /// fetches that are already pending.
     pub(super) fn fetch_delay(
         &self,
         now: Instant,
@@ -144,7 +148,7 @@
 }
 
 impl ClusterState {
-    /// All machines that are up or booting, except those that accept no tasks now.
+    /// The slots of all machines that are booting, or that are up and accept tasks now.
     pub(super) fn slots(&self, now: Instant, fetch_rates_gb_per_s: &[f64]) -> Vec<Slot<'_>> {
         let machines = self.fleet.machines.values();
         let mut slots = Vec::with_capacity(machines.len());
@@ -152,7 +156,8 @@
         slots
     }
 
-    /// Builds the slot of a machine. Returns `None` if the machine accepts no tasks now.
+    /// Builds the slot of a machine. Returns `None` if the machine is up and accepts no tasks now, or is being
+    /// returned to the cloud.
     fn slot<'a>(
         &'a self,
         now: Instant,
@@ -235,8 +240,8 @@
     }
 }
 
-/// How long from `now` an attempt is expected to keep its resources. `fetch` returns the time from `now`
-/// until the attempt's image is fetched.
+/// How long from `now` an attempt is expected to keep its resources. `fetch` returns how long from `now` the
+/// machine needs to finish the fetch of the attempt's image.
 fn expected_remaining(
     now: Instant,
     attempt: &ActiveAttempt,
