--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -1,4 +1,4 @@
-//! Applies the plans of capacity management to the cluster state. No other module does so.
+//! Applies the plans of capacity management to the cluster state. No other module applies these plans.
 
 use crate::core::capacity::consolidation::ConsolidationPlan;
 use crate::core::capacity::drain::{DrainCancellations, DrainPlan, DrainReason};
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Begins to drain machines: nothing more is placed on them.
+    /// Begins to drain machines: no further tasks are placed on them.
     pub(super) fn drain_machines(&mut self, plan: DrainPlan) {
         for id in plan.machines {
             self.drain_machine(&id, plan.reason);
         }
     }
 
-    /// Begins to drain machines whose replacements are up, which completes these replacements.
+    /// Begins to drain machines whose replacements are up. These replacements no longer count as ready.
     pub(super) fn drain_replaced(&mut self, plan: DrainPlan) {
         self.capacity.replacements.clear_ready();
         self.drain_machines(plan);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Orders as many rentals as the maximum number of machines, the rate limit of a takeover and the limit
-    /// on pending rentals allow.
+    /// Orders the planned machines, as far as the maximum number of machines, the maximum number of pending
+    /// rentals and the rate limit on rentals during a takeover allow.
     pub(super) fn order_rentals(&mut self, now: Instant, plan: ScaleOutPlan) {
         for (offer, number) in plan.machines {
             if !self.order_rentals_for(now, &offer, number) {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Orders machines of one offer, in several rentals if one may not contain all of them. Returns false if
-    /// the rate limit of the takeover allows no more rentals now.
+    /// Orders `wanted` machines of one offer, in several rentals if they exceed `MAX_MACHINES_PER_RENTAL`.
+    /// Returns `false` if the rate limit on rentals during a takeover allows no more rentals now.
     fn order_rentals_for(&mut self, now: Instant, offer: &MachineOffer, wanted: u32) -> bool {
         let max_machines = self.config.tuning.max_machines;
         let mut missing = wanted;
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Plans and requests the return of machines, one request at a time.
+    /// Marks the machines to return, and sends at most one return request to the cloud.
     pub(super) fn scale_in(&mut self, now: Instant) {
         let survey = self.survey_silence(now);
         self.takeover.set_silence(survey);
--- a/src/core/capacity/boot_times.rs
+++ b/src/core/capacity/boot_times.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The number of measured boots of a type from which on their mean replaces the advertised boot time.
+/// Once this many boots of a machine type were measured, their mean replaces the advertised boot time.
 const MIN_MEASURED_BOOTS: u32 = 2;
 /// The bounds of the expected boot time if it is taken from measurements, in seconds.
 const MIN_BOOT_S: f64 = 0.5;
@@ -18,7 +18,7 @@
 }
 
 impl BootTimes {
-    /// Records that a machine of this type came up.
+    /// Records that a machine of this type came up. `took`: the time from its rental to its first heartbeat.
     pub(super) fn record(&mut self, machine_type: &MachineTypeName, took: Duration) {
         let average = self.averages.entry(machine_type.clone()).or_default();
         average.add(took.as_secs_f64());
--- a/src/core/capacity/capacity_manager.rs
+++ b/src/core/capacity/capacity_manager.rs
@@ -4,8 +4,8 @@
 use crate::core::state::{ClusterState, Machine};
 use std::time::Instant;
 
-/// The number of heartbeat intervals after the beginning of a term within which every machine that is up
-/// has had time to report.
+/// Every machine that is up has had time to report once this many heartbeat intervals have passed since the
+/// beginning of the term.
 const REPORT_TIMEOUT_HEARTBEATS: f64 = 1.3;
 
 impl ClusterState {
@@ -27,7 +27,8 @@
     }
 
     /// Whether this term knows which machines exist: either the cloud's list was received and every known
-    /// machine that is neither booting nor being returned has reported, or machines have had time to report.
+    /// machine that is neither booting nor being returned has reported, or `REPORT_TIMEOUT_HEARTBEATS` have
+    /// passed since the term began.
     pub(super) fn knows_fleet(&self, now: Instant) -> bool {
         let has_not_reported =
             |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
--- a/src/core/capacity/capacity_state.rs
+++ b/src/core/capacity/capacity_state.rs
@@ -1,4 +1,4 @@
-//! The state of capacity management, apart from the machines and jobs.
+//! The state of capacity management. The machines and jobs themselves are kept in the cluster state.
 
 use crate::core::capacity::boot_times::BootTimes;
 use crate::core::capacity::class_demand::ClassDemand;
@@ -15,7 +15,8 @@
     pub(super) boot_times: BootTimes,
     pub(super) class_demand: ClassDemand,
     pub(super) replacements: SpotReplacements,
-    /// When the return of machines was last requested from the cloud. `None`: not in this term.
+    /// When the return of machines was last requested from the cloud. `None`: no return was requested in this
+    /// term.
     pub(super) last_return: Option<Instant>,
     /// Whether the cloud's list of machines was received in this term.
     pub(super) list_was_read: bool,
@@ -35,8 +36,8 @@
         self.boot_times.expected(machine_type)
     }
 
-    /// Records that a job became eligible to start, at `arrived`: it was accepted without unfinished
-    /// dependencies, or its last dependency is done.
+    /// Records that a job became eligible to start at `arrived`: either it was accepted without unfinished
+    /// dependencies, or the last of its dependencies was done then.
     pub fn record_arrival(&mut self, spec: &JobSpec, arrived: Instant) {
         self.class_demand.record_arrival(spec, arrived);
     }
--- a/src/core/capacity/class_demand.rs
+++ b/src/core/capacity/class_demand.rs
@@ -6,8 +6,8 @@
 
 /// The maximum number of jobs of a class from which its typical job is derived.
 const MAX_RECENT_JOBS: usize = 20;
-/// A class has no typical job once no job of it has arrived for this many times the mean interval between
-/// its jobs, and for `MIN_QUIET_PERIOD` at least.
+/// A class has no typical job if its last job arrived longer ago than this many times the mean interval
+/// between its jobs, and longer ago than `MIN_QUIET_PERIOD`.
 const QUIET_GAP_FACTOR: u32 = 5;
 const MIN_QUIET_PERIOD: Duration = Duration::from_secs(40);
 
@@ -16,16 +16,16 @@
 struct Arrival {
     at: Instant,
     task_count: u32,
-    /// The resources that each of its tasks requests.
+    /// The resources that each task of the job requests.
     resources: Resources,
 }
 
 /// The typical job of a class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TypicalJob {
-    /// The number of tasks that at least four in five jobs do not exceed.
+    /// A number of tasks per job that at least four in five of the class's recent jobs do not exceed.
     pub(super) task_count: u32,
-    /// The resources that a task requests, as the mean over jobs.
+    /// The mean, over the class's recent jobs, of the resources that one task requests.
     pub(super) resources: Resources,
 }
 
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The typical job of a class. `None`: no job of the class has arrived, or none for far longer than the
-    /// mean interval between its jobs.
+    /// The typical job of a class. `None`: no job of the class has arrived in this term, or the last one arrived
+    /// too long ago (see `QUIET_GAP_FACTOR`).
     pub(super) fn typical_job(&self, now: Instant, class: &str) -> Option<TypicalJob> {
         let arrivals = self.arrivals.get(class)?;
         let count = arrivals.len();
--- a/src/core/capacity/cloud_list.rs
+++ b/src/core/capacity/cloud_list.rs
@@ -1,4 +1,5 @@
-//! The cloud's list of machines: unknown machines are adopted, and failed ones are returned.
+//! Applies the cloud's list of machines: machines that this leader does not know are adopted, and machines
+//! that the cloud lists as failed are returned.
 
 use crate::core::model::{CloudMachine, CloudMachinePhase, Term};
 use crate::core::state::outbox::PendingProbe;
@@ -8,12 +9,12 @@
 
 /// The maximum number of machines that are asked for a heartbeat in one tick.
 const MAX_PROBES_PER_TICK: usize = 24;
-/// The incarnation that a probe names for a machine that has not reported: nearly all of them are in their
-/// first one. An agent in another incarnation answers with its heartbeat as well.
+/// The incarnation that a probe names for a machine that has not reported: nearly all such machines are in
+/// their first incarnation. An agent in another incarnation answers the probe with its heartbeat as well.
 const FIRST_INCARNATION: u64 = 1;
 
 impl ClusterState {
-    /// Applies the cloud's list of machines. A known machine that the list lacks stays known.
+    /// Applies the cloud's list of machines. A known machine that is missing from the list is kept.
     pub fn on_machine_list(&mut self, now: Instant, listed: &[CloudMachine]) {
         self.capacity.list_was_read = true;
         for entry in listed {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Creates a machine that is in the cloud's list, but that this term did not rent.
+/// Creates the state of a machine that the cloud lists, but that was not rented in this term.
 fn adopt_machine(now: Instant, listed: &CloudMachine, term: Term) -> Machine {
     let identity = MachineIdentity {
         id: listed.id.clone(),
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -9,18 +9,19 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Machines whose dominant share of used resources is higher are not consolidated.
+/// A machine is not consolidated if the used fraction of any one of its resources is higher than this.
 const MAX_DOMINANT_SHARE: f64 = 0.55;
-/// One in this many machines may be drained for consolidation at a time, and one at least. Machines that are
-/// draining for other reasons count as well.
+/// The number of machines that accept tasks, divided by this, is the number that may be draining at a time for
+/// consolidation to drain another; it is at least 1. Machines that are draining for other reasons count as
+/// well.
 const MACHINES_PER_CONSOLIDATION: usize = 12;
-/// Only tasks that have run for this long are moved: a shorter run does not count as the start that their
-/// users were promised.
+/// Only tasks that have run for at least this long are moved: a shorter run does not count as the start that
+/// the task's user was promised.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(31);
-/// Only tasks are moved that are expected to run for this long beyond twice the duration of a checkpoint:
-/// once to save their progress and once to restore it.
+/// Only tasks are moved whose expected remaining run time is at least this long plus twice the duration of a
+/// checkpoint: once to save the task's progress and once to restore it.
 const MIN_REMAINING_AFTER_MOVE: Duration = Duration::from_secs(20);
-/// Added to the specified duration of a checkpoint to obtain the grace period of a stop.
+/// Added to the checkpoint duration in the job's specification to obtain the grace period of a stop.
 const CHECKPOINT_MARGIN: Duration = Duration::from_secs(2);
 
 /// A task to stop, with time to write a checkpoint.
@@ -29,7 +30,7 @@
     pub(super) grace_period: Duration,
 }
 
-/// A machine to drain, and its tasks to stop so that they start elsewhere.
+/// A machine to drain, and the stops of its tasks, which then start again on other machines.
 pub(super) struct MachineConsolidation {
     pub(super) machine: MachineId,
     pub(super) tasks: Vec<GracefulStop>,
@@ -41,7 +42,7 @@
     pub(super) machines: Vec<MachineConsolidation>,
 }
 
-/// The utilization of a machine.
+/// A machine with its free resources and its utilization.
 struct MachineLoad<'a> {
     machine: &'a Machine,
     free: Resources,
@@ -114,7 +115,7 @@
         loads
     }
 
-    /// Plans how to stop the tasks of a machine. `None`: at least one of them cannot be moved.
+    /// Plans how to stop all tasks of a machine. `None`: at least one of these tasks cannot be moved.
     fn plan_task_stops(&self, now: Instant, machine: &Machine) -> Option<Vec<GracefulStop>> {
         let mut stops = Vec::with_capacity(machine.placed_tasks.len());
         for task in machine.placed_tasks.keys() {
@@ -148,8 +149,8 @@
         && remaining >= min_remaining
 }
 
-/// Packs all tasks of a machine onto the machines in `loads`, except idle ones. Returns the resources that
-/// remain free on the machines that take a task, by index. `None`: the tasks do not fit.
+/// Packs all tasks of a machine onto those machines in `loads` that are not idle. Returns the resources that
+/// remain free on each machine that takes a task, by its index in `loads`. `None`: the tasks do not all fit.
 fn pack_onto(loads: &[MachineLoad<'_>], machine: &Machine) -> Option<HashMap<usize, Resources>> {
     let mut free_after: HashMap<usize, Resources> = HashMap::new();
     for resources in machine.placed_tasks.values() {
@@ -163,8 +164,8 @@
     Some(free_after)
 }
 
-/// Whether the free resources of these machines, before the move, cover the headroom of each class and
-/// `moving` more tasks of the same size. These stand for the tasks that are about to be moved.
+/// Whether the free resources of these machines, before any task moves, cover the headroom of each class plus
+/// `moving` further tasks of the class's task size. The further tasks stand for those that are about to move.
 fn covers_headroom_after_moves(
     headroom: &[HeadroomDemand],
     loads: &[MachineLoad<'_>],
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -8,17 +8,18 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A drain is cancelled for tasks that are expected to wait for longer than this.
+/// The drain of a machine is cancelled for waiting tasks that fit on it if their expected wait is longer than
+/// this, or if no machine is expected to have resources for them.
 const MAX_WAIT_DURING_DRAIN: Duration = Duration::from_secs(5);
 
 /// Why a machine is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainReason {
-    /// A spot machine that was rented to replace it is up.
+    /// A spot machine that was rented to replace the drained machine is up.
     Replaced,
-    /// Its tasks fit on spot machines that are up. Printed as `room_on_spot`.
+    /// The tasks of the machine fit on spot machines that are up. Printed as `room_on_spot`.
     FitsOnSpot,
-    /// It is little used, and its tasks move to other machines.
+    /// The utilization of the machine is low, and its tasks move to other machines.
     Consolidation,
 }
 
@@ -47,7 +48,7 @@
 
 impl ClusterState {
     /// Plans which drains to cancel for waiting tasks. A machine that is being drained is paid for until it
-    /// is returned, so it takes tasks again while there are some.
+    /// is returned, so it should run tasks again if any wait for long.
     pub(super) fn plan_drain_cancellations(&self, round: &RoundOutcome) -> DrainCancellations {
         let mut draining: Vec<FreeResources<'_>> = self
             .fleet
@@ -71,8 +72,8 @@
         DrainCancellations { machines }
     }
 
-    /// Moves the machines that can run the waiting tasks from `draining` to `drains_to_cancel`, until there
-    /// are enough of them.
+    /// Moves machines that can run the waiting tasks from `draining` to `drains_to_cancel`, until all of these
+    /// tasks fit on the moved machines.
     fn cancel_drains_for(
         &self,
         waiting: &WaitingTasks,
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -70,8 +70,8 @@
         self.config.slos.iter().any(deadline)
     }
 
-    /// Whether a machine that is rented now may boot too late for a task that must start `within` this time
-    /// from now.
+    /// Whether a machine that is rented now may boot too late for a task that must start before `within` has
+    /// passed. Also `true` if the task fits on no machine type.
     fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -6,18 +6,18 @@
 use crate::core::placement::zone_constraints::{permits, ZoneUse};
 use std::collections::{BTreeMap, HashMap};
 
-/// The relative cost that each machine in a zone adds to a further one there, so that rentals spread over
-/// zones.
+/// The fraction by which each machine in a zone increases the cost of a further machine in that zone, so that
+/// rentals spread over zones.
 const ZONE_SPREAD_COST: f64 = 0.001;
 
 /// A pending or planned machine, and the resources that the plan leaves free on it.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedMachine {
     pub(super) offer: MachineOffer,
-    /// All of its resources, whether free or in use.
+    /// All resources of the machine, whether free or in use.
     pub(super) capacity: Resources,
     pub(super) free: Resources,
-    /// The number of tasks packed onto it; 1 if it is rented as headroom.
+    /// The number of tasks packed onto the machine; at least 1 if it is planned as headroom.
     task_count: usize,
 }
 
@@ -39,7 +39,7 @@
     pub(super) price: f64,
     pub(super) offer: MachineOffer,
     pub(super) capacity: Resources,
-    /// How many of the tasks fit on an empty machine.
+    /// How many of the tasks for which it could be rented fit on the machine while it is empty.
     pub(super) tasks_that_fit: usize,
 }
 
@@ -51,17 +51,17 @@
     /// The indices of the machines that still fit `min_task_resources`. Full machines are skipped, because
     /// with a thousand small jobs waiting, checking them for each job took most of the leader's CPU time.
     open_machines: Vec<usize>,
-    /// The minimum over all waiting tasks, in each resource.
+    /// For each resource, the smallest request of any waiting task.
     min_task_resources: Resources,
     /// The number of machines in each zone, planned ones included.
     zone_counts: HashMap<Zone, usize>,
-    /// The limit on the length of `machines`.
+    /// No machine is added once `machines` has this length.
     max_machines: usize,
 }
 
 impl PackingPlan {
-    /// Creates a plan that contains the pending machines. `min_task_resources`: no task to be packed requests
-    /// less of any resource.
+    /// Creates a plan that contains the pending machines. `min_task_resources`: for each resource, the smallest
+    /// request of any task that will be packed.
     pub(super) fn new(
         pending: Vec<PlannedMachine>,
         min_task_resources: Resources,
@@ -87,7 +87,7 @@
         self.machines.len() < self.max_machines
     }
 
-    /// Packs tasks of a job onto the machines of the plan. Returns how many tasks are left.
+    /// Packs `count` tasks of a job onto the machines of the plan. Returns how many of them do not fit.
     pub(super) fn pack(&mut self, spec: &JobSpec, zones: &ZoneUse, count: usize) -> usize {
         let mut remaining = count;
         let (machines, min_task_resources) = (&mut self.machines, &self.min_task_resources);
@@ -112,7 +112,8 @@
         remaining
     }
 
-    /// The candidate with the lowest cost per task, if it is to run up to this number of tasks.
+    /// The candidate with the lowest cost per task. A candidate's price is divided by the number of tasks that
+    /// fit on it, but at most by `tasks`.
     pub(super) fn cheapest<'a>(
         &self,
         candidates: &'a [RentalCandidate],
@@ -127,7 +128,7 @@
         candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
-    /// Adds a machine with this number of tasks on it.
+    /// Adds a machine onto which `tasks` tasks are packed. `task`: the resources that each of them requests.
     pub(super) fn add_with_tasks(
         &mut self,
         candidate: &RentalCandidate,
--- a/src/core/capacity/rental_results.rs
+++ b/src/core/capacity/rental_results.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Sends the rentals that are new or due for a retry.
+    /// Sends the pending rentals that were not sent yet or are due for a retry.
     pub(super) fn send_rentals(&mut self, now: Instant) {
         let rentals = self.capacity.rentals.pending.iter_mut();
         for (idempotency_key, rental) in rentals.filter(|(_, rental)| rental.is_due(now)) {
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -1,7 +1,7 @@
 //! Pending rentals and their outcomes.
 //!
-//! Invariant: a rental keeps its idempotency key until the cloud's response is known. Without a response it
-//! is sent again under the same key.
+//! Invariant: a rental keeps its idempotency key until the cloud's response is known. While the response is
+//! unknown, the rental is sent again under the same key.
 
 use crate::core::capacity::offer::MachineOffer;
 use crate::core::model::{MachineId, Term};
@@ -10,10 +10,10 @@
 
 /// The cloud's limit on the number of machines in one rental.
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// The maximum number of pending rentals. More would only queue for the cloud's rate limit, each for the few
-/// machines that were missing when it was ordered.
+/// The maximum number of pending rentals. Further rentals would only wait for the cloud's rate limit, each for
+/// the few machines that were missing when the rental was ordered.
 const MAX_PENDING_RENTALS: usize = 3;
-/// The time after which a rental without a known outcome is sent again.
+/// How long after the outcome `RentalOutcome::Unknown` a rental is sent again.
 pub(super) const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// The back-off after a refusal: the same offer is not requested again for this long, times the number of
 /// consecutive refusals, which counts up to `MAX_BACKOFF_REFUSALS`.
@@ -38,9 +38,9 @@
     pub(super) offer: MachineOffer,
     /// The number of machines requested.
     pub(super) number: u32,
-    /// Whether it was sent and its response is awaited.
+    /// Whether the rental was sent and its response is awaited.
     pub(super) sent: bool,
-    /// When it may be sent again. `None`: no attempt has failed yet.
+    /// When the rental may be sent again. `None`: no attempt to send it has failed yet.
     pub(super) retry_at: Option<Instant>,
 }
 
@@ -81,7 +81,7 @@
         self.pending.len() >= MAX_PENDING_RENTALS
     }
 
-    /// Adds a rental, which `ClusterState::send_rentals` sends.
+    /// Adds a pending rental under a new idempotency key. `ClusterState::send_rentals` sends it later.
     pub(super) fn order(&mut self, term: Term, offer: MachineOffer, number: u32) {
         self.ordered_count += 1;
         // The term makes a key unique among all nodes and their restarts.
--- a/src/core/capacity/replacement_progress.rs
+++ b/src/core/capacity/replacement_progress.rs
@@ -1,4 +1,5 @@
-//! Progress of the spot machines that replace on-demand ones: pending, or ready.
+//! Counts the spot machines that replace on-demand machines: pending until they are up, then ready until the
+//! on-demand machines are drained.
 
 use crate::core::model::MachineTypeName;
 use std::collections::HashMap;
@@ -6,15 +7,16 @@
 
 /// How long no replacement is planned after the cloud refused one.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(60);
-/// How long no replacement is planned after none was on offer.
+/// How long no replacement is planned after one was wanted but no spot machine of the type was on offer.
 const NO_OFFER_PAUSE: Duration = Duration::from_secs(10);
 
 /// The numbers of spot machines that were rented to replace on-demand ones, by type.
 #[derive(Debug, Default)]
 pub(super) struct SpotReplacements {
-    /// Ordered, and not up yet.
+    /// The number of replacements that were ordered and are not up yet, by type.
     pub(super) pending: HashMap<MachineTypeName, u32>,
-    /// Up, while the on-demand machines that they replace are not drained yet.
+    /// The number of replacements that are up and for which no on-demand machine has begun to drain yet, by
+    /// type.
     pub(super) ready: HashMap<MachineTypeName, u32>,
     /// No replacement is planned before this time.
     pub(super) paused_until: Option<Instant>,
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -4,23 +4,21 @@
 use cypressgap_recovery::silence::{SilenceScope, SilenceSurvey, MIN_SILENT_MACHINES};
 use std::time::{Duration, Instant};
 
-/// The least age of the last heartbeat of a silent machine, in heartbeat intervals, however short its lease
-/// is.
+/// The lower bound of the silence timeout, in heartbeat intervals. It applies however short the lease is.
 const MIN_SILENT_HEARTBEATS: f64 = 3.5;
 /// For scaling out, machines count as silent if their last heartbeat is older than this many heartbeat
 /// intervals.
 const SCALE_OUT_SILENT_HEARTBEATS: f64 = 2.5;
 
-/// The number of machines that should be up, and of those among them without a recent heartbeat in this
-/// term.
+/// Counts the machines that are neither booting nor being returned, and those of them that are silent.
 struct SilenceCount {
     machines: usize,
     silent: usize,
 }
 
 impl ClusterState {
-    /// Whether most machines are silent, and at least [`MIN_SILENT_MACHINES`] of them. If so, resources that
-    /// seem to be missing may exist on machines that are about to report again.
+    /// Whether more than half of the machines, and at least [`MIN_SILENT_MACHINES`], are silent. If so,
+    /// resources that seem to be missing may exist on machines that are about to report again.
     pub(super) fn are_most_machines_silent(&self, now: Instant) -> bool {
         let count = self.count_silent(now);
         count.silent >= MIN_SILENT_MACHINES && count.silent * 2 > count.machines
@@ -44,16 +42,16 @@
         count
     }
 
-    /// The time without heartbeats after which a machine counts as silent: a fraction of its lease, and
-    /// `MIN_SILENT_HEARTBEATS` at least.
+    /// A machine counts as silent if its last heartbeat is longer ago than this: a fraction of the lease, but
+    /// at least `MIN_SILENT_HEARTBEATS` heartbeat intervals.
     pub(in crate::core) fn silence_timeout(&self) -> Duration {
         let config = &self.config;
         let lease_share = config.lease.mul_f64(config.tuning.silent_lease_fraction);
         lease_share.max(config.heartbeat.mul_f64(MIN_SILENT_HEARTBEATS))
     }
 
-    /// Counts silent and unreachable machines by segment and zone. If there are fewer than
-    /// [`MIN_SILENT_MACHINES`], the survey stays empty, since it could not show a shared outage.
+    /// Counts silent and unreachable machines by segment and zone. If fewer than [`MIN_SILENT_MACHINES`]
+    /// machines are silent or unreachable, the survey stays empty, since it could not show a shared outage.
     pub(super) fn survey_silence(&self, now: Instant) -> SilenceSurvey {
         let timeout = self.silence_timeout();
         let is_out_of_contact = |machine: &Machine| {
@@ -72,7 +70,8 @@
         survey
     }
 
-    /// Whether the last heartbeat of a machine was received longer than `timeout` ago.
+    /// Whether the last heartbeat of a machine was received longer than `timeout` ago, not counting time before
+    /// this process last resumed from a pause.
     pub(in crate::core) fn is_silent(
         &self,
         now: Instant,
@@ -106,9 +105,9 @@
         machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > timeout)
     }
 
-    /// Whether a silent machine is part of a shared outage. If most machines of a segment, a zone or the
-    /// fleet are silent at once, the cause is more likely the network or this leader than the machines. This
-    /// holds only until the machine's lease has expired, plus one heartbeat interval.
+    /// Whether a silent or unreachable machine is likely part of a shared outage. If most machines of a segment, a zone or the
+    /// fleet are silent at once, the cause is more likely the network or this leader than the machines. Returns
+    /// `false` once the machine has been silent for longer than its lease plus one heartbeat interval.
     pub(super) fn is_shared_outage(&self, now: Instant, machine: &Machine) -> bool {
         let scope = self
             .takeover
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -1,7 +1,8 @@
 //! Replacement of expensive on-demand machines by spot machines.
 //!
-//! On-demand machines in use are replaced by spot machines of the same type if the cloud offers them. They
-//! are drained without a replacement if their tasks fit on spot machines that are up already.
+//! On-demand machines in use are replaced by spot machines of the same type if the cloud offers such spot
+//! machines. On-demand machines are drained without a replacement if their tasks fit on spot machines that
+//! are up already.
 
 use crate::core::capacity::drain::{DrainPlan, DrainReason};
 use crate::core::capacity::headroom::covers_headroom;
@@ -13,10 +14,10 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The number of replacements that may be pending at a time in any fleet.
+/// The number of replacements that may be pending at a time however small the fleet is.
 const MIN_REPLACEMENT_LIMIT: u32 = 3;
-/// Large fleets may have one pending replacement for this many on-demand machines. Likewise, one in this many
-/// expensive machines may be drained at a time, and one at least.
+/// In large fleets, one replacement may be pending for each this many on-demand machines. Likewise, a plan
+/// drains at most one in this many of the expensive machines in use, but may always drain one.
 const MACHINES_PER_REPLACEMENT: u32 = 6;
 
 /// The decision on replacing expensive machines.
@@ -92,14 +93,14 @@
                 .all(|task| self.allows_spot(task))
     }
 
-    /// Whether a task may run on a spot machine. A task of an unknown job may.
+    /// Whether a task may run on a spot machine. Returns `true` if the task's job is unknown.
     fn allows_spot(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job_id);
         job.is_none_or(|job| job.spec.allows_spot)
     }
 
-    /// The number of replacements that may be rented now. It is 0 while spot machines have as many free CPUs
-    /// as tasks use on on-demand machines, since these then need no replacement.
+    /// The number of replacements that may be rented now. It is 0 while spot machines have at least as many
+    /// free CPUs as are used on on-demand machines, since the on-demand machines then need no replacement.
     fn allowed_replacements(
         &self,
         now: Instant,
@@ -144,7 +145,7 @@
     }
 
     /// Plans to drain the most expensive on-demand machines whose tasks fit on spot machines that are up, as
-    /// long as the spot machines still cover the headroom afterwards.
+    /// long as the resources that then remain free on spot machines cover the headroom.
     pub(super) fn plan_spot_capacity_drains(&self, now: Instant) -> DrainPlan {
         let mut free = self.free_spot_resources(now);
         let headroom = self.headroom(now);
@@ -188,8 +189,8 @@
         expensive.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    /// The free resources that remain on spot machines after taking all tasks of this machine. `None`: the
-    /// tasks do not fit, or one of them may not run on a spot machine.
+    /// Packs all tasks of this machine into `free`, the free resources of the spot machines, and returns what
+    /// remains free on each. `None`: the tasks do not all fit, or one of them may not run on a spot machine.
     fn pack_on_spot(&self, machine: &Machine, free: &[Resources]) -> Option<Vec<Resources>> {
         let mut free_after = free.to_vec();
         for (task, resources) in &machine.placed_tasks {
@@ -202,7 +203,8 @@
         Some(free_after)
     }
 
-    /// Plans to drain as many on-demand machines of each type as replacements are up.
+    /// Plans to drain, for each type, as many on-demand machines as there are spot machines that came up to
+    /// replace them.
     pub(super) fn plan_replaced_drains(&self) -> DrainPlan {
         let mut machines = Vec::new();
         for (machine_type, count) in &self.capacity.replacements.ready {
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -14,8 +14,8 @@
 /// Saved progress is rounded down to a multiple of this, so that restarted tasks with similar progress
 /// can share one scoring.
 const PROGRESS_STEP_S: f64 = 5.0;
-/// A starved job reserves busy machines for its exclusive use, one for each this many of its tasks,
-/// rounded up.
+/// The number of a starved job's tasks divided by this, rounded up, is the number of busy machines that the
+/// job may reserve for its exclusive use.
 const EXCLUSIVE_MACHINES_DIVISOR: u32 = 32;
 
 /// The state of a job array while a round places its tasks.
@@ -23,7 +23,7 @@
     group: TaskGroup<'a>,
     /// How many more busy machines this starved job may reserve for its exclusive use.
     exclusive_machines: u32,
-    /// Tasks of the job by zone, including this round's starts.
+    /// The number of the job's active tasks by zone, including the starts of this round.
     zones: ZoneUse,
     /// The last start changed the zones in which the next task may start, so the slots have to be ranked
     /// again.
@@ -65,11 +65,11 @@
         slot.reserve(chosen.available_at, chosen.occupancy(), &job.spec.resources);
         slot.has_reservation |= !self.group.over_fair_share && slot.ready_at.is_none();
         if chosen.fetch_delay > Duration::ZERO {
-            // The first task to start there fetches the image for the tasks behind it.
+            // The first task to start on this machine fetches the image for the tasks reserved behind it.
             slot.reserved_images.push(job.image);
         }
         if self.exclusive_machines > 0 && slot.ready_at.is_none() {
-            // Smaller tasks would otherwise use every gap before it is large enough for this job.
+            // Smaller tasks would otherwise use freed resources before enough are free for a task of this job.
             self.exclusive_machines -= 1;
             slot.free = Resources::default();
         }
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Records a task that no machine is expected to have resources for.
+    /// Adds a waiting task for which no machine is expected to have enough free resources.
     fn record_waiting(&self, round: &mut PlacementRound<'_>) {
         let spec = &self.group.job.spec;
         let run_times = self.group.estimates.iter().map(|e| e.run_time);
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Starts one task on the machine with the lowest score, or reserves resources there if that machine
-    /// is busy.
+    /// Starts one task on the machine with the lowest score, or reserves resources on that machine if the task
+    /// cannot start there now. If there is no such machine, records the task as waiting.
     fn plan_task(
         &self,
         index: u32,
@@ -196,8 +196,8 @@
         count = count.min(1);
     }
     if count == 0 {
-        // The round has reached its limit of tasks. These tasks are assumed to wait as long as the
-        // longest wait among the examined ones.
+        // The round has examined the maximum number of tasks. The waiting tasks of this job are assumed to
+        // wait as long as the longest expected wait among the examined tasks.
         if waiting > 0 && entry.boosted_tasks.is_none() {
             round.plan.add_waiting(WaitingTasks {
                 job_id: job.spec.job_id.clone(),
--- a/src/core/placement/deadlines.rs
+++ b/src/core/placement/deadlines.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 impl ClusterState {
-    /// The time from a job's arrival within which it should finish: the shortest of its deadline and the
-    /// service-level objectives of its class. `None` if there is none of either.
+    /// How long after its arrival a job should have finished at the latest: the shortest of its deadline and
+    /// the `finished` objectives of its class. `None` if it has no deadline and its class no such objective.
     pub(super) fn completion_objective(&self, job: &Job) -> Option<Duration> {
         let slos = self.config.slos.iter();
         let class_objectives = slos
@@ -18,8 +18,8 @@
             .min()
     }
 
-    /// How long a job can still wait to start and finish in time. `None` if it has neither a deadline nor
-    /// an objective.
+    /// How long a job can still wait, from `now`, before it must start to meet its completion objective.
+    /// `None` if it has no completion objective.
     pub(in crate::core) fn slack(
         &self,
         now: Instant,
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -1,5 +1,5 @@
 //! Guarantees and fair shares of teams: which jobs are within their team's guarantee, and which teams use
-//! more than a fair share. The queue is ordered by both.
+//! more than a fair share. Both determine the order of the queue.
 
 use crate::core::model::{JobId, Resources, Team, TeamName};
 use crate::core::state::{ClusterState, Job};
@@ -21,8 +21,8 @@
         self.config.teams.iter().find(|team| &team.name == name)
     }
 
-    /// Jobs whose whole demand fits into their team's guarantee together with that of the team's
-    /// unfinished jobs that arrived earlier.
+    /// Runnable jobs whose whole demand fits into their team's guarantee together with the demand of the
+    /// team's runnable jobs that arrived earlier. See [`is_runnable`].
     pub(super) fn jobs_within_guarantee(&self) -> HashSet<&JobId> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| is_runnable(job)).collect();
         jobs.sort_by_key(|job| job.revision);
@@ -40,8 +40,8 @@
         within
     }
 
-    /// Teams without a guarantee whose recent usage exceeds an even share of the total, taken over all
-    /// teams that have jobs to run. Without this rule one huge job, or a flood of small ones, would
+    /// Teams without a guarantee whose recent usage of CPUs or GPUs exceeds an even share: the total recent
+    /// usage of all teams that have runnable jobs, divided by the number of these teams. Without this rule one huge job, or a flood of small ones, would
     /// occupy the whole cluster for as long as it lasts.
     pub(super) fn teams_over_fair_share(&self) -> HashSet<&TeamName> {
         let mut used_by_team: HashMap<&TeamName, Resources> = HashMap::new();
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// Whether a team uses more than its guarantee; false if the settings do not name the team.
+    /// Whether `usage` holds more for a team than its guarantee; `false` if the settings do not name the team.
     pub(super) fn is_beyond_guarantee(
         &self,
         team: &TeamName,
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -10,17 +10,17 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// The cost of one member on a slot. The lowest cost is chosen first; ties are broken by the index of the
-/// slot.
+/// The cost of placing one member of a gang on a slot. Members go to the slots with the lowest cost first;
+/// ties are broken by the index of the slot.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MemberCost {
-    /// Expected run time plus the wait for the image.
+    /// The expected run time of the member on the slot plus the expected wait for its image.
     cost: Duration,
     /// The index of the slot in the round.
     slot: usize,
 }
 
-/// The expected times of one member on a slot.
+/// The expected run time of one member on a slot and its expected wait for the image.
 struct MemberEstimate {
     run_time: Duration,
     fetch_delay: Duration,
@@ -28,15 +28,15 @@
 
 /// A slot for each member of a gang.
 struct MemberSlots {
-    /// The cost of the slowest member.
+    /// The highest [`MemberCost::cost`] among the members.
     slowest_cost: Duration,
-    /// The index of the slot of each member.
+    /// The index of the slot of each member, by the member's task index.
     slots: Vec<usize>,
 }
 
 impl ClusterState {
-    /// Examines a gang at most once per round. Starts it if all of its members fit now, otherwise lets it
-    /// wait.
+    /// Starts a gang if its team's limit allows it and all of its members fit now. Does nothing if the gang was
+    /// already examined in this round or has active tasks.
     pub(super) fn plan_gang<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let job = entry.job;
         let was_examined = round.examined_tasks_of(job) > 0;
@@ -77,7 +77,7 @@
         });
     }
 
-    /// The cost of a member on each usable slot, lowest first. It is the same for all members.
+    /// The cost of one member on each usable slot, lowest first. All members have the same costs.
     fn member_costs(&self, job: &Job, round: &PlacementRound<'_>) -> Vec<MemberCost> {
         let zones = ZoneUse::for_job(job, &self.zone_of());
         let mut costs: Vec<MemberCost> = round
@@ -131,9 +131,9 @@
         }
     }
 
-    /// Keeps the machines that can hold the members of a starved gang soonest free of other tasks for
-    /// this round. Otherwise other tasks would use every gap, and the resources for all members would
-    /// never be free at the same time.
+    /// For the rest of this round, places no further tasks on the machines that are expected to have room for
+    /// the members of a starved gang soonest. Otherwise other tasks would use every resource that becomes
+    /// free, and the resources for all members would never be free at the same time.
     fn reserve_machines_for_gang(
         &self,
         spec: &JobSpec,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Chooses slots for all members so that the slowest one finishes as early as possible. If the job
+/// Chooses slots for all members so that the slowest member finishes as early as possible. If the job
 /// requires `same_place`, all slots are in one zone.
 fn choose_members(spec: &JobSpec, slots: &[Slot<'_>], costs: &[MemberCost]) -> Option<MemberSlots> {
     let mut zones: Vec<Option<&Zone>> = vec![None];
@@ -174,7 +174,7 @@
     let complete = zones
         .into_iter()
         .filter_map(|only_zone| assign_members(spec, slots, costs, only_zone));
-    // Of equally fast choices the first one wins.
+    // Among choices with the same `slowest_cost`, the first is kept.
     complete.reduce(|best, next| {
         if next.slowest_cost < best.slowest_cost {
             next
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -3,12 +3,12 @@
 //! Measured run times are kept under two keys. The task key is a hash of the parameters that make tasks
 //! alike, including the user's estimate; all tasks of one job share it. The class key is a hash of the
 //! class and the machine type only. If the task key has a measurement, its mean is the estimate.
-//! Otherwise the estimate is the user's, corrected by how far the estimates for the class have been off
-//! so far; if the class has enough measurements, the estimate is the geometric mean of this value and the
-//! mean of the class.
+//! Otherwise the user's estimate is multiplied by the mean ratio of measured to estimated run time of the
+//! class. If the class key has enough measurements, the result is the geometric mean of this product and
+//! the mean run time of the class.
 //!
 //! Invariants: the keys are stored, so neither the hash nor the order of the hashed fields may change; a
-//! summary never has more entries than its caller allows.
+//! [`HistorySummary`] never has more entries than the caller of [`History::summary`] allows.
 
 use crate::core::model::{JobSpec, MachineTypeName};
 use fnv::FnvHasher;
@@ -25,7 +25,8 @@
     pub count: u32,
 }
 
-/// From this count on, each new value gets the weight 1 / `MAX_AVERAGE_COUNT`, and old values fade out.
+/// Once an average has this many values, each new value gets the weight 1 / `MAX_AVERAGE_COUNT`, so that old
+/// values lose weight.
 const MAX_AVERAGE_COUNT: u32 = 40;
 
 impl Average {
@@ -41,13 +42,13 @@
 /// Bounds of estimated run times, in seconds.
 const MIN_RUN_TIME_S: f64 = 0.1;
 const MAX_RUN_TIME_S: f64 = 1e6;
-/// Bound of the absolute natural logarithm of measured over expected run time.
+/// Upper bound of the absolute value of the natural logarithm of a task's measured over expected run time.
 const MAX_ABS_LOG_BIAS: f64 = 3.0;
 /// Lower bound of an image fetch rate in GB per second, and upper bound of an estimated image fetch time in
 /// seconds.
 const MIN_FETCH_RATE_GB_PER_S: f64 = 0.01;
 const MAX_FETCH_TIME_S: f64 = 1e5;
-/// Image fetches shorter than this are ignored, since their times are measured too coarsely.
+/// Image fetches of at most this long are not recorded, since such short times are measured too coarsely.
 const MIN_COUNTED_FETCH_TIME_S: f64 = 0.5;
 /// Bounds of the ratio of measured to nominal image fetch rate.
 const MIN_FETCH_RATIO: f64 = 0.05;
@@ -175,7 +176,7 @@
         measured.map_or(1.0, |average| average.mean)
     }
 
-    /// Estimates the time to fetch `size_gb` gigabytes, not counting fetches queued before it.
+    /// Estimates the time to fetch an image of `size_gb` gigabytes, not counting fetches queued before it.
     /// `nominal_gb_per_s`: the fetch rate of the machine type.
     pub fn fetch_time(
         &self,
@@ -203,7 +204,8 @@
             remaining_entries -= entries.len();
             entries
         };
-        // The small tables, which apply to many tasks, get their space first.
+        // The fetch ratios and biases have few entries, each of which applies to many tasks. They get their
+        // share of `max_entries` first.
         let fetch = most_measured(&self.fetch_ratios);
         let bias = most_measured(&self.log_estimate_bias);
         let runs = most_measured(&self.run_times);
--- a/src/core/placement/plan.rs
+++ b/src/core/placement/plan.rs
@@ -67,7 +67,7 @@
     pub(super) preemptions: Vec<Preemption>,
     pub(super) waiting: Vec<WaitingTasks>,
     pub(super) spare: Vec<SpareResources>,
-    /// The start limiter kept at least one task from starting in this round.
+    /// The round left out at least one task because of the start limiter rather than for lack of machines.
     pub(super) start_limit_reached: bool,
 }
 
--- a/src/core/placement/preemption/cost.rs
+++ b/src/core/placement/preemption/cost.rs
@@ -8,8 +8,8 @@
 
 /// The cost of placing and starting a preempted task again.
 const RESTART_COST: Duration = Duration::from_secs(5);
-/// A protected task is not preempted before it has run this long; stopped earlier, its start would have
-/// been useless.
+/// A protected task is not preempted before it has run for this long: if it were stopped earlier, its start
+/// would have been useless.
 const MIN_PROTECTED_RUN_TIME: Duration = Duration::from_secs(31);
 
 /// The cost of stopping an attempt at once, in seconds of lost work including the restart. Returns `None`
@@ -40,7 +40,7 @@
         (_, true) => progress % checkpoint_interval,
         (_, false) => progress,
     };
-    // Even a task that lost no work has to be placed and started again.
+    // Even a task that would lose no work has to be placed and started again.
     Some(lost_work + RESTART_COST.as_secs_f64())
 }
 
--- a/src/core/placement/preemption/for_resources.rs
+++ b/src/core/placement/preemption/for_resources.rs
@@ -23,8 +23,8 @@
     job: &'a Job,
     /// The number of tasks of the job that wait too long.
     tasks: usize,
-    /// The expected time from now until the first of these tasks ends if nothing is preempted for it.
-    /// `None` if no machine is expected to have resources for any of these tasks.
+    /// The expected time from now until the first of these tasks would end if nothing were preempted for
+    /// them. `None` if no machine is expected to have resources for any of them.
     shortest_time_to_end: Option<Duration>,
     /// The preemptor's job is within its team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     within_guarantee: bool,
@@ -36,13 +36,13 @@
     job: &'a Job,
     /// The victim's job is within its team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     within_guarantee: bool,
-    /// Seconds of lost work, including the restart, times the dominant share of the machine that the task
-    /// uses.
+    /// Seconds of lost work, including the restart, multiplied by the largest fraction of any one resource of
+    /// the machine that the task uses.
     cost: f64,
 }
 
-/// Victims on one slot whose preemption frees enough resources for one task. The least cost is chosen;
-/// ties are broken by the index of the slot.
+/// Victims on one slot whose preemption frees enough resources for one task. The set with the lowest cost is
+/// chosen first; ties are broken by the index of the slot.
 struct VictimSet {
     /// The cost of all victims and of the image fetch, in the unit of [`Victim::cost`].
     cost: f64,
@@ -72,16 +72,16 @@
     }
 }
 
-/// The preemptions selected so far and the resulting resources and usage.
+/// The preemptions selected so far, and the free resources and team usage that result from them.
 struct Selection<'a> {
     /// Candidate victims by slot, the cheapest first.
     victims: Vec<Vec<Victim<'a>>>,
-    /// Indices of the selected victims by slot.
+    /// For each slot, the indices of the selected victims in `victims`.
     selected: Vec<HashSet<usize>>,
     /// Free resources by slot, after the selected victims have ended and the tasks that they were
     /// preempted for have started.
     free: Vec<Resources>,
-    /// Each team's usage without the selected victims.
+    /// The usage of each team, less that of the selected victims.
     team_usage: HashMap<TeamName, Resources>,
     preemptions: Vec<Preemption>,
 }
@@ -296,9 +296,10 @@
         })
     }
 
-    /// Whether the preemptor's task would end sooner on another machine and would therefore still wait
-    /// for that one. Other tasks would then take the freed resources and be preempted again in the next
-    /// round. `fetch`: the wait for its image on this slot.
+    /// Whether a task of the preemptor would end sooner on another machine, without preemption, than on this
+    /// slot. The next round would then reserve that other machine for the task, other tasks would take the
+    /// resources freed on this slot, and they would be preempted again. `fetch`: the expected wait for the
+    /// task's image on this slot.
     fn would_end_sooner_elsewhere(
         &self,
         preemptor: &Preemptor<'_>,
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -1,8 +1,8 @@
 //! Preemption: decides which running tasks are stopped in favour of waiting ones.
 //!
-//! There are two reasons. [`for_resources`] frees resources on machines for waiting tasks of a higher
+//! A task is preempted for one of two reasons. [`for_resources`] frees resources on machines for waiting tasks of a higher
 //! priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's usage under
-//! its limit when one of its higher-priority jobs waits. Both prefer the victims that lose the least
+//! its limit when one of the team's higher-priority jobs waits. Both modules prefer the victims that lose the least
 //! work.
 //!
 //! Invariants: planning does not change the state; once [`MAX_PREEMPTIONS_PER_ROUND`] tasks are chosen,
@@ -27,16 +27,17 @@
 /// The number of preemptions after which a round selects no more victims. The last set of victims that
 /// makes room for a task may exceed it.
 const MAX_PREEMPTIONS_PER_ROUND: usize = 64;
-/// Nothing is preempted to save a wait of at most this long, and a task that will end sooner than this is
-/// not preempted.
+/// No task is preempted for a task that is expected to wait for at most this long, and no task is preempted
+/// whose expected remaining run time is shorter than this.
 const MIN_PREEMPTION_WAIT: Duration = Duration::from_secs(2);
 
 /// The reason for a preemption, written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum PreemptionReason {
-    /// Its resources are needed by tasks with a higher priority or by a team with an unused guarantee.
+    /// The victim's resources are needed by a job with a higher priority, or by a job within its team's
+    /// guarantee.
     ResourceShortage,
-    /// A job of the same team with a higher priority is held back by the team's limit.
+    /// A job of the victim's team with a higher priority is held back by the team's limit.
     TeamLimit,
 }
 
@@ -64,7 +65,7 @@
     Unprotected,
 }
 
-/// The input of preemption planning: the state of a round after its placement.
+/// The input of preemption planning: the state of a round after it has chosen its starts and reservations.
 pub(in crate::core) struct PreemptionInput<'a> {
     pub(in crate::core) now: Instant,
     /// Tasks that the round did not start, grouped by job.
@@ -72,8 +73,7 @@
     pub(in crate::core) slots: &'a [Slot<'a>],
     /// Expected image fetch rate in GB per second, by the index of the machine type in the fleet.
     pub(in crate::core) fetch_rates_gb_per_s: &'a [f64],
-    /// Jobs whose whole demand fits into their team's guarantee together with that of the team's unfinished
-    /// jobs that arrived earlier.
+    /// The jobs that are within their team's guarantee; see [`ClusterState::jobs_within_guarantee`].
     pub(in crate::core) jobs_within_guarantee: &'a HashSet<&'a JobId>,
     /// Job arrays with waiting tasks that only their team's limit holds back.
     pub(in crate::core) quota_limited_jobs: &'a [&'a JobId],
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -8,11 +8,11 @@
 use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
-/// A running task that may be preempted for another job of its team.
+/// An active task that may be preempted for another job of its team.
 struct Victim<'a> {
     task: TaskId,
     job: &'a Job,
-    /// Seconds of lost work, including the restart.
+    /// The cost of preempting the task, in seconds of lost work including the restart.
     cost: f64,
 }
 
@@ -112,7 +112,8 @@
         workload_by_team
     }
 
-    /// Adds the active tasks of one job to its team's candidate victims.
+    /// Adds the active tasks of one job that may be preempted to its team's candidate victims. Subtracts the
+    /// resources of those that are already being stopped from the team's usage.
     fn add_running_tasks<'a>(
         &self,
         job: &'a Job,
--- a/src/core/placement/prices.rs
+++ b/src/core/placement/prices.rs
@@ -2,12 +2,12 @@
 
 use crate::core::model::MachineType;
 
-/// The ratio between two price steps. Prices in the same step count as equal, because spot prices vary by
-/// a third.
+/// The ratio between the prices of two successive price steps. Prices in the same step count as equal, because
+/// spot prices vary by a third.
 const PRICE_STEP_FACTOR: f64 = 1.5;
 
-/// The price of one CPU of a machine per hour. A machine type with less than one CPU counts as having
-/// one.
+/// The hourly price of a machine divided by its number of CPUs. A machine type with less than one CPU counts
+/// as having one.
 pub(in crate::core) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
     machine_type.price(spot) / machine_type.capacity.cpus.max(1.0)
 }
--- a/src/core/placement/priority_inheritance.rs
+++ b/src/core/placement/priority_inheritance.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A job's own rank, raised to what its dependents require of it.
+    /// The highest of a job's own rank and the ranks that its dependents require of it.
     fn inherited_rank(&self, job_id: &JobId) -> Option<SchedulingRank> {
         let job = self.jobs.get(job_id)?;
         let dependents = self.jobs.dependencies.dependents(job_id);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The given jobs and all their direct and indirect dependencies.
+    /// Returns the given jobs together with all their direct and indirect dependencies.
     fn with_dependencies(&self, jobs: BTreeSet<JobId>) -> BTreeSet<JobId> {
         let mut pending: Vec<JobId> = jobs.iter().cloned().collect();
         let mut all = jobs;
@@ -79,7 +79,7 @@
         all
     }
 
-    /// The given jobs in an order that puts each of them after all of its dependents in the set.
+    /// Returns the given jobs in an order in which each job comes after all of its dependents among them.
     fn dependents_first(&self, jobs: &BTreeSet<JobId>) -> Vec<JobId> {
         let dependents_among = |job_id: &JobId| {
             let dependents = self.jobs.dependencies.dependents(job_id);
--- a/src/core/placement/queue.rs
+++ b/src/core/placement/queue.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether a job would miss its completion objective even if it started now. Returns `false` for a job
-    /// whose objective passed [`MAX_DEFERRABLE_LATENESS`] ago or earlier, so that it is not put off forever.
+    /// whose objective passed at least [`MAX_DEFERRABLE_LATENESS`] ago, so that it is no longer put off.
     fn is_late(&self, now: Instant, job: &Job) -> bool {
         let allowed = self
             .fleet
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -9,23 +9,23 @@
 
 use std::time::{Duration, Instant};
 
-/// A higher average timer lag shows that a node cannot keep up. A worker's heartbeat incurs several such
-/// delays on its way there and back, and the worker waits 4 s for the answer.
+/// A timer lag above this shows that a node cannot keep up, and the start rate limit is lowered. A worker's
+/// heartbeat and its response incur several such delays, and the worker waits 4 s for the response.
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
-/// With a lower timer lag a node keeps up easily, and the start rate limit is raised.
+/// A timer lag below this shows that a node keeps up easily, and the start rate limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
 /// The fractions by which the start rate limit falls and rises per second.
 const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
 const RATE_INCREASE_FRACTION_PER_S: f64 = 0.15;
-/// The start rate limit never falls below this, because timers can be late for reasons other than starts.
+/// The lower bound of the start rate limit, since timers can be late for reasons other than task starts.
 const MIN_STARTS_PER_S: f64 = 20.0;
 /// A start rate limit above this multiple of the recent start rate is removed, since it has no effect.
 const UNLIMITED_RATE_FACTOR: f64 = 4.0;
-/// Longer intervals between two lag observations count as this long.
+/// An interval between two timer lag observations that is longer than this counts as this long.
 const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
 /// The capacity of the token bucket, and its maximum debt, as seconds of starts at the current limit.
 const MAX_BURST_S: f64 = 1.0;
-/// Time constant of the average start rate.
+/// The time constant, in seconds, of the exponentially weighted average of the start rate.
 const AVERAGING_TIME_S: f64 = 3.0;
 
 /// A token bucket for task starts, whose rate follows the timer lag of the nodes.
@@ -37,7 +37,7 @@
     /// The number of task starts that are still allowed. Infinite if starts are not limited; negative if
     /// jobs that are exempt from the limit started more tasks than were allowed.
     tokens: f64,
-    /// Exponentially weighted average of the start rate.
+    /// Exponentially weighted average of the rate of all task starts, per second.
     recent_starts_per_s: f64,
     starts_since_refill: usize,
     last_refill_at: Option<Instant>,
--- a/src/core/placement/zone_constraints.rs
+++ b/src/core/placement/zone_constraints.rs
@@ -11,7 +11,7 @@
 use crate::core::state::Job;
 use std::collections::BTreeMap;
 
-/// The number of tasks of a job in each zone. It is counted only for jobs with a zone constraint.
+/// The number of tasks of one job in each zone. Empty if the job has no zone constraint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneUse {
     tasks_by_zone: BTreeMap<Zone, u32>,
@@ -20,8 +20,8 @@
 }
 
 impl ZoneUse {
-    /// Counts the active tasks of a job by zone. `zone_of` returns the zone of a machine, or `None` if it
-    /// is unknown.
+    /// Counts the active tasks of a job by zone. `zone_of` returns the zone of a machine, or `None` if the
+    /// zone is unknown.
     pub fn for_job(job: &Job, zone_of: &impl Fn(&MachineId) -> Option<Zone>) -> ZoneUse {
         let mut zones = ZoneUse::default();
         if !is_constrained(&job.spec) {
@@ -36,8 +36,8 @@
         zones
     }
 
-    /// Counts one more task in this zone. Returns whether that changed the set of zones in which the next
-    /// task may start.
+    /// Counts one more task in this zone. Returns whether this changed the set of zones in which the next
+    /// task of the job may start.
     pub fn add_task(&mut self, spec: &JobSpec, zone: &Zone) -> bool {
         if !is_constrained(spec) {
             return false;
