--- a/src/core/capacity/class_demand.rs
+++ b/src/core/capacity/class_demand.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The typical job of a class. `None`: no job of the class has arrived in this term, or the last one arrived
-    /// too long ago (see `QUIET_GAP_FACTOR`).
+    /// The typical job of a class. `None`: no job of the class has arrived in this term, or the last one
+    /// arrived too long ago (see `QUIET_GAP_FACTOR`).
     pub(super) fn typical_job(&self, now: Instant, class: &str) -> Option<TypicalJob> {
         let arrivals = self.arrivals.get(class)?;
         let count = arrivals.len();
--- a/src/core/capacity/consolidation.rs
+++ b/src/core/capacity/consolidation.rs
@@ -11,8 +11,8 @@
 
 /// A machine is not consolidated if the used fraction of any one of its resources is higher than this.
 const MAX_DOMINANT_SHARE: f64 = 0.55;
-/// The number of machines that accept tasks, divided by this, is the number that may be draining at a time for
-/// consolidation to drain another; it is at least 1. Machines that are draining for other reasons count as
+/// Consolidation drains machines only while fewer machines are draining than one in this many of the machines
+/// that accept tasks, or, in small fleets, than 1. Machines that are draining for other reasons count as
 /// well.
 const MACHINES_PER_CONSOLIDATION: usize = 12;
 /// Only tasks that have run for at least this long are moved: a shorter run does not count as the start that
--- a/src/core/capacity/drain.rs
+++ b/src/core/capacity/drain.rs
@@ -72,8 +72,8 @@
         DrainCancellations { machines }
     }
 
-    /// Moves machines that can run the waiting tasks from `draining` to `drains_to_cancel`, until all of these
-    /// tasks fit on the moved machines.
+    /// Moves machines that can run the waiting tasks from `draining` to `drains_to_cancel`, until all of
+    /// these tasks fit on the moved machines.
     fn cancel_drains_for(
         &self,
         waiting: &WaitingTasks,
--- a/src/core/capacity/free_resources.rs
+++ b/src/core/capacity/free_resources.rs
@@ -17,8 +17,8 @@
 }
 
 impl ClusterState {
-    /// The free resources of each machine that accepts tasks: each machine that has reported recently, and that
-    /// is not being drained, returned or evicted, and not in quarantine.
+    /// The free resources of each machine that accepts tasks: each machine that has reported recently, and
+    /// that is not being drained, returned or evicted, and not in quarantine.
     pub(super) fn free_resources(&self, now: Instant) -> Vec<FreeResources<'_>> {
         let max_age = self.config.heartbeat * MAX_MISSED_HEARTBEATS;
         let takes_tasks = |machine: &&Machine| {
--- a/src/core/capacity/packing.rs
+++ b/src/core/capacity/packing.rs
@@ -60,8 +60,8 @@
 }
 
 impl PackingPlan {
-    /// Creates a plan that contains the pending machines. `min_task_resources`: for each resource, the smallest
-    /// request of any task that will be packed.
+    /// Creates a plan that contains the pending machines. `min_task_resources`: for each resource, the
+    /// smallest request of any task that will be packed.
     pub(super) fn new(
         pending: Vec<PlannedMachine>,
         min_task_resources: Resources,
@@ -112,8 +112,8 @@
         remaining
     }
 
-    /// The candidate with the lowest cost per task. A candidate's price is divided by the number of tasks that
-    /// fit on it, but at most by `tasks`.
+    /// The candidate with the lowest cost per task. A candidate's price is divided by the number of tasks
+    /// that fit on it, but at most by `tasks`.
     pub(super) fn cheapest<'a>(
         &self,
         candidates: &'a [RentalCandidate],
--- a/src/core/capacity/rentals.rs
+++ b/src/core/capacity/rentals.rs
@@ -10,8 +10,8 @@
 
 /// The cloud's limit on the number of machines in one rental.
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// The maximum number of pending rentals. Further rentals would only wait for the cloud's rate limit, each for
-/// the few machines that were missing when the rental was ordered.
+/// The maximum number of pending rentals. Further rentals would only wait for the cloud's rate limit, each
+/// for the few machines that were missing when the rental was ordered.
 const MAX_PENDING_RENTALS: usize = 3;
 /// How long after the outcome `RentalOutcome::Unknown` a rental is sent again.
 pub(super) const RETRY_DELAY: Duration = Duration::from_secs(2);
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -75,8 +75,8 @@
     pub(super) machines: Vec<MachineId>,
 }
 
-/// The free resources that cover the headroom of each class. The resources of an idle machine are removed when
-/// the machine is selected for return.
+/// The free resources that cover the headroom of each class. The resources of an idle machine are removed
+/// when the machine is selected for return.
 struct HeadroomReserve<'a> {
     demands: Vec<HeadroomDemand>,
     /// For each of `demands`: the number of its tasks that fit into the free resources of all machines.
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -70,8 +70,8 @@
         survey
     }
 
-    /// Whether the last heartbeat of a machine was received longer than `timeout` ago, not counting time before
-    /// this process last resumed from a pause.
+    /// Whether the last heartbeat of a machine was received longer than `timeout` ago, not counting time
+    /// before this process last resumed from a pause.
     pub(in crate::core) fn is_silent(
         &self,
         now: Instant,
@@ -105,9 +105,10 @@
         machine.has_reported && since.is_some_and(|t| now.saturating_duration_since(t) > timeout)
     }
 
-    /// Whether a silent or unreachable machine is likely part of a shared outage. If most machines of a segment, a zone or the
-    /// fleet are silent at once, the cause is more likely the network or this leader than the machines. Returns
-    /// `false` once the machine has been silent for longer than its lease plus one heartbeat interval.
+    /// Whether a silent or unreachable machine is likely part of a shared outage. If most machines of a
+    /// segment, a zone or the fleet are silent at once, the cause is more likely the network or this leader
+    /// than the machines. Returns `false` once the machine has been silent for longer than its lease plus one
+    /// heartbeat interval.
     pub(super) fn is_shared_outage(&self, now: Instant, machine: &Machine) -> bool {
         let scope = self
             .takeover
--- a/src/core/placement/apply.rs
+++ b/src/core/placement/apply.rs
@@ -7,9 +7,9 @@
 use crate::core::state::ClusterState;
 use std::time::{Duration, Instant};
 
-/// A job is starved if it has waiting tasks and none of its tasks was placed for longer than this. The objective is that every job starts
-/// within four minutes, so some of a starved job's tasks go before all other jobs, whatever their
-/// priority or size.
+/// A job is starved if it has waiting tasks and none of its tasks was placed for longer than this. The
+/// objective is that every job starts within four minutes, so some of a starved job's tasks go before all
+/// other jobs, whatever their priority or size.
 const STARVATION_TIME: Duration = Duration::from_secs(100);
 /// When a job becomes starved, the number of its tasks divided by this, rounded up, is the number of tasks
 /// that are placed before all other jobs.
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Records the sizes of the waiting tasks that have no reservation on a booting machine. In the next round,
-    /// much smaller tasks avoid the machines that these tasks need.
+    /// Records the sizes of the waiting tasks that have no reservation on a booting machine. In the next
+    /// round, much smaller tasks avoid the machines that these tasks need.
     fn record_unplaced_sizes(&mut self, waiting: &[WaitingTasks]) {
         self.unplaced_resources.clear();
         for tasks in waiting.iter().filter(|w| !w.on_booting_machine) {
--- a/src/core/placement/array.rs
+++ b/src/core/placement/array.rs
@@ -69,7 +69,8 @@
             slot.reserved_images.push(job.image);
         }
         if self.exclusive_machines > 0 && slot.ready_at.is_none() {
-            // Smaller tasks would otherwise use freed resources before enough are free for a task of this job.
+            // Smaller tasks would otherwise use freed resources before enough are free for a task of this
+            // job.
             self.exclusive_machines -= 1;
             slot.free = Resources::default();
         }
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Starts one task on the machine with the lowest score, or reserves resources on that machine if the task
-    /// cannot start there now. If there is no such machine, records the task as waiting.
+    /// Starts one task on the machine with the lowest score, or reserves resources on that machine if the
+    /// task cannot start there now. If there is no such machine, records the task as waiting.
     fn plan_task(
         &self,
         index: u32,
--- a/src/core/placement/deadlines.rs
+++ b/src/core/placement/deadlines.rs
@@ -6,7 +6,8 @@
 
 impl ClusterState {
     /// How long after its arrival a job should have finished at the latest: the shortest of its deadline and
-    /// the `finished` objectives of its class. `None` if it has no deadline and its class no such objective.
+    /// the `finished` objectives of its class. `None` if the job has no deadline and its class has no such
+    /// objective.
     pub(super) fn completion_objective(&self, job: &Job) -> Option<Duration> {
         let slos = self.config.slos.iter();
         let class_objectives = slos
--- a/src/core/placement/fair_share.rs
+++ b/src/core/placement/fair_share.rs
@@ -41,8 +41,8 @@
     }
 
     /// Teams without a guarantee whose recent usage of CPUs or GPUs exceeds an even share: the total recent
-    /// usage of all teams that have runnable jobs, divided by the number of these teams. Without this rule one huge job, or a flood of small ones, would
-    /// occupy the whole cluster for as long as it lasts.
+    /// usage of all teams that have runnable jobs, divided by the number of these teams. Without this rule
+    /// one huge job, or a flood of small ones, would occupy the whole cluster for as long as it lasts.
     pub(super) fn teams_over_fair_share(&self) -> HashSet<&TeamName> {
         let mut used_by_team: HashMap<&TeamName, Resources> = HashMap::new();
         for job in self.jobs.values().filter(|job| is_runnable(job)) {
@@ -66,7 +66,8 @@
             .collect()
     }
 
-    /// Whether `usage` holds more for a team than its guarantee; `false` if the settings do not name the team.
+    /// Whether `usage` holds more for a team than its guarantee; `false` if the settings do not name the
+    /// team.
     pub(super) fn is_beyond_guarantee(
         &self,
         team: &TeamName,
--- a/src/core/placement/preemption/for_resources.rs
+++ b/src/core/placement/preemption/for_resources.rs
@@ -30,7 +30,7 @@
     within_guarantee: bool,
 }
 
-/// A running task that may be preempted.
+/// An active task that may be preempted.
 struct Victim<'a> {
     task: &'a TaskId,
     job: &'a Job,
@@ -74,7 +74,7 @@
 
 /// The preemptions selected so far, and the free resources and team usage that result from them.
 struct Selection<'a> {
-    /// Candidate victims by slot, the cheapest first.
+    /// Candidate victims by slot, those with the lowest cost first.
     victims: Vec<Vec<Victim<'a>>>,
     /// For each slot, the indices of the selected victims in `victims`.
     selected: Vec<HashSet<usize>>,
@@ -184,7 +184,7 @@
         })
     }
 
-    /// Running tasks that may be preempted, by slot, the cheapest first.
+    /// The active tasks that may be preempted, by slot, those with the lowest cost first.
     fn victims_by_slot<'a>(&'a self, input: &PreemptionInput<'a>) -> Vec<Vec<Victim<'a>>> {
         let mut victims_by_slot = Vec::with_capacity(input.slots.len());
         for slot in input.slots {
@@ -199,7 +199,7 @@
         victims_by_slot
     }
 
-    /// Returns a running task as a candidate victim, or `None` if it must not be preempted.
+    /// Returns an active task as a candidate victim, or `None` if the task must not be preempted.
     fn victim<'a>(
         &'a self,
         task: &'a TaskId,
--- a/src/core/placement/preemption/mod.rs
+++ b/src/core/placement/preemption/mod.rs
@@ -1,9 +1,9 @@
 //! Preemption: decides which running tasks are stopped in favour of waiting ones.
 //!
-//! A task is preempted for one of two reasons. [`for_resources`] frees resources on machines for waiting tasks of a higher
-//! priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's usage under
-//! its limit when one of the team's higher-priority jobs waits. Both modules prefer the victims that lose the least
-//! work.
+//! A task is preempted for one of two reasons. [`for_resources`] frees resources on machines for waiting
+//! tasks of a higher priority, or of a team that has less than its guarantee. [`within_team`] keeps a team's
+//! usage under its limit when one of the team's higher-priority jobs waits. Both modules prefer the victims
+//! that lose the least work.
 //!
 //! Invariants: planning does not change the state; once [`MAX_PREEMPTIONS_PER_ROUND`] tasks are chosen,
 //! no further victims are selected in that round; gang members are never victims; a task that is already
@@ -27,8 +27,8 @@
 /// The number of preemptions after which a round selects no more victims. The last set of victims that
 /// makes room for a task may exceed it.
 const MAX_PREEMPTIONS_PER_ROUND: usize = 64;
-/// No task is preempted for a task that is expected to wait for at most this long, and no task is preempted
-/// whose expected remaining run time is shorter than this.
+/// No task is preempted to free resources for a task that is expected to wait for at most this long, and no
+/// task is preempted whose expected remaining run time is shorter than this.
 const MIN_PREEMPTION_WAIT: Duration = Duration::from_secs(2);
 
 /// The reason for a preemption, written to the log.
--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -22,7 +22,7 @@
     /// The resources that the team uses, without those of tasks that are being stopped, plus the resources
     /// of all waiting tasks of those preempting jobs that were handled so far.
     used: Resources,
-    /// Tasks that may be preempted, the cheapest last.
+    /// Tasks that may be preempted, by descending cost.
     victims: Vec<Victim<'a>>,
 }
 
--- a/src/core/placement/prices.rs
+++ b/src/core/placement/prices.rs
@@ -2,8 +2,8 @@
 
 use crate::core::model::MachineType;
 
-/// The ratio between the prices of two successive price steps. Prices in the same step count as equal, because
-/// spot prices vary by a third.
+/// The ratio between the prices of two successive price steps. Prices in the same step count as equal,
+/// because spot prices vary by a third.
 const PRICE_STEP_FACTOR: f64 = 1.5;
 
 /// The hourly price of a machine divided by its number of CPUs. A machine type with less than one CPU counts
--- a/src/core/placement/round.rs
+++ b/src/core/placement/round.rs
@@ -2,8 +2,8 @@
 //! tasks that keep waiting.
 //!
 //! Jobs are visited in queue order. The round stops placing tasks of an array as soon as the next one would
-//! make the team's usage exceed the team's limit. It skips a gang whose members together would do so. The round works on its own
-//! copy of each machine's free resources, so the cluster state does not change.
+//! make the team's usage exceed the team's limit. It skips a gang whose members together would do so. The
+//! round works on its own copy of each machine's free resources, so the cluster state does not change.
 
 use crate::core::model::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TeamName, Zone};
 use crate::core::placement::plan::{RoundPlan, SpareResources};
@@ -17,7 +17,8 @@
 /// exceed this number. Waiting tasks beyond it are left to later rounds.
 pub(super) const MAX_TASKS_PER_ROUND: usize = 4000;
 /// Scores are rounded to this resolution, and machines with the same rounded score are compared by price.
-/// Smaller differences between scores mean nothing, because a worker sends heartbeats at most every half second.
+/// Smaller differences between scores mean nothing, because a worker sends heartbeats at most every half
+/// second.
 pub(super) const SCORE_RESOLUTION_S: f64 = 1.0;
 /// Added to the score of a machine whose resources are still in use: the time from the predicted end of a
 /// task to the start of its successor. It also compensates for prediction errors: the earliest of many
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -156,8 +156,8 @@
         slots
     }
 
-    /// Builds the slot of a machine. Returns `None` if the machine is up and accepts no tasks now, or is being
-    /// returned to the cloud.
+    /// Builds the slot of a machine. Returns `None` if the machine is up and accepts no tasks now, or is
+    /// being returned to the cloud.
     fn slot<'a>(
         &'a self,
         now: Instant,
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -9,10 +9,10 @@
 
 use std::time::{Duration, Instant};
 
-/// A timer lag above this shows that a node cannot keep up, and the start rate limit is lowered. A worker's
-/// heartbeat and its response incur several such delays, and the worker waits 4 s for the response.
+/// An average timer lag above this shows that a node cannot keep up, and the start rate limit is lowered. A
+/// worker's heartbeat and its response incur several such delays, and the worker waits 4 s for the response.
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
-/// A timer lag below this shows that a node keeps up easily, and the start rate limit is raised.
+/// An average timer lag below this shows that a node keeps up easily, and the start rate limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
 /// The fractions by which the start rate limit falls and rises per second.
 const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A cluster of 40 machines of two types, some of which have cached images or a measured slowness.
+/// A cluster of 40 machines of two types. Some of the machines have cached images or a measured slowdown.
 fn random_cluster(rng: &mut StdRng, now: Instant) -> ClusterState {
     let types: Vec<MachineType> = [("small", 4.0, 0.2), ("large", 32.0, 1.5)]
         .into_iter()
@@ -135,8 +135,9 @@
     }
 }
 
-/// Guards against wrong choices from stale scores: the heap scores only the machine of the last placement
-/// again. The expected choice comes from scoring each task on every machine; the lowest score wins.
+/// Guards against wrong choices from stale scores: after each placement, only the machine that took the task
+/// is scored again. The expected choice is the machine with the lowest score when each task is scored on
+/// every machine.
 #[test]
 fn the_heap_chooses_what_scoring_every_machine_for_every_task_chooses() {
     let (mut started, mut reserved, mut constrained) = (0, 0, 0);
