--- a/src/core/capacity/apply.rs
+++ b/src/core/capacity/apply.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 impl ClusterState {
-    /// Lets machines that were being drained accept tasks again.
+    /// Cancels drains: the machines accept tasks again.
     pub(super) fn cancel_drains(&mut self, plan: DrainCancellations) {
         for id in plan.machines {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Orders replacements for expensive machines, or pauses replacement if there is no offer.
+    /// Orders replacements for expensive machines, or pauses the planning of replacements if no spot machine
+    /// of the wanted type is on offer.
     pub(super) fn apply_replacement(&mut self, now: Instant, decision: ReplacementDecision) {
         let replacements = &mut self.capacity.replacements;
         match decision {
--- a/src/core/capacity/capacity_manager.rs
+++ b/src/core/capacity/capacity_manager.rs
@@ -27,8 +27,8 @@
     }
 
     /// Whether this term knows which machines exist: either the cloud's list was received and every known
-    /// machine that is neither booting nor being returned has reported, or `REPORT_TIMEOUT_HEARTBEATS` have
-    /// passed since the term began.
+    /// machine that is neither booting nor being returned has reported, or `REPORT_TIMEOUT_HEARTBEATS`
+    /// heartbeat intervals have passed since the term began.
     pub(super) fn knows_fleet(&self, now: Instant) -> bool {
         let has_not_reported =
             |m: &Machine| m.booting_since.is_none() && !m.has_reported && !m.returning;
--- a/src/core/capacity/class_demand.rs
+++ b/src/core/capacity/class_demand.rs
@@ -7,7 +7,7 @@
 /// The maximum number of jobs of a class from which its typical job is derived.
 const MAX_RECENT_JOBS: usize = 20;
 /// A class has no typical job if its last job arrived longer ago than this many times the mean interval
-/// between its jobs, and longer ago than `MIN_QUIET_PERIOD`.
+/// between the arrivals of its recent jobs, and longer ago than `MIN_QUIET_PERIOD`.
 const QUIET_GAP_FACTOR: u32 = 5;
 const MIN_QUIET_PERIOD: Duration = Duration::from_secs(40);
 
--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -44,8 +44,8 @@
 
 impl ClusterState {
     /// The headroom of each class with an objective for the start of its tasks: a multiple of the class's
-    /// typical job. A class needs none if a newly rented machine boots in time for its objective, unless it
-    /// has an objective for deadlines as well.
+    /// typical job. A class needs no headroom if a newly rented machine boots in time for the class's
+    /// objective, unless the class has an objective for deadlines as well.
     pub(super) fn headroom(&self, now: Instant) -> Vec<HeadroomDemand> {
         let mut demands = Vec::new();
         for StartObjective { class, within } in self.start_objectives() {
@@ -70,8 +70,8 @@
         self.config.slos.iter().any(deadline)
     }
 
-    /// Whether a machine that is rented now may boot too late for a task that must start before `within` has
-    /// passed. Also `true` if the task fits on no machine type.
+    /// Whether a machine that is rented now may boot too late for a task that must start at most
+    /// `within` from now. Also `true` if the task fits on no machine type.
     fn is_sooner_than_boot(&self, within: Duration, resources: &Resources) -> bool {
         let types = self.fleet.types.iter();
         let suitable = types.filter(|t| resources.count_fitting_in(&t.capacity) > 0);
@@ -122,7 +122,7 @@
     }
 
     /// The types whose free resources count as headroom for tasks of this size. Types that much larger
-    /// waiting tasks will use do not count, unless there is no other.
+    /// waiting tasks need do not count, unless no type would be left; then all types count.
     fn headroom_types(&self, resources: &Resources) -> Vec<&MachineType> {
         let counts = |t: &&MachineType| {
             let fits = resources.count_fitting_in(&t.capacity) > 0;
--- a/src/core/capacity/replacement_progress.rs
+++ b/src/core/capacity/replacement_progress.rs
@@ -31,7 +31,8 @@
         self.pending.get(machine_type).copied().unwrap_or(0)
     }
 
-    /// Records that a spot machine of this type came up. It counts as a replacement if one is pending.
+    /// Records that a spot machine of this type came up. The machine counts as a ready
+    /// replacement if a replacement of this type is pending.
     pub(super) fn record_ready(&mut self, machine_type: &MachineTypeName) {
         let pending = self.pending.get_mut(machine_type);
         if let Some(count) = pending.filter(|count| **count > 0) {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Records that the cloud refused spot machines of this type. Pauses replacement if one was pending.
+    /// Records that the cloud refused spot machines of this type. If replacements of this
+    /// type were pending, they are no longer counted, and no replacement is planned for `REFUSAL_PAUSE`.
     pub(super) fn record_refusal(&mut self, now: Instant, machine_type: &MachineTypeName) {
         if self.pending.remove(machine_type).is_some() {
             self.paused_until = Some(now + REFUSAL_PAUSE);
--- a/src/core/capacity/scale_in.rs
+++ b/src/core/capacity/scale_in.rs
@@ -23,7 +23,8 @@
 const RETURN_INTERVAL: Duration = Duration::from_secs(2);
 /// A return is requested again if the machine still exists this long after the last request.
 const RETURN_RETRY_DELAY: Duration = Duration::from_secs(20);
-/// A machine counts as never booted after this many advertised boot times plus `BOOT_TIME_MARGIN`.
+/// A machine counts as never booted if it is still booting after this many advertised boot times plus
+/// `BOOT_TIME_MARGIN`.
 const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
 const BOOT_TIME_MARGIN: Duration = Duration::from_secs(30);
 /// The boot time assumed for a machine of unknown type.
@@ -79,7 +80,7 @@
 /// when the machine is selected for return.
 struct HeadroomReserve<'a> {
     demands: Vec<HeadroomDemand>,
-    /// For each of `demands`: the number of its tasks that fit into the free resources of all machines.
+    /// For each of `demands`: the number of its tasks that fit on all machines together.
     covered_tasks: Vec<usize>,
     free_by_machine: HashMap<&'a MachineId, Resources>,
 }
--- a/src/core/capacity/scale_out.rs
+++ b/src/core/capacity/scale_out.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// An inexpensive machine is rented for tasks that are expected to wait for longer than this fraction of its
-/// boot time.
+/// An inexpensive machine is rented for tasks that are expected to wait for longer than this fraction of the
+/// machine's expected boot time.
 const MIN_WAIT_BOOT_FRACTION: f64 = 0.7;
 /// An expensive machine is rented to meet a deadline only if the expected wait exceeds this many boot times
 /// plus `MIN_WAIT_MARGIN`, since the machine may boot more slowly than on average and has to fetch an image.
--- a/src/core/capacity/silence.rs
+++ b/src/core/capacity/silence.rs
@@ -10,7 +10,8 @@
 /// intervals.
 const SCALE_OUT_SILENT_HEARTBEATS: f64 = 2.5;
 
-/// Counts the machines that are neither booting nor being returned, and those of them that are silent.
+/// Counts the machines that are neither booting nor being returned, and those of them that are silent: these
+/// have not reported in this term, or their last heartbeat is too old (see `SCALE_OUT_SILENT_HEARTBEATS`).
 struct SilenceCount {
     machines: usize,
     silent: usize,
--- a/src/core/capacity/spot_replacement.rs
+++ b/src/core/capacity/spot_replacement.rs
@@ -40,7 +40,8 @@
     replaceable: u32,
 }
 
-/// Whether an on-demand machine of this type costs more than [`EXPENSIVE_PRICE_FACTOR`] times a spot one.
+/// Whether an on-demand machine of this type costs more than [`EXPENSIVE_PRICE_FACTOR`] times the price of a
+/// spot machine of this type.
 fn is_expensive(machine_type: &MachineType) -> bool {
     machine_type.on_demand_price_per_hour
         > machine_type.spot_price_per_hour * EXPENSIVE_PRICE_FACTOR
--- a/src/core/placement/gang.rs
+++ b/src/core/placement/gang.rs
@@ -36,7 +36,7 @@
 
 impl ClusterState {
     /// Starts a gang if its team's limit allows it and all of its members fit now. Does nothing if the gang
-    /// was already examined in this round or has active tasks.
+    /// was already examined in this round or has active tasks, or if the round may examine no more tasks.
     pub(super) fn plan_gang<'a>(&'a self, entry: QueueEntry<'a>, round: &mut PlacementRound<'a>) {
         let job = entry.job;
         let was_examined = round.examined_tasks_of(job) > 0;
--- a/src/core/placement/history.rs
+++ b/src/core/placement/history.rs
@@ -1,11 +1,11 @@
 //! Run time estimates from measured run times, and fetch time estimates from measured fetch rates.
 //!
 //! Measured run times are kept under two keys. The task key is a hash of the parameters that make tasks
-//! alike, including the user's estimate; all tasks of one job share it. The class key is a hash of the
-//! class and the machine type only. If the task key has a measurement, its mean is the estimate.
-//! Otherwise the user's estimate is multiplied by the mean ratio of measured to estimated run time of the
-//! class. If the class key has enough measurements, the result is the geometric mean of this product and
-//! the mean run time of the class.
+//! alike, including the user's estimate; all tasks of one job share it. The class key is a hash of the class
+//! and the machine type only. If the task key has a measurement, its mean is the estimate. Otherwise the
+//! user's estimate is multiplied by the geometric mean of the ratios of measured to estimated run time of the
+//! class. If the class key has enough measurements, the result is the geometric mean of this product and the
+//! mean run time of the class.
 //!
 //! Invariants: the keys are stored, so neither the hash nor the order of the hashed fields may change; a
 //! [`HistorySummary`] never has more entries than the caller of [`History::summary`] allows.
@@ -16,7 +16,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A running average in which old values lose weight once the count has reached its limit.
+/// A running average in which old values lose weight once the count has reached `MAX_AVERAGE_COUNT`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Average {
     /// The weighted mean of the values; 0 if there are none.
@@ -37,7 +37,7 @@
     }
 }
 
-/// The mean of a class is used only if it has at least this many measurements.
+/// The mean run time of a class is used in an estimate only if its average has at least this many values.
 const MIN_CLASS_MEASUREMENTS: u32 = 3;
 /// Bounds of estimated run times, in seconds.
 const MIN_RUN_TIME_S: f64 = 0.1;
@@ -65,7 +65,7 @@
     log_estimate_bias: HashMap<u64, Average>,
     /// Ratio of measured to nominal image fetch rate, by machine type.
     fetch_ratios: HashMap<u64, Average>,
-    /// Measurements were added since the last summary.
+    /// Measurements were added since the last call of [`History::summary`].
     dirty: bool,
 }
 
@@ -104,7 +104,8 @@
     key(&[&machine_type.0], &[])
 }
 
-/// The time to fetch `size_gb` gigabytes at a rate in GB per second. Very low rates are raised to a minimum.
+/// The time to fetch `size_gb` gigabytes at a rate in GB per second. The rate counts as
+/// `MIN_FETCH_RATE_GB_PER_S` at least.
 pub fn fetch_time_at(rate_gb_per_s: f64, size_gb: f64) -> Duration {
     Duration::from_secs_f64(
         (size_gb / rate_gb_per_s.max(MIN_FETCH_RATE_GB_PER_S)).clamp(0.0, MAX_FETCH_TIME_S),
--- a/src/core/placement/mod.rs
+++ b/src/core/placement/mod.rs
@@ -3,8 +3,8 @@
 //! A placement round walks the job queue (`queue`) and assigns each task to the machine with the lowest
 //! score: the expected wait for free resources, plus the expected run time, plus the time to fetch the
 //! image, plus some corrections (`scoring`). A task starts only where the resources are free now. If the
-//! best machine is busy, the task gets a reservation there for this round, which delays the tasks after
-//! it; the next round scores the task again. Gangs are placed as a whole (`gang`).
+//! best machine is busy, the task gets a reservation there for this round, which delays the tasks
+//! that the round places later; the next round scores the task again. Gangs are placed as a whole (`gang`).
 //!
 //! `round` computes a plan from an unchanged cluster state; `apply` is the only place where the decisions
 //! of a round change that state.
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -2,9 +2,10 @@
 //! plus the time to fetch the image. Two corrections are added to this sum: [`SUCCESSOR_START_DELAY`] if the
 //! machine is busy, and [`LARGER_TASKS_PENALTY`] if larger tasks need the machine.
 //!
-//! The tasks of one job have equal requests and estimates, so all machines are scored once per job and kept
-//! in a heap. After each placement only the machine that took the task is scored again. The choice is the
-//! same as if each task were scored on every machine; a test compares the two.
+//! Tasks of one job with the same saved progress have the same score on a machine. All machines are therefore
+//! scored once for these tasks and kept in a heap. After each placement only the machine that took the task
+//! is scored again, unless the start changed the zones in which the job may start further tasks. The choice
+//! is the same as if each task were scored on every machine; a test compares the two.
 
 use crate::core::model::{JobSpec, MachineType, Resources};
 use crate::core::placement::round::{SCORE_RESOLUTION_S, SUCCESSOR_START_DELAY};
--- a/src/core/placement/slots.rs
+++ b/src/core/placement/slots.rs
@@ -54,17 +54,17 @@
     pending_fetch_gb: f64,
     /// Images that the machine will fetch because a task was started on it in this round.
     started_images: Vec<ImageKey>,
-    /// Images of tasks that have a reservation on this machine; it will fetch them for these tasks.
+    /// Images of tasks that have a reservation on this machine. The machine will fetch them for these tasks.
     pub(super) reserved_images: Vec<ImageKey>,
-    /// A task has a reservation on this machine. Tasks of teams over their fair share are not placed here
-    /// then.
+    /// The machine is up, and a task whose team is not over its fair share has a reservation on it. Tasks of
+    /// teams over their fair share are then not placed on this machine.
     pub(super) has_reservation: bool,
 }
 
 impl Slot<'_> {
     /// Returns when a task that requests `resources` fits on the slot: now if the free resources suffice,
-    /// otherwise at the expected end of the running tasks and reservations before it. Returns `None` if the
-    /// task does not fit even after all of them have ended. `capacity`: that of the machine's type.
+    /// otherwise once enough running tasks and reservations are expected to have ended. Returns `None` if the
+    /// task would not fit even after all of these have ended. `capacity`: that of the machine's type.
     pub(super) fn availability(
         &self,
         now: Instant,
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -1,11 +1,11 @@
 //! Limits the rate of task starts to what the controllers' CPUs can handle.
 //!
-//! Each start costs heartbeats, commands and store writes on every node. With a huge job of short tasks
-//! on several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and
-//! users get no response. The overload signal is how late the nodes' own timers fire. While they are
-//! late, the start rate of ordinary jobs is reduced; afterwards it is raised until it is no longer
-//! limited. Ordinary jobs are those of at most standard priority that are not within their team's
-//! guarantee.
+//! Each start costs heartbeats, commands and store writes on every node. With a huge job of short tasks on
+//! several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and users
+//! get no response. The overload signal is how late the nodes' own timers fire. While they are late, the
+//! limit on the start rate of ordinary jobs is lowered. Once the timers fire on time again, the limit is
+//! raised until it is removed. Ordinary jobs are those of at most standard priority that are not within their
+//! team's guarantee.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,8 @@
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
 /// An average timer lag below this shows that a node keeps up easily, and the start rate limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
-/// The fractions by which the start rate limit falls and rises per second.
+/// The fractions by which the start rate limit falls per second while a node cannot keep up, and by which it
+/// rises per second while all nodes keep up easily.
 const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
 const RATE_INCREASE_FRACTION_PER_S: f64 = 0.15;
 /// The lower bound of the start rate limit, since timers can be late for reasons other than task starts.
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -227,8 +227,9 @@
     let now = Instant::now();
     let secs = Duration::from_secs;
     use StartProtection::{Protected, Unprotected};
-    // Name, seconds since the placement, seconds since the start of its run, whether it writes checkpoints
-    // (every 20 s), start protection, expected seconds of lost work (`None`: must not be preempted).
+    // Name, seconds since the task was placed, seconds since it began to run (`None`: it does not run yet),
+    // whether its job writes checkpoints (every 20 s), start protection, expected seconds of lost work
+    // (`None`: must not be preempted).
     let cases = [
         ("placed a second ago", 1, None, true, Unprotected, Some(1.0)),
         (
