--- a/src/core/capacity/headroom.rs
+++ b/src/core/capacity/headroom.rs
@@ -35,8 +35,8 @@
     })
 }
 
-/// The strictest objective for the start of a class's tasks: the shortest time, from the arrival of a task,
-/// within which the task must start.
+/// The strictest objective for the start of a class's tasks: the lowest time limit
+/// among the class's `wait` objectives.
 struct StartObjective<'a> {
     class: &'a str,
     within: Duration,
