--- a/src/core/placement/preemption/within_team.rs
+++ b/src/core/placement/preemption/within_team.rs
@@ -8,11 +8,11 @@
 use crate::core::state::{ClusterState, Job};
 use std::collections::{HashMap, HashSet};
 
-/// A running task that may be preempted for another job of its team.
+/// An active task that may be preempted for another job of its team.
 struct Victim<'a> {
     task: TaskId,
     job: &'a Job,
-    /// Seconds of lost work, including the restart.
+    /// The cost of preempting the task, in seconds of lost work including the restart.
     cost: f64,
 }
 
@@ -22,7 +22,7 @@
     /// The resources that the team uses, without those of tasks that are being stopped, plus the resources
     /// of all waiting tasks of those preempting jobs that were handled so far.
     used: Resources,
-    /// Tasks that may be preempted, the cheapest last.
+    /// Tasks that may be preempted, by descending cost.
     victims: Vec<Victim<'a>>,
 }
 
@@ -112,7 +112,8 @@
         workload_by_team
     }
 
-    /// Adds the active tasks of one job to its team's candidate victims.
+    /// Adds the active tasks of one job that may be preempted to its team's candidate victims. Subtracts the
+    /// resources of those that are already being stopped from the team's usage.
     fn add_running_tasks<'a>(
         &self,
         job: &'a Job,
--- a/src/core/placement/start_limiter.rs
+++ b/src/core/placement/start_limiter.rs
@@ -1,31 +1,32 @@
 //! Limits the rate of task starts to what the controllers' CPUs can handle.
 //!
-//! Each start costs heartbeats, commands and store writes on every node. With a huge job of short tasks
-//! on several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and
-//! users get no response. The overload signal is how late the nodes' own timers fire. While they are
-//! late, the start rate of ordinary jobs is reduced; afterwards it is raised until it is no longer
-//! limited. Ordinary jobs are those of at most standard priority that are not within their team's
-//! guarantee.
+//! Each start costs heartbeats, commands and store writes on every node. With a huge job of short tasks on
+//! several thousand machines, the nodes fall behind: heartbeats are answered late, leases expire and users
+//! get no response. The overload signal is how late the nodes' own timers fire. While they are late, the
+//! limit on the start rate of ordinary jobs is lowered. Once the timers fire on time again, the limit is
+//! raised until it is removed. Ordinary jobs are those of at most standard priority that are not within their
+//! team's guarantee.
 
 use std::time::{Duration, Instant};
 
-/// A higher average timer lag shows that a node cannot keep up. A worker's heartbeat incurs several such
-/// delays on its way there and back, and the worker waits 4 s for the answer.
+/// An average timer lag above this shows that a node cannot keep up, and the start rate limit is lowered. A
+/// worker's heartbeat and its response incur several such delays, and the worker waits 4 s for the response.
 const OVERLOADED_TIMER_LAG: Duration = Duration::from_millis(350);
-/// With a lower timer lag a node keeps up easily, and the start rate limit is raised.
+/// An average timer lag below this shows that a node keeps up easily, and the start rate limit is raised.
 const HEALTHY_TIMER_LAG: Duration = Duration::from_millis(150);
-/// The fractions by which the start rate limit falls and rises per second.
+/// The fractions by which the start rate limit falls per second while a node cannot keep up, and by which it
+/// rises per second while all nodes keep up easily.
 const RATE_DECREASE_FRACTION_PER_S: f64 = 0.25;
 const RATE_INCREASE_FRACTION_PER_S: f64 = 0.15;
-/// The start rate limit never falls below this, because timers can be late for reasons other than starts.
+/// The lower bound of the start rate limit, since timers can be late for reasons other than task starts.
 const MIN_STARTS_PER_S: f64 = 20.0;
 /// A start rate limit above this multiple of the recent start rate is removed, since it has no effect.
 const UNLIMITED_RATE_FACTOR: f64 = 4.0;
-/// Longer intervals between two lag observations count as this long.
+/// An interval between two timer lag observations that is longer than this counts as this long.
 const MAX_COUNTED_INTERVAL_S: f64 = 1.0;
 /// The capacity of the token bucket, and its maximum debt, as seconds of starts at the current limit.
 const MAX_BURST_S: f64 = 1.0;
-/// Time constant of the average start rate.
+/// The time constant, in seconds, of the exponentially weighted average of the start rate.
 const AVERAGING_TIME_S: f64 = 3.0;
 
 /// A token bucket for task starts, whose rate follows the timer lag of the nodes.
@@ -37,7 +38,7 @@
     /// The number of task starts that are still allowed. Infinite if starts are not limited; negative if
     /// jobs that are exempt from the limit started more tasks than were allowed.
     tokens: f64,
-    /// Exponentially weighted average of the start rate.
+    /// Exponentially weighted average of the rate of all task starts, per second.
     recent_starts_per_s: f64,
     starts_since_refill: usize,
     last_refill_at: Option<Instant>,
