--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -1,7 +1,8 @@
 //! The operators' settings for takeovers, and their validation.
 //!
-//! Invariant of valid settings: at the configured rates, the kills of cancelled jobs reach every machine
-//! within [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline, and segments do not overlap.
+//! Invariants of valid settings: if pacing is enabled, the kills of cancelled jobs reach every machine at the
+//! configured rates within [`PACED_SHARE_OF_CANCELLATION_DEADLINE`] of the cancellation deadline. The network
+//! segments that operators define, which are groups of machines by IP address, do not overlap.
 
 use crate::segments::{DerivedPrefixes, NamedSegment};
 use ipnet::IpNet;
--- a/tests/end_to_end/cold_restart.rs
+++ b/tests/end_to_end/cold_restart.rs
@@ -187,8 +187,9 @@
     let all = deployment.task_count();
     assert_eq!(deployment.start_count(), all);
 
-    // No lease of a worker expires. The store is available only a second after the controllers start, and one
-    // of the controllers stays partitioned from the store.
+    // First restart. By default the leases of fake workers never expire, so the tasks keep running while the
+    // controllers are down. The store becomes available only a second after the controllers start, and one of
+    // the controllers stays partitioned from the store.
     let term = deployment.await_term_after(Term(0));
     deployment.kill_all();
     let store_unavailable = deployment.cluster.store.unavailable.clone();
