--- a/src/core/persistence/job_status_reads.rs
+++ b/src/core/persistence/job_status_reads.rs
@@ -23,8 +23,8 @@
 }
 
 impl JobRecordStatus {
-    /// The outcome of an accepted job, which is [`JobOutcome::Live`] until the job ends. `None` if the job was
-    /// never accepted.
+    /// The outcome of an accepted job, which is [`JobOutcome::Live`] until the job ends. `None` if the job
+    /// was never accepted.
     pub fn outcome(self) -> Option<JobOutcome> {
         match self {
             JobRecordStatus::NeverAccepted => None,
--- a/src/core/reconciliation/acknowledgements.rs
+++ b/src/core/reconciliation/acknowledgements.rs
@@ -17,8 +17,8 @@
 impl ClusterState {
     /// If a heartbeat shows that its machine has ignored a launch or a kill, blocks placement on the machine
     /// until it proves that messages of this leader reach it. For the proof, this leader issues a new fencing
-    /// token and sends it to the machine; a later heartbeat from the machine must carry this token or a higher
-    /// one.
+    /// token and sends it to the machine; a later heartbeat from the machine must carry this token or a
+    /// higher one.
     pub(super) fn check_acknowledged(
         &mut self,
         now: Instant,
--- a/src/core/state/crash_loop.rs
+++ b/src/core/state/crash_loop.rs
@@ -100,9 +100,9 @@
         self.failure_count
     }
 
-    /// Whether a task of the job has failed on this machine since a task of the job last completed or, under a
-    /// suspicion, ran for far longer than the shortest time in which a task failed. Failures under a suspicion
-    /// and failures on machines that other jobs had shown to be faulty are left out.
+    /// Whether a task of the job has failed on this machine since a task of the job last completed or, under
+    /// a suspicion, ran for far longer than the shortest time in which a task failed. Failures under a
+    /// suspicion and failures on machines that other jobs had shown to be faulty are left out.
     pub fn has_failed_on(&self, machine: &MachineId) -> bool {
         self.failed_machines.contains(machine)
     }
